--- /dev/null
+++ b/tests/equivalence/names.py
@@ -0,0 +1,190 @@
+"""The names that the recordings carry, and what the code calls the same things now.
+
+The recordings were made by commit 9bcbde6. Their events and actions are written in that commit's words;
+this map is the one place that knows both. A renamed class, field or enum member changes its line here.
+"""
+
+from __future__ import annotations
+
+import enum
+from dataclasses import dataclass
+from typing import Any
+
+from pipitshed.decisions import interface as events
+from pipitshed.decisions import interface as actions
+from pipitshed.decisions import rules
+from pipitshed.decisions.rules import Dispatcher
+from pipitshed.decisions.settings import settings_from
+from pipitshed.exchange.parties import Request
+
+Fields = dict[str, Any]
+Item = tuple[str, Fields]  # a recorded class name and its fields by their recorded names
+
+
+@dataclass(frozen=True)
+class Renamed:
+    """A class and its fields, by recorded name."""
+
+    current: type
+    fields: dict[str, str]
+
+
+def _same(current: type, *fields: str) -> Renamed:
+    return Renamed(current, {name: name for name in fields})
+
+
+ENUMS: dict[str, tuple[type[enum.Enum], dict[str, str]]] = {
+    "Outcome": (
+        events.Outcome,
+        {
+            name: name
+            for name in ("OK", "ERROR", "FULL", "TIMEOUT", "CONNECT_FAILED", "RESET", "CANCELLED", "MOOT")
+        },
+    ),
+    "ListKind": (events.ListKind, {name: name for name in ("FULL", "DELTA", "FAILED", "CACHED")}),
+    "State": (events.State, {name: name for name in ("GONE", "READY", "DRAINING")}),
+    "NoteKind": (events.NoteKind, {name: name for name in ("STARTED", "PROGRESS")}),
+}
+
+# Fields whose recorded value is the name of an enum's member.
+ENUM_FIELDS = {
+    ("ListNews", "kind"): "ListKind",
+    ("Entry", "state"): "State",
+    ("Note", "kind"): "NoteKind",
+    ("Finished", "outcome"): "Outcome",
+}
+
+EVENTS: dict[str, Renamed] = {
+    "Entry": _same(
+        events.Entry,
+        "worker",
+        "zone",
+        "cell",
+        "kind",
+        "weight",
+        "started_at",
+        "state",
+        "classes",
+        "interface",
+        "planned",
+    ),
+    "ListNews": _same(events.ListNews, "kind", "version", "entries"),
+    "ListMoved": _same(events.ListMoved),
+    "LinkLost": _same(events.LinkLost, "worker"),
+    "Submitted": _same(
+        events.Submitted,
+        "job",
+        "time_left",
+        "job_class",
+        "tenant",
+        "slots",
+        "memory",
+        "work",
+        "key",
+        "repeat",
+        "fits",
+    ),
+    "FirstByte": _same(events.FirstByte, "job", "attempt", "worker", "elapsed"),
+    "Note": _same(events.Note, "job", "attempt", "worker", "kind", "done"),
+    "Finished": _same(
+        events.Finished, "job", "attempt", "worker", "outcome", "elapsed", "settled", "report", "pushback"
+    ),
+    "Withdrawn": _same(events.Withdrawn, "job"),
+    "TimerFired": _same(events.TimerFired, "token"),
+}
+
+ACTIONS: dict[str, Renamed] = {
+    "Send": _same(actions.Send, "job", "worker", "timeout", "write_within"),
+    "Refuse": _same(actions.Refuse, "job", "retry_after"),
+    "Fail": _same(actions.Fail, "job"),
+    "Cancel": _same(actions.Cancel, "job", "attempt"),
+    "SetTimer": _same(actions.SetTimer, "token", "delay"),
+    "WatchList": _same(actions.WatchList, "on"),
+}
+# Constants of the rules by recorded name: where each stands now, and a value near its own.
+CONSTANTS: dict[str, tuple[Any, str, float]] = {
+    "REFUSE_ABOVE": (rules, "REFUSE_ABOVE", 0.85),
+    "EJECTION_MS": (rules, "EJECTION_MS", 330.0),
+    "PAUSE_PART": (rules, "PAUSE_PART", 0.021),
+    "START_PART": (rules, "START_PART", 0.11),
+    "LEFT_POWER": (rules, "LEFT_POWER", 24.5),
+    "LONGEST_ASK": (rules, "LONGEST_ASK", 2001.0),
+    "UNEVEN": (rules, "UNEVEN", 1.3),
+    "STALLED": (rules, "STALLED", 1.8),
+}
+_ACTION_NAMES = {renamed.current: name for name, renamed in ACTIONS.items()}
+
+
+class Decisions:
+    """The dispatcher of today, spoken to in the recordings' words."""
+
+    def __init__(self, settings: Fields, seed: int, on_sockets: bool = False) -> None:
+        self._on_sockets = on_sockets
+        self._dispatcher = Dispatcher(self._settings(settings), seed)
+
+    def _settings(self, settings: Fields) -> Any:
+        made = settings_from(settings)
+        if not self._on_sockets:
+            return made
+        from pipitshed.config import _on_sockets
+
+        return _on_sockets(made)
+
+    def retune(self, settings: Fields) -> None:
+        """New settings under way."""
+        self._dispatcher.retune(self._settings(settings))
+
+    def handle(self, now: float, items: list[Item]) -> list[Item]:
+        """One turn: the actions that these events bring."""
+        return [recorded(action) for action in self._dispatcher.handle(now, [event(*item) for item in items])]
+
+
+def event(name: str, fields: Fields) -> Any:
+    """An event of today from its recorded form."""
+    renamed = EVENTS[name]
+    return renamed.current(
+        **{renamed.fields[field]: _value(name, field, value) for field, value in fields.items()}
+    )
+
+
+def _value(name: str, field: str, value: Any) -> Any:
+    kind = ENUM_FIELDS.get((name, field))
+    if kind is not None:
+        current, members = ENUMS[kind]
+        return current[members[value]]
+    if field == "entries":
+        return tuple(event("Entry", entry) for entry in value)
+    if field in ("classes", "fits") and value is not None:
+        return frozenset(value)
+    if field == "worker" and isinstance(value, str):
+        return value.encode("latin-1")
+    if field in ("report", "planned") and value is not None:
+        return tuple(value)
+    return value
+
+
+def recorded(action: Any) -> Item:
+    """An action of today in its recorded form; fields that it did not have then are left out."""
+    name = _ACTION_NAMES[type(action)]
+    return name, {field: getattr(action, current) for field, current in ACTIONS[name].fields.items()}
+
+
+def text(items: list[Item]) -> str:
+    """Actions as one comparable text, a line each."""
+    return "\n".join(
+        f"{name}({', '.join(f'{field}={value!r}' for field, value in fields.items())})"
+        for name, fields in items
+    )
+
+
+REQUEST_FIELDS = {name: name for name in ("id", "job_class", "patience", "tenant", "body", "form")}
+
+
+def request(fields: Fields) -> Request:
+    """A client's request from its recorded form."""
+    return Request(
+        **{
+            REQUEST_FIELDS[name]: value.encode() if name == "body" else value
+            for name, value in fields.items()
+        }
+    )
