--- a/pipitshed/lab/fleet/oracles.py
+++ b/pipitshed/lab/fleet/oracles.py
@@ -94,8 +94,9 @@
         event, key = told["event"], (told.get("place", -1), told.get("start", -1))
         logs, instances = self.logs, self._instances
         if event == "spawn":
-            one = instances[key] = Instance(told["process"], *key, spawned=told["t"],
-                                            disk=told.get("disk", True))
+            one = instances[key] = Instance(
+                told["process"], *key, spawned=told["t"], disk=told.get("disk", True)
+            )
             logs.instances.append(one)
             self._events[told["events"]] = one
         elif event in ("kill", "term", "died"):
@@ -145,8 +146,9 @@
         one.acting.append((told["t"], {key: (term, number) for key, term, number in told["rows"]}))
         one.refused += [(told["t"], key, why) for key, why in told["refused"]]
     elif event == "in_force":
-        one.in_force.append(InForce(told["t"], told["key"], (told["term"], told["number"]),
-                                    dict(told["acting"])))
+        one.in_force.append(
+            InForce(told["t"], told["key"], (told["term"], told["number"]), dict(told["acting"]))
+        )
 
 
 def living(logs: Logs) -> list[Instance]:
@@ -182,26 +184,34 @@
     for one in logs.instances:
         for when, name, life in one.deaths:
             other = by_life.get((name, life))
-            if other is not None and (other.ended is None or when < other.ended) and not any(
-                    since <= when <= until + TOUCH for since, until in (*other.away, *one.away)):
+            if (
+                other is not None
+                and (other.ended is None or when < other.ended)
+                and not any(since <= when <= until + TOUCH for since, until in (*other.away, *one.away))
+            ):
                 count += 1
     return count
 
 
-def requests(asked: list[Asked], targets: dict[str, Instance], wanted_ms: float,
-             all_in_time: bool) -> tuple[dict[str, Any], list[str]]:
+def requests(
+    asked: list[Asked], targets: dict[str, Instance], wanted_ms: float, all_in_time: bool
+) -> tuple[dict[str, Any], list[str]]:
     """The clients' figures, and requests that were lost though nothing was done to their scheduler."""
     wrong = []
     for one in asked:
         instance = targets[one.token]
         touched = [instance.spawned] if instance.ended is None else [instance.spawned, instance.ended]
         near = any(one.sent - TOUCH <= when <= one.ended + TOUCH for when in touched) or any(
-            since - TOUCH <= one.ended and one.sent <= until + TOUCH for since, until in instance.away)
+            since - TOUCH <= one.ended and one.sent <= until + TOUCH for since, until in instance.away
+        )
         if one.outcome == "unanswered" and not near:
             wrong.append(f"request {one.token} at {instance.name} was not answered: {one.detail}")
     in_time = sum(one.outcome == "served" and (one.ended - one.sent) * 1000 <= wanted_ms for one in asked)
-    figures = {"requests": len(asked), "in_time": round(in_time / max(1, len(asked)), 4),
-               "unanswered": sum(one.outcome == "unanswered" for one in asked)}
+    figures = {
+        "requests": len(asked),
+        "in_time": round(in_time / max(1, len(asked)), 4),
+        "unanswered": sum(one.outcome == "unanswered" for one in asked),
+    }
     if all_in_time and in_time < len(asked):
         late = [f"{one.token} {one.outcome} {one.detail}" for one in asked if one.outcome != "served"]
         wrong.append(f"{len(asked) - in_time} requests were not served in time: {late[:3]}")
--- a/pipitshed/lab/fleet/play.py
+++ b/pipitshed/lab/fleet/play.py
@@ -47,8 +47,14 @@
 class Play:
     """One play of a scenario in a folder of its own."""
 
-    def __init__(self, scenario: Scenario, faults: tuple[Fault, ...], seed: int, folder: Path,
-                 puts: tuple[Put, ...] = ()) -> None:
+    def __init__(
+        self,
+        scenario: Scenario,
+        faults: tuple[Fault, ...],
+        seed: int,
+        folder: Path,
+        puts: tuple[Put, ...] = (),
+    ) -> None:
         self.scenario, self.faults, self.seed, self.folder, self.puts = scenario, faults, seed, folder, puts
         self.log = Log(folder / "rig.jsonl")
         shape = scenario.fleet
@@ -102,8 +108,9 @@
 
     async def _stop(self) -> None:
         """End the processes in good order, then all that the rig has open."""
-        for ended in await asyncio.gather(*(one.term() for one in self.processes.all if one.lives),
-                                          return_exceptions=True):
+        for ended in await asyncio.gather(
+            *(one.term() for one in self.processes.all if one.lives), return_exceptions=True
+        ):
             if isinstance(ended, ProcessError):
                 self.log("wrong", text=str(ended))
         for clients in self._clients.values():
@@ -131,8 +138,13 @@
                     assert one.running is not None
                     seen.add((one.place, one.starts))
                     one.up = False
-                    self.log("died", process=one.name, place=one.place, start=one.starts,
-                             code=one.running.returncode)
+                    self.log(
+                        "died",
+                        process=one.name,
+                        place=one.place,
+                        start=one.starts,
+                        code=one.running.returncode,
+                    )
             await asyncio.sleep(LOOK)
 
     # ---- clients
@@ -178,22 +190,36 @@
         after, wrong = oracles.settled(logs)
         by_key: dict[tuple[int, int], Instance] = {(one.place, one.start): one for one in logs.instances}
         targets = {token: by_key[key] for token, key in self.targets.items()}
-        figures, lost = oracles.requests(self.asked, targets, self.scenario.traffic.wanted_ms,
-                                         self.scenario.all_in_time)
+        figures, lost = oracles.requests(
+            self.asked, targets, self.scenario.traffic.wanted_ms, self.scenario.all_in_time
+        )
         accounts = account(self.asked, self.planners.record.runs, self.planners.members)
         wrong += [f"{name}: {accounts['faults'][name][:2]}" for name in NEVER if accounts[name]]  # type: ignore[index]
         if after is not None and after > self.scenario.settle_within:
             wrong.append(f"settled {after:.2f} s after the last fault, not {self.scenario.settle_within}")
         if self.puts:
-            wrong += (row_oracles.exact(logs, self.scenario.settle_within, self.scenario.fleet.zones)
-                      + row_oracles.backwards(logs) + row_oracles.settled(logs))
+            wrong += (
+                row_oracles.exact(logs, self.scenario.settle_within, self.scenario.fleet.zones)
+                + row_oracles.backwards(logs)
+                + row_oracles.settled(logs)
+            )
             figures |= row_oracles.figures(logs)
         wrong += logs.outside + lost
-        return {"scenario": self.scenario.name, "seed": self.seed, "processes": len(self.processes.all),
-                "faults": len(self.faults), "played": digest(logs.faults),
+        return (
+            {
+                "scenario": self.scenario.name,
+                "seed": self.seed,
+                "processes": len(self.processes.all),
+                "faults": len(self.faults),
+                "played": digest(logs.faults),
                 "settled_s": None if after is None else round(after, 3),
-                "false_deaths": oracles.false_deaths(logs), "links": self.processes.links.counts(),
-                "displaced": sum(one.displaced for one in logs.instances)} | figures | {"wrong": wrong}
+                "false_deaths": oracles.false_deaths(logs),
+                "links": self.processes.links.counts(),
+                "displaced": sum(one.displaced for one in logs.instances),
+            }
+            | figures
+            | {"wrong": wrong}
+        )
 
 
 def digest(faults: list[dict[str, Any]]) -> str:
@@ -203,8 +229,13 @@
     return hashlib.blake2b(json.dumps(told, sort_keys=True).encode(), digest_size=6).hexdigest()
 
 
-async def play(scenario: Scenario, faults: tuple[Fault, ...], seed: int, keep: Path | None = None,
-               puts: tuple[Put, ...] = ()) -> dict[str, Any]:
+async def play(
+    scenario: Scenario,
+    faults: tuple[Fault, ...],
+    seed: int,
+    keep: Path | None = None,
+    puts: tuple[Put, ...] = (),
+) -> dict[str, Any]:
     """Play these faults and changes once; the logs stay in `keep` where one is given."""
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
@@ -213,15 +244,16 @@
         return await Play(scenario, faults, seed, Path(folder), puts).run()
 
 
-def smallest(faults: tuple[Fault, ...], fails: Callable[[tuple[Fault, ...]], bool],
-             most: int) -> tuple[Fault, ...]:
+def smallest(
+    faults: tuple[Fault, ...], fails: Callable[[tuple[Fault, ...]], bool], most: int
+) -> tuple[Fault, ...]:
     """The fewest of these faults that still fail, by leaving out ever smaller parts, in at most so many
     plays."""
     parts = 2
     while len(faults) > 1 and most > 0:
         size = max(1, len(faults) // parts)
         for place in range(0, len(faults), size):
-            fewer = faults[:place] + faults[place + size:]
+            fewer = faults[:place] + faults[place + size :]
             if most <= 0:
                 break
             most -= 1
--- a/pipitshed/lab/fleet/processes.py
+++ b/pipitshed/lab/fleet/processes.py
@@ -76,12 +76,18 @@
         first = PLANNERS_FROM + self.place * 64
         targets = [("discovery", self.discovery.port), *((one.name, one.gate.port) for one in members)]
         for number, (name, port) in enumerate(targets):
-            relay = Relay(name, (outside, first + number), ("127.0.0.1", port), self.fleet.links,
-                          lambda host: self.relay)
+            relay = Relay(
+                name,
+                (outside, first + number),
+                ("127.0.0.1", port),
+                self.fleet.links,
+                lambda host: self.relay,
+            )
             await relay.start()
             self._relays.append(relay)
-        self.discovery.members = [_Via(one, (outside, first + 1 + number)) for number, one in
-                                  enumerate(members)]
+        self.discovery.members = [
+            _Via(one, (outside, first + 1 + number)) for number, one in enumerate(members)
+        ]
         self._outside: Address = (outside, first)
 
     def _write(self, events: Path) -> None:
@@ -92,12 +98,15 @@
         (self.folder / "config.json").write_text(json.dumps(config))
         shape = self.fleet.shape
         seeds = [f"{self.fleet.block}.{PUBLIC + place}:{PEER_PORT}" for place in range(shape.seeds)]
-        scales = "\n".join(f"{name.replace('_', '-')} = {value}" for name, value in
-                           msgspec.structs.asdict(shape.scales).items())
+        scales = "\n".join(
+            f"{name.replace('_', '-')} = {value}"
+            for name, value in msgspec.structs.asdict(shape.scales).items()
+        )
         (self.folder / "peers.toml").write_text(
             f'name = "{self.name}"\nzone = "{self.zone}"\nlisten = "{self.real[0]}:{PEER_PORT}"\n'
             f'advertise = "{self.public[0]}:{PEER_PORT}"\ncluster = "rig"\nseeds = {json.dumps(seeds)}\n'
-            f'event-log = "{events}"\nrows-file = "rows"\n\n[scales]\n{scales}\n')
+            f'event-log = "{events}"\nrows-file = "rows"\n\n[scales]\n{scales}\n'
+        )
 
     async def start(self, disk: bool = True, clock: float = 0.0) -> None:
         """Start the process and wait until it has joined and takes clients."""
@@ -109,17 +118,33 @@
         module = ["pipitshed.lab.fleet.node", str(clock)] if clock else ["pipitshed"]
         with (self.fleet.folder / f"log-{self.name}-{self.place + 1}-{self.starts}.txt").open("wb") as log:
             self.running = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", *module, "serve", "--fleet", str(self.folder / "peers.toml"),
-                env=os.environ | {"LB_CONFIG": str(self.folder / "config.json")}, stdout=log, stderr=log,
-                start_new_session=True)
+                sys.executable,
+                "-m",
+                *module,
+                "serve",
+                "--fleet",
+                str(self.folder / "peers.toml"),
+                env=os.environ | {"LB_CONFIG": str(self.folder / "config.json")},
+                stdout=log,
+                stderr=log,
+                start_new_session=True,
+            )
         self.ending = self.paused = False
-        self.fleet.log("spawn", process=self.name, place=self.place, start=self.starts, events=events.name,
-                       clock=clock, disk=disk)
+        self.fleet.log(
+            "spawn",
+            process=self.name,
+            place=self.place,
+            start=self.starts,
+            events=events.name,
+            clock=clock,
+            disk=disk,
+        )
         until = monotonic() + STARTS_WITHIN
         while not (events.exists() and events.stat().st_size):
             if self.running.returncode is not None or monotonic() > until:
-                raise ProcessError(f"{self.name} did not start: see log-{self.name}-{self.place + 1}-"
-                                   f"{self.starts}.txt")
+                raise ProcessError(
+                    f"{self.name} did not start: see log-{self.name}-{self.place + 1}-{self.starts}.txt"
+                )
             await asyncio.sleep(LOOK)
         self.up = True
 
@@ -182,8 +207,9 @@
 class Processes:
     """All places of the fleet."""
 
-    def __init__(self, shape: Shape, folder: Path, seed: int, members: Sequence[Member],
-                 log: Callable[..., None]) -> None:
+    def __init__(
+        self, shape: Shape, folder: Path, seed: int, members: Sequence[Member], log: Callable[..., None]
+    ) -> None:
         self.shape, self.folder, self.seed, self.log = shape, folder, seed, log
         self.block = block()
         self.links = Links(seed)
--- a/pipitshed/lab/fleet/puts.py
+++ b/pipitshed/lab/fleet/puts.py
@@ -47,8 +47,17 @@
         except AskError:
             pass  # it was killed, or stands still: whether the change was taken is not known
         finally:
-            self._log("put", key=put.key, value=put.value, at=put.at, process=up[-1].name if up else "",
-                      how=how, term=version[0], number=version[1], took=round(monotonic() - began, 3))
+            self._log(
+                "put",
+                key=put.key,
+                value=put.value,
+                at=put.at,
+                process=up[-1].name if up else "",
+                how=how,
+                term=version[0],
+                number=version[1],
+                took=round(monotonic() - began, 3),
+            )
         return how
 
     async def _follow(self, process: Process, put: Put) -> tuple[str, tuple[int, int]]:
--- a/pipitshed/lab/fleet/relays.py
+++ b/pipitshed/lab/fleet/relays.py
@@ -33,8 +33,9 @@
 class Relay:
     """The public address of one party."""
 
-    def __init__(self, name: str, public: Address, real: Address, links: Links,
-                 caller: Callable[[str], Relay | None]) -> None:
+    def __init__(
+        self, name: str, public: Address, real: Address, links: Links, caller: Callable[[str], Relay | None]
+    ) -> None:
         """`caller` tells the relay of who calls from a loopback address."""
         self.name, self.public, self.real = name, public, real
         self._links = links
@@ -112,7 +113,7 @@
                     await asyncio.sleep(delay)
                 place = 0
                 for size, pause in link.dripped(len(data)):
-                    writer.write(data[place:place + size])
+                    writer.write(data[place : place + size])
                     place += size
                     await writer.drain()
                     if pause:
--- a/pipitshed/lab/fleet/row_oracles.py
+++ b/pipitshed/lab/fleet/row_oracles.py
@@ -29,8 +29,11 @@
         by_place.setdefault(one.place, []).append(one)
         held: dict[str, Version] = {}
         for _, rows in one.acting:
-            wrong += [f"{one.name} went back at {key} from {held[key]} to {version}"
-                      for key, version in rows.items() if version < held.get(key, NONE)]
+            wrong += [
+                f"{one.name} went back at {key} from {held[key]} to {version}"
+                for key, version in rows.items()
+                if version < held.get(key, NONE)
+            ]
             held |= rows
     for starts in by_place.values():
         for before, after in pairwise(starts):
@@ -79,8 +82,11 @@
                 if one is None or acted(one, said.key, said.when) < said.version:
                     wrong.append(f"{row} was said to be in force, and {name} did not act on it")
             for one in logs.instances:
-                if (one.name not in said.acting and acted(one, said.key, said.when) < said.version
-                        and _reached(logs, said, writer, one, settle, zones)):
+                if (
+                    one.name not in said.acting
+                    and acted(one, said.key, said.when) < said.version
+                    and _reached(logs, said, writer, one, settle, zones)
+                ):
                     wrong.append(f"{row} was said to be in force, without {one.name}, which was in touch")
     return wrong
 
@@ -89,12 +95,16 @@
     """Where those that live do not act on the same rows now, or on older ones than were in force."""
     wrong = []
     alive = living(logs)
-    held = [{key: acted(one, key, float("inf")) for key in {key for _, rows in one.acting for key in rows}}
-            for one in alive]
+    held = [
+        {key: acted(one, key, float("inf")) for key in {key for _, rows in one.acting for key in rows}}
+        for one in alive
+    ]
     for one, rows in zip(alive, held, strict=True):
         if rows != held[0]:
-            wrong.append(f"{one.name} acts on {sorted(rows.items() - held[0].items())} where {alive[0].name} "
-                         f"acts on {sorted(held[0].items() - rows.items())}")
+            wrong.append(
+                f"{one.name} acts on {sorted(rows.items() - held[0].items())} where {alive[0].name} "
+                f"acts on {sorted(held[0].items() - rows.items())}"
+            )
     for writer in logs.instances:
         for said in writer.in_force:
             if held and held[0].get(said.key, NONE) < said.version:
@@ -105,8 +115,10 @@
 def figures(logs: Logs) -> dict[str, Any]:
     """How the changes ended, and how long one took until it was in force (s)."""
     took = sorted(put["took"] for put in logs.puts if put["how"] == "in force")
-    told = {f"puts_{how.replace(' ', '_')}": sum(put["how"] == how for put in logs.puts)
-            for how in ("in force", "not in force", "superseded", "refused", "unanswered")}
+    told = {
+        f"puts_{how.replace(' ', '_')}": sum(put["how"] == how for put in logs.puts)
+        for how in ("in force", "not in force", "superseded", "refused", "unanswered")
+    }
     if took:
         told |= {"in_force_p50_s": round(took[len(took) // 2], 3), "in_force_worst_s": round(took[-1], 3)}
     return told
--- a/pipitshed/lab/fleet/scenario.py
+++ b/pipitshed/lab/fleet/scenario.py
@@ -12,17 +12,43 @@
 from pipitshed.membership.timing import Scales
 from pipitshed.wire.toml import line_of
 
-Do = Literal["cut", "cut-one-way", "cut-zone", "delay", "jitter", "loss", "duplicate", "reorder", "drip",
-             "reset", "pause", "kill", "kill-for-good", "term", "roll", "join", "double", "clock"]
+Do = Literal[
+    "cut",
+    "cut-one-way",
+    "cut-zone",
+    "delay",
+    "jitter",
+    "loss",
+    "duplicate",
+    "reorder",
+    "drip",
+    "reset",
+    "pause",
+    "kill",
+    "kill-for-good",
+    "term",
+    "roll",
+    "join",
+    "double",
+    "clock",
+]
 LINKS = ("cut", "cut-one-way", "delay", "jitter", "loss", "duplicate", "reorder", "drip", "reset")
 AMOUNTS: dict[str, tuple[float, float]] = {  # what a drawn fault's amount lies between
-    "delay": (0.05, 0.4), "jitter": (0.02, 0.2), "loss": (0.05, 0.4), "duplicate": (0.1, 0.6),
-    "reorder": (0.1, 0.5), "drip": (400.0, 4000.0), "clock": (-3600.0, 3600.0)}
+    "delay": (0.05, 0.4),
+    "jitter": (0.02, 0.2),
+    "loss": (0.05, 0.4),
+    "duplicate": (0.1, 0.6),
+    "reorder": (0.1, 0.5),
+    "drip": (400.0, 4000.0),
+    "clock": (-3600.0, 3600.0),
+}
 
 
 # What drawn changes change: keys of the settings that the rig's processes have.
-KEYS = (*(f"tenant/{name}/{field}" for name in TENANTS for field in ("share", "allowancePerS")),
-        "class/quote/goalTime")
+KEYS = (
+    *(f"tenant/{name}/{field}" for name in TENANTS for field in ("share", "allowancePerS")),
+    "class/quote/goalTime",
+)
 
 
 class ScenarioError(ValueError):
@@ -150,8 +176,17 @@
         if do in LINKS and rng.random() < 0.3:
             b = ()
         low, high = AMOUNTS.get(do, (0.0, 0.0))
-        faults.append(Fault(round(at, 3), do, () if do in ("roll", "join") else a, b, round(lasts, 3),
-                            round(rng.uniform(low, high), 3), disk=rng.random() < 0.5))
+        faults.append(
+            Fault(
+                round(at, 3),
+                do,
+                () if do in ("roll", "join") else a,
+                b,
+                round(lasts, 3),
+                round(rng.uniform(low, high), 3),
+                disk=rng.random() < 0.5,
+            )
+        )
     return tuple(sorted(faults, key=lambda fault: fault.at))
 
 
@@ -162,26 +197,53 @@
     for number in range(scenario.put_mix.count):
         key = rng.choice(KEYS)
         value = rng.uniform(800.0, 2000.0) if key.startswith("class") else rng.uniform(0.1, 0.9)
-        puts.append(Put(round(rng.uniform(0.0, scenario.put_mix.over), 3),
-                        name_of(rng.randrange(scenario.fleet.processes)), key, f"{value:.3f}{number:03d}"))
+        puts.append(
+            Put(
+                round(rng.uniform(0.0, scenario.put_mix.over), 3),
+                name_of(rng.randrange(scenario.fleet.processes)),
+                key,
+                f"{value:.3f}{number:03d}",
+            )
+        )
     return tuple(sorted(puts, key=lambda put: put.at))
 
 
 def script(scenario: Scenario, faults: tuple[Fault, ...], puts: tuple[Put, ...] = ()) -> str:
     """A scenario with exactly these faults and changes, as a file to be played again."""
-    lines = [f'name = "{scenario.name}"', f"settle-within = {scenario.settle_within}",
-             f"all-in-time = {str(scenario.all_in_time).lower()}", "", "[fleet]",
-             f"processes = {scenario.fleet.processes}", f"zones = {scenario.fleet.zones}",
-             f"planners = {scenario.fleet.planners}", f"seeds = {scenario.fleet.seeds}", "", "[fleet.scales]",
-             *(f"{name.replace('_', '-')} = {value}"
-               for name, value in msgspec.structs.asdict(scenario.fleet.scales).items()),
-             "", "[traffic]", f"rate = {scenario.traffic.rate}", f"book = {scenario.traffic.book}"]
+    lines = [
+        f'name = "{scenario.name}"',
+        f"settle-within = {scenario.settle_within}",
+        f"all-in-time = {str(scenario.all_in_time).lower()}",
+        "",
+        "[fleet]",
+        f"processes = {scenario.fleet.processes}",
+        f"zones = {scenario.fleet.zones}",
+        f"planners = {scenario.fleet.planners}",
+        f"seeds = {scenario.fleet.seeds}",
+        "",
+        "[fleet.scales]",
+        *(
+            f"{name.replace('_', '-')} = {value}"
+            for name, value in msgspec.structs.asdict(scenario.fleet.scales).items()
+        ),
+        "",
+        "[traffic]",
+        f"rate = {scenario.traffic.rate}",
+        f"book = {scenario.traffic.book}",
+    ]
     for table, one in [("fault", fault) for fault in faults] + [("put", put) for put in puts]:
         lines += ["", f"[[{table}]]"]
         for key, value in msgspec.to_builtins(one).items():
-            text = str(value).lower() if isinstance(value, bool) else (
-                f'"{value}"' if isinstance(value, str) else
-                "[" + ", ".join(f'"{one}"' for one in value) + "]" if isinstance(value, list | tuple) else
-                str(value))
+            text = (
+                str(value).lower()
+                if isinstance(value, bool)
+                else (
+                    f'"{value}"'
+                    if isinstance(value, str)
+                    else "[" + ", ".join(f'"{one}"' for one in value) + "]"
+                    if isinstance(value, list | tuple)
+                    else str(value)
+                )
+            )
             lines.append(f"{key} = {text}")
     return "\n".join(lines) + "\n"
--- a/pipitshed/lab/fleet/standins.py
+++ b/pipitshed/lab/fleet/standins.py
@@ -84,9 +84,16 @@
     drains: list[tuple[float, float]] = field(default_factory=list)  # told of a drain, and of the next start
 
     def row(self) -> dict[str, object]:
-        row = {"instanceId": self.name, "hostPort": f"127.0.0.1:{self.gate.port}", "zone": self.zone,
-               "cell": 0, "machineType": "standard", "lifecycle": self.lifecycle, "weight": self.weight,
-               "startedAtMs": self.started_ms}
+        row = {
+            "instanceId": self.name,
+            "hostPort": f"127.0.0.1:{self.gate.port}",
+            "zone": self.zone,
+            "cell": 0,
+            "machineType": "standard",
+            "lifecycle": self.lifecycle,
+            "weight": self.weight,
+            "startedAtMs": self.started_ms,
+        }
         return row | ({"interface": self.interface} if self.tells else {})
 
 
@@ -111,8 +118,9 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     def text(self, reset: bool, members: Sequence[Listed]) -> bytes:
-        return json.dumps({"generation": self.generation, "reset": reset,
-                           "instances": [member.row() for member in members]}).encode()
+        return json.dumps(
+            {"generation": self.generation, "reset": reset, "instances": [member.row() for member in members]}
+        ).encode()
 
     def tell(self, *members: Listed) -> None:
         """Write a change to all watches."""
@@ -129,8 +137,9 @@
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(text), text))
                 return
             text += b"\n"
-            writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                         b"%x\r\n%s\r\n" % (len(text), text))
+            writer.write(
+                b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(text), text)
+            )
             self._watches.add(writer)
             while not writer.is_closing():
                 with contextlib.suppress(TimeoutError):
@@ -158,23 +167,38 @@
         self._seed = seed
         self._ends: set[asyncio.Task[None]] = set()
 
-    async def start(self, interfaces: list[int], tells: list[bool], speeds: Sequence[float] = (),
-                    weights: Sequence[float] = ()) -> None:
+    async def start(
+        self,
+        interfaces: list[int],
+        tells: list[bool],
+        speeds: Sequence[float] = (),
+        weights: Sequence[float] = (),
+    ) -> None:
         for place, (interface, told) in enumerate(zip(interfaces, tells, strict=True)):
             speed = speeds[place] if speeds else 1.0
             name, zone = f"planner-{place + 1}", ZONES[place % len(ZONES)]
             gate = Gate()
             await gate.start()
             planner, door = self._make(name, zone, interface, speed)
-            member = Member(name, zone, interface, told, gate, planner, door, speed=speed,
-                            weight=weights[place] if weights else 1.0)
+            member = Member(
+                name,
+                zone,
+                interface,
+                told,
+                gate,
+                planner,
+                door,
+                speed=speed,
+                weight=weights[place] if weights else 1.0,
+            )
             self.members.append(member)
             await self._open(member)
         self.discovery.members = self.members
         await self.discovery.start()
 
-    def _make(self, name: str, zone: str, interface: int,
-              speed: float) -> tuple[Planner, HttpInterface | GrpcInterface]:
+    def _make(
+        self, name: str, zone: str, interface: int, speed: float
+    ) -> tuple[Planner, HttpInterface | GrpcInterface]:
         self._seed += 1
         planner = Planner(name, zone, interface, self.behaviour, self.record, self._seed, speed)
         return planner, (HttpInterface if interface == 1 else GrpcInterface)(planner)
--- a/pipitshed/lab/interfaces.py
+++ b/pipitshed/lab/interfaces.py
@@ -59,8 +59,9 @@
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
         if not head[0].startswith("POST "):
             return False  # what it can't read, it closes on
-        headers = {name.lower(): value.strip()
-                   for name, _, value in (line.partition(":") for line in head[1:])}
+        headers = {
+            name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:])
+        }
         text = await reader.readexactly(int(headers.get("content-length", "0")))
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         answering = asyncio.create_task(self._answer(writer, headers, text))
@@ -88,8 +89,7 @@
         key = headers.get("idempotency-key", "")
         # A scheduler that translates nothing tells no class: only `book` comes with a key.
         job_class = headers.get("x-class", "book" if key else "quote")
-        job = Job(job_class, key, headers.get("x-tenant", ""),
-                  float(headers.get("x-deadline", "0")), body)
+        job = Job(job_class, key, headers.get("x-tenant", ""), float(headers.get("x-deadline", "0")), body)
         events = self.planner.work(job)
         try:
             async for state, what in events:
@@ -124,14 +124,17 @@
     def __init__(self, planner: Planner) -> None:
         self.planner = planner
         self.port = 0
-        self._server = grpc.aio.server(options=[("grpc.http2.min_ping_interval_without_data_ms", 1000),
-                                                ("grpc.so_reuseport", 0)])
+        self._server = grpc.aio.server(
+            options=[("grpc.http2.min_ping_interval_without_data_ms", 1000), ("grpc.so_reuseport", 0)]
+        )
 
     async def start(self) -> None:
         handler = grpc.unary_stream_rpc_method_handler(
-            self._run, pb.RunRequest.FromString, pb.RunEvent.SerializeToString)
-        self._server.add_generic_rpc_handlers((
-            grpc.method_handlers_generic_handler("pipitshed.planner.v2.Planner", {"Run": handler}),))
+            self._run, pb.RunRequest.FromString, pb.RunEvent.SerializeToString
+        )
+        self._server.add_generic_rpc_handlers(
+            (grpc.method_handlers_generic_handler("pipitshed.planner.v2.Planner", {"Run": handler}),)
+        )
         self.port = self._server.add_insecure_port("127.0.0.1:0")
         await self._server.start()
 
@@ -139,18 +142,29 @@
         """GOAWAY, then the end of all streams after the grace."""
         await self._server.stop(grace or None)
 
-    async def _run(self, request: pb.RunRequest,
-                   context: grpc.aio.ServicerContext[Any, Any]) -> AsyncIterator[pb.RunEvent]:
+    async def _run(
+        self, request: pb.RunRequest, context: grpc.aio.ServicerContext[Any, Any]
+    ) -> AsyncIterator[pb.RunEvent]:
         told = dict(context.invocation_metadata() or ())
         number = str(told["x-request-id"])
         kind = request.WhichOneof("job") or "quote"
         if kind != told["x-class"]:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "class and message differ")
         part = getattr(request, kind)
-        body = {"origin": part.origin, "destination": part.destination, "pallets": part.pallets,
-                "remark": part.remark, "weight_g": part.weight_g}
-        job = Job(kind, str(told.get("idempotency-key", "")), str(told.get("x-tenant", "")),
-                  context.time_remaining() or 0.0, body)
+        body = {
+            "origin": part.origin,
+            "destination": part.destination,
+            "pallets": part.pallets,
+            "remark": part.remark,
+            "weight_g": part.weight_g,
+        }
+        job = Job(
+            kind,
+            str(told.get("idempotency-key", "")),
+            str(told.get("x-tenant", "")),
+            context.time_remaining() or 0.0,
+            body,
+        )
         events = self.planner.work(job)
         try:
             async for state, what in events:
--- a/pipitshed/lab/planner.py
+++ b/pipitshed/lab/planner.py
@@ -55,7 +55,8 @@
     slots: int = 16
     queue: int = 64
     work_ms: dict[str, tuple[float, float]] = field(
-        default_factory=lambda: {"quote": (10.0, 40.0), "book": (30.0, 90.0)})
+        default_factory=lambda: {"quote": (10.0, 40.0), "book": (30.0, 90.0)}
+    )
     fail: float = 0.0  # part of the jobs that run and come to nothing
     slow: float = 1.0
 
@@ -63,8 +64,12 @@
 def plan(job: Job) -> dict[str, Any]:
     """A job's result, made of nothing but the job, so that a client can tell its own."""
     body = job.body
-    offer = {"departs_ms": 1_800_000_000_000 + 1000 * int(body["pallets"]), "lane": "night",
-             "truck": f"T-{body.get('remark', '')}", "stops": [body["origin"], body["destination"]]}
+    offer = {
+        "departs_ms": 1_800_000_000_000 + 1000 * int(body["pallets"]),
+        "lane": "night",
+        "truck": f"T-{body.get('remark', '')}",
+        "stops": [body["origin"], body["destination"]],
+    }
     if job.job_class == "quote":
         return {"price_cents": 1250 * int(body["pallets"])} | offer
     return {"booking_ref": f"B-{body.get('remark', '')}"} | offer
@@ -73,8 +78,16 @@
 class Planner:
     """One planner's work; the interface before it hands jobs in and carries events out."""
 
-    def __init__(self, name: str, zone: str, interface: int, behaviour: Behaviour, record: Record,
-                 seed: int, speed: float = 1.0) -> None:
+    def __init__(
+        self,
+        name: str,
+        zone: str,
+        interface: int,
+        behaviour: Behaviour,
+        record: Record,
+        seed: int,
+        speed: float = 1.0,
+    ) -> None:
         self.name, self.zone, self.interface, self.speed = name, zone, interface, speed
         self.busy = 0.0  # s of slots at work so far
         self.behaviour, self.record = behaviour, record
@@ -85,8 +98,17 @@
 
     async def work(self, job: Job) -> AsyncIterator[tuple[str, Any]]:
         """(state, what goes with it) as the job goes on; the last one ends it."""
-        run = Run(job.body.get("remark", ""), job.job_class, job.key, job.tenant, job.left, self.name,
-                  self.zone, self.interface, monotonic())
+        run = Run(
+            job.body.get("remark", ""),
+            job.job_class,
+            job.key,
+            job.tenant,
+            job.left,
+            self.name,
+            self.zone,
+            self.interface,
+            monotonic(),
+        )
         if self.draining or self.held >= self.behaviour.slots + self.behaviour.queue:
             run.ended, run.how = run.came, "returned"
             self.record.runs.append(run)
--- a/pipitshed/lab/program.py
+++ b/pipitshed/lab/program.py
@@ -25,28 +25,63 @@
 def settings(rate: float = 1000.0) -> dict[str, Any]:
     """The settings of a deployment like the operators', with classes `quote` and `book`."""
     return {
-        "areas": list(ZONES), "shapes": ["fast", "standard", "slow"], "discovery": "on_request",
-        "familyInfo": {"tellsStart": True, "progress": 2000.0}, "locality": 0, "siblings": 1, "tick": 2.0,
+        "areas": list(ZONES),
+        "shapes": ["fast", "standard", "slow"],
+        "discovery": "on_request",
+        "familyInfo": {"tellsStart": True, "progress": 2000.0},
+        "locality": 0,
+        "siblings": 1,
+        "tick": 2.0,
         "weights": "rough",
-        "permissions": {"cancel": True, "connectTimeout": 250.0, "idleClose": 30000.0, "maxAttempts": 5,
-                        "probes": True, "retryAfter": True},
-        "rules": {"answerSlack": 8.0, "askWithin": 10000.0, "drainGrace": 1500.0, "cold": 1000.0,
-                  "coldFrom": 0.5, "tipMultiple": 3.0, "overloadFor": 1500.0},
+        "permissions": {
+            "cancel": True,
+            "connectTimeout": 250.0,
+            "idleClose": 30000.0,
+            "maxAttempts": 5,
+            "probes": True,
+            "retryAfter": True,
+        },
+        "rules": {
+            "answerSlack": 8.0,
+            "askWithin": 10000.0,
+            "drainGrace": 1500.0,
+            "cold": 1000.0,
+            "coldFrom": 0.5,
+            "tipMultiple": 3.0,
+            "overloadFor": 1500.0,
+        },
         "services": [
             {"name": "quote", "deadline": 5000.0, "goalTime": 1000.0, "gain": 5.0, "repeat": "retryable"},
-            {"name": "book", "deadline": 15000.0, "goalTime": 3000.0, "gain": 8.0, "repeat": "dedup",
-             "keyScope": "zone", "window": 25000.0}],
+            {
+                "name": "book",
+                "deadline": 15000.0,
+                "goalTime": 3000.0,
+                "gain": 8.0,
+                "repeat": "dedup",
+                "keyScope": "zone",
+                "window": 25000.0,
+            },
+        ],
         "stats": {"fields": [], "source": "off"},
-        "tenants": [{"name": name, "share": share, "allowancePerS": rate * share}
-                    for name, share in TENANTS.items()]}
+        "tenants": [
+            {"name": name, "share": share, "allowancePerS": rate * share} for name, share in TENANTS.items()
+        ],
+    }
 
 
-def configuration(listen: str, discovery: str,
-                  known: list[dict[str, object]] | None = None) -> dict[str, Any]:
+def configuration(
+    listen: str, discovery: str, known: list[dict[str, object]] | None = None
+) -> dict[str, Any]:
     """LB_CONFIG's content."""
     told = {"known": {"generation": 1, "reset": True, "instances": known}} if known is not None else {}
-    return told | {"name": "lab", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings()}
+    return told | {
+        "name": "lab",
+        "listen": listen,
+        "discovery": discovery,
+        "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "settings": settings(),
+    }
 
 
 def front_text(gearman: str) -> str:
@@ -89,10 +124,15 @@
 
 
 @contextlib.asynccontextmanager
-async def scheduler(discovery_port: int, http: str = "127.0.0.1:0", gearman: str = "127.0.0.1:0",
-                    translate: bool = True, root: Path | None = None,
-                    known: list[dict[str, object]] | None = None,
-                    plan: bytes = b"") -> AsyncIterator[Running]:
+async def scheduler(
+    discovery_port: int,
+    http: str = "127.0.0.1:0",
+    gearman: str = "127.0.0.1:0",
+    translate: bool = True,
+    root: Path | None = None,
+    known: list[dict[str, object]] | None = None,
+    plan: bytes = b"",
+) -> AsyncIterator[Running]:
     """One scheduler; it ends with the block. `root`: a checkout other than this one."""
     with tempfile.TemporaryDirectory(prefix="pipitshed-lab-") as folder:
         path = Path(folder)
@@ -105,9 +145,18 @@
         (path / "front.toml").write_text((text if translate else plain) + following)
         (path / "translation.toml").write_text((TEMPLATES / "translation.toml").read_text())
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "pipitshed", "serve", "--front", str(path / "front.toml"),
-            env=os.environ | {"LB_CONFIG": str(path / "config.json")}, stdout=asyncio.subprocess.PIPE,
-            stderr=asyncio.subprocess.STDOUT, start_new_session=True, cwd=root)
+            sys.executable,
+            "-m",
+            "pipitshed",
+            "serve",
+            "--front",
+            str(path / "front.toml"),
+            env=os.environ | {"LB_CONFIG": str(path / "config.json")},
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.STDOUT,
+            start_new_session=True,
+            cwd=root,
+        )
         running = Running(process, 0, 0, [])
         assert process.stdout is not None
         try:
--- a/pipitshed/lab/up.py
+++ b/pipitshed/lab/up.py
@@ -18,16 +18,27 @@
 
 
 def _table(fleet: Fleet) -> Table:
-    table = Table("planner", "zone", "interface", "state", "at work", "done", "failed", "cancelled",
-                  "returned")
+    table = Table(
+        "planner", "zone", "interface", "state", "at work", "done", "failed", "cancelled", "returned"
+    )
     runs = fleet.record.runs
     for member in fleet.members:
         mine = [run for run in runs if run.planner == member.name]
-        count = {how: str(sum(run.how == how for run in mine)) for how in (
-            "done", "failed", "cancelled", "returned")}
-        table.add_row(member.name, member.zone, str(member.interface), member.lifecycle,
-                      str(member.planner.held), count["done"], count["failed"], count["cancelled"],
-                      count["returned"])
+        count = {
+            how: str(sum(run.how == how for run in mine))
+            for how in ("done", "failed", "cancelled", "returned")
+        }
+        table.add_row(
+            member.name,
+            member.zone,
+            str(member.interface),
+            member.lifecycle,
+            str(member.planner.held),
+            count["done"],
+            count["failed"],
+            count["cancelled"],
+            count["returned"],
+        )
     return table
 
 
@@ -40,18 +51,25 @@
     await fleet.start(interfaces(shape), [place % 2 == 0 for place in range(shape.planners)])
     try:
         async with scheduler(fleet.discovery.port, http, gearman) as running:
-            console.print(f"clients:   http://127.0.0.1:{running.http}/api "
-                          "(version 1 in JSON, version 0 as a form)")
+            console.print(
+                f"clients:   http://127.0.0.1:{running.http}/api (version 1 in JSON, version 0 as a form)"
+            )
             if gearman:
-                console.print(f"           gearman 127.0.0.1:{running.gearman}, functions plan_quote, "
-                              "book_pallet (version 0), plan_quote_v1, book_pallet_v1")
+                console.print(
+                    f"           gearman 127.0.0.1:{running.gearman}, functions plan_quote, "
+                    "book_pallet (version 0), plan_quote_v1, book_pallet_v1"
+                )
             console.print(f"discovery: http://127.0.0.1:{fleet.discovery.port}/catalog/members\n\ntry:")
             # One line each, so that it can be copied.
-            print(f"curl -s http://127.0.0.1:{running.http}/api -H 'X-Request-Id: try-1' -H 'X-Class: quote' "
-                  "-H 'X-Tenant: andes-retail' -H 'Content-Type: application/json' "
-                  "-d '{\"origin\":\"LIM-03\",\"destination\":\"AQP-01\",\"pallets\":4,\"weight_kg\":812.5}'")
-            print(f"curl -s http://127.0.0.1:{running.http}/api -d 'req=try-2&cls=quote&"
-                  "member=selva-trans&wait=5&from=LIM-03&to=AQP-01&plts=4&kg=812.5'")
+            print(
+                f"curl -s http://127.0.0.1:{running.http}/api -H 'X-Request-Id: try-1' -H 'X-Class: quote' "
+                "-H 'X-Tenant: andes-retail' -H 'Content-Type: application/json' "
+                '-d \'{"origin":"LIM-03","destination":"AQP-01","pallets":4,"weight_kg":812.5}\''
+            )
+            print(
+                f"curl -s http://127.0.0.1:{running.http}/api -d 'req=try-2&cls=quote&"
+                "member=selva-trans&wait=5&from=LIM-03&to=AQP-01&plts=4&kg=812.5'"
+            )
             console.print("\nCtrl-C ends it.\n")
             with Live(_table(fleet), console=console, auto_refresh=False, transient=False) as live:
                 while not ended.is_set() and running.process.returncode is None:
--- a/pipitshed/lab/virtual_fleet.py
+++ b/pipitshed/lab/virtual_fleet.py
@@ -81,7 +81,8 @@
     def part_region(self, lost: str) -> None:
         """Cut one region off from the others, both ways."""
         self.cut = lambda source, target: (
-            (region(self.zone(source)) == lost) != (region(self.zone(target)) == lost))
+            (region(self.zone(source)) == lost) != (region(self.zone(target)) == lost)
+        )
 
     def heal(self) -> None:
         """No more cuts."""
@@ -90,14 +91,17 @@
     def one_view(self) -> bool:
         """Whether all hold exactly those alive that live. Compares digests, which each keeps anyway."""
         views = [node.membership.view for node in self.nodes.values()]
-        return len({view.digest() for view in views}) == 1 and [
-            (word.name, word.address) for word in views[0].living()] == self.truth() and all(
-            word.state is not State.SUSPECT for view in views for word in view)
+        return (
+            len({view.digest() for view in views}) == 1
+            and [(word.name, word.address) for word in views[0].living()] == self.truth()
+            and all(word.state is not State.SUSPECT for view in views for word in view)
+        )
 
     def one_table(self) -> bool:
         """Whether all hold the same settings, and know that they do."""
         return len({node.tables[0].digest() for node in self.nodes.values()}) == 1 and all(
-            node.tables[0].caught_up for node in self.nodes.values())
+            node.tables[0].caught_up for node in self.nodes.values()
+        )
 
     def whole(self) -> bool:
         """Whether all hold one true view, and the same settings."""
@@ -106,7 +110,8 @@
     def quiet(self) -> bool:
         """Whether that is so and nobody has anything left to tell."""
         return self.whole() and not any(
-            len(queue) for node in self.nodes.values() for queue in node.membership.carrier.queues)
+            len(queue) for node in self.nodes.values() for queue in node.membership.carrier.queues
+        )
 
     def until(self, holds: Callable[[], bool], within: float, step: float) -> float | None:
         """How long (s) until it holds, looked at each `step`; None where it does not within the time."""
@@ -128,8 +133,11 @@
 
     def _takes(self, source: Address, target: Address) -> float:
         here, there = self.zone(source), self.zone(target)
-        takes = WITHIN_ZONE if here == there else (
-            WITHIN_REGION if region(here) == region(there) else BETWEEN_REGIONS)
+        takes = (
+            WITHIN_ZONE
+            if here == there
+            else (WITHIN_REGION if region(here) == region(there) else BETWEEN_REGIONS)
+        )
         return takes * (1.0 + self.rng.random() * JITTER)
 
     def _add(self, counted: dict[Address, Second], address: Address, size: int) -> None:
--- a/pipitshed/lab/virtual_view.py
+++ b/pipitshed/lab/virtual_view.py
@@ -41,9 +41,15 @@
 
     first_port = 10_000
 
-    def __init__(self, seed: int, scales: Scales | None = None, loss: float = 0.0,
-                 delay: tuple[float, float] = (0.0005, 0.010), tables: tuple[str, ...] = (),
-                 zones: tuple[str, ...] = ZONES) -> None:
+    def __init__(
+        self,
+        seed: int,
+        scales: Scales | None = None,
+        loss: float = 0.0,
+        delay: tuple[float, float] = (0.0005, 0.010),
+        tables: tuple[str, ...] = (),
+        zones: tuple[str, ...] = ZONES,
+    ) -> None:
         """Each process carries a table of each of the names `tables`."""
         self.rng = random.Random(seed)
         self.scales = scales or Scales()
@@ -69,11 +75,16 @@
         address = ("127.0.0.1", self.first_port + number)
         incarnation = int((1_000_000 + self.now + clock) * 1000)
         name = name or f"n{number}"
-        me = Word(name, *address, self.zone_of(number), incarnation, self.rng.randrange(2**32),
-                  said_by=name)
+        me = Word(name, *address, self.zone_of(number), incarnation, self.rng.randrange(2**32), said_by=name)
         tables = tuple(RowTable(table) for table in self.tables)
-        membership = Membership(me, self.scales, [("127.0.0.1", self.first_port + seed) for seed in seeds],
-                                random.Random(self.rng.randrange(2**62)), self.now, tables)
+        membership = Membership(
+            me,
+            self.scales,
+            [("127.0.0.1", self.first_port + seed) for seed in seeds],
+            random.Random(self.rng.randrange(2**62)),
+            self.now,
+            tables,
+        )
         node = self.nodes[address] = Node(name, address, membership, tables)
         self._wake(node)
         return node
@@ -135,9 +146,11 @@
     def agreed(self) -> bool:
         """Whether all that live hold exactly those alive that live."""
         truth = self.truth()
-        return all([(word.name, word.address) for word in node.membership.view.living()] == truth
-                   and all(word.state is State.ALIVE for word in node.membership.view.living())
-                   for node in self.nodes.values())
+        return all(
+            [(word.name, word.address) for word in node.membership.view.living()] == truth
+            and all(word.state is State.ALIVE for word in node.membership.view.living())
+            for node in self.nodes.values()
+        )
 
     def truth(self) -> list[tuple[str, Address]]:
         """Who lives, by name."""
--- a/pipitshed/membership/members.py
+++ b/pipitshed/membership/members.py
@@ -68,15 +68,21 @@
         ends one, or a death, is."""
         if self.gone:
             return 0
-        return hashed(f"{self.name}\0{self.host}\0{self.port}\0{self.zone}\0{self.region}\0{self.life}\0"
-                      f"{self.incarnation}".encode())
+        return hashed(
+            f"{self.name}\0{self.host}\0{self.port}\0{self.zone}\0{self.region}\0{self.life}\0"
+            f"{self.incarnation}".encode()
+        )
 
     def sound(self) -> bool:
         """Whether it has the form of a word; what strangers send is held against it."""
         texts = (self.name, self.zone, self.host, self.said_by, self.region)
-        return (bool(self.name and self.host)
-                and all(len(text) <= NAME_LIMIT // 4 or len(text.encode()) <= NAME_LIMIT for text in texts)
-                and 0 < self.port < 65536 and 0 <= self.incarnation < 2**62 and 0 <= self.life < 2**32)
+        return (
+            bool(self.name and self.host)
+            and all(len(text) <= NAME_LIMIT // 4 or len(text.encode()) <= NAME_LIMIT for text in texts)
+            and 0 < self.port < 65536
+            and 0 <= self.incarnation < 2**62
+            and 0 <= self.life < 2**32
+        )
 
 
 def rank(word: Word) -> tuple[int, int, int]:
--- a/pipitshed/membership/protocol.py
+++ b/pipitshed/membership/protocol.py
@@ -36,8 +36,15 @@
 class Membership:
     """One scheduler's part. Times are seconds of any clock that only goes forward."""
 
-    def __init__(self, me: Word, scales: Scales, seeds: list[Address], rng: random.Random,
-                 now: float, tables: Sequence[RowTable] = ()) -> None:
+    def __init__(
+        self,
+        me: Word,
+        scales: Scales,
+        seeds: list[Address],
+        rng: random.Random,
+        now: float,
+        tables: Sequence[RowTable] = (),
+    ) -> None:
         self.me = me
         self.scales = scales
         self.view = View(scales.tombstones)
@@ -116,8 +123,10 @@
         for suspicion in self._suspicions.values():
             suspicion.since += late
         again = now + self.scales.ack_within * self.health.stretch
-        self._due = [(max(when, again) if what in ("ask", "close") else when, order, what, number)
-                     for when, order, what, number in self._due]
+        self._due = [
+            (max(when, again) if what in ("ask", "close") else when, order, what, number)
+            for when, order, what, number in self._due
+        ]
         heapify(self._due)
 
     def hear(self, now: float, message: Message, source: Address) -> list[Effect]:
@@ -193,8 +202,12 @@
 
     def _ping(self, now: float, target: Word, number: int) -> None:
         words, rows, spent = self._news_for(now, target)
-        self._tell(now, target.address,
-                   Ping(number, self.me, target.name, words, self.carrier.digests(), rows), spent)
+        self._tell(
+            now,
+            target.address,
+            Ping(number, self.me, target.name, words, self.carrier.digests(), rows),
+            spent,
+        )
 
     def _ack(self, now: float, to: Address, ping: Ping) -> None:
         words, rows, spent = self._news_for(now, ping.sender, (ping.rumours, *ping.rows))
@@ -211,8 +224,9 @@
                     return word
         return None
 
-    def _news_for(self, now: float, to: Word,
-                  but: Sequence[Sequence[Word | Row]] = ()) -> tuple[tuple[Word, ...], Fresh, int]:
+    def _news_for(
+        self, now: float, to: Word, but: Sequence[Sequence[Word | Row]] = ()
+    ) -> tuple[tuple[Word, ...], Fresh, int]:
         """Words and rows for one message, and the bytes of these that are paid for. What is held against its
         receiver goes first, so that it can refute at once (Lifeguard's buddy). Suspicions are in no digest:
         while there are any, words go to one with the same view too."""
@@ -220,8 +234,9 @@
         against = held if held is not None and held.state is not State.ALIVE else None
         room = ROOM - (against.size if against is not None else 0)
         places = len(self.carrier.tables) if self._areas.crosses(to) else 1
-        (words, *rows), spent = self.carrier.take(now, room, to.name, len(self.view), places,
-                                                  VIEW if self._suspicions else -1, but)
+        (words, *rows), spent = self.carrier.take(
+            now, room, to.name, len(self.view), places, VIEW if self._suspicions else -1, but
+        )
         if against is not None and against not in words:
             words = (against, *words)
         return words, tuple(rows) if any(rows) else (), spent
@@ -230,8 +245,11 @@
         probe = self._probes.get(number)
         if probe is None:
             return
-        others = [word for word in self.view.living()
-                  if word.name not in (self.me.name, probe.target.name) and word.state is State.ALIVE]
+        others = [
+            word
+            for word in self.view.living()
+            if word.name not in (self.me.name, probe.target.name) and word.state is State.ALIVE
+        ]
         for word in self._rng.sample(others, min(len(others), self.scales.helpers)):
             probe.helpers += 1
             words, _, spent = self._news_for(now, word)
@@ -261,8 +279,9 @@
         if probe.asked_by is None:
             self.health.well()
         else:
-            self._tell(now, probe.asked_by.address,
-                       Ack(probe.their_number, message.sender, (), message.digests))
+            self._tell(
+                now, probe.asked_by.address, Ack(probe.their_number, message.sender, (), message.digests)
+            )
 
     def _close(self, now: float, number: int) -> None:
         """The time of a probe is over and nothing came."""
@@ -330,8 +349,16 @@
     def _refute(self, now: float, word: Word) -> None:
         """Say that one lives, by a word that beats the rumour wherever they meet."""
         me = self.me
-        self.me = Word(me.name, me.host, me.port, me.zone, word.incarnation + 1, me.life, said_by=me.name,
-                       region=me.region)
+        self.me = Word(
+            me.name,
+            me.host,
+            me.port,
+            me.zone,
+            word.incarnation + 1,
+            me.life,
+            said_by=me.name,
+            region=me.region,
+        )
         self.view.take(now, self.me)
         self.carrier.tell(VIEW, self.me)
 
@@ -363,11 +390,12 @@
     # ---- rows, digests and repair
 
     def _take_fresh(self, now: float, fresh: Fresh) -> None:
-        for place, rows in enumerate(fresh[:len(self.tables)]):
+        for place, rows in enumerate(fresh[: len(self.tables)]):
             self._take_rows(now, place, rows, False)
 
-    def _take_rows(self, now: float, place: int, rows: Sequence[Row],
-                   repaired: bool) -> tuple[int, list[str]]:
+    def _take_rows(
+        self, now: float, place: int, rows: Sequence[Row], repaired: bool
+    ) -> tuple[int, list[str]]:
         """Take rows into a table; how many are new, and the keys of those of which a newer one is held."""
         gained, newer = 0, []
         for row in rows:
@@ -481,5 +509,6 @@
 
 def _said(word: Word, state: State, by: str) -> Word:
     """The same word with another state, as said by someone."""
-    return Word(word.name, word.host, word.port, word.zone, word.incarnation, word.life, state, by,
-                word.region)
+    return Word(
+        word.name, word.host, word.port, word.zone, word.incarnation, word.life, state, by, word.region
+    )
--- a/pipitshed/membership/timing.py
+++ b/pipitshed/membership/timing.py
@@ -21,8 +21,15 @@
 
     def fault(self) -> tuple[str, str] | None:
         """The first field that can't be, and why."""
-        for name in ("period", "ack_within", "suspect_for", "suspect_longest", "sync", "sync_with_gone",
-                     "tombstones"):
+        for name in (
+            "period",
+            "ack_within",
+            "suspect_for",
+            "suspect_longest",
+            "sync",
+            "sync_with_gone",
+            "tombstones",
+        ):
             value = getattr(self, name)
             if not 0 < value < 86_400:
                 return name.replace("_", "-"), f"{value} is not between 0 and 86400"
--- a/pipitshed/mgmt/figures.py
+++ b/pipitshed/mgmt/figures.py
@@ -8,8 +8,13 @@
 PREFIX = "scheduler"
 
 # How an exchange ended, as the core counts it, to the figure that counts it.
-BY_END = {"served": "answered", "refused": "deferred", "failed": "errored", "unfit": "errored",
-          "overdue": "errored"}
+BY_END = {
+    "served": "answered",
+    "refused": "deferred",
+    "failed": "errored",
+    "unfit": "errored",
+    "overdue": "errored",
+}
 PER_CLASS = ("answered", "deferred", "errored", "sends")
 
 
@@ -24,8 +29,9 @@
     conf_invalid: int  # files turned down at SIGHUP
 
 
-def by_class(names: Sequence[str], ended: Mapping[tuple[str, int], int],
-             sends: Mapping[int, int]) -> dict[str, dict[str, int]]:
+def by_class(
+    names: Sequence[str], ended: Mapping[tuple[str, int], int], sends: Mapping[int, int]
+) -> dict[str, dict[str, int]]:
     """Counts by figure and class name. `names` gives each class number its name; a name that stands for
     several numbers (a class that a new file changed) sums them."""
     counts = {figure: dict.fromkeys(names, 0) for figure in PER_CLASS}
@@ -51,14 +57,19 @@
 
 def count_lines(tally: Mapping[str, int]) -> bytes:
     """Further counts, such as those of the list's calls; told beside the fleet's figures alone."""
-    return "".join(f"{PREFIX}.{name.replace(' ', '_')}={count}\n"
-                   for name, count in sorted(tally.items())).encode()
+    return "".join(
+        f"{PREFIX}.{name.replace(' ', '_')}={count}\n" for name, count in sorted(tally.items())
+    ).encode()
 
 
 def _gauges(gauges: Gauges) -> Iterable[tuple[str, int]]:
-    return (("current", gauges.current), ("cluster_size", gauges.cluster_size),
-            ("cluster_unhealthy", gauges.cluster_unhealthy), ("conf_loaded", gauges.conf_loaded),
-            ("conf_invalid", gauges.conf_invalid))
+    return (
+        ("current", gauges.current),
+        ("cluster_size", gauges.cluster_size),
+        ("cluster_unhealthy", gauges.cluster_unhealthy),
+        ("conf_loaded", gauges.conf_loaded),
+        ("conf_invalid", gauges.conf_invalid),
+    )
 
 
 def parse(text: bytes) -> dict[str, int]:
--- a/pipitshed/mgmt/front.py
+++ b/pipitshed/mgmt/front.py
@@ -13,8 +13,13 @@
 HEAD_LIMIT = 8 * 1024  # bytes of a call; a call has no body
 LINGER = 1.0  # s for which an answered call waits for the caller's close
 
-_REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-            503: "Service Unavailable"}
+_REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    503: "Service Unavailable",
+}
 
 
 class _Call(asyncio.Protocol):
@@ -79,9 +84,11 @@
         transport = self._transport
         if transport is None or transport.is_closing():
             return
-        transport.write(b"HTTP/1.1 %d %s\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: %d\r\n"
-                        b"%sConnection: close\r\n\r\n%s" % (
-                            status, _REASONS[status].encode(), len(body), extra, b"" if head else body))
+        transport.write(
+            b"HTTP/1.1 %d %s\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: %d\r\n"
+            b"%sConnection: close\r\n\r\n%s"
+            % (status, _REASONS[status].encode(), len(body), extra, b"" if head else body)
+        )
         # Guards the answer's way to the caller: what it may still send is not read, and a close with bytes
         # unread would reset the connection; its end comes from the caller, or from the timer.
         transport.write_eof()
@@ -97,8 +104,9 @@
 class MgmtFront:
     """All operators' calls."""
 
-    def __init__(self, ready: Callable[[], bool], figures: Callable[[], bytes],
-                 loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(
+        self, ready: Callable[[], bool], figures: Callable[[], bytes], loop: asyncio.AbstractEventLoop
+    ) -> None:
         self.ready = ready
         self.figures = figures
         self.loop = loop
--- a/pipitshed/peers/codec.py
+++ b/pipitshed/peers/codec.py
@@ -43,8 +43,8 @@
             raise RefusedError("strange")
         if data[2] != VERSION:
             raise RefusedError("version")
-        body = data[_HEAD.size:]
-        if data[3:_HEAD.size] != self._sum(body):
+        body = data[_HEAD.size :]
+        if data[3 : _HEAD.size] != self._sum(body):
             raise RefusedError("checksum")
         try:
             cluster, message = self._decoder.decode(body)
--- a/pipitshed/peers/commands.py
+++ b/pipitshed/peers/commands.py
@@ -34,7 +34,7 @@
         with socket.create_connection(peer, WITHIN) as link:
             link.settimeout(WITHIN)
             link.sendall(framed(codec.encode(message)))
-            length, = LENGTH.unpack(_exactly(link, LENGTH.size))
+            (length,) = LENGTH.unpack(_exactly(link, LENGTH.size))
             if length > FRAME_LIMIT:
                 raise AskError("the answer is longer than any can be")
             told = codec.decode(_exactly(link, length))
@@ -60,12 +60,24 @@
 def table(shown: Shown) -> str:
     """The view as text."""
     rows = [("NAME", "ZONE", "ADDRESS", "STATE", "INCARNATION", "FOR", "SAID BY", "SAME VIEW")]
-    rows += [(row.name, row.zone, row.address, row.state, str(row.incarnation), lasting(row.for_s),
-              row.said_by, {True: "yes", False: "no", None: "-"}[row.agrees]) for row in shown.members]
+    rows += [
+        (
+            row.name,
+            row.zone,
+            row.address,
+            row.state,
+            str(row.incarnation),
+            lasting(row.for_s),
+            row.said_by,
+            {True: "yes", False: "no", None: "-"}[row.agrees],
+        )
+        for row in shown.members
+    ]
     living = [row for row in shown.members if row.state in ("alive", "suspect")]
     others = sum(row.agrees is True for row in living) - 1
-    told = (f"{shown.name}: view {shown.number}, hash {shown.digest}; {others} of {len(living) - 1} others "
-            "agree")
+    told = (
+        f"{shown.name}: view {shown.number}, hash {shown.digest}; {others} of {len(living) - 1} others agree"
+    )
     told += f"; doubts itself by {shown.health}" if shown.health else ""
     told += "; is leaving" if shown.leaving else ""
     told += "; ITS NAME IS HELD BY ANOTHER PROCESS" if shown.displaced else ""
@@ -75,8 +87,9 @@
 def columns(rows: Sequence[Sequence[str]]) -> list[str]:
     """These cells as lines, one below the other."""
     widths = [max(len(row[place]) for row in rows) for place in range(len(rows[0]))]
-    return ["  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
-            for row in rows]
+    return [
+        "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows
+    ]
 
 
 def lasting(seconds: float) -> str:
@@ -93,18 +106,27 @@
 def asked(command: _Command) -> _Command:
     """The options by which a scheduler is found."""
     for option in (
-            click.option("--secret-file", type=click.Path(path_type=Path, exists=True, dir_okay=False),
-                         help="Its first line keys the checksums, where the fleet has a secret."),
-            click.option("--cluster", default="pipitshed", show_default=True, help="The cluster's name."),
-            click.option("--fleet", "file", type=click.Path(path_type=Path, exists=True, dir_okay=False),
-                         help="The file that `serve --fleet` has: address, cluster and secret come from it."),
-            click.option("--peer", help="The peer address of any live scheduler, host:port.")):
+        click.option(
+            "--secret-file",
+            type=click.Path(path_type=Path, exists=True, dir_okay=False),
+            help="Its first line keys the checksums, where the fleet has a secret.",
+        ),
+        click.option("--cluster", default="pipitshed", show_default=True, help="The cluster's name."),
+        click.option(
+            "--fleet",
+            "file",
+            type=click.Path(path_type=Path, exists=True, dir_okay=False),
+            help="The file that `serve --fleet` has: address, cluster and secret come from it.",
+        ),
+        click.option("--peer", help="The peer address of any live scheduler, host:port."),
+    ):
         command = option(command)
     return command
 
 
-def way_to(peer: str | None, file: Path | None, cluster: str,
-           secret_file: Path | None) -> tuple[Address, Codec]:
+def way_to(
+    peer: str | None, file: Path | None, cluster: str, secret_file: Path | None
+) -> tuple[Address, Codec]:
     """The scheduler that these options name, and how to speak to it; the program ends where there is none."""
     try:
         if file is not None:
@@ -143,8 +165,12 @@
     while True:
         shown = ask_or_end(way, Show(), Shown)
         if as_json:
-            click.echo(msgspec.json.encode(msgspec.structs.asdict(shown) | {
-                "members": [msgspec.structs.asdict(row) for row in shown.members]}).decode())
+            click.echo(
+                msgspec.json.encode(
+                    msgspec.structs.asdict(shown)
+                    | {"members": [msgspec.structs.asdict(row) for row in shown.members]}
+                ).decode()
+            )
         else:
             click.echo(table(shown))
         if not watch:
--- a/pipitshed/peers/datagrams.py
+++ b/pipitshed/peers/datagrams.py
@@ -38,8 +38,14 @@
 class Datagrams(asyncio.DatagramProtocol):
     """The socket for probes."""
 
-    def __init__(self, codec: Codec, loop: asyncio.AbstractEventLoop, hear: Callable[[Said, Address], None],
-                 known: Callable[[Address], bool], count: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        codec: Codec,
+        loop: asyncio.AbstractEventLoop,
+        hear: Callable[[Said, Address], None],
+        known: Callable[[Address], bool],
+        count: Callable[[str], None],
+    ) -> None:
         self._codec = codec
         self._loop = loop
         self._hear = hear
--- a/pipitshed/peers/eventlog.py
+++ b/pipitshed/peers/eventlog.py
@@ -25,10 +25,13 @@
 class _Lines(EventLog):
     def __init__(self, path: Path) -> None:
         import structlog  # of the extra `fleet`
+
         self._out = path.open("a")
         self._logger = structlog.wrap_logger(
-            structlog.WriteLogger(self._out), processors=[_times, structlog.processors.JSONRenderer()],
-            wrapper_class=structlog.BoundLogger)
+            structlog.WriteLogger(self._out),
+            processors=[_times, structlog.processors.JSONRenderer()],
+            wrapper_class=structlog.BoundLogger,
+        )
 
     def write(self, event: str, **told: Any) -> None:
         self._logger.info(event, **told)
--- a/pipitshed/peers/file.py
+++ b/pipitshed/peers/file.py
@@ -65,8 +65,9 @@
         raise PeersError(f"{path}: {error.strerror}") from None
     except msgspec.ValidationError as error:
         keys, why = _place(str(error))
-        raise PeersError(f"{path}:{line_at(text, *keys) if keys else 1}: "
-                         f"{'.'.join(keys) or 'the file'}: {why}") from None
+        raise PeersError(
+            f"{path}:{line_at(text, *keys) if keys else 1}: {'.'.join(keys) or 'the file'}: {why}"
+        ) from None
     except (ValueError, UnicodeDecodeError) as error:
         raise PeersError(f"{path}: {error}") from None
     if fault := _fault(file):
@@ -81,11 +82,19 @@
             raise PeersError(f"{here}: {error.strerror}") from None
         if not 0 < len(secret) <= SECRET_LIMIT:
             raise PeersError(f"{here}: its first line has {len(secret)} bytes, not 1 to {SECRET_LIMIT}")
-    return Peers(file.name, file.zone, address_of(file.listen),
-                 address_of(file.advertise) if file.advertise else None, file.cluster, secret,
-                 [address_of(seed) for seed in file.seeds],
-                 path.parent / file.event_log if file.event_log else None, file.scales, file.region,
-                 path.parent / file.rows_file if file.rows_file else None)
+    return Peers(
+        file.name,
+        file.zone,
+        address_of(file.listen),
+        address_of(file.advertise) if file.advertise else None,
+        file.cluster,
+        secret,
+        [address_of(seed) for seed in file.seeds],
+        path.parent / file.event_log if file.event_log else None,
+        file.scales,
+        file.region,
+        path.parent / file.rows_file if file.rows_file else None,
+    )
 
 
 def _place(told: str) -> tuple[tuple[str, ...], str]:
@@ -100,8 +109,12 @@
 
 def _fault(file: PeersFile) -> tuple[tuple[str, ...], str] | None:
     """The first key that can't be, and why."""
-    for key, value, needed in (("name", file.name, True), ("zone", file.zone, False),
-                               ("region", file.region, False), ("cluster", file.cluster, True)):
+    for key, value, needed in (
+        ("name", file.name, True),
+        ("zone", file.zone, False),
+        ("region", file.region, False),
+        ("cluster", file.cluster, True),
+    ):
         if needed and not value:
             return (key,), "it is empty"
         if len(value.encode()) > NAME_LIMIT:
--- a/pipitshed/peers/fleet.py
+++ b/pipitshed/peers/fleet.py
@@ -31,8 +31,9 @@
     """One scheduler among its peers. Nothing here decides about a request: where no peer answers, the
     scheduler serves on."""
 
-    def __init__(self, peers: Peers, zone: str, loop: asyncio.AbstractEventLoop,
-                 tuned: Tuned | None = None) -> None:
+    def __init__(
+        self, peers: Peers, zone: str, loop: asyncio.AbstractEventLoop, tuned: Tuned | None = None
+    ) -> None:
         """Bind the peer address; OSError where it is taken. Settings by row change what is `tuned`."""
         self._loop = loop
         self._peers = peers
@@ -42,11 +43,25 @@
         self.address: Address = self._socket.getsockname()[:2]
         self._log = EventLog.to(peers.event_log)
         host, port = peers.advertise or self.address
-        me = Word(peers.name, host, port, peers.zone or zone, int(time.time() * 1000), secrets.randbits(32),
-                  said_by=peers.name, region=peers.region)
+        me = Word(
+            peers.name,
+            host,
+            port,
+            peers.zone or zone,
+            int(time.time() * 1000),
+            secrets.randbits(32),
+            said_by=peers.name,
+            region=peers.region,
+        )
         self.rows = SettingsRows(peers, me, tuned, self, loop, self._log) if tuned is not None else None
-        self.membership = Membership(me, peers.scales, peers.seeds, random.Random(secrets.randbits(64)),
-                                     loop.time(), (self.rows.table,) if self.rows is not None else ())
+        self.membership = Membership(
+            me,
+            peers.scales,
+            peers.seeds,
+            random.Random(secrets.randbits(64)),
+            loop.time(),
+            (self.rows.table,) if self.rows is not None else (),
+        )
         self._addresses: tuple[int, frozenset[Address]] = (-1, frozenset())
         self._streams = Streams(self._codec, loop, self._heard, self.count)
         self._datagrams = Datagrams(self._codec, loop, self._heard, self._known, self.count)
@@ -63,8 +78,14 @@
         await self._loop.create_datagram_endpoint(lambda: self._datagrams, sock=self._datagram_socket)
         self._server = await self._loop.create_server(self._streams.incoming, sock=self._socket)
         me = self.membership.me
-        self._log.write("started", name=me.name, address=f"{me.host}:{me.port}", zone=me.zone,
-                        incarnation=me.incarnation, life=me.life)
+        self._log.write(
+            "started",
+            name=me.name,
+            address=f"{me.host}:{me.port}",
+            zone=me.zone,
+            incarnation=me.incarnation,
+            life=me.life,
+        )
         log.info("peer address on %s:%d, as %s in cluster %s", *self.address, me.name, self._peers.cluster)
         self._step()
 
@@ -123,14 +144,23 @@
                 assert self.rows is not None  # it has the only table
                 self.rows.news(effect.rows)
             elif isinstance(effect, Displaced):
-                log.error("another process holds the name %s: %s:%d, started later; this one is out of the "
-                          "view", effect.by.name, effect.by.host, effect.by.port)
+                log.error(
+                    "another process holds the name %s: %s:%d, started later; this one is out of the view",
+                    effect.by.name,
+                    effect.by.host,
+                    effect.by.port,
+                )
                 self._log.write("displaced", by=f"{effect.by.host}:{effect.by.port}", life=effect.by.life)
         view = self.membership.view
         if effects and (digest := view.digest()) != self._told:
             self._told = digest
-            self._log.write("view", number=view.number, digest=digest, health=self.membership.health.score,
-                            living=[[word.name, word.life] for word in view.living()])
+            self._log.write(
+                "view",
+                number=view.number,
+                digest=digest,
+                health=self.membership.health.score,
+                living=[[word.name, word.life] for word in view.living()],
+            )
 
     def _tell(self, tell: Tell) -> None:
         data = self._codec.encode(tell.message)
@@ -168,8 +198,15 @@
         state = word.state.name.lower()
         if word.state is not State.SUSPECT and news.before is not State.SUSPECT or word.gone:
             log.info("%s is %s (%s before), says %s", word.name, state, before, word.said_by)
-        self._log.write("member", name=word.name, state=state, before=before, life=word.life,
-                        incarnation=word.incarnation, said_by=word.said_by)
+        self._log.write(
+            "member",
+            name=word.name,
+            state=state,
+            before=before,
+            life=word.life,
+            incarnation=word.incarnation,
+            said_by=word.said_by,
+        )
 
     # ---- what operators ask
 
@@ -183,11 +220,29 @@
                 return True
             return None if word.gone else membership.carrier.agree(word.name)
 
-        rows = [Row(word.name, word.zone, f"{word.host}:{word.port}", word.state.name.lower(),
-                    word.incarnation, round(now - view.since(word.name), 3), word.said_by, agrees(word))
-                for word in sorted(view, key=lambda word: word.name)]
-        return Shown(membership.me.name, view.number, digest, membership.health.score, membership.displaced,
-                     membership.leaving, tuple(rows), dict(self.counts))
+        rows = [
+            Row(
+                word.name,
+                word.zone,
+                f"{word.host}:{word.port}",
+                word.state.name.lower(),
+                word.incarnation,
+                round(now - view.since(word.name), 3),
+                word.said_by,
+                agrees(word),
+            )
+            for word in sorted(view, key=lambda word: word.name)
+        ]
+        return Shown(
+            membership.me.name,
+            view.number,
+            digest,
+            membership.health.score,
+            membership.displaced,
+            membership.leaving,
+            tuple(rows),
+            dict(self.counts),
+        )
 
     def lines(self) -> bytes:
         """The fleet's figures, for `/-/metrics`."""
--- a/pipitshed/peers/rows.py
+++ b/pipitshed/peers/rows.py
@@ -83,13 +83,19 @@
     """The table, what is acted on, and who else acts on it. Rows are taken up a batch at a time: kept in the
     file first, so that no later start acts on older ones, then acted on in one go, then confirmed."""
 
-    def __init__(self, peers: Peers, me: Word, tuned: Tuned, carrier: Carrier,
-                 loop: asyncio.AbstractEventLoop, events: EventLog) -> None:
+    def __init__(
+        self,
+        peers: Peers,
+        me: Word,
+        tuned: Tuned,
+        carrier: Carrier,
+        loop: asyncio.AbstractEventLoop,
+        events: EventLog,
+    ) -> None:
         self.table = RowTable(NAME, MOST_ROWS, MOST_BYTES, ROW_LIMIT)
         self._me, self._tuned, self._carrier, self._loop, self._events = me, tuned, carrier, loop, events
         self._path, self._secret = peers.rows_file, bool(peers.secret)
-        self._confirmations = Confirmations(me.name, me.life, self.table,
-                                            random.Random(secrets.randbits(64)))
+        self._confirmations = Confirmations(me.name, me.life, self.table, random.Random(secrets.randbits(64)))
         self._lives: tuple[int, dict[str, int]] = (-1, {})  # of which number of the view
         self._since = loop.time()
         self._busy = self._changed = self._closed = False
@@ -181,22 +187,33 @@
         laid = self._lay(raw, tuple(state.held.values()), state.digest, state.acted, anew=True)
         return laid.raw["settings"]  # type: ignore[no-any-return]
 
-    def _lay(self, raw: dict[str, Any], rows: tuple[Row, ...], digest: bytes, stood: Mapping[str, Row],
-             anew: bool = False) -> Laid:
+    def _lay(
+        self,
+        raw: dict[str, Any],
+        rows: tuple[Row, ...],
+        digest: bytes,
+        stood: Mapping[str, Row],
+        anew: bool = False,
+    ) -> Laid:
         """Rows over a file; who has to know is told, and so is the log."""
         laid, before = overlay(raw, rows, stood, self._tuned.fixed), self._confirmations.state
-        changed = [row for row in rows if row != before.held.get(row.key)
-                   or laid.refused.get(row.key) != before.refused.get(row.key)]
+        changed = [
+            row
+            for row in rows
+            if row != before.held.get(row.key) or laid.refused.get(row.key) != before.refused.get(row.key)
+        ]
         now = self._loop.time()
         if changed:
             self._since = now
         state = State(digest, {row.key: row for row in rows}, laid.acted, laid.refused)
         self._confirmations.acts(now, state, changed, len(self._living()))
         acted = [laid.acted[row.key] for row in changed if row.key in laid.acted]
-        self._events.write("acting", digest=digest.hex(),
-                           rows=[[row.key, row.term, row.number] for row in acted],
-                           refused=[[row.key, laid.refused[row.key]] for row in changed
-                                    if row.key in laid.refused])
+        self._events.write(
+            "acting",
+            digest=digest.hex(),
+            rows=[[row.key, row.term, row.number] for row in acted],
+            refused=[[row.key, laid.refused[row.key]] for row in changed if row.key in laid.refused],
+        )
         _log(raw, laid, rows if anew else changed)
         self._arm()
         return laid
@@ -256,8 +273,17 @@
         def shown(row: Row) -> ShownRow:
             file, acted = file_value(raw, row.key), state.acted.get(row.key)
             value = file if acted is None or acted.deleted else float(acted.body)
-            return ShownRow(row.key, value, file, row.body[:SHOWN].decode("utf-8", "replace"), row.term,
-                            row.number, row.writer, row.deleted, state.refused.get(row.key, ""))
+            return ShownRow(
+                row.key,
+                value,
+                file,
+                row.body[:SHOWN].decode("utf-8", "replace"),
+                row.term,
+                row.number,
+                row.writer,
+                row.deleted,
+                state.refused.get(row.key, ""),
+            )
 
         return ShownRows(self._me.name, tuple(shown(row) for row in sorted(rows, key=lambda row: row.key)))
 
@@ -278,23 +304,41 @@
             missing = dict(standing.missing) | {self._me.name: ""}
             return Force(False, standing.acting, tuple(missing.items()), gone)
         if standing.in_force:
-            self._events.write("in_force", key=row.key, term=row.term, number=row.number,
-                               acting=[[name, living[name]] for name in standing.acting], gone=gone)
+            self._events.write(
+                "in_force",
+                key=row.key,
+                term=row.term,
+                number=row.number,
+                acting=[[name, living[name]] for name in standing.acting],
+                gone=gone,
+            )
         return Force(standing.in_force, standing.acting, standing.missing, gone)
 
     def _status(self) -> Status:
         state, view = self._confirmations.state, self._carrier.membership.view
-        members = tuple((word.name, f"{word.host}:{word.port}", word.state.name.lower())
-                        for word in sorted(view, key=lambda word: word.name))
-        return Status(self._me.name, state.digest.hex(), len(state.held),
-                      round(self._loop.time() - self._since, 3), self.table.caught_up, self._unsaved,
-                      tuple(sorted(state.refused.items())), members)
+        members = tuple(
+            (word.name, f"{word.host}:{word.port}", word.state.name.lower())
+            for word in sorted(view, key=lambda word: word.name)
+        )
+        return Status(
+            self._me.name,
+            state.digest.hex(),
+            len(state.held),
+            round(self._loop.time() - self._since, 3),
+            self.table.caught_up,
+            self._unsaved,
+            tuple(sorted(state.refused.items())),
+            members,
+        )
 
     def figures(self) -> dict[str, int]:
         """What `/-/metrics` tells of them."""
         told = {f"rows_{name.replace('-', '_')}": count for name, count in self.table.counts.items()}
-        return told | {"rows": len(self.table), "rows_refused": len(self._confirmations.state.refused),
-                       "rows_unsaved": int(bool(self._unsaved))}
+        return told | {
+            "rows": len(self.table),
+            "rows_refused": len(self._confirmations.state.refused),
+            "rows_unsaved": int(bool(self._unsaved)),
+        }
 
     # ---- time
 
@@ -331,15 +375,28 @@
     acted = [row for row in rows if row.key not in laid.refused]
     for row in acted[:LOGGED]:
         told = "deleted" if row.deleted else f"{row.body.decode()} stands"
-        log.info("settings by row: %s: %s (%s, %d.%d); the file says %s", row.key, told, row.writer, row.term,
-                 row.number, file_value(raw, row.key))
+        log.info(
+            "settings by row: %s: %s (%s, %d.%d); the file says %s",
+            row.key,
+            told,
+            row.writer,
+            row.term,
+            row.number,
+            file_value(raw, row.key),
+        )
     if len(acted) > LOGGED:
         log.info("settings by row: and %d more: `pipitshed settings show`", len(acted) - LOGGED)
     refused = [row for row in rows if row.key in laid.refused]
     for row in refused[:LOGGED]:
         old = laid.acted.get(row.key)
-        log.error("settings by row: %s (%s, %d.%d) is refused: %s; %s", row.key, row.writer, row.term,
-                  row.number, laid.refused[row.key],
-                  f"{old.term}.{old.number} stands" if old is not None else "the file's value stands")
+        log.error(
+            "settings by row: %s (%s, %d.%d) is refused: %s; %s",
+            row.key,
+            row.writer,
+            row.term,
+            row.number,
+            laid.refused[row.key],
+            f"{old.term}.{old.number} stands" if old is not None else "the file's value stands",
+        )
     if len(refused) > LOGGED:
         log.error("settings by row: and %d more refused: `pipitshed settings show`", len(refused) - LOGGED)
--- a/pipitshed/peers/settings_commands.py
+++ b/pipitshed/peers/settings_commands.py
@@ -43,9 +43,15 @@
 def _written(command: Any) -> Any:
     """The options of a change."""
     for option in (
-            click.option("--take-over", is_flag=True, help="Though another scheduler writes this row."),
-            click.option("--wait", default=15.0, show_default=True, type=click.FloatRange(0.0, 3600.0),
-                         help="Seconds until it must be in force.")):
+        click.option("--take-over", is_flag=True, help="Though another scheduler writes this row."),
+        click.option(
+            "--wait",
+            default=15.0,
+            show_default=True,
+            type=click.FloatRange(0.0, 3600.0),
+            help="Seconds until it must be in force.",
+        ),
+    ):
         command = option(command)
     return asked(command)
 
@@ -94,8 +100,10 @@
         return f"not in force: {force.superseded} has taken its place"
     told = f"in force at all {len(force.acting)} in touch"
     if not force.in_force:
-        names = [f"{name} refuses it: {why}" if why else f"{name} has not said that it does"
-                 for name, why in force.missing]
+        names = [
+            f"{name} refuses it: {why}" if why else f"{name} has not said that it does"
+            for name, why in force.missing
+        ]
         more = [f"and {len(names) - NAMED} more"] if len(names) > NAMED else []
         told = f"not in force everywhere: {len(force.acting)} act on it; " + "; ".join(names[:NAMED] + more)
     return told + (f"; out of touch: {', '.join(force.out_of_touch)}" if force.out_of_touch else "")
@@ -108,12 +116,15 @@
     """Print the rows that one scheduler holds: what is in force there, and what the file says."""
     shown = ask_or_end(way_to(**told), ShowRows(), ShownRows)
     if as_json:
-        click.echo(json.dumps({"name": shown.name, "rows": [msgspec.structs.asdict(row)
-                                                            for row in shown.rows]}))
+        click.echo(
+            json.dumps({"name": shown.name, "rows": [msgspec.structs.asdict(row) for row in shown.rows]})
+        )
         return
     cells = [("KEY", "IN FORCE", "FILE", "ROW", "WRITER", "")]
-    cells += [(row.key, _figure(row.value), _figure(row.file), f"{row.term}.{row.number}", row.writer,
-               _remark(row)) for row in shown.rows]
+    cells += [
+        (row.key, _figure(row.value), _figure(row.file), f"{row.term}.{row.number}", row.writer, _remark(row))
+        for row in shown.rows
+    ]
     click.echo(f"{shown.name}: {len(shown.rows)} rows")
     click.echo("\n".join(columns(cells)))
 
@@ -155,9 +166,18 @@
         click.echo(json.dumps({"asked": first.name, "digest": first.digest, "members": rows}))
     else:
         cells = [("NAME", "STATE", "ACTS ON", "ROWS", "FOR", "SAME AS " + first.name, "")]
-        cells += [(row["name"], row["state"], row["digest"] or "-", str(row["rows"]), lasting(row["for_s"]),
-                   {True: "yes", False: "NO", None: "-"}[row["same"]], "; ".join(row["remarks"]))
-                  for row in rows]
+        cells += [
+            (
+                row["name"],
+                row["state"],
+                row["digest"] or "-",
+                str(row["rows"]),
+                lasting(row["for_s"]),
+                {True: "yes", False: "NO", None: "-"}[row["same"]],
+                "; ".join(row["remarks"]),
+            )
+            for row in rows
+        ]
         click.echo("\n".join(columns(cells)))
     well = all(row["same"] and not row["remarks"] for row in rows if row["state"] in ("alive", "suspect"))
     sys.exit(IN_FORCE if well else NOT_EVERYWHERE)
@@ -165,8 +185,17 @@
 
 def _member(member: tuple[str, str, str], answer: Status | str, first: Status) -> dict[str, Any]:
     name, address, state = member
-    told: dict[str, Any] = {"name": name, "address": address, "state": state, "digest": "", "rows": 0,
-                            "for_s": 0.0, "same": None, "refused": [], "remarks": []}
+    told: dict[str, Any] = {
+        "name": name,
+        "address": address,
+        "state": state,
+        "digest": "",
+        "rows": 0,
+        "for_s": 0.0,
+        "same": None,
+        "refused": [],
+        "remarks": [],
+    }
     if isinstance(answer, str):
         return told | {"remarks": [answer] if answer != "left" else []}
     remarks = [f"refuses {key}: {why}" for key, why in answer.refused]
@@ -174,5 +203,11 @@
         remarks.append(f"its rows are not kept: {answer.unsaved}")
     if not answer.caught_up:
         remarks.append("has not caught up after its start")
-    return told | {"digest": answer.digest, "rows": answer.rows, "for_s": answer.for_s,
-                   "same": answer.digest == first.digest, "refused": answer.refused, "remarks": remarks}
+    return told | {
+        "digest": answer.digest,
+        "rows": answer.rows,
+        "for_s": answer.for_s,
+        "same": answer.digest == first.digest,
+        "refused": answer.refused,
+        "remarks": remarks,
+    }
--- a/pipitshed/peers/streams.py
+++ b/pipitshed/peers/streams.py
@@ -51,7 +51,7 @@
 
     def _read(self) -> None:
         while len(self._buffer) >= LENGTH.size:
-            length, = LENGTH.unpack(self._buffer.peek(LENGTH.size))
+            (length,) = LENGTH.unpack(self._buffer.peek(LENGTH.size))
             if length > FRAME_LIMIT:
                 raise TooLongError(f"a message of {length} bytes")
             if len(self._buffer) < LENGTH.size + length:
@@ -74,8 +74,13 @@
 class Streams:
     """All streams of one scheduler, bounded in number, size and time."""
 
-    def __init__(self, codec: Codec, loop: asyncio.AbstractEventLoop, hear: Callable[[Said, Address], None],
-                 count: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        codec: Codec,
+        loop: asyncio.AbstractEventLoop,
+        hear: Callable[[Said, Address], None],
+        count: Callable[[str], None],
+    ) -> None:
         self.codec = codec
         self.loop = loop
         self.count = count
--- a/pipitshed/placement/brute.py
+++ b/pipitshed/placement/brute.py
@@ -36,8 +36,10 @@
     each = list(splits(fleet.units, len(names)))
     good: list[tuple[Parts, Score]] = []
     for chosen in itertools.product(each, repeat=len(wanted)):
-        parts = {group.name: {name: units for name, units in zip(names, split, strict=True) if units}
-                 for group, split in zip(wanted, chosen, strict=True)}
+        parts = {
+            group.name: {name: units for name, units in zip(names, split, strict=True) if units}
+            for group, split in zip(wanted, chosen, strict=True)
+        }
         judged = score(fleet, parts, fleet.units, before)
         if not judged.broken:
             good.append((parts, judged))
--- a/pipitshed/placement/commands.py
+++ b/pipitshed/placement/commands.py
@@ -65,14 +65,24 @@
     assert answer.parts is not None
     judged = score(fleet, answer.parts, answer.units, held.parts if held is not None else None)
     made = Plan(
-        plans.FORMAT, held.number + 1 if held is not None else 1, time.time(), fleet.life_s, answer.units,
-        {one.id: Place(one.zone, one.model, capacity(one)) for one in fleet.planners}, answer.parts,
-        dict(zip(GOALS, judged.vector(), strict=True)), answer.exact,
-        max(0.0, judged.worst - answer.goals[0]) if answer.goals else 0.0, answer.relaxed)
+        plans.FORMAT,
+        held.number + 1 if held is not None else 1,
+        time.time(),
+        fleet.life_s,
+        answer.units,
+        {one.id: Place(one.zone, one.model, capacity(one)) for one in fleet.planners},
+        answer.parts,
+        dict(zip(GOALS, judged.vector(), strict=True)),
+        answer.exact,
+        max(0.0, judged.worst - answer.goals[0]) if answer.goals else 0.0,
+        answer.relaxed,
+    )
     out.write_bytes(plans.write(made))
     goals = ", ".join(f"{name} {value:.4g}" for name, value in made.goals.items())
-    click.echo(f"{out}: number {made.number}, {'exact' if made.exact else f'gap {made.gap:.2g}'}, {goals}, "
-               f"{took * 1000:.0f} ms" + (", RELAXED" if answer.relaxed else ""))
+    click.echo(
+        f"{out}: number {made.number}, {'exact' if made.exact else f'gap {made.gap:.2g}'}, {goals}, "
+        f"{took * 1000:.0f} ms" + (", RELAXED" if answer.relaxed else "")
+    )
     sys.exit(1 if answer.conflict else 0)
 
 
--- a/pipitshed/placement/explain.py
+++ b/pipitshed/placement/explain.py
@@ -47,8 +47,11 @@
             worth = found[kind, resource]
             planner = built.shape.kinds[kind].planners[0]
             amount = {"cores": planner.cores, "slots": planner.slots, "memory": planner.memory}[resource]
-            total = sum(float(solution.values[one]) * value / row.terms[column]
-                        for one, value in row.terms.items() if one != built.worst)
+            total = sum(
+                float(solution.values[one]) * value / row.terms[column]
+                for one, value in row.terms.items()
+                if one != built.worst
+            )
             worth.binds = True
             worth.one_more += abs(float(dual)) * total / amount
     order = {name: place for place, name in enumerate(RESOURCES)}
--- a/pipitshed/placement/follow.py
+++ b/pipitshed/placement/follow.py
@@ -39,8 +39,12 @@
         if not any(group.startswith(f"{self.zone}/") for group in plan.parts):
             raise PlanError(f"has nothing for zone {self.zone}")
         known = {entry.worker.decode() for entry in listed if entry.state is not State.GONE}
-        used = {name for group, held in plan.parts.items() for name, units in held.items() if units
-                and group.startswith(f"{self.zone}/")}
+        used = {
+            name
+            for group, held in plan.parts.items()
+            for name, units in held.items()
+            if units and group.startswith(f"{self.zone}/")
+        }
         if known and not known & used:
             raise PlanError("is for another fleet: no planner that it uses is listed")
         self.plan = plan
@@ -66,15 +70,15 @@
         total = sum(entry.weight for entry in ready.values()) or 1.0
         return {worker: entry.weight / total for worker, entry in ready.items()}
 
-    def _warm(self, parts: dict[WorkerId, float], ready: Mapping[WorkerId, Entry],
-              now: float) -> dict[WorkerId, float]:
+    def _warm(
+        self, parts: dict[WorkerId, float], ready: Mapping[WorkerId, Entry], now: float
+    ) -> dict[WorkerId, float]:
         """Guards cold planners: none is raised above what the list itself would give it."""
         cold = [worker for worker, entry in ready.items() if now * 1000 - entry.started_at < self.cold]
         listed = self._listed(ready) if cold else {}
         return parts | {worker: min(parts[worker], listed[worker]) for worker in cold}
 
-    def _wanted(self, plan: Plan, job_class: str,
-                ready: Mapping[WorkerId, Entry]) -> dict[WorkerId, float]:
+    def _wanted(self, plan: Plan, job_class: str, ready: Mapping[WorkerId, Entry]) -> dict[WorkerId, float]:
         """The plan's parts among those that are ready. One that it does not know gets what its listed weight
         is to those known, scaled to what the plan gives these."""
         held = plan.parts.get(f"{self.zone}/{job_class}")
@@ -92,20 +96,25 @@
             else:
                 strangers.append(worker)
         for worker in strangers:
-            parts[worker] = (ready[worker].weight * known_part / known_weight if known_weight and known_part
-                             else ready[worker].weight)
+            parts[worker] = (
+                ready[worker].weight * known_part / known_weight
+                if known_weight and known_part
+                else ready[worker].weight
+            )
         total = sum(parts.values())
         # What the plan wants nothing on, and nothing else is there: the list's weights, rather than nowhere.
         return {worker: part / total for worker, part in parts.items()} if total else self._listed(ready)
 
-    def _ease(self, old: Mapping[WorkerId, float], new: Mapping[WorkerId, float],
-              ready: Mapping[WorkerId, Entry]) -> dict[WorkerId, float]:
+    def _ease(
+        self, old: Mapping[WorkerId, float], new: Mapping[WorkerId, float], ready: Mapping[WorkerId, Entry]
+    ) -> dict[WorkerId, float]:
         """One step towards the new parts. What has left frees its part at once, in proportion."""
         staying = {worker: part for worker, part in old.items() if worker in ready}
         total = sum(staying.values())
         # One that has come meanwhile begins with nothing, and is raised by steps.
-        start = {worker: staying.get(worker, 0.0) / total if total else new.get(worker, 0.0)
-                 for worker in ready}
+        start = {
+            worker: staying.get(worker, 0.0) / total if total else new.get(worker, 0.0) for worker in ready
+        }
         shift = sum(abs(new.get(worker, 0.0) - part) for worker, part in start.items()) / 2
         if shift <= STEP:
             return {worker: new.get(worker, 0.0) for worker in ready}
--- a/pipitshed/placement/learn.py
+++ b/pipitshed/placement/learn.py
@@ -77,24 +77,38 @@
     work = dict.fromkeys(by_class, 0.0)
     for _ in range(ROUNDS):
         before = dict(slow)
-        work = {name: statistics.fmean(took - slow[planner] for planner, took in held)
-                for name, held in by_class.items()}
-        slow = {name: statistics.fmean(took - work[job_class] for job_class, took in held)
-                for name, held in by_planner.items()}
+        work = {
+            name: statistics.fmean(took - slow[planner] for planner, took in held)
+            for name, held in by_class.items()
+        }
+        slow = {
+            name: statistics.fmean(took - work[job_class] for job_class, took in held)
+            for name, held in by_planner.items()
+        }
         middle = statistics.fmean(slow.values()) if slow else 0.0
         slow = {name: value - middle for name, value in slow.items()}
         if all(abs(slow[name] - value) < SETTLED for name, value in before.items()):
             break
-    work = {name: statistics.fmean(took - slow[planner] for planner, took in held)
-            for name, held in by_class.items()}
+    work = {
+        name: statistics.fmean(took - slow[planner] for planner, took in held)
+        for name, held in by_class.items()
+    }
     length = last - first
     return Learnt(
-        {name: _estimate(math.exp(-slow[name]), [took - work[job_class] for job_class, took in held])
-         for name, held in sorted(by_planner.items())},
-        {name: _estimate(math.exp(work[name]), [took - slow[planner] for planner, took in held])
-         for name, held in sorted(by_class.items())},
-        {name: Estimate(count / length if length > 0 else 0.0, math.exp(1.96 / math.sqrt(count)), count)
-         for name, count in sorted(asked.items())}, skipped)
+        {
+            name: _estimate(math.exp(-slow[name]), [took - work[job_class] for job_class, took in held])
+            for name, held in sorted(by_planner.items())
+        },
+        {
+            name: _estimate(math.exp(work[name]), [took - slow[planner] for planner, took in held])
+            for name, held in sorted(by_class.items())
+        },
+        {
+            name: Estimate(count / length if length > 0 else 0.0, math.exp(1.96 / math.sqrt(count)), count)
+            for name, count in sorted(asked.items())
+        },
+        skipped,
+    )
 
 
 def _estimate(value: float, logarithms: list[float]) -> Estimate:
--- a/pipitshed/placement/model.py
+++ b/pipitshed/placement/model.py
@@ -160,20 +160,30 @@
     parts: dict[tuple[str, str], list[tuple[Demand, float]]] = {}
     counted = sum(one.count for one in fleet.schedulers)
     for demand in fleet.demand:
-        where = [(demand.zone, 1.0)] if demand.zone else [
-            (one.zone, one.count / counted) for one in fleet.schedulers if one.count > 0]
+        where = (
+            [(demand.zone, 1.0)]
+            if demand.zone
+            else [(one.zone, one.count / counted) for one in fleet.schedulers if one.count > 0]
+        )
         for zone, part in where:
             if demand.rate > 0:
                 parts.setdefault((zone, demand.job_class), []).append((demand, demand.rate * part))
     made = []
     for (zone, job_class), held in sorted(parts.items()):
         rate = math.fsum(one for _, one in held)
-        made.append(Group(
-            zone, job_class, rate, math.fsum(one * demand.work for demand, one in held),
-            math.fsum(one * demand.work * demand.slots for demand, one in held),
-            math.fsum(one * demand.work * demand.memory for demand, one in held),
-            max(demand.slots for demand, _ in held), max(demand.memory for demand, _ in held),
-            math.fsum(one * demand.wait for demand, one in held) / rate))
+        made.append(
+            Group(
+                zone,
+                job_class,
+                rate,
+                math.fsum(one * demand.work for demand, one in held),
+                math.fsum(one * demand.work * demand.slots for demand, one in held),
+                math.fsum(one * demand.work * demand.memory for demand, one in held),
+                max(demand.slots for demand, _ in held),
+                max(demand.memory for demand, _ in held),
+                math.fsum(one * demand.wait for demand, one in held) / rate,
+            )
+        )
     return made
 
 
--- a/pipitshed/placement/plan.py
+++ b/pipitshed/placement/plan.py
@@ -63,8 +63,11 @@
     if plan.units < 1 or not math.isfinite(plan.made) or not 0 < plan.life_s < math.inf:
         raise PlanError("has no units, no time or no life")
     for group, held in plan.parts.items():
-        if "/" not in group or any(units < 0 for units in held.values()) or (
-                not plan.relaxed and sum(held.values()) != plan.units):
+        if (
+            "/" not in group
+            or any(units < 0 for units in held.values())
+            or (not plan.relaxed and sum(held.values()) != plan.units)
+        ):
             raise PlanError(f"{group} does not add up to {plan.units} units")
         if unknown := held.keys() - plan.planners.keys():
             raise PlanError(f"{group} names planners that the plan does not describe: {sorted(unknown)[0]}")
--- a/pipitshed/placement/program.py
+++ b/pipitshed/placement/program.py
@@ -89,9 +89,16 @@
         self.mixed = any(program.whole)
         self._highs: Any = _quiet()
         for name, value in (
-                ("log_to_console", False), ("output_flag", False), ("threads", 1), ("random_seed", 1),
-                ("primal_feasibility_tolerance", 1e-9), ("dual_feasibility_tolerance", 1e-9),
-                ("mip_feasibility_tolerance", 1e-9), ("mip_rel_gap", 0.0), ("mip_abs_gap", 1e-9)):
+            ("log_to_console", False),
+            ("output_flag", False),
+            ("threads", 1),
+            ("random_seed", 1),
+            ("primal_feasibility_tolerance", 1e-9),
+            ("dual_feasibility_tolerance", 1e-9),
+            ("mip_feasibility_tolerance", 1e-9),
+            ("mip_rel_gap", 0.0),
+            ("mip_abs_gap", 1e-9),
+        ):
             self._highs.setOptionValue(name, value)
         self._highs.passModel(self._model())
 
@@ -108,14 +115,19 @@
         model.a_matrix_.index_ = np.array([column for row in self.rows for column in row.terms], np.int32)
         model.a_matrix_.value_ = np.array([value for row in self.rows for value in row.terms.values()], float)
         if self.mixed:
-            model.integrality_ = [highspy.HighsVarType.kInteger if whole else highspy.HighsVarType.kContinuous
-                                  for whole in program.whole]
+            model.integrality_ = [
+                highspy.HighsVarType.kInteger if whole else highspy.HighsVarType.kContinuous
+                for whole in program.whole
+            ]
         return model
 
     def start(self, basis: Any) -> None:
         """Begin at the end of an earlier solve of a program of the same shape."""
-        if basis is not None and len(basis.col_status) == len(self.program.lower) and (
-                len(basis.row_status) == len(self.rows)):
+        if (
+            basis is not None
+            and len(basis.col_status) == len(self.program.lower)
+            and (len(basis.row_status) == len(self.rows))
+        ):
             self._highs.setBasis(basis)
 
     def feasible(self) -> bool:
@@ -147,8 +159,13 @@
             found.append(best * scale)
             if place + 1 < len(goals) and goal:
                 index = np.array(list(goal), np.int32)
-                self._highs.addRow(-INFINITY, best + HELD * max(1.0, abs(best)), len(index), index,
-                                   np.array([goal[column] / scale for column in goal]))
+                self._highs.addRow(
+                    -INFINITY,
+                    best + HELD * max(1.0, abs(best)),
+                    len(index),
+                    index,
+                    np.array([goal[column] / scale for column in goal]),
+                )
         if solution is None:
             return None
         duals = np.array(solution.row_dual) if not self.mixed else np.zeros(0)
@@ -163,7 +180,7 @@
     while True:
         place = 0
         while place < len(kept):
-            rest = kept[:place] + kept[place + size:]
+            rest = kept[:place] + kept[place + size :]
             if not Solver(program, set(names) - set(rest)).feasible():
                 kept = rest
             else:
--- a/pipitshed/placement/score.py
+++ b/pipitshed/placement/score.py
@@ -27,8 +27,12 @@
         return self.worst, self.late, self.crossing, self.movement
 
 
-def score(fleet: Fleet, parts: Mapping[str, Mapping[str, int]], units: int,
-          before: Mapping[str, Mapping[str, int]] | None = None) -> Score:
+def score(
+    fleet: Fleet,
+    parts: Mapping[str, Mapping[str, int]],
+    units: int,
+    before: Mapping[str, Mapping[str, int]] | None = None,
+) -> Score:
     """The score of these parts (group: planner: units)."""
     made, wanted = Score(), groups(fleet)
     by_id = {planner.id: planner for planner in fleet.planners}
@@ -57,9 +61,14 @@
         for group in wanted:
             held, old = parts.get(group.name, {}), before.get(group.name, {})
             whole = sum(old.values()) or 1
-            made.movement += group.rate / 2 * sum(
-                abs(held.get(name, 0) / units - old.get(name, 0) / whole)
-                for name in {*held, *old} & by_id.keys())
+            made.movement += (
+                group.rate
+                / 2
+                * sum(
+                    abs(held.get(name, 0) / units - old.get(name, 0) / whole)
+                    for name in {*held, *old} & by_id.keys()
+                )
+            )
     return made
 
 
@@ -89,20 +98,24 @@
                     made.broken[f"{name} of {planner.id} without {zone}"] = part - 1
 
 
-def _lates(fleet: Fleet, made: Score, load: dict[str, dict[str, float]], total: float,
-           wanted: list[Group]) -> None:
+def _lates(
+    fleet: Fleet, made: Score, load: dict[str, dict[str, float]], total: float, wanted: list[Group]
+) -> None:
     rate = math.fsum(group.rate for group in wanted)
     if not rate:
         return
     wait = math.fsum(group.wait * group.rate for group in wanted) / rate
     for planner in fleet.planners:
         use = load[planner.id]["cores"] / (planner.cores * planner.speed)
-        made.late += max(slope * use + at_zero
-                         for slope, at_zero in lateness(planner, total / rate, wait, all_cores(fleet)))
+        made.late += max(
+            slope * use + at_zero
+            for slope, at_zero in lateness(planner, total / rate, wait, all_cores(fleet))
+        )
 
 
-def _constraints(fleet: Fleet, made: Score, shares: dict[str, float], units: int, wanted: list[Group],
-                 total: float) -> None:
+def _constraints(
+    fleet: Fleet, made: Score, shares: dict[str, float], units: int, wanted: list[Group], total: float
+) -> None:
     slack = max((group.work for group in wanted), default=0.0) / units / total / 2 if total else 0.0
     for planner in fleet.planners:
         share = shares[planner.id]
--- a/pipitshed/placement/solve.py
+++ b/pipitshed/placement/solve.py
@@ -74,9 +74,11 @@
 
 def room(planner: Planner) -> dict[str, float]:
     """What a planner has of each."""
-    return {"cores": planner.cores * planner.speed * planner.cap,
-            "slots": planner.slots * planner.speed * planner.cap,
-            "memory": planner.memory * planner.speed * planner.cap}
+    return {
+        "cores": planner.cores * planner.speed * planner.cap,
+        "slots": planner.slots * planner.speed * planner.cap,
+        "memory": planner.memory * planner.speed * planner.cap,
+    }
 
 
 def shape(fleet: Fleet, whole: bool | None = None) -> Shape:
@@ -107,8 +109,11 @@
         cores = math.fsum(one.cores for one in held) / len(held)
         cap = math.fsum(one.cap for one in held) / len(held)
         speed = mean["cores"] / cores / cap
-        typical = first if len(held) == 1 else Planner(
-            first.id, first.zone, first.model, cores, speed, first.slots, first.memory, cap)
+        typical = (
+            first
+            if len(held) == 1
+            else Planner(first.id, first.zone, first.model, cores, speed, first.slots, first.memory, cap)
+        )
         kinds.append(Kind(held, first.zone, mean, typical))
     units = fleet.units if exact else max(fleet.units, UNITS_EACH * len(fleet.planners))
     return Shape(fleet, wanted, kinds, units, exact)
@@ -158,8 +163,9 @@
     use_rows: dict[int, tuple[int, str]] = field(default_factory=dict)  # row: kind, resource
 
 
-def build(fleet: Fleet, before: Mapping[str, Mapping[str, int]] | None = None,
-          whole: bool | None = None) -> Built:
+def build(
+    fleet: Fleet, before: Mapping[str, Mapping[str, int]] | None = None, whole: bool | None = None
+) -> Built:
     """The program. Each part is a share of its group (0 to 1), or whole units of it."""
     made = shape(fleet, whole)
     program, units = Program(), made.units if made.exact else 1
@@ -169,21 +175,31 @@
             first = kind.planners[0]
             if first.slots >= group.slots and first.memory >= group.memory:
                 parts[g, k] = program.column(0, units, made.exact)
-        program.row({parts[g, k]: 1.0 for k in range(len(made.kinds)) if (g, k) in parts}, units, units,
-                    f"all of {group.name} is placed")
+        program.row(
+            {parts[g, k]: 1.0 for k in range(len(made.kinds)) if (g, k) in parts},
+            units,
+            units,
+            f"all of {group.name} is placed",
+        )
     worst = program.column()
     use_rows: dict[int, tuple[int, str]] = {}
     late_columns: list[int] = []
     total = made.work
     mean_work = total / math.fsum(group.rate for group in made.groups) if made.groups else 1.0
-    wait = math.fsum(group.wait * group.rate for group in made.groups) / math.fsum(
-        group.rate for group in made.groups) if made.groups else 1.0
+    wait = (
+        math.fsum(group.wait * group.rate for group in made.groups)
+        / math.fsum(group.rate for group in made.groups)
+        if made.groups
+        else 1.0
+    )
     used: dict[tuple[int, str], int] = {}  # each planner's use of a resource, of its cap
     for k, kind in enumerate(made.kinds):
         for name in RESOURCES:
-            terms = {column: needs(made.groups[g])[name] / units / len(kind.planners) / kind.room[name]
-                     for (g, one), column in parts.items() if one == k and needs(made.groups[g])[name] > 0
-                     and kind.room[name] > 0}
+            terms = {
+                column: needs(made.groups[g])[name] / units / len(kind.planners) / kind.room[name]
+                for (g, one), column in parts.items()
+                if one == k and needs(made.groups[g])[name] > 0 and kind.room[name] > 0
+            }
             if not terms:
                 continue
             column = used[k, name] = program.column()
@@ -191,8 +207,15 @@
             program.row({column: 1.0}, -INFINITY, 1.0, f"{name} of {_named(kind)}")
             use_rows[len(program.rows)] = (k, name)
             program.row({column: 1.0, worst: -1.0}, -INFINITY, 0)
-        shares = {column: made.groups[g].work / units / len(kind.planners) / total
-                  for (g, one), column in parts.items() if one == k} if total else {}
+        shares = (
+            {
+                column: made.groups[g].work / units / len(kind.planners) / total
+                for (g, one), column in parts.items()
+                if one == k
+            }
+            if total
+            else {}
+        )
         if shares and fleet.constraints.most < 1:
             program.row(shares, -INFINITY, fleet.constraints.most, f"most of {_named(kind)}")
         if shares and kind.planners[0].excluded:
@@ -207,18 +230,26 @@
             late_columns.append(late)
             for slope, at_zero in lateness(kind.typical, mean_work, wait, all_cores(fleet)):
                 count = len(kind.planners)
-                program.row({used[k, "cores"]: slope * count * kind.typical.cap, late: -1.0},
-                            -INFINITY, -at_zero * count)
+                program.row(
+                    {used[k, "cores"]: slope * count * kind.typical.cap, late: -1.0},
+                    -INFINITY,
+                    -at_zero * count,
+                )
     _losses(made, program, parts, used, worst, units)
     _floors(made, program)
     goals: list[dict[int, float]] = [
-        {worst: 1.0}, dict.fromkeys(late_columns, 1.0),
-        {column: made.groups[g].rate / units * crossing(fleet, made.groups[g], made.kinds[k].zone)
-         for (g, k), column in parts.items()}]
+        {worst: 1.0},
+        dict.fromkeys(late_columns, 1.0),
+        {
+            column: made.groups[g].rate / units * crossing(fleet, made.groups[g], made.kinds[k].zone)
+            for (g, k), column in parts.items()
+        },
+    ]
     goals.append(_movement(made, program, parts, before, units) if before is not None else {})
     golden = (math.sqrt(5) - 1) / 2
-    goals.append({column: k + 0.5 * ((g * len(made.kinds) + k + 1) * golden % 1.0)
-                  for (g, k), column in parts.items()})
+    goals.append(
+        {column: k + 0.5 * ((g * len(made.kinds) + k + 1) * golden % 1.0) for (g, k), column in parts.items()}
+    )
     return Built(made, program, parts, worst, goals, use_rows)
 
 
@@ -227,13 +258,22 @@
     return first if len(kind.planners) == 1 else f"each of {len(kind.planners)} like {first}"
 
 
-def _losses(made: Shape, program: Program, parts: Mapping[tuple[int, int], int],
-            used: Mapping[tuple[int, str], int], worst: int, units: int) -> None:
+def _losses(
+    made: Shape,
+    program: Program,
+    parts: Mapping[tuple[int, int], int],
+    used: Mapping[tuple[int, str], int],
+    worst: int,
+    units: int,
+) -> None:
     """Each planner's use with one zone lost, whose load moves to the others in proportion to capacity."""
     for zone in made.zones():
         for name in RESOURCES:
-            load = {column: needs(made.groups[g])[name] / units for (g, k), column in parts.items()
-                    if made.kinds[k].zone == zone and needs(made.groups[g])[name] > 0}
+            load = {
+                column: needs(made.groups[g])[name] / units
+                for (g, k), column in parts.items()
+                if made.kinds[k].zone == zone and needs(made.groups[g])[name] > 0
+            }
             if not load:
                 continue
             lost = program.column()
@@ -252,8 +292,9 @@
 def _floors(made: Shape, program: Program) -> None:
     """Capacity beside the demand, so that each tenant could have its share of all work."""
     asked = work_by_tenant(made.fleet)
-    total = math.fsum(kind.capacity * len(kind.planners) for kind in made.kinds
-                      if not kind.planners[0].excluded)
+    total = math.fsum(
+        kind.capacity * len(kind.planners) for kind in made.kinds if not kind.planners[0].excluded
+    )
     work = made.work
     for floor in made.fleet.constraints.floors:
         kept = max(0.0, floor.share * total - asked.get(floor.tenant, 0.0))
@@ -262,8 +303,13 @@
             program.row({one: kept}, -INFINITY, total - work, f"share of {floor.tenant}")
 
 
-def _movement(made: Shape, program: Program, parts: Mapping[tuple[int, int], int],
-              before: Mapping[str, Mapping[str, int]], units: int) -> dict[int, float]:
+def _movement(
+    made: Shape,
+    program: Program,
+    parts: Mapping[tuple[int, int], int],
+    before: Mapping[str, Mapping[str, int]],
+    units: int,
+) -> dict[int, float]:
     """The jobs a second that go elsewhere than by the plan in force."""
     goal: dict[int, float] = {}
     for (g, k), column in parts.items():
@@ -294,8 +340,12 @@
     basis: Any = None
 
 
-def solve(fleet: Fleet, before: Mapping[str, Mapping[str, int]] | None = None, basis: Any = None,
-          whole: bool | None = None) -> Answer:
+def solve(
+    fleet: Fleet,
+    before: Mapping[str, Mapping[str, int]] | None = None,
+    basis: Any = None,
+    whole: bool | None = None,
+) -> Answer:
     """The plan by the goals in order, or the smallest set in conflict, with the plan that oversteps least."""
     built = build(fleet, before, whole)
     if not built.shape.groups:
@@ -304,8 +354,13 @@
     solver.start(basis)
     solution = solver.solve(built.goals)
     if solution is not None:
-        return Answer(_parts(built, solution.values), built.shape.units, solution.goals[:len(GOALS)],
-                      built.shape.exact, basis=solution.basis)
+        return Answer(
+            _parts(built, solution.values),
+            built.shape.units,
+            solution.goals[: len(GOALS)],
+            built.shape.exact,
+            basis=solution.basis,
+        )
     conflict = smallest_conflict(built.program)
     short = {name: _short(built, name, conflict) for name in conflict}
     over, values = _relax(built)
@@ -367,8 +422,9 @@
         columns = [column for held in slacks.values() for column in held]
         solution = Solver(made).solve([dict.fromkeys(columns, 1.0), *built.goals])
         if solution is not None:
-            over = {name: float(sum(solution.values[column] for column in held))
-                    for name, held in slacks.items()}
+            over = {
+                name: float(sum(solution.values[column] for column in held)) for name, held in slacks.items()
+            }
             return {name: value for name, value in over.items() if value > 1e-7}, solution.values
     return {}, None
 
@@ -385,7 +441,7 @@
         units = {name: math.floor(value + 1e-6) for name, value in wanted}
         missing = round(math.fsum(value for _, value in wanted)) - sum(units.values())
         by_rest = sorted(wanted, key=lambda one: (-(one[1] - units[one[0]]), one[0]))
-        for name, _ in by_rest[:max(0, missing)]:
+        for name, _ in by_rest[: max(0, missing)]:
             units[name] += 1
         parts[group.name] = {name: count for name, count in sorted(units.items()) if count}
     return parts
--- a/pipitshed/replication/acting.py
+++ b/pipitshed/replication/acting.py
@@ -131,11 +131,17 @@
         chosen = tuple(keys)
         acted, refused = self.state.acted, self.state.refused
         first = sorted(refused, key=lambda key: key not in chosen)
-        return Acting(self._me, self._life, self._at, self.state.digest,
-                      tuple(acted[key].content for key in chosen if key in acted),
-                      tuple((self.state.held[key].content, refused[key][:REASON_LIMIT])
-                            for key in first[:REFUSED_MOST]),
-                      len(refused) > REFUSED_MOST)
+        return Acting(
+            self._me,
+            self._life,
+            self._at,
+            self.state.digest,
+            tuple(acted[key].content for key in chosen if key in acted),
+            tuple(
+                (self.state.held[key].content, refused[key][:REASON_LIMIT]) for key in first[:REFUSED_MOST]
+            ),
+            len(refused) > REFUSED_MOST,
+        )
 
     # ---- as a writer, or whoever is asked
 
@@ -161,7 +167,8 @@
         refused, rows = dict(message.refused), set(message.rows)
         for key, watch in self._watches.items():
             if watch.content in rows or (
-                    all_of_it and watch.content not in refused and self._table.get(key) == watch.row):
+                all_of_it and watch.content not in refused and self._table.get(key) == watch.row
+            ):
                 watch.lives[message.sender] = message.life
                 watch.refused.pop(message.sender, None)
             elif watch.content in refused:
--- a/pipitshed/replication/carrier.py
+++ b/pipitshed/replication/carrier.py
@@ -42,8 +42,9 @@
     """One scheduler's tables. Times are seconds of any clock that goes forward; peers have a name and an
     address."""
 
-    def __init__(self, tables: Sequence[Carried], rng: random.Random, now: float,
-                 seeds: Sequence[Address]) -> None:
+    def __init__(
+        self, tables: Sequence[Carried], rng: random.Random, now: float, seeds: Sequence[Address]
+    ) -> None:
         """`seeds`: whom this one joins by; where there are none, it is the first."""
         self.tables = tables
         self.budget = Budget(len(tables), now)
@@ -111,8 +112,16 @@
         if among <= SINGLE and len(self.queues[place]) < FEW and not self._is_behind(now, place):
             self.queues[place].add(item, max(0, tellings(fleet) - AGAIN))
 
-    def take(self, now: float, room: int, to: str, fleet: int, places: int, all_of: int = -1,
-             but: Sequence[Sequence[Any]] = ()) -> tuple[list[Any], int]:
+    def take(
+        self,
+        now: float,
+        room: int,
+        to: str,
+        fleet: int,
+        places: int,
+        all_of: int = -1,
+        but: Sequence[Sequence[Any]] = (),
+    ) -> tuple[list[Any], int]:
         """What goes with a message that has `room` bytes for it, of the first `places` tables, and its size.
         Nothing of a table whose digest the receiver told last; but of `all_of` in any case.
         And nothing of what the receiver has just told itself, `but`."""
@@ -121,8 +130,12 @@
         for place, queue in enumerate(self.queues):
             if len(queue) and self._agreeing[place] >= ENOUGH and place != all_of:
                 queue.clear()
-        waiting = [place for place, queue in enumerate(self.queues[:places]) if len(queue) and (
-            place == all_of or place >= len(told) or told[place] != self.tables[place].tree.digest())]
+        waiting = [
+            place
+            for place, queue in enumerate(self.queues[:places])
+            if len(queue)
+            and (place == all_of or place >= len(told) or told[place] != self.tables[place].tree.digest())
+        ]
         spent = 0
         # Who has little to say goes first, and leaves the rest to others: equal parts where all have much.
         for turn, place in enumerate(sorted(waiting, key=lambda place: len(self.queues[place]))):
@@ -155,15 +168,21 @@
             if keys:
                 _, packed = self.repair.packed(self.tables[place], keys, ROOM)
                 message = Rows(place, packed, fresh=True)
-                out += [Out(peer, message) for peer in peers
-                        if self.repair.room(now, place, message, ANSWERS)]
+                out += [
+                    Out(peer, message) for peer in peers if self.repair.room(now, place, message, ANSWERS)
+                ]
                 keys.clear()
         return out
 
     # ---- repair
 
-    def consider(self, now: float, place: int, in_any_case: bool = False,
-                 others: Callable[[], list[Address]] | None = None) -> list[Out]:
+    def consider(
+        self,
+        now: float,
+        place: int,
+        in_any_case: bool = False,
+        others: Callable[[], list[Address]] | None = None,
+    ) -> list[Out]:
         """Begin an exchange with one that lately told another digest, where that is no longer news under way,
         or in any case. While much is lacking, with several, and with `others` where none is known."""
         table = self.tables[place]
@@ -201,20 +220,29 @@
         place = self._rng.randrange(len(self.tables))
         return self.repair.look(now, place, address) if self.repair.may(now, place, address) else []
 
-    def answer(self, now: float, address: Address, part: Compare | Items,
-               others: Callable[[], list[Address]]) -> list[Out]:
+    def answer(
+        self, now: float, address: Address, part: Compare | Items, others: Callable[[], list[Address]]
+    ) -> list[Out]:
         """What a peer asks, or answers to a comparison. A table that has not caught up answers nobody: what
         it lacks would be taken for what there is not."""
         if not 0 <= part.table < len(self.tables) or (
-                not self.tables[part.table].caught_up and (isinstance(part, Items) or part.answer)):
+            not self.tables[part.table].caught_up and (isinstance(part, Items) or part.answer)
+        ):
             return []
         if isinstance(part, Compare):
             out = self.repair.compared(now, address, part)
             return out if part.answer else out + self.consider(now, part.table, False, others)
         return self.repair.asked(now, address, part)
 
-    def taken(self, now: float, address: Address, part: Rows, gained: int, newer: Sequence[str],
-              others: Callable[[], list[Address]]) -> list[Out]:
+    def taken(
+        self,
+        now: float,
+        address: Address,
+        part: Rows,
+        gained: int,
+        newer: Sequence[str],
+        others: Callable[[], list[Address]],
+    ) -> list[Out]:
         """A peer's items were taken: so many were new, and of the keys `newer` newer ones are held here."""
         much = gained >= MUCH or (gained > 0 and sampled(part))
         if much:
@@ -236,8 +264,11 @@
             for place, table in enumerate(self.tables):
                 # No seed has caught up, and nobody heard: the whole fleet has begun anew. With a seed that is
                 # silent it may be this part of it alone, and what is in force stands on the other side.
-                if not table.caught_up and self._unknowing[place] == self._seeds and not any(
-                        len(told) > place and told[place] for told in self.heard.values()):
+                if (
+                    not table.caught_up
+                    and self._unknowing[place] == self._seeds
+                    and not any(len(told) > place and told[place] for told in self.heard.values())
+                ):
                     table.caught_up = True
 
 
--- a/pipitshed/replication/repair.py
+++ b/pipitshed/replication/repair.py
@@ -115,8 +115,7 @@
 
     def may(self, now: float, table: int, peer: Address) -> bool:
         """Whether a peer is worth asking: no exchange with it runs, and it was not in vain lately."""
-        return (self.free(table, peer)
-                and now >= self._strikes.get((table, peer), (0, float("-inf")))[1])
+        return self.free(table, peer) and now >= self._strikes.get((table, peer), (0, float("-inf")))[1]
 
     def free(self, table: int, peer: Address) -> bool:
         """Whether no exchange with a peer runs."""
@@ -137,8 +136,9 @@
         tree, node = self._tables[table].tree, ROOT
         while tree.node(node)[1] > LEAF and depth(node) < DEPTH:
             node = node * WAYS + self._rng.randrange(WAYS)
-        return self._lead(now, _Exchange(table, peer, now + LASTS, fetch={node: (UNKNOWN, LEAF)},
-                                         partly=True))
+        return self._lead(
+            now, _Exchange(table, peer, now + LASTS, fetch={node: (UNKNOWN, LEAF)}, partly=True)
+        )
 
     def _lead(self, now: float, exchange: _Exchange) -> list[Out]:
         exchange.began_with = self._tables[exchange.table].tree.digest()
@@ -191,7 +191,7 @@
             message = one.again
         elif one.compare:
             parts: list[int] = []
-            for node in one.compare[:MOST_RANGES // WAYS]:
+            for node in one.compare[: MOST_RANGES // WAYS]:
                 big = tree.node(node)[1] > LEAF and depth(node) < DEPTH
                 parts += range(node * WAYS, node * WAYS + WAYS) if big else (node,)
             message = Compare(one.table, tuple((node, *tree.node(node)) for node in parts), True)
@@ -204,7 +204,7 @@
             one.due = now + PUT_OFF
             return []
         if one.again is None and isinstance(message, Compare):
-            del one.compare[:MOST_RANGES // WAYS]
+            del one.compare[: MOST_RANGES // WAYS]
         one.again = None
         one.asked, one.due = message, now + WITHIN * (1 + one.tries)
         return [Out(one.peer, message)]
@@ -219,8 +219,12 @@
 
     def _question(self, one: _Exchange, tree: Tree) -> Items | None:
         """Ask for ranges that differ, as many as one answer may hold; none that another exchange asks for."""
-        busy = {node for other in self._led.values() if other.table == one.table and other is not one
-                and isinstance(other.asked, Items) for node in other.asked.ranges}
+        busy = {
+            node
+            for other in self._led.values()
+            if other.table == one.table and other is not one and isinstance(other.asked, Items)
+            for node in other.asked.ranges
+        }
         for node in [node for node, told in one.fetch.items() if tree.node(node)[0] == told[0]]:
             del one.fetch[node]
         chosen: list[int] = []
@@ -231,8 +235,11 @@
             if node in busy:
                 continue
             ours, theirs = tree.node(node)[1], one.fetch[node][1]
-            if chosen and (len(chosen) >= one.wide or marks + ours > MOST_MARKS
-                           or brought + max(1, theirs - ours) > PULLED):
+            if chosen and (
+                len(chosen) >= one.wide
+                or marks + ours > MOST_MARKS
+                or brought + max(1, theirs - ours) > PULLED
+            ):
                 break
             chosen.append(node)
             marks += ours
@@ -241,15 +248,18 @@
             return None
         salt = self._rng.randrange(2**32)
         told = [mark for node in chosen for mark, _ in tree.marks(node, salt)]
-        return Items(one.table, tuple(chosen), salt, _written(told[:2 * MOST_MARKS]))
+        return Items(one.table, tuple(chosen), salt, _written(told[: 2 * MOST_MARKS]))
 
     # ---- what comes
 
     def compared(self, now: float, peer: Address, message: Compare) -> list[Out]:
         """A peer's digests: to be answered, or the answer to one's own."""
         tree = self._tables[message.table].tree
-        differ = [told for told in message.ranges[:2 * MOST_RANGES]
-                  if sound(told[0]) and tree.node(told[0])[0] != told[1]]
+        differ = [
+            told
+            for told in message.ranges[: 2 * MOST_RANGES]
+            if sound(told[0]) and tree.node(told[0])[0] != told[1]
+        ]
         if message.answer:
             if [told for told in differ if told[0] == ROOT and told[2] <= 1 and len(tree) > SAMPLE]:
                 # Guards a seed that a whole fleet joins by: a few to begin with, and the rest from those.
@@ -298,7 +308,7 @@
                 self._waiting[message.table, peer] = message
                 self._answer_at = now + SOON
             return []
-        wants = _written(sorted(theirs - {mark for mark, _ in ours})[:room // 4 // MARK])
+        wants = _written(sorted(theirs - {mark for mark, _ in ours})[: room // 4 // MARK])
         room -= len(wants)
         lacking = [key for mark, key in ours if mark not in theirs]
         told, packed = self.packed(table, lacking, room)
@@ -328,8 +338,16 @@
         """Tell a peer what it wants, and what it holds in an older version."""
         held, out = self._tables[message.table], []
         wants = _read(message.wants)
-        keys = sorted({key for node in message.ranges[:MOST_RANGES] if wants and sound(node)
-                       for mark, key in held.tree.marks(node, message.salt) if mark in wants} | set(newer))
+        keys = sorted(
+            {
+                key
+                for node in message.ranges[:MOST_RANGES]
+                if wants and sound(node)
+                for mark, key in held.tree.marks(node, message.salt)
+                if mark in wants
+            }
+            | set(newer)
+        )
         while keys:
             room = min(ROOM, self._budget.room(now, message.table, LEAST + self._frame) - self._frame)
             told, packed = self.packed(held, keys, room)
@@ -352,7 +370,7 @@
             items.append(item)
         packed = pack(items)
         while items and len(packed) > room:
-            del items[len(items) * 3 // 4:]
+            del items[len(items) * 3 // 4 :]
             packed = pack(items)
         if len(items) > PULLED // 4:
             # What these take teaches how many may be tried next time.
@@ -366,8 +384,10 @@
 
 
 def _read(marks: bytes) -> set[int]:
-    return {int.from_bytes(marks[at:at + MARK], "big")
-            for at in range(0, min(len(marks), 2 * MOST_MARKS * MARK), MARK)}
+    return {
+        int.from_bytes(marks[at : at + MARK], "big")
+        for at in range(0, min(len(marks), 2 * MOST_MARKS * MARK), MARK)
+    }
 
 
 def _written(marks: Sequence[int]) -> bytes:
--- a/pipitshed/replication/row.py
+++ b/pipitshed/replication/row.py
@@ -41,8 +41,13 @@
 
     def sound(self) -> bool:
         """Whether it has the form of a row; what strangers send is held against it."""
-        return (0 < len(self.key.encode()) <= KEY_LIMIT and 0 < len(self.writer.encode()) <= WRITER_LIMIT
-                and 0 < self.term < 2**32 and 0 < self.number < 2**62 and 0 < self.form < 2**16)
+        return (
+            0 < len(self.key.encode()) <= KEY_LIMIT
+            and 0 < len(self.writer.encode()) <= WRITER_LIMIT
+            and 0 < self.term < 2**32
+            and 0 < self.number < 2**62
+            and 0 < self.form < 2**16
+        )
 
 
 def rank(row: Row) -> tuple[int, int, bool, int]:
--- a/pipitshed/replication/rows.py
+++ b/pipitshed/replication/rows.py
@@ -34,8 +34,9 @@
     on rows: nobody who was away, however long, brings it back. Where the bound is reached, new keys are
     refused."""
 
-    def __init__(self, name: str, most_rows: int = 4096, most_bytes: int = 1 << 20,
-                 row_limit: int = 600) -> None:
+    def __init__(
+        self, name: str, most_rows: int = 4096, most_bytes: int = 1 << 20, row_limit: int = 600
+    ) -> None:
         """`most_bytes` of all rows as they are sent, `row_limit` bytes of one."""
         self.name = name
         self.most_rows, self.most_bytes, self.row_limit = most_rows, most_bytes, row_limit
@@ -89,10 +90,12 @@
         return row
 
     def _why(self, told: Taken, row: Row) -> str:
-        return {Taken.TOO_LONG: f"{row.size} bytes, {self.row_limit} at most",
-                Taken.TOO_MANY: f"no room: {len(self)} rows and deleted ones of {self.most_rows}, "
-                                f"{self._bytes} bytes of {self.most_bytes}",
-                Taken.UNSOUND: f"its key has 1 to {KEY_LIMIT} bytes, its writer 1 to {WRITER_LIMIT}"}[told]
+        return {
+            Taken.TOO_LONG: f"{row.size} bytes, {self.row_limit} at most",
+            Taken.TOO_MANY: f"no room: {len(self)} rows and deleted ones of {self.most_rows}, "
+            f"{self._bytes} bytes of {self.most_bytes}",
+            Taken.UNSOUND: f"its key has 1 to {KEY_LIMIT} bytes, its writer 1 to {WRITER_LIMIT}",
+        }[told]
 
     def take(self, row: Row) -> Taken:
         """Take a row where it is newer than what is held."""
@@ -120,8 +123,9 @@
         if size > self.row_limit:
             return Taken.TOO_LONG
         more = size - (held.size if held is not None else 0)
-        if ((held is None and len(self) >= self.most_rows)
-                or (more > 0 and self._bytes + more > self.most_bytes)):
+        if (held is None and len(self) >= self.most_rows) or (
+            more > 0 and self._bytes + more > self.most_bytes
+        ):
             return Taken.TOO_MANY
         self._rows[row.key] = row
         self._bytes += more
--- a/pipitshed/routes/discovery.py
+++ b/pipitshed/routes/discovery.py
@@ -101,8 +101,9 @@
 class Listing:
     """Turns one source's lines into route table lines."""
 
-    def __init__(self, source: str, zones: Names, kinds: Names, carrier: Carrier,
-                 carriers: Carriers | None = None) -> None:
+    def __init__(
+        self, source: str, zones: Names, kinds: Names, carrier: Carrier, carriers: Carriers | None = None
+    ) -> None:
         self.source = source
         self.zones, self.kinds, self.carrier, self.carriers = zones, kinds, carrier, carriers
 
@@ -113,9 +114,17 @@
             interface, carrier = self.carriers.choose(self.source, item, self)
         # What is not known to be of any interface gets nothing.
         classes = frozenset[int]() if interface == 0 else None
-        entry = Entry(worker, self.zones.place(item.zone), item.cell, self.kinds.place(item.machine_type),
-                      item.weight, item.started_at_ms, _STATES.get(item.lifecycle, State.DRAINING), classes,
-                      interface)
+        entry = Entry(
+            worker,
+            self.zones.place(item.zone),
+            item.cell,
+            self.kinds.place(item.machine_type),
+            item.weight,
+            item.started_at_ms,
+            _STATES.get(item.lifecycle, State.DRAINING),
+            classes,
+            interface,
+        )
         return entry, Endpoint(worker, carrier, address_of(item.host_port), interface)
 
 
@@ -123,8 +132,14 @@
     """Asks for the list when the decisions say so. Whatever ends a call is news that it failed; when to
     ask again is theirs to decide."""
 
-    def __init__(self, address: tuple[str, int], listing: Listing, table: RouteTable,
-                 loop: asyncio.AbstractEventLoop, bound: int = list_bound(192)) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        listing: Listing,
+        table: RouteTable,
+        loop: asyncio.AbstractEventLoop,
+        bound: int = list_bound(192),
+    ) -> None:
         self.address = address
         self.bound = bound  # bytes of a piece of news
         self.listing = listing
@@ -237,7 +252,7 @@
             call, members, current = self._waiting[0]
             place = len(self._lines)
             try:
-                self._lines += map(self.listing.line, members.instances[place:place + self._slice])
+                self._lines += map(self.listing.line, members.instances[place : place + self._slice])
                 if len(self._lines) < len(members.instances):
                     self.loop.call_soon(self._work)
                     return
@@ -258,8 +273,11 @@
             self.heard = True
             if members.reset:
                 self.tally["whole lists"] += 1
-                log.info("discovery: the whole list, version %d, %d planners", members.generation,
-                         len(members.instances))
+                log.info(
+                    "discovery: the whole list, version %d, %d planners",
+                    members.generation,
+                    len(members.instances),
+                )
             else:
                 self.tally["list changes"] += len(members.instances)
             if current:
@@ -452,8 +470,10 @@
             self._expect(SILENCE)
 
     def _tell_beyond(self, size: str, how: str) -> None:
-        self._discovery.wrong(f"a list of {size} is beyond the bound of {self._bound} bytes that "
-                              f"limits.memory_mb sets; it {how}, and the list known so far stands")
+        self._discovery.wrong(
+            f"a list of {size} is beyond the bound of {self._bound} bytes that "
+            f"limits.memory_mb sets; it {how}, and the list known so far stands"
+        )
 
     def _take(self, text: bytes) -> bool:
         """Put a piece of news into the table; False where it goes on. BadAnswerError where it is none."""
--- a/pipitshed/routes/dns_sd.py
+++ b/pipitshed/routes/dns_sd.py
@@ -56,8 +56,14 @@
 class DnsSd:
     """Browses one service at one name server, and asks again as the records' times to live say."""
 
-    def __init__(self, server: tuple[str, int], service: str, listing: Listing, table: RouteTable,
-                 loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(
+        self,
+        server: tuple[str, int],
+        service: str,
+        listing: Listing,
+        table: RouteTable,
+        loop: asyncio.AbstractEventLoop,
+    ) -> None:
         self._server = server
         self._service = dns.name.from_text(service)
         self._listing = listing
@@ -87,7 +93,8 @@
         query = dns.message.make_query(name, kind)
         try:
             answer, _ = await dns.asyncquery.udp_with_fallback(
-                query, self._server[0], ASK_TIMEOUT, self._server[1])
+                query, self._server[0], ASK_TIMEOUT, self._server[1]
+            )
         except (dns.exception.DNSException, OSError) as error:
             raise _NoAnswerError(str(error)) from None
         if answer.rcode() not in (dns.rcode.NOERROR, dns.rcode.NXDOMAIN):
@@ -113,8 +120,9 @@
         lives = [float(browsed.ttl)] if browsed is not None else []
         names = [record.target for record in browsed] if browsed is not None else []
         found = await asyncio.gather(*(self._instance(name) for name in names))
-        self._instances = {name: held for name, held in zip(names, found, strict=True)
-                           if held is not None and held[1] > now}
+        self._instances = {
+            name: held for name, held in zip(names, found, strict=True) if held is not None and held[1] > now
+        }
         lives += [held[1] - now for held in self._instances.values()]
         self._tell()
         return min(lives, default=LONGEST)
@@ -122,8 +130,9 @@
     async def _instance(self, name: dns.name.Name) -> tuple[Instance, float] | None:
         """One instance's SRV, TXT and address; what is known of it where the server gives no answer."""
         try:
-            srv, txt = await asyncio.gather(self._records(name, dns.rdatatype.SRV),
-                                            self._records(name, dns.rdatatype.TXT))
+            srv, txt = await asyncio.gather(
+                self._records(name, dns.rdatatype.SRV), self._records(name, dns.rdatatype.TXT)
+            )
             if srv is None:
                 return None
             record = min(srv, key=lambda one: one.priority)
@@ -134,10 +143,16 @@
             return None
         pairs = _txt(txt) if txt is not None else {}
         instance = Instance(
-            name.to_text(), f"{address[0].to_text()}:{record.port}", pairs.get("zone", ""),
-            pairs.get("kind", ""), int(_float(pairs.get("cell", ""), 0)), pairs.get("state", "ready"),
+            name.to_text(),
+            f"{address[0].to_text()}:{record.port}",
+            pairs.get("zone", ""),
+            pairs.get("kind", ""),
+            int(_float(pairs.get("cell", ""), 0)),
+            pairs.get("state", "ready"),
             _float(pairs.get("weight", ""), float(record.weight) or 1.0),
-            _float(pairs.get("started", ""), 0.0), int(_float(pairs.get("interface", ""), 0)))
+            _float(pairs.get("started", ""), 0.0),
+            int(_float(pairs.get("interface", ""), 0)),
+        )
         life = min(srv.ttl, address.ttl, txt.ttl if txt is not None else srv.ttl)
         return instance, self._loop.time() + life
 
@@ -148,8 +163,11 @@
             return
         self._told = told
         changed = [instance for name, instance in told.items() if instance != before.get(name)]
-        changed += [msgspec.structs.replace(instance, lifecycle="gone") for name, instance in before.items()
-                    if name not in told]
+        changed += [
+            msgspec.structs.replace(instance, lifecycle="gone")
+            for name, instance in before.items()
+            if name not in told
+        ]
         lines: list[Line] = []
         for instance in changed:
             with contextlib.suppress(ValueError):
--- a/pipitshed/routes/interfaces.py
+++ b/pipitshed/routes/interfaces.py
@@ -37,9 +37,15 @@
 class Interfaces:
     """The interfaces of all listed planners."""
 
-    def __init__(self, table: RouteTable, carriers: Mapping[int, Carrier], told: Mapping[str, int],
-                 default: int, sound: Callable[[WorkerId, Address], None],
-                 later: Callable[[float, Callable[[], None]], object]) -> None:
+    def __init__(
+        self,
+        table: RouteTable,
+        carriers: Mapping[int, Carrier],
+        told: Mapping[str, int],
+        default: int,
+        sound: Callable[[WorkerId, Address], None],
+        later: Callable[[float, Callable[[], None]], object],
+    ) -> None:
         self._table = table
         self._carriers = carriers
         self._told = told  # by instance id
@@ -57,7 +63,9 @@
         if item.lifecycle == "gone":
             self._known.pop(worker, None)
         elif known is None or (item.started_at_ms, item.host_port) != (
-                known.item.started_at_ms, known.item.host_port):
+            known.item.started_at_ms,
+            known.item.host_port,
+        ):
             known = self._known[worker] = _Known(item, source, listing)
         else:
             known.item, known.source, known.listing = item, source, listing
@@ -104,7 +112,7 @@
                 self._table.release(worker)
                 self._refill(known)
             else:
-                wait = min(LONGEST_WAIT, FIRST_WAIT * 2.0 ** known.failures)
+                wait = min(LONGEST_WAIT, FIRST_WAIT * 2.0**known.failures)
                 known.failures += 1
                 self._later(wait, lambda: self._again(worker, known))
         elif known is not None:
@@ -130,8 +138,16 @@
             return
         known.interface = 0
         known.item = Instance(
-            known.item.instance_id, known.item.host_port, known.item.zone, known.item.machine_type,
-            known.item.cell, known.item.lifecycle, known.item.weight, known.item.started_at_ms, 0)
+            known.item.instance_id,
+            known.item.host_port,
+            known.item.zone,
+            known.item.machine_type,
+            known.item.cell,
+            known.item.lifecycle,
+            known.item.weight,
+            known.item.started_at_ms,
+            0,
+        )
         self._ask(worker, known)
         entry, target = known.listing.line(known.item)
         if entry.interface:
--- a/pipitshed/routes/plan.py
+++ b/pipitshed/routes/plan.py
@@ -18,8 +18,15 @@
 class FollowedPlan:
     """The file, and the steps by which the route table's weights come to it."""
 
-    def __init__(self, path: Path, zone: str, classes: Sequence[str], cold: float, table: RouteTable,
-                 loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(
+        self,
+        path: Path,
+        zone: str,
+        classes: Sequence[str],
+        cold: float,
+        table: RouteTable,
+        loop: asyncio.AbstractEventLoop,
+    ) -> None:
         self._path = path
         self._table = table
         self._loop = loop
@@ -36,8 +43,12 @@
         except OSError as error:
             log.error("plan %s: %s", self._path.name, error.strerror)
         except PlanError as error:
-            log.error("plan %s: it %s; %s", self._path.name, error, "the one in force stands"
-                      if self.follower.plan else "the list's weights count")
+            log.error(
+                "plan %s: it %s; %s",
+                self._path.name,
+                error,
+                "the one in force stands" if self.follower.plan else "the list's weights count",
+            )
         else:
             log.info("plan %s: number %d is followed", self._path.name, plan.number)
 
--- a/pipitshed/scheduler.py
+++ b/pipitshed/scheduler.py
@@ -57,8 +57,9 @@
 class Scheduler:
     """One running scheduler."""
 
-    def __init__(self, config: Config, front: Front, loop: asyncio.AbstractEventLoop,
-                 peers: Peers | None = None) -> None:
+    def __init__(
+        self, config: Config, front: Front, loop: asyncio.AbstractEventLoop, peers: Peers | None = None
+    ) -> None:
         self._loop = loop
         self._ended = asyncio.Event()
         self._draining = False
@@ -81,8 +82,12 @@
         self.gearman: GearmanFront | None = None
         if config.discovery is not None:
             self.discovery = Discovery(
-                config.discovery, Listing(DISCOVERY, zones, kinds, self.carrier, carriers), self.core.routes,
-                loop, list_bound(config.memory_mb))
+                config.discovery,
+                Listing(DISCOVERY, zones, kinds, self.carrier, carriers),
+                self.core.routes,
+                loop,
+                list_bound(config.memory_mb),
+            )
             self.core.ask_list = self.discovery.ask
             self._hurry(config)
             # Guards against a start with no list that is known: the decisions ask once they are told one.
@@ -90,18 +95,30 @@
         if front.dns_server is not None:
             # Imported where it is asked for: on the platform its library is a third of the time to start.
             from pipitshed.routes.dns_sd import SOURCE, DnsSd
-            self.dns_sd = DnsSd(front.dns_server, front.dns_service,
-                                Listing(SOURCE, zones, kinds, self.carrier, carriers), self.core.routes, loop)
+
+            self.dns_sd = DnsSd(
+                front.dns_server,
+                front.dns_service,
+                Listing(SOURCE, zones, kinds, self.carrier, carriers),
+                self.core.routes,
+                loop,
+            )
             self.dns_sd.start()
         translator = self.translation.translator if self.translation is not None else None
         self.plan = self._plan(config, front) if front.plan is not None else None
-        self.front = HttpFront(self.core, Reading(self.core, config.classes, config.tenants, translator),
-                               int(config.sockets * CLIENTS_PART), loop, self.ready)
+        self.front = HttpFront(
+            self.core,
+            Reading(self.core, config.classes, config.tenants, translator),
+            int(config.sockets * CLIENTS_PART),
+            loop,
+            self.ready,
+        )
         self.listeners = [Listener(config.listen, self._client, loop, self.front.has_room, config.passed)]
         if front.listen:
             gearman = self.gearman = self._gearman(config, front, zones, kinds)
-            self.listeners += [Listener(address, gearman.connection, loop, gearman.has_room)
-                               for address in front.listen]
+            self.listeners += [
+                Listener(address, gearman.connection, loop, gearman.has_room) for address in front.listen
+            ]
         self.mgmt: MgmtFront | None = None
         self.mgmt_listener: Listener | None = None
         if config.mgmt is not None:
@@ -128,8 +145,12 @@
         """Whether this process is ready to serve: not ending, and with a list from discovery (or where nobody
         takes calls to it, or a while after the start). Guards against jobs sent by the list that it knew when
         it was killed: planners that have gone since count as told."""
-        listed = self.discovery is None or self.discovery.heard or self.discovery.unreached or (
-            self._loop.time() - self._started > READY_WITHOUT_LIST)
+        listed = (
+            self.discovery is None
+            or self.discovery.heard
+            or self.discovery.unreached
+            or (self._loop.time() - self._started > READY_WITHOUT_LIST)
+        )
         return listed and not self._draining
 
     def figures(self) -> bytes:
@@ -150,40 +171,49 @@
             known = config.tenants.index(tenant) if tenant in config.tenants else len(config.tenants)
             if translator is not None and form is None:
                 form = translator.clients.gearman
-            functions[name] = Function(number, known, min(patience, config.settings.classes[number].deadline),
-                                       tenant, form)
+            functions[name] = Function(
+                number, known, min(patience, config.settings.classes[number].deadline), tenant, form
+            )
         zone = zones.place(front.workers.zone) if front.workers.zone else config.settings.zone
-        place = Place(zone, front.workers.cell, kinds.place(front.workers.kind),
-                      front.workers.weight)
-        carrier = GearmanCarrier(self.core, {name: one.job_class for name, one in functions.items()}, place,
-                                 BODY_LIMIT, self._loop)
+        place = Place(zone, front.workers.cell, kinds.place(front.workers.kind), front.workers.weight)
+        carrier = GearmanCarrier(
+            self.core, {name: one.job_class for name, one in functions.items()}, place, BODY_LIMIT, self._loop
+        )
         label = f"{config.name or 'pipitshed'}-{config.seed & 0xFFFFFFFF:08x}"
-        return GearmanFront(self.core, carrier, functions, self._loop, label,
-                            int(config.sockets * GEARMAN_PART), self.drain)
+        return GearmanFront(
+            self.core, carrier, functions, self._loop, label, int(config.sockets * GEARMAN_PART), self.drain
+        )
 
     def _translation(self, front: Front) -> TranslationParts:
         # Imported where it is asked for: the platform's start and memory stay as they are.
         from pipitshed.translating import TranslationParts
+
         assert front.translation is not None
         return TranslationParts(self.core, self.carrier, front.translation, self._names, self._loop)
 
     def _plan(self, config: Config, front: Front) -> FollowedPlan:
         # Imported where it is asked for, as above.
         from pipitshed.routes.plan import FollowedPlan
+
         assert front.plan is not None
         zone = config.zones[config.settings.zone] if config.zones else ""
-        return FollowedPlan(front.plan, zone, self._names, config.settings.rules.cold, self.core.routes,
-                            self._loop)
+        return FollowedPlan(
+            front.plan, zone, self._names, config.settings.rules.cold, self.core.routes, self._loop
+        )
 
     def _fleet(self, config: Config, front: Front, peers: Peers) -> Fleet:
         # Imported where it is asked for, as above; only the option `--fleet` asks.
         from pipitshed.peers.fleet import Fleet
         from pipitshed.peers.rows import Tuned
+
         zone = config.zones[config.settings.zone] if config.zones else ""
         # Gearman's functions and workers know the classes by the numbers of the start.
         fixed = frozenset(name for name, *_ in front.functions.values()) if front.listen else frozenset()
-        tuned = Tuned(lambda: self.config.raw or {},
-                      lambda settings: self._retune(resettled(self.config, settings)), fixed)
+        tuned = Tuned(
+            lambda: self.config.raw or {},
+            lambda settings: self._retune(resettled(self.config, settings)),
+            fixed,
+        )
         return Fleet(peers, zone, self._loop, tuned)
 
     def _hurry(self, config: Config) -> None:
@@ -242,8 +272,12 @@
         # Guards against a file that tells zones, kinds or report fields in another order: planners that are
         # listed keep the places that the names had first, and reports come by the new names.
         zone = self._zones.place(config.zones[told.zone]) if config.zones else told.zone
-        classes = [cls if cls.kind is None or cls.kind >= len(config.kinds) else
-                   replace(cls, kind=self._kinds.place(config.kinds[cls.kind])) for cls in told.classes]
+        classes = [
+            cls
+            if cls.kind is None or cls.kind >= len(config.kinds)
+            else replace(cls, kind=self._kinds.place(config.kinds[cls.kind]))
+            for cls in told.classes
+        ]
         self.book, change = self.book.retune(config.classes, classes, now)
         more = len(self.book.names) > len(self._names)
         self._names[:] = self.book.names
@@ -306,8 +340,12 @@
 
     def _end_when_idle(self) -> None:
         self.front.close_idle()
-        owed = self.front.connections or self.front.closing or self.core.busy or (
-            self.gearman is not None and self.gearman.busy)
+        owed = (
+            self.front.connections
+            or self.front.closing
+            or self.core.busy
+            or (self.gearman is not None and self.gearman.busy)
+        )
         # Guards against a client that never ends the request it has begun.
         if owed and self._loop.time() < self._end_by:
             self._loop.call_later(SETTLE, self._end_when_idle)
--- a/pipitshed/simulator/wire.py
+++ b/pipitshed/simulator/wire.py
@@ -93,7 +93,7 @@
         if self.at + count > len(self.data):
             raise WireError("a record ends before its last field")
         self.at += count
-        return self.data[self.at - count:self.at]
+        return self.data[self.at - count : self.at]
 
     def report(self, count: int) -> tuple[float, ...]:
         if not count:
@@ -119,8 +119,9 @@
 
 def _probed(read: _Reader) -> api.Probed:
     worker, elapsed, outcome, count = read.fields(_PROBED)
-    return api.Probed(worker, _number(elapsed, "elapsed"), _enum(api.Outcome, outcome, "outcome"),
-                      read.report(count))
+    return api.Probed(
+        worker, _number(elapsed, "elapsed"), _enum(api.Outcome, outcome, "outcome"), read.report(count)
+    )
 
 
 def _list_news(read: _Reader) -> api.ListNews:
@@ -128,23 +129,46 @@
     body = read.raw(_ENTRY.size * count)
     entries = []
     for cell, started, machine, worker, weight, state, zone in _ENTRY.iter_unpack(body):
-        entries.append(api.Entry(worker, zone, cell, machine, _number(weight, "units"),
-                                 _number(started, "startedAt"), _enum(api.State, state, "worker state")))
+        entries.append(
+            api.Entry(
+                worker,
+                zone,
+                cell,
+                machine,
+                _number(weight, "units"),
+                _number(started, "startedAt"),
+                _enum(api.State, state, "worker state"),
+            )
+        )
     return api.ListNews(_enum(api.ListKind, kind, "list mode"), version, tuple(entries))
 
 
 def _submitted(read: _Reader) -> api.Submitted:
     job, left, job_class, memory, hint, key, bits, tenant, slots = read.fields(_SUBMIT)
     return api.Submitted(
-        job, _number(left, "patienceLeft"), job_class, tenant, _number(slots, "slots") or 1.0,
-        _number(memory, "ramUnits"), _number(hint, "workHint") if bits & _HINT_VALID else None, key,
-        bool(bits & _REPEAT))
+        job,
+        _number(left, "patienceLeft"),
+        job_class,
+        tenant,
+        _number(slots, "slots") or 1.0,
+        _number(memory, "ramUnits"),
+        _number(hint, "workHint") if bits & _HINT_VALID else None,
+        key,
+        bool(bits & _REPEAT),
+    )
 
 
 def _finished(read: _Reader) -> api.Finished:
     job, attempt, worker, outcome, elapsed, settled, _note_of_family, count = read.fields(_FINISHED)
-    return api.Finished(job, attempt, worker, _enum(api.Outcome, outcome, "outcome"),
-                        _number(elapsed, "elapsed"), bool(settled), read.report(count))
+    return api.Finished(
+        job,
+        attempt,
+        worker,
+        _enum(api.Outcome, outcome, "outcome"),
+        _number(elapsed, "elapsed"),
+        bool(settled),
+        read.report(count),
+    )
 
 
 def _first_byte(read: _Reader) -> api.FirstByte:
@@ -202,8 +226,9 @@
     api.SetTimer: lambda i, a: _REFUSE.pack(69, i, a.token, min(max(a.delay, 0.0), _MAX_DELAY_MS)),
     api.Probe: lambda i, a: _WORKER.pack(70, i, a.worker),
     api.CloseIdle: lambda i, a: _WORKER.pack(71, i, a.worker),
-    api.TellPeer: lambda i, a: _TELL.pack(
-        72, i, _EVERY_PEER if a.recipient is None else a.recipient, len(a.data)) + a.data,
+    api.TellPeer: lambda i, a: (
+        _TELL.pack(72, i, _EVERY_PEER if a.recipient is None else a.recipient, len(a.data)) + a.data
+    ),
     api.Log: lambda i, a: encode_text(73, i, a.text),
     api.WatchList: lambda i, a: _WATCH.pack(75, i, a.on),
     api.FetchList: lambda i, a: _HEAD.pack(76, i),
@@ -234,6 +259,7 @@
 
 # ---- settings
 
+
 def settings_from_json(data: bytes) -> api.Settings:
     """The start settings from their text."""
     try:
--- a/pipitshed/translating.py
+++ b/pipitshed/translating.py
@@ -18,13 +18,25 @@
 class TranslationParts:
     """The translator before the core, interface 2 behind it, and what knows which planner speaks which."""
 
-    def __init__(self, core: Core, http: HttpCarrier, asked: Translation, classes: Sequence[str],
-                 loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(
+        self,
+        core: Core,
+        http: HttpCarrier,
+        asked: Translation,
+        classes: Sequence[str],
+        loop: asyncio.AbstractEventLoop,
+    ) -> None:
         self.translator = Translator(asked.file, classes)
         self.carrier = GrpcCarrier(core, classes, loop, asked.keepalive)
         self.sounder = Sounder(loop, self._sounded)
-        self.interfaces = Interfaces(core.routes, {1: http, 2: self.carrier}, asked.planners, asked.interface,
-                                     self.sounder.sound, loop.call_later)
+        self.interfaces = Interfaces(
+            core.routes,
+            {1: http, 2: self.carrier},
+            asked.planners,
+            asked.interface,
+            self.sounder.sound,
+            loop.call_later,
+        )
         core.translator = self.translator
         core.routes.on_interfaces = core.interfaces_changed
         core.routes.on_forgotten = self.interfaces.forget
--- a/pipitshed/translation/codecs.py
+++ b/pipitshed/translation/codecs.py
@@ -14,7 +14,15 @@
 import msgspec
 
 from pipitshed.translation.values import (
-    Field, Record, Unfit, check_record, parse, parse_time, render, render_time)
+    Field,
+    Record,
+    Unfit,
+    check_record,
+    parse,
+    parse_time,
+    render,
+    render_time,
+)
 
 MOST_FIELDS = 1024  # of one form-encoded message
 WHOLE = "the message"  # what a refusal names where it is no single field
@@ -42,8 +50,14 @@
         if not data:
             return []
         try:
-            return parse_qsl(data.decode("ascii"), keep_blank_values=True, strict_parsing=True,
-                             encoding="utf-8", errors="strict", max_num_fields=MOST_FIELDS)
+            return parse_qsl(
+                data.decode("ascii"),
+                keep_blank_values=True,
+                strict_parsing=True,
+                encoding="utf-8",
+                errors="strict",
+                max_num_fields=MOST_FIELDS,
+            )
         except UnicodeDecodeError:
             raise Unfit(WHOLE, data[:32], "is not UTF-8") from None
         except ValueError:
@@ -132,6 +146,8 @@
             if field.type == "time":
                 turned[name] = turn(name, field, record[name])
             elif field.type == "records" and isinstance(record[name], list):
-                turned[name] = [self._times(field.fields, item, turn) if isinstance(item, dict) else item
-                                for item in record[name]]
+                turned[name] = [
+                    self._times(field.fields, item, turn) if isinstance(item, dict) else item
+                    for item in record[name]
+                ]
         return turned
--- a/pipitshed/translation/file.py
+++ b/pipitshed/translation/file.py
@@ -16,10 +16,20 @@
 
 ENVELOPE = ("id", "class", "tenant", "key", "deadline")
 # How the two interfaces carry what no step may touch: published, so not for files to vary.
-HTTP_ENVELOPE = {"id": "header:x-request-id", "class": "header:x-class", "tenant": "header:x-tenant",
-                 "key": "header:idempotency-key", "deadline": "header:x-deadline"}
-GRPC_ENVELOPE = {"id": "metadata:x-request-id", "class": "metadata:x-class", "tenant": "metadata:x-tenant",
-                 "key": "metadata:idempotency-key", "deadline": "metadata:grpc-timeout"}
+HTTP_ENVELOPE = {
+    "id": "header:x-request-id",
+    "class": "header:x-class",
+    "tenant": "header:x-tenant",
+    "key": "header:idempotency-key",
+    "deadline": "header:x-deadline",
+}
+GRPC_ENVELOPE = {
+    "id": "metadata:x-request-id",
+    "class": "metadata:x-class",
+    "tenant": "metadata:x-tenant",
+    "key": "metadata:idempotency-key",
+    "deadline": "metadata:grpc-timeout",
+}
 
 
 class Message(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
@@ -96,33 +106,49 @@
         yield 1, "forms", "versions must rise from one form to the next"
         return
     for place, form in enumerate(file.forms):
-        yield from ((line_of(text, "forms", place, *path), f"form {form.version}: {'.'.join(path)}", why)
-                    for path, why in _form_problems(form))
-    for which, version in [("interfaces.1", file.interfaces.http), ("interfaces.2", file.interfaces.grpc),
-                           ("clients.http", file.clients.http), ("clients.gearman", file.clients.gearman),
-                           *((f"clients.content-types.{name}", one)
-                             for name, one in file.clients.content_types.items())]:
+        yield from (
+            (line_of(text, "forms", place, *path), f"form {form.version}: {'.'.join(path)}", why)
+            for path, why in _form_problems(form)
+        )
+    for which, version in [
+        ("interfaces.1", file.interfaces.http),
+        ("interfaces.2", file.interfaces.grpc),
+        ("clients.http", file.clients.http),
+        ("clients.gearman", file.clients.gearman),
+        *((f"clients.content-types.{name}", one) for name, one in file.clients.content_types.items()),
+    ]:
         if version not in versions:
             yield 1, which, f"there is no form {version}"
     by_version = {form.version: form for form in file.forms}
-    for which, version, encoding in [("interfaces.1", file.interfaces.http, "json"),
-                                     ("interfaces.2", file.interfaces.grpc, "protobuf")]:
+    for which, version, encoding in [
+        ("interfaces.1", file.interfaces.http, "json"),
+        ("interfaces.2", file.interfaces.grpc, "protobuf"),
+    ]:
         if version in by_version and by_version[version].encoding != encoding:
-            yield (1, which,
-                   f"that interface speaks {encoding}, form {version} is {by_version[version].encoding}")
+            yield (
+                1,
+                which,
+                f"that interface speaks {encoding}, form {version} is {by_version[version].encoding}",
+            )
     have = [(step.lower, step.upper) for step in file.steps]
     for pair in pairwise(versions):
         if have.count(pair) != 1:
             yield 1, f"step {pair[0]} to {pair[1]}", f"there are {have.count(pair)} of it"
     for place, step in enumerate(file.steps):
         if (step.lower, step.upper) not in pairwise(versions):
-            yield (line_of(text, "steps", place), f"step {step.lower} to {step.upper}",
-                   "these are no neighbouring versions")
+            yield (
+                line_of(text, "steps", place),
+                f"step {step.lower} to {step.upper}",
+                "these are no neighbouring versions",
+            )
             continue
         lower, upper = by_version[step.lower], by_version[step.upper]
         for path, why in _step_problems(step, lower, upper):
-            yield (line_of(text, "steps", place, *path),
-                   f"step {step.lower} to {step.upper}: {'.'.join(path)}", why)
+            yield (
+                line_of(text, "steps", place, *path),
+                f"step {step.lower} to {step.upper}: {'.'.join(path)}",
+                why,
+            )
 
 
 def _form_problems(form: Form) -> Iterator[tuple[tuple[str, ...], str]]:
@@ -138,14 +164,18 @@
         if name not in ENVELOPE:
             yield ("envelope", name), f"is none of {', '.join(ENVELOPE)}"
     for job_class, message in form.classes.items():
-        for part, fields, pb_message in [("request", message.request, message.request_message),
-                                         ("result", message.result, message.result_message)]:
+        for part, fields, pb_message in [
+            ("request", message.request, message.request_message),
+            ("result", message.result, message.result_message),
+        ]:
             where = ("classes", job_class, part)
             yield from ((where + path, why) for path, why in _field_problems(form, fields))
             if form.encoding == "protobuf":
                 from pipitshed.translation.protobuf import problems
-                yield from ((where + tuple(name.split(".")), why)
-                            for name, why in problems(pb_message, fields))
+
+                yield from (
+                    (where + tuple(name.split(".")), why) for name, why in problems(pb_message, fields)
+                )
 
 
 def _field_problems(form: Form, fields: dict[str, Field]) -> Iterator[tuple[tuple[str, ...], str]]:
@@ -163,8 +193,11 @@
 
 
 def _step_problems(step: StepFile, lower: Form, upper: Form) -> Iterator[tuple[tuple[str, ...], str]]:
-    beside = {name for form in (lower, upper) for name in (
-        place.rpartition(":")[2] for place in form.envelope.values())}
+    beside = {
+        name
+        for form in (lower, upper)
+        for name in (place.rpartition(":")[2] for place in form.envelope.values())
+    }
     for job_class in sorted(lower.classes.keys() & upper.classes.keys()):
         if job_class not in step.classes:
             yield ("classes", job_class), "both versions have this class, the step does not"
@@ -173,16 +206,22 @@
             yield ("classes", job_class), "is not a class of both versions"
             continue
         old, new = lower.classes[job_class], upper.classes[job_class]
-        for part, side, below, above in [("request", rules.request, old.request, new.request),
-                                         ("result", rules.result, old.result, new.result)]:
+        for part, side, below, above in [
+            ("request", rules.request, old.request, new.request),
+            ("result", rules.result, old.result, new.result),
+        ]:
             for name in side.cannot:
                 if name in beside:
-                    yield (("classes", job_class, part, "cannot", name),
-                           "belongs to the envelope: a step must not lose key, class, tenant, id or deadline")
+                    yield (
+                        ("classes", job_class, part, "cannot", name),
+                        "belongs to the envelope: a step must not lose key, class, tenant, id or deadline",
+                    )
             for name, rule in side.rules.items():
                 if rule.source in beside or name in beside:
-                    yield (("classes", job_class, part, "rules", name),
-                           "belongs to the envelope, which no step may touch")
+                    yield (
+                        ("classes", job_class, part, "rules", name),
+                        "belongs to the envelope, which no step may touch",
+                    )
             for name, why in steps.problems(side, below, above):
                 if not {name, side.rules[name].source if name in side.rules else ""} & beside:
                     yield ("classes", job_class, part, "rules", *name.split(".")), f"{name}: {why}"
--- a/pipitshed/translation/protobuf.py
+++ b/pipitshed/translation/protobuf.py
@@ -14,8 +14,12 @@
 from pipitshed.translation.values import Field, Record, Unfit, check_record, parse_time, render_time
 
 _D = pb.FieldDescriptor
-_RANGES = {_D.TYPE_UINT32: (0, 2**32 - 1), _D.TYPE_INT32: (-2**31, 2**31 - 1), _D.TYPE_UINT64: (0, 2**64 - 1),
-           _D.TYPE_INT64: (-2**63, 2**63 - 1)}
+_RANGES = {
+    _D.TYPE_UINT32: (0, 2**32 - 1),
+    _D.TYPE_INT32: (-(2**31), 2**31 - 1),
+    _D.TYPE_UINT64: (0, 2**64 - 1),
+    _D.TYPE_INT64: (-(2**63), 2**63 - 1),
+}
 # What of our types a field of the interface may hold.
 _HOLDS = {_D.TYPE_STRING: "text", _D.TYPE_BOOL: "flag", _D.TYPE_ENUM: "choice"}
 
@@ -45,8 +49,9 @@
             if held.type != _D.TYPE_MESSAGE or not held.is_repeated:
                 found.append((name, f"{descriptor.name} holds no records there"))
             else:
-                found += [(f"{name}.{inner}", why)
-                          for inner, why in _problems(held.message_type, field.fields)]
+                found += [
+                    (f"{name}.{inner}", why) for inner, why in _problems(held.message_type, field.fields)
+                ]
         elif held.is_repeated != (field.type == "texts"):
             found.append((name, f"{descriptor.name} holds {'a list' if held.is_repeated else 'one value'}"))
         elif held.type in _RANGES:
@@ -56,10 +61,16 @@
             found.append((name, f"{descriptor.name} can't hold {field.type}"))
         elif held.type == _D.TYPE_ENUM:
             known = held.enum_type.values_by_name
-            found += [(name, f"{held.enum_type.name} has no {choice!r}") for choice in field.choices
-                      if _prefix(held.enum_type) + choice.upper() not in known]
-    found += [(name, f"a field of {descriptor.name} that the form does not name")
-              for name in descriptor.fields_by_name if name not in fields]
+            found += [
+                (name, f"{held.enum_type.name} has no {choice!r}")
+                for choice in field.choices
+                if _prefix(held.enum_type) + choice.upper() not in known
+            ]
+    found += [
+        (name, f"a field of {descriptor.name} that the form does not name")
+        for name in descriptor.fields_by_name
+        if name not in fields
+    ]
     return found
 
 
@@ -117,8 +128,9 @@
         self.plan: list[_Slot] = []
         if field.type == "choice":
             known = held.enum_type.values_by_name
-            self.numbers = {choice: known[_prefix(held.enum_type) + choice.upper()].number
-                            for choice in field.choices}
+            self.numbers = {
+                choice: known[_prefix(held.enum_type) + choice.upper()].number for choice in field.choices
+            }
             self.names = {number: choice for choice, number in self.numbers.items()}
         elif field.type == "records":
             self.plan = _plan(held.message_type, field.fields)
@@ -136,9 +148,12 @@
         held = descriptor.fields_by_name[name]
         if field.type == "integer" and held.type in _RANGES:
             least, most = _RANGES[held.type]
-            field = Field("integer", field.required,
-                          least if field.least is None else max(least, field.least),
-                          most if field.most is None else min(most, field.most))
+            field = Field(
+                "integer",
+                field.required,
+                least if field.least is None else max(least, field.least),
+                most if field.most is None else min(most, field.most),
+            )
         elif field.type == "records":
             field = Field("records", field.required, fields=_bounded(held.message_type, field.fields))
         bounded[name] = field
--- a/pipitshed/translation/steps.py
+++ b/pipitshed/translation/steps.py
@@ -107,18 +107,36 @@
 
 def _default_fits(name: str, rule: Rule, target: Field) -> Iterator[tuple[str, str]]:
     held: dict[str, tuple[type, ...]] = {
-        "text": (str,), "choice": (str,), "integer": (int,), "decimal": (int, float), "flag": (bool,)}
-    if not isinstance(rule.default, held.get(target.type, ())) or (
-            target.type == "choice" and rule.default not in target.choices) or (
-            target.type == "integer" and isinstance(rule.default, bool)):
+        "text": (str,),
+        "choice": (str,),
+        "integer": (int,),
+        "decimal": (int, float),
+        "flag": (bool,),
+    }
+    if (
+        not isinstance(rule.default, held.get(target.type, ()))
+        or (target.type == "choice" and rule.default not in target.choices)
+        or (target.type == "integer" and isinstance(rule.default, bool))
+    ):
         yield name, f"{rule.default!r} is no {target.type} of the upper version"
 
 
 class _Mover:
     """One rule, made ready."""
 
-    __slots__ = ("name", "source", "scale", "up", "down", "default", "cannot", "inner", "whole", "required",
-                 "source_whole")
+    __slots__ = (
+        "name",
+        "source",
+        "scale",
+        "up",
+        "down",
+        "default",
+        "cannot",
+        "inner",
+        "whole",
+        "required",
+        "source_whole",
+    )
 
     def __init__(self, name: str, rule: Rule, lower: Mapping[str, Field], upper: Mapping[str, Field]) -> None:
         target, source = upper[name], lower.get(rule.source)
@@ -132,13 +150,16 @@
             self.default = Decimal(str(rule.default))
         flags: dict[str, Any] = {"true": True, "false": False}
         lower_flag = source is not None and source.type == "flag"
-        self.up = {flags[old] if lower_flag else old: flags[new] if target.type == "flag" else new
-                   for old, new in rule.values.items()}
+        self.up = {
+            flags[old] if lower_flag else old: flags[new] if target.type == "flag" else new
+            for old, new in rule.values.items()
+        }
         self.down = {new: old for old, new in self.up.items()}
         self.inner: list[_Mover] = []
         if target.type == "records" and source is not None:
-            self.inner = [_Mover(one, inner, source.fields, target.fields)
-                          for one, inner in rule.fields.items()]
+            self.inner = [
+                _Mover(one, inner, source.fields, target.fields) for one, inner in rule.fields.items()
+            ]
 
     def turn_up(self, value: Any, place: str) -> Any:
         if self.inner:
--- a/pipitshed/translation/translator.py
+++ b/pipitshed/translation/translator.py
@@ -47,12 +47,21 @@
                 for high in self.forms:
                     if low < high:
                         self._chains[low, high, name, True] = self._chain(
-                            file, low, high, name, lambda steps: steps.request, lambda one: one.request)
+                            file, low, high, name, lambda steps: steps.request, lambda one: one.request
+                        )
                         self._chains[low, high, name, False] = self._chain(
-                            file, low, high, name, lambda steps: steps.result, lambda one: one.result)
-
-    def _chain(self, file: TranslationFile, low: int, high: int, name: str,
-               side: Callable[..., object], fields: Callable[..., object]) -> Chain | None:
+                            file, low, high, name, lambda steps: steps.result, lambda one: one.result
+                        )
+
+    def _chain(
+        self,
+        file: TranslationFile,
+        low: int,
+        high: int,
+        name: str,
+        side: Callable[..., object],
+        fields: Callable[..., object],
+    ) -> Chain | None:
         parts = []
         for step in sorted(file.steps, key=lambda one: one.lower):
             if low <= step.lower and step.upper <= high:
@@ -123,8 +132,7 @@
             raise Unfit("class", job_class, f"no steps lead from version {form} to {target} for this class")
         return chain.up(record) if form < target else chain.down(record)
 
-    def convert(self, source: int, target: int, job_class: str, data: bytes,
-                request: bool = True) -> bytes:
+    def convert(self, source: int, target: int, job_class: str, data: bytes, request: bool = True) -> bytes:
         """One message from a version into another; Unfit where it can't be."""
         if request and (target, job_class) in self._requests:
             return self._told(self._request(source, job_class).decode(data), source, target, job_class)
@@ -156,8 +164,11 @@
     def envelope(self, form: int, body: bytes) -> dict[str, str]:
         """What the body tells of id, class, tenant, key and deadline, where this form has them there.
         Unfit where one is told twice."""
-        places = {place.removeprefix("field:"): name for name, place in self.forms[form].envelope.items()
-                  if place.startswith("field:")}
+        places = {
+            place.removeprefix("field:"): name
+            for name, place in self.forms[form].envelope.items()
+            if place.startswith("field:")
+        }
         if not places:
             return {}
         told: dict[str, str] = {}
@@ -172,8 +183,13 @@
 def _codec(form: Form, fields: dict[str, Field], message: str) -> Codec:
     if form.encoding == "protobuf":
         from pipitshed.translation.protobuf import ProtobufCodec
+
         return ProtobufCodec(message, fields)
     if form.encoding == "json":
         return JsonCodec(fields)
-    return FormCodec(fields, frozenset(place.removeprefix("field:") for place in form.envelope.values()
-                                       if place.startswith("field:")))
+    return FormCodec(
+        fields,
+        frozenset(
+            place.removeprefix("field:") for place in form.envelope.values() if place.startswith("field:")
+        ),
+    )
--- a/pipitshed/translation/values.py
+++ b/pipitshed/translation/values.py
@@ -53,7 +53,7 @@
 def shown(value: object) -> str:
     """A value as a refusal names it: short and printable."""
     text = value if isinstance(value, str) else str(value)
-    text = "".join(char if char.isprintable() else "\N{REPLACEMENT CHARACTER}" for char in text[:SHOWN + 1])
+    text = "".join(char if char.isprintable() else "\N{REPLACEMENT CHARACTER}" for char in text[: SHOWN + 1])
     return text if len(text) <= SHOWN else text[:SHOWN] + "\N{HORIZONTAL ELLIPSIS}"
 
 
@@ -181,7 +181,8 @@
         whole, part, zone = found.groups()
         try:
             moment = datetime.datetime.fromisoformat(
-                whole.upper() + (part or "") + ("+00:00" if zone in "Zz" else zone))
+                whole.upper() + (part or "") + ("+00:00" if zone in "Zz" else zone)
+            )
         except ValueError:
             raise Unfit(name, value, "is no date") from None
         return (moment - _EPOCH) // _MICROSECOND
--- a/pipitshed/tuning/classes.py
+++ b/pipitshed/tuning/classes.py
@@ -27,8 +27,11 @@
     dropped: tuple[str, ...] = ()
 
     def __str__(self) -> str:
-        parts = [f"{what} {', '.join(names)}" for what, names in (
-            ("added", self.added), ("changed", self.changed), ("dropped", self.dropped)) if names]
+        parts = [
+            f"{what} {', '.join(names)}"
+            for what, names in (("added", self.added), ("changed", self.changed), ("dropped", self.dropped))
+            if names
+        ]
         return "; ".join(parts) or "classes as they were"
 
 
@@ -58,16 +61,19 @@
         """Every name that the door takes at `now`, with its number."""
         return {name: place for name, (place, until) in self.leaving.items() if now < until} | self.door
 
-    def retune(self, names: Sequence[str], classes: Sequence[JobClass], now: float,
-               grace: float = GRACE) -> tuple[ClassBook, Change]:
+    def retune(
+        self, names: Sequence[str], classes: Sequence[JobClass], now: float, grace: float = GRACE
+    ) -> tuple[ClassBook, Change]:
         """The book after a file with these classes, read at `now`."""
         every, called = list(self.classes), list(self.names)
         door: dict[str, int] = {}
         added, changed = [], []
         for name, job_class in zip(names, classes, strict=True):
             before = self.number(name, now)
-            same = next((place for place in range(len(every))
-                         if called[place] == name and every[place] == job_class), None)
+            same = next(
+                (place for place in range(len(every)) if called[place] == name and every[place] == job_class),
+                None,
+            )
             if same is None:
                 same = self._rested(name, job_class, now)
                 if same is None:
@@ -86,15 +92,27 @@
             leaving[name] = (self.door[name], now + grace)
         given = {*door.values(), *(place for place, _ in leaving.values())}
         idle = {place: self.idle.get(place, now) for place in range(len(every)) if place not in given}
-        return (ClassBook(tuple(every), tuple(called), door, leaving, idle),
-                Change(tuple(added), tuple(changed), tuple(dropped)))
+        return (
+            ClassBook(tuple(every), tuple(called), door, leaving, idle),
+            Change(tuple(added), tuple(changed), tuple(dropped)),
+        )
 
     def _rested(self, name: str, job_class: JobClass, now: float) -> int | None:
         """A number of this name that no job can have any more, whose class differs in its limits alone."""
         for place, since in self.idle.items():
             held = self.classes[place]
-            if (self.names[place] == name and now - since > (held.deadline + held.window) / 1000 + REST
-                    and replace(held, aim=job_class.aim, deadline=job_class.deadline, worth=job_class.worth,
-                                late_worth=job_class.late_worth, stretch=job_class.stretch) == job_class):
+            if (
+                self.names[place] == name
+                and now - since > (held.deadline + held.window) / 1000 + REST
+                and replace(
+                    held,
+                    aim=job_class.aim,
+                    deadline=job_class.deadline,
+                    worth=job_class.worth,
+                    late_worth=job_class.late_worth,
+                    stretch=job_class.stretch,
+                )
+                == job_class
+            ):
                 return place
         return None
--- a/pipitshed/tuning/rows.py
+++ b/pipitshed/tuning/rows.py
@@ -18,8 +18,10 @@
 VALUE_LIMIT = 32  # bytes of a value
 _NUMBER = re.compile(rb"-?(0|[1-9][0-9]*)(\.[0-9]+)?([eE][+-]?[0-9]+)?")
 _LISTS = {"tenant": "tenants", "class": "services"}
-FIELDS = {"tenant": ("share", "allowancePerS"),
-          "class": ("deadline", "goalTime", "gain", "lateWorth", "aimStretch")}
+FIELDS = {
+    "tenant": ("share", "allowancePerS"),
+    "class": ("deadline", "goalTime", "gain", "lateWorth", "aimStretch"),
+}
 
 
 class RefusedRowError(ValueError):
@@ -35,8 +37,12 @@
     refused: dict[str, str]  # why, by key
 
 
-def overlay(raw: dict[str, Any], rows: Iterable[Row], stood: Mapping[str, Row] | None = None,
-            fixed: Container[str] = ()) -> Laid:
+def overlay(
+    raw: dict[str, Any],
+    rows: Iterable[Row],
+    stood: Mapping[str, Row] | None = None,
+    fixed: Container[str] = (),
+) -> Laid:
     """These rows laid over a file as it was read, which is not changed. Where one is refused, the row that
     was acted on before (`stood`, by key) stands; where there was none, the file's value does. Classes that
     are `fixed` can't be changed here."""
@@ -102,8 +108,9 @@
     return places
 
 
-def _checked(raw: dict[str, Any], places: dict[str, dict[str, list[int]]],
-             row: Row, fixed: Container[str]) -> tuple[str, int, str, float]:
+def _checked(
+    raw: dict[str, Any], places: dict[str, dict[str, list[int]]], row: Row, fixed: Container[str]
+) -> tuple[str, int, str, float]:
     if not row.readable:
         raise RefusedRowError(f"it is of a newer program (form {row.form})")
     kind, name, field = _parts(row.key)
@@ -111,8 +118,9 @@
         raise RefusedRowError(f"Gearman's functions keep the limits that {name!r} had at the start")
     found = places[kind].get(name, [])
     if len(found) != 1:
-        raise RefusedRowError(f"the settings in force have {'no' if not found else 'more than one'} {kind} "
-                              f"{name!r}")
+        raise RefusedRowError(
+            f"the settings in force have {'no' if not found else 'more than one'} {kind} {name!r}"
+        )
     if len(row.body) > VALUE_LIMIT or not _NUMBER.fullmatch(row.body):
         raise RefusedRowError(f"a value is a JSON number of {VALUE_LIMIT} bytes at most")
     value, entry = float(row.body), raw["settings"][_LISTS[kind]][found[0]]
--- a/pipitshed/wire/buffer.py
+++ b/pipitshed/wire/buffer.py
@@ -31,11 +31,11 @@
             raise TooLongError(f"over {self.limit} bytes")
         if self._end + size > len(self._data):
             if self._start:
-                self._data[:held] = self._data[self._start:self._end]
+                self._data[:held] = self._data[self._start : self._end]
                 self._start, self._end = 0, held
             if held + size > len(self._data):
                 self._data.extend(bytes(max(len(self._data), held + size - len(self._data))))
-        self._data[self._end:self._end + size] = data
+        self._data[self._end : self._end + size] = data
         self._end += size
 
     def peek(self, size: int, at: int = 0) -> bytes:
--- a/pipitshed/wire/gearman.py
+++ b/pipitshed/wire/gearman.py
@@ -62,12 +62,32 @@
 
 # How many arguments a request has; the last one may hold NUL bytes.
 ARGUMENTS = {
-    Kind.CAN_DO: 1, Kind.CANT_DO: 1, Kind.RESET_ABILITIES: 0, Kind.PRE_SLEEP: 0, Kind.GRAB_JOB: 0,
-    Kind.SUBMIT_JOB: 3, Kind.SUBMIT_JOB_BG: 3, Kind.SUBMIT_JOB_HIGH: 3, Kind.SUBMIT_JOB_HIGH_BG: 3,
-    Kind.SUBMIT_JOB_LOW: 3, Kind.SUBMIT_JOB_LOW_BG: 3, Kind.WORK_STATUS: 3, Kind.WORK_COMPLETE: 2,
-    Kind.WORK_FAIL: 1, Kind.WORK_EXCEPTION: 2, Kind.WORK_DATA: 2, Kind.WORK_WARNING: 2, Kind.GET_STATUS: 1,
-    Kind.GET_STATUS_UNIQUE: 1, Kind.ECHO_REQ: 1, Kind.SET_CLIENT_ID: 1, Kind.CAN_DO_TIMEOUT: 2,
-    Kind.ALL_YOURS: 0, Kind.OPTION_REQ: 1, Kind.GRAB_JOB_UNIQ: 0, Kind.GRAB_JOB_ALL: 0,
+    Kind.CAN_DO: 1,
+    Kind.CANT_DO: 1,
+    Kind.RESET_ABILITIES: 0,
+    Kind.PRE_SLEEP: 0,
+    Kind.GRAB_JOB: 0,
+    Kind.SUBMIT_JOB: 3,
+    Kind.SUBMIT_JOB_BG: 3,
+    Kind.SUBMIT_JOB_HIGH: 3,
+    Kind.SUBMIT_JOB_HIGH_BG: 3,
+    Kind.SUBMIT_JOB_LOW: 3,
+    Kind.SUBMIT_JOB_LOW_BG: 3,
+    Kind.WORK_STATUS: 3,
+    Kind.WORK_COMPLETE: 2,
+    Kind.WORK_FAIL: 1,
+    Kind.WORK_EXCEPTION: 2,
+    Kind.WORK_DATA: 2,
+    Kind.WORK_WARNING: 2,
+    Kind.GET_STATUS: 1,
+    Kind.GET_STATUS_UNIQUE: 1,
+    Kind.ECHO_REQ: 1,
+    Kind.SET_CLIENT_ID: 1,
+    Kind.CAN_DO_TIMEOUT: 2,
+    Kind.ALL_YOURS: 0,
+    Kind.OPTION_REQ: 1,
+    Kind.GRAB_JOB_UNIQ: 0,
+    Kind.GRAB_JOB_ALL: 0,
 }
 
 
--- a/pipitshed/wire/grpc.py
+++ b/pipitshed/wire/grpc.py
@@ -55,8 +55,8 @@
             raise BadMessageError(f"a message of {length} bytes is too long")
         if len(buffer) < PREFIX.size + length:
             return
-        message = bytes(buffer[PREFIX.size:PREFIX.size + length])
-        del buffer[:PREFIX.size + length]
+        message = bytes(buffer[PREFIX.size : PREFIX.size + length])
+        del buffer[: PREFIX.size + length]
         yield message
 
 
@@ -116,11 +116,17 @@
     """
 
     def __init__(self) -> None:
-        super().__init__(h2.config.H2Configuration(
-            client_side=True, header_encoding=None, validate_outbound_headers=False,
-            normalize_outbound_headers=False,
-            # Of what a planner tells only a few headers are looked at, by name; none is handed on.
-            validate_inbound_headers=False, normalize_inbound_headers=False))
+        super().__init__(
+            h2.config.H2Configuration(
+                client_side=True,
+                header_encoding=None,
+                validate_outbound_headers=False,
+                normalize_outbound_headers=False,
+                # Of what a planner tells only a few headers are looked at, by name; none is handed on.
+                validate_inbound_headers=False,
+                normalize_inbound_headers=False,
+            )
+        )
         self.encoder = _Encoder()
         self.incoming_buffer = _Frames()
 
