--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -68,8 +68,10 @@
         self.end()
 
     def end(self, status: int = 0, **more: str) -> None:
-        trailers = [("grpc-status", str(status)),
-                    *((name.replace("_", "-"), value) for name, value in more.items())]
+        trailers = [
+            ("grpc-status", str(status)),
+            *((name.replace("_", "-"), value) for name, value in more.items()),
+        ]
         if not self.peer.answered(self.number):
             trailers = [(":status", "200"), ("content-type", "application/grpc"), *trailers]
         self.peer.http2.send_headers(self.number, trailers, end_stream=True)
@@ -86,7 +88,8 @@
     def __init__(self, planner: GrpcPlanner) -> None:
         self.planner = planner
         self.http2 = h2.connection.H2Connection(
-            h2.config.H2Configuration(client_side=False, header_encoding="utf-8"))
+            h2.config.H2Configuration(client_side=False, header_encoding="utf-8")
+        )
         self.calls: dict[int, Call] = {}
         self.lost = asyncio.Event()
         self._answered: set[int] = set()
@@ -95,8 +98,9 @@
         self.transport = transport
         self.planner.peers.append(self)
         if self.planner.settings is not None:
-            self.http2.local_settings = h2.settings.Settings(client=False, initial_values={
-                code: value for code, value in self.planner.settings.items()})
+            self.http2.local_settings = h2.settings.Settings(
+                client=False, initial_values={code: value for code, value in self.planner.settings.items()}
+            )
             self.http2.initiate_connection()
             self.flush()
 
@@ -114,6 +118,7 @@
 
     def goaway(self, last: int, code: int = 0) -> None:
         from hyperframe.frame import GoAwayFrame
+
         self.transport.write(GoAwayFrame(0, last_stream_id=last, error_code=code).serialize())
 
     def data_received(self, data: bytes) -> None:
@@ -141,11 +146,13 @@
 class GrpcPlanner:
     """The planner: `act` is told of each whole request."""
 
-    def __init__(self, name: str = "p1", zone: int = 0, act: Callable[[Call], None] = Call.done,
-                 **settings: int) -> None:
+    def __init__(
+        self, name: str = "p1", zone: int = 0, act: Callable[[Call], None] = Call.done, **settings: int
+    ) -> None:
         self.name, self.zone, self.act = name, zone, act
         self.settings: dict[int, int] | None = {
-            h2.settings.SettingCodes[code.upper()]: value for code, value in settings.items()}
+            h2.settings.SettingCodes[code.upper()]: value for code, value in settings.items()
+        }
         self.peers: list[Peer] = []
         self.calls: list[Call] = []
         self.port = 0
@@ -157,6 +164,7 @@
         async def tell() -> None:
             async with self._came:
                 self._came.notify_all()
+
         task = asyncio.get_running_loop().create_task(tell())
         self._stirs.add(task)
         task.add_done_callback(self._stirs.discard)
@@ -232,17 +240,32 @@
         self._ids = 0
 
     def list(self, *planners: GrpcPlanner, **changes: Any) -> None:
-        self.core.routes.fill("test", ListKind.DELTA, 1, [
-            (replace(Entry(planner.name.encode(), planner.zone, interface=2), **changes),
-             Endpoint(planner.name.encode(), self.carrier, ("127.0.0.1", planner.port), 2))
-            for planner in planners])
+        self.core.routes.fill(
+            "test",
+            ListKind.DELTA,
+            1,
+            [
+                (
+                    replace(Entry(planner.name.encode(), planner.zone, interface=2), **changes),
+                    Endpoint(planner.name.encode(), self.carrier, ("127.0.0.1", planner.port), 2),
+                )
+                for planner in planners
+            ],
+        )
 
     def request(self, job_class: str = "quote", body: bytes | None = None, **more: Any) -> Request:
         self._ids += 1
         number = job_class == "book"
-        told = {"id": f"r{self._ids}", "job_class": int(number), "patience": 5000.0, "tenant": 0,
-                "body": body or (BOOK if number else QUOTE), "tenant_name": "andes-retail", "form": 1,
-                "key": f"k{self._ids}" if number else ""}
+        told = {
+            "id": f"r{self._ids}",
+            "job_class": int(number),
+            "patience": 5000.0,
+            "tenant": 0,
+            "body": body or (BOOK if number else QUOTE),
+            "tenant_name": "andes-retail",
+            "form": 1,
+            "key": f"k{self._ids}" if number else "",
+        }
         return Request(**told | more)
 
     def ask(self, job_class: str = "quote", body: bytes | None = None, **more: Any) -> Caller:
@@ -255,8 +278,12 @@
 
 
 @contextlib.asynccontextmanager
-async def bench(*planners: GrpcPlanner, settings: dict[str, Any] | None = None, forms: str = FORMS,
-                keepalive: float = 10.0) -> AsyncIterator[Bench]:
+async def bench(
+    *planners: GrpcPlanner,
+    settings: dict[str, Any] | None = None,
+    forms: str = FORMS,
+    keepalive: float = 10.0,
+) -> AsyncIterator[Bench]:
     """The bench with these planners listed."""
     made = Bench(settings or {}, forms, keepalive)
     made.list(*planners)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -38,15 +38,21 @@
 
 def entries(count: int, **changes: object) -> tuple[Entry, ...]:
     """Workers over two zones, in cells of three."""
-    return tuple(Entry(worker_id(n), zone=n % 2, cell=n // 3, **changes)  # type: ignore[arg-type]
-                 for n in range(1, count + 1))
+    return tuple(
+        Entry(worker_id(n), zone=n % 2, cell=n // 3, **changes)  # type: ignore[arg-type]
+        for n in range(1, count + 1)
+    )
 
 
 def settings(effect: Effect = Effect.SAFE, group: Group = Group.ALL, **changes: object) -> Settings:
     cls = JobClass(aim=300.0, deadline=5000.0, effect=effect, group=group, window=3000.0)
     base: dict[str, object] = {
-        "classes": (cls,), "limits": Limits(cancel=True, parallel=True, max_attempts=4),
-        "rules": Rules(answer_slack=20.0, drain_grace=100.0), "tick": 5.0, "zones": 2}
+        "classes": (cls,),
+        "limits": Limits(cancel=True, parallel=True, max_attempts=4),
+        "rules": Rules(answer_slack=20.0, drain_grace=100.0),
+        "tick": 5.0,
+        "zones": 2,
+    }
     return Settings(**(base | changes))  # type: ignore[arg-type]
 
 
@@ -96,8 +102,10 @@
             held = self.jobs[action.job]
             self._answer(now, held)
             ran = self._may_have_run(held)
-            if ran and (held.cls.effect is Effect.UNSAFE
-                        or (held.cls.effect is Effect.KEYED and held.cls.group is not Group.ALL)):
+            if ran and (
+                held.cls.effect is Effect.UNSAFE
+                or (held.cls.effect is Effect.KEYED and held.cls.group is not Group.ALL)
+            ):
                 self.faults.append("refused though it may have run")
         elif isinstance(action, Fail):
             self._answer(now, self.jobs[action.job])
@@ -177,8 +185,7 @@
 
     def finish(self, send: Send, attempt: int, outcome: Outcome, **changes: object) -> list[Action]:
         settled = bool(changes.pop("settled", outcome is Outcome.OK))
-        return self.feed(Finished(send.job, attempt, send.worker, outcome, 1.0, settled,
-                                  **changes))  # type: ignore[arg-type]
+        return self.feed(Finished(send.job, attempt, send.worker, outcome, 1.0, settled, **changes))  # type: ignore[arg-type]
 
 
 def sends_of(actions: list[Action]) -> list[Send]:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -19,17 +19,35 @@
 ROOT = Path(__file__).parent.parent
 PATIENCE = 20.0  # s after which a story that hangs has failed
 SETTINGS: dict[str, Any] = {
-    "areas": ["lima-norte", "arequipa"], "shapes": ["fast", "standard", "slow"], "discovery": "on_request",
-    "familyInfo": {"tellsStart": True, "progress": 2000.0}, "locality": 0, "tick": 2.0, "weights": "rough",
-    "permissions": {"cancel": True, "connectTimeout": 250.0, "idleClose": 30000.0, "maxAttempts": 5,
-                    "probes": True},
+    "areas": ["lima-norte", "arequipa"],
+    "shapes": ["fast", "standard", "slow"],
+    "discovery": "on_request",
+    "familyInfo": {"tellsStart": True, "progress": 2000.0},
+    "locality": 0,
+    "tick": 2.0,
+    "weights": "rough",
+    "permissions": {
+        "cancel": True,
+        "connectTimeout": 250.0,
+        "idleClose": 30000.0,
+        "maxAttempts": 5,
+        "probes": True,
+    },
     "rules": {"answerSlack": 8.0, "askWithin": 10000.0, "drainGrace": 1500.0},
     "services": [
         {"name": "quote", "deadline": 5000.0, "goalTime": 2500.0, "repeat": "retryable"},
-        {"name": "book", "deadline": 15000.0, "goalTime": 10000.0, "repeat": "dedup", "keyScope": "zone",
-         "window": 25000.0}],
+        {
+            "name": "book",
+            "deadline": 15000.0,
+            "goalTime": 10000.0,
+            "repeat": "dedup",
+            "keyScope": "zone",
+            "window": 25000.0,
+        },
+    ],
     "stats": {"fields": ["x0", "x1", "load_share"], "source": "on_probe"},
-    "tenants": [{"name": "andes-retail", "share": 1.0, "allowancePerS": 1000.0}]}
+    "tenants": [{"name": "andes-retail", "share": 1.0, "allowancePerS": 1000.0}],
+}
 
 # The same, with a class `book` that nobody would drop a repeat of.
 ONCE = {"services": [SETTINGS["services"][0], SETTINGS["services"][1] | {"repeat": "fragile"}]}
@@ -40,8 +58,9 @@
 async def _message(reader: Reader) -> tuple[str, dict[str, str], bytes]:
     """One HTTP message: first line, headers with small names, body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
-    headers = {name.lower(): value.strip()
-               for name, _, value in (line.partition(":") for line in head[1:] if line)}
+    headers = {
+        name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:] if line)
+    }
     return head[0], headers, await reader.readexactly(int(headers.get("content-length", "0")))
 
 
@@ -105,15 +124,24 @@
 class Planner(Peer):
     """A planner; `act` is told of each request, and serves it at once where nothing else is scripted."""
 
-    def __init__(self, name: str, zone: str = "lima-norte", act: Callable[[Run], None] = Run.serve,
-                 kind: str = "fast") -> None:
+    def __init__(
+        self, name: str, zone: str = "lima-norte", act: Callable[[Run], None] = Run.serve, kind: str = "fast"
+    ) -> None:
         self.name, self.zone, self.act, self.kind = name, zone, act, kind
         self.runs: list[Run] = []
         self.came = asyncio.Condition()
 
     def line(self, lifecycle: str = "ready") -> dict[str, object]:
-        return {"instanceId": self.name, "hostPort": f"127.0.0.1:{self.port}", "zone": self.zone, "cell": 0,
-                "machineType": self.kind, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0}
+        return {
+            "instanceId": self.name,
+            "hostPort": f"127.0.0.1:{self.port}",
+            "zone": self.zone,
+            "cell": 0,
+            "machineType": self.kind,
+            "lifecycle": lifecycle,
+            "weight": 1.0,
+            "startedAtMs": 0,
+        }
 
     async def serve(self, reader: Reader, writer: Writer) -> None:
         while True:
@@ -182,18 +210,28 @@
 
 
 @contextlib.asynccontextmanager
-async def program(*planners: Planner, catalog: Catalog | None = None, front: str = "",
-                  settings: dict[str, Any] | None = None, sockets: int = 1024, memory_mb: float = 192,
-                  command: tuple[str, ...] = ("serve",), mgmt: bool = False,
-                  env: dict[str, str] | None = None,
-                  pass_fds: tuple[int, ...] = ()) -> AsyncIterator[Program]:
+async def program(
+    *planners: Planner,
+    catalog: Catalog | None = None,
+    front: str = "",
+    settings: dict[str, Any] | None = None,
+    sockets: int = 1024,
+    memory_mb: float = 192,
+    command: tuple[str, ...] = ("serve",),
+    mgmt: bool = False,
+    env: dict[str, str] | None = None,
+    pass_fds: tuple[int, ...] = (),
+) -> AsyncIterator[Program]:
     """The program, started as the deploy file does, with these planners known; it must end well."""
     config = {
-        "name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "seed": "8c1f30d27a5be964",
         "limits": {"sockets": sockets, "memory_mb": memory_mb},
         "discovery": f"127.0.0.1:{catalog.port}" if catalog else "",
         "known": {"generation": 1, "reset": True, "instances": [planner.line() for planner in planners]},
-        "settings": SETTINGS | (settings or {})}
+        "settings": SETTINGS | (settings or {}),
+    }
     if mgmt:
         config["mgmt"] = "127.0.0.1:0"
     if catalog is None:  # the list that is known comes by way of discovery's part; no one is asked
@@ -203,9 +241,18 @@
         path.write_text(json.dumps(config))
         front_path.write_text(front)
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "pipitshed", *command, "--front", str(front_path), cwd=ROOT,
-            env=os.environ | {"LB_CONFIG": str(path)} | (env or {}), stdout=asyncio.subprocess.PIPE,
-            stderr=asyncio.subprocess.STDOUT, pass_fds=pass_fds)
+            sys.executable,
+            "-m",
+            "pipitshed",
+            *command,
+            "--front",
+            str(front_path),
+            cwd=ROOT,
+            env=os.environ | {"LB_CONFIG": str(path)} | (env or {}),
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.STDOUT,
+            pass_fds=pass_fds,
+        )
         running = Program(process, 0, 0, [], path)
         try:
             for place in range(2 if "listen" in front else 1):
@@ -242,8 +289,13 @@
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     def ask(self, number: str, job_class: str = "quote", body: bytes = b"pallets", **headers: str) -> None:
-        told = {"X-Request-Id": number, "X-Class": job_class, "X-Tenant": "andes-retail",
-                "X-Deadline": "5.000", "Content-Length": str(len(body))}
+        told = {
+            "X-Request-Id": number,
+            "X-Class": job_class,
+            "X-Tenant": "andes-retail",
+            "X-Deadline": "5.000",
+            "Content-Length": str(len(body)),
+        }
         told |= {name.replace("_", "-"): value for name, value in headers.items()}
         head = "".join(f"{name}: {value}\r\n" for name, value in told.items())
         self.writer.write(f"POST /api HTTP/1.1\r\nHost: service.internal\r\n{head}\r\n".encode() + body)
@@ -301,8 +353,9 @@
         assert heard is kind, (heard, arguments)
         return arguments
 
-    async def submit(self, function: bytes, unique: bytes, body: bytes,
-                     kind: Kind = Kind.SUBMIT_JOB) -> bytes:
+    async def submit(
+        self, function: bytes, unique: bytes, body: bytes, kind: Kind = Kind.SUBMIT_JOB
+    ) -> bytes:
         """The handle of a new job."""
         self.say(kind, function, unique, body)
         return (await self.expect(Kind.JOB_CREATED))[0]
@@ -335,6 +388,7 @@
 
 def story(body: Callable[[], Awaitable[None]]) -> Callable[[], None]:
     """A test that is a coroutine, with an end to its patience."""
+
     def test() -> None:
         asyncio.run(asyncio.wait_for(body(), PATIENCE))  # type: ignore[arg-type]
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -26,8 +26,9 @@
     return {"planners": Run("planners", "command", "abc", "2026-12-02 05:00", "1 core", rows)}
 
 
-@pytest.mark.parametrize(("form", "shape"), [("linear", lambda n: n), ("sqrt", math.sqrt),
-                                             ("n log n", lambda n: n * math.log(n))])
+@pytest.mark.parametrize(
+    ("form", "shape"), [("linear", lambda n: n), ("sqrt", math.sqrt), ("n log n", lambda n: n * math.log(n))]
+)
 def test_a_fit_finds_the_line_that_made_the_points(form: str, shape) -> None:  # type: ignore[no-untyped-def]
     made_by = fit([(size, 7 + 3 * shape(size)) for size in SIZES], form)
     assert (made_by.a, made_by.b) == pytest.approx((7, 3))
@@ -53,9 +54,12 @@
 
 
 def test_rows_that_do_not_count_are_in_no_slope_and_stay_on_file(tmp_path: Path) -> None:
-    rows = [Row("planners", 20, "calm", {"cpu_us": 2.0000001}), Row("planners", 10, "calm", {"cpu_us": 1.0}),
-            Row("planners", 30, "calm", {"cpu_us": 9.0}, valid=False, why_not="80 ms late"),
-            Row("planners", 30, "storm", {"cpu_us": 9.0})]
+    rows = [
+        Row("planners", 20, "calm", {"cpu_us": 2.0000001}),
+        Row("planners", 10, "calm", {"cpu_us": 1.0}),
+        Row("planners", 30, "calm", {"cpu_us": 9.0}, valid=False, why_not="80 ms late"),
+        Row("planners", 30, "storm", {"cpu_us": 9.0}),
+    ]
     kept = read(write(Run("planners", "command", "abc", "2026-12-02 05:00", "1 core", rows), tmp_path))
     assert kept.valid("calm", "cpu_us") == [(10, 1.0), (20, 2.0)]
     assert len(kept.rows) == 4 and kept.rows[2].why_not == "80 ms late"
@@ -80,7 +84,8 @@
 
 
 def test_a_doctored_figure_is_found_on_the_page_and_in_the_json(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     runs, told = read_all(), page.PAGE.read_text()
     target = text(letter.RELOAD.at(letter.TEAMS)(runs))
     doctored = tmp_path / "CAPACITY.md"
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -30,6 +30,7 @@
 
 def test_a_timer_that_fires_early_does_not_lose_the_watch() -> None:
     """The failure met: the decisions take an early timer for an old one, and never ask again."""
+
     async def run() -> None:
         asked = asyncio.Event()
         core = Core(settings(list_on_request=True), 1, HastyLoop())  # type: ignore[arg-type]
@@ -44,6 +45,7 @@
 def test_the_decisions_hear_of_a_kept_connection_that_closes() -> None:
     """The failure met: planners that closed right after an answer were drawn for connections long closed, and
     each such draw opened one."""
+
     async def run() -> None:
         lost = asyncio.Event()
 
@@ -74,6 +76,7 @@
 
 def test_a_failed_accept_does_not_lose_the_listener(monkeypatch: pytest.MonkeyPatch) -> None:
     """Out of descriptors for once: the client in the queue is served when there are some again."""
+
     async def run() -> None:
         failures = [OSError(errno.EMFILE, "too many open files")]
         accept = socket.socket.accept
@@ -104,6 +107,7 @@
 def test_an_exception_in_one_action_or_event_leaves_the_others_of_its_turn() -> None:
     """A client that raises, and an event that the decisions can't take: the other job of that turn is refused
     all the same."""
+
     async def run() -> None:
         loop = asyncio.get_running_loop()
         core = Core(settings(), 1, loop)
@@ -111,8 +115,9 @@
         broken.refused.side_effect = RuntimeError("planted")
         done = asyncio.Event()
         usual.refused.side_effect = lambda retry_after: done.set()
-        first, second = [core.take(Request(name, 0, 5000.0, 0), client)
-                         for name, client in (("a1", broken), ("a2", usual))]
+        first, second = [
+            core.take(Request(name, 0, 5000.0, 0), client) for name, client in (("a1", broken), ("a2", usual))
+        ]
         core._dispatcher.handle = Mock(side_effect=RuntimeError("planted"))  # type: ignore[method-assign]
         core._dispatcher.actions = [Refuse(first.number, 1.0), Refuse(second.number, 1.0)]
         await asyncio.wait_for(done.wait(), 5)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,7 +14,17 @@
 from loopback import Peer, Planner, Reader, Writer, story
 
 from pipitshed.decisions.interface import (
-    Effect, Event, Finished, JobClass, Limits, ListKind, Outcome, Send, State, Submitted)
+    Effect,
+    Event,
+    Finished,
+    JobClass,
+    Limits,
+    ListKind,
+    Outcome,
+    Send,
+    State,
+    Submitted,
+)
 from pipitshed.egress.gearman import GearmanCarrier, Place
 from pipitshed.egress.http import HttpCarrier
 from pipitshed.exchange.core import Core
@@ -73,10 +83,12 @@
         loop.create_connection = create  # type: ignore[method-assign]
 
 
-@pytest.mark.parametrize("crossing", ["the client goes", "the planner drains", "the planner goes",
-                                      "the window ends"])
+@pytest.mark.parametrize(
+    "crossing", ["the client goes", "the planner drains", "the planner goes", "the window ends"]
+)
 def test_nothing_is_written_on_a_connection_that_comes_up_too_late(crossing: str) -> None:
     """It used to be written however late, unless it had been called off, which not all settings permit."""
+
     @story
     async def run() -> None:
         async with Planner("p1") as planner, late_connections() as up:
@@ -103,6 +115,7 @@
             if crossing != "the client goes":
                 rig.core.withdraw(exchange)
             assert not rig.core._exchanges
+
     run()
 
 
@@ -148,16 +161,24 @@
         assert not rig.carrier._idle.get(("127.0.0.1", planner.port))
 
 
-@pytest.mark.parametrize("name, text", [
-    ("trailers", CHUNKED + line('{"id":"a1","state":"started"}') + b"0\r\n" + b"X-More: more\r\n" * 40_000),
-    ("one trailer", CHUNKED + b"0\r\nX-More: " + b"more" * 25_000),
-    ("a head", b"HTTP/1.1 200 OK\r\n" + b"X-More: more\r\n" * 8000),
-    ("interim answers", b"HTTP/1.1 103 Early Hints\r\n\r\n" * 100),
-    ("framing", CHUNKED + b"5;" + b"x" * 100_000),
-    ("a line without an id", CHUNKED + line('{"state":"done","result":"whose?"}') + END),
-    ("another's line", CHUNKED + line('{"id":"a0","state":"done","result":"theirs"}') + END)])
+@pytest.mark.parametrize(
+    "name, text",
+    [
+        (
+            "trailers",
+            CHUNKED + line('{"id":"a1","state":"started"}') + b"0\r\n" + b"X-More: more\r\n" * 40_000,
+        ),
+        ("one trailer", CHUNKED + b"0\r\nX-More: " + b"more" * 25_000),
+        ("a head", b"HTTP/1.1 200 OK\r\n" + b"X-More: more\r\n" * 8000),
+        ("interim answers", b"HTTP/1.1 103 Early Hints\r\n\r\n" * 100),
+        ("framing", CHUNKED + b"5;" + b"x" * 100_000),
+        ("a line without an id", CHUNKED + line('{"state":"done","result":"whose?"}') + END),
+        ("another's line", CHUNKED + line('{"id":"a0","state":"done","result":"theirs"}') + END),
+    ],
+)
 def test_an_answer_that_never_ends_or_is_not_this_requests_is_a_reset(name: str, text: bytes) -> None:
     """Bad bytes from a planner: the outcome by the protocol's table, the connection never used again."""
+
     @story
     async def run() -> None:
         async with Script(text) as planner:
@@ -166,15 +187,20 @@
             rig.send(rig.take())
             assert await rig.outcome() is Outcome.RESET, name
             assert await planner.ends.get() == 1
+
     run()
 
 
-@pytest.mark.parametrize("effect, outcome", [
-    (Effect.SAFE, Outcome.FULL), (Effect.KEYED, Outcome.RESET), (Effect.UNSAFE, Outcome.RESET)])
+@pytest.mark.parametrize(
+    "effect, outcome",
+    [(Effect.SAFE, Outcome.FULL), (Effect.KEYED, Outcome.RESET), (Effect.UNSAFE, Outcome.RESET)],
+)
 def test_a_late_second_answer_is_no_proof_that_the_next_job_never_ran(
-        effect: Effect, outcome: Outcome) -> None:
+    effect: Effect, outcome: Outcome
+) -> None:
     """A 503 names no request. One that comes just after the next request was written would be "never ran" of
     a job that runs: where that matters, it says nothing."""
+
     @story
     async def run() -> None:
         class Late(Peer):
@@ -192,6 +218,7 @@
             assert await rig.outcome() is Outcome.OK
             rig.send(rig.take("a2"))
             assert await rig.outcome() is outcome and len(planner.writers) == 1
+
     run()
 
 
@@ -209,6 +236,7 @@
 @story
 async def test_an_answer_before_the_whole_request_is_out_ends_the_connection() -> None:
     """The rest of that request would stand before the next one."""
+
     class Hasty(Peer):
         async def serve(self, reader: Reader, writer: Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
--- a/tests/test_decisions_forget.py
+++ b/tests/test_decisions_forget.py
@@ -11,7 +11,17 @@
 
 from benchmarks.capacity.decisions import Scheduler
 from pipitshed.decisions.interface import (
-    Effect, Group, Limits, ListKind, ListNews, Outcome, Rules, Send, State, Submitted)
+    Effect,
+    Group,
+    Limits,
+    ListKind,
+    ListNews,
+    Outcome,
+    Rules,
+    Send,
+    State,
+    Submitted,
+)
 from pipitshed.decisions.rules import FORGET_MS, Worker
 
 ONE, TWO = worker_id(1), worker_id(2)
--- a/tests/test_decisions_scale.py
+++ b/tests/test_decisions_scale.py
@@ -33,6 +33,7 @@
     def weighed(self, key, member):  # type: ignore[no-untyped-def]
         rows["weighed"] += 1
         return weigh(self, key, member)
+
     monkeypatch.setattr(pools, "accumulate", summed)
     monkeypatch.setattr(Pools, "_weighed", weighed)
     return rows
@@ -114,9 +115,14 @@
         return self.part
 
 
-STEPS = st.lists(st.tuples(st.integers(0, 11), st.one_of(
-    st.just("remove"), st.none(), st.tuples(st.integers(0, 2), st.integers(0, 3), st.just(1))),
-    st.booleans()), max_size=60)
+STEPS = st.lists(
+    st.tuples(
+        st.integers(0, 11),
+        st.one_of(st.just("remove"), st.none(), st.tuples(st.integers(0, 2), st.integers(0, 3), st.just(1))),
+        st.booleans(),
+    ),
+    max_size=60,
+)
 
 
 @settings(derandomize=True, database=None, deadline=None)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -7,7 +7,19 @@
 
 import pytest
 from loopback import (
-    HEALTH, SETTINGS, Catalog, HttpClient, Planner, Reader, Run, Writer, call, healthy, program, story)
+    HEALTH,
+    SETTINGS,
+    Catalog,
+    HttpClient,
+    Planner,
+    Reader,
+    Run,
+    Writer,
+    call,
+    healthy,
+    program,
+    story,
+)
 
 TOLD_BY = 6.0  # s after which a change counts as told, whatever became of the calls
 
@@ -37,6 +49,7 @@
 @story
 async def test_a_drain_whose_news_trickles_in_is_known_before_it_counts_as_told() -> None:
     """Each byte used to renew the watch's patience: news cut into bytes was held back for ever."""
+
     class Trickling(Scripted):
         async def first(self, writer: Writer) -> None:
             writer.write(HEAD)
@@ -48,7 +61,7 @@
             self.since = asyncio.get_running_loop().time()
             old.state = "draining"
             for place in range(len(text)):  # at full length this takes far beyond 6 s
-                writer.write(chunk(text[place:place + 1]))
+                writer.write(chunk(text[place : place + 1]))
                 await asyncio.sleep(0.2)
                 if writer.transport.is_closing():
                     return
@@ -59,8 +72,12 @@
         def line(self, lifecycle: str = "") -> dict[str, object]:
             return super().line(lifecycle or self.state)
 
-    async with (Stated("p1") as old, Planner("p2") as new, Trickling(old, new) as catalog,
-                program(old, new, catalog=catalog) as running):
+    async with (
+        Stated("p1") as old,
+        Planner("p2") as new,
+        Trickling(old, new) as catalog,
+        program(old, new, catalog=catalog) as running,
+    ):
         await catalog.watches.get()
         assert asyncio.get_running_loop().time() - catalog.since < TOLD_BY
         runs = len(old.runs)
@@ -75,6 +92,7 @@
 def test_a_call_that_trickles_without_end_is_given_up_in_time(begin: bytes, piece: bytes) -> None:
     """Heartbeats before the first piece, which comes at once, and a head without end: each byte used to hold
     the call, and with it the list, for ever."""
+
     class Trickling(Scripted):
         async def first(self, writer: Writer) -> None:
             writer.write(begin)
@@ -88,6 +106,7 @@
         async with Planner("p1") as planner, Trickling(planner) as catalog, program(planner, catalog=catalog):
             await catalog.watches.get()
             assert asyncio.get_running_loop().time() - catalog.since < TOLD_BY
+
     run()
 
 
@@ -95,6 +114,7 @@
 async def test_a_restarted_process_takes_no_jobs_before_it_has_had_the_list() -> None:
     """The failure met: schedulers of a lost zone came back 18 s later with the list that they had known, and
     sent their first jobs by it to planners that had gone 16 s before."""
+
     class Held(Catalog):
         def __init__(self, *planners: Planner) -> None:
             super().__init__(*planners)
@@ -105,8 +125,12 @@
             await self.go.wait()
             await super().serve(reader, writer)
 
-    async with (Planner("p1") as gone, Planner("p2") as here, Held(here) as catalog,
-                program(gone, catalog=catalog) as running):
+    async with (
+        Planner("p1") as gone,
+        Planner("p2") as here,
+        Held(here) as catalog,
+        program(gone, catalog=catalog) as running,
+    ):
         assert (await call(running.port, HEALTH))[0] == 503
         await catalog.called.wait()
         assert (await call(running.port, HEALTH))[0] == 503
@@ -121,17 +145,22 @@
 @story
 async def test_lists_that_come_indented_are_read_whole_from_a_watch() -> None:
     """Lists may come indented: then a piece of news is many lines, and some end like a whole one."""
+
     class Indented(Catalog):
         def tell(self, writer: Writer, reset: bool, instances: list[dict[str, object]]) -> None:
             self.generation += 1
             news = {"generation": self.generation, "reset": reset, "instances": instances}
             text = json.dumps(news, indent=2)
             for place in range(0, len(text), 50):
-                writer.write(chunk(text[place:place + 50].encode()))
+                writer.write(chunk(text[place : place + 50].encode()))
             writer.write(chunk(b"\n"))
 
-    async with (Planner("p1") as old, Planner("p2") as new, Indented(old) as catalog,
-                program(catalog=catalog) as running):
+    async with (
+        Planner("p1") as old,
+        Planner("p2") as new,
+        Indented(old) as catalog,
+        program(catalog=catalog) as running,
+    ):
         watch = await catalog.watches.get()
         catalog.tell(watch, False, [old.line("draining"), new.line()])
         client = await HttpClient.to(running.port)
@@ -144,12 +173,16 @@
 @story
 async def test_what_is_no_list_is_a_failed_call_and_the_known_list_stands() -> None:
     """Bad bytes from discovery: the call has failed, and another one follows."""
+
     class Bad(Scripted):
         async def first(self, writer: Writer) -> None:
             writer.write(HEAD + chunk(b'{"generation": "many", "instances": [}\n'))
 
-    async with (Planner("p1") as planner, Bad(planner) as catalog,
-                program(planner, catalog=catalog) as running):
+    async with (
+        Planner("p1") as planner,
+        Bad(planner) as catalog,
+        program(planner, catalog=catalog) as running,
+    ):
         client = await HttpClient.to(running.port)
         client.ask("a1")
         assert (await client.answer())[0] == 200
@@ -160,6 +193,7 @@
 async def test_a_pushed_list_is_asked_for_at_once_and_again_well_within_the_grace() -> None:
     """Where lists are pushed, what the agent has counts from the first moment of a new process, and at once
     when it is back: a wait of half a second, and one that doubles, overran a grace of 600 ms."""
+
     class Down(Catalog):
         refused = 0
 
@@ -212,14 +246,18 @@
 @story
 async def test_a_job_is_not_lost_while_the_list_is_silent() -> None:
     """The list known so far stands while every call hangs."""
+
     class Hanging(Catalog):
         async def serve(self, reader: Reader, writer: Writer) -> None:
             came.set()
             await reader.read()
 
     came = asyncio.Event()
-    async with (Planner("p1", act=Run.serve) as planner, Hanging(planner) as catalog,
-                program(planner, catalog=catalog) as running):
+    async with (
+        Planner("p1", act=Run.serve) as planner,
+        Hanging(planner) as catalog,
+        program(planner, catalog=catalog) as running,
+    ):
         await came.wait()
         client = await HttpClient.to(running.port)
         client.ask("a1")
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -12,15 +12,23 @@
 from pipitshed.decisions import interface as api
 from pipitshed.decisions.rules import Dispatcher
 
-INFO = json.dumps({"services": [{"goalTime": 300.0, "deadline": 5000.0, "repeat": "retryable"}],
-                   "permissions": {"maxAttempts": 4}}).encode()
+INFO = json.dumps(
+    {
+        "services": [{"goalTime": 300.0, "deadline": 5000.0, "repeat": "retryable"}],
+        "permissions": {"maxAttempts": 4},
+    }
+).encode()
 WORKERS = [bytes([10, 0, 0, n, 64, 31]) for n in range(1, 6)]
 
 
 def born(instance: int, seed: int) -> bytes:
     entries = b"".join(struct.pack("<HdB6sfBH", 0, 0.0, 0, worker, 1.0, 1, 0) for worker in WORKERS)
-    return (struct.pack("<BIQI", 3, instance, seed, len(INFO)) + INFO
-            + struct.pack("<BIBQI", 8, instance, 3, 1, len(WORKERS)) + entries)
+    return (
+        struct.pack("<BIQI", 3, instance, seed, len(INFO))
+        + INFO
+        + struct.pack("<BIBQI", 8, instance, 3, 1, len(WORKERS))
+        + entries
+    )
 
 
 def submit(instance: int, job: int) -> bytes:
@@ -33,8 +41,9 @@
 
 
 def run(data: bytes) -> "subprocess.CompletedProcess[bytes]":
-    return subprocess.run([sys.executable, "-m", "pipitshed.simulator.drill"], input=data,
-                          capture_output=True)
+    return subprocess.run(
+        [sys.executable, "-m", "pipitshed.simulator.drill"], input=data, capture_output=True
+    )
 
 
 def test_a_session_over_a_pipe() -> None:
@@ -44,13 +53,16 @@
     assert struct.pack("<BIQ", 65, 7, 99) in done.stdout
 
 
-@pytest.mark.parametrize(("data", "message"), [
-    (b"\x01\x00", b"inside a frame header"),
-    (wire.HEADER.pack(1, 50, 0.0) + b"abc", b"inside a frame"),
-    (frame(0.0, b"\x63\x00\x00\x00\x00"), b"unknown event code 99"),
-    (frame(0.0, submit(1, 5)), b"instance 1, which is not running"),
-    (frame(0.0, struct.pack("<BIQI", 3, 1, 1, 2) + b"{}"), b"services"),
-])
+@pytest.mark.parametrize(
+    ("data", "message"),
+    [
+        (b"\x01\x00", b"inside a frame header"),
+        (wire.HEADER.pack(1, 50, 0.0) + b"abc", b"inside a frame"),
+        (frame(0.0, b"\x63\x00\x00\x00\x00"), b"unknown event code 99"),
+        (frame(0.0, submit(1, 5)), b"instance 1, which is not running"),
+        (frame(0.0, struct.pack("<BIQI", 3, 1, 1, 2) + b"{}"), b"services"),
+    ],
+)
 def test_malformed_input_ends_it_with_a_message(data: bytes, message: bytes) -> None:
     done = run(data)
     assert done.returncode == 2
@@ -66,10 +78,12 @@
 def test_instances_act_the_same_alone_and_together() -> None:
     def actions_of(instance: int, others: list[int]) -> bytes:
         everyone = sorted([instance, *others])
-        reply = serve(frame(0.0, *(born(i, i) for i in everyone), count=2 * len(everyone)),
-                      frame(5.0, *(submit(i, 1000 * i + n) for n in range(20) for i in everyone)))
+        reply = serve(
+            frame(0.0, *(born(i, i) for i in everyone), count=2 * len(everyone)),
+            frame(5.0, *(submit(i, 1000 * i + n) for n in range(20) for i in everyone)),
+        )
         head = struct.pack("<BI", 65, instance)
-        return b"".join(reply[at:at + 27] for at in range(len(reply)) if reply.startswith(head, at))
+        return b"".join(reply[at : at + 27] for at in range(len(reply)) if reply.startswith(head, at))
 
     alone = actions_of(1, [])
     assert len(alone) >= 20 * 27
--- a/tests/test_fleet_lists.py
+++ b/tests/test_fleet_lists.py
@@ -10,13 +10,20 @@
 QUEUE = 4  # calls that may wait; more are turned down at once
 
 
-def play(siblings: int, seconds: float, down: float = 0.0, ask_within: float = 10_000.0,
-         ) -> tuple[int, dict[int, float], float]:
+def play(
+    siblings: int,
+    seconds: float,
+    down: float = 0.0,
+    ask_within: float = 10_000.0,
+) -> tuple[int, dict[int, float], float]:
     """(calls made while discovery was down, by sibling when it got its watch (ms from the start), longest gap
     between two calls of one sibling in ms) after `seconds`, all starting together from their cached list; for
     the first `down` seconds, discovery turns every call down."""
-    config = settings(list_on_request=True, siblings=siblings,
-                      rules=Rules(answer_slack=20.0, drain_grace=100.0, ask_within=ask_within))
+    config = settings(
+        list_on_request=True,
+        siblings=siblings,
+        rules=Rules(answer_slack=20.0, drain_grace=100.0, ask_within=ask_within),
+    )
     benches = [Bench(config, entries(3), seed=number) for number in range(siblings)]
     queue: list[int] = []
     watching: dict[int, float] = {}
@@ -68,8 +75,11 @@
 
 def test_an_agent_that_is_down_is_not_asked_in_a_busy_loop() -> None:
     """Where lists are pushed the wait is a part of the grace for drains, which may be set to nothing."""
-    config = settings(list_on_request=True, list_pushed=True,
-                      rules=Rules(answer_slack=20.0, drain_grace=0.0, ask_within=10_000.0))
+    config = settings(
+        list_on_request=True,
+        list_pushed=True,
+        rules=Rules(answer_slack=20.0, drain_grace=0.0, ask_within=10_000.0),
+    )
     bench, calls = Bench(config, entries(3)), 0
     for _ in range(1000):
         for action in bench.run(bench.now + config.tick):
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -17,7 +17,16 @@
 from pipitshed.lab.fleet import oracles
 from pipitshed.lab.fleet.play import Play, play, smallest
 from pipitshed.lab.fleet.scenario import (
-    Fault, Mix, Scenario, ScenarioError, Shape, Traffic, drawn, read, script)
+    Fault,
+    Mix,
+    Scenario,
+    ScenarioError,
+    Shape,
+    Traffic,
+    drawn,
+    read,
+    script,
+)
 from pipitshed.membership.timing import Scales
 
 # Three times as fast as the default, so that a case takes seconds.
@@ -29,8 +38,13 @@
 
 def case(*faults: Fault, processes: int = 4, **changes: Any) -> dict[str, Any]:
     """The verdict on these faults."""
-    scenario = Scenario("case", Shape(processes, 2, 2, scales=FAST), Traffic(30.0, wanted_ms=WANTED),
-                        settle_within=SETTLE, **changes)
+    scenario = Scenario(
+        "case",
+        Shape(processes, 2, 2, scales=FAST),
+        Traffic(30.0, wanted_ms=WANTED),
+        settle_within=SETTLE,
+        **changes,
+    )
     return uvloop.run(play(scenario, faults, 1))
 
 
@@ -65,8 +79,13 @@
 
 @GROUPS[0]
 def test_halves_apart_with_a_join_and_a_death_in_each_are_one_again() -> None:
-    told = case(Fault(0.0, "cut-zone", ("zone-1",), lasts=6.0), Fault(1.0, "kill-for-good", ("s3",)),
-                Fault(1.2, "kill-for-good", ("s4",)), Fault(1.5, "join", count=2), processes=5)
+    told = case(
+        Fault(0.0, "cut-zone", ("zone-1",), lasts=6.0),
+        Fault(1.0, "kill-for-good", ("s3",)),
+        Fault(1.2, "kill-for-good", ("s4",)),
+        Fault(1.5, "join", count=2),
+        processes=5,
+    )
     assert told["wrong"] == []
 
 
@@ -92,11 +111,15 @@
 @GROUPS[0]
 def test_messages_lost_doubled_late_in_another_order_and_dripped_change_nothing() -> None:
     everyone = ("s1", "s2", "s3", "s4")
-    told = case(Fault(0.0, "duplicate", everyone, lasts=3.0, amount=0.5),
-                Fault(0.0, "reorder", everyone, lasts=3.0, amount=0.4),
-                Fault(0.0, "drip", ("s2",), lasts=3.0, amount=2000.0),
-                Fault(0.5, "loss", ("s1",), lasts=2.0, amount=0.2), Fault(1.0, "reset", ("s1",)),
-                Fault(0.5, "jitter", ("s4",), lasts=2.0, amount=0.03), all_in_time=True)
+    told = case(
+        Fault(0.0, "duplicate", everyone, lasts=3.0, amount=0.5),
+        Fault(0.0, "reorder", everyone, lasts=3.0, amount=0.4),
+        Fault(0.0, "drip", ("s2",), lasts=3.0, amount=2000.0),
+        Fault(0.5, "loss", ("s1",), lasts=2.0, amount=0.2),
+        Fault(1.0, "reset", ("s1",)),
+        Fault(0.5, "jitter", ("s4",), lasts=2.0, amount=0.03),
+        all_in_time=True,
+    )
     assert told["wrong"] == []
     assert told["links"]["doubled"] > 10 and told["links"]["reordered"] > 10
 
@@ -117,11 +140,15 @@
     assert drawn(again, 9) == drawn(scenario, 3)
 
 
-@pytest.mark.parametrize(("text", "what"), [
-    ('name = "x"\n[[fault]]\nat = 1.0\ndo = "cut"\na = ["s9"]', "line 5: there is no 's9'"),
-    ('name = "x"\n[[fault]]\nat = 1.0\ndo = "cut"', "names nobody"),
-    ('name = "x"\n[[fault]]\nat = 1.0\ndo = "eat"\na = ["s1"]', "eat"),
-    ('name = "x"\n[fleet]\nprocesses = 90', "1 to 60")])
+@pytest.mark.parametrize(
+    ("text", "what"),
+    [
+        ('name = "x"\n[[fault]]\nat = 1.0\ndo = "cut"\na = ["s9"]', "line 5: there is no 's9'"),
+        ('name = "x"\n[[fault]]\nat = 1.0\ndo = "cut"', "names nobody"),
+        ('name = "x"\n[[fault]]\nat = 1.0\ndo = "eat"\na = ["s1"]', "eat"),
+        ('name = "x"\n[fleet]\nprocesses = 90', "1 to 60"),
+    ],
+)
 def test_a_scenario_that_cant_be_played_says_why(text: str, what: str) -> None:
     with pytest.raises(ScenarioError, match=what):
         read(text)
@@ -135,18 +162,21 @@
 
 def test_what_comes_after_the_play_is_no_part_of_the_verdict(tmp_path: Path) -> None:
     """The failure met: all processes are told to end after the play, and a fleet of nobody agreed."""
-    rig = [{"t": 1.0, "event": "spawn", "process": "s1", "place": 0, "start": 1, "events": "e1"},
-           {"t": 1.0, "event": "spawn", "process": "s2", "place": 1, "start": 1, "events": "e2"},
-           {"t": 5.0, "event": "over"}, {"t": 9.0, "event": "end"},
-           {"t": 9.1, "event": "term", "process": "s1", "place": 0, "start": 1},
-           {"t": 9.1, "event": "term", "process": "s2", "place": 1, "start": 1}]
+    rig = [
+        {"t": 1.0, "event": "spawn", "process": "s1", "place": 0, "start": 1, "events": "e1"},
+        {"t": 1.0, "event": "spawn", "process": "s2", "place": 1, "start": 1, "events": "e2"},
+        {"t": 5.0, "event": "over"},
+        {"t": 9.0, "event": "end"},
+        {"t": 9.1, "event": "term", "process": "s1", "place": 0, "start": 1},
+        {"t": 9.1, "event": "term", "process": "s2", "place": 1, "start": 1},
+    ]
     (tmp_path / "rig.jsonl").write_text("\n".join(map(json.dumps, rig)))
     for number, life in enumerate((11, 22), 1):
         name = f"s{number}"
         views = [(2.0, [[name, life]]), (6.5, [["s1", 11], ["s2", 22]]), (9.2, [[name, life]])]
         events = [{"t": 1.5, "event": "started", "life": life}] + [
-            {"t": when, "event": "view", "living": held}
-            for when, held in views if number == 1 or when != 6.5]
+            {"t": when, "event": "view", "living": held} for when, held in views if number == 1 or when != 6.5
+        ]
         (tmp_path / f"e{number}").write_text("\n".join(map(json.dumps, events)))
     after, wrong = oracles.settled(oracles.read(tmp_path))
     assert after is None and wrong == ["s2 holds another view: lacks ['s1'], has []"]
@@ -154,6 +184,7 @@
 
 def test_the_oracles_say_no_to_each_thing_that_they_look_for(tmp_path: Path) -> None:
     """Logs made by hand, each with one fault in it."""
+
     def logs(**wrong: Any) -> oracles.Logs:
         one, two = oracles.Instance("s1", 0, 1, 11, 1.0), oracles.Instance("s2", 1, 1, 22, 1.0)
         for instance in (one, two):
@@ -172,12 +203,16 @@
     assert oracles.false_deaths(logs(deaths=[(3.0, "s1", 11)], away=[(2.0, 4.0)])) == 0
 
 
-@pytest.mark.parametrize(("job_class", "killed", "asked_again"), [
-    ("book", True, False), ("book", False, True), ("quote", True, True)])
+@pytest.mark.parametrize(
+    ("job_class", "killed", "asked_again"),
+    [("book", True, False), ("book", False, True), ("quote", True, True)],
+)
 def test_a_keyed_job_that_a_killed_scheduler_may_have_taken_is_not_asked_of_another(
-        job_class: str, killed: bool, asked_again: bool) -> None:
+    job_class: str, killed: bool, asked_again: bool
+) -> None:
     """The failure met, twice on a busy machine: a scheduler was killed behind a request that it had
     read from a kept connection and sent on; the rig took it for untaken, and the job ran in a second zone."""
+
     async def run() -> None:
         heads: list[int] = []
 
@@ -196,12 +231,15 @@
             return lambda reader, writer: serve(place, reader, writer)
 
         servers = [await asyncio.start_server(on(place), "127.0.0.1", 0) for place in range(2)]
-        places = [SimpleNamespace(place=place, starts=1, up=True, killed=0, real=("127.0.0.1", 0))
-                  for place in range(2)]
+        places = [
+            SimpleNamespace(place=place, starts=1, up=True, killed=0, real=("127.0.0.1", 0))
+            for place in range(2)
+        ]
         rig = Play.__new__(Play)
         rig.processes, rig.targets, rig._rng = SimpleNamespace(all=places), {}, random.Random(2)  # type: ignore
-        rig._clients = {place: HttpClients(server.sockets[0].getsockname()[1])
-                        for place, server in enumerate(servers)}
+        rig._clients = {
+            place: HttpClients(server.sockets[0].getsockname()[1]) for place, server in enumerate(servers)
+        }
         jobs = [Asked(token, "http-v1", job_class, token, "t", 1.0, 1) for token in ("a", "b")]
         for job in jobs:
             await rig._asked(job, places[0])  # type: ignore[arg-type]
--- a/tests/test_four_rules.py
+++ b/tests/test_four_rules.py
@@ -30,14 +30,36 @@
 )
 
 CONFIGS = [
-    settings(effect, group, limits=Limits(cancel=cancel, parallel=parallel, max_attempts=4),
-             tells_start=tells, list_on_request=ask, progress=1000.0)
-    for effect, group in [(Effect.SAFE, Group.ALL), (Effect.UNSAFE, Group.ALL), (Effect.KEYED, Group.ALL),
-                          (Effect.KEYED, Group.ZONE), (Effect.KEYED, Group.CELL)]
-    for cancel, parallel, tells, ask in [(True, True, True, True), (False, False, False, False),
-                                         (True, False, True, False), (False, True, True, True)]]
-STEPS = st.lists(st.tuples(st.sampled_from(["submit", "end", "note", "list", "wait", "withdraw", "stray"]),
-                           st.integers(0, 1 << 16)), min_size=5, max_size=60)
+    settings(
+        effect,
+        group,
+        limits=Limits(cancel=cancel, parallel=parallel, max_attempts=4),
+        tells_start=tells,
+        list_on_request=ask,
+        progress=1000.0,
+    )
+    for effect, group in [
+        (Effect.SAFE, Group.ALL),
+        (Effect.UNSAFE, Group.ALL),
+        (Effect.KEYED, Group.ALL),
+        (Effect.KEYED, Group.ZONE),
+        (Effect.KEYED, Group.CELL),
+    ]
+    for cancel, parallel, tells, ask in [
+        (True, True, True, True),
+        (False, False, False, False),
+        (True, False, True, False),
+        (False, True, True, True),
+    ]
+]
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(["submit", "end", "note", "list", "wait", "withdraw", "stray"]),
+        st.integers(0, 1 << 16),
+    ),
+    min_size=5,
+    max_size=60,
+)
 
 
 def play(bench: Bench, steps: list[tuple[str, int]]) -> None:
@@ -92,8 +114,11 @@
             state = State(pick // 16 % 3)
             listed[place] = replace(listed[place], state=state)
             whole = tuple(entry for entry in listed if entry.state is not State.GONE)
-            news = [ListNews(ListKind.DELTA, pick, (listed[place],)), ListNews(ListKind.FULL, pick, whole),
-                    ListNews(ListKind.FAILED)]
+            news = [
+                ListNews(ListKind.DELTA, pick, (listed[place],)),
+                ListNews(ListKind.FULL, pick, whole),
+                ListNews(ListKind.FAILED),
+            ]
             bench.feed(news[pick // 64 % 3])
         elif kind == "withdraw" and job:
             target = 1 + pick % job
@@ -131,8 +156,12 @@
     checker.action(1.0, Refuse(1))
     checker.action(1.0, Fail(1))
     checker.action(2.0, Send(1, worker_id(2)))
-    assert {"unsafe job repeated", "refused though it may have run", "answered twice",
-            "sent after the end"} <= set(checker.faults)
+    assert {
+        "unsafe job repeated",
+        "refused though it may have run",
+        "answered twice",
+        "sent after the end",
+    } <= set(checker.faults)
 
     checker = checker_with(Effect.KEYED, Group.ZONE)
     checker.action(1.0, Send(1, worker_id(3)))
@@ -155,5 +184,9 @@
     checker.action(112.0, Send(1, worker_id(77)))
     checker.close(1021.0)
     checker.action(1030.0, Fail(1))
-    assert checker.faults == ["sent to a drained worker", "sent to a worker never listed", "never answered",
-                              "answered late"]
+    assert checker.faults == [
+        "sent to a drained worker",
+        "sent to a worker never listed",
+        "never answered",
+        "answered late",
+    ]
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -12,8 +12,17 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 from hyperframe.frame import (
-    ContinuationFrame, DataFrame, Frame, GoAwayFrame, HeadersFrame, PingFrame, PushPromiseFrame,
-    RstStreamFrame, SettingsFrame, WindowUpdateFrame)
+    ContinuationFrame,
+    DataFrame,
+    Frame,
+    GoAwayFrame,
+    HeadersFrame,
+    PingFrame,
+    PushPromiseFrame,
+    RstStreamFrame,
+    SettingsFrame,
+    WindowUpdateFrame,
+)
 
 from pipitshed.decisions.interface import Send
 from pipitshed.egress.grpc_connection import UNREAD_LIMIT, Connection
@@ -55,18 +64,34 @@
 
 events = st.one_of(
     st.builds(lambda share: pb.RunEvent(id="r1", running=pb.Running(share=share)), st.floats()),
-    st.just(pb.RunEvent(id="r1", started=pb.Started())), st.just(pb.RunEvent(id="r2", done=pb.Done())),
+    st.just(pb.RunEvent(id="r1", started=pb.Started())),
+    st.just(pb.RunEvent(id="r2", done=pb.Done())),
     st.just(pb.RunEvent(id="r1", done=pb.Done(offer=pb.Offer(price_cents=1, departs_ms=0)))),
-    st.just(pb.RunEvent(id="r1", returned=pb.Returned())), st.just(pb.RunEvent(id="r1"))).map(
-        lambda event: frame(event.SerializeToString()))
-payloads = st.one_of(events, st.binary(max_size=40), st.just(b"\x01\x00\x00\x00\x02hi"),
-                     st.just((MESSAGE_LIMIT + 1).to_bytes(5, "big")))
-heads = st.sampled_from([
-    encoded((":status", "200"), ("content-type", "application/grpc")), encoded((":status", "503")),
-    encoded((":status", "200"), ("content-type", "application/grpc"), ("grpc-status", "14")),
-    encoded((":status", "200"), ("content-type", "application/grpc"), ("grpc-status", "x"),
-            ("grpc-retry-pushback-ms", "never")),
-    encoded(("grpc-status", "0")), encoded(("grpc-status", "12")), b"\xff\xff\xff"])
+    st.just(pb.RunEvent(id="r1", returned=pb.Returned())),
+    st.just(pb.RunEvent(id="r1")),
+).map(lambda event: frame(event.SerializeToString()))
+payloads = st.one_of(
+    events,
+    st.binary(max_size=40),
+    st.just(b"\x01\x00\x00\x00\x02hi"),
+    st.just((MESSAGE_LIMIT + 1).to_bytes(5, "big")),
+)
+heads = st.sampled_from(
+    [
+        encoded((":status", "200"), ("content-type", "application/grpc")),
+        encoded((":status", "503")),
+        encoded((":status", "200"), ("content-type", "application/grpc"), ("grpc-status", "14")),
+        encoded(
+            (":status", "200"),
+            ("content-type", "application/grpc"),
+            ("grpc-status", "x"),
+            ("grpc-retry-pushback-ms", "never"),
+        ),
+        encoded(("grpc-status", "0")),
+        encoded(("grpc-status", "12")),
+        b"\xff\xff\xff",
+    ]
+)
 streams = st.sampled_from([0, 1, 1, 1, 3, 2, 5])
 
 
@@ -80,29 +105,52 @@
 
 
 frames = st.one_of(
-    st.builds(lambda number, data, flags: made(DataFrame, number, data=data, flags=flags), streams, payloads,
-              st.sampled_from([["END_STREAM"], []])),
-    st.builds(lambda number, data, flags: made(HeadersFrame, number, data=data, flags=flags), streams, heads,
-              st.sampled_from([["END_HEADERS"], ["END_HEADERS", "END_STREAM"], []])),
-    st.builds(lambda number, data: made(ContinuationFrame, number, data=data, flags=["END_HEADERS"]),
-              streams, heads),
-    st.builds(lambda number, code: made(RstStreamFrame, number, error_code=code), streams,
-              st.integers(0, 14)),
-    st.builds(lambda last, code: made(GoAwayFrame, 0, last_stream_id=last, error_code=code),
-              st.sampled_from([0, 1, 3, 2**31 - 1]), st.integers(0, 14)),
-    st.builds(lambda which, value: made(SettingsFrame, 0, settings={which: value}), st.integers(1, 6),
-              st.sampled_from([0, 1, 100, 2**14, 2**31 - 1, 2**32 - 1])),
-    st.just(made(SettingsFrame, 0, flags=["ACK"])), st.just(made(PingFrame, 0, opaque_data=b"12345678")),
-    st.builds(lambda number, size: made(WindowUpdateFrame, number, window_increment=size), streams,
-              st.sampled_from([1, 2**31 - 1])),
+    st.builds(
+        lambda number, data, flags: made(DataFrame, number, data=data, flags=flags),
+        streams,
+        payloads,
+        st.sampled_from([["END_STREAM"], []]),
+    ),
+    st.builds(
+        lambda number, data, flags: made(HeadersFrame, number, data=data, flags=flags),
+        streams,
+        heads,
+        st.sampled_from([["END_HEADERS"], ["END_HEADERS", "END_STREAM"], []]),
+    ),
+    st.builds(
+        lambda number, data: made(ContinuationFrame, number, data=data, flags=["END_HEADERS"]), streams, heads
+    ),
+    st.builds(
+        lambda number, code: made(RstStreamFrame, number, error_code=code), streams, st.integers(0, 14)
+    ),
+    st.builds(
+        lambda last, code: made(GoAwayFrame, 0, last_stream_id=last, error_code=code),
+        st.sampled_from([0, 1, 3, 2**31 - 1]),
+        st.integers(0, 14),
+    ),
+    st.builds(
+        lambda which, value: made(SettingsFrame, 0, settings={which: value}),
+        st.integers(1, 6),
+        st.sampled_from([0, 1, 100, 2**14, 2**31 - 1, 2**32 - 1]),
+    ),
+    st.just(made(SettingsFrame, 0, flags=["ACK"])),
+    st.just(made(PingFrame, 0, opaque_data=b"12345678")),
+    st.builds(
+        lambda number, size: made(WindowUpdateFrame, number, window_increment=size),
+        streams,
+        st.sampled_from([1, 2**31 - 1]),
+    ),
     st.just(made(PushPromiseFrame, 1, promised_stream_id=2, data=b"\x88", flags=["END_HEADERS"])),
-    st.binary(max_size=30), st.just(b"HTTP/1.1 400 Bad Request\r\n\r\n"))
+    st.binary(max_size=30),
+    st.just(b"HTTP/1.1 400 Bad Request\r\n\r\n"),
+)
 
 
 @settings(max_examples=CASES, deadline=None, suppress_health_check=list(HealthCheck))
 @given(st.lists(frames, max_size=12), st.booleans(), st.integers(1, 64), st.integers(0, 12))
 def test_any_frames_leave_one_outcome_for_each_attempt(
-        parts: list[bytes], greets: bool, piece: int, drop: int) -> None:
+    parts: list[bytes], greets: bool, piece: int, drop: int
+) -> None:
     async def run() -> None:
         faults: list[Any] = []
         loop = asyncio.get_running_loop()
@@ -122,7 +170,7 @@
             for place in range(0, len(data), piece):
                 if connection.over or transport.closed:
                     break
-                connection.data_received(data[place:place + piece])
+                connection.data_received(data[place : place + piece])
                 if place // piece == drop:
                     world.leave(callers[0])
             await asyncio.sleep(0)
--- a/tests/test_gearman_front.py
+++ b/tests/test_gearman_front.py
@@ -127,13 +127,16 @@
         await draining.expect(Kind.NO_JOB)
 
 
-@pytest.mark.parametrize(("function", "kinds"), [
-    (b"plan_quote", [Kind.WORK_WARNING, Kind.WORK_FAIL]), (b"book_pallet", [Kind.WORK_FAIL])])
+@pytest.mark.parametrize(
+    ("function", "kinds"),
+    [(b"plan_quote", [Kind.WORK_WARNING, Kind.WORK_FAIL]), (b"book_pallet", [Kind.WORK_FAIL])],
+)
 def test_the_answer_comes_before_the_deadline(function: bytes, kinds: list[Kind]) -> None:
     """And the attempt ends with it: its worker's connection is closed."""
+
     @story
     async def run() -> None:
-        async with program(front=FRONT.replace(' }', ', patience-s = 0.3 }')) as running:
+        async with program(front=FRONT.replace(" }", ", patience-s = 0.3 }")) as running:
             worker, client = [await GearmanPeer.to(running.gearman_port) for _ in range(2)]
             await worker.register(function)
             begun = asyncio.get_running_loop().time()
@@ -142,6 +145,7 @@
             assert [(await client.hear())[0] for _ in kinds] == kinds
             assert asyncio.get_running_loop().time() - begun < 0.3
             assert await worker.reader.read() == b""
+
     run()
 
 
@@ -165,9 +169,14 @@
 @story
 async def test_bad_packets_are_said_so_and_closed_and_split_ones_are_put_together() -> None:
     async with Planner("p1") as planner, program(planner, front=FRONT) as running:
-        for data in [b"\0RES" + bytes(8), HEAD.pack(REQUEST, 999, 0), HEAD.pack(REQUEST, 7, 1 << 30),
-                     pack(Kind.SUBMIT_JOB, b"plan_quote", magic=REQUEST), pack(Kind.NOOP, magic=REQUEST),
-                     pack(Kind.CAN_DO_TIMEOUT, b"plan_quote", b"soon", magic=REQUEST)]:
+        for data in [
+            b"\0RES" + bytes(8),
+            HEAD.pack(REQUEST, 999, 0),
+            HEAD.pack(REQUEST, 7, 1 << 30),
+            pack(Kind.SUBMIT_JOB, b"plan_quote", magic=REQUEST),
+            pack(Kind.NOOP, magic=REQUEST),
+            pack(Kind.CAN_DO_TIMEOUT, b"plan_quote", b"soon", magic=REQUEST),
+        ]:
             peer = await GearmanPeer.to(running.gearman_port)
             peer.writer.write(data)
             assert (await peer.expect(Kind.ERROR))[0] == b"ERR_BAD_PACKET"
@@ -175,7 +184,7 @@
         client = await GearmanPeer.to(running.gearman_port)
         whole = pack(Kind.SUBMIT_JOB, b"plan_quote", b"", b"a\0b", magic=REQUEST)
         for place in range(len(whole)):
-            client.writer.write(whole[place:place + 1])
+            client.writer.write(whole[place : place + 1])
             await asyncio.sleep(0)
         [handle] = await client.expect(Kind.JOB_CREATED)
         assert await client.expect(Kind.WORK_COMPLETE) == [handle, b"plan of a", b"b"]
@@ -211,8 +220,11 @@
         assert await client.expect(Kind.STATUS_RES) == [handle, b"0", b"0", b"0", b"0"]
 
 
-JOBS = [(name, body) for name in ("quote", "book") for body in
-        (b"serve", b"serve", b"lose", b"serve", b"fail", b"serve", b"stall", b"serve")]
+JOBS = [
+    (name, body)
+    for name in ("quote", "book")
+    for body in (b"serve", b"serve", b"lose", b"serve", b"fail", b"serve", b"stall", b"serve")
+]
 
 
 async def over_http(port: int, count: Any) -> None:
@@ -234,8 +246,11 @@
         if kind is Kind.WORK_WARNING:
             assert await client.expect(Kind.WORK_FAIL) == [handle]
         assert arguments[0] == handle
-        count[name, body, {Kind.WORK_COMPLETE: "served", Kind.WORK_WARNING: "refused",
-                           Kind.WORK_FAIL: "failed"}[kind]] += 1
+        count[
+            name,
+            body,
+            {Kind.WORK_COMPLETE: "served", Kind.WORK_WARNING: "refused", Kind.WORK_FAIL: "failed"}[kind],
+        ] += 1
     client.say(Kind.ECHO_REQ, b"last")
     count["one answer each", (await client.hear())[0] is Kind.ECHO_RES] += 1
 
@@ -276,12 +291,12 @@
             worker.writer.transport.abort()
 
     front = FRONT.replace(" }", ", patience-s = 1.0 }")
-    async with Planner("p1", act=act) as planner, program(
-            planner, front=front, settings=ONCE) as running:
+    async with Planner("p1", act=act) as planner, program(planner, front=front, settings=ONCE) as running:
         worker = asyncio.create_task(work(running.gearman_port))
         counts: dict[str, Counter[object]] = {"http": Counter(), "gearman": Counter()}
-        await asyncio.gather(over_http(running.port, counts["http"]),
-                             over_gearman(running.gearman_port, counts["gearman"]))
+        await asyncio.gather(
+            over_http(running.port, counts["http"]), over_gearman(running.gearman_port, counts["gearman"])
+        )
         worker.cancel()
     assert counts["http"] == counts["gearman"]
     assert counts["http"]["one answer each", True] == 1 and counts["http"]["book", b"lose", "failed"] == 1
--- a/tests/test_grpc_egress.py
+++ b/tests/test_grpc_egress.py
@@ -28,14 +28,16 @@
         assert (told["x-request-id"], told["x-class"], told["x-tenant"]) == ("r1", "book", "andes-retail")
         assert (told["idempotency-key"], told["x-slots"], told["x-memory"]) == ("k 1", "2", "1.5")
         assert told["grpc-timeout"].endswith("u") and int(told["grpc-timeout"][:-1]) <= 3_970_000
-        job = pb.RunRequest.FromString(call.body[PREFIX.size:])
+        job = pb.RunRequest.FromString(call.body[PREFIX.size :])
         assert (job.book.origin, job.book.pallets, job.book.dock) == ("LIM", 2, "any")
         call.started()
         call.event(running=pb.Running(share=0.5))
         call.done(stops=["LIM", "AQP"])
         how, result = await caller.answer()
         assert (how, result) == (
-            "served", b'{"booking_ref":"B-1","departs":"2027-01-15T08:00:00Z","stops":["LIM","AQP"]}')
+            "served",
+            b'{"booking_ref":"B-1","departs":"2027-01-15T08:00:00Z","stops":["LIM","AQP"]}',
+        )
         assert caller.notes == [(NoteKind.STARTED, 0.0), (NoteKind.PROGRESS, 0.5)]
 
 
@@ -106,6 +108,7 @@
 async def test_a_late_answer_to_a_cancelled_attempt_leaves_the_others_alone() -> None:
     """Guards the connection: the head of an answer on a stream that was called off and is forgotten is no
     stream that the planner opens."""
+
     def apart(call: Call) -> None:
         """The planner answers as though it had not read of the cancel yet."""
         call.peer.data_received = lambda data: None  # type: ignore[method-assign]
@@ -128,8 +131,7 @@
 
 @story
 async def test_goaway_splits_streams_by_its_last_id_and_is_word_of_a_drain() -> None:
-    async with (GrpcPlanner("p1", act=silent) as leaving, GrpcPlanner("p2") as staying,
-                bench(leaving) as made):
+    async with GrpcPlanner("p1", act=silent) as leaving, GrpcPlanner("p2") as staying, bench(leaving) as made:
         callers = [made.ask("book") for _ in range(2)]
         await leaving.call(2)
         made.list(staying)
@@ -152,35 +154,43 @@
         made.ask()
         (await planner.call(1)).peer.goaway(2**31 - 1)
         await asyncio.sleep(0.05)
-        for changes, ready in [({}, False), ({"started_at": 0.0}, False), ({"started_at": 9.0}, True),
-                               ({"started_at": 9.0, "state": State.DRAINING}, False)]:
+        for changes, ready in [
+            ({}, False),
+            ({"started_at": 0.0}, False),
+            ({"started_at": 9.0}, True),
+            ({"started_at": 9.0, "state": State.DRAINING}, False),
+        ]:
             made.list(planner, **changes)
             await asyncio.sleep(0.02)
             assert made.core._dispatcher.workers[b"p1"].ready is ready, changes
 
 
-@pytest.mark.parametrize(("act", "tally"), [
-    (lambda call: call.refuse(h2.errors.ErrorCodes.REFUSED_STREAM), "FULL"),
-    (lambda call: call.refuse(h2.errors.ErrorCodes.INTERNAL_ERROR), "RESET"),
-    (lambda call: call.end(14), "RESET"),
-    (lambda call: call.end(14, x_not_run="1"), "FULL"),
-    (lambda call: call.end(8), "ERROR"),
-    (lambda call: call.end(4), "TIMEOUT"),
-    (lambda call: call.end(12), "CONNECT_FAILED"),
-    (lambda call: (call.started(), call.end(12)), "ERROR"),
-    (lambda call: (call.started(), call.end(0)), "RESET"),
-    (lambda call: (call.event(failed=pb.Failed(code="NO", text="road")), call.end(0)), "ERROR"),
-    (lambda call: (call.event(returned=pb.Returned()), call.end(0)), "FULL"),
-    (lambda call: call.event(returned=pb.Returned()), "FULL"),  # and never ends the stream
-    (lambda call: call.send(PREFIX.pack(1, 4) + b"gzip"), "RESET"),
-    (lambda call: call.send(PREFIX.pack(0, 2**31)), "RESET"),
-    (lambda call: call.raw(b"\xff\xff\xff"), "RESET"),
-    (lambda call: call.raw(pb.RunEvent(id="a", done=pb.Done()).SerializeToString()), "RESET"),
-    (lambda call: call.peer.transport.abort(), "RESET"),
-    (lambda call: call.peer.transport.write(b"nonsense that is no frame"), "RESET"),
-])
+@pytest.mark.parametrize(
+    ("act", "tally"),
+    [
+        (lambda call: call.refuse(h2.errors.ErrorCodes.REFUSED_STREAM), "FULL"),
+        (lambda call: call.refuse(h2.errors.ErrorCodes.INTERNAL_ERROR), "RESET"),
+        (lambda call: call.end(14), "RESET"),
+        (lambda call: call.end(14, x_not_run="1"), "FULL"),
+        (lambda call: call.end(8), "ERROR"),
+        (lambda call: call.end(4), "TIMEOUT"),
+        (lambda call: call.end(12), "CONNECT_FAILED"),
+        (lambda call: (call.started(), call.end(12)), "ERROR"),
+        (lambda call: (call.started(), call.end(0)), "RESET"),
+        (lambda call: (call.event(failed=pb.Failed(code="NO", text="road")), call.end(0)), "ERROR"),
+        (lambda call: (call.event(returned=pb.Returned()), call.end(0)), "FULL"),
+        (lambda call: call.event(returned=pb.Returned()), "FULL"),  # and never ends the stream
+        (lambda call: call.send(PREFIX.pack(1, 4) + b"gzip"), "RESET"),
+        (lambda call: call.send(PREFIX.pack(0, 2**31)), "RESET"),
+        (lambda call: call.raw(b"\xff\xff\xff"), "RESET"),
+        (lambda call: call.raw(pb.RunEvent(id="a", done=pb.Done()).SerializeToString()), "RESET"),
+        (lambda call: call.peer.transport.abort(), "RESET"),
+        (lambda call: call.peer.transport.write(b"nonsense that is no frame"), "RESET"),
+    ],
+)
 def test_what_comes_back_has_its_outcome(act: Any, tally: str) -> None:
     """By the table in docs/design/translation.md; where it may have run, this class forbids another run."""
+
     async def run() -> None:
         # One attempt each: on a busy machine a later one may be out at the deadline, and have run.
         alone = ONCE | {"permissions": SETTINGS["permissions"] | {"maxAttempts": 1}}
@@ -202,7 +212,7 @@
     """A planner that accepts and says nothing, and one that speaks HTTP/1.1: nothing of a request is written,
     so both prove that nothing ran."""
     wrong = []
-    async with (GrpcPlanner("mute") as mute, GrpcPlanner("old") as old, bench(mute) as made):
+    async with GrpcPlanner("mute") as mute, GrpcPlanner("old") as old, bench(mute) as made:
         mute.settings = old.settings = None
         caller = made.ask("book", patience=600.0)
         assert (await caller.answer())[0] == "refused"
@@ -232,15 +242,18 @@
         beside = made.ask("quote")
         assert (await beside.answer())[0] == "served" and not caller.told
         assert (await caller.answer())[0] == "served"
-        told = pb.RunRequest.FromString(planner.calls[-1].body[PREFIX.size:]).book.goods
+        told = pb.RunRequest.FromString(planner.calls[-1].body[PREFIX.size :]).book.goods
         assert len(told) == body.count(b"sku") and {one.count for one in told} == {7}
 
 
 @story
 async def test_a_request_cut_in_the_middle_of_its_body_never_ran() -> None:
     body = b'{"origin":"LIM","destination":"AQP","pallets":2,"remark":"' + b"x" * 3000 + b'"}'
-    async with (GrpcPlanner("p1", initial_window_size=10) as stuck, GrpcPlanner("p2") as other,
-                bench(stuck, settings=ONCE) as made):
+    async with (
+        GrpcPlanner("p1", initial_window_size=10) as stuck,
+        GrpcPlanner("p2") as other,
+        bench(stuck, settings=ONCE) as made,
+    ):
         stuck.opens = False
         caller = made.ask("book", body)
         await stuck.until(lambda: bool(stuck.peers and stuck.peers[0].calls))
@@ -273,8 +286,11 @@
     def vanish(call: Call) -> None:
         call.peer.data_received = lambda data: None  # type: ignore[method-assign]
 
-    async with (GrpcPlanner("p1", act=vanish) as gone, GrpcPlanner("p2") as other,
-                bench(gone, settings={"familyInfo": {"tellsStart": False}}, keepalive=0.1) as made):
+    async with (
+        GrpcPlanner("p1", act=vanish) as gone,
+        GrpcPlanner("p2") as other,
+        bench(gone, settings={"familyInfo": {"tellsStart": False}}, keepalive=0.1) as made,
+    ):
         caller = made.ask()
         await gone.call(1)
         made.list(other)
@@ -287,6 +303,7 @@
 async def test_pushback_is_heeded() -> None:
     """The next attempt waits as long as the planner says; a negative one is the last; one past the deadline
     is answered at once."""
+
     def full(text: str) -> Any:
         return lambda call: call.end(8, x_not_run="1", grpc_retry_pushback_ms=text)
 
@@ -308,8 +325,11 @@
 @pytest.mark.parametrize("zone", [0, 1])
 def test_a_book_cut_in_mid_stream_is_repeated_in_its_zone_alone(zone: int) -> None:
     async def run() -> None:
-        async with (GrpcPlanner("p1", act=silent) as first, GrpcPlanner("p2", zone) as second,
-                    bench(first) as made):
+        async with (
+            GrpcPlanner("p1", act=silent) as first,
+            GrpcPlanner("p2", zone) as second,
+            bench(first) as made,
+        ):
             caller = made.ask("book", patience=1500.0)
             (await first.call(1)).started()
             made.list(second)
@@ -338,12 +358,14 @@
     async with GrpcPlanner() as planner, bench(planner) as made:
         begun = made.loop.time()
         assert await made.ask("book", hazard).answer() == ("unfit", ("hazard", False))
-        for name, body in [("pallets", b'{"origin":"a","destination":"b","pallets":1.5}'),
-                           ("origin", b'{"origin":"a","origin":"b","destination":"b","pallets":1}'),
-                           ("weight", b'{"origin":"a","destination":"b","pallets":1,"weight":2}'),
-                           ("goods[0].sku",
-                            b'{"origin":"a","destination":"b","pallets":1,"goods":[{"count":1}]}'),
-                           ("the message", b'{"origin":"\xff"}'), ("the message", b"[" * 30_000)]:
+        for name, body in [
+            ("pallets", b'{"origin":"a","destination":"b","pallets":1.5}'),
+            ("origin", b'{"origin":"a","origin":"b","destination":"b","pallets":1}'),
+            ("weight", b'{"origin":"a","destination":"b","pallets":1,"weight":2}'),
+            ("goods[0].sku", b'{"origin":"a","destination":"b","pallets":1,"goods":[{"count":1}]}'),
+            ("the message", b'{"origin":"\xff"}'),
+            ("the message", b"[" * 30_000),
+        ]:
             assert await made.ask("book", body).answer() == ("unfit", (name, False))
         assert await made.ask("book", key="k\u00e9").answer() == ("unfit", ("key", False))
         assert made.loop.time() - begun < 0.5 and not planner.calls
@@ -366,7 +388,7 @@
 async def test_only_those_that_can_be_told_are_drawn() -> None:
     """Where both interfaces stand side by side, a wrong one costs no attempt."""
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
-    async with (GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, bench(newer, older) as made):
+    async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, bench(newer, older) as made:
         made.list(older, interface=1)
         # The stand-in of interface 1 speaks gRPC as well: here it counts that alone the draw goes there.
         made.core.routes._targets[b"p1"].interface = 1
--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -13,8 +13,9 @@
     async with Planner("p1") as planner, program(planner) as running:
         client = await HttpClient.to(running.port)
         for number in ("a1", "a2", "a3"):
-            client.ask(number, "book", b"four pallets", Idempotency_Key="k-" + number,
-                       X_Extras="slots=2,memory=1.5")
+            client.ask(
+                number, "book", b"four pallets", Idempotency_Key="k-" + number, X_Extras="slots=2,memory=1.5"
+            )
             assert (await client.answer())[::2] == (200, b"plan of four pallets")
         told = [run.headers for run in planner.runs]
         assert [headers["x-request-id"] for headers in told] == ["a1", "a2", "a3"]
@@ -27,10 +28,17 @@
     """Malformed, too long or unknown: an answer, a close, and the next client is served."""
     async with Planner("p1") as planner, program(planner) as running:
         for text, status in [
-                (b"nonsense\r\n\r\n", 400), (b"POST /api HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", 413),
-                (b"POST /api HTTP/1.1\r\nX-Long: " + b"a" * 40_000, 431),
-                (b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1000\r\n" + b"b" * 4096
-                 + (b"\r\n1000\r\n" + b"b" * 4096) * 17, 413)]:
+            (b"nonsense\r\n\r\n", 400),
+            (b"POST /api HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", 413),
+            (b"POST /api HTTP/1.1\r\nX-Long: " + b"a" * 40_000, 431),
+            (
+                b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
+                + b"1000\r\n"
+                + b"b" * 4096
+                + (b"\r\n1000\r\n" + b"b" * 4096) * 17,
+                413,
+            ),
+        ]:
             client = await HttpClient.to(running.port)
             client.writer.write(text)
             assert (await client.answer())[0] == status
@@ -46,8 +54,11 @@
 @story
 async def test_turned_away_goes_elsewhere_and_a_keyed_job_that_was_lost_stays_in_its_zone() -> None:
     far = Planner("p2", "arequipa", lambda run: run.say("returned"))
-    async with (Planner("p1", act=lambda run: run.say("returned")) as near, far,
-                program(near, far, settings={"weights": "off"}) as running):
+    async with (
+        Planner("p1", act=lambda run: run.say("returned")) as near,
+        far,
+        program(near, far, settings={"weights": "off"}) as running,
+    ):
         client = await HttpClient.to(running.port)
         client.ask("a1", "book", Idempotency_Key="k1")
         await near.wait_for(1)
@@ -58,14 +69,18 @@
         far.act = lambda run: run.say("lost")
         client.ask("a2", "book", Idempotency_Key="k2", X_Deadline="0.5")
         status, _, _ = await client.answer()
-        zones = {planner.zone for planner in (near, far)
-                     if any(run.headers["x-request-id"] == "a2" for run in planner.runs)}
+        zones = {
+            planner.zone
+            for planner in (near, far)
+            if any(run.headers["x-request-id"] == "a2" for run in planner.runs)
+        }
         assert status == 500 and len(zones) == 1
 
 
 @pytest.mark.parametrize("job_class, status", [("quote", 503), ("book", 500)])
 def test_a_silent_planner_costs_no_answer(job_class: str, status: int) -> None:
     """The final answer comes before the deadline, and the attempt's connection is closed with it."""
+
     @story
     async def run() -> None:
         async with Planner("p1", act=lambda run: run.say("started")) as planner, program(planner) as running:
@@ -76,6 +91,7 @@
             assert asyncio.get_running_loop().time() - begun < 0.3
             assert got == status and ("retry-after" in headers) == (status == 503)
             await planner.runs[0].dropped()
+
     run()
 
 
@@ -95,8 +111,12 @@
 @story
 async def test_a_drain_is_kept_and_a_watch_that_ends_is_asked_for_again() -> None:
     """What one watch said of a drain holds when it is cut off and the next is silent of it."""
-    async with (Planner("p1") as old, Planner("p2") as new, Catalog(old) as catalog,
-                program(old, catalog=catalog, settings={"rules": {"askWithin": 500.0}}) as running):
+    async with (
+        Planner("p1") as old,
+        Planner("p2") as new,
+        Catalog(old) as catalog,
+        program(old, catalog=catalog, settings={"rules": {"askWithin": 500.0}}) as running,
+    ):
         watch = await catalog.watches.get()
         client = await HttpClient.to(running.port)
         client.ask("a1")
@@ -105,14 +125,14 @@
         catalog.tell(watch, False, [old.line("draining"), new.line()])
         await watch.drain()
         while not new.runs:  # until the news is in
-                client.ask(f"b{len(old.runs)}")
-                await client.answer()
+            client.ask(f"b{len(old.runs)}")
+            await client.answer()
         seen = len(old.runs)
         watch.transport.abort()
         await catalog.watches.get()
         for number in range(20):
-                client.ask(f"c{number}")
-                assert (await client.answer())[0] == 200
+            client.ask(f"c{number}")
+            assert (await client.answer())[0] == 200
         assert len(old.runs) == seen
 
 
@@ -120,11 +140,17 @@
 async def test_sighup_follows_discovery_and_keeps_what_runs() -> None:
     """The failure met: SIGHUP ended the program (exit 129). A file that is no use must change nothing; one
     that names another discovery is followed at once, from the version known, under a job that runs."""
+
     def act(run: Run) -> None:
         run.say("started")
 
-    async with (Planner("p1", act=act) as old, Planner("p2") as new, Catalog(old) as first,
-                Catalog(old, new) as second, program(old, catalog=first) as running):
+    async with (
+        Planner("p1", act=act) as old,
+        Planner("p2") as new,
+        Catalog(old) as first,
+        Catalog(old, new) as second,
+        program(old, catalog=first) as running,
+    ):
         await first.watches.get()
         client = await HttpClient.to(running.port)
         client.ask("a1", "book", Idempotency_Key="k1", X_Deadline="15.000")
@@ -218,6 +244,7 @@
 @story
 async def test_a_watch_that_is_refused_or_falls_silent_is_asked_for_again() -> None:
     """A 503, then a watch without its heartbeat: both are failed list news, and another watch follows."""
+
     class Busy(Catalog):
         calls = 0
 
@@ -229,8 +256,11 @@
             else:
                 await super().serve(reader, writer)
 
-    async with (Planner("p1") as planner, Busy(planner) as catalog,
-                program(catalog=catalog, settings={"rules": {"askWithin": 500.0}}) as running):
+    async with (
+        Planner("p1") as planner,
+        Busy(planner) as catalog,
+        program(catalog=catalog, settings={"rules": {"askWithin": 500.0}}) as running,
+    ):
         await catalog.watches.get()
         client = await HttpClient.to(running.port)
         client.ask("a1")
@@ -244,6 +274,7 @@
 async def test_a_watch_that_stops_in_the_middle_of_its_news_is_asked_again_at_once() -> None:
     """The failure met: half a line counted as a sign of life for 3 s and the next call was silent too, so a
     drain was learnt 7.5 s late. The second call here stops behind its head, the first inside a line."""
+
     class Halting(Catalog):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             if len(self.asked) < 2:
@@ -252,7 +283,7 @@
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 if len(self.asked) == 1:
                     self.tell(writer, True, [])
-                    writer.write(b"20\r\n{\"generation\":")
+                    writer.write(b'20\r\n{"generation":')
                 await reader.read()
             else:
                 await super().serve(reader, writer)
@@ -290,18 +321,24 @@
     of it. A trailer does not replace what the head said."""
     async with Planner("p1") as planner, program(planner) as running:
         for text in [
-                post("X-Request-Id: a1", "X-Request-Id: a2"), post("X-Request-Id: a\xe9"), post(),
-                post("X-Request-Id: a1", "Transfer-Encoding: chunked"),
-                post("X-Request-Id: a1", "X-Deadline: 1_0"), post("X-Request-Id: a1", "X-Deadline: nan"),
-                post("X-Request-Id: a1", "Upgrade: h2c", "Connection: Upgrade")]:
+            post("X-Request-Id: a1", "X-Request-Id: a2"),
+            post("X-Request-Id: a\xe9"),
+            post(),
+            post("X-Request-Id: a1", "Transfer-Encoding: chunked"),
+            post("X-Request-Id: a1", "X-Deadline: 1_0"),
+            post("X-Request-Id: a1", "X-Deadline: nan"),
+            post("X-Request-Id: a1", "Upgrade: h2c", "Connection: Upgrade"),
+        ]:
             client = await HttpClient.to(running.port)
             client.writer.write(text)
             assert (await client.answer())[0] == 400
             assert await client.reader.read() == b""
         assert not planner.runs
         client = await HttpClient.to(running.port)
-        client.writer.write(b"POST /api HTTP/1.1\r\nX-Class: quote\r\nX-Request-Id: b1\r\n"
-                            b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nX-Request-Id: b2\r\n\r\n")
+        client.writer.write(
+            b"POST /api HTTP/1.1\r\nX-Class: quote\r\nX-Request-Id: b1\r\n"
+            b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nX-Request-Id: b2\r\n\r\n"
+        )
         assert (await client.answer())[::2] == (200, b"plan of abc")
         assert planner.runs[0].headers["x-request-id"] == "b1"
 
@@ -359,11 +396,13 @@
     trailer."""
     async with Planner("p1") as planner, program(planner) as running:
         client = await HttpClient.to(running.port)
-        text = (b"POST /api HTTP/1.1\r\nHost: service.internal\r\nx-request-id:a1 \r\nX-Class: \tquote \t\r\n"
-                b"X-Tenant: andes-retail  \r\nX-Deadline: 5.000 \r\nX-Trace-State: " + b"t" * 900 + b"\r\n"
-                b"Transfer-Encoding: chunked\r\n\r\n3;part=1\r\npal\r\n4\r\nlets\r\n0\r\nX-Sum: 5f3a\r\n\r\n")
+        text = (
+            b"POST /api HTTP/1.1\r\nHost: service.internal\r\nx-request-id:a1 \r\nX-Class: \tquote \t\r\n"
+            b"X-Tenant: andes-retail  \r\nX-Deadline: 5.000 \r\nX-Trace-State: " + b"t" * 900 + b"\r\n"
+            b"Transfer-Encoding: chunked\r\n\r\n3;part=1\r\npal\r\n4\r\nlets\r\n0\r\nX-Sum: 5f3a\r\n\r\n"
+        )
         for place in range(0, len(text), 7):
-            client.writer.write(text[place:place + 7])
+            client.writer.write(text[place : place + 7])
             await client.writer.drain()
         assert (await client.answer())[::2] == (200, b"plan of pallets")
         assert planner.runs[0].headers["x-request-id"] == "a1"
@@ -376,14 +415,16 @@
     way stayed."""
     async with Planner("p1") as planner, program(planner, sockets=40) as running:
         slow = await HttpClient.to(running.port)
-        text = (b"POST /api HTTP/1.1\r\nHost: service.internal\r\nX-Request-Id: s1\r\nX-Class: quote\r\n"
-                b"X-Tenant: andes-retail\r\nX-Deadline: 5.000\r\nContent-Length: 7\r\n\r\npallets")
+        text = (
+            b"POST /api HTTP/1.1\r\nHost: service.internal\r\nX-Request-Id: s1\r\nX-Class: quote\r\n"
+            b"X-Tenant: andes-retail\r\nX-Deadline: 5.000\r\nContent-Length: 7\r\n\r\npallets"
+        )
         halted = [await HttpClient.to(running.port) for _ in range(15)]
         for client in halted:
             client.writer.write(b"POST /api HTTP/1.1\r\nHost: service.internal\r\nX-Req")
         loop = asyncio.get_running_loop()
         begun = loop.time()
-        pieces = [text[place:place + 12] for place in range(0, len(text), 12)]
+        pieces = [text[place : place + 12] for place in range(0, len(text), 12)]
         crowd: list[HttpClient] = []
         for piece in pieces:
             slow.writer.write(piece)
--- a/tests/test_interfaces.py
+++ b/tests/test_interfaces.py
@@ -23,17 +23,22 @@
         self.later: list[tuple[float, Callable[[], None]]] = []
         self.table = RouteTable(self.news.append)
         self.interfaces = Interfaces(
-            self.table, {1: "http", 2: "grpc"}, told or {}, default,  # type: ignore[dict-item]
+            self.table,
+            {1: "http", 2: "grpc"},
+            told or {},
+            default,  # type: ignore[dict-item]
             lambda worker, address: self.asked.append((worker, address)),
-            lambda wait, what: self.later.append((wait, what)))
+            lambda wait, what: self.later.append((wait, what)),
+        )
         self.listing = Listing("test", Names(["z"]), Names([]), "http", self.interfaces)  # type: ignore[arg-type]
 
     def list(self, *rows: Instance) -> None:
         self.table.fill("test", ListKind.DELTA, 1, [self.listing.line(row) for row in rows])
 
     def entry(self, name: str) -> Any:
-        return next(entry for news in reversed(self.news) for entry in news.entries
-                    if entry.worker == name.encode())
+        return next(
+            entry for news in reversed(self.news) for entry in news.entries if entry.worker == name.encode()
+        )
 
 
 def row(name: str = "p1", started: float = 1.0, **more: Any) -> Instance:
@@ -126,8 +131,12 @@
     found: dict[bytes, int] = {}
     loop = asyncio.get_running_loop()
     sounder = Sounder(loop, lambda worker, address, interface: found.update({worker: interface}))
-    async with (GrpcPlanner() as newer, Planner("old") as older, GrpcPlanner() as mute,
-                GrpcPlanner() as leaving):
+    async with (
+        GrpcPlanner() as newer,
+        Planner("old") as older,
+        GrpcPlanner() as mute,
+        GrpcPlanner() as leaving,
+    ):
         mute.settings = None
         sounder.sound(b"newer", ("127.0.0.1", newer.port))
         sounder.sound(b"older", ("127.0.0.1", older.port))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -12,8 +12,9 @@
 
 
 def run(path: Path):
-    return subprocess.run([sys.executable, SCRIPT, path], capture_output=True, text=True, timeout=20,
-                          check=False)
+    return subprocess.run(
+        [sys.executable, SCRIPT, path], capture_output=True, text=True, timeout=20, check=False
+    )
 
 
 def test_without_the_file_nothing_is_passed_over(tmp_path):
@@ -29,13 +30,16 @@
     assert done.stderr.count("known red") == 2 and "a cause" in done.stderr
 
 
-@pytest.mark.parametrize("text", [
-    "tests/a.py::test_one | a cause\n",
-    "tests/a.py::test_one | | 33\n",
-    "tests/a.py | a whole file | 33\n",
-    "tests/a.py::test_one -k none | an option more | 33\n",
-    "tests/a.py::test_one | cause | 33\n" * 4,
-])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "tests/a.py::test_one | a cause\n",
+        "tests/a.py::test_one | | 33\n",
+        "tests/a.py | a whole file | 33\n",
+        "tests/a.py::test_one -k none | an option more | 33\n",
+        "tests/a.py::test_one | cause | 33\n" * 4,
+    ],
+)
 def test_a_file_that_breaks_its_rules_ends_ci(tmp_path, text):
     path = tmp_path / "KNOWN-RED.txt"
     path.write_text(text)
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -76,8 +76,10 @@
     rig.read(news_of(1, True, rows(1400, "ready")))
     await rig.turns(lambda: len(rig.told) == 1)
     lost = rows(657)
-    rig.read(*[news_of(2 + place, False, [row]) for place, row in enumerate(lost)],
-             news_of(700, False, [lost[5] | {"lifecycle": "ready", "startedAtMs": 9}]))
+    rig.read(
+        *[news_of(2 + place, False, [row]) for place, row in enumerate(lost)],
+        news_of(700, False, [lost[5] | {"lifecycle": "ready", "startedAtMs": 9}]),
+    )
     await rig.turns(lambda: len(rig.told) == 2)
     [change] = rig.told[1]
     assert change.kind is ListKind.DELTA and change.version == 700 == rig.discovery.version
@@ -98,12 +100,16 @@
     rig.read(news_of(3, False, [one | {"weight": 2.0}]), news_of(4, False, [two | {"weight": 2.0}]))
     await rig.turns(lambda: len(rig.told) == 1)
     assert [(news.kind, news.version, len(news.entries)) for news in rig.told[0]] == [
-        (ListKind.DELTA, 2, 2), (ListKind.FAILED, 0, 0), (ListKind.DELTA, 4, 2)]
+        (ListKind.DELTA, 2, 2),
+        (ListKind.FAILED, 0, 0),
+        (ListKind.DELTA, 4, 2),
+    ]
 
 
 @pytest.mark.parametrize("weights, told", [(Weights.ROUGH, 2), (Weights.LIVE, 1500)])
 def test_a_whole_list_tells_the_decisions_what_has_changed(weights: Weights, told: int) -> None:
     """One changed and one gone, of 1,500. Live weights are smoothed with each telling, so all are told."""
+
     async def run() -> None:
         rig = Rig(weights=weights)
         rig.read(news_of(1, True, rows(1500, "ready")))
@@ -116,8 +122,11 @@
         [change] = rig.told[1]
         assert len(change.entries) == told
         assert {entry.worker: entry.state for entry in change.entries if entry.state is not State.READY} == {
-            b"s-00000007": State.DRAINING, b"s-000005db": State.GONE}
+            b"s-00000007": State.DRAINING,
+            b"s-000005db": State.GONE,
+        }
         assert all(before[worker] is target for worker, target in rig.core.routes._targets.items())
+
     asyncio.run(run())
 
 
@@ -164,14 +173,22 @@
     table.on_interfaces = lambda: sets.append(table.interfaces())
     for _ in range(3000):
         source, worker = rng.choice("ab"), worker_id(rng.randrange(12))
-        entry = Entry(worker, state=rng.choice(list(State)), started_at=float(rng.randrange(3)),
-                      interface=rng.randrange(3))
+        entry = Entry(
+            worker,
+            state=rng.choice(list(State)),
+            started_at=float(rng.randrange(3)),
+            interface=rng.randrange(3),
+        )
         what = rng.random()
         if what < 0.8:
             line = (entry, Endpoint(worker, Mock(), None))
             more = (replace(entry, state=State.READY), line[1])
-            table.fill(source, rng.choice((ListKind.DELTA, ListKind.DELTA, ListKind.FULL)), 0, [line, more][
-                :rng.randrange(1, 3)])
+            table.fill(
+                source,
+                rng.choice((ListKind.DELTA, ListKind.DELTA, ListKind.FULL)),
+                0,
+                [line, more][: rng.randrange(1, 3)],
+            )
         elif what < 0.9:
             table.hold(worker)
         else:
--- a/tests/test_list_replaced.py
+++ b/tests/test_list_replaced.py
@@ -84,6 +84,7 @@
 @pytest.mark.parametrize("again", [False, True])
 def test_an_attempt_whose_connection_comes_up_long_after_its_planner_left_is_not_written(again: bool) -> None:
     """Forgotten meanwhile, its planner would have counted as one that nothing is known against."""
+
     @story
     async def run() -> None:
         async with Planner("p1") as planner, late_connections() as up:
@@ -109,6 +110,7 @@
             table.fill("test", ListKind.DELTA, 1, [(replace(other, weight=2.0), Mock())])
             assert (table.target(entry.worker) is not None) is again
             rig.carrier.close()
+
     run()
 
 
@@ -149,8 +151,11 @@
 async def test_a_connection_that_comes_up_for_nobody_is_closed_as_any_idle_one() -> None:
     """Its attempt may not begin any more, as the planner has left; nothing else would end the connection."""
     permissions = SETTINGS["permissions"] | {"idleClose": 100.0, "maxAttempts": 1}
-    async with (GrpcPlanner("p1") as planner, late_connections() as up,
-                bench(planner, settings={"permissions": permissions}) as made):
+    async with (
+        GrpcPlanner("p1") as planner,
+        late_connections() as up,
+        bench(planner, settings={"permissions": permissions}) as made,
+    ):
         caller = made.ask()
         while not made.carrier._all:
             await asyncio.sleep(0)
--- a/tests/test_list_sizes.py
+++ b/tests/test_list_sizes.py
@@ -20,9 +20,19 @@
 
 def rows(count: int, lifecycle: str = "draining") -> list[dict[str, object]]:
     """Planners that nothing is sent to, with names as long as real ones."""
-    return [{"instanceId": f"s-{number:08x}", "hostPort": f"10.{number >> 8}.{number & 255}.7:5000",
-             "zone": "lima-norte", "machineType": "standard", "cell": number // 12, "lifecycle": lifecycle,
-             "weight": 1.0, "startedAtMs": 0} for number in range(count)]
+    return [
+        {
+            "instanceId": f"s-{number:08x}",
+            "hostPort": f"10.{number >> 8}.{number & 255}.7:5000",
+            "zone": "lima-norte",
+            "machineType": "standard",
+            "cell": number // 12,
+            "lifecycle": lifecycle,
+            "weight": 1.0,
+            "startedAtMs": 0,
+        }
+        for number in range(count)
+    ]
 
 
 class Wide(Catalog):
@@ -41,8 +51,11 @@
 @story
 async def test_4600_planners_in_an_indented_list_are_taken_and_the_first_job_is_served() -> None:
     """The failure met: over a constant bound no list was taken, and the watch was opened again and again."""
-    async with Planner("p1") as planner, Wide(planner, others=4599, indent=2) as catalog, program(
-            catalog=catalog) as running:
+    async with (
+        Planner("p1") as planner,
+        Wide(planner, others=4599, indent=2) as catalog,
+        program(catalog=catalog) as running,
+    ):
         client = await HttpClient.to(running.port)
         client.ask("a1")
         assert (await client.answer())[0] == 200
@@ -52,14 +65,19 @@
 
 @pytest.mark.parametrize("indent", [None, 2])
 def test_a_list_beyond_the_bound_is_told_of_once_and_the_watch_and_the_known_list_stand(
-        indent: int | None) -> None:
+    indent: int | None,
+) -> None:
     """The list known serves on, the changes behind the long one are taken, and a call that follows asks from
     the version before it and brings no second line."""
+
     @story
     async def run() -> None:
-        async with (Planner("p1") as old, Planner("p2") as new,
-                    Wide(old, others=2500, indent=indent) as catalog,
-                    program(old, catalog=catalog, memory_mb=32) as running):
+        async with (
+            Planner("p1") as old,
+            Planner("p2") as new,
+            Wide(old, others=2500, indent=indent) as catalog,
+            program(old, catalog=catalog, memory_mb=32) as running,
+        ):
             watch = await catalog.watches.get()
             client = await HttpClient.to(running.port)
             client.ask("a1")
@@ -79,6 +97,7 @@
         told = [line for line in running.log if "WARNING" in line]
         size = len(news_of(2, True, [old.line(), *rows(2500)], indent))
         assert len(told) == 1 and f"a list of {size} bytes" in told[0] and str(256 * 1024) in told[0], told
+
     run()
 
 
@@ -98,8 +117,9 @@
     return call, table  # type: ignore[return-value]
 
 
-def news_of(version: int, reset: bool, instances: list[dict[str, object]],
-            indent: int | None = None) -> bytes:
+def news_of(
+    version: int, reset: bool, instances: list[dict[str, object]], indent: int | None = None
+) -> bytes:
     """A piece of news as a watch brings it."""
     text = json.dumps({"generation": version, "reset": reset, "instances": instances}, indent=indent)
     return text.encode() + b"\n"
@@ -115,7 +135,8 @@
 @pytest.mark.parametrize("form", ["compact", "indented", "row by row"])
 @pytest.mark.parametrize("size", [1, 1000, 64 * 1024])
 def test_long_news_in_pieces_is_tried_no_more_often_than_it_is_long(
-        form: str, size: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    form: str, size: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Each line that ended like a whole list was a try at all that had come: work grew with the square."""
     tried = 0
     decode = module._decode
@@ -130,7 +151,7 @@
     call, _ = _watch(told)
     text = _text(form, 400)
     for place in range(0, len(text), size):
-        part = text[place:place + size]
+        part = text[place : place + size]
         call.data_received(chunk(part))
     assert told == [400] and tried <= 2 * len(text)
 
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -17,12 +17,30 @@
 from loopback import PATIENCE, Catalog, HttpClient, Planner, Run, program
 
 from pipitshed.decisions.interface import (
-    Action, Cancel, Entry, Event, Finished, ListKind, ListNews, Note, NoteKind, Outcome, Send, Settings,
-    State, Submitted)
+    Action,
+    Cancel,
+    Entry,
+    Event,
+    Finished,
+    ListKind,
+    ListNews,
+    Note,
+    NoteKind,
+    Outcome,
+    Send,
+    Settings,
+    State,
+    Submitted,
+)
 from pipitshed.decisions.settings import settings_from
 
-REPRODUCIBLE = settings(derandomize=True, database=None, deadline=None, phases=(Phase.generate,),
-                        suppress_health_check=list(HealthCheck))
+REPRODUCIBLE = settings(
+    derandomize=True,
+    database=None,
+    deadline=None,
+    phases=(Phase.generate,),
+    suppress_health_check=list(HealthCheck),
+)
 
 
 SHORTEST_GRACE = 100.0  # ms
@@ -34,8 +52,9 @@
     def __init__(self, config: Settings, zones: int, seed: int) -> None:
         self.rng = random.Random(seed)
         self.config = config
-        self.entries = tuple(Entry(worker_id(n), zone=n % zones, cell=n // 3, weight=1.0 + n % 2)
-                             for n in range(1, 9))
+        self.entries = tuple(
+            Entry(worker_id(n), zone=n % zones, cell=n // 3, weight=1.0 + n % 2) for n in range(1, 9)
+        )
         self.bench = Bench(config, self.entries, seed)
         self.due: list[tuple[float, int, Event]] = []
         self.numbers = count()
@@ -67,7 +86,8 @@
             self.at(took * 0.6, Note(send.job, attempt, send.worker, NoteKind.PROGRESS, 0.5))
         outcome = self.rng.choices(
             (Outcome.OK, Outcome.FULL, Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.TIMEOUT),
-            (70, 12, 5, 5, 4, 4))[0]
+            (70, 12, 5, 5, 4, 4),
+        )[0]
         left = max(0.0, held.deadline - self.bench.now)
         if outcome is Outcome.TIMEOUT or took >= left:
             outcome, took = Outcome.TIMEOUT, left
@@ -75,8 +95,15 @@
 
     def _finished(self, send: Send, attempt: int, outcome: Outcome, took: float) -> Finished:
         report = tuple(self.rng.uniform(0, 6) for _ in self.config.report_fields)
-        return Finished(send.job, attempt, send.worker, outcome, took, outcome is Outcome.OK,
-                        report if outcome in (Outcome.OK, Outcome.FULL) else ())
+        return Finished(
+            send.job,
+            attempt,
+            send.worker,
+            outcome,
+            took,
+            outcome is Outcome.OK,
+            report if outcome in (Outcome.OK, Outcome.FULL) else (),
+        )
 
     def _still(self, event: Event) -> Event | None:
         """What becomes of an event by now: an attempt ends once, and one answer settles a job."""
@@ -108,14 +135,25 @@
     rng = random.Random(seed)
     for job in range(1, 61):
         number = rng.randrange(len(config.classes))
-        fleet.carry_out(fleet.bench.feed(Submitted(
-            job, config.classes[number].deadline, number, rng.randrange(max(1, len(config.tenants))),
-            slots=rng.choice((1.0, 1.0, 2.0)), work=rng.choice((None, 120.0)), key=rng.randrange(2**63))))
+        fleet.carry_out(
+            fleet.bench.feed(
+                Submitted(
+                    job,
+                    config.classes[number].deadline,
+                    number,
+                    rng.randrange(max(1, len(config.tenants))),
+                    slots=rng.choice((1.0, 1.0, 2.0)),
+                    work=rng.choice((None, 120.0)),
+                    key=rng.randrange(2**63),
+                )
+            )
+        )
         fleet.play(fleet.bench.now + rng.expovariate(1 / 40.0))
         if job in (25, 40):
             entry = fleet.entries[job // 20]
-            left = Entry(entry.worker, entry.zone, entry.cell,
-                         state=State.DRAINING if job == 25 else State.GONE)
+            left = Entry(
+                entry.worker, entry.zone, entry.cell, state=State.DRAINING if job == 25 else State.GONE
+            )
             fleet.carry_out(fleet.bench.feed(ListNews(ListKind.DELTA, job, (left,))))
     fleet.play(fleet.bench.now + 3000.0 + config.rules.answer_slack + 2 * config.tick)
     fleet.bench.checker.close(fleet.bench.now)
@@ -126,6 +164,7 @@
 
 def _serve(told: dict[str, Any]) -> Any:
     """A planner that tells of starts, progress and its load where the settings say so."""
+
     def act(run: Run) -> None:
         load = {}
         if told["stats"]["source"] == "inline" and told["stats"]["fields"]:
@@ -141,8 +180,10 @@
 
 async def _calm(told: dict[str, Any]) -> None:
     kinds, areas = told["shapes"], told["areas"] * 2
-    planners = [Planner(f"s-{place:08x}", zone, _serve(told), kinds[place % len(kinds)])
-                for place, zone in enumerate(areas)]
+    planners = [
+        Planner(f"s-{place:08x}", zone, _serve(told), kinds[place % len(kinds)])
+        for place, zone in enumerate(areas)
+    ]
     async with contextlib.AsyncExitStack() as stack:
         for planner in planners:
             await stack.enter_async_context(planner)
@@ -153,9 +194,16 @@
         async def ask(number: str) -> None:
             one = told["services"][zlib.crc32(number.encode()) % len(told["services"])]
             tenant = {"X_Tenant": told["tenants"][0]["name"]} if told["tenants"] else {}
-            client.ask(number, one["name"], f"body {number}".encode(), Idempotency_Key=f"k{number}",
-                       X_Deadline=f"{one['deadline'] / 1000:.3f}", X_Cost_Hint="120000",
-                       X_Extras="slots=1", **tenant)
+            client.ask(
+                number,
+                one["name"],
+                f"body {number}".encode(),
+                Idempotency_Key=f"k{number}",
+                X_Deadline=f"{one['deadline'] / 1000:.3f}",
+                X_Cost_Hint="120000",
+                X_Extras="slots=1",
+                **tenant,
+            )
             status, _, body = await client.answer()
             assert (status, body) == (200, f"plan of body {number}".encode())
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -55,8 +55,9 @@
 
 
 def test_picks_follow_the_listed_capacity() -> None:
-    workers = tuple(replace(entry, weight=1.0 + (place % 2) * 3, zone=0)
-                    for place, entry in enumerate(entries(8)))
+    workers = tuple(
+        replace(entry, weight=1.0 + (place % 2) * 3, zone=0) for place, entry in enumerate(entries(8))
+    )
     bench = Bench(settings(weights=Weights.ROUGH, zones=1), workers)
     counts = Counter(send.worker for send in serve(bench, 4000))
     heavy = sum(counts[worker_id(n)] for n in (2, 4, 6, 8))
@@ -64,8 +65,10 @@
 
 
 def test_without_weights_picks_are_even() -> None:
-    bench = Bench(settings(zones=1), tuple(replace(entry, weight=float(place)) for place, entry
-                                           in enumerate(entries(5))))
+    bench = Bench(
+        settings(zones=1),
+        tuple(replace(entry, weight=float(place)) for place, entry in enumerate(entries(5))),
+    )
     counts = Counter(send.worker for send in serve(bench, 2000))
     assert min(counts.values()) > 300
 
@@ -188,8 +191,9 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.ERROR])
 @pytest.mark.parametrize("effect", [Effect.SAFE, Effect.KEYED, Effect.UNSAFE])
-def test_a_job_that_broke_off_or_failed_is_drawn_again_where_its_class_allows(effect: Effect,
-                                                                              outcome: Outcome) -> None:
+def test_a_job_that_broke_off_or_failed_is_drawn_again_where_its_class_allows(
+    effect: Effect, outcome: Outcome
+) -> None:
     """The failures met: 51 requests on connections that had gone stale, and a planner that failed one job in
     ten of a day, each given up in a fleet with room."""
     bench = Bench(settings(effect, Group.ZONE, zones=2, tells_start=True), entries(9))
@@ -272,8 +276,9 @@
 @pytest.mark.parametrize("siblings", [1, 20])
 def test_cold_workers_get_their_part_from_all_siblings_together(siblings: int) -> None:
     rules = Rules(cold=10_000.0, cold_from=0.2, fall_multiple=3.0, fall_for=1000.0)
-    workers = tuple(replace(entry, started_at=990.0 if place == 0 else 0.0)
-                    for place, entry in enumerate(entries(10)))
+    workers = tuple(
+        replace(entry, started_at=990.0 if place == 0 else 0.0) for place, entry in enumerate(entries(10))
+    )
     cold = total = 0
     for seed in range(siblings):
         bench = Bench(settings(zones=1, rules=rules), workers, seed)
@@ -344,8 +349,12 @@
     [send] = sends_of(bench.feed(Submitted(1, 4000.0)))
     bench.finish(send, 0, Outcome.OK)
     assert bench.dispatcher.jobs == {}
-    late = bench.feed(TimerFired(999), Note(1, 0, send.worker, NoteKind.STARTED), Note(1, 5, send.worker, 9),
-                      Probed(worker_id(99), 1.0, Outcome.OK))
+    late = bench.feed(
+        TimerFired(999),
+        Note(1, 0, send.worker, NoteKind.STARTED),
+        Note(1, 5, send.worker, 9),
+        Probed(worker_id(99), 1.0, Outcome.OK),
+    )
     assert late == []
     assert all(isinstance(action, SetTimer) for action in bench.run(bench.now + 6000.0))
 
@@ -377,8 +386,9 @@
     its own. What reports say that others' jobs hold tells the part."""
     refused = []
     for others in (0.0, 9.0):
-        bench = Bench(settings(zones=1, tenants=(Tenant(1.0, 100.0),), siblings=4, report_fields=FIELDS),
-                      entries(9))
+        bench = Bench(
+            settings(zones=1, tenants=(Tenant(1.0, 100.0),), siblings=4, report_fields=FIELDS), entries(9)
+        )
         for job in range(1, 101):
             [send] = sends_of(bench.feed(Submitted(job, 4000.0)))
             bench.finish(send, 0, Outcome.OK, report=(9.0 - others * (job > 9), 0.0))
@@ -436,8 +446,9 @@
     at one worker there while others were idle, as nothing but a refusal counted as a lack of room."""
     config = settings(zone=1, zones=3, prices=Prices(cross_zone=0.01, handshake=0.02))
     bench = Bench(config, tuple(replace(entry, zone=place % 3) for place, entry in enumerate(entries(12))))
-    counts = Counter(send.worker for job in range(1, 37)
-                     for send in sends_of(bench.feed(Submitted(job, 4000.0))))
+    counts = Counter(
+        send.worker for job in range(1, 37) for send in sends_of(bench.feed(Submitted(job, 4000.0)))
+    )
     assert max(counts.values()) <= 5 and len(counts) >= 11
 
 
@@ -517,21 +528,27 @@
 
 def test_heavy_jobs_go_to_cold_workers_more_rarely() -> None:
     rules = Rules(cold=1e9, cold_from=0.5)
-    workers = tuple(replace(entry, started_at=990.0 if place == 0 else 0.0)
-                    for place, entry in enumerate(entries(5)))
+    workers = tuple(
+        replace(entry, started_at=990.0 if place == 0 else 0.0) for place, entry in enumerate(entries(5))
+    )
 
     def cold(slots: float) -> int:
         bench = Bench(settings(zones=1, rules=rules), workers)
         bench.dispatcher.means, bench.dispatcher.mean = [100.0], 100.0
-        return sum(send.worker == worker_id(1) for job in range(1, 1001)
-                   for send in sends_of(bench.feed(Submitted(job, 4000.0, slots=slots))))
+        return sum(
+            send.worker == worker_id(1)
+            for job in range(1, 1001)
+            for send in sends_of(bench.feed(Submitted(job, 4000.0, slots=slots)))
+        )
 
     assert cold(4.0) < cold(1.0) / 2
 
 
 def test_what_is_worth_little_for_its_work_is_refused_first() -> None:
-    classes = (JobClass(300.0, 5000.0, worth=1.0, effect=Effect.SAFE),
-               JobClass(300.0, 5000.0, worth=9.0, effect=Effect.SAFE))
+    classes = (
+        JobClass(300.0, 5000.0, worth=1.0, effect=Effect.SAFE),
+        JobClass(300.0, 5000.0, worth=9.0, effect=Effect.SAFE),
+    )
     bench = Bench(settings(zones=1, classes=classes), entries(9))
     bench.dispatcher.means, bench.dispatcher.mean, bench.dispatcher.value = [100.0, 100.0], 100.0, 0.05
     refused = [0, 0]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -29,8 +29,16 @@
 
 
 def words() -> st.SearchStrategy[Word]:
-    return st.builds(Word, st.sampled_from(["a", "b", "c"]), st.just("127.0.0.1"), st.just(1), st.just("z"),
-                     st.integers(0, 3), st.integers(0, 1), st.sampled_from(State))
+    return st.builds(
+        Word,
+        st.sampled_from(["a", "b", "c"]),
+        st.just("127.0.0.1"),
+        st.just(1),
+        st.just("z"),
+        st.integers(0, 3),
+        st.integers(0, 1),
+        st.sampled_from(State),
+    )
 
 
 @given(st.lists(words(), max_size=8), st.randoms(use_true_random=False))
@@ -115,8 +123,11 @@
     for _ in range(4):
         network.stop(node, 5.0)
         network.run(9.0)
-    said = [news for _, name, news in network.news
-            if name == node.name and news.word.state >= State.SUSPECT and news.word.said_by == node.name]
+    said = [
+        news
+        for _, name, news in network.news
+        if name == node.name and news.word.state >= State.SUSPECT and news.word.said_by == node.name
+    ]
     assert said == []
     assert network.settle(WITHIN) is not None
 
--- a/tests/test_old_clients.py
+++ b/tests/test_old_clients.py
@@ -36,12 +36,14 @@
 
 def ask_form(client: HttpClient, body: bytes) -> None:
     """A terminal of version 0: its body tells the envelope too."""
-    client.writer.write(b"POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n"
-                        b"Content-Type: application/x-www-form-urlencoded\r\n\r\n%s" % (len(body), body))
+    client.writer.write(
+        b"POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n"
+        b"Content-Type: application/x-www-form-urlencoded\r\n\r\n%s" % (len(body), body)
+    )
 
 
 def told(call: Call) -> pb.RunRequest:
-    return pb.RunRequest.FromString(call.body[PREFIX.size:])
+    return pb.RunRequest.FromString(call.body[PREFIX.size :])
 
 
 @story
@@ -54,10 +56,19 @@
         [call] = planner.calls
         head = call.headers
         assert (head["x-request-id"], head["x-class"], head["x-tenant"], head["idempotency-key"]) == (
-            "a1", "quote", "new-member", "k-1")
+            "a1",
+            "quote",
+            "new-member",
+            "k-1",
+        )
         assert 4_000_000 < int(head["grpc-timeout"][:-1]) < 4_500_000 and told(call).quote.pallets == 4
-        for body, status in [(V0 + b"&req=a2", 400), (V0 + b"&plts=5", 422), (V0 + b"&colour=red", 422),
-                             (V0.replace(b"LIM", b"%FF"), 400), (V0.replace(b"plts=4", b"plts=4.5"), 422)]:
+        for body, status in [
+            (V0 + b"&req=a2", 400),
+            (V0 + b"&plts=5", 422),
+            (V0 + b"&colour=red", 422),
+            (V0.replace(b"LIM", b"%FF"), 400),
+            (V0.replace(b"plts=4", b"plts=4.5"), 422),
+        ]:
             client = await HttpClient.to(running.port)
             ask_form(client, body)
             assert (await client.answer())[0] == status, body
@@ -85,8 +96,14 @@
 
 @story
 async def test_a_refusal_is_final_and_names_field_value_and_reason() -> None:
-    async with GrpcPlanner() as planner, program(Row("p1", planner.port, 2), front=FRONT.replace(
-            'tenant = "andes-retail" }', 'tenant = "andes-retail", form = 1 }') + TRANSLATE) as running:
+    async with (
+        GrpcPlanner() as planner,
+        program(
+            Row("p1", planner.port, 2),
+            front=FRONT.replace('tenant = "andes-retail" }', 'tenant = "andes-retail", form = 1 }')
+            + TRANSLATE,
+        ) as running,
+    ):
         client = await HttpClient.to(running.port)
         client.ask("a1", body=JOB[:-1] + b',"hazard":"acid"}')
         status, headers, body = await client.answer()
@@ -124,8 +141,10 @@
 
 @story
 async def test_two_depots_that_use_one_id_at_once_are_told_apart() -> None:
-    async with (GrpcPlanner(act=lambda call: None) as planner,
-                program(Row("p1", planner.port), front=TRANSLATE) as running):
+    async with (
+        GrpcPlanner(act=lambda call: None) as planner,
+        program(Row("p1", planner.port), front=TRANSLATE) as running,
+    ):
         first, second = await HttpClient.to(running.port), await HttpClient.to(running.port)
         ask_form(first, V0)
         call = await planner.call(1)
@@ -163,6 +182,7 @@
 @story
 async def test_without_the_section_nothing_is_translated_or_imported() -> None:
     """A body that is no JSON goes through as it came, and the old head is what it was, byte for byte."""
+
     def serve(run: Run) -> None:
         run.say("done", result="plan")
 
@@ -199,8 +219,9 @@
     assert call("init", str(tmp_path))[0] == 0
     forms = tmp_path / "translation.toml"
     forms.write_text(forms.read_text().replace('dock = { default = "any" }\n', ""))
-    code, text = call("check", "--front", str(tmp_path / "front.toml"),
-                      env={"LB_CONFIG": str(tmp_path / "config.json")})
+    code, text = call(
+        "check", "--front", str(tmp_path / "front.toml"), env={"LB_CONFIG": str(tmp_path / "config.json")}
+    )
     assert code == 2 and "translation.toml: line " in text and "dock" in text and "Traceback" not in text
 
 
@@ -214,8 +235,11 @@
 async def test_a_class_that_is_changed_while_messages_are_translated_is_still_known_by_name() -> None:
     """The failure met: a changed class has a number of its own, and the parts that translate knew only the
     numbers of the start."""
-    async with (GrpcPlanner() as newer, Planner("p2", act=lambda run: run.say("done", result=PLAN)) as older,
-                program(Row("p1", newer.port, 2), Row("p2", older.port, 1), front=TRANSLATE) as running):
+    async with (
+        GrpcPlanner() as newer,
+        Planner("p2", act=lambda run: run.say("done", result=PLAN)) as older,
+        program(Row("p1", newer.port, 2), Row("p2", older.port, 1), front=TRANSLATE) as running,
+    ):
         config = json.loads(running.config.read_text())
         config["settings"]["services"][0] = config["settings"]["services"][0] | {"goalTime": 2000.0}
         running.reload(json.dumps(config))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -33,14 +33,30 @@
 
 def words() -> st.SearchStrategy[Word]:
     text = st.text("ab-é", min_size=1, max_size=9)
-    return st.builds(Word, text, text, st.integers(1, 65535), text, st.integers(0, 2**62 - 1),
-                     st.integers(0, 2**32 - 1), st.sampled_from(State), text)
-
-
-@given(st.builds(Ping, st.integers(0, 2**40), words(), st.text(max_size=9), st.lists(words()).map(tuple))
-       | st.builds(Ack, st.integers(0, 2**40), words(), st.lists(words()).map(tuple),
-                   st.lists(st.binary(max_size=8), max_size=3).map(tuple))
-       | st.builds(Exchange, st.builds(Rows, st.integers(0, 9), st.lists(words()).map(pack)), words()))
+    return st.builds(
+        Word,
+        text,
+        text,
+        st.integers(1, 65535),
+        text,
+        st.integers(0, 2**62 - 1),
+        st.integers(0, 2**32 - 1),
+        st.sampled_from(State),
+        text,
+    )
+
+
+@given(
+    st.builds(Ping, st.integers(0, 2**40), words(), st.text(max_size=9), st.lists(words()).map(tuple))
+    | st.builds(
+        Ack,
+        st.integers(0, 2**40),
+        words(),
+        st.lists(words()).map(tuple),
+        st.lists(st.binary(max_size=8), max_size=3).map(tuple),
+    )
+    | st.builds(Exchange, st.builds(Rows, st.integers(0, 9), st.lists(words()).map(pack)), words())
+)
 def test_messages_come_back_as_they_were(message: Ping | Ack | Exchange) -> None:
     codec = Codec("red", b"key")
     assert codec.decode(codec.encode(message)) == message
@@ -62,8 +78,10 @@
         codec.decode(bytes(data[:place]))
 
 
-@pytest.mark.parametrize(("theirs", "why"), [
-    (Codec("blue"), "cluster"), (Codec("red", b"another"), "checksum"), (Codec("red", b"key"), "")])
+@pytest.mark.parametrize(
+    ("theirs", "why"),
+    [(Codec("blue"), "cluster"), (Codec("red", b"another"), "checksum"), (Codec("red", b"key"), "")],
+)
 def test_another_cluster_and_a_forger_without_the_secret_are_refused(theirs: Codec, why: str) -> None:
     data = theirs.encode(Show())
     if not why:
@@ -84,8 +102,10 @@
 
 def test_rumours_fit_a_datagram_however_long_the_names() -> None:
     rumours: Rumours[Word] = Rumours()
-    long = [Word(f"{n:064d}", "255.255.255.255", 65535, "z" * 64, 2**62 - 1, 2**32 - 1, State.DEAD, "s" * 64)
-            for n in range(40)]
+    long = [
+        Word(f"{n:064d}", "255.255.255.255", 65535, "z" * 64, 2**62 - 1, 2**32 - 1, State.DEAD, "s" * 64)
+        for n in range(40)
+    ]
     for word in long:
         rumours.add(word)
     told = rumours.take(ROOM, 40)
@@ -101,21 +121,25 @@
 GOOD = 'name = "s1"\nlisten = "127.0.0.1:7946"\nseeds = ["127.0.0.1:7947"]\n'
 
 
-@pytest.mark.parametrize(("text", "line", "what"), [
-    ('name = "s1"', 1, "listen"),
-    (GOOD + 'zoom = "a"', 4, "zoom"),
-    (GOOD.replace('"127.0.0.1:7946"', '"here"'), 2, "listen: "),
-    (GOOD.replace('"127.0.0.1:7947"', '"there"'), 3, "seeds: "),
-    (GOOD.replace('"s1"', '""'), 1, "name: it is empty"),
-    (GOOD + f'cluster = "{"c" * 65}"', 4, "cluster: over 64 bytes"),
-    (GOOD + '\n[scales]\nperiod = "soon"', 6, "scales.period"),
-    (GOOD + "\n[scales]\nperiod = 0.1\nack-within = 0.1", 7, "scales.ack-within"),
-    (GOOD + "\n[scales]\nhelpers = 2.5", 6, "scales.helpers"),
-    (GOOD + 'secret-file = "none"', 4, "secret-file: No such"),
-    (GOOD + "[scales", 0, "peers.toml"),
-])
-def test_a_file_that_cant_be_used_is_told_with_line_and_key(tmp_path: Path, text: str, line: int,
-                                                           what: str) -> None:
+@pytest.mark.parametrize(
+    ("text", "line", "what"),
+    [
+        ('name = "s1"', 1, "listen"),
+        (GOOD + 'zoom = "a"', 4, "zoom"),
+        (GOOD.replace('"127.0.0.1:7946"', '"here"'), 2, "listen: "),
+        (GOOD.replace('"127.0.0.1:7947"', '"there"'), 3, "seeds: "),
+        (GOOD.replace('"s1"', '""'), 1, "name: it is empty"),
+        (GOOD + f'cluster = "{"c" * 65}"', 4, "cluster: over 64 bytes"),
+        (GOOD + '\n[scales]\nperiod = "soon"', 6, "scales.period"),
+        (GOOD + "\n[scales]\nperiod = 0.1\nack-within = 0.1", 7, "scales.ack-within"),
+        (GOOD + "\n[scales]\nhelpers = 2.5", 6, "scales.helpers"),
+        (GOOD + 'secret-file = "none"', 4, "secret-file: No such"),
+        (GOOD + "[scales", 0, "peers.toml"),
+    ],
+)
+def test_a_file_that_cant_be_used_is_told_with_line_and_key(
+    tmp_path: Path, text: str, line: int, what: str
+) -> None:
     path = tmp_path / "peers.toml"
     path.write_text(text)
     with pytest.raises(PeersError) as error:
@@ -124,8 +148,9 @@
     assert not line or f"peers.toml:{line}: " in str(error.value), str(error.value)
     (tmp_path / "config.json").write_text(json.dumps({"listen": "127.0.0.1:0", "settings": SETTINGS}))
     for command in ("serve", "check"):
-        result = CliRunner().invoke(main, [command, "--fleet", str(path)],
-                                    env={"LB_CONFIG": str(tmp_path / "config.json")})
+        result = CliRunner().invoke(
+            main, [command, "--fleet", str(path)], env={"LB_CONFIG": str(tmp_path / "config.json")}
+        )
         assert result.exit_code == 2 and result.output.count("\n") == 1
 
 
@@ -147,8 +172,9 @@
     loop = asyncio.get_running_loop()
     fleets: list[Fleet] = []
     for number in range(count):
-        fleets.append(Fleet(peers(f"s{number}", *(one.address for one in fleets[:2]), secret=secret), "",
-                            loop))
+        fleets.append(
+            Fleet(peers(f"s{number}", *(one.address for one in fleets[:2]), secret=secret), "", loop)
+        )
         await fleets[-1].start()
     await until(lambda: all(len(one.membership.view.living()) == count for one in fleets))
     return fleets
@@ -166,6 +192,7 @@
 def test_a_step_that_is_due_at_once_is_armed_again_without_an_exception() -> None:
     """The failure met: SIGTERM in the turn in which a step was due; uvloop's handle of a call that is due at
     once tells no time, and the exception kept the program from its end."""
+
     async def run() -> None:
         [fleet] = await joined(1)
         steps: list[float] = []
@@ -216,8 +243,11 @@
         if secret:
             assert names(fleets[0]) == ["s0", "s1", "s2"] and counts["dropped_checksum"] > 0
         assert {"s0", "s1", "s2"} <= set(names(fleets[1]))
-        assert all(one.membership.view.get(name).state is not State.DEAD  # type: ignore[union-attr]
-                   for one in fleets for name in ("s0", "s1", "s2"))
+        assert all(
+            one.membership.view.get(name).state is not State.DEAD  # type: ignore[union-attr]
+            for one in fleets
+            for name in ("s0", "s1", "s2")
+        )
         for one in fleets:
             one.close()
 
@@ -247,7 +277,7 @@
     for byte in streams.framed(Codec("red").encode(Show())):
         writer.write(bytes([byte]))  # however it is cut
         await asyncio.sleep(0)
-    length, = LENGTH.unpack(await reader.readexactly(LENGTH.size))
+    (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
     told = Codec("red").decode(await reader.readexactly(length))
     assert isinstance(told, Shown) and [row.name for row in told.members] == ["s0"]
     fleet.close()
@@ -256,11 +286,13 @@
 def test_the_port_taken_is_told_in_one_line(tmp_path: Path) -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
         taken.bind(("127.0.0.1", 0))
-        (tmp_path / "peers.toml").write_text(
-            f'name = "s1"\nlisten = "127.0.0.1:{taken.getsockname()[1]}"\n')
+        (tmp_path / "peers.toml").write_text(f'name = "s1"\nlisten = "127.0.0.1:{taken.getsockname()[1]}"\n')
         (tmp_path / "config.json").write_text(json.dumps({"listen": "127.0.0.1:0", "settings": SETTINGS}))
-        result = CliRunner().invoke(main, ["serve", "--fleet", str(tmp_path / "peers.toml")],
-                                    env={"LB_CONFIG": str(tmp_path / "config.json")})
+        result = CliRunner().invoke(
+            main,
+            ["serve", "--fleet", str(tmp_path / "peers.toml")],
+            env={"LB_CONFIG": str(tmp_path / "config.json")},
+        )
     assert result.exit_code == 2 and "can't listen" in result.output and result.output.count("\n") == 1
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -27,8 +27,9 @@
 QUOTE = Demand("quote", 4.0, 0.5, "x", zone="a")
 
 
-def fleet(*planners: Machine, demand: tuple[Demand, ...] = (QUOTE,), units: int = 12,
-          **more: object) -> Fleet:
+def fleet(
+    *planners: Machine, demand: tuple[Demand, ...] = (QUOTE,), units: int = 12, **more: object
+) -> Fleet:
     return Fleet(planners, (), demand, Constraints(**more), units)  # type: ignore[arg-type]
 
 
@@ -72,8 +73,9 @@
     before = solve(fleet(*even)).parts or {}
     assert before == solve(fleet(*reversed(even))).parts
     for place in range(4):
-        tilted = [Machine(one.id, "a", speed=1.0 + 1e-6 * (number == place))
-                  for number, one in enumerate(even)]
+        tilted = [
+            Machine(one.id, "a", speed=1.0 + 1e-6 * (number == place)) for number, one in enumerate(even)
+        ]
         assert solve(fleet(*tilted), before).parts == before
 
 
@@ -84,24 +86,37 @@
     idle = fleet(Machine("p1", "a"), demand=(Demand("quote", 0.0, 0.5, zone="a"),))
     assert solve(idle).parts == {} and not score(idle, {}, 12).broken
     for scale in (1e-9, 1e-3, 1e6):
-        pair = [Machine("p1", "a", cores=4 * scale, slots=32 * max(1, scale)),
-                Machine("p2", "a", cores=2 * scale, slots=32 * max(1, scale))]
+        pair = [
+            Machine("p1", "a", cores=4 * scale, slots=32 * max(1, scale)),
+            Machine("p2", "a", cores=2 * scale, slots=32 * max(1, scale)),
+        ]
         parts = solve(fleet(*pair, demand=(Demand("quote", scale * 4, 0.5, zone="a"),))).parts
         assert parts == {"a/quote": {"p1": 8, "p2": 4}}, scale
     shares = fleet(Machine("p1", "a"), floors=(Floor("y", 0.9),))
     assert list(solve(shares).conflict) == ["share of y"]
-    many = fleet(*(Machine(f"p{place:03d}", "a") for place in range(300)), units=10,
-                 demand=(Demand("quote", 100.0, 0.5, zone="a"),))
+    many = fleet(
+        *(Machine(f"p{place:03d}", "a") for place in range(300)),
+        units=10,
+        demand=(Demand("quote", 100.0, 0.5, zone="a"),),
+    )
     answer = solve(many)
     assert len((answer.parts or {})["a/quote"]) == 300  # no weight has rounded to nothing
 
 
-@pytest.mark.parametrize(("old", "new", "what"), [
-    ('id = "planner-2"', 'id = "planner-1"', "no id of its own"), ("speed = 0.55", "speed = 0.0", "speed"),
-    ("speed = 0.55", "speed = 1e12", "speed"), ("share = 0.13", "share = 1.3", "add up to 1.3"),
-    ("work = 1.2", "work = -1.2", "work"), ("most = 0.5", "most = 0.0", "most"),
-    ("units = 1000", "units = 0", "units"),
-    ('class = "book"', 'klass = "book"', "klass"), ("[constraints]", "[constraints", "line")])
+@pytest.mark.parametrize(
+    ("old", "new", "what"),
+    [
+        ('id = "planner-2"', 'id = "planner-1"', "no id of its own"),
+        ("speed = 0.55", "speed = 0.0", "speed"),
+        ("speed = 0.55", "speed = 1e12", "speed"),
+        ("share = 0.13", "share = 1.3", "add up to 1.3"),
+        ("work = 1.2", "work = -1.2", "work"),
+        ("most = 0.5", "most = 0.0", "most"),
+        ("units = 1000", "units = 0", "units"),
+        ('class = "book"', 'klass = "book"', "klass"),
+        ("[constraints]", "[constraints", "line"),
+    ],
+)
 def test_a_fleet_that_cannot_be_used_is_told_by_its_line(old: str, new: str, what: str) -> None:
     with pytest.raises(FleetError, match=what):
         read(LIMA.replace(old, new, 1))
@@ -114,10 +129,24 @@
     assert worths
     base = solve(told, whole=False).goals[0]
     top = worths[0]
-    grown = tuple(Machine(one.id, one.zone, one.model, one.cores + 0.01 * (one.id == top.planner), one.speed,
-                          one.slots, one.memory) for one in told.planners)
-    gained = base - solve(Fleet(grown, told.schedulers, told.demand, told.constraints, told.units),
-                          whole=False).goals[0]
+    grown = tuple(
+        Machine(
+            one.id,
+            one.zone,
+            one.model,
+            one.cores + 0.01 * (one.id == top.planner),
+            one.speed,
+            one.slots,
+            one.memory,
+        )
+        for one in told.planners
+    )
+    gained = (
+        base
+        - solve(Fleet(grown, told.schedulers, told.demand, told.constraints, told.units), whole=False).goals[
+            0
+        ]
+    )
     assert gained / 0.01 == pytest.approx(top.one_more, rel=0.1)
 
 
@@ -128,8 +157,19 @@
     for number in range(3000):
         planner, job_class = rng.choice(list(speed)), rng.choice(list(work))
         ran = work[job_class] / speed[planner] * math.exp(rng.gauss(0, 0.4))
-        lines.append(json.dumps({"event": "attempt", "planner": planner, "class": job_class, "tenant": "x",
-                                 "at": number / 10, "ran": ran, "outcome": "OK"}).encode())
+        lines.append(
+            json.dumps(
+                {
+                    "event": "attempt",
+                    "planner": planner,
+                    "class": job_class,
+                    "tenant": "x",
+                    "at": number / 10,
+                    "ran": ran,
+                    "outcome": "OK",
+                }
+            ).encode()
+        )
     found = learn([*lines, b"INFO no such line", b'{"event":"attempt","outcome":"RESET"}'])
     assert found.skipped == 2
     for name, value in speed.items():
@@ -143,8 +183,16 @@
 
 
 def plan(parts: dict[str, int], number: int = 1, made: float = 1000.0, **more: object) -> Plan:
-    return Plan(1, number, made, 100.0, sum(parts.values()), {name: Place("a", "m", 4.0) for name in parts},
-                {"a/quote": parts}, **more)  # type: ignore[arg-type]
+    return Plan(
+        1,
+        number,
+        made,
+        100.0,
+        sum(parts.values()),
+        {name: Place("a", "m", 4.0) for name in parts},
+        {"a/quote": parts},
+        **more,
+    )  # type: ignore[arg-type]
 
 
 def entry(name: str, weight: float = 1.0, state: State = State.READY, started: float = 0.0) -> Entry:
@@ -168,8 +216,12 @@
 def test_a_file_that_is_half_written_or_changed_is_turned_down() -> None:
     data = plans.write(plan({"p1": 3, "p2": 1}))
     assert plans.read(data).parts == {"a/quote": {"p1": 3, "p2": 1}}
-    for spoilt in (data[:-40], b"", data.replace(b'"p1": 3', b'"p1": 2'),
-                   data.replace(b'"format": 1', b'"format": 9')):
+    for spoilt in (
+        data[:-40],
+        b"",
+        data.replace(b'"p1": 3', b'"p1": 2'),
+        data.replace(b'"format": 1', b'"format": 9'),
+    ):
         assert spoilt != data
         with pytest.raises(PlanError):
             plans.read(spoilt)
@@ -227,9 +279,13 @@
 
     try:
         path.write_bytes(made(1, 0))
-        async with (Planner("p1") as first, Planner("p2") as second, program(
-                first, second, front=f'[placement]\nplan = "{path}"\n',
-                settings={"discovery": "pushed"}) as running):
+        async with (
+            Planner("p1") as first,
+            Planner("p2") as second,
+            program(
+                first, second, front=f'[placement]\nplan = "{path}"\n', settings={"discovery": "pushed"}
+            ) as running,
+        ):
             client = await HttpClient.to(running.port)
 
             async def ask(count: int) -> tuple[int, int]:
@@ -291,8 +347,9 @@
     front.write_text(front.read_text() + '\n[placement]\nplan = "plan.json"\n')
 
     def check() -> tuple[int, str]:
-        result = CliRunner().invoke(main, ["check", "--front", str(front)],
-                                    env={"LB_CONFIG": str(tmp_path / "config.json")})
+        result = CliRunner().invoke(
+            main, ["check", "--front", str(front)], env={"LB_CONFIG": str(tmp_path / "config.json")}
+        )
         return result.exit_code, result.output
 
     assert check()[0] == 2
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -50,12 +50,17 @@
 @story
 async def test_no_further_attempt_begins_for_a_client_that_has_gone() -> None:
     """It goes while its first attempt is out: that one is dropped, and none follows it."""
-    async with (Planner("p1", act=lambda run: run.say("started")) as one,
-                Planner("p2", act=lambda run: run.say("started")) as two, program(one, two) as running):
+    async with (
+        Planner("p1", act=lambda run: run.say("started")) as one,
+        Planner("p2", act=lambda run: run.say("started")) as two,
+        program(one, two) as running,
+    ):
         client = await HttpClient.to(running.port)
         client.ask("a1")
-        first, _ = await asyncio.wait([asyncio.ensure_future(planner.wait_for(1)) for planner in (one, two)],
-                                      return_when=asyncio.FIRST_COMPLETED)
+        first, _ = await asyncio.wait(
+            [asyncio.ensure_future(planner.wait_for(1)) for planner in (one, two)],
+            return_when=asyncio.FIRST_COMPLETED,
+        )
         client.writer.transport.abort()
         run = first.pop().result()
         await run.dropped()
@@ -102,8 +107,10 @@
 async def test_a_gearman_client_that_has_gone_gets_no_further_attempt() -> None:
     """A keyed job that may have run goes on for one that comes back; when its planner loses it, it is not
     sent again while nobody waits, and a client that comes back is told the end."""
-    async with Planner("p1", act=lambda run: run.say("started")) as planner, program(
-            planner, front=FRONT) as running:
+    async with (
+        Planner("p1", act=lambda run: run.say("started")) as planner,
+        program(planner, front=FRONT) as running,
+    ):
         client = await GearmanPeer.to(running.gearman_port)
         await client.submit(b"book_pallet", b"k1", b"six")
         run = await planner.wait_for(1)
@@ -188,6 +195,7 @@
 
 def test_nothing_is_taken_from_a_client_that_does_not_read() -> None:
     """Its end would not be seen: reading from it rests, so no request of its begins meanwhile."""
+
     async def run() -> None:
         loop = asyncio.get_running_loop()
         core, reading, transport = Mock(), Mock(), Mock()
@@ -216,6 +224,7 @@
 def test_a_backlog_is_not_taken_beyond_the_room_that_there_is() -> None:
     """Two hundred clients stood in the queue when the loop came round: each was accepted before any was
     counted, and the descriptors were gone."""
+
     async def run() -> None:
         up: set[Any] = set()
         most = 0
@@ -252,6 +261,7 @@
 async def test_idle_clients_may_fill_the_descriptors_while_discovery_is_down() -> None:
     """The process may hold 64 descriptors, and 300 clients come while no call to discovery gets through: when
     it is back, its list is followed, and a usual client is served."""
+
     class Down(Catalog):
         up = False
 
@@ -261,8 +271,12 @@
                 return
             await super().serve(reader, writer)
 
-    async with (Planner("p1") as old, Planner("p2") as new, Down(old, new) as catalog,
-                program(old, catalog=catalog, sockets=64) as running):
+    async with (
+        Planner("p1") as old,
+        Planner("p2") as new,
+        Down(old, new) as catalog,
+        program(old, catalog=catalog, sockets=64) as running,
+    ):
         resource.prlimit(running.process.pid, resource.RLIMIT_NOFILE, (64, 64))
         usual = await HttpClient.to(running.port)
         usual.ask("a1")
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -71,8 +71,15 @@
 
 
 def rows() -> st.SearchStrategy[Row]:
-    return st.builds(Row, st.sampled_from(["a", "b"]), st.integers(1, 2), st.integers(1, 3),
-                     st.sampled_from(["v", "w"]), st.sampled_from([b"", b"1", b"2"]), st.booleans())
+    return st.builds(
+        Row,
+        st.sampled_from(["a", "b"]),
+        st.integers(1, 2),
+        st.integers(1, 3),
+        st.sampled_from(["v", "w"]),
+        st.sampled_from([b"", b"1", b"2"]),
+        st.booleans(),
+    )
 
 
 @given(st.lists(rows(), max_size=10), st.randoms(use_true_random=False))
@@ -149,9 +156,18 @@
     def play(told: list[Out], cut_short: bool = False) -> bool:
         while told:
             message = told.pop().message
-            told += [answer for out in answers(ends[1], message, peer) for answer in answers(
-                ends[0], msgspec.structs.replace(out, packed=pack(()), whole=False)
-                if cut_short and isinstance(out, Rows) and out.ranges else out, me, leads=True)]
+            told += [
+                answer
+                for out in answers(ends[1], message, peer)
+                for answer in answers(
+                    ends[0],
+                    msgspec.structs.replace(out, packed=pack(()), whole=False)
+                    if cut_short and isinstance(out, Rows) and out.ranges
+                    else out,
+                    me,
+                    leads=True,
+                )
+            ]
         return ends[0].done.pop().whole
 
     def answers(end: Repair, message: object, held: RowTable, leads: bool = False) -> list[object]:
@@ -159,8 +175,7 @@
             new = [row for row in unpack(message.packed, ROWS) if held.take(row) is Taken.NEW]
             out = end.told(0.0, THERE, message, len(new), [])
         else:
-            out = (end.compared if isinstance(message, Compare) else end.asked)(
-                0.0, THERE, message)  # type: ignore[operator]
+            out = (end.compared if isinstance(message, Compare) else end.asked)(0.0, THERE, message)  # type: ignore[operator]
         return list(out) if leads else [one.message for one in out]
 
     for number in range(300):
@@ -190,8 +205,12 @@
     one = table(most_rows=3, most_bytes=400, row_limit=100)
     for key in "abc":
         one.put(key, b"1", "w")
-    for body, key, why in ((b"x" * 200, "a", "bytes, 100 at most"), (b"1", "d", "no room"),
-                           (b"1", "", "key has 1"), (b"1", "k" * 129, "key has 1")):
+    for body, key, why in (
+        (b"x" * 200, "a", "bytes, 100 at most"),
+        (b"1", "d", "no room"),
+        (b"1", "", "key has 1"),
+        (b"1", "k" * 129, "key has 1"),
+    ):
         with pytest.raises(RowError, match=why):
             one.put(key, body, "w")
     assert one.counts == {"new": 3, "too-long": 1, "too-many": 1, "unsound": 2}
@@ -222,8 +241,10 @@
 # ---- digests
 
 
-@given(st.lists(st.tuples(st.sampled_from([f"k{n}" for n in range(40)]), st.integers(0, 2**64 - 1))),
-       st.sets(st.sampled_from([f"k{n}" for n in range(40)])))
+@given(
+    st.lists(st.tuples(st.sampled_from([f"k{n}" for n in range(40)]), st.integers(0, 2**64 - 1))),
+    st.sets(st.sampled_from([f"k{n}" for n in range(40)])),
+)
 def test_a_tree_that_changed_is_the_tree_made_anew(puts: list[tuple[str, int]], drops: set[str]) -> None:
     changed, held = Tree(), {}
     for key, content in puts:
@@ -255,8 +276,11 @@
     odd.tree.put("quota/t1", contents["quota/t1"] + 5 * 2**60)
     odd.tree.put("quota/t2", contents["quota/t2"] - 5 * 2**60)
     assert same(network)
-    until(network, lambda: odd.get("quota/t1").number == odd.get("quota/t2").number == 2,  # type: ignore
-          400.0)
+    until(
+        network,
+        lambda: odd.get("quota/t1").number == odd.get("quota/t2").number == 2,  # type: ignore
+        400.0,
+    )
 
 
 # ---- peers that lie
@@ -280,8 +304,7 @@
 
     def tell(self, target: Node, message: object) -> None:
         membership = target.membership
-        self.network._carry_out(target, membership.hear(
-            self.network.now, message, self.node.address))  # type: ignore[arg-type]
+        self.network._carry_out(target, membership.hear(self.network.now, message, self.node.address))  # type: ignore[arg-type]
         self.network._wake(target)
 
 
@@ -328,7 +351,8 @@
     for place in (2, 3, 4):
         node = nodes(network)[place]
         network.cut = lambda source, target, at=node.address: (  # type: ignore[misc]
-            source == at and target[1] % 3 != 0)
+            source == at and target[1] % 3 != 0
+        )
         network.put(node, (f"quota/t{place}", b"1"))
         until(network, lambda: same(network), WITHIN)
     one, two = nodes(network)[5].address, nodes(network)[6].address
@@ -461,8 +485,16 @@
     """Tellings alone would go on for many seconds, as each goes to one in so many that don't know it."""
     network = joined(15, size=60)
     begun = network.now
-    assert until(network, lambda: not any(len(queue) for node in nodes(network)
-                                          for queue in node.membership.carrier.queues), 10.0) < 4.0, begun
+    assert (
+        until(
+            network,
+            lambda: (
+                not any(len(queue) for node in nodes(network) for queue in node.membership.carrier.queues)
+            ),
+            10.0,
+        )
+        < 4.0
+    ), begun
 
 
 def test_a_fresh_row_is_everywhere_soon_and_few_messages_carry_it_to_another_region() -> None:
@@ -503,8 +535,9 @@
         sizes = []
         send = network._send
 
-        def seen(node: Node, to: Address, message: object, sizes: list[int] = sizes,
-                 send: object = send) -> None:
+        def seen(
+            node: Node, to: Address, message: object, sizes: list[int] = sizes, send: object = send
+        ) -> None:
             if isinstance(message, Exchange) and message.part.table == 1:
                 sizes.append(message_size(message) + ENVELOPE)
             send(node, to, message)  # type: ignore[operator]
@@ -517,7 +550,8 @@
 
 @given(st.lists(rows()).map(tuple), st.binary(max_size=40), st.integers(0, 200))
 def test_what_is_packed_comes_back_and_what_is_damaged_or_swollen_is_nothing(
-        told: tuple[Row, ...], junk: bytes, cut: int) -> None:
+    told: tuple[Row, ...], junk: bytes, cut: int
+) -> None:
     assert unpack(pack(told), ROWS) == told
     assert unpack(pack(told)[:cut], ROWS) in ((), told)
     assert isinstance(unpack(junk, ROWS), tuple)
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -12,7 +12,16 @@
 
 from pipitshed.config import load, load_front
 from pipitshed.decisions.interface import (
-    Effect, Entry, JobClass, ListKind, ListNews, Send, Settings, Submitted, Weights)
+    Effect,
+    Entry,
+    JobClass,
+    ListKind,
+    ListNews,
+    Send,
+    Settings,
+    Submitted,
+    Weights,
+)
 from pipitshed.decisions.rules import Dispatcher
 from pipitshed.scheduler import Scheduler
 from pipitshed.tuning.classes import ClassBook
@@ -38,9 +47,14 @@
     assert same.classes == back.classes and str(change) == "classes as they were"
 
 
-@given(st.lists(st.lists(st.sampled_from(["quote", "book", "rush", "slow"]), unique=True, min_size=1),
-                min_size=1, max_size=6),
-       st.lists(st.sampled_from([QUOTE, BOOK, RUSH]), min_size=24, max_size=24))
+@given(
+    st.lists(
+        st.lists(st.sampled_from(["quote", "book", "rush", "slow"]), unique=True, min_size=1),
+        min_size=1,
+        max_size=6,
+    ),
+    st.lists(st.sampled_from([QUOTE, BOOK, RUSH]), min_size=24, max_size=24),
+)
 def test_numbers_once_given_keep_their_class(files: list[list[str]], kinds: list[JobClass]) -> None:
     """Whatever files come, a number always stands for the class it was first given, and the door names only
     classes of the file in force, or of one just before it."""
@@ -74,15 +88,24 @@
 
 
 def test_a_key_that_the_file_in_force_has_must_be_there() -> None:
-    before = {"name": "n0", "settings": {"permissions": {"maxAttempts": 3}, "services": [
-        {"name": "quote", "deadline": 5000, "goalTime": 2500, "repeat": "retryable"},
-        {"name": "book", "deadline": 15000, "goalTime": 10000, "window": 25000}]}}
+    before = {
+        "name": "n0",
+        "settings": {
+            "permissions": {"maxAttempts": 3},
+            "services": [
+                {"name": "quote", "deadline": 5000, "goalTime": 2500, "repeat": "retryable"},
+                {"name": "book", "deadline": 15000, "goalTime": 10000, "window": 25000},
+            ],
+        },
+    }
     assert lacking(before, copy.deepcopy(before)) is None
     added = copy.deepcopy(before)
     added["settings"]["services"].append({"name": "rush", "deadline": 900, "goalTime": 400})
     assert lacking(before, added) is None
-    for path, expected in [(("name",), "name"), (("settings", "permissions", "maxAttempts"),
-                                                 "settings.permissions.maxAttempts")]:
+    for path, expected in [
+        (("name",), "name"),
+        (("settings", "permissions", "maxAttempts"), "settings.permissions.maxAttempts"),
+    ]:
         broken = copy.deepcopy(before)
         *way, last = path
         place = broken
@@ -105,9 +128,13 @@
 @story
 async def test_classes_come_and_go_and_a_job_under_way_keeps_its_own() -> None:
     held: list[object] = []
-    async with (Planner("p1", act=lambda run: held.append(run) if run.headers["x-request-id"][0] == "b"
-                        else run.serve()) as planner, Catalog(planner) as catalog,
-                program(catalog=catalog, mgmt=True) as running):
+    async with (
+        Planner(
+            "p1", act=lambda run: held.append(run) if run.headers["x-request-id"][0] == "b" else run.serve()
+        ) as planner,
+        Catalog(planner) as catalog,
+        program(catalog=catalog, mgmt=True) as running,
+    ):
         await catalog.watches.get()
         first = running.config.read_text()
         waiting = await HttpClient.to(running.port)
@@ -135,8 +162,12 @@
     def away(run: Run) -> None:
         run.say("returned")
 
-    async with (Planner("p1", act=away) as one, Planner("p2", act=away) as two, Catalog(one, two) as catalog,
-                program(catalog=catalog) as running):
+    async with (
+        Planner("p1", act=away) as one,
+        Planner("p2", act=away) as two,
+        Catalog(one, two) as catalog,
+        program(catalog=catalog) as running,
+    ):
         await catalog.watches.get()
         permissions = SETTINGS["permissions"] | {"maxAttempts": 1}
         running.reload(_file(running.config.read_text(), permissions=permissions))
@@ -150,17 +181,22 @@
 
 @story
 async def test_a_broken_file_changes_nothing_and_is_counted() -> None:
-    async with Planner("p1") as planner, Catalog(planner) as catalog, program(
-            catalog=catalog, mgmt=True) as running:
+    async with (
+        Planner("p1") as planner,
+        Catalog(planner) as catalog,
+        program(catalog=catalog, mgmt=True) as running,
+    ):
         await catalog.watches.get()
         good = running.config.read_text()
         told = json.loads(good)
         no_attempts = copy.deepcopy(told)
         del no_attempts["settings"]["permissions"]["maxAttempts"]
         broken = ["", good[: len(good) // 2], json.dumps(no_attempts)]
-        for services in ([SETTINGS["services"][0] | {"deadline": 0}],
-                         [SETTINGS["services"][0] | {"deadline": -5.0}],
-                         [SETTINGS["services"][0] | {"deadline": "soon"}]):
+        for services in (
+            [SETTINGS["services"][0] | {"deadline": 0}],
+            [SETTINGS["services"][0] | {"deadline": -5.0}],
+            [SETTINGS["services"][0] | {"deadline": "soon"}],
+        ):
             broken.append(_file(good, services=services))
         for attempts in (0, -1, 2.5, "two"):
             broken.append(_file(good, permissions=SETTINGS["permissions"] | {"maxAttempts": attempts}))
@@ -180,12 +216,18 @@
 def test_names_told_in_another_order_keep_their_places(tmp_path: Path) -> None:
     """Planners are listed by the places that names had at the start; a file that tells the same names in
     another order must not move the own zone, or give a class the planners of another kind."""
+
     async def check() -> None:
         services = SETTINGS["services"]
         told = SETTINGS | {"familyInfo": {"classKind": [-1, 2]}}
-        turned = told | {"areas": SETTINGS["areas"][::-1], "locality": 1, "shapes": SETTINGS["shapes"][::-1],
-                         "familyInfo": {"classKind": [-1, 0]}, "services": services,
-                         "stats": {"fields": ["x1", "x0"], "source": "inline"}}
+        turned = told | {
+            "areas": SETTINGS["areas"][::-1],
+            "locality": 1,
+            "shapes": SETTINGS["shapes"][::-1],
+            "familyInfo": {"classKind": [-1, 0]},
+            "services": services,
+            "stats": {"fields": ["x1", "x0"], "source": "inline"},
+        }
         path = tmp_path / "config.json"
         path.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": told}))
         config = load({"LB_CONFIG": str(path)})
@@ -204,8 +246,16 @@
 
 def test_a_class_that_came_after_the_plan_is_drawn_by_the_list() -> None:
     dispatcher = Dispatcher(Settings(classes=(QUOTE,), weights=Weights.ROUGH), 1)
-    dispatcher.handle(0.0, [ListNews(ListKind.CACHED, 1, (
-        Entry(b"p1", weight=0.0, planned=(5.0,)), Entry(b"p2", weight=1.0, planned=(0.0,))))])
+    dispatcher.handle(
+        0.0,
+        [
+            ListNews(
+                ListKind.CACHED,
+                1,
+                (Entry(b"p1", weight=0.0, planned=(5.0,)), Entry(b"p2", weight=1.0, planned=(0.0,))),
+            )
+        ],
+    )
     dispatcher.retune(Settings(classes=(QUOTE, RUSH), weights=Weights.ROUGH))
     actions = dispatcher.handle(1.0, [Submitted(1, 900.0, job_class=0), Submitted(2, 900.0, job_class=1)])
     assert [action.worker for action in actions if isinstance(action, Send)] == [b"p1", b"p2"]
--- a/tests/test_run_as_shipped.py
+++ b/tests/test_run_as_shipped.py
@@ -17,10 +17,27 @@
 RUN = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 # Of the registry, and no other; the last two are what uvloop asks for, and what an environment itself loads.
 PACKAGES = {"click", "httptools", "msgspec", "uvloop", "typing_extensions", "_distutils_hack"}
-PARTS = {"cli", "config", "decisions", "egress", "exchange", "ingress", "mgmt", "routes", "scheduler",
-         "tuning", "wire"}
-UNASKED = {"routes.dns_sd", "routes.interfaces", "egress.grpc", "egress.grpc_connection",
-           "egress.grpc_outcomes", "tuning.rows"}
+PARTS = {
+    "cli",
+    "config",
+    "decisions",
+    "egress",
+    "exchange",
+    "ingress",
+    "mgmt",
+    "routes",
+    "scheduler",
+    "tuning",
+    "wire",
+}
+UNASKED = {
+    "routes.dns_sd",
+    "routes.interfaces",
+    "egress.grpc",
+    "egress.grpc_connection",
+    "egress.grpc_outcomes",
+    "tuning.rows",
+}
 THREADS = 1
 WORD = re.compile(r"import time:\s+\d+ \|\s+\d+ \| +(\S+)")
 
@@ -49,15 +66,28 @@
     async with Planner("p1") as planner, Catalog(planner) as catalog:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
-            path.write_text(json.dumps({
-                "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{catalog.port}", "seed": "8c",
-                "settings": SETTINGS}))
+            path.write_text(
+                json.dumps(
+                    {
+                        "name": "n0",
+                        "listen": "127.0.0.1:0",
+                        "discovery": f"127.0.0.1:{catalog.port}",
+                        "seed": "8c",
+                        "settings": SETTINGS,
+                    }
+                )
+            )
             # Files that lie about and variables of the environment turn nothing on.
             env = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
-            env |= {"LB_CONFIG": str(path), "PYTHONPROFILEIMPORTTIME": "1", "PIPITSHED_FLEET": "fleet.toml",
-                    "LB_FLEET": "fleet.toml"}
+            env |= {
+                "LB_CONFIG": str(path),
+                "PYTHONPROFILEIMPORTTIME": "1",
+                "PIPITSHED_FLEET": "fleet.toml",
+                "LB_FLEET": "fleet.toml",
+            }
             process = await asyncio.create_subprocess_exec(
-                "/bin/sh", "-c", RUN, cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE)
+                "/bin/sh", "-c", RUN, cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE
+            )
             assert process.stderr is not None
             try:
                 await asyncio.wait_for(catalog.watches.get(), 15.0)  # it is up, and watches the list
@@ -81,4 +111,5 @@
 def _installed() -> set[str]:
     """What the registry's packages in this environment are imported as."""
     from importlib.metadata import packages_distributions
+
     return {name for name, of in packages_distributions().items() if of != ["pipitshed"]}
--- a/tests/test_settings_fleet.py
+++ b/tests/test_settings_fleet.py
@@ -69,8 +69,9 @@
 
 
 @asynccontextmanager
-async def nodes(folder: Path, *settings: dict[str, object], secret: bytes = b"",
-                rows_file: str = "") -> AsyncIterator[list[Node]]:
+async def nodes(
+    folder: Path, *settings: dict[str, object], secret: bytes = b"", rows_file: str = ""
+) -> AsyncIterator[list[Node]]:
     """As many as there are settings, joined and caught up."""
     loop, made = asyncio.get_running_loop(), list[Node]()
     for place, told in enumerate(settings):
@@ -78,12 +79,15 @@
         asked = peers(f"s{place}", *(one.fleet.address for one in made[:2]), secret=secret)
         if rows_file:
             object.__setattr__(asked, "rows_file", folder / f"{rows_file}-{place}")
-        node.fleet = Fleet(asked, "", loop,
-                           fleet_rows.Tuned(node.raw, node.retune))
+        node.fleet = Fleet(asked, "", loop, fleet_rows.Tuned(node.raw, node.retune))
         made.append(node)
         await node.fleet.start()
-    await until(lambda: all(len(one.fleet.membership.view.living()) == len(made)
-                            and one.fleet.rows.table.caught_up for one in made))  # type: ignore[union-attr]
+    await until(
+        lambda: all(
+            len(one.fleet.membership.view.living()) == len(made) and one.fleet.rows.table.caught_up
+            for one in made
+        )
+    )  # type: ignore[union-attr]
     try:
         yield made
     finally:
@@ -99,6 +103,7 @@
 
 def told(body: Callable[[Path], Any]) -> Callable[[Path], None]:
     """A story that is told in a folder."""
+
     def test(tmp_path: Path) -> None:
         story(lambda: body(tmp_path))()
 
@@ -110,7 +115,8 @@
 async def test_a_row_is_put_in_force_taken_over_deleted_and_shown(folder: Path) -> None:
     async with nodes(folder, {}, {}, {}) as (one, two, three):
         assert (await call("put", SHARE, "0.4", "--peer", two.peer)) == (
-            f"0 accepted by s1: {SHARE} = 0.4, as 1.1\nin force at all 3 in touch\n")
+            f"0 accepted by s1: {SHARE} = 0.4, as 1.1\nin force at all 3 in touch\n"
+        )
         assert [node.share for node in (one, two, three)] == [0.4] * 3
         assert f"2 refused by s0: {SHARE}: s1 writes" in await call("put", SHARE, "0.5", "--peer", one.peer)
         assert "as 2.2\nin force" in await call("put", SHARE, "0.5", "--take-over", "--peer", one.peer)
@@ -137,8 +143,10 @@
         said = await call("put", SHARE, "0.5", "--peer", one.peer)
         assert said.startswith("3 ") and "s1 refuses it: the settings in force have no tenant" in said
         status = json.loads((await call("status", "--json", "--peer", one.peer))[2:])
-        assert [row["refused"] for row in status["members"]] == [[], [[SHARE, "the settings in force have no "
-                                                                      "tenant 'andes-retail'"]]]
+        assert [row["refused"] for row in status["members"]] == [
+            [],
+            [[SHARE, "the settings in force have no tenant 'andes-retail'"]],
+        ]
         two.read(config(folder))
         assert two.share == 0.5
         assert "2 refused by s0: a value is" in await call("put", SHARE, "none", "--peer", one.peer)
@@ -152,19 +160,24 @@
         assert said.startswith("3 ") and "2 act on it; s2 has not said that it does" in said
         await until(lambda: three.share == 0.4)  # though it acts on it
         del three.fleet.send
-        force = (await call("put", SHARE, "0.5", "--peer", one.peer))
+        force = await call("put", SHARE, "0.5", "--peer", one.peer)
         assert force.startswith("0 ") and "all 3" in force
         three.fleet.close()  # no good-bye
         await until(lambda: len(one.fleet.membership.view.living()) == 2)
-        assert "in force at all 2 in touch; out of touch: s2" in await call("put", SHARE, "0.6", "--peer",
-                                                                           one.peer)
+        assert "in force at all 2 in touch; out of touch: s2" in await call(
+            "put", SHARE, "0.6", "--peer", one.peer
+        )
         assert "out of touch" in await call("status", "--peer", two.peer)
 
 
 @told
 async def test_settings_are_written_with_a_secret_or_from_this_machine(folder: Path) -> None:
-    for secret, source, allowed in ((b"", "10.0.0.7", False), (b"", "127.0.0.9", True), (b"", "::1", True),
-                                    (b"key", "10.0.0.7", True)):
+    for secret, source, allowed in (
+        (b"", "10.0.0.7", False),
+        (b"", "127.0.0.9", True),
+        (b"", "::1", True),
+        (b"key", "10.0.0.7", True),
+    ):
         async with nodes(folder, {}, secret=secret) as [node]:
             answers: asyncio.Queue[Said] = asyncio.Queue()
             node.fleet.reply = Mock(return_value=answers.put_nowait)  # type: ignore[method-assign]
@@ -181,7 +194,8 @@
 
 @told
 async def test_a_change_that_crosses_another_or_comes_too_early_or_is_too_long_is_refused(
-        folder: Path) -> None:
+    folder: Path,
+) -> None:
     async with nodes(folder, {}) as [node]:
         rows, answers = node.fleet.rows, list[Any]()
         assert rows is not None
@@ -230,8 +244,14 @@
             assert one.share == two.share == 1.0 and not (folder / "rows-0").exists()
             held.set()
             for node in (one, two):
-                await until(lambda node=node: len(  # type: ignore[misc]
-                    [tenant for tenant in node.config.settings.tenants if tenant.share == 0.5]) == 20)
+                await until(
+                    lambda node=node: (
+                        len(  # type: ignore[misc]
+                            [tenant for tenant in node.config.settings.tenants if tenant.share == 0.5]
+                        )
+                        == 20
+                    )
+                )
                 assert len(node.retuned) <= 2  # what had come, and what came while that was written
             assert len(rowsfile.read(folder / "rows-0").rows) == 20
             assert (folder / "rows-0.damaged").exists()
@@ -288,9 +308,11 @@
 def fleet_file(folder: Path, name: str, port: int, *seeds: int) -> tuple[str, ...]:
     """The words that start a scheduler of this name."""
     path = folder / f"{name}.toml"
-    path.write_text(f'name = "{name}"\nlisten = "127.0.0.1:{port}"\ncluster = "red"\n'
-                    f'rows-file = "{name}.rows"\nseeds = {[f"127.0.0.1:{seed}" for seed in seeds]}\n'
-                    "[scales]\nperiod = 0.1\nack-within = 0.05\nsync = 0.5\nsync-with-gone = 1.0\n")
+    path.write_text(
+        f'name = "{name}"\nlisten = "127.0.0.1:{port}"\ncluster = "red"\n'
+        f'rows-file = "{name}.rows"\nseeds = {[f"127.0.0.1:{seed}" for seed in seeds]}\n'
+        "[scales]\nperiod = 0.1\nack-within = 0.05\nsync = 0.5\nsync-with-gone = 1.0\n"
+    )
     return "serve", "--fleet", str(path)
 
 
@@ -313,7 +335,8 @@
 
 @told
 async def test_rows_are_acted_on_by_processes_stand_over_a_file_read_anew_and_outlive_a_restart(
-        folder: Path) -> None:
+    folder: Path,
+) -> None:
     held: list[Run] = []
 
     def hold(run: Run) -> None:
@@ -324,8 +347,10 @@
     words = [fleet_file(folder, "s1", ports[0]), fleet_file(folder, "s2", ports[1], ports[0])]
     peer = ("--peer", f"127.0.0.1:{ports[1]}")
     async with Planner("p1", act=hold) as planner, Catalog(planner) as catalog:
-        async with (program(catalog=catalog, command=words[0]) as first,
-                    program(catalog=catalog, command=words[1], mgmt=True) as second):
+        async with (
+            program(catalog=catalog, command=words[0]) as first,
+            program(catalog=catalog, command=words[1], mgmt=True) as second,
+        ):
             while not (said := await call("put", SHARE, "0.5", *peer)).startswith("0 "):
                 assert "compared with a peer" in said, said
             under_way = await HttpClient.to(second.port)
--- a/tests/test_settings_rig.py
+++ b/tests/test_settings_rig.py
@@ -40,18 +40,29 @@
 @GROUPS[0]
 def test_changes_while_their_writer_is_killed_and_another_lost_its_disk_and_its_clock() -> None:
     puts = tuple(Put(at, "s1", SHARE, f"0.{place}") for place, at in enumerate((0.0, 0.4, 2.5, 3.0), 1))
-    told = case((*puts, Put(0.2, "s2", QUOTA, "80")), Fault(0.6, "kill", ("s1",), lasts=0.8),
-                Fault(0.7, "kill", ("s3",), lasts=0.5, disk=False),
-                Fault(1.8, "clock", ("s2",), lasts=1.5, amount=-3000.0))
+    told = case(
+        (*puts, Put(0.2, "s2", QUOTA, "80")),
+        Fault(0.6, "kill", ("s1",), lasts=0.8),
+        Fault(0.7, "kill", ("s3",), lasts=0.5, disk=False),
+        Fault(1.8, "clock", ("s2",), lasts=1.5, amount=-3000.0),
+    )
     assert told["wrong"] == [] and told["puts_in_force"] >= 3
 
 
 @GROUPS[1]
 def test_changes_in_both_halves_of_a_fleet_and_at_one_that_stands_still() -> None:
-    puts = (Put(0.5, "s1", SHARE, "0.1"), Put(3.0, "s2", SHARE, "0.2"), Put(3.2, "s1", QUOTA, "70"),
-            Put(6.0, "s3", SHARE, "0.3"))
-    told = case(puts, Fault(0.2, "cut-zone", ("zone-1",), lasts=4.0), Fault(5.0, "pause", ("s4",), lasts=2.5),
-                processes=5)
+    puts = (
+        Put(0.5, "s1", SHARE, "0.1"),
+        Put(3.0, "s2", SHARE, "0.2"),
+        Put(3.2, "s1", QUOTA, "70"),
+        Put(6.0, "s3", SHARE, "0.3"),
+    )
+    told = case(
+        puts,
+        Fault(0.2, "cut-zone", ("zone-1",), lasts=4.0),
+        Fault(5.0, "pause", ("s4",), lasts=2.5),
+        processes=5,
+    )
     assert told["wrong"] == [] and told["puts_in_force"] >= 2
 
 
@@ -81,11 +92,13 @@
         assert row_oracles.exact(logs(said=alone, acting=late, **excuse), 6.0, 2) == []
     for excuse in ({"away": [(2.0, 13.0)]}, {"ended": 22.0}):
         assert row_oracles.exact(logs(said=alone, acting=late, **excuse), 6.0, 2) != []
-    for fault, excused in (({"do": "cut", "a": ["s2"], "t": 12.0, "for": 3.0}, True),
-                           ({"do": "cut", "a": ["s2"], "t": 2.0, "for": 3.0}, False),
-                           ({"do": "loss", "a": ["s3"], "b": ["s4"], "t": 19.0, "for": 3.0}, False),
-                           ({"do": "cut-zone", "a": ["zone-2"], "t": 19.0, "for": 3.0}, True),
-                           ({"do": "kill", "a": ["s4"], "t": 19.0}, False)):
+    for fault, excused in (
+        ({"do": "cut", "a": ["s2"], "t": 12.0, "for": 3.0}, True),
+        ({"do": "cut", "a": ["s2"], "t": 2.0, "for": 3.0}, False),
+        ({"do": "loss", "a": ["s3"], "b": ["s4"], "t": 19.0, "for": 3.0}, False),
+        ({"do": "cut-zone", "a": ["zone-2"], "t": 19.0, "for": 3.0}, True),
+        ({"do": "kill", "a": ["s4"], "t": 19.0}, False),
+    ):
         held = logs(said=alone, acting=late)
         held.faults.append(fault)
         assert (row_oracles.exact(held, 6.0, 2) == []) is excused, fault
@@ -95,11 +108,25 @@
     assert row_oracles.backwards(logs()) == []
     back = [(9.0, {SHARE: (1, 2)}), (10.0, {SHARE: (1, 1)})]
     assert "went back" in row_oracles.backwards(logs(acting=back))[0]
-    for rows, disk, wrong in (({}, True, True), ({}, False, False), ({SHARE: (1, 1)}, True, True),
-                              ({SHARE: (2, 3)}, True, False)):
+    for rows, disk, wrong in (
+        ({}, True, True),
+        ({}, False, False),
+        ({SHARE: (1, 1)}, True, True),
+        ({SHARE: (2, 3)}, True, False),
+    ):
         held = logs()
-        held.instances.append(Instance("s2", 1, 2, 33, 25.0, started=25.5, disk=disk,
-                                       acting=[(25.4, rows), (25.6, {SHARE: (1, 2)})][:1 + (rows == {})]))
+        held.instances.append(
+            Instance(
+                "s2",
+                1,
+                2,
+                33,
+                25.0,
+                started=25.5,
+                disk=disk,
+                acting=[(25.4, rows), (25.6, {SHARE: (1, 2)})][: 1 + (rows == {})],
+            )
+        )
         assert ("started with" in "".join(row_oracles.backwards(held))) is wrong, rows
 
 
@@ -113,8 +140,10 @@
 
 def test_logs_are_read_on_and_half_a_line_is_left_for_the_next_look(tmp_path: Path) -> None:
     rig, events = tmp_path / "rig.jsonl", tmp_path / "e1"
-    rig.write_text(json.dumps({"t": 1.0, "event": "spawn", "process": "s1", "place": 0, "start": 1,
-                               "events": "e1"}) + "\n")
+    rig.write_text(
+        json.dumps({"t": 1.0, "event": "spawn", "process": "s1", "place": 0, "start": 1, "events": "e1"})
+        + "\n"
+    )
     reading = oracles.Reading(tmp_path)
     assert [one.name for one in reading.look().instances] == ["s1"]
     line = json.dumps({"t": 2.0, "event": "acting", "rows": [[SHARE, 1, 1]], "refused": [["k", "no"]]}) + "\n"
--- a/tests/test_settings_rows.py
+++ b/tests/test_settings_rows.py
@@ -48,8 +48,12 @@
 def test_rows_change_what_the_file_says_and_nothing_beside_it() -> None:
     file = raw()
     before = copy.deepcopy(file)
-    rows = [row(), row(GOAL, b"1500"), row("class/book/gain", b"2e1"),
-            row("tenant/andes-retail/allowancePerS", b"", deleted=True)]
+    rows = [
+        row(),
+        row(GOAL, b"1500"),
+        row("class/book/gain", b"2e1"),
+        row("tenant/andes-retail/allowancePerS", b"", deleted=True),
+    ]
     laid = overlay(file, rows)
     assert file == before and not laid.refused
     assert laid.acted == {one.key: one for one in rows}
@@ -61,21 +65,49 @@
     assert file_value(file, "nothing") is None
 
 
-@pytest.mark.parametrize(("changed", "why"), [
-    ({"key": "tenant/nobody/share"}, "no tenant 'nobody'"),
-    ({"key": "class/rush/deadline"}, "no class 'rush'"),
-    ({"key": "class/quote/repeat"}, "'repeat' can't be changed"),
-    ({"key": "class/quote/window"}, "'window' can't be changed"),
-    ({"key": "tenant/andes-retail/name"}, "'name' can't be changed"),
-    ({"key": "zone/lima-norte/share"}, "a key is"), ({"key": "tenant/share"}, "a key is"),
-    ({"key": ""}, "a key is"), ({"form": 2}, "form 2"),
-    *(({"body": body}, "a JSON number") for body in (
-        b"", b"soon", b'"1"', b"true", b"null", b"[1]", b" 1", b"1 ", b"01", b"1.", b".5", b"+1", b"NaN",
-        b"Infinity", b"1,2", b"0x1", b"\xff", b"1" * 33)),
-    ({"body": b"1e999"}, "share is not a number"), ({"body": b"-0.5"}, "share = -0.5 is out of range"),
-    ({"key": "class/quote/deadline", "body": b"0"}, "deadline = 0.0 is not a positive number")])
-def test_a_row_that_cant_be_is_refused_with_its_reason_and_the_old_one_stands(changed: dict[str, Any],
-                                                                              why: str) -> None:
+@pytest.mark.parametrize(
+    ("changed", "why"),
+    [
+        ({"key": "tenant/nobody/share"}, "no tenant 'nobody'"),
+        ({"key": "class/rush/deadline"}, "no class 'rush'"),
+        ({"key": "class/quote/repeat"}, "'repeat' can't be changed"),
+        ({"key": "class/quote/window"}, "'window' can't be changed"),
+        ({"key": "tenant/andes-retail/name"}, "'name' can't be changed"),
+        ({"key": "zone/lima-norte/share"}, "a key is"),
+        ({"key": "tenant/share"}, "a key is"),
+        ({"key": ""}, "a key is"),
+        ({"form": 2}, "form 2"),
+        *(
+            ({"body": body}, "a JSON number")
+            for body in (
+                b"",
+                b"soon",
+                b'"1"',
+                b"true",
+                b"null",
+                b"[1]",
+                b" 1",
+                b"1 ",
+                b"01",
+                b"1.",
+                b".5",
+                b"+1",
+                b"NaN",
+                b"Infinity",
+                b"1,2",
+                b"0x1",
+                b"\xff",
+                b"1" * 33,
+            )
+        ),
+        ({"body": b"1e999"}, "share is not a number"),
+        ({"body": b"-0.5"}, "share = -0.5 is out of range"),
+        ({"key": "class/quote/deadline", "body": b"0"}, "deadline = 0.0 is not a positive number"),
+    ],
+)
+def test_a_row_that_cant_be_is_refused_with_its_reason_and_the_old_one_stands(
+    changed: dict[str, Any], why: str
+) -> None:
     bad = row(**changed)
     with pytest.raises(RefusedRowError, match=why):
         check(raw(), bad)
@@ -126,7 +158,8 @@
 
 
 def test_the_file_gives_back_what_was_kept_and_what_is_damaged_is_left_aside(
-        tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
     path = tmp_path / "rows"
     assert rowsfile.read(path) == Kept() and not caplog.text
     kept = Kept((row(), row(GOAL, b"\xff\x00", form=2), row("x", b"", deleted=True)), (row(number=4),))
@@ -135,8 +168,15 @@
     whole = path.read_bytes()
     flipped = bytearray(whole)
     flipped[len(whole) // 2] ^= 1
-    for data in (b"", b"rows", whole[:-1], whole[: len(whole) // 2], bytes(flipped), whole + b" ",
-                 whole.replace(b"1", b"2", 1)):
+    for data in (
+        b"",
+        b"rows",
+        whole[:-1],
+        whole[: len(whole) // 2],
+        bytes(flipped),
+        whole + b" ",
+        whole.replace(b"1", b"2", 1),
+    ):
         path.write_bytes(data)
         caplog.clear()
         assert rowsfile.read(path) == Kept()
@@ -146,8 +186,9 @@
     assert rowsfile.read(path) == Kept()
 
 
-def test_a_write_that_is_cut_short_leaves_the_file_of_before(tmp_path: Path,
-                                                             monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_write_that_is_cut_short_leaves_the_file_of_before(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     path = tmp_path / "rows"
     rowsfile.write(path, Kept((row(),)))
 
@@ -180,8 +221,12 @@
             if key in before.acted and before.acted[key] != self.table.get(key):
                 acted[key] = before.acted[key]
         told = {key: "no such tenant" for key in refused}
-        changed = [one for one in self.table if acted.get(one.key) != before.acted.get(one.key)
-                   or told.get(one.key) != before.refused.get(one.key)]
+        changed = [
+            one
+            for one in self.table
+            if acted.get(one.key) != before.acted.get(one.key)
+            or told.get(one.key) != before.refused.get(one.key)
+        ]
         held = {one.key: one for one in self.table}
         self.one.acts(now, State(self.table.digest(), held, acted, told), changed, fleet)
 
@@ -269,8 +314,11 @@
     now = 0.0
     while now < 30.0 and (due := writer.one.due()) < 30.0:
         now = due
-        asked += [now for to, message in writer.one.tick(now, living) if isinstance(message, AskActing)
-                  and to == "m" and message.keys == (SHARE,)]
+        asked += [
+            now
+            for to, message in writer.one.tick(now, living)
+            if isinstance(message, AskActing) and to == "m" and message.keys == (SHARE,)
+        ]
     assert asked[0] >= ASK_AFTER and 8 <= len(asked) <= 10 / ASK_AGAIN
     assert all(later - earlier >= ASK_AGAIN for earlier, later in zip(asked, asked[1:], strict=False))
     assert writer.one.due() == float("inf")  # nobody waits any more
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -11,24 +11,52 @@
 
 import pytest
 from loopback import (
-    ROOT, SETTINGS, Catalog, HttpClient, Peer, Planner, Reader, Writer, call, healthy, program, story)
+    ROOT,
+    SETTINGS,
+    Catalog,
+    HttpClient,
+    Peer,
+    Planner,
+    Reader,
+    Writer,
+    call,
+    healthy,
+    program,
+    story,
+)
 
-CONFIG = json.dumps({"name": "n0", "listen": "127.0.0.1:0", "seed": "8c", "discovery": "127.0.0.1:1",
-                     "limits": {"sockets": 256}, "known": {"generation": 1, "reset": True, "instances": []},
-                     "settings": SETTINGS})
+CONFIG = json.dumps(
+    {
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "seed": "8c",
+        "discovery": "127.0.0.1:1",
+        "limits": {"sockets": 256},
+        "known": {"generation": 1, "reset": True, "instances": []},
+        "settings": SETTINGS,
+    }
+)
 
 
 @pytest.mark.parametrize("early", [signal.SIGTERM, signal.SIGHUP])
 def test_a_signal_before_its_handler_is_there_is_kept(early: signal.Signals, tmp_path: Path) -> None:
     """The program has begun to read its configuration, and is held there: a SIGHUP used to end it (129), a
     SIGTERM too, whatever stood in the queue of its listener by then."""
+
     @story
     async def run() -> None:
         pipe = tmp_path / "config.json"
         os.mkfifo(pipe)
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "pipitshed", "serve", cwd=ROOT, env=os.environ | {"LB_CONFIG": str(pipe)},
-            stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT)
+            sys.executable,
+            "-m",
+            "pipitshed",
+            "serve",
+            cwd=ROOT,
+            env=os.environ | {"LB_CONFIG": str(pipe)},
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.STDOUT,
+        )
         try:
             held = await asyncio.to_thread(open, pipe, "w")  # it is there once the program opens its end
             process.send_signal(early)
@@ -50,6 +78,7 @@
             if process.returncode is None:
                 process.kill()
                 await process.wait()
+
     run()
 
 
@@ -85,6 +114,7 @@
     """Nine in ten have to be: each is by the list it knew, a while after its start or once nobody takes its
     calls, and needs so little of the processor for it that a tenth of a core would do. The operators' address
     says so too."""
+
     class Down(Peer):
         async def serve(self, reader: Reader, writer: Writer) -> None:
             if discovery == "hangs":
@@ -115,4 +145,5 @@
             starts = await asyncio.gather(*(start(planner, down) for _ in range(10)))
         assert sum(took < 10.0 and ready for took, _, ready in starts) >= 9
         assert sorted(used for _, used, _ in starts)[8] < 1.0
+
     run()
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -5,7 +5,15 @@
 import io
 
 from pipitshed.decisions.interface import (
-    Entry, Finished, ListKind, ListNews, Outcome, Send, SetTimer, TimerFired)
+    Entry,
+    Finished,
+    ListKind,
+    ListNews,
+    Outcome,
+    Send,
+    SetTimer,
+    TimerFired,
+)
 from pipitshed.exchange.trace import Trace, line
 
 
@@ -20,4 +28,5 @@
     Trace(out).turn(1.0, [news, TimerFired(4)], [SetTimer(5, 10.0), Send(9, b"s-1")])
     assert out.getvalue().splitlines() == [
         "1.0 < ListNews kind=CACHED version=3 entries=s-1:READY:1:5",
-        "1.0 > Send job=9 worker=s-1 timeout=0.0 write_within=0.0"]
+        "1.0 > Send job=9 worker=s-1 timeout=0.0 write_within=0.0",
+    ]
--- a/tests/test_translation.py
+++ b/tests/test_translation.py
@@ -24,17 +24,30 @@
 places = st.text(st.characters(codec="utf-8", exclude_categories=["Cs"]), max_size=32)
 kilos = st.decimals(0, 10**9, places=3).map(lambda value: value.normalize())
 moments = st.datetimes(datetime(1970, 1, 1), datetime(9999, 12, 31)).map(
-    lambda value: value.replace(microsecond=value.microsecond // 1000 * 1000, tzinfo=UTC))
-goods = st.lists(st.fixed_dictionaries({"sku": places, "count": st.integers(1, 2**32 - 1)}), min_size=1,
-                 max_size=4)
+    lambda value: value.replace(microsecond=value.microsecond // 1000 * 1000, tzinfo=UTC)
+)
+goods = st.lists(
+    st.fixed_dictionaries({"sku": places, "count": st.integers(1, 2**32 - 1)}), min_size=1, max_size=4
+)
 jobs = st.fixed_dictionaries(
     {"origin": places, "destination": places, "pallets": st.integers(1, 2**32 - 1)},
-    optional={"weight_kg": kilos, "cutoff": moments, "fragile": st.booleans(), "remark": places,
-              "goods": goods})
+    optional={
+        "weight_kg": kilos,
+        "cutoff": moments,
+        "fragile": st.booleans(),
+        "remark": places,
+        "goods": goods,
+    },
+)
 oldest = st.fixed_dictionaries(
     {"from": places, "to": places, "plts": st.integers(1, 999)},
-    optional={"kg": st.decimals(0, 10**6, places=1), "by": st.integers(0, 253402300799),
-              "frag": st.sampled_from([0, 1]), "rem": places})
+    optional={
+        "kg": st.decimals(0, 10**6, places=1),
+        "by": st.integers(0, 253402300799),
+        "frag": st.sampled_from([0, 1]),
+        "rem": places,
+    },
+)
 
 
 def as_json(job: dict[str, Any]) -> bytes:
@@ -62,25 +75,50 @@
 
 @given(oldest, st.sampled_from(["quote", "book"]))
 def test_version_0_comes_back_the_same_over_two_steps(job: dict[str, Any], job_class: str) -> None:
-    text = urlencode({name: f"{value:f}" if isinstance(value, Decimal) else value
-                      for name, value in job.items()})
+    text = urlencode(
+        {name: f"{value:f}" if isinstance(value, Decimal) else value for name, value in job.items()}
+    )
     up = TRANSLATOR.convert(0, 2, job_class, text.encode())
     back = dict(parse_qsl(TRANSLATOR.convert(2, 0, job_class, up).decode(), keep_blank_values=True))
     assert {name: Decimal(value) if name == "kg" else value for name, value in back.items()} == {
-        name: value if name == "kg" else str(value) for name, value in job.items()}
+        name: value if name == "kg" else str(value) for name, value in job.items()
+    }
 
 
 @settings(max_examples=300)
-@given(jobs, st.sampled_from([
-    ("pallets", 0), ("pallets", 1.5), ("pallets", "4"), ("pallets", True), ("pallets", 2**32),
-    ("weight_kg", -1), ("weight_kg", 0.0001), ("weight_kg", "1"), ("weight_kg", 1e300),
-    ("cutoff", "2026-02-30T00:00:00Z"), ("cutoff", "2026-02-03T00:00:00.0001Z"), ("cutoff", "yesterday"),
-    ("cutoff", 5), ("fragile", 1), ("remark", None), ("remark", "\ud800"), ("hazard", "acid"),
-    ("goods", {}), ("goods", [[]]),
-    ("goods", [{"sku": "a"}]),
-    ("origin", "x" * 33), ("dock", "A1"), ("colour", "red")]))
+@given(
+    jobs,
+    st.sampled_from(
+        [
+            ("pallets", 0),
+            ("pallets", 1.5),
+            ("pallets", "4"),
+            ("pallets", True),
+            ("pallets", 2**32),
+            ("weight_kg", -1),
+            ("weight_kg", 0.0001),
+            ("weight_kg", "1"),
+            ("weight_kg", 1e300),
+            ("cutoff", "2026-02-30T00:00:00Z"),
+            ("cutoff", "2026-02-03T00:00:00.0001Z"),
+            ("cutoff", "yesterday"),
+            ("cutoff", 5),
+            ("fragile", 1),
+            ("remark", None),
+            ("remark", "\ud800"),
+            ("hazard", "acid"),
+            ("goods", {}),
+            ("goods", [[]]),
+            ("goods", [{"sku": "a"}]),
+            ("origin", "x" * 33),
+            ("dock", "A1"),
+            ("colour", "red"),
+        ]
+    ),
+)
 def test_what_cannot_be_expressed_is_refused_by_its_field(
-        job: dict[str, Any], wrong: tuple[str, Any]) -> None:
+    job: dict[str, Any], wrong: tuple[str, Any]
+) -> None:
     name, value = wrong
     told = json.loads(as_json(job)) | {name: value}
     with pytest.raises(Unfit) as caught:
@@ -112,12 +150,14 @@
     known = pb.Done(offer=offer).SerializeToString()
     assert TRANSLATOR.result(1, "quote", 2, known) == b'{"price":0.01,"departs":"1970-01-01T00:00:00Z"}'
     inner = offer.SerializeToString() + b"\x98\x06\x07"  # a field 99
-    for data, field in [(known + b"\x98\x06\x07", "the message"),
-                        (b"\x0a" + bytes([len(inner)]) + inner, "the message"),
-                        (known + b"\x0a\x02\x18\x09", "lane"),
-                        (pb.Done(booking=pb.Booking()).SerializeToString(), "offer"),
-                        (pb.Done(offer=pb.Offer(departs_ms=0)).SerializeToString(), "price_cents"),
-                        (b"\xff\xff", "the message")]:
+    for data, field in [
+        (known + b"\x98\x06\x07", "the message"),
+        (b"\x0a" + bytes([len(inner)]) + inner, "the message"),
+        (known + b"\x0a\x02\x18\x09", "lane"),
+        (pb.Done(booking=pb.Booking()).SerializeToString(), "offer"),
+        (pb.Done(offer=pb.Offer(departs_ms=0)).SerializeToString(), "price_cents"),
+        (b"\xff\xff", "the message"),
+    ]:
         with pytest.raises(Unfit) as caught:
             TRANSLATOR.result(1, "quote", 2, data)
         assert caught.value.field == field, data
@@ -129,30 +169,33 @@
     assert timedelta(milliseconds=told) + datetime(1970, 1, 1) == datetime(2026, 12, 1, 15, 0, 0, 250_000)
 
 
-@pytest.mark.parametrize(("old", "new", "what"), [
-    ('key = "field:key"\n', "", "no place for the key"),
-    ('tenant = "header:x-tenant"\n', "", "no place for the tenant"),
-    ('deadline = "metadata:grpc-timeout"', 'deadline = "metadata:x-wait"', "grpc-timeout"),
-    ('dock = { default = "any" }\n', "", "dock"),
-    ('dock = { default = "any" }', "dock = { default = 3 }", "3 is no text"),
-    ('dock = { default = "any" }', "dock = { }", "comes from nowhere"),
-    ('hazard = "planners of interface 2 take no free text on hazards"\n', "", "would be dropped"),
-    ('weight_g = { from = "weight_kg"', 'weight_g = { from = "weight"', "'weight'"),
-    ('weight_g = { from = "weight_kg", scale = 1000 }', 'weight_g = { from = "remark" }', "already"),
-    ('{ true = "fragile", false = "normal" }', '{ true = "fragile", false = "fragile" }', "told apart"),
-    ('{ true = "fragile", false = "normal" }', '{ true = "fragile", maybe = "normal" }', "maybe"),
-    ('{ from = "night", values = { true = "night", false = "day" } }', '{ from = "night" }', "lane"),
-    ('count = { from = "count" } } }', 'count = { cannot = "none" } } }', "count"),
-    ("quote_ref = { from = \"quote\" }", 'key = { from = "quote" }', "key"),
-    ('price_cents = { type = "integer"', 'price_cents = { type = "text"', "whole number"),
-    ('request-message = "RunRequest.book"', 'request-message = "RunRequest.buy"', "RunRequest.buy"),
-    ('choices = ["normal", "fragile", "cold"]', 'choices = ["normal", "hot"]', "hot"),
-    ("from = 1\nto = 2", "from = 0\nto = 2", "neighbouring"),
-    ("2 = 2 ", "2 = 1 ", "protobuf"),
-    ("gearman = 1", "gearman = 7", "no form 7"),
-    ("least = 1, most = 999", "least = 1, moist = 999", "moist"),
-    ("[interfaces]", "[interfaces", "line"),
-])
+@pytest.mark.parametrize(
+    ("old", "new", "what"),
+    [
+        ('key = "field:key"\n', "", "no place for the key"),
+        ('tenant = "header:x-tenant"\n', "", "no place for the tenant"),
+        ('deadline = "metadata:grpc-timeout"', 'deadline = "metadata:x-wait"', "grpc-timeout"),
+        ('dock = { default = "any" }\n', "", "dock"),
+        ('dock = { default = "any" }', "dock = { default = 3 }", "3 is no text"),
+        ('dock = { default = "any" }', "dock = { }", "comes from nowhere"),
+        ('hazard = "planners of interface 2 take no free text on hazards"\n', "", "would be dropped"),
+        ('weight_g = { from = "weight_kg"', 'weight_g = { from = "weight"', "'weight'"),
+        ('weight_g = { from = "weight_kg", scale = 1000 }', 'weight_g = { from = "remark" }', "already"),
+        ('{ true = "fragile", false = "normal" }', '{ true = "fragile", false = "fragile" }', "told apart"),
+        ('{ true = "fragile", false = "normal" }', '{ true = "fragile", maybe = "normal" }', "maybe"),
+        ('{ from = "night", values = { true = "night", false = "day" } }', '{ from = "night" }', "lane"),
+        ('count = { from = "count" } } }', 'count = { cannot = "none" } } }', "count"),
+        ('quote_ref = { from = "quote" }', 'key = { from = "quote" }', "key"),
+        ('price_cents = { type = "integer"', 'price_cents = { type = "text"', "whole number"),
+        ('request-message = "RunRequest.book"', 'request-message = "RunRequest.buy"', "RunRequest.buy"),
+        ('choices = ["normal", "fragile", "cold"]', 'choices = ["normal", "hot"]', "hot"),
+        ("from = 1\nto = 2", "from = 0\nto = 2", "neighbouring"),
+        ("2 = 2 ", "2 = 1 ", "protobuf"),
+        ("gearman = 1", "gearman = 7", "no form 7"),
+        ("least = 1, most = 999", "least = 1, moist = 999", "moist"),
+        ("[interfaces]", "[interfaces", "line"),
+    ],
+)
 def test_a_file_that_would_lose_anything_is_turned_down_by_its_line(old: str, new: str, what: str) -> None:
     assert old in FORMS
     with pytest.raises(TranslationError) as caught:
@@ -169,8 +212,11 @@
 
 
 def test_a_step_may_not_touch_the_envelope() -> None:
-    text = FORMS.replace('[steps.classes.book.request.cannot]\nhazard',
-                         '[steps.classes.book.request.cannot]\nidempotency-key = "none"\nhazard', 1)
+    text = FORMS.replace(
+        "[steps.classes.book.request.cannot]\nhazard",
+        '[steps.classes.book.request.cannot]\nidempotency-key = "none"\nhazard',
+        1,
+    )
     with pytest.raises(TranslationError, match="belongs to the envelope"):
         read(text)
     line = text.splitlines().index('idempotency-key = "none"') + 1
@@ -179,11 +225,13 @@
 
 
 def test_a_field_that_only_the_new_side_requires_is_refused_by_name_where_no_default_is_stated() -> None:
-    forms = read(FORMS.replace('dock = { default = "any" }',
-                               'dock = { cannot = "old terminals know no docks" }'))
+    forms = read(
+        FORMS.replace('dock = { default = "any" }', 'dock = { cannot = "old terminals know no docks" }')
+    )
     with pytest.raises(Unfit) as caught:
-        Translator(forms, ["quote", "book"]).convert(1, 2, "book", as_json(
-            {"origin": "a", "destination": "b", "pallets": 1}))
+        Translator(forms, ["quote", "book"]).convert(
+            1, 2, "book", as_json({"origin": "a", "destination": "b", "pallets": 1})
+        )
     assert (caught.value.field, caught.value.reason) == ("dock", "old terminals know no docks")
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -42,8 +42,11 @@
             if headers.get("connection") == "close":
                 kept = await HttpClient.to(port)
 
-    async with (Planner("p1") as planner, Catalog(planner) as catalog,
-                program(catalog=catalog, **passed) as old):  # type: ignore[arg-type]
+    async with (
+        Planner("p1") as planner,
+        Catalog(planner) as catalog,
+        program(catalog=catalog, **passed) as old,
+    ):  # type: ignore[arg-type]
         assert old.port == port
         await _ready(old.mgmt_port)
         load = asyncio.create_task(traffic())
@@ -79,8 +82,11 @@
     """SIGKILL comes the longest deadline and 0.7 s after SIGTERM. The figures of deployments with deadlines
     over 3 s, which both have had, would keep the program up for 2 s and lose what came in then."""
     brief = {"services": [SETTINGS["services"][0] | {"deadline": 600.0, "goalTime": 300.0}]}
-    async with Planner("p1") as planner, Catalog(planner) as catalog, \
-            program(planner, catalog=catalog, settings=brief) as running:
+    async with (
+        Planner("p1") as planner,
+        Catalog(planner) as catalog,
+        program(planner, catalog=catalog, settings=brief) as running,
+    ):
         client = await HttpClient.to(running.port)
         client.ask("n1", X_Deadline="0.600")
         assert (await client.answer())[0] == 200
--- a/tests/test_whole_lists.py
+++ b/tests/test_whole_lists.py
@@ -52,7 +52,7 @@
         text = news_of(self.versions.number, reset, rows)
         if self.broken:
             self.broken -= 1
-            writer.write(HEAD + chunk(text[:len(text) // 2]))
+            writer.write(HEAD + chunk(text[: len(text) // 2]))
             await writer.drain()
             return
         writer.write(HEAD + chunk(text))
@@ -75,9 +75,14 @@
     """One after a start that knows none of use; then each call names the version known, by changes too."""
     async with Planner("p1") as one, Planner("p2") as two:
         versions = Versions(one, two)
-        async with (Versioned(versions) as first, Versioned(versions) as second,
-                    program(catalog=first, settings={"rules": {"answerSlack": 8.0, "askWithin": 1000.0,
-                                                               "drainGrace": 1500.0}}) as running):
+        async with (
+            Versioned(versions) as first,
+            Versioned(versions) as second,
+            program(
+                catalog=first,
+                settings={"rules": {"answerSlack": 8.0, "askWithin": 1000.0, "drainGrace": 1500.0}},
+            ) as running,
+        ):
             watch = await first.watches.get()
             first.push(watch, two.line("draining"))
             await served(running, one)
@@ -147,15 +152,22 @@
 def test_counts_of_the_list_are_lines_beside_the_fleets_figures_alone() -> None:
     """The page of the operators' address names what stands there; it does not say that more may."""
     from pipitshed.mgmt.figures import count_lines, parse
+
     assert parse(count_lines({"whole lists": 2, "list bytes": 90})) == {
-        "scheduler.list_bytes": 90, "scheduler.whole_lists": 2}
+        "scheduler.list_bytes": 90,
+        "scheduler.whole_lists": 2,
+    }
 
     @story
     async def run() -> None:
-        async with Planner("p1") as one, Versioned(Versions(one)) as catalog, program(
-                catalog=catalog, mgmt=True) as running:
+        async with (
+            Planner("p1") as one,
+            Versioned(Versions(one)) as catalog,
+            program(catalog=catalog, mgmt=True) as running,
+        ):
             await catalog.watches.get()
             assert not any("list" in name for name in await figures(running.mgmt_port))
+
     run()
 
 
@@ -163,6 +175,7 @@
 async def test_a_whole_list_that_takes_long_to_come_is_not_fetched_again() -> None:
     """Where many start together, discovery's line is full: given up 1.5 s after its first byte, the list was
     asked for again, and never came."""
+
     class Slow(Wide):
         async def serve(self, reader: Reader, writer: Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -171,12 +184,15 @@
             writer.write(HEAD)
             step = len(text) // 18 + 1
             for place in range(0, len(text), step):
-                writer.write(chunk(text[place:place + step]))
+                writer.write(chunk(text[place : place + step]))
                 await asyncio.sleep(0.12)
             await reader.read()
 
-    async with Planner("p1") as planner, Slow(planner, others=4599) as catalog, program(
-            catalog=catalog) as running:
+    async with (
+        Planner("p1") as planner,
+        Slow(planner, others=4599) as catalog,
+        program(catalog=catalog) as running,
+    ):
         await running.logged("the whole list")
         await served(running, planner)
         assert len(catalog.asked) == 1
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -14,12 +14,14 @@
     "09 03000000 c4913a5d1e900500 0000000000006e40 0000 0000c03f 0000000000002840 640ad2557c3bf091 01 0000"
     "00000040"
     "01 03000000 4d00000000000000"
-    "07 05000000 192b6f0e109c0f00")
+    "07 05000000 192b6f0e109c0f00"
+)
 REPLY = bytes.fromhex(
     "48000000 03000000"
     "41 03000000 c4913a5d1e900500 0a124a07 431f 0000000000005440"
     "45 03000000 4d00000000000000 0000000000407f40"
-    "49 05000000 1100 74776f2073657276657273206b6e6f776e")
+    "49 05000000 1100 74776f2073657276657273206b6e6f776e"
+)
 WORKER = bytes.fromhex("0a124a07431f")
 JOB = 0x5901E5D3A91C4
 
@@ -41,9 +43,11 @@
 
 def test_the_reply_shown_on_the_wire_page() -> None:
     number = struct.unpack("<Q", bytes.fromhex("c4913a5d1e900500"))[0]
-    records = [wire.encode_action(3, api.Send(number, WORKER, 80.0)),
-               wire.encode_action(3, api.SetTimer(77, 500.0)),
-               wire.encode_action(5, api.Log("two servers known"))]
+    records = [
+        wire.encode_action(3, api.Send(number, WORKER, 80.0)),
+        wire.encode_action(3, api.SetTimer(77, 500.0)),
+        wire.encode_action(5, api.Log("two servers known")),
+    ]
     assert wire.encode_reply(records) == REPLY
 
 
@@ -51,14 +55,22 @@
     [(instance, news)] = decode(
         "08 03000000 03 2900000000000000 02000000"
         "0000 0000000000000000 00 0a124a07 431f 0000803f 01 0000"
-        "0000 0000000000d4b740 00 0a9011f2 6c1f 0000c03f 01 0100")
+        "0000 0000000000d4b740 00 0a9011f2 6c1f 0000c03f 01 0100"
+    )
     assert instance == 3
-    assert news == api.ListNews(api.ListKind.CACHED, 41, (
-        api.Entry(WORKER), api.Entry(bytes.fromhex("0a9011f26c1f"), 1, 0, 0, 1.5, 6100.0)))
+    assert news == api.ListNews(
+        api.ListKind.CACHED,
+        41,
+        (api.Entry(WORKER), api.Entry(bytes.fromhex("0a9011f26c1f"), 1, 0, 0, 1.5, 6100.0)),
+    )
     [(_, finished)] = decode("0a 03000000 c4913a5d1e900500 0000 0a124a07 431f 01 0000000000803240 01 00 00")
     assert isinstance(finished, api.Finished)
     assert (finished.outcome, finished.elapsed, finished.settled, finished.report) == (
-        api.Outcome.OK, 18.5, True, ())
+        api.Outcome.OK,
+        18.5,
+        True,
+        (),
+    )
 
 
 def test_the_events_without_an_example() -> None:
@@ -69,35 +81,50 @@
     first = b"\x0b" + head + struct.pack("<QH6sd", 9, 1, WORKER, 4.0)
     halt = b"\x02" + head
     events = [event for _, event in wire.decode_batch(5, note + probed + mail + first + halt)]
-    assert events == [api.Note(9, 1, WORKER, 2, 0.5), api.Probed(WORKER, 3.0, api.Outcome.OK, (4.0, 0.5)),
-                      api.PeerMessage(7, b"hi"), api.FirstByte(9, 1, WORKER, 4.0), wire.Halted()]
-
-
-@pytest.mark.parametrize(("action", "record"), [
-    (api.Refuse(9, 2.0), struct.pack("<BIQd", 66, 2, 9, 2.0)),
-    (api.Fail(9), struct.pack("<BIQ", 67, 2, 9)),
-    (api.Cancel(9, 1), struct.pack("<BIQH", 68, 2, 9, 1)),
-    (api.Probe(WORKER), struct.pack("<BI6s", 70, 2, WORKER)),
-    (api.CloseIdle(WORKER), struct.pack("<BI6s", 71, 2, WORKER)),
-    (api.TellPeer(None, b"hi 7"), bytes.fromhex("48 02000000 ffff 0400 68692037")),
-    (api.TellPeer(4, b""), bytes.fromhex("48 02000000 0400 0000")),
-    (api.WatchList(True), bytes.fromhex("4b 02000000 01")),
-    (api.FetchList(), bytes.fromhex("4c 02000000")),
-])
+    assert events == [
+        api.Note(9, 1, WORKER, 2, 0.5),
+        api.Probed(WORKER, 3.0, api.Outcome.OK, (4.0, 0.5)),
+        api.PeerMessage(7, b"hi"),
+        api.FirstByte(9, 1, WORKER, 4.0),
+        wire.Halted(),
+    ]
+
+
+@pytest.mark.parametrize(
+    ("action", "record"),
+    [
+        (api.Refuse(9, 2.0), struct.pack("<BIQd", 66, 2, 9, 2.0)),
+        (api.Fail(9), struct.pack("<BIQ", 67, 2, 9)),
+        (api.Cancel(9, 1), struct.pack("<BIQH", 68, 2, 9, 1)),
+        (api.Probe(WORKER), struct.pack("<BI6s", 70, 2, WORKER)),
+        (api.CloseIdle(WORKER), struct.pack("<BI6s", 71, 2, WORKER)),
+        (api.TellPeer(None, b"hi 7"), bytes.fromhex("48 02000000 ffff 0400 68692037")),
+        (api.TellPeer(4, b""), bytes.fromhex("48 02000000 0400 0000")),
+        (api.WatchList(True), bytes.fromhex("4b 02000000 01")),
+        (api.FetchList(), bytes.fromhex("4c 02000000")),
+    ],
+)
 def test_each_action(action: api.Action, record: bytes) -> None:
     assert wire.encode_action(2, action) == record
 
 
-@pytest.mark.parametrize(("count", "body", "message"), [
-    (1, "63 01000000", "unknown event code 99"),
-    (1, "01 01000000 4d", "ends before its last field"),
-    (0, "01", "left over"),
-    (1, "0a 03000000 c4913a5d1e900500 0000 0a124a07 431f 09 0000000000803240 01 00 00", "unknown outcome 9"),
-    (1, "0a 03000000 c4913a5d1e900500 0000 0a124a07 431f 01 000000000000f07f 01 00 00", "not a finite"),
-    (1, "0a 03000000 c4913a5d1e900500 0000 0a124a07 431f 01 0000000000803240 01 00 02", "ends before"),
-    (1, "08 03000000 07 2900000000000000 00000000", "unknown list mode 7"),
-    (1, "08 03000000 01 2900000000000000 ffffffff", "ends before"),
-])
+@pytest.mark.parametrize(
+    ("count", "body", "message"),
+    [
+        (1, "63 01000000", "unknown event code 99"),
+        (1, "01 01000000 4d", "ends before its last field"),
+        (0, "01", "left over"),
+        (
+            1,
+            "0a 03000000 c4913a5d1e900500 0000 0a124a07 431f 09 0000000000803240 01 00 00",
+            "unknown outcome 9",
+        ),
+        (1, "0a 03000000 c4913a5d1e900500 0000 0a124a07 431f 01 000000000000f07f 01 00 00", "not a finite"),
+        (1, "0a 03000000 c4913a5d1e900500 0000 0a124a07 431f 01 0000000000803240 01 00 02", "ends before"),
+        (1, "08 03000000 07 2900000000000000 00000000", "unknown list mode 7"),
+        (1, "08 03000000 01 2900000000000000 ffffffff", "ends before"),
+    ],
+)
 def test_malformed_records_are_refused(count: int, body: str, message: str) -> None:
     with pytest.raises(wire.WireError, match=message):
         wire.decode_batch(count, bytes.fromhex(body))
@@ -116,33 +143,47 @@
 
 
 def test_settings_are_translated() -> None:
-    settings = wire.settings_from_json(info(
-        services=[{"goalTime": 1, "deadline": 2, "repeat": "dedup", "keyScope": "zone", "window": 5}],
-        familyInfo={"classKind": [1], "classStretch": [2.0], "classPriority": [1], "tellsStart": True},
-        stats={"source": "inline", "fields": ["x0", "depth", "novel"]}, weights="live",
-        discovery="on_request", areas=["a", "b"], locality=1,
-        tenants=[{"allowancePerS": 31.0, "share": 0.5}]))
+    settings = wire.settings_from_json(
+        info(
+            services=[{"goalTime": 1, "deadline": 2, "repeat": "dedup", "keyScope": "zone", "window": 5}],
+            familyInfo={"classKind": [1], "classStretch": [2.0], "classPriority": [1], "tellsStart": True},
+            stats={"source": "inline", "fields": ["x0", "depth", "novel"]},
+            weights="live",
+            discovery="on_request",
+            areas=["a", "b"],
+            locality=1,
+            tenants=[{"allowancePerS": 31.0, "share": 0.5}],
+        )
+    )
     cls = settings.classes[0]
     assert (cls.effect, cls.group, cls.kind, cls.stretch, cls.priority) == (
-        api.Effect.KEYED, api.Group.ZONE, 1, 2.0, 1)
+        api.Effect.KEYED,
+        api.Group.ZONE,
+        1,
+        2.0,
+        1,
+    )
     assert settings.report_fields == ("free_slots", "queue", "")
     assert settings.weights is api.Weights.LIVE and settings.list_on_request and settings.tells_start
     assert (settings.zone, settings.zones, settings.tenants[0].allowance) == (1, 2, 31.0)
 
 
-@pytest.mark.parametrize(("changes", "key"), [
-    ({"services": []}, "services"),
-    ({"services": [{"goalTime": 300.0}]}, r"services\[0\].deadline"),
-    ({"services": [{"goalTime": -1, "deadline": 2}]}, r"services\[0\].goalTime"),
-    ({"services": [{"goalTime": 1, "deadline": 2, "repeat": "maybe"}]}, r"services\[0\].repeat"),
-    ({"permissions": {"maxAttempts": 0}}, "permissions.maxAttempts"),
-    ({"permissions": {"cancel": "yes"}}, "permissions.cancel"),
-    ({"rules": {"coldFrom": 2}}, "rules.coldFrom"),
-    ({"siblings": 1.5}, "siblings"),
-    ({"weights": "heavy"}, "weights"),
-    ({"areas": ["a"], "locality": 1}, "locality"),
-    ({"tick": None}, "tick"),
-])
+@pytest.mark.parametrize(
+    ("changes", "key"),
+    [
+        ({"services": []}, "services"),
+        ({"services": [{"goalTime": 300.0}]}, r"services\[0\].deadline"),
+        ({"services": [{"goalTime": -1, "deadline": 2}]}, r"services\[0\].goalTime"),
+        ({"services": [{"goalTime": 1, "deadline": 2, "repeat": "maybe"}]}, r"services\[0\].repeat"),
+        ({"permissions": {"maxAttempts": 0}}, "permissions.maxAttempts"),
+        ({"permissions": {"cancel": "yes"}}, "permissions.cancel"),
+        ({"rules": {"coldFrom": 2}}, "rules.coldFrom"),
+        ({"siblings": 1.5}, "siblings"),
+        ({"weights": "heavy"}, "weights"),
+        ({"areas": ["a"], "locality": 1}, "locality"),
+        ({"tick": None}, "tick"),
+    ],
+)
 def test_impossible_settings_are_refused_by_name(changes: dict[str, object], key: str) -> None:
     with pytest.raises(wire.WireError, match=key):
         wire.settings_from_json(info(**changes))
