--- a/pipitshed/config.py
+++ b/pipitshed/config.py
@@ -93,13 +93,15 @@
 
 def _on_sockets(settings: Settings) -> Settings:
     """The settings as they hold on sockets. Guards against a list that no one ever asks for: where the
-    settings say that news is pushed, a watch is what it comes by, as discovery answers only who calls."""
+    settings say that news is pushed, a watch is what it comes by, as discovery answers only who calls.
+    """
     return replace(settings, list_on_request=True, list_pushed=not settings.list_on_request)
 
 
 def resettled(config: Config, settings: dict[str, Any]) -> Config:
     """The configuration with the settings of another file, which has the same names; `raw` stays the file
-    that was read. SettingsError where the settings can't be."""
+    that was read. SettingsError where the settings can't be.
+    """
     return replace(config, settings=_on_sockets(settings_from(settings)))
 
 
@@ -239,7 +241,8 @@
 
 def load_front(path: Path | None, config: Config) -> Front:
     """Read the front file; ConfigError where it can't be used, with line and key where it doesn't fit the
-    settings. Where none is asked for, nothing is on: a file that lies at some place turns nothing on."""
+    settings. Where none is asked for, nothing is on: a file that lies at some place turns nothing on.
+    """
     if path is None:
         return Front([], {}, _Workers(), None, "")
     try:
--- a/pipitshed/decisions/interface.py
+++ b/pipitshed/decisions/interface.py
@@ -307,7 +307,8 @@
 @dataclass(frozen=True, slots=True)
 class Send:
     """Start an attempt of a job; a time-out of 0 lasts as long as the client waits. `write_within`: ms within
-    which a repeat is written, or not at all; 0 where it may be at any time."""
+    which a repeat is written, or not at all; 0 where it may be at any time.
+    """
 
     job: int
     worker: WorkerId
--- a/pipitshed/decisions/pools.py
+++ b/pipitshed/decisions/pools.py
@@ -22,7 +22,8 @@
 
 class Sums:
     """Weights by place, in blocks with their cumulated sums, whose totals are summed in blocks in turn. Sums
-    are made from the weights as they stand, so that no rounding is left behind by those that were there."""
+    are made from the weights as they stand, so that no rounding is left behind by those that were there.
+    """
 
     __slots__ = ("_weights", "_sums", "_stale")
 
@@ -64,7 +65,8 @@
 
     def at(self, part: float) -> int:
         """The place at which this part (0 to 1) of the total falls, once that was asked for; never one whose
-        weight is 0."""
+        weight is 0.
+        """
         place, rest = 0, part * self._sums[-1][0][-1]
         for sums in reversed(self._sums):
             block = sums[place]
@@ -151,7 +153,8 @@
 class Pools(Generic[Member]):
     """The pools of all members: one for each tag that members have and each key by which `weigh` tells a
     member's weights, None where it is out. A pool is made on first use, and takes in at its next use what has
-    changed since; one that is not used is dropped in time, so that a change touches those in use alone."""
+    changed since; one that is not used is dropped in time, so that a change touches those in use alone.
+    """
 
     def __init__(self, weigh: Callable[[Member, Any], Weights | None], ways: int) -> None:
         self._weigh = weigh
--- a/pipitshed/decisions/rules.py
+++ b/pipitshed/decisions/rules.py
@@ -236,7 +236,8 @@
 
     def retune(self, settings: Settings) -> None:
         """Settings anew. Classes are only ever added, so a job under way keeps its own; what is known of
-        workers and of f stays."""
+        workers and of f stays.
+        """
         if settings.weights is not self.settings.weights:
             self.pools.clear()
         self.settings = settings
@@ -297,7 +298,8 @@
     def _list_wait(self, kind: ListKind) -> float:
         """Discovery serves all siblings in turn, and turns calls down while its short queue is full: failed
         calls back off so that it drains, counted from the call, as one that took long has waited already.
-        Where it is back, two more calls have time before what it has to tell counts as told (6 s)."""
+        Where it is back, two more calls have time before what it has to tell counts as told (6 s).
+        """
         settings, again = self.settings, max(0, self.list_failures - 1)
         if settings.list_pushed:
             longest = max(2 * LEAST_ASK, PUSHED_PART * settings.rules.drain_grace)
@@ -309,7 +311,8 @@
 
     def _list_moved(self) -> None:
         """Follow the list at once, a little spread as all siblings may be told together: what was found of
-        the old place is void, and a back-off from it would overrun the time after which news counts."""
+        the old place is void, and a back-off from it would overrun the time after which news counts.
+        """
         self.list_failures = 0
         if self.settings.list_on_request:
             self._ask_list_in(MOVED_SPREAD * self.settings.rules.ask_within * self.rng.random())
@@ -346,7 +349,8 @@
     def _forget(self) -> None:
         """Forget what left the list so long ago that nothing is held against it, but where an attempt is out,
         or a planner's own word of when to come back holds. Jobs keep what they have tried. What is back
-        sooner, as a list may lack it once, is as it was; later it is new, and cold if its start says so."""
+        sooner, as a list may lack it once, is as it was; later it is new, and cold if its start says so.
+        """
         for name in list(takewhile(lambda name: self.gone[name] <= self.now - FORGET_MS, self.gone)):
             worker = self.workers[name]
             del self.gone[name]
@@ -363,7 +367,8 @@
 
     def _weights(self, worker: Worker, key: tuple[int, frozenset[int] | None]) -> tuple[float, ...] | None:
         """What a worker is drawn by for the jobs of a class; None where it is not ready, or not for them. By
-        the plan where there is one (who has just come waits for its part), then by the list, then evenly."""
+        the plan where there is one (who has just come waits for its part), then by the list, then evenly.
+        """
         number, fits = key
         if (
             not worker.ready
@@ -381,7 +386,8 @@
     def _draw(self, job: Job, scope: Scope) -> Worker | None:
         """A worker by capacity; one that this dispatcher has cause to doubt is passed over, boundedly. The
         own zone is drawn from first, longer the dearer a crossing: it keeps what it has room for, whatever
-        part of the traffic comes in there."""
+        part of the traffic comes in there.
+        """
         key = (job.number, job.fits)
         pool = self.pools.get(scope, key)
         if pool is None:
@@ -417,7 +423,8 @@
 
     def _last_resort(self, worker: Worker) -> tuple[bool, float]:
         """Where each draw was doubted, the least held is taken, and one that fails jobs last: it ends them at
-        once, so that it would be that least."""
+        once, so that it would be that least.
+        """
         return worker.failing > 0 and worker.ejected_until > self.now, worker.held / self._size(worker)
 
     def _connected(self, worker: Worker) -> bool:
@@ -462,7 +469,8 @@
     def _cold_turn(self, worker: Worker, job: Job) -> bool:
         """A cold worker is taken with the chance of what it can do by now, at a job's first draw alone: all
         siblings together send it what a warm one bears times that part, and no redraws, which pile up on
-        newcomers as they look idle. A heavy job goes there more rarely."""
+        newcomers as they look idle. A heavy job goes there more rarely.
+        """
         rules = self.settings.rules
         age = max(0.0, self.now - worker.started_at)
         part = rules.cold_from + (1 - rules.cold_from) * age / rules.cold
@@ -474,7 +482,8 @@
 
     def _may(self, job: Job) -> tuple[bool, Scope, bool]:
         """(send again, only to these workers, refuse) by the class's effect. All paths ask here: nothing
-        that may have run is repeated beyond its group and window, or refused as if it had not."""
+        that may have run is repeated beyond its group and window, or refused as if it had not.
+        """
         limits, cls = self.settings.limits, job.cls
         first = job.first()
         free = len(job.attempts) < limits.max_attempts and not job.over and not job.stream
@@ -556,7 +565,8 @@
     def _over_share(self, tenant: int) -> bool:
         """Whether this job is over its tenant's share: of a tenant that sends more than this dispatcher's
         part of its allowance, the excess is. Where nobody tells the part, an equal one says little of uneven
-        traffic: only a tenant with a larger part of the own traffic than its share is over it."""
+        traffic: only a tenant with a larger part of the own traffic than its share is over it.
+        """
         tenants = self.settings.tenants
         if tenant >= len(tenants) or not tenants[tenant].allowance:
             return False  # none is told: nothing is beyond it
@@ -630,7 +640,8 @@
         workers turn jobs away, for there a job that was taken has only a short queue before it; copies of
         it would fill a busy fleet with work done twice, above all where a cancel stops nothing. While draws
         find room it is no shorter than a new connection may take, as the next attempt would need one after a
-        cancel: handshakes that are counted as lack of room make a fleet look full."""
+        cancel: handshakes that are counted as lack of room make a fleet look full.
+        """
         part = START_PART + START_DEAR * self.settings.prices.handshake + TURNED_PART * self._turned_away()
         opening = (1 - (self._f() or 0.0)) * self.settings.limits.connect_timeout
         return max(3 * self.settings.tick, part * job.cls.aim, opening) * 2.0 ** (len(job.attempts) - 1)
@@ -666,7 +677,8 @@
 
     def _watch_progress(self, job: Job, running: list[Attempt]) -> None:
         """Draw a job again whose worker has fallen silent, where its class allows: a machine that vanished or
-        was cut off closes no connection, and without this its jobs wait there until their deadline."""
+        was cut off closes no connection, and without this its jobs wait there until their deadline.
+        """
         due = max(attempt.heard_at for attempt in running) + STALLED * self.settings.progress
         cls, limits = job.cls, self.settings.limits
         if (
@@ -794,7 +806,8 @@
 
     def _report(self, worker: Worker, report: tuple[float, ...]) -> None:
         """Learn a worker's slots, and the own part of what fills them. What a report doesn't tell of free
-        slots, waiting jobs and jobs in hand follows from the rest and from the most slots seen."""
+        slots, waiting jobs and jobs in hand follows from the rest and from the most slots seen.
+        """
         if not report:
             return
         value = {name: report[place] for name, place in self.fields.items() if place < len(report)}
--- a/pipitshed/decisions/settings.py
+++ b/pipitshed/decisions/settings.py
@@ -120,7 +120,8 @@
 
 def check_entry(kind: str, value: Any) -> None:
     """Check one entry alone, a `class` or a `tenant`, as `settings_from` does; SettingsError where it can't
-    be."""
+    be.
+    """
     if kind == "class":
         _class(_Table(value, kind), 0, _Table({}, "familyInfo"))
     else:
--- a/pipitshed/egress/gearman.py
+++ b/pipitshed/egress/gearman.py
@@ -9,7 +9,7 @@
 
 from pipitshed.decisions.interface import Entry, ListKind, NoteKind, Outcome, State
 from pipitshed.exchange.core import Core
-from pipitshed.exchange.parties import Endpoint, Attempt
+from pipitshed.exchange.parties import Attempt, Endpoint
 from pipitshed.wire.gearman import Kind, PacketError, pack
 
 SOURCE = "gearman workers"
@@ -228,7 +228,8 @@
 
     def list_worker(self, worker: Worker) -> None:
         """Tell the route table what a worker can do now. One that can do nothing more is draining until
-        its connection ends; attempts that wait for what it no longer does never ran."""
+        its connection ends; attempts that wait for what it no longer does never ran.
+        """
         can = frozenset(self.classes[name] for name in worker.abilities if name in self.classes)
         state = State.GONE if worker.gone else State.READY if can else State.DRAINING
         if worker.gone:
@@ -257,7 +258,8 @@
 
     def drop(self, attempt: Attempt) -> bool:
         """An attempt that waits leaves the queue. An assigned one can't be called off in this protocol: its
-        worker's connection is closed, as a planner's is, so that no second attempt runs beside it."""
+        worker's connection is closed, as a planner's is, so that no second attempt runs beside it.
+        """
         worker: Worker = attempt.target.address
         if attempt in worker.waiting:
             worker.waiting.remove(attempt)
--- a/pipitshed/egress/grpc.py
+++ b/pipitshed/egress/grpc.py
@@ -16,7 +16,7 @@
 from pipitshed.egress.grpc_connection import Connection, Header, Stream
 from pipitshed.egress.http import IDLE_SPARE, Address
 from pipitshed.exchange.core import Core
-from pipitshed.exchange.parties import Endpoint, Attempt
+from pipitshed.exchange.parties import Attempt, Endpoint
 from pipitshed.wire.grpc import timeout_text
 
 _FIXED: list[Header] = [
--- a/pipitshed/egress/grpc_connection.py
+++ b/pipitshed/egress/grpc_connection.py
@@ -21,7 +21,7 @@
 from pipitshed.decisions.interface import NoteKind, Outcome
 from pipitshed.egress.grpc_outcomes import by_status, pushback_of
 from pipitshed.exchange.core import Core
-from pipitshed.exchange.parties import Endpoint, Attempt
+from pipitshed.exchange.parties import Attempt, Endpoint
 from pipitshed.interfaces import planner_pb2
 from pipitshed.wire.grpc import MESSAGE_LIMIT, BadMessageError, Http2, frame, messages
 
@@ -491,7 +491,8 @@
 
     def _look(self) -> None:
         """Guards against a planner that has vanished: a connection that is silent with jobs on it is asked
-        for a sign of life, and ended when none comes."""
+        for a sign of life, and ended when none comes.
+        """
         loop = self.owner.loop
         silent = loop.time() - self._heard_at
         if self._pinged and silent >= PING_WAIT:
--- a/pipitshed/egress/grpc_outcomes.py
+++ b/pipitshed/egress/grpc_outcomes.py
@@ -10,7 +10,8 @@
 
 def by_status(status: bytes, headers: Mapping[bytes, bytes], heard: bool) -> tuple[Outcome, bool]:
     """The outcome of a stream that ends by a status, and whether the planner is of another interface;
-    `heard`: a message has come before it."""
+    `heard`: a message has come before it.
+    """
     code = int(status) if status.isdigit() else -1
     if code == Status.OK:
         return Outcome.RESET, False  # it ended without an event that ends the job
@@ -27,7 +28,8 @@
 
 def pushback_of(headers: Mapping[bytes, bytes]) -> float | None:
     """What the planner asks to wait, ms; negative: no further attempt. Source: gRPC's retry design (A6), by
-    which what can't be read says not to try again."""
+    which what can't be read says not to try again.
+    """
     if b"grpc-retry-pushback-ms" not in headers:
         return None
     try:
--- a/pipitshed/egress/http.py
+++ b/pipitshed/egress/http.py
@@ -5,14 +5,13 @@
 import asyncio
 import math
 from collections.abc import Callable, Coroutine, Sequence
-
 from typing import cast
 
 import msgspec
 
 from pipitshed.decisions.interface import Effect, Limits, NoteKind, Outcome
 from pipitshed.exchange.core import Core
-from pipitshed.exchange.parties import Endpoint, Attempt
+from pipitshed.exchange.parties import Attempt, Endpoint
 from pipitshed.wire.http import BODY_LIMIT, BadAnswerError, Reader
 
 PROBE_TIMEOUT = 0.5  # s
@@ -47,7 +46,8 @@
 
 def request_bytes(attempt: Attempt, left: float, classes: Sequence[str] = ()) -> bytes:
     """The whole request of an attempt, which has `left` seconds. Where messages are translated, class and
-    tenant go with it by name, as they do on every interface there."""
+    tenant go with it by name, as they do on every interface there.
+    """
     request = attempt.exchange.request
     told = ""
     if attempt.exchange.prepared is not None:
@@ -82,7 +82,8 @@
 
 def report_of(values: dict[str, float], fields: Sequence[str]) -> tuple[float, ...]:
     """A load report in the order of the settings' fields. Guards against a planner that leaves one out, or
-    names it otherwise: taken for 0, it would be the sign of a full planner, or of an idle one."""
+    names it otherwise: taken for 0, it would be the sign of a full planner, or of an idle one.
+    """
     return tuple(values[name] for name in fields) if all(name in values for name in fields) else ()
 
 
@@ -342,7 +343,8 @@
 
     def shed(self) -> bool:
         """Close the connection that has rested longest; whether there was one. Guards discovery's call,
-        attempts and clients against a pool of one connection for each of many planners."""
+        attempts and clients against a pool of one connection for each of many planners.
+        """
         if (oldest := next(iter(self._resting), None)) is not None:
             del self._resting[oldest]
             oldest.close()
--- a/pipitshed/exchange/core.py
+++ b/pipitshed/exchange/core.py
@@ -40,7 +40,7 @@
     WorkerId,
 )
 from pipitshed.decisions.rules import PACE_AGE, SLOW, Dispatcher
-from pipitshed.exchange.parties import Client, Endpoint, Exchange, Attempt, Refusal, Request, Translator
+from pipitshed.exchange.parties import Attempt, Client, Endpoint, Exchange, Refusal, Request, Translator
 from pipitshed.exchange.route_table import RouteTable, together
 from pipitshed.exchange.trace import Trace
 
@@ -97,7 +97,8 @@
 
     def _list_told(self, news: ListNews | ListMoved) -> None:
         """News of the list. A lost zone may come as hundreds of changes in one turn: the decisions get them
-        as one, where the first of them stood."""
+        as one, where the first of them stood.
+        """
         if isinstance(news, ListMoved) or news.kind is not ListKind.DELTA:
             self._close_changes()
         else:
@@ -210,7 +211,8 @@
 
     def _translate(self) -> None:
         """Translate the request that has waited longest; one in each turn of the loop, so that a burst of
-        long ones makes no timer late. Where no listed planner could be told it, it is refused at once."""
+        long ones makes no timer late. Where no listed planner could be told it, it is refused at once.
+        """
         exchange = self._untranslated.popleft()
         if self._untranslated:
             self._loop.call_soon(self._translate)
@@ -242,7 +244,8 @@
 
     def interfaces_changed(self) -> None:
         """Planners of an interface have come or gone: what waits and can be told to none that is left is not
-        held until its time is over."""
+        held until its time is over.
+        """
         for exchange in list(self._exchanges.values()):
             if not exchange.settled and not exchange.attempts and (why := self._unfit(exchange)):
                 self._refuse_unfit(exchange, why)
@@ -260,7 +263,8 @@
 
     def _drop_unrun(self, exchange: Exchange) -> None:
         """Drop what still waits for a connection, a stream or a worker, also where the decisions may not call
-        off what runs."""
+        off what runs.
+        """
         for attempt in exchange.attempts:
             if not attempt.over and not attempt.ran:
                 self._stop(attempt, Outcome.CANCELLED)
@@ -293,7 +297,8 @@
 
     def avoided(self) -> int:
         """How many ready planners the decisions pass over at present: they found no room or no connection
-        there a moment ago, or its jobs went slowly."""
+        there a moment ago, or its jobs went slowly.
+        """
         now, dispatcher = (self._epoch + monotonic()) * 1000, self._dispatcher
         return sum(
             worker.ready
@@ -360,7 +365,8 @@
 
     def may_begin(self, attempt: Attempt) -> bool:
         """Whether an attempt that waited for its connection may be written now. Guards against what came
-        while it waited: its client's end, the drain or end of its planner, the end of a repeat's window."""
+        while it waited: its client's end, the drain or end of its planner, the end of a repeat's window.
+        """
         exchange, planner = attempt.exchange, attempt.target.id
         return not (
             attempt.over
@@ -402,7 +408,8 @@
         pushback: float | None = None,
     ) -> None:
         """The one outcome of an attempt; whatever comes after it is nothing to the core. `pushback`: ms that
-        the planner wants the next attempt to wait, negative for none at all."""
+        the planner wants the next attempt to wait, negative for none at all.
+        """
         if attempt.over:
             return
         attempt.outcome = outcome
--- a/pipitshed/exchange/ledger.py
+++ b/pipitshed/exchange/ledger.py
@@ -97,7 +97,8 @@
 
     def withdraw(self, entry: Entry, client: Client) -> None:
         """One client has gone. What may have run and must not run anew goes on without any, so that a
-        client that comes back finds its result; all else ends with its last client."""
+        client that comes back finds its result; all else ends with its last client.
+        """
         if client in entry.clients:
             entry.clients.remove(client)
             if not entry.clients and entry.exchange is not None and self._once(entry):
--- a/pipitshed/exchange/route_table.py
+++ b/pipitshed/exchange/route_table.py
@@ -16,7 +16,8 @@
 
 def together(news: Sequence[ListNews]) -> ListNews:
     """Changes that came one after the other as one: the last that was told of each planner, in the order in
-    which that came."""
+    which that came.
+    """
     entries: dict[WorkerId, Entry] = {}
     for one in news:
         for entry in one.entries:
@@ -69,7 +70,8 @@
 
     def fill(self, source: str, kind: ListKind, version: int, lines: Iterable[Line]) -> None:
         """News from one source. A whole list is made a change: it speaks for its own source alone, and
-        what that source no longer lists is gone. What is told as it is known is no news to the decisions."""
+        what that source no longer lists is gone. What is told as it is known is no news to the decisions.
+        """
         listed = self._listed.setdefault(source, {})
         entries: dict[WorkerId, Entry] = {}
         told: set[WorkerId] | None = set() if kind is ListKind.FULL else None
@@ -98,7 +100,8 @@
 
     def _forget(self) -> None:
         """Forget planners that left the list a while ago. Guards memory against replacements, day after day.
-        One with an attempt out stays: a connection to it that comes up late must find that it has gone."""
+        One with an attempt out stays: a connection to it that comes up late must find that it has gone.
+        """
         now = self._clock()
         due = [
             worker for worker, _ in takewhile(lambda left: now - left[1] >= REMEMBERED, self._left.items())
@@ -165,7 +168,8 @@
 
     def hold(self, worker: WorkerId) -> None:
         """The planner itself has said that it drains: nothing new goes there, whatever its sources list,
-        until they tell of a newer start, or it is released."""
+        until they tell of a newer start, or it is released.
+        """
         found = [(listed, listed[worker]) for listed in self._listed.values() if worker in listed]
         if not found or worker in self._held:
             return
--- a/pipitshed/exchange/trace.py
+++ b/pipitshed/exchange/trace.py
@@ -1,7 +1,8 @@
 """A trace of what the decisions are told and what they do, one line each, for counting across a fleet.
 
 It is off unless `LB_TRACE` names a file (or `-` for the standard error). Timers are left out: they are many
-and say nothing that the events after them do not."""
+and say nothing that the events after them do not.
+"""
 
 from __future__ import annotations
 
--- a/pipitshed/ingress/gearman.py
+++ b/pipitshed/ingress/gearman.py
@@ -212,7 +212,8 @@
 
     def close(self) -> None:
         """End it behind what is written; what still comes is thrown away, as a close with bytes unread would
-        reset the connection, and the error before them would be lost."""
+        reset the connection, and the error before them would be lost.
+        """
         if self._transport is not None and not self._transport.is_closing() and not self._closing:
             self._closing = True
             self._transport.write_eof()
@@ -257,7 +258,8 @@
 
     def has_room(self, pending: int) -> bool:
         """Whether one more connection is within this front's part of the descriptors, beside so many that are
-        accepted and not up yet."""
+        accepted and not up yet.
+        """
         return len(self.connections) + pending < self._most
 
     def handle(self) -> bytes:
@@ -266,7 +268,8 @@
 
     def submit(self, job: _Job, known: Function, function: bytes, body: bytes, priority: int) -> None:
         """Hand a job in under its own handle, where its client is still there. The unique id is the key; `-`
-        stands for the job's data."""
+        stands for the job's data.
+        """
         if job.handle not in self.jobs:
             return
         unique = job.unique
--- a/pipitshed/ingress/http.py
+++ b/pipitshed/ingress/http.py
@@ -7,8 +7,8 @@
 import re
 import zlib
 from collections import deque
-from itertools import islice
 from collections.abc import Callable, Sequence
+from itertools import islice
 from typing import Protocol, cast
 from urllib.parse import unquote_plus
 
@@ -171,7 +171,8 @@
 
     def _envelope(self, head: dict[bytes, bytes], body: bytes) -> int:
         """The form's version. What that form has in the body is told like a header from then on; told in both
-        and not alike, nobody can know which a planner would go by."""
+        and not alike, nobody can know which a planner would go by.
+        """
         assert self._forms is not None
         form = self._forms.client_form(head.get(b"content-type", b"").decode("latin-1"))
         try:
@@ -224,7 +225,8 @@
 
     def eof_received(self) -> None:
         """The client has closed: it is gone at once, also where an answer that it has not read stands before
-        the end of this connection."""
+        the end of this connection.
+        """
         self._gone()
         self.close()
 
@@ -448,7 +450,8 @@
 
     def unfit(self, why: Refusal, ran: bool) -> None:
         """Say what can't be expressed, as RFC 9457 has it: 422 for a request, which trying again won't mend;
-        500 for the result of a job that ran."""
+        500 for the result of a job that ran.
+        """
         status = 500 if ran else 422
         self._write(
             status,
@@ -473,7 +476,8 @@
     def close(self) -> None:
         """End it behind what is written. What still comes is read and thrown away for a moment: a close with
         bytes unread would reset the connection, and the answers before it would be lost; what is read after
-        the shutdown is never taken."""
+        the shutdown is never taken.
+        """
         transport = self._transport
         if transport is None or transport.is_closing() or self in self._front.closing:
             return
@@ -533,7 +537,8 @@
     def came(self, newcomer: _Connection) -> None:
         """A connection is up. Where there are too many, one makes room: the oldest on which no request has
         come, so that clients that only connect never cost a usual one its own, else the longest idle. Told
-        here and not when it is made: in a burst, several are made before the first is up."""
+        here and not when it is made: in a burst, several are made before the first is up.
+        """
         newcomer.heard = self.loop.time()
         self.connections[newcomer] = self.unproven[newcomer] = None
         if len(self.connections) > self._most and (victim := self._victim(newcomer)) is not None:
@@ -543,7 +548,8 @@
         """Who makes room, of those on which no request was whole, heard of longest ago first: one that has
         sent nothing, or nothing for a second; else the longest idle; else one that still sends its first
         request slowly. Usual clients that write a request in pieces over two seconds keep their connections,
-        while others only hold theirs."""
+        while others only hold theirs.
+        """
         now, unproven = self.loop.time(), self.unproven
         for one in islice(unproven, LOOK):
             if one is not newcomer and (not one.begun or now - one.heard >= QUIET):
@@ -559,7 +565,8 @@
 
     def has_room(self, pending: int) -> bool:
         """Whether attempts and discovery would keep the descriptors they need, with so many connections that
-        are accepted and not up yet; busy clients make no room."""
+        are accepted and not up yet; busy clients make no room.
+        """
         return len(self.connections) + len(self.closing) + pending < self._most * OVER
 
     def forget(self, connection: _Connection) -> None:
@@ -574,7 +581,8 @@
 
     def close_idle(self) -> None:
         """Close what is idle, and end requests that have come in part and then nothing for a while: at the
-        end, a client that halted half way would hold the program until SIGKILL."""
+        end, a client that halted half way would hold the program until SIGKILL.
+        """
         now = self.loop.time()
         for connection in list(self.connections):
             if connection.idle:
--- a/pipitshed/ingress/listener.py
+++ b/pipitshed/ingress/listener.py
@@ -23,7 +23,8 @@
         passed: int | None = None,
     ) -> None:
         """Bind to `address`, or take the listening socket that the descriptor `passed` holds. `room` tells
-        whether one more is taken beside so many that are accepted and not up yet."""
+        whether one more is taken beside so many that are accepted and not up yet.
+        """
         if passed is not None:
             # Held by the platform and shared with another process: what stands in its queue is taken by
             # whichever accepts first, and closing here ends only this process's hold of it.
--- a/pipitshed/lab/accounts.py
+++ b/pipitshed/lab/accounts.py
@@ -102,7 +102,8 @@
 
 def _twice(ran: list[Run]) -> bool:
     """Whether a keyed job may have taken effect twice: in two zones, or again behind the window in which its
-    zone's planners drop a repeat."""
+    zone's planners drop a repeat.
+    """
     if len({run.zone for run in ran}) > 1:
         return True
     return any(later.came - earlier.came > DEDUP_WINDOW for earlier in ran for later in ran)
--- a/pipitshed/lab/commands.py
+++ b/pipitshed/lab/commands.py
@@ -53,7 +53,8 @@
 @click.option("--jobs", default=3, show_default=True, help="For a file with arms: plays at a time.")
 def run(file: Path, out: Path | None, short: bool, seed: int | None, seeds: int, jobs: int) -> None:
     """Play an experiment on loopback and give the exact account, or compare its arms; exit code 1 where a
-    rule broke."""
+    rule broke.
+    """
     try:
         experiment = experiments.read(file.read_text())
     except experiments.ExperimentError as error:
@@ -107,7 +108,8 @@
     shrink: int,
 ) -> None:
     """Play a scenario with several processes and faults between them; exit code 1 where an oracle says no,
-    with the script that fails."""
+    with the script that fails.
+    """
     from pipitshed.lab.fleet import play as rig
     from pipitshed.lab.fleet.scenario import Fault, ScenarioError, drawn, drawn_puts, read, script
 
--- a/pipitshed/lab/fleet/links.py
+++ b/pipitshed/lab/fleet/links.py
@@ -65,7 +65,8 @@
 
 class Links:
     """All directed pairs, made as they are asked for. Each has its own dice, so that what happens on one does
-    not depend on how much passes on another."""
+    not depend on how much passes on another.
+    """
 
     def __init__(self, seed: int) -> None:
         self._seed = seed
--- a/pipitshed/lab/fleet/oracles.py
+++ b/pipitshed/lab/fleet/oracles.py
@@ -60,7 +60,8 @@
 
 class Reading:
     """The logs in a play's folder, read on from where the last look ended: looks are many while a play waits
-    for agreement, and logs grow."""
+    for agreement, and logs grow.
+    """
 
     def __init__(self, folder: Path) -> None:
         self.logs = Logs([], [], 0.0, 0.0, [])
--- a/pipitshed/lab/fleet/play.py
+++ b/pipitshed/lab/fleet/play.py
@@ -168,7 +168,8 @@
 
     async def _asked(self, one: Asked, process: Process) -> None:
         """Ask until a scheduler has taken the request: one that refuses the connection, or had closed a kept
-        one before the request came, has not, and another is asked as the platform's front would do."""
+        one before the request came, has not, and another is asked as the platform's front would do.
+        """
         for _ in range(TRIES):
             self.targets[one.token] = (process.place, process.starts)
             clients = self._clients.setdefault(process.place, HttpClients(HTTP_PORT, process.real[0]))
@@ -224,7 +225,8 @@
 
 def digest(faults: list[dict[str, Any]]) -> str:
     """A hash of which faults were played, on whom and when by the script: the same for the same scenario and
-    seed."""
+    seed.
+    """
     told = [{key: value for key, value in one.items() if key != "t"} for one in faults]
     return hashlib.blake2b(json.dumps(told, sort_keys=True).encode(), digest_size=6).hexdigest()
 
@@ -248,7 +250,8 @@
     faults: tuple[Fault, ...], fails: Callable[[tuple[Fault, ...]], bool], most: int
 ) -> tuple[Fault, ...]:
     """The fewest of these faults that still fail, by leaving out ever smaller parts, in at most so many
-    plays."""
+    plays.
+    """
     parts = 2
     while len(faults) > 1 and most > 0:
         size = max(1, len(faults) // parts)
--- a/pipitshed/lab/fleet/scenario.py
+++ b/pipitshed/lab/fleet/scenario.py
@@ -162,7 +162,8 @@
 
 def drawn(scenario: Scenario, seed: int) -> tuple[Fault, ...]:
     """The scripted faults and those that the seed draws, in the order in which they begin. The same scenario
-    and seed give the same faults at the same times."""
+    and seed give the same faults at the same times.
+    """
     rng = random.Random(f"{scenario.name}:{seed}:{scenario.fleet.processes}")
     names = [name_of(place) for place in range(scenario.fleet.processes)]
     zones = sorted({zone_of(place, scenario.fleet.zones) for place in range(scenario.fleet.processes)})
--- a/pipitshed/membership/members.py
+++ b/pipitshed/membership/members.py
@@ -24,7 +24,8 @@
 
 class Word(msgspec.Struct, frozen=True, array_like=True):
     """What is said of one member. `life` is drawn at a process's start: it tells two holders of a name apart.
-    `said_by` is who first said it."""
+    `said_by` is who first said it.
+    """
 
     name: str
     host: str
@@ -65,7 +66,8 @@
     def content(self) -> int:
         """A hash of what two views must hold alike of one that lives; 0, so nothing, of one that is gone.
         That it is suspected is no part of it, as suspicions come and go by themselves; the refutation that
-        ends one, or a death, is."""
+        ends one, or a death, is.
+        """
         if self.gone:
             return 0
         return hashed(
@@ -87,5 +89,6 @@
 
 def rank(word: Word) -> tuple[int, int, int]:
     """What is newer has the higher rank: a total order, so that joining views is the same in any order. The
-    incarnation first, then the state; of two lives that claim one incarnation the higher life stands."""
+    incarnation first, then the state; of two lives that claim one incarnation the higher life stands.
+    """
     return word.incarnation, word.life, int(word.state)
--- a/pipitshed/membership/messages.py
+++ b/pipitshed/membership/messages.py
@@ -14,7 +14,8 @@
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
     """Are you there? `target` is who is meant: one that hears it under another name doesn't answer. `digests`
-    are of the sender's view and then of its tables; empty for one that it has not caught up with."""
+    are of the sender's view and then of its tables; empty for one that it has not caught up with.
+    """
 
     number: int
     sender: Word
@@ -26,7 +27,8 @@
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """I am here; also passed on by a helper, for the one that it helped. `digests` as in
-    a ping."""
+    a ping.
+    """
 
     number: int
     sender: Word
--- a/pipitshed/membership/protocol.py
+++ b/pipitshed/membership/protocol.py
@@ -1,5 +1,6 @@
 """The protocol of one scheduler: messages and times in, messages and news out. Its view is the first of the
-tables that are carried."""
+tables that are carried.
+"""
 
 from __future__ import annotations
 
@@ -115,7 +116,8 @@
     def _late(self, now: float) -> None:
         """Put off all judgement where this scheduler's own loop stood still. Guards against one that was
         stopped, or had no core, and wakes to find all its probes unanswered: the answers stand in its
-        sockets, still to be read, and so do refutations of what it suspects."""
+        sockets, still to be read, and so do refutations of what it suspects.
+        """
         late = now - self._due[0][0]
         if late <= self.scales.period:
             return
@@ -229,7 +231,8 @@
     ) -> tuple[tuple[Word, ...], Fresh, int]:
         """Words and rows for one message, and the bytes of these that are paid for. What is held against its
         receiver goes first, so that it can refute at once (Lifeguard's buddy). Suspicions are in no digest:
-        while there are any, words go to one with the same view too."""
+        while there are any, words go to one with the same view too.
+        """
         held = self.view.get(to.name)
         against = held if held is not None and held.state is not State.ALIVE else None
         room = ROOM - (against.size if against is not None else 0)
@@ -301,7 +304,8 @@
 
     def _take(self, now: float, word: Word, repaired: int = 0) -> None:
         """Take a word, refute it where it is wrong about oneself, and pass it on where it was new. Of a word
-        that came by repair, `repaired` says among how many."""
+        that came by repair, `repaired` says among how many.
+        """
         if word.name == self.me.name:
             self._of_me(now, word)
             return
@@ -367,7 +371,8 @@
 
     def _judge_by(self, when: float) -> None:
         """Judge by then. One alarm is enough, however many are suspected: with one for each, and each of them
-        set again for all the others, their number doubled with every judgement."""
+        set again for all the others, their number doubled with every judgement.
+        """
         if when < self._judge_at:
             self._judge_at = when
             self._at(when, "judge")
@@ -452,7 +457,8 @@
 
     def _sync(self, now: float) -> None:
         """Repair with one that lately told another digest, or with a seed while nobody is known. At times a
-        range is compared though all agree, in case their digests hide something."""
+        range is compared though all agree, in case their digests hide something.
+        """
         if self.leaving or self.displaced:
             return
         if self.view.alive > 1:
@@ -467,7 +473,8 @@
 
     def _reach_the_gone(self, now: float) -> None:
         """Repair with one that is held dead, or a seed that nobody lives at. Guards against two halves of a
-        fleet that hold each other dead for good once what was cut is whole."""
+        fleet that hold each other dead for good once what was cut is whole.
+        """
         held = {word.address for word in self.view.living()}
         dead = [word.address for word in self.view if word.state is State.DEAD]
         gone = sorted({*dead, *self._seeds} - held)
--- a/pipitshed/membership/timing.py
+++ b/pipitshed/membership/timing.py
@@ -49,7 +49,8 @@
 
 class Health:
     """How far this scheduler doubts itself before others: 0 is well. It stretches probes' times by 1 + score,
-    so that one whose loop is slow suspects nobody for its own lateness."""
+    so that one whose loop is slow suspects nobody for its own lateness.
+    """
 
     def __init__(self) -> None:
         self.score = 0
@@ -70,7 +71,8 @@
 
 def suspicion_lasts(scales: Scales, fleet: int, confirmations: int) -> float:
     """How long (s) a suspicion lasts: the longest with no confirmation, the shortest once as many as are
-    asked to help have confirmed it, each by its own probe (Lifeguard, section 4.2)."""
+    asked to help have confirmed it, each by its own probe (Lifeguard, section 4.2).
+    """
     shortest = scales.suspect_for * max(1.0, math.log10(max(1, fleet))) * scales.period
     longest = scales.suspect_longest * shortest
     wanted = min(scales.helpers, max(0, fleet - 2))
--- a/pipitshed/membership/view.py
+++ b/pipitshed/membership/view.py
@@ -60,7 +60,8 @@
 
     def bury(self, now: float) -> list[str]:
         """Forget those that have been gone for the time of a tombstone, and tell their names. Guards against
-        a view that grows with each name that ever was."""
+        a view that grows with each name that ever was.
+        """
         buried = [name for name in self._gone if now - self._since[name] >= self._tombstones_for]
         for name in buried:
             del self._words[name], self._since[name]
--- a/pipitshed/mgmt/figures.py
+++ b/pipitshed/mgmt/figures.py
@@ -33,7 +33,8 @@
     names: Sequence[str], ended: Mapping[tuple[str, int], int], sends: Mapping[int, int]
 ) -> dict[str, dict[str, int]]:
     """Counts by figure and class name. `names` gives each class number its name; a name that stands for
-    several numbers (a class that a new file changed) sums them."""
+    several numbers (a class that a new file changed) sums them.
+    """
     counts = {figure: dict.fromkeys(names, 0) for figure in PER_CLASS}
     for (how, number), count in ended.items():
         figure = BY_END.get(how)
--- a/pipitshed/peers/codec.py
+++ b/pipitshed/peers/codec.py
@@ -24,7 +24,8 @@
 
 class Codec:
     """Writes and reads the messages of one cluster. With a secret the checksum is keyed, so that nobody
-    without it can forge a message; without one it guards against damage alone."""
+    without it can forge a message; without one it guards against damage alone.
+    """
 
     def __init__(self, cluster: str, secret: bytes = b"") -> None:
         self._cluster = cluster
--- a/pipitshed/peers/fleet.py
+++ b/pipitshed/peers/fleet.py
@@ -29,7 +29,8 @@
 
 class Fleet:
     """One scheduler among its peers. Nothing here decides about a request: where no peer answers, the
-    scheduler serves on."""
+    scheduler serves on.
+    """
 
     def __init__(
         self, peers: Peers, zone: str, loop: asyncio.AbstractEventLoop, tuned: Tuned | None = None
@@ -280,7 +281,8 @@
 
 def _bind(address: Address) -> tuple[socket.socket, socket.socket]:
     """The two sockets of the peer address, for streams and datagrams, at the same port; OSError where it is
-    taken. Port 0 asks for one that is free for both."""
+    taken. Port 0 asks for one that is free for both.
+    """
     for last in [False] * 8 + [True]:
         stream = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         datagram = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
--- a/pipitshed/peers/rows.py
+++ b/pipitshed/peers/rows.py
@@ -1,5 +1,6 @@
 """Settings by row at one scheduler: held in a table that the fleet spreads, kept in a file, laid over the
-settings file, and written for operators who ask."""
+settings file, and written for operators who ask.
+"""
 
 from __future__ import annotations
 
@@ -81,7 +82,8 @@
 
 class SettingsRows:
     """The table, what is acted on, and who else acts on it. Rows are taken up a batch at a time: kept in the
-    file first, so that no later start acts on older ones, then acted on in one go, then confirmed."""
+    file first, so that no later start acts on older ones, then acted on in one go, then confirmed.
+    """
 
     def __init__(
         self,
@@ -289,7 +291,8 @@
 
     def _force(self, message: AskForce) -> Force:
         """Whether a row is in force. It says so only of a row that is still held, and where every living
-        member has confirmed this row, in its present life."""
+        member has confirmed this row, in its present life.
+        """
         view = self._carrier.membership.view
         gone = tuple(sorted(word.name for word in view if word.state is MemberState.DEAD))
         row, living = self.table.get(message.key), self._living()
--- a/pipitshed/peers/rowsfile.py
+++ b/pipitshed/peers/rowsfile.py
@@ -26,7 +26,8 @@
 
 def read(path: Path) -> Kept:
     """What the last write left. A file that is damaged is logged and moved aside, so that the next write does
-    not take it away; nothing is read from it."""
+    not take it away; nothing is read from it.
+    """
     try:
         data = path.read_bytes()
     except FileNotFoundError:
--- a/pipitshed/peers/settings_commands.py
+++ b/pipitshed/peers/settings_commands.py
@@ -63,7 +63,8 @@
 def put(key: str, value: str, wait: float, take_over: bool, **told: Any) -> None:
     """Put a value, such as `tenant/NAME/share 0.4` or `class/NAME/deadline 5000`, and wait until all in touch
     act on it. Exit code 0: in force; 3: accepted, and not in force everywhere in time; 2: refused; 1: no
-    answer."""
+    answer.
+    """
     _write(way_to(**told), key, value.encode(), wait, take_over)
 
 
@@ -144,7 +145,8 @@
 @click.option("--json", "as_json", is_flag=True, help="As one JSON object.")
 def status(as_json: bool, **told: Any) -> None:
     """Ask every scheduler which rows it acts on. Exit code 0 where all that live act on the same ones and
-    refuse none, 3 else."""
+    refuse none, 3 else.
+    """
     address, codec = way = way_to(**told)
     first = ask_or_end(way, AskStatus(), Status)
 
--- a/pipitshed/placement/brute.py
+++ b/pipitshed/placement/brute.py
@@ -28,7 +28,8 @@
 
 def search(fleet: Fleet, before: Mapping[str, Mapping[str, int]] | None = None) -> tuple[Parts, Score] | None:
     """The best plan by the goals in order, each with the tolerance of the solver; None where none keeps the
-    constraints. OverflowError where there are more than MOST plans."""
+    constraints. OverflowError where there are more than MOST plans.
+    """
     wanted = groups(fleet)
     names = sorted(planner.id for planner in fleet.planners)
     if count(fleet.units, len(names), len(wanted)) > MOST:
--- a/pipitshed/placement/commands.py
+++ b/pipitshed/placement/commands.py
@@ -52,7 +52,8 @@
 @click.option("--before", type=file_argument, help="The plan in force: no more is moved than must be.")
 def solve_command(file: Path, out: Path, before: Path | None) -> None:
     """Solve the fleet in FILE. Exit code 1 where the constraints can't all be met: the conflict is named, and
-    the plan that oversteps least is written, marked so."""
+    the plan that oversteps least is written, marked so.
+    """
     fleet = _fleet(file)
     held = _plan(before) if before is not None else None
     begun = time.perf_counter()
--- a/pipitshed/placement/explain.py
+++ b/pipitshed/placement/explain.py
@@ -25,7 +25,8 @@
 def explain(fleet: Fleet) -> list[Worth]:
     """All resources, the most valuable first. The use is that of the linear program's best; the worth follows
     from its duals: a row's use is load over capacity, so one more of n changes it by use / n. Empty in a
-    conflict."""
+    conflict.
+    """
     built = build(fleet, whole=False)
     solution = Solver(built.program).solve(built.goals[:1])
     if solution is None:
--- a/pipitshed/placement/follow.py
+++ b/pipitshed/placement/follow.py
@@ -51,7 +51,8 @@
 
     def weights(self, entries: Iterable[Entry], now: float) -> Weights | None:
         """The weights by class of each ready planner; None where the list's own count: no plan, or its life
-        is over. `now`: Unix time, s."""
+        is over. `now`: Unix time, s.
+        """
         if self.plan is not None and now > self.plan.made + self.plan.life_s:
             self.plan = None
         if self.plan is None:
@@ -80,7 +81,8 @@
 
     def _wanted(self, plan: Plan, job_class: str, ready: Mapping[WorkerId, Entry]) -> dict[WorkerId, float]:
         """The plan's parts among those that are ready. One that it does not know gets what its listed weight
-        is to those known, scaled to what the plan gives these."""
+        is to those known, scaled to what the plan gives these.
+        """
         held = plan.parts.get(f"{self.zone}/{job_class}")
         if held is None:
             return self._listed(ready)
--- a/pipitshed/placement/program.py
+++ b/pipitshed/placement/program.py
@@ -174,7 +174,8 @@
 
 def smallest_conflict(program: Program) -> list[str]:
     """Named constraints that can't be met together, none of which can be left out: chunks are left out as
-    long as what remains is still in conflict, down to single ones (a deletion filter)."""
+    long as what remains is still in conflict, down to single ones (a deletion filter).
+    """
     names = program.names()
     kept, size = list(names), max(1, len(names) // 2)
     while True:
--- a/pipitshed/placement/solve.py
+++ b/pipitshed/placement/solve.py
@@ -121,7 +121,8 @@
 
 def lateness(planner: Planner, mean_work: float, wait: float, total: float) -> list[tuple[float, float]]:
     """Chords (slope, at 0) of the late work at a planner, as a part of what the fleet can do, over its use of
-    cores. The wait is Sakasegawa's approximation for M/M/c; what waits as long as it may counts as late."""
+    cores. The wait is Sakasegawa's approximation for M/M/c; what waits as long as it may counts as late.
+    """
     cores = max(1.0, planner.cores)
     service = mean_work / planner.speed
 
@@ -391,7 +392,8 @@
 
 def _short(built: Built, name: str, conflict: list[str]) -> str:
     """By how much this constraint alone would have to give, the conflict's others held, in its own words:
-    cores, slots or units of memory of such a planner, jobs a second that find no place, parts of the load."""
+    cores, slots or units of memory of such a planner, jobs a second that find no place, parts of the load.
+    """
     program = built.program
     made, slacks = _elastic(program, {name}, set(conflict) - {name})
     solution = Solver(made).solve([dict.fromkeys(slacks[name], 1.0)])
--- a/pipitshed/replication/acting.py
+++ b/pipitshed/replication/acting.py
@@ -1,5 +1,6 @@
 """Who acts on which rows: members tell a row's writer once they act on it, and the writer asks those that did
-not. A row is in force only where every living member has said so of this very row, in its present life."""
+not. A row is in force only where every living member has said so of this very row, in its present life.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +30,8 @@
 
 class Acting(msgspec.Struct, frozen=True, array_like=True, tag=32):
     """I act on all rows of the table with this digest, and on these by their content, but not on what I
-    refuse. `more`: not all that is refused stands here."""
+    refuse. `more`: not all that is refused stands here.
+    """
 
     sender: str
     life: int
@@ -89,7 +91,8 @@
 
 class Confirmations:
     """One scheduler's part: what it owes the writers, and what it knows as one. Times are seconds of any
-    clock that only goes forward."""
+    clock that only goes forward.
+    """
 
     def __init__(self, me: str, life: int, table: RowTable, rng: random.Random) -> None:
         self.state = State()
@@ -107,7 +110,8 @@
 
     def acts(self, now: float, state: State, changed: Iterable[Row], fleet: int) -> None:
         """This scheduler acts on (or refuses) these rows from now on; it tells their writers, each at a time
-        drawn so that all members together keep to the rate."""
+        drawn so that all members together keep to the rate.
+        """
         self.state = state
         self._at += 1
         for row in changed:
--- a/pipitshed/replication/budget.py
+++ b/pipitshed/replication/budget.py
@@ -11,7 +11,8 @@
 
 class Budget:
     """What all tables may send together. What goes anyway is charged too. Times are seconds
-    of any clock that goes forward."""
+    of any clock that goes forward.
+    """
 
     def __init__(self, tables: int, now: float, rate: float = RATE, burst: float = BURST) -> None:
         self._rate, self._burst = rate, burst
@@ -37,7 +38,8 @@
 
     def room(self, now: float, table: int, least: int = 1) -> int:
         """Bytes that a table may send now, 0 where they are under `least`; its share is kept for it then, as
-        a table with much to say would else leave one with little waiting."""
+        a table with much to say would else leave one with little waiting.
+        """
         self._refill(now)
         room = self._level
         if any(until > now for other, until in enumerate(self._hungry) if other != table):
--- a/pipitshed/replication/carrier.py
+++ b/pipitshed/replication/carrier.py
@@ -40,7 +40,8 @@
 
 class Carrier:
     """One scheduler's tables. Times are seconds of any clock that goes forward; peers have a name and an
-    address."""
+    address.
+    """
 
     def __init__(
         self, tables: Sequence[Carried], rng: random.Random, now: float, seeds: Sequence[Address]
@@ -108,7 +109,8 @@
 
     def tell_repaired(self, now: float, place: int, item: Any, fleet: int, among: int) -> None:
         """Pass on what came by repair `among` so many, a few times and while few wait. Where much is lacking
-        here, others know it, or will repair as well."""
+        here, others know it, or will repair as well.
+        """
         if among <= SINGLE and len(self.queues[place]) < FEW and not self._is_behind(now, place):
             self.queues[place].add(item, max(0, tellings(fleet) - AGAIN))
 
@@ -124,7 +126,8 @@
     ) -> tuple[list[Any], int]:
         """What goes with a message that has `room` bytes for it, of the first `places` tables, and its size.
         Nothing of a table whose digest the receiver told last; but of `all_of` in any case.
-        And nothing of what the receiver has just told itself, `but`."""
+        And nothing of what the receiver has just told itself, `but`.
+        """
         told = self.heard.get(to, ())
         chosen: list[Any] = [()] * len(self.tables)
         for place, queue in enumerate(self.queues):
@@ -184,7 +187,8 @@
         others: Callable[[], list[Address]] | None = None,
     ) -> list[Out]:
         """Begin an exchange with one that lately told another digest, where that is no longer news under way,
-        or in any case. While much is lacking, with several, and with `others` where none is known."""
+        or in any case. While much is lacking, with several, and with `others` where none is known.
+        """
         table = self.tables[place]
         if self._changed[place][0] != table.number:
             self._changed[place] = table.number, now
@@ -224,7 +228,8 @@
         self, now: float, address: Address, part: Compare | Items, others: Callable[[], list[Address]]
     ) -> list[Out]:
         """What a peer asks, or answers to a comparison. A table that has not caught up answers nobody: what
-        it lacks would be taken for what there is not."""
+        it lacks would be taken for what there is not.
+        """
         if not 0 <= part.table < len(self.tables) or (
             not self.tables[part.table].caught_up and (isinstance(part, Items) or part.answer)
         ):
--- a/pipitshed/replication/digests.py
+++ b/pipitshed/replication/digests.py
@@ -33,7 +33,8 @@
 
 class Tree:
     """What is held in each range: how many items, and the sum of their hashes. A change costs the depth. A
-    sum, not an exclusive or, so that an item that is counted twice does not vanish."""
+    sum, not an exclusive or, so that an item that is counted twice does not vanish.
+    """
 
     def __init__(self) -> None:
         self._items: dict[str, tuple[int, int]] = {}  # by key: its place (the key's hash), its content's hash
@@ -92,7 +93,8 @@
 
     def marks(self, node: int, salt: int) -> Iterator[tuple[int, str]]:
         """16 bits for each item of a range that is in the digests, and its key. A salt draws them, so that
-        two contents with one mark differ under the next."""
+        two contents with one mark differ under the next.
+        """
         for key in self.keys(node):
             place, content = self._items[key]
             if content:
--- a/pipitshed/replication/messages.py
+++ b/pipitshed/replication/messages.py
@@ -17,7 +17,8 @@
 
 class Compare(msgspec.Struct, frozen=True, array_like=True, tag=20):
     """What the sender holds in these ranges. In an answer stand those that differ, or their parts where they
-    are big."""
+    are big.
+    """
 
     table: int  # its place among the tables
     ranges: tuple[Range, ...]
--- a/pipitshed/replication/repair.py
+++ b/pipitshed/replication/repair.py
@@ -1,5 +1,6 @@
 """Repair: comparing tables with one peer, range by range, and fetching what differs. One side leads an
-exchange; the other answers each message for itself, and holds nothing of it."""
+exchange; the other answers each message for itself, and holds nothing of it.
+"""
 
 from __future__ import annotations
 
@@ -132,7 +133,8 @@
 
     def look(self, now: float, table: int, peer: Address) -> list[Out]:
         """Compare a range drawn at random item by item, whatever its digests are: guards against digests that
-        collide."""
+        collide.
+        """
         tree, node = self._tables[table].tree, ROOT
         while tree.node(node)[1] > LEAF and depth(node) < DEPTH:
             node = node * WAYS + self._rng.randrange(WAYS)
--- a/pipitshed/replication/row.py
+++ b/pipitshed/replication/row.py
@@ -14,7 +14,8 @@
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
     """One row. Its version is (term, number): its one writer raises the number, a take-over by another writer
-    raises the term. A form above `FORM` is from a newer program: kept and passed on unread."""
+    raises the term. A form above `FORM` is from a newer program: kept and passed on unread.
+    """
 
     key: str
     term: int
@@ -52,5 +53,6 @@
 
 def rank(row: Row) -> tuple[int, int, bool, int]:
     """What is newer has the higher rank. A total order: of two contents under one number the same one stands
-    everywhere."""
+    everywhere.
+    """
     return row.term, row.number, row.deleted, row.content
--- a/pipitshed/replication/rows.py
+++ b/pipitshed/replication/rows.py
@@ -1,5 +1,6 @@
 """Small versioned rows, and a table of them. Whoever was told the same rows holds the same table, in whatever
-order they came."""
+order they came.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +33,8 @@
 class RowTable:
     """The newest of each row. A deleted row stays for good as an empty one, its tombstone, within the bound
     on rows: nobody who was away, however long, brings it back. Where the bound is reached, new keys are
-    refused."""
+    refused.
+    """
 
     def __init__(
         self, name: str, most_rows: int = 4096, most_bytes: int = 1 << 20, row_limit: int = 600
--- a/pipitshed/replication/rumours.py
+++ b/pipitshed/replication/rumours.py
@@ -27,7 +27,8 @@
 
 class Rumours(Generic[T]):
     """What one table still has to tell, by how often it has been. One item a key: a newer one takes the place
-    of the older."""
+    of the older.
+    """
 
     def __init__(self) -> None:
         self._levels: list[dict[str, T]] = [{}]
@@ -38,7 +39,8 @@
 
     def add(self, item: T, told: int = 0) -> None:
         """Tell this from now on; `told` puts it behind what was told less, and ends it sooner. Where too many
-        wait, one of the most told goes."""
+        wait, one of the most told goes.
+        """
         self._drop(item.key)
         if len(self._level) >= MOST_RUMOURS:
             self._drop(next(iter(next(level for level in reversed(self._levels) if level))))
@@ -60,7 +62,8 @@
 
     def take(self, room: int, fleet: int, but: Collection[T] = ()) -> tuple[T, ...]:
         """Items, none of `but`, for one message that has `room` bytes for them, the least told first, the
-        newest of these first: where all can't be told in time, an old one is left to repair."""
+        newest of these first: where all can't be told in time, an old one is left to repair.
+        """
         if not self._level:
             return ()
         chosen: list[tuple[int, T]] = []
--- a/pipitshed/routes/discovery.py
+++ b/pipitshed/routes/discovery.py
@@ -69,7 +69,8 @@
 
 def list_bound(memory_mb: float) -> int:
     """Bytes of a piece of news that a process with this memory limit (MB) takes: as many as fit into it
-    beside all else while they are read and parsed, with the list before still there."""
+    beside all else while they are read and parsed, with the list before still there.
+    """
     return max(LEAST_BOUND, int((memory_mb - REST_MB) * 1024 * 1024 / LIST_COST))
 
 
@@ -130,7 +131,8 @@
 
 class Discovery:
     """Asks for the list when the decisions say so. Whatever ends a call is news that it failed; when to
-    ask again is theirs to decide."""
+    ask again is theirs to decide.
+    """
 
     def __init__(
         self,
@@ -161,7 +163,8 @@
 
     def hurry(self, grace: float) -> None:
         """The list is pushed to an agent, and what that has counts as told at once: calls to it do not wait
-        in turn, and one that hangs is given up well within the grace (s) for drains."""
+        in turn, and one that hangs is given up well within the grace (s) for drains.
+        """
         self.connect_timeout = self.answer_timeout = min(CONNECT_TIMEOUT, max(LEAST_HURRY, grace / 3))
 
     def known(self, members: Members) -> None:
@@ -172,7 +175,8 @@
 
     def follow(self, address: tuple[str, int]) -> None:
         """Discovery is at another address from now on. The watch at the old one tells what it still can,
-        until the decisions ask anew; what is known so far, and its version, stay."""
+        until the decisions ask anew; what is known so far, and its version, stay.
+        """
         if address != self.address:
             self.address = address
             self.table.moved()
@@ -233,7 +237,8 @@
     def take(self, call: _Call, members: Members, current: bool) -> None:
         """Put one piece of news of a call into the route table; `current` says whether all before it was
         taken, so that the list known is of its version. Guards the loop's timers against a long piece: its
-        planners are taken up in slices, and it is one change all the same."""
+        planners are taken up in slices, and it is one change all the same.
+        """
         self._waiting.append((call, members, current))
         if len(self._waiting) == 1:
             if len(members.instances) > self._slice:
@@ -342,7 +347,8 @@
 
     def _expect(self, seconds: float, otherwise: Callable[[], None] | None = None) -> None:
         """What is awaited now comes within so long, whatever bytes come before it is whole; else the call has
-        failed, or `otherwise` tells."""
+        failed, or `otherwise` tells.
+        """
         if self._due is not None:
             self._due.cancel()
         if not self._over:
@@ -350,7 +356,8 @@
 
     def _expect_piece(self) -> None:
         """A piece of news is whole soon; a long list may take as long as it goes on coming. Guards against
-        one that is given up each time, and asked for again, where many fetch it at once."""
+        one that is given up each time, and asked for again, where many fetch it at once.
+        """
         before = self._came
 
         def look() -> None:
@@ -455,14 +462,16 @@
 
     def _pass_over(self) -> None:
         """A piece of news is beyond the bound: it is read to its end and dropped, and the list known so far
-        stands. Guards discovery against a watch that is opened again and again, and brings the same."""
+        stands. Guards discovery against a watch that is opened again and again, and brings the same.
+        """
         self._beyond, self._lines, self._missed = self._size, bool(self._piece), True
         self._piece, self._size, self._open = [], 0, 0
         self._expect(BEYOND)
 
     def _passed(self, text: bytes) -> None:
         """One line of a piece beyond the bound; of several the last begins with the brace that closes it, or
-        is the next heartbeat."""
+        is the next heartbeat.
+        """
         self._beyond = (self._beyond or 0) + len(text) + 1
         if not self._lines or not text.strip() or text.startswith(b"}"):
             self._tell_beyond(f"{self._beyond} bytes", "is passed over")
--- a/pipitshed/routes/interfaces.py
+++ b/pipitshed/routes/interfaces.py
@@ -132,7 +132,8 @@
 
     def doubt(self, worker: WorkerId) -> None:
         """A planner has answered in another interface than the one it was taken for: it gets nothing until it
-        is known which."""
+        is known which.
+        """
         known = self._known.get(worker)
         if known is None or known.asking:
             return
@@ -156,7 +157,8 @@
 
     def drains(self, worker: WorkerId) -> None:
         """A planner has said itself that it drains. Its source tells of the next start; where none does, a
-        planner that takes connections again without such word is back."""
+        planner that takes connections again without such word is back.
+        """
         self._table.hold(worker)
         if self._table.holds(worker):
             self._later(CLEAN, lambda: self._look_again(worker))
--- a/pipitshed/routes/plan.py
+++ b/pipitshed/routes/plan.py
@@ -58,7 +58,8 @@
 
     def weigh(self) -> None:
         """Give the route table the weights of now. Guards, after new classes, against a job of a number that
-        no planner has a weight for."""
+        no planner has a weight for.
+        """
         held = self.follower.plan
         self._table.plan(self.follower.weights(self._table.entries(), time.time()))
         if held is not None and self.follower.plan is None:
--- a/pipitshed/scheduler.py
+++ b/pipitshed/scheduler.py
@@ -136,7 +136,8 @@
 
     def _client(self) -> asyncio.Protocol:
         """A new client's connection. Where descriptors run short, a planner's connection that rests makes
-        room; no client is turned away for want of one, as it may displace another client itself."""
+        room; no client is turned away for want of one, as it may displace another client itself.
+        """
         if self.carrier.connections >= self._left():
             self.carrier.shed()
         return self.front.connection()
@@ -144,7 +145,8 @@
     def ready(self) -> bool:
         """Whether this process is ready to serve: not ending, and with a list from discovery (or where nobody
         takes calls to it, or a while after the start). Guards against jobs sent by the list that it knew when
-        it was killed: planners that have gone since count as told."""
+        it was killed: planners that have gone since count as told.
+        """
         listed = (
             self.discovery is None
             or self.discovery.heard
@@ -240,7 +242,8 @@
 
     def reload(self) -> None:
         """Read the configuration again: new settings, and discovery followed to the address it names;
-        exchanges, attempts and the route table stay as they are, and so does each exchange's class."""
+        exchanges, attempts and the route table stay as they are, and so does each exchange's class.
+        """
         if self.plan is not None:
             self.plan.read()
         # Guards against the end of the program by a file that is half written or wrong: the old one stands.
@@ -305,7 +308,8 @@
 
     def drain(self) -> None:
         """Stop in good order: listen on while clients may still be sent here, serve those that are here a
-        little longer, answer all, then end."""
+        little longer, answer all, then end.
+        """
         if self._draining:
             return
         self._draining = True
@@ -321,7 +325,8 @@
 
     def _answer_by(self) -> float:
         """The time after SIGTERM (s) by which all that came late is answered. Guards against the figure of a
-        deployment with long deadlines in one where they are short, and SIGKILL comes sooner."""
+        deployment with long deadlines in one where they are short, and SIGKILL comes sooner.
+        """
         longest = max(cls.deadline for cls in self.core.settings.classes) / 1000
         return min(longest, LONGEST_COUNTED) + KILLED_AFTER - BEFORE_KILL
 
--- a/pipitshed/simulator/drill.py
+++ b/pipitshed/simulator/drill.py
@@ -5,9 +5,9 @@
 import sys
 from typing import BinaryIO
 
-from pipitshed.simulator import wire
 from pipitshed.decisions.interface import Event
 from pipitshed.decisions.rules import Dispatcher
+from pipitshed.simulator import wire
 
 
 def _read(stream: BinaryIO, size: int) -> bytes:
--- a/pipitshed/translation/protobuf.py
+++ b/pipitshed/translation/protobuf.py
@@ -32,7 +32,8 @@
 
 def problems(message: str, fields: Mapping[str, Field]) -> list[tuple[str, str]]:
     """(field, reason) for each field that the interface's message, such as `RunRequest.quote`, does not
-    hold as the form has it; all of the message's fields must stand in the form."""
+    hold as the form has it; all of the message's fields must stand in the form.
+    """
     descriptor = _descriptor(message)
     if descriptor is None:
         return [("", f"the interface has no message {message!r}")]
@@ -142,7 +143,8 @@
 
 def _bounded(descriptor: Any, fields: Mapping[str, Field]) -> dict[str, Field]:
     """The fields with the bounds of the interface's own types, where the form states none narrower. A time's
-    are checked when it is written, in its own unit."""
+    are checked when it is written, in its own unit.
+    """
     bounded: dict[str, Field] = {}
     for name, field in fields.items():
         held = descriptor.fields_by_name[name]
--- a/pipitshed/translation/steps.py
+++ b/pipitshed/translation/steps.py
@@ -273,7 +273,8 @@
 
     def named_below(self, unfit: Unfit, steps: int | None = None) -> Unfit:
         """A refusal by the name that the field has below the first so many steps: who is refused knows no
-        other."""
+        other.
+        """
         field = unfit.field
         for step in reversed(self._steps[:steps]):
             field = step.lower_name(field)
--- a/pipitshed/translation/translator.py
+++ b/pipitshed/translation/translator.py
@@ -163,7 +163,8 @@
 
     def envelope(self, form: int, body: bytes) -> dict[str, str]:
         """What the body tells of id, class, tenant, key and deadline, where this form has them there.
-        Unfit where one is told twice."""
+        Unfit where one is told twice.
+        """
         places = {
             place.removeprefix("field:"): name
             for name, place in self.forms[form].envelope.items()
--- a/pipitshed/tuning/rows.py
+++ b/pipitshed/tuning/rows.py
@@ -45,7 +45,8 @@
 ) -> Laid:
     """These rows laid over a file as it was read, which is not changed. Where one is refused, the row that
     was acted on before (`stood`, by key) stands; where there was none, the file's value does. Classes that
-    are `fixed` can't be changed here."""
+    are `fixed` can't be changed here.
+    """
     places = {kind: _places(raw, kind) for kind in _LISTS}
     values: dict[tuple[str, int], dict[str, float]] = {}
     acted: dict[str, Row] = {}
--- a/pipitshed/tuning/whole.py
+++ b/pipitshed/tuning/whole.py
@@ -9,7 +9,8 @@
     """The first key that `after` lacks, where `before` (the file in force) has it; None where it lacks none.
 
     Objects are compared key by key, all the way down. In a list of objects (classes, tenants, planners), each
-    object of `after` must hold the keys that every object of `before` holds, as they may come and go."""
+    object of `after` must hold the keys that every object of `before` holds, as they may come and go.
+    """
     if not isinstance(before, dict):
         return None
     if not isinstance(after, dict):
--- a/pipitshed/wire/grpc.py
+++ b/pipitshed/wire/grpc.py
@@ -46,7 +46,8 @@
 
 def messages(buffer: bytearray) -> Iterator[bytes]:
     """The whole messages in the buffer, used up as they are taken. BadMessageError where one is compressed or
-    too long: told by the prefix, before it is kept."""
+    too long: told by the prefix, before it is kept.
+    """
     while len(buffer) >= PREFIX.size:
         compressed, length = PREFIX.unpack_from(buffer)
         if compressed:
@@ -70,7 +71,8 @@
 
 class _Frames(FrameBuffer):
     """Frames, whose length is judged by their heads: h2's own buffer waits for as many bytes as a head names,
-    16 MB at most, before it finds them too many; so an HTTP/1.1 answer would never be known for none."""
+    16 MB at most, before it finds them too many; so an HTTP/1.1 answer would never be known for none.
+    """
 
     def __next__(self) -> Frame:
         if len(self._data) >= _FRAME_HEAD:
@@ -80,7 +82,8 @@
 
 class _Encoder(hpack.Encoder):
     """Headers without a dynamic table: so what the library makes of one header is the same each time, and is
-    kept for those that come again. Some more bytes on the wire for a fifth of the time."""
+    kept for those that come again. Some more bytes on the wire for a fifth of the time.
+    """
 
     def __init__(self) -> None:
         super().__init__()
--- a/pipitshed/wire/toml.py
+++ b/pipitshed/wire/toml.py
@@ -15,7 +15,8 @@
 
 def line_of(text: str, list_name: str, index: int, *path: str) -> int:
     """The line on which the deepest part of a place stands that the text has: item `index` of a list of
-    tables (-1: a table by itself), then keys. 1 where nothing is found."""
+    tables (-1: a table by itself), then keys. 1 where nothing is found.
+    """
     best, depth, count = 1, -1, -1
     here: list[str] = []
     for number, line in enumerate(text.splitlines(), 1):
--- a/tests/equivalence/names.py
+++ b/tests/equivalence/names.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pipitshed.decisions import interface as events
 from pipitshed.decisions import interface as actions
+from pipitshed.decisions import interface as events
 from pipitshed.decisions import rules
 from pipitshed.decisions.rules import Dispatcher
 from pipitshed.decisions.settings import settings_from
--- a/tests/equivalence/test_same_bytes.py
+++ b/tests/equivalence/test_same_bytes.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from equivalence import names
 from pipitshed.peers import rowsfile
 from pipitshed.peers.codec import Codec
 from pipitshed.placement import plan
@@ -15,8 +16,6 @@
 from pipitshed.translation.file import read
 from pipitshed.translation.translator import Translator
 
-from equivalence import names
-
 GOLDEN = Path(__file__).parent / "golden"
 ROOT = Path(__file__).parent.parent.parent
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -13,7 +13,7 @@
 from pipitshed.decisions.interface import Event, Finished, LinkLost, ListKind, Note, Refuse
 from pipitshed.egress.http import HttpCarrier
 from pipitshed.exchange.core import Core
-from pipitshed.exchange.parties import Endpoint, Exchange, Attempt, Request
+from pipitshed.exchange.parties import Attempt, Endpoint, Exchange, Request
 from pipitshed.ingress.listener import Listener
 
 
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from pipitshed.simulator import drill, wire
 from pipitshed.decisions import interface as api
 from pipitshed.decisions.rules import Dispatcher
+from pipitshed.simulator import drill, wire
 
 INFO = json.dumps(
     {
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -9,8 +9,6 @@
 
 import hpack
 from grpc_peer import QUOTE, Caller, bench
-from hypothesis import HealthCheck, given, settings
-from hypothesis import strategies as st
 from hyperframe.frame import (
     ContinuationFrame,
     DataFrame,
@@ -23,6 +21,8 @@
     SettingsFrame,
     WindowUpdateFrame,
 )
+from hypothesis import HealthCheck, given, settings
+from hypothesis import strategies as st
 
 from pipitshed.decisions.interface import Send
 from pipitshed.egress.grpc_connection import UNREAD_LIMIT, Connection
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -39,7 +39,6 @@
 from pipitshed.decisions.interface import WorkerId as WorkerIdType
 from pipitshed.decisions.rules import REFUSE_ABOVE, WINDOW
 
-
 FIELDS = ("free_slots", "queue")
 NEAR = Limits(cancel=True, parallel=True, max_attempts=4, connect_timeout=30.0)  # connections come up soon
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -18,7 +18,8 @@
 from pipitshed.placement.explain import explain
 from pipitshed.placement.follow import STEP, Follower
 from pipitshed.placement.learn import learn
-from pipitshed.placement.model import Constraints, Demand, Fleet, FleetError, Floor, Planner as Machine, read
+from pipitshed.placement.model import Constraints, Demand, Fleet, FleetError, Floor, read
+from pipitshed.placement.model import Planner as Machine
 from pipitshed.placement.plan import Place, Plan, PlanError
 from pipitshed.placement.score import score
 from pipitshed.placement.solve import solve
