--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -10,7 +10,8 @@
 
 import click
 
-from pipitshed.decisions.interface import (
+from pipitshed.scheduling.dispatcher import Dispatcher
+from pipitshed.scheduling.interface import (
     Effect,
     Entry,
     Finished,
@@ -29,7 +30,6 @@
     Submitted,
     Weights,
 )
-from pipitshed.decisions.rules import Dispatcher
 
 ZONES, CELLS = 7, 70
 CLASSES = 3
--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -23,10 +23,10 @@
     request,
     scheduler,
 )
-from pipitshed.decisions.interface import Entry, ListKind, NoteKind
-from pipitshed.decisions.settings import settings_from
-from pipitshed.exchange.core import Core
-from pipitshed.exchange.parties import Attempt, Endpoint, Request
+from pipitshed.config.settings_parser import settings_from
+from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.request import Attempt, Endpoint, Request
+from pipitshed.scheduling.interface import Entry, ListKind, NoteKind
 
 SLOPE = "held"
 SIZES = (50, 100, 200, 400, 800)  # exchanges held by one scheduler
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -26,16 +26,16 @@
 from benchmarks.capacity.machine import cpu_s, memory_mb
 from benchmarks.capacity.records import ROOT, Row
 from benchmarks.capacity.serving import Catalog, Listed, Planners, Scheduler, configuration, scheduler
-from pipitshed.config import Config, load
-from pipitshed.lab.virtual_fleet import DATAGRAM_HEADERS, ZONES, Second, worst
+from pipitshed.cluster import node as edge
+from pipitshed.cluster.codec import Codec
+from pipitshed.cluster.messages import Said
+from pipitshed.cluster.peers_file import Peers
+from pipitshed.cluster.settings import Tuned
+from pipitshed.config.platform import Config, load
+from pipitshed.discovery.catalog import address_of
 from pipitshed.membership.members import Address
 from pipitshed.membership.timing import Scales
-from pipitshed.peers import fleet as edge
-from pipitshed.peers.codec import Codec
-from pipitshed.peers.file import Peers
-from pipitshed.peers.messages import Said
-from pipitshed.peers.rows import Tuned
-from pipitshed.routes.discovery import address_of
+from pipitshed.testbed.virtual_fleet import DATAGRAM_HEADERS, ZONES, Second, worst
 
 SLOPE = "hollow"
 SIZES = (40, 100, 150, 300)
--- a/benchmarks/capacity/letter.py
+++ b/benchmarks/capacity/letter.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from benchmarks.capacity.figures import Figure, Line, given, plus, ratio, times
-from pipitshed.decisions.rules import STALLED
+from pipitshed.scheduling.dispatcher import STALLED
 
 PLANNERS, SCHEDULERS, REGIONS, ZONES, TEAMS = 4600, 300, 3, 7, 380
 STARTS, TASKS, JOBS_A_DAY, GANG = 280, 29_000, 43_000, 128
--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -15,10 +15,10 @@
 
 import uvloop
 
-from pipitshed.decisions.interface import JobClass, Settings
-from pipitshed.egress.http import HttpCarrier
-from pipitshed.exchange.core import Core
-from pipitshed.routes.discovery import SOURCE, Discovery, Listing, Names, _Call
+from pipitshed.discovery.catalog import SOURCE, Discovery, Listing, Names, _Call
+from pipitshed.proxy.forwarder import Core
+from pipitshed.scheduling.interface import JobClass, Settings
+from pipitshed.upstream.http import HttpCarrier
 
 DAY = 86_400.0  # s
 READ = 64 * 1024  # bytes that a read of the list's connection brings
--- a/benchmarks/capacity/modelled.py
+++ b/benchmarks/capacity/modelled.py
@@ -8,7 +8,8 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from pipitshed.decisions.interface import (
+from pipitshed.scheduling.dispatcher import Dispatcher
+from pipitshed.scheduling.interface import (
     Cancel,
     Effect,
     Entry,
@@ -30,7 +31,6 @@
     Submitted,
     TimerFired,
 )
-from pipitshed.decisions.rules import Dispatcher
 
 TRIP = 1.0  # ms from a scheduler to a planner, and back
 ZONES = 7
--- a/benchmarks/capacity/regions.py
+++ b/benchmarks/capacity/regions.py
@@ -19,8 +19,8 @@
     key,
     number_of,
 )
-from pipitshed.lab.virtual_fleet import Fleet, region
-from pipitshed.lab.virtual_view import Node
+from pipitshed.testbed.virtual_fleet import Fleet, region
+from pipitshed.testbed.virtual_view import Node
 
 SLOPE = "regions"
 SIZES = (40, 80, 150, 300)
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -18,9 +18,9 @@
 
 from benchmarks.capacity.machine import memory_mb
 from benchmarks.capacity.records import Row
-from pipitshed.lab.virtual_fleet import Fleet, worst
-from pipitshed.lab.virtual_view import Node
 from pipitshed.membership.members import State
+from pipitshed.testbed.virtual_fleet import Fleet, worst
+from pipitshed.testbed.virtual_view import Node
 
 SLOPE = "schedulers"
 SIZES = (5, 40, 150, 300, 600)
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -17,9 +17,9 @@
 
 from benchmarks.capacity.machine import cpu_s, descriptors, memory_mb
 from benchmarks.capacity.records import ROOT
-from pipitshed.lab import program
-from pipitshed.lab.experiment import raise_descriptors
-from pipitshed.lab.fleet.standins import Discovery
+from pipitshed.testbed import program
+from pipitshed.testbed.experiment import raise_descriptors
+from pipitshed.testbed.fleet.standins import Discovery
 
 REGIONS = ("norte", "centro", "sur")
 ZONES = ("norte-1", "norte-2", "norte-3", "centro-1", "centro-2", "sur-1", "sur-2")
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -18,10 +18,10 @@
 
 from benchmarks.capacity.records import Row
 from benchmarks.capacity.schedulers import each
-from pipitshed.decisions import interface as api
-from pipitshed.decisions.rules import Dispatcher
-from pipitshed.decisions.settings import settings_from
-from pipitshed.lab.program import settings
+from pipitshed.config.settings_parser import settings_from
+from pipitshed.scheduling import interface as api
+from pipitshed.scheduling.dispatcher import Dispatcher
+from pipitshed.testbed.program import settings
 
 SLOPE = "teams"
 SIZES = (10, 50, 100, 380)
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -23,7 +23,8 @@
 
 import click
 
-from pipitshed.decisions.interface import (
+from pipitshed.scheduling.dispatcher import Dispatcher
+from pipitshed.scheduling.interface import (
     Action,
     Cancel,
     Effect,
@@ -46,7 +47,6 @@
     Submitted,
     TimerFired,
 )
-from pipitshed.decisions.rules import Dispatcher
 
 WARM_UP = 8_000.0  # ms before the restarts: estimates are there
 AFTER = 14_000.0  # ms that are watched from the restarts on
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -18,9 +18,9 @@
 
 import click
 
-from pipitshed.lab.virtual_view import Network
+from pipitshed.cluster.codec import Codec
 from pipitshed.membership.members import State
-from pipitshed.peers.codec import Codec
+from pipitshed.testbed.virtual_view import Network
 
 HEADERS = 28  # bytes of IP and UDP around a datagram
 STEP = 0.02  # s
--- a/benchmarks/paired.py
+++ b/benchmarks/paired.py
@@ -16,8 +16,8 @@
 import click
 
 from benchmarks.translation import HttpPlanner, Load, Row
-from pipitshed.lab.fleet.standins import Discovery
-from pipitshed.lab.program import scheduler
+from pipitshed.testbed.fleet.standins import Discovery
+from pipitshed.testbed.program import scheduler
 
 HERE = Path(__file__).parent.parent
 
--- a/benchmarks/translation.py
+++ b/benchmarks/translation.py
@@ -23,10 +23,10 @@
 import h2.connection
 import h2.events
 
-from pipitshed.interfaces import planner_pb2 as pb
-from pipitshed.lab.fleet.standins import Discovery
-from pipitshed.lab.program import Running, scheduler
-from pipitshed.wire.grpc import frame
+from pipitshed.protocols.grpc import frame
+from pipitshed.testbed.fleet.standins import Discovery
+from pipitshed.testbed.program import Running, scheduler
+from pipitshed.worker_api import planner_pb2 as pb
 
 JOB = {
     "origin": "LIM-03",
--- a/pipitshed/__main__.py
+++ b/pipitshed/__main__.py
@@ -8,7 +8,7 @@
     # They wait until the scheduler lets them through (Scheduler.run).
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGTERM, signal.SIGINT))
 
-from pipitshed.cli import main  # noqa: E402
+from pipitshed.cli.commands import main  # noqa: E402
 
 if __name__ == "__main__":
     main()
--- /dev/null
+++ b/pipitshed/admin/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' HTTP address: readiness and metrics."""
--- /dev/null
+++ b/pipitshed/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The command line: one module for each group of commands."""
--- a/pipitshed/cli.py
+++ b/pipitshed/cli/commands.py
@@ -10,11 +10,11 @@
 import click
 
 from pipitshed import __version__
-from pipitshed.config import Config, ConfigError, Front, FrontFile, load, load_front
-from pipitshed.scheduler import serve as run_scheduler
+from pipitshed.config.platform import Config, ConfigError, Front, FrontFile, load, load_front
+from pipitshed.server.server import serve as run_scheduler
 
 if TYPE_CHECKING:
-    from pipitshed.peers.file import Peers
+    from pipitshed.cluster.peers_file import Peers
 
 front_option = click.option(
     "--front",
@@ -35,7 +35,7 @@
     """What the fleet's file asks for; nothing of the fleet is loaded where none is named."""
     if path is None:
         return None
-    from pipitshed.peers.file import PeersError, read
+    from pipitshed.cluster.peers_file import PeersError, read
 
     try:
         peers = read(path)
@@ -59,11 +59,13 @@
 
 
 _EXTRA = {
-    "lab": ("pipitshed.lab.commands", "lab"),
-    "place": ("pipitshed.placement.commands", "placement"),
-    "fleet": ("pipitshed.peers.commands", "fleet"),
-    "settings": ("pipitshed.peers.settings_commands", "fleet"),
+    "lab": ("pipitshed.cli.testbed", "lab"),
+    "testbed": ("pipitshed.cli.testbed", "lab"),
+    "place": ("pipitshed.cli.place", "placement"),
+    "fleet": ("pipitshed.cli.fleet", "fleet"),
+    "settings": ("pipitshed.cli.settings", "fleet"),
 }
+_FUNCTIONS = {"lab": "testbed"}  # the name that a command had before, which stays
 
 
 class _Commands(click.Group):
@@ -77,7 +79,7 @@
             return super().get_command(ctx, name)
         module, extra = _EXTRA[name]
         try:
-            command: click.Command = getattr(importlib.import_module(module), name)
+            command: click.Command = getattr(importlib.import_module(module), _FUNCTIONS.get(name, name))
         except ImportError as error:
             click.echo(f"pipitshed: `{name}` needs the extra `{extra}`: {error}", err=True)
             sys.exit(2)
@@ -151,7 +153,7 @@
 
         kinds[which] = TranslationFile
     elif which == "experiment":
-        from pipitshed.lab.experiment import Experiment
+        from pipitshed.testbed.experiment import Experiment
 
         kinds[which] = Experiment
     elif which == "fleet":
@@ -159,7 +161,7 @@
 
         kinds[which] = Fleet
     elif which == "peers":
-        from pipitshed.peers.file import PeersFile
+        from pipitshed.cluster.peers_file import PeersFile
 
         kinds[which] = PeersFile
     made = {"$schema": "https://json-schema.org/draft/2020-12/schema"} | msgspec.json.schema(kinds[which])
--- a/pipitshed/peers/commands.py
+++ b/pipitshed/cli/fleet.py
@@ -12,12 +12,12 @@
 import click
 import msgspec
 
+from pipitshed.cluster.codec import FRAME_LIMIT, LENGTH, Codec, RefusedError
+from pipitshed.cluster.messages import Leave, Said, Show, Shown
+from pipitshed.cluster.peers_file import PeersError, read
+from pipitshed.cluster.streams import framed
+from pipitshed.discovery.catalog import address_of
 from pipitshed.membership.members import Address
-from pipitshed.peers.codec import FRAME_LIMIT, LENGTH, Codec, RefusedError
-from pipitshed.peers.file import PeersError, read
-from pipitshed.peers.messages import Leave, Said, Show, Shown
-from pipitshed.peers.streams import framed
-from pipitshed.routes.discovery import address_of
 
 WITHIN = 3.0  # s for an answer
 WATCH_EVERY = 1.0  # s
--- a/pipitshed/peers/settings_commands.py
+++ b/pipitshed/cli/settings.py
@@ -11,10 +11,9 @@
 import click
 import msgspec
 
-from pipitshed.membership.members import Address
-from pipitshed.peers.codec import Codec
-from pipitshed.peers.commands import AskError, ask, ask_or_end, asked, columns, lasting, way_to
-from pipitshed.peers.messages import (
+from pipitshed.cli.fleet import AskError, ask, ask_or_end, asked, columns, lasting, way_to
+from pipitshed.cluster.codec import Codec
+from pipitshed.cluster.messages import (
     AskForce,
     AskStatus,
     Force,
@@ -25,7 +24,8 @@
     ShowRows,
     Status,
 )
-from pipitshed.routes.discovery import address_of
+from pipitshed.discovery.catalog import address_of
+from pipitshed.membership.members import Address
 
 IN_FORCE, NO_ANSWER, REFUSED, NOT_EVERYWHERE = 0, 1, 2, 3  # exit codes
 LOOK = 0.1  # s between questions whether a change is in force
--- a/pipitshed/lab/commands.py
+++ b/pipitshed/cli/testbed.py
@@ -1,4 +1,4 @@
-"""The laboratory's commands."""
+"""The commands of the testbed: `pipitshed testbed`, also accepted as `pipitshed lab`."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from rich.console import Console
 from rich.progress import Progress
 
-from pipitshed.lab import experiment as experiments
-from pipitshed.lab.accounts import broken
-from pipitshed.lab.up import up as run_up
+from pipitshed.testbed import experiment as experiments
+from pipitshed.testbed.accounts import broken
+from pipitshed.testbed.up import up as run_up
 
 
 @click.group()
-def lab() -> None:
+def testbed() -> None:
     """A scheduler between stand-ins, to try things and to measure them."""
 
 
-@lab.command()
+@testbed.command()
 @click.option("--planners", default=6, show_default=True, type=click.IntRange(1, 200), help="How many.")
 @click.option(
     "--interface",
@@ -44,7 +44,7 @@
         sys.exit(2)
 
 
-@lab.command()
+@testbed.command()
 @click.argument("file", type=click.Path(path_type=Path, exists=True, dir_okay=False))
 @click.option("--json", "out", type=click.Path(path_type=Path), help="Where the account goes.")
 @click.option("--short", is_flag=True, help="As many requests as the file's `short-requests`.")
@@ -63,7 +63,7 @@
     experiments.raise_descriptors()
     requests = experiment.clients.short_requests if short else experiment.clients.requests
     if experiment.arms:
-        from pipitshed.lab.arms import compare  # it needs the solver, an extra of its own
+        from pipitshed.testbed.arms import compare  # it needs the solver, an extra of its own
 
         compared = compare(experiment, requests, seeds, jobs)
         text = json.dumps(compared, indent=1)
@@ -90,7 +90,7 @@
     sys.exit(1 if broken(figures) else 0)
 
 
-@lab.command()
+@testbed.command()
 @click.argument("file", type=click.Path(path_type=Path, exists=True, dir_okay=False))
 @click.option("--seed", default=1, show_default=True, help="Of the faults that the scenario draws.")
 @click.option("--seeds", default=1, show_default=True, help="Plays, with this seed and the next ones.")
@@ -110,8 +110,8 @@
     """Play a scenario with several processes and faults between them; exit code 1 where an oracle says no,
     with the script that fails.
     """
-    from pipitshed.lab.fleet import play as rig
-    from pipitshed.lab.fleet.scenario import Fault, ScenarioError, drawn, drawn_puts, read, script
+    from pipitshed.testbed.fleet import play as rig
+    from pipitshed.testbed.fleet.scenario import Fault, ScenarioError, drawn, drawn_puts, read, script
 
     try:
         scenario = read(file.read_text(), processes)
--- a/pipitshed/peers/codec.py
+++ b/pipitshed/cluster/codec.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pipitshed.peers.messages import Said
+from pipitshed.cluster.messages import Said
 
 VERSION = 2
 DATAGRAM_LIMIT = 1400  # bytes; what is longer goes over a stream
--- a/pipitshed/peers/datagrams.py
+++ b/pipitshed/cluster/datagrams.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import cast
 
+from pipitshed.cluster.codec import DATAGRAM_LIMIT, Codec, RefusedError
+from pipitshed.cluster.messages import Said
 from pipitshed.membership.members import Address
-from pipitshed.peers.codec import DATAGRAM_LIMIT, Codec, RefusedError
-from pipitshed.peers.messages import Said
 
 STRANGERS = 200.0  # datagrams a second that are read from addresses of no known member, in all
 STRANGERS_AT_ONCE = 400.0
--- a/pipitshed/peers/fleet.py
+++ b/pipitshed/cluster/node.py
@@ -11,17 +11,17 @@
 import time
 from collections import Counter
 
+from pipitshed.cluster.codec import DATAGRAM_LIMIT, Codec
+from pipitshed.cluster.datagrams import Datagrams
+from pipitshed.cluster.event_log import EventLog
+from pipitshed.cluster.messages import Answer, Leave, Row, Said, Settings, Show, Shown
+from pipitshed.cluster.peers_file import Peers
+from pipitshed.cluster.settings import Reply, SettingsRows, Tuned
+from pipitshed.cluster.streams import Streams
 from pipitshed.membership.effects import Displaced, Effect, News, RowNews, Tell
 from pipitshed.membership.members import Address, State, Word
 from pipitshed.membership.messages import Exchange
 from pipitshed.membership.protocol import Membership
-from pipitshed.peers.codec import DATAGRAM_LIMIT, Codec
-from pipitshed.peers.datagrams import Datagrams
-from pipitshed.peers.eventlog import EventLog
-from pipitshed.peers.file import Peers
-from pipitshed.peers.messages import Answer, Leave, Row, Said, Settings, Show, Shown
-from pipitshed.peers.rows import Reply, SettingsRows, Tuned
-from pipitshed.peers.streams import Streams
 from pipitshed.replication.row import Row as SettingsRow
 
 log = logging.getLogger("pipitshed.fleet")
--- a/pipitshed/peers/file.py
+++ b/pipitshed/cluster/peers_file.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
+from pipitshed.discovery.catalog import address_of
 from pipitshed.membership.members import NAME_LIMIT, Address
 from pipitshed.membership.timing import Scales
-from pipitshed.routes.discovery import address_of
-from pipitshed.wire.toml import line_at
+from pipitshed.protocols.toml import line_at
 
 SECRET_LIMIT = 64  # bytes of the secret, which the checksum takes as its key
 _PLACE = re.compile(r" - at `\$\.?([^`]*)`")
--- a/pipitshed/peers/rows.py
+++ b/pipitshed/cluster/settings.py
@@ -15,10 +15,8 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any, Protocol
 
-from pipitshed.membership.members import Address, Word
-from pipitshed.membership.members import State as MemberState
-from pipitshed.peers import rowsfile
-from pipitshed.peers.messages import (
+from pipitshed.cluster import row_store as rowsfile
+from pipitshed.cluster.messages import (
     AskForce,
     Force,
     Put,
@@ -30,16 +28,18 @@
     ShowRows,
     Status,
 )
-from pipitshed.peers.rowsfile import Kept
+from pipitshed.cluster.row_store import Kept
+from pipitshed.config.row_overlay import Laid, RefusedRowError, check, file_value, overlay
+from pipitshed.membership.members import Address, Word
+from pipitshed.membership.members import State as MemberState
 from pipitshed.replication.acting import Acting, AskActing, Confirmations, State
 from pipitshed.replication.row import Row
 from pipitshed.replication.rows import RowError, RowTable
-from pipitshed.tuning.rows import Laid, RefusedRowError, check, file_value, overlay
 
 if TYPE_CHECKING:
+    from pipitshed.cluster.event_log import EventLog
+    from pipitshed.cluster.peers_file import Peers
     from pipitshed.membership.protocol import Membership
-    from pipitshed.peers.eventlog import EventLog
-    from pipitshed.peers.file import Peers
 
 NAME = "settings"
 MOST_ROWS, MOST_BYTES, ROW_LIMIT = 4096, 512 << 10, 300  # bytes
--- a/pipitshed/peers/streams.py
+++ b/pipitshed/cluster/streams.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from typing import cast
 
+from pipitshed.cluster.codec import FRAME_LIMIT, LENGTH, Codec, RefusedError
+from pipitshed.cluster.messages import Said
 from pipitshed.membership.members import Address
-from pipitshed.peers.codec import FRAME_LIMIT, LENGTH, Codec, RefusedError
-from pipitshed.peers.messages import Said
-from pipitshed.wire.buffer import Buffer, TooLongError
+from pipitshed.protocols.buffer import Buffer, TooLongError
 
 WITHIN = 2.0  # s in which a stream's message and its answer are there
 MOST = 32  # streams open to this scheduler; what comes beyond is closed
--- a/pipitshed/config.py
+++ b/pipitshed/config/platform.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from pipitshed.decisions.interface import Settings
-from pipitshed.decisions.settings import SettingsError, settings_from
-from pipitshed.routes.discovery import Members, address_of
-from pipitshed.wire.toml import line_at
+from pipitshed.config.settings_parser import SettingsError, settings_from
+from pipitshed.discovery.catalog import Members, address_of
+from pipitshed.protocols.toml import line_at
+from pipitshed.scheduling.interface import Settings
 
 if TYPE_CHECKING:
     from pipitshed.translation.file import TranslationFile
--- a/pipitshed/tuning/rows.py
+++ b/pipitshed/config/row_overlay.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pipitshed.decisions.settings import SettingsError, check_entry
+from pipitshed.config.settings_parser import SettingsError, check_entry
 from pipitshed.replication.row import Row
 
 VALUE_LIMIT = 32  # bytes of a value
--- a/pipitshed/decisions/settings.py
+++ b/pipitshed/config/settings_parser.py
@@ -8,7 +8,7 @@
 import math
 from typing import Any
 
-from pipitshed.decisions import interface as api
+from pipitshed.scheduling import interface as api
 
 
 class SettingsError(ValueError):
--- a/pipitshed/decisions/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The only policy: the rules, their vocabulary and their settings."""
--- a/pipitshed/routes/discovery.py
+++ b/pipitshed/discovery/catalog.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from pipitshed.decisions.interface import Entry, ListKind, State
-from pipitshed.exchange.parties import Carrier, Endpoint
-from pipitshed.exchange.route_table import Line, RouteTable
-from pipitshed.wire.http import BadAnswerError, Reader
+from pipitshed.protocols.http import BadAnswerError, Reader
+from pipitshed.proxy.endpoint_table import Line, RouteTable
+from pipitshed.proxy.request import Carrier, Endpoint
+from pipitshed.scheduling.interface import Entry, ListKind, State
 
 SOURCE = "discovery"
 PATH = "/catalog/members"
--- a/pipitshed/routes/dns_sd.py
+++ b/pipitshed/discovery/dns_sd.py
@@ -16,9 +16,9 @@
 import dns.rrset
 import msgspec
 
-from pipitshed.decisions.interface import ListKind
-from pipitshed.exchange.route_table import Line, RouteTable
-from pipitshed.routes.discovery import Instance, Listing
+from pipitshed.discovery.catalog import Instance, Listing
+from pipitshed.proxy.endpoint_table import Line, RouteTable
+from pipitshed.scheduling.interface import ListKind
 
 SOURCE = "dns-sd"
 ASK_TIMEOUT = 0.5  # s for one question
--- a/pipitshed/routes/plan.py
+++ b/pipitshed/discovery/placement_plan.py
@@ -8,9 +8,9 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from pipitshed.exchange.route_table import RouteTable
 from pipitshed.placement.follow import EVERY, Follower
 from pipitshed.placement.plan import PlanError, read
+from pipitshed.proxy.endpoint_table import RouteTable
 
 log = logging.getLogger("pipitshed")
 
--- a/pipitshed/routes/interfaces.py
+++ b/pipitshed/discovery/worker_interfaces.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from pipitshed.decisions.interface import ListKind, WorkerId
-from pipitshed.exchange.parties import Carrier
-from pipitshed.exchange.route_table import RouteTable
-from pipitshed.routes.discovery import Instance, Listing, address_of
+from pipitshed.discovery.catalog import Instance, Listing, address_of
+from pipitshed.proxy.endpoint_table import RouteTable
+from pipitshed.proxy.request import Carrier
+from pipitshed.scheduling.interface import ListKind, WorkerId
 
 AT_ONCE = 8  # planners asked at the same time: a wide fleet that starts together is not met by a storm
 FIRST_WAIT = 0.25  # s after a planner that could not be asked, doubling
--- a/pipitshed/exchange/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The core: exchanges, their attempts and their one final answer. It knows no wire."""
--- a/pipitshed/ingress/gearman.py
+++ b/pipitshed/frontends/gearman.py
@@ -15,14 +15,14 @@
 from typing import cast
 
 from pipitshed import __version__
-from pipitshed.decisions.interface import NoteKind
-from pipitshed.egress.gearman import WORKER_KINDS, GearmanCarrier, Worker
-from pipitshed.exchange.core import Core
-from pipitshed.exchange.ledger import Entry, Ledger
-from pipitshed.exchange.parties import Refusal, Request
-from pipitshed.wire.buffer import Buffer, TooLongError
-from pipitshed.wire.gearman import HEAD, PACKET_LIMIT, Kind, PacketError, pack, requests
-from pipitshed.wire.http import BODY_LIMIT
+from pipitshed.protocols.buffer import Buffer, TooLongError
+from pipitshed.protocols.gearman import HEAD, PACKET_LIMIT, Kind, PacketError, pack, requests
+from pipitshed.protocols.http import BODY_LIMIT
+from pipitshed.proxy.deduplication import Entry, Ledger
+from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.request import Refusal, Request
+from pipitshed.scheduling.interface import NoteKind
+from pipitshed.upstream.gearman import WORKER_KINDS, GearmanCarrier, Worker
 
 LINGER = 0.5  # s for which more is read and thrown away after the last packet
 UNREAD_LIMIT = 1024 * 1024  # bytes that a peer may leave unread before its connection is closed
--- a/pipitshed/ingress/http.py
+++ b/pipitshed/frontends/http.py
@@ -15,11 +15,11 @@
 import httptools
 import msgspec
 
-from pipitshed.decisions.interface import NoteKind
-from pipitshed.exchange.core import Core
-from pipitshed.exchange.parties import Exchange, Refusal, Request
-from pipitshed.wire.buffer import Buffer, TooLongError
-from pipitshed.wire.http import BODY_LIMIT, HEAD_LIMIT
+from pipitshed.protocols.buffer import Buffer, TooLongError
+from pipitshed.protocols.http import BODY_LIMIT, HEAD_LIMIT
+from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.request import Exchange, Refusal, Request
+from pipitshed.scheduling.interface import NoteKind
 
 PIPELINED = 8  # requests that may wait behind one on a connection; clients send one at a time
 FLOOD = 256  # of those beyond, each refused in its turn, after which the connection is ended
--- a/pipitshed/ingress/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The fronts: bytes from clients to exchanges, and answers back."""
--- a/pipitshed/mgmt/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The operators' address: whether the process is ready, and its figures."""
--- a/pipitshed/placement/model.py
+++ b/pipitshed/placement/model.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from pipitshed.wire.toml import line_of
+from pipitshed.protocols.toml import line_of
 
 LEAST, MOST = 1e-9, 1e9  # of every figure that is not 0
 
--- /dev/null
+++ b/pipitshed/protocols/__init__.py
@@ -0,0 +1,1 @@
+"""Codecs and buffers that frontends, upstream clients and discovery share."""
--- a/pipitshed/wire/gearman.py
+++ b/pipitshed/protocols/gearman.py
@@ -6,8 +6,8 @@
 import struct
 from collections.abc import Iterator
 
-from pipitshed.wire.buffer import Buffer
-from pipitshed.wire.http import BODY_LIMIT
+from pipitshed.protocols.buffer import Buffer
+from pipitshed.protocols.http import BODY_LIMIT
 
 HEAD = struct.Struct(">4sII")
 REQUEST, RESPONSE = b"\0REQ", b"\0RES"
--- a/pipitshed/wire/grpc.py
+++ b/pipitshed/protocols/grpc.py
@@ -16,7 +16,7 @@
 from hpack import NeverIndexedHeaderTuple
 from hyperframe.frame import Frame, GoAwayFrame
 
-from pipitshed.wire.http import BODY_LIMIT
+from pipitshed.protocols.http import BODY_LIMIT
 
 PREFIX = struct.Struct(">BI")  # compressed or not, and the message's length
 MESSAGE_LIMIT = 4 * BODY_LIMIT  # bytes of one message
--- a/pipitshed/wire/http.py
+++ b/pipitshed/protocols/http.py
@@ -6,7 +6,7 @@
 
 import httptools
 
-from pipitshed.wire.buffer import Buffer, TooLongError
+from pipitshed.protocols.buffer import Buffer, TooLongError
 
 HEAD_LIMIT = 16 * 1024
 BODY_LIMIT = 64 * 1024
--- a/pipitshed/exchange/trace.py
+++ b/pipitshed/proxy/decision_log.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from pipitshed.decisions.interface import Entry, SetTimer, TimerFired
+from pipitshed.scheduling.interface import Entry, SetTimer, TimerFired
 
 QUIET = (SetTimer, TimerFired)
 
--- a/pipitshed/exchange/ledger.py
+++ b/pipitshed/proxy/deduplication.py
@@ -10,9 +10,9 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from pipitshed.decisions.interface import Effect, NoteKind
-from pipitshed.exchange.core import Core
-from pipitshed.exchange.parties import Client, Exchange, Refusal, Request
+from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.request import Client, Exchange, Refusal, Request
+from pipitshed.scheduling.interface import Effect, NoteKind
 
 Key = tuple[int, str]
 KEPT_BYTES = 16 * 1024 * 1024  # of results; of the oldest beyond it only that they ran is kept
--- a/pipitshed/exchange/core.py
+++ b/pipitshed/proxy/forwarder.py
@@ -10,7 +10,11 @@
 from collections.abc import Callable, Sequence
 from time import monotonic
 
-from pipitshed.decisions.interface import (
+from pipitshed.proxy.decision_log import Trace
+from pipitshed.proxy.endpoint_table import RouteTable, together
+from pipitshed.proxy.request import Attempt, Client, Endpoint, Exchange, Refusal, Request, Translator
+from pipitshed.scheduling.dispatcher import PACE_AGE, SLOW, Dispatcher
+from pipitshed.scheduling.interface import (
     Action,
     Cancel,
     CloseIdle,
@@ -39,10 +43,6 @@
     Withdrawn,
     WorkerId,
 )
-from pipitshed.decisions.rules import PACE_AGE, SLOW, Dispatcher
-from pipitshed.exchange.parties import Attempt, Client, Endpoint, Exchange, Refusal, Request, Translator
-from pipitshed.exchange.route_table import RouteTable, together
-from pipitshed.exchange.trace import Trace
 
 MARGIN_MS = 30.0  # the final answer is out so long before the client gives up
 GUARD_MS = 10.0  # after the decisions' own deadline; still before the client's
--- /dev/null
+++ b/pipitshed/scheduling/__init__.py
@@ -0,0 +1,1 @@
+"""The scheduling decisions: typed events in, typed actions out; no clock, no sockets."""
--- a/pipitshed/decisions/rules.py
+++ b/pipitshed/scheduling/dispatcher.py
@@ -1,4 +1,4 @@
-"""The decisions of a dispatcher. Its settings, events and actions are in pipitshed/decisions/interface.py.
+"""The decisions of a dispatcher. Its settings, events and actions are in pipitshed/scheduling/interface.py.
 
 The ordinary path: a worker is drawn at random in proportion to capacity (Equation 1 of the paper), the
 share f of recent draws that found no room sets how many attempts a job gets (Equation 2), attempts are
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from itertools import takewhile
 
-from pipitshed.decisions.interface import (
+from pipitshed.scheduling.interface import (
     Action,
     Cancel,
     Effect,
@@ -42,8 +42,8 @@
     Withdrawn,
     WorkerId,
 )
-from pipitshed.decisions.pools import Pools
-from pipitshed.decisions.recent import Fading, Window
+from pipitshed.scheduling.recent_counts import Fading, Window
+from pipitshed.scheduling.weighted_pools import Pools
 
 WINDOW = 30  # attempts in the estimate of f; the paper's figure
 WINDOW_AGE = 30_000.0  # ms an attempt counts in f: a sparse dispatcher's window fills, an old wave leaves
--- /dev/null
+++ b/pipitshed/server/__init__.py
@@ -0,0 +1,1 @@
+"""The scheduler process: its assembly from parts, its start, reload and end."""
--- a/pipitshed/scheduler.py
+++ b/pipitshed/server/server.py
@@ -12,28 +12,28 @@
 
 import uvloop
 
-from pipitshed.config import Config, ConfigError, Front, load, resettled
-from pipitshed.egress.gearman import GearmanCarrier, Place
-from pipitshed.egress.http import HttpCarrier
-from pipitshed.exchange.core import Core
-from pipitshed.exchange.trace import Trace
-from pipitshed.ingress.gearman import Function, GearmanFront
-from pipitshed.ingress.http import LINGER_ENDING, HttpFront, Reading
-from pipitshed.ingress.listener import Listener
-from pipitshed.mgmt.figures import Gauges, by_class, count_lines, render
-from pipitshed.mgmt.front import MgmtFront
-from pipitshed.routes.discovery import SOURCE as DISCOVERY
-from pipitshed.routes.discovery import Discovery, Listing, Members, Names, list_bound
-from pipitshed.tuning.classes import GRACE, Change, ClassBook
-from pipitshed.tuning.whole import lacking
-from pipitshed.wire.http import BODY_LIMIT
+from pipitshed.admin.frontend import MgmtFront
+from pipitshed.admin.metrics import Gauges, by_class, count_lines, render
+from pipitshed.config.class_registry import GRACE, Change, ClassBook
+from pipitshed.config.completeness import lacking
+from pipitshed.config.platform import Config, ConfigError, Front, load, resettled
+from pipitshed.discovery.catalog import SOURCE as DISCOVERY
+from pipitshed.discovery.catalog import Discovery, Listing, Members, Names, list_bound
+from pipitshed.frontends.gearman import Function, GearmanFront
+from pipitshed.frontends.http import LINGER_ENDING, HttpFront, Reading
+from pipitshed.frontends.listener import Listener
+from pipitshed.protocols.http import BODY_LIMIT
+from pipitshed.proxy.decision_log import Trace
+from pipitshed.proxy.forwarder import Core
+from pipitshed.upstream.gearman import GearmanCarrier, Place
+from pipitshed.upstream.http import HttpCarrier
 
 if TYPE_CHECKING:
-    from pipitshed.peers.file import Peers
-    from pipitshed.peers.fleet import Fleet
-    from pipitshed.routes.dns_sd import DnsSd
-    from pipitshed.routes.plan import FollowedPlan
-    from pipitshed.translating import TranslationParts
+    from pipitshed.cluster.node import Fleet
+    from pipitshed.cluster.peers_file import Peers
+    from pipitshed.discovery.dns_sd import DnsSd
+    from pipitshed.discovery.placement_plan import FollowedPlan
+    from pipitshed.server.translation import TranslationParts
 
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 LISTEN_ON = 0.5  # s after SIGTERM: new connections keep coming for up to 0.4 s
@@ -94,7 +94,7 @@
             self.discovery.known(config.known or Members(0, []))
         if front.dns_server is not None:
             # Imported where it is asked for: on the platform its library is a third of the time to start.
-            from pipitshed.routes.dns_sd import SOURCE, DnsSd
+            from pipitshed.discovery.dns_sd import SOURCE, DnsSd
 
             self.dns_sd = DnsSd(
                 front.dns_server,
@@ -188,14 +188,14 @@
 
     def _translation(self, front: Front) -> TranslationParts:
         # Imported where it is asked for: the platform's start and memory stay as they are.
-        from pipitshed.translating import TranslationParts
+        from pipitshed.server.translation import TranslationParts
 
         assert front.translation is not None
         return TranslationParts(self.core, self.carrier, front.translation, self._names, self._loop)
 
     def _plan(self, config: Config, front: Front) -> FollowedPlan:
         # Imported where it is asked for, as above.
-        from pipitshed.routes.plan import FollowedPlan
+        from pipitshed.discovery.placement_plan import FollowedPlan
 
         assert front.plan is not None
         zone = config.zones[config.settings.zone] if config.zones else ""
@@ -205,8 +205,8 @@
 
     def _fleet(self, config: Config, front: Front, peers: Peers) -> Fleet:
         # Imported where it is asked for, as above; only the option `--fleet` asks.
-        from pipitshed.peers.fleet import Fleet
-        from pipitshed.peers.rows import Tuned
+        from pipitshed.cluster.node import Fleet
+        from pipitshed.cluster.settings import Tuned
 
         zone = config.zones[config.settings.zone] if config.zones else ""
         # Gearman's functions and workers know the classes by the numbers of the start.
--- a/pipitshed/translating.py
+++ b/pipitshed/server/translation.py
@@ -5,14 +5,14 @@
 import asyncio
 from collections.abc import Sequence
 
-from pipitshed.config import Translation
-from pipitshed.egress.grpc import GrpcCarrier
-from pipitshed.egress.http import HttpCarrier
-from pipitshed.egress.sounding import Sounder
-from pipitshed.exchange.core import Core
-from pipitshed.exchange.parties import Endpoint
-from pipitshed.routes.interfaces import Interfaces
+from pipitshed.config.platform import Translation
+from pipitshed.discovery.worker_interfaces import Interfaces
+from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.request import Endpoint
 from pipitshed.translation.translator import Translator
+from pipitshed.upstream.grpc import GrpcCarrier
+from pipitshed.upstream.http import HttpCarrier
+from pipitshed.upstream.interface_probe import Sounder
 
 
 class TranslationParts:
--- a/pipitshed/simulator/drill.py
+++ b/pipitshed/simulator/adapter.py
@@ -5,8 +5,8 @@
 import sys
 from typing import BinaryIO
 
-from pipitshed.decisions.interface import Event
-from pipitshed.decisions.rules import Dispatcher
+from pipitshed.scheduling.dispatcher import Dispatcher
+from pipitshed.scheduling.interface import Event
 from pipitshed.simulator import wire
 
 
--- a/pipitshed/simulator/wire.py
+++ b/pipitshed/simulator/wire.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from pipitshed.decisions import interface as api
-from pipitshed.decisions.settings import SettingsError, settings_from
+from pipitshed.config.settings_parser import SettingsError, settings_from
+from pipitshed.scheduling import interface as api
 
 HEADER = struct.Struct("<IId")
 REPLY_HEADER = struct.Struct("<II")
--- a/pipitshed/lab/accounts.py
+++ b/pipitshed/testbed/accounts.py
@@ -8,9 +8,9 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 
-from pipitshed.lab.clients import Asked
-from pipitshed.lab.fleet.standins import Member
-from pipitshed.lab.planner import DEDUP_WINDOW, Run
+from pipitshed.testbed.clients import Asked
+from pipitshed.testbed.fleet.standins import Member
+from pipitshed.testbed.planner import DEDUP_WINDOW, Run
 
 OVERLAP = 0.05  # s that two attempts may seem to overlap: a cancel and a send travel on two connections
 DRAIN = 1.5 + 0.05  # s
--- a/pipitshed/lab/arms.py
+++ b/pipitshed/testbed/arms.py
@@ -10,15 +10,15 @@
 from collections.abc import Sequence
 from typing import Any
 
-from pipitshed.lab.accounts import broken
-from pipitshed.lab.experiment import Experiment, play, raise_descriptors
-from pipitshed.lab.fleet.standins import ZONES, Fleet
 from pipitshed.placement import plan as plans
 from pipitshed.placement.model import Constraints, Demand, Planner
 from pipitshed.placement.model import Fleet as Told
 from pipitshed.placement.plan import Place, Plan
 from pipitshed.placement.score import capacity
 from pipitshed.placement.solve import solve
+from pipitshed.testbed.accounts import broken
+from pipitshed.testbed.experiment import Experiment, play, raise_descriptors
+from pipitshed.testbed.fleet.standins import ZONES, Fleet
 
 FIGURES = ("in_time_quote", "in_time_book", "worst_use", "crossings")
 T95 = {4: 3.18, 5: 2.78, 8: 2.36, 10: 2.26, 20: 2.09}  # Student's, by the number of pairs
--- a/pipitshed/lab/clients.py
+++ b/pipitshed/testbed/clients.py
@@ -12,8 +12,8 @@
 from time import monotonic
 from urllib.parse import parse_qs, urlencode
 
-from pipitshed.lab.program import TENANTS
-from pipitshed.wire.gearman import HEAD, REQUEST, Kind, pack
+from pipitshed.protocols.gearman import HEAD, REQUEST, Kind, pack
+from pipitshed.testbed.program import TENANTS
 
 KINDS = ("http-v0", "http-v1", "gearman-v0", "gearman-v1")
 SLACK = 0.06  # s beyond its deadline after which an answer counts as none
--- a/pipitshed/lab/experiment.py
+++ b/pipitshed/testbed/experiment.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from pipitshed.lab.accounts import account
-from pipitshed.lab.clients import KINDS, Asked, GearmanClients, HttpClients, draw
-from pipitshed.lab.fleet.standins import ZONES, Fleet
-from pipitshed.lab.planner import Behaviour
-from pipitshed.lab.program import Running, scheduler
+from pipitshed.testbed.accounts import account
+from pipitshed.testbed.clients import KINDS, Asked, GearmanClients, HttpClients, draw
+from pipitshed.testbed.fleet.standins import ZONES, Fleet
+from pipitshed.testbed.planner import Behaviour
+from pipitshed.testbed.program import Running, scheduler
 
 EASED = 9.0  # s in which a plan is eased in
 SETTLE = 0.3  # s after the start before traffic: what has no told interface is found out
@@ -128,7 +128,7 @@
     await fleet.start(interfaces(shape), tells, shape.speeds, weights)
     plan = b""
     if arm is not None and arm.solved:
-        from pipitshed.lab.arms import solved  # the solver is an extra of its own
+        from pipitshed.testbed.arms import solved  # the solver is an extra of its own
 
         plan = solved(experiment, fleet)
     asked: list[Asked] = []
--- a/pipitshed/lab/fleet/faults.py
+++ b/pipitshed/testbed/fleet/faults.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from pipitshed.lab.fleet.processes import Process, Processes
-from pipitshed.lab.fleet.scenario import LINKS, Fault
+from pipitshed.testbed.fleet.processes import Process, Processes
+from pipitshed.testbed.fleet.scenario import LINKS, Fault
 
 
 class Faults:
--- a/pipitshed/lab/fleet/node.py
+++ b/pipitshed/testbed/fleet/node.py
@@ -1,6 +1,6 @@
 """Starts the program with a clock that stands off by some seconds, as on a machine whose clock is wrong.
 
-python -m pipitshed.lab.fleet.node SECONDS serve --fleet FILE
+python -m pipitshed.testbed.fleet.node SECONDS serve --fleet FILE
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
     off = float(sys.argv.pop(1))
     right = time.time
     time.time = lambda: right() + off
-    from pipitshed.cli import main as program
+    from pipitshed.cli.commands import main as program
 
     program(prog_name="pipitshed")
 
--- a/pipitshed/lab/fleet/oracles.py
+++ b/pipitshed/testbed/fleet/oracles.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from pipitshed.lab.clients import Asked
+from pipitshed.testbed.clients import Asked
 
 TOUCH = 1.0  # s around what was done to a process, within which its clients' requests may be lost
 
--- a/pipitshed/lab/fleet/play.py
+++ b/pipitshed/testbed/fleet/play.py
@@ -12,16 +12,16 @@
 from time import monotonic
 from typing import Any
 
-from pipitshed.lab.accounts import account
-from pipitshed.lab.clients import Asked, HttpClients, draw
-from pipitshed.lab.fleet import oracles, row_oracles
-from pipitshed.lab.fleet.faults import Faults
-from pipitshed.lab.fleet.oracles import Instance
-from pipitshed.lab.fleet.processes import HTTP_PORT, Process, ProcessError, Processes
-from pipitshed.lab.fleet.puts import Puts
-from pipitshed.lab.fleet.scenario import KEYS, Fault, Put, Scenario, name_of
-from pipitshed.lab.fleet.standins import Fleet as Planners
-from pipitshed.lab.planner import Behaviour
+from pipitshed.testbed.accounts import account
+from pipitshed.testbed.clients import Asked, HttpClients, draw
+from pipitshed.testbed.fleet import oracles, row_oracles
+from pipitshed.testbed.fleet.faults import Faults
+from pipitshed.testbed.fleet.oracles import Instance
+from pipitshed.testbed.fleet.processes import HTTP_PORT, Process, ProcessError, Processes
+from pipitshed.testbed.fleet.puts import Puts
+from pipitshed.testbed.fleet.scenario import KEYS, Fault, Put, Scenario, name_of
+from pipitshed.testbed.fleet.standins import Fleet as Planners
+from pipitshed.testbed.planner import Behaviour
 
 LOOK = 0.05  # s between looks whether all hold the truth
 STAYS = 1.0  # s for which it must be held then
--- a/pipitshed/lab/fleet/processes.py
+++ b/pipitshed/testbed/fleet/processes.py
@@ -15,11 +15,11 @@
 
 import msgspec
 
-from pipitshed.lab.fleet.links import Links
-from pipitshed.lab.fleet.relays import Address, Relay
-from pipitshed.lab.fleet.scenario import Shape, name_of, zone_of
-from pipitshed.lab.fleet.standins import Discovery, Member
-from pipitshed.lab.program import configuration
+from pipitshed.testbed.fleet.links import Links
+from pipitshed.testbed.fleet.relays import Address, Relay
+from pipitshed.testbed.fleet.scenario import Shape, name_of, zone_of
+from pipitshed.testbed.fleet.standins import Discovery, Member
+from pipitshed.testbed.program import configuration
 
 PEER_PORT, HTTP_PORT, PLANNERS_FROM = 7946, 8000, 9000
 REAL, PUBLIC, OUTSIDE = 10, 110, 210  # last part of the loopback addresses of processes, relays and stand-ins
@@ -115,7 +115,7 @@
         self.starts += 1
         events = self.fleet.folder / f"events-{self.name}-{self.place + 1}-{self.starts}.jsonl"
         self._write(events)
-        module = ["pipitshed.lab.fleet.node", str(clock)] if clock else ["pipitshed"]
+        module = ["pipitshed.testbed.fleet.node", str(clock)] if clock else ["pipitshed"]
         with (self.fleet.folder / f"log-{self.name}-{self.place + 1}-{self.starts}.txt").open("wb") as log:
             self.running = await asyncio.create_subprocess_exec(
                 sys.executable,
--- a/pipitshed/lab/fleet/puts.py
+++ b/pipitshed/testbed/fleet/puts.py
@@ -7,12 +7,12 @@
 from time import monotonic
 from typing import TypeVar
 
-from pipitshed.lab.fleet.processes import Process, Processes
-from pipitshed.lab.fleet.scenario import Put
-from pipitshed.peers.codec import Codec
-from pipitshed.peers.commands import AskError, ask
-from pipitshed.peers.messages import AskForce, Force, PutDone, Said, ShownRows, ShowRows
-from pipitshed.peers.messages import Put as PutRow
+from pipitshed.cli.fleet import AskError, ask
+from pipitshed.cluster.codec import Codec
+from pipitshed.cluster.messages import AskForce, Force, PutDone, Said, ShownRows, ShowRows
+from pipitshed.cluster.messages import Put as PutRow
+from pipitshed.testbed.fleet.processes import Process, Processes
+from pipitshed.testbed.fleet.scenario import Put
 
 LOOK = 0.1  # s between questions whether one is in force
 WITHIN = 20.0  # s for which one is followed
--- a/pipitshed/lab/fleet/relays.py
+++ b/pipitshed/testbed/fleet/relays.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from pipitshed.lab.fleet.links import Link, Links
+from pipitshed.testbed.fleet.links import Link, Links
 
 Address = tuple[str, int]
 BLACK_HOLE = 0.02  # s between looks whether a cut link is whole again
--- a/pipitshed/lab/fleet/row_oracles.py
+++ b/pipitshed/testbed/fleet/row_oracles.py
@@ -5,8 +5,8 @@
 from itertools import pairwise
 from typing import Any
 
-from pipitshed.lab.fleet.oracles import TOUCH, InForce, Instance, Logs, Version, living
-from pipitshed.lab.fleet.scenario import LINKS, zone_of
+from pipitshed.testbed.fleet.oracles import TOUCH, InForce, Instance, Logs, Version, living
+from pipitshed.testbed.fleet.scenario import LINKS, zone_of
 
 NONE: Version = (0, 0)
 
--- a/pipitshed/lab/fleet/scenario.py
+++ b/pipitshed/testbed/fleet/scenario.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from pipitshed.lab.program import TENANTS
 from pipitshed.membership.timing import Scales
-from pipitshed.wire.toml import line_of
+from pipitshed.protocols.toml import line_of
+from pipitshed.testbed.program import TENANTS
 
 Do = Literal[
     "cut",
--- a/pipitshed/lab/fleet/standins.py
+++ b/pipitshed/testbed/fleet/standins.py
@@ -11,8 +11,8 @@
 from time import monotonic
 from typing import Protocol
 
-from pipitshed.lab.interfaces import GrpcInterface, HttpInterface
-from pipitshed.lab.planner import Behaviour, Planner, Record
+from pipitshed.testbed.interfaces import GrpcInterface, HttpInterface
+from pipitshed.testbed.planner import Behaviour, Planner, Record
 
 ZONES = ("lima-norte", "arequipa")
 HEARTBEAT = 2.0  # s
--- a/pipitshed/lab/interfaces.py
+++ b/pipitshed/testbed/interfaces.py
@@ -14,8 +14,8 @@
 from decimal import Decimal
 from typing import Any
 
-from pipitshed.interfaces import planner_pb2 as pb
-from pipitshed.lab.planner import Job, Planner
+from pipitshed.testbed.planner import Job, Planner
+from pipitshed.worker_api import planner_pb2 as pb
 
 # It tells of each connection that is cut on purpose, unless it is asked not to before it is loaded.
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
--- a/pipitshed/lab/program.py
+++ b/pipitshed/testbed/program.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from pipitshed.lab.fleet.standins import ZONES
+from pipitshed.testbed.fleet.standins import ZONES
 
 TENANTS = {"andes-retail": 0.51, "costa-carga": 0.18, "sur-express": 0.18, "selva-trans": 0.13}
 TEMPLATES = importlib.resources.files("pipitshed.templates")
--- a/pipitshed/lab/up.py
+++ b/pipitshed/testbed/up.py
@@ -9,10 +9,10 @@
 from rich.live import Live
 from rich.table import Table
 
-from pipitshed.lab.experiment import FleetFile, interfaces
-from pipitshed.lab.fleet.standins import Fleet
-from pipitshed.lab.planner import Behaviour
-from pipitshed.lab.program import scheduler
+from pipitshed.testbed.experiment import FleetFile, interfaces
+from pipitshed.testbed.fleet.standins import Fleet
+from pipitshed.testbed.planner import Behaviour
+from pipitshed.testbed.program import scheduler
 
 REFRESH = 0.5  # s
 
--- a/pipitshed/translation/file.py
+++ b/pipitshed/translation/file.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
+from pipitshed.protocols.toml import line_of
 from pipitshed.translation import steps
 from pipitshed.translation.steps import ClassSteps
 from pipitshed.translation.values import Field
-from pipitshed.wire.toml import line_of
 
 ENVELOPE = ("id", "class", "tenant", "key", "deadline")
 # How the two interfaces carry what no step may touch: published, so not for files to vary.
--- a/pipitshed/translation/protobuf.py
+++ b/pipitshed/translation/protobuf.py
@@ -9,9 +9,9 @@
 from google.protobuf.message import DecodeError, Message
 from google.protobuf.unknown_fields import UnknownFieldSet
 
-from pipitshed.interfaces import planner_pb2
 from pipitshed.translation.codecs import WHOLE
 from pipitshed.translation.values import Field, Record, Unfit, check_record, parse_time, render_time
+from pipitshed.worker_api import planner_pb2
 
 _D = pb.FieldDescriptor
 _RANGES = {
--- a/pipitshed/translation/translator.py
+++ b/pipitshed/translation/translator.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, field
 
-from pipitshed.exchange.parties import Request
+from pipitshed.proxy.request import Request
 from pipitshed.translation.codecs import Codec, FormCodec, JsonCodec
 from pipitshed.translation.file import Form, TranslationFile
 from pipitshed.translation.steps import Chain, Step
--- /dev/null
+++ b/pipitshed/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""The clients that carry attempts to workers over HTTP, gRPC and Gearman."""
--- a/pipitshed/egress/gearman.py
+++ b/pipitshed/upstream/gearman.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from pipitshed.decisions.interface import Entry, ListKind, NoteKind, Outcome, State
-from pipitshed.exchange.core import Core
-from pipitshed.exchange.parties import Attempt, Endpoint
-from pipitshed.wire.gearman import Kind, PacketError, pack
+from pipitshed.protocols.gearman import Kind, PacketError, pack
+from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.request import Attempt, Endpoint
+from pipitshed.scheduling.interface import Entry, ListKind, NoteKind, Outcome, State
 
 SOURCE = "gearman workers"
 _GRABS = {
--- a/pipitshed/egress/grpc.py
+++ b/pipitshed/upstream/grpc.py
@@ -13,11 +13,11 @@
 from hpack import NeverIndexedHeaderTuple
 
 from pipitshed import __version__
-from pipitshed.egress.grpc_connection import Connection, Header, Stream
-from pipitshed.egress.http import IDLE_SPARE, Address
-from pipitshed.exchange.core import Core
-from pipitshed.exchange.parties import Attempt, Endpoint
-from pipitshed.wire.grpc import timeout_text
+from pipitshed.protocols.grpc import timeout_text
+from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.request import Attempt, Endpoint
+from pipitshed.upstream.grpc_connection import Connection, Header, Stream
+from pipitshed.upstream.http import IDLE_SPARE, Address
 
 _FIXED: list[Header] = [
     (b":method", b"POST"),
--- a/pipitshed/egress/grpc_connection.py
+++ b/pipitshed/upstream/grpc_connection.py
@@ -18,12 +18,12 @@
 import h2.settings
 from google.protobuf.message import DecodeError
 
-from pipitshed.decisions.interface import NoteKind, Outcome
-from pipitshed.egress.grpc_outcomes import by_status, pushback_of
-from pipitshed.exchange.core import Core
-from pipitshed.exchange.parties import Attempt, Endpoint
-from pipitshed.interfaces import planner_pb2
-from pipitshed.wire.grpc import MESSAGE_LIMIT, BadMessageError, Http2, frame, messages
+from pipitshed.protocols.grpc import MESSAGE_LIMIT, BadMessageError, Http2, frame, messages
+from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.request import Attempt, Endpoint
+from pipitshed.scheduling.interface import NoteKind, Outcome
+from pipitshed.upstream.grpc_outcomes import by_status, pushback_of
+from pipitshed.worker_api import planner_pb2
 
 Header = tuple[bytes, bytes]
 
--- a/pipitshed/egress/grpc_outcomes.py
+++ b/pipitshed/upstream/grpc_outcomes.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Mapping
 
-from pipitshed.decisions.interface import Outcome
-from pipitshed.wire.grpc import Status
+from pipitshed.protocols.grpc import Status
+from pipitshed.scheduling.interface import Outcome
 
 
 def by_status(status: bytes, headers: Mapping[bytes, bytes], heard: bool) -> tuple[Outcome, bool]:
--- a/pipitshed/egress/http.py
+++ b/pipitshed/upstream/http.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from pipitshed.decisions.interface import Effect, Limits, NoteKind, Outcome
-from pipitshed.exchange.core import Core
-from pipitshed.exchange.parties import Attempt, Endpoint
-from pipitshed.wire.http import BODY_LIMIT, BadAnswerError, Reader
+from pipitshed.protocols.http import BODY_LIMIT, BadAnswerError, Reader
+from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.request import Attempt, Endpoint
+from pipitshed.scheduling.interface import Effect, Limits, NoteKind, Outcome
 
 PROBE_TIMEOUT = 0.5  # s
 IDLE_SPARE = 0.1  # part of the planner's idle time by which a connection is closed ahead of it
--- a/pipitshed/egress/sounding.py
+++ b/pipitshed/upstream/interface_probe.py
@@ -13,8 +13,8 @@
 import h2.events
 import h2.exceptions
 
-from pipitshed.decisions.interface import WorkerId
-from pipitshed.wire.grpc import Http2
+from pipitshed.protocols.grpc import Http2
+from pipitshed.scheduling.interface import WorkerId
 
 CONNECT_TIMEOUT = 1.0  # s
 ANSWER_TIMEOUT = 1.0  # s
--- a/tests/equivalence/names.py
+++ b/tests/equivalence/names.py
@@ -10,12 +10,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pipitshed.decisions import interface as actions
-from pipitshed.decisions import interface as events
-from pipitshed.decisions import rules
-from pipitshed.decisions.rules import Dispatcher
-from pipitshed.decisions.settings import settings_from
-from pipitshed.exchange.parties import Request
+from pipitshed.config.settings_parser import settings_from
+from pipitshed.proxy.request import Request
+from pipitshed.scheduling import dispatcher as rules
+from pipitshed.scheduling import interface as actions
+from pipitshed.scheduling import interface as events
+from pipitshed.scheduling.dispatcher import Dispatcher
 
 Fields = dict[str, Any]
 Item = tuple[str, Fields]  # a recorded class name and its fields by their recorded names
@@ -126,7 +126,7 @@
         made = settings_from(settings)
         if not self._on_sockets:
             return made
-        from pipitshed.config import _on_sockets
+        from pipitshed.config.platform import _on_sockets
 
         return _on_sockets(made)
 
--- a/tests/equivalence/test_same_bytes.py
+++ b/tests/equivalence/test_same_bytes.py
@@ -9,8 +9,8 @@
 import pytest
 
 from equivalence import names
-from pipitshed.peers import rowsfile
-from pipitshed.peers.codec import Codec
+from pipitshed.cluster import row_store as rowsfile
+from pipitshed.cluster.codec import Codec
 from pipitshed.placement import plan
 from pipitshed.simulator import wire
 from pipitshed.translation.file import read
@@ -80,7 +80,7 @@
 def test_the_json_schemas_ask_for_the_same_keys() -> None:
     from click.testing import CliRunner
 
-    from pipitshed.cli import main
+    from pipitshed.cli.commands import main
 
     for which, keys in golden("schemas.json").items():
         schema = json.loads(CliRunner().invoke(main, ["schema", which]).output)
--- a/tests/equivalence/test_same_transcripts.py
+++ b/tests/equivalence/test_same_transcripts.py
@@ -14,7 +14,7 @@
 
 from loopback import FRONT, GearmanPeer, HttpClient, Planner, Reader, Run, Writer, call, program, story
 
-from pipitshed.wire.gearman import Kind
+from pipitshed.protocols.gearman import Kind
 
 GOLDEN = Path(__file__).parent / "golden" / "transcripts.json"
 MASKS = [
--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -15,15 +15,15 @@
 import h2.settings
 from loopback import SETTINGS
 
-from pipitshed.decisions.interface import Entry, ListKind, NoteKind
-from pipitshed.decisions.settings import settings_from
-from pipitshed.egress.grpc import GrpcCarrier
-from pipitshed.exchange.core import Core
-from pipitshed.exchange.parties import Endpoint, Request
-from pipitshed.interfaces import planner_pb2 as pb
+from pipitshed.config.settings_parser import settings_from
+from pipitshed.protocols.grpc import frame
+from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.request import Endpoint, Request
+from pipitshed.scheduling.interface import Entry, ListKind, NoteKind
 from pipitshed.translation.file import read
 from pipitshed.translation.translator import Translator
-from pipitshed.wire.grpc import frame
+from pipitshed.upstream.grpc import GrpcCarrier
+from pipitshed.worker_api import planner_pb2 as pb
 
 ROOT = Path(__file__).parent.parent
 FORMS = (ROOT / "deploy" / "translation.toml").read_text()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,7 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from pipitshed.decisions.interface import (
+from pipitshed.scheduling.dispatcher import Dispatcher
+from pipitshed.scheduling.interface import (
     Action,
     Effect,
     Entry,
@@ -27,7 +28,6 @@
     TimerFired,
     WorkerId,
 )
-from pipitshed.decisions.rules import Dispatcher
 
 UNRUN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from pipitshed.wire.gearman import HEAD, REQUEST, Kind, pack
+from pipitshed.protocols.gearman import HEAD, REQUEST, Kind, pack
 
 ROOT = Path(__file__).parent.parent
 PATIENCE = 20.0  # s after which a story that hangs has failed
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from pipitshed.lab.virtual_fleet import Fleet, region, worst
-from pipitshed.lab.virtual_view import Node
 from pipitshed.membership import protocol
 from pipitshed.membership.members import State, Word
 from pipitshed.membership.messages import Exchange
 from pipitshed.membership.protocol import Membership
 from pipitshed.membership.timing import Scales, suspicion_lasts
 from pipitshed.replication.messages import Rows, pack
+from pipitshed.testbed.virtual_fleet import Fleet, region, worst
+from pipitshed.testbed.virtual_view import Node
 
 
 def word(number: int, state: State = State.ALIVE) -> Word:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -8,7 +8,7 @@
 from loopback import FRONT, SETTINGS
 
 from pipitshed import __version__
-from pipitshed.cli import main
+from pipitshed.cli.commands import main
 
 
 def call(folder: Path, *words: str, config: object = None, front: str = "") -> Result:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,11 +10,11 @@
 from helpers import entries, settings
 from loopback import Planner, Run
 
-from pipitshed.decisions.interface import Event, Finished, LinkLost, ListKind, Note, Refuse
-from pipitshed.egress.http import HttpCarrier
-from pipitshed.exchange.core import Core
-from pipitshed.exchange.parties import Attempt, Endpoint, Exchange, Request
-from pipitshed.ingress.listener import Listener
+from pipitshed.frontends.listener import Listener
+from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.request import Attempt, Endpoint, Exchange, Request
+from pipitshed.scheduling.interface import Event, Finished, LinkLost, ListKind, Note, Refuse
+from pipitshed.upstream.http import HttpCarrier
 
 
 class HastyLoop:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,7 +13,10 @@
 from helpers import entries, settings
 from loopback import Peer, Planner, Reader, Writer, story
 
-from pipitshed.decisions.interface import (
+from pipitshed.protocols.gearman import Kind, pack
+from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.request import Endpoint, Exchange, Request
+from pipitshed.scheduling.interface import (
     Effect,
     Event,
     Finished,
@@ -25,11 +28,8 @@
     State,
     Submitted,
 )
-from pipitshed.egress.gearman import GearmanCarrier, Place
-from pipitshed.egress.http import HttpCarrier
-from pipitshed.exchange.core import Core
-from pipitshed.exchange.parties import Endpoint, Exchange, Request
-from pipitshed.wire.gearman import Kind, pack
+from pipitshed.upstream.gearman import GearmanCarrier, Place
+from pipitshed.upstream.http import HttpCarrier
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
--- a/tests/test_decisions_forget.py
+++ b/tests/test_decisions_forget.py
@@ -10,7 +10,8 @@
 from helpers import Bench, entries, sends_of, settings, worker_id
 
 from benchmarks.capacity.decisions import Scheduler
-from pipitshed.decisions.interface import (
+from pipitshed.scheduling.dispatcher import FORGET_MS, Worker
+from pipitshed.scheduling.interface import (
     Effect,
     Group,
     Limits,
@@ -22,7 +23,6 @@
     State,
     Submitted,
 )
-from pipitshed.decisions.rules import FORGET_MS, Worker
 
 ONE, TWO = worker_id(1), worker_id(2)
 FIRST, SECOND, THIRD = entries(3, started_at=500.0)
--- a/tests/test_decisions_scale.py
+++ b/tests/test_decisions_scale.py
@@ -13,10 +13,10 @@
 from hypothesis import strategies as st
 
 from benchmarks.capacity.decisions import CLASSES, ZONES, Scheduler, gone
-from pipitshed.decisions import pools
-from pipitshed.decisions.interface import JobClass, ListKind, Settings, Submitted, Tenant
-from pipitshed.decisions.pools import Pools, Sums
-from pipitshed.decisions.rules import Dispatcher
+from pipitshed.scheduling import weighted_pools as pools
+from pipitshed.scheduling.dispatcher import Dispatcher
+from pipitshed.scheduling.interface import JobClass, ListKind, Settings, Submitted, Tenant
+from pipitshed.scheduling.weighted_pools import Pools, Sums
 
 
 @pytest.fixture
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -218,7 +218,7 @@
 @story
 async def test_an_exception_between_two_calls_does_not_end_the_asking() -> None:
     """Whatever goes wrong inside: while no call is under way, the decisions are told that the last failed."""
-    from pipitshed.routes import discovery as module
+    from pipitshed.discovery import catalog as module
 
     class Table:
         failures = 0
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -8,9 +8,10 @@
 
 import pytest
 
-from pipitshed.decisions import interface as api
-from pipitshed.decisions.rules import Dispatcher
-from pipitshed.simulator import drill, wire
+from pipitshed.scheduling import interface as api
+from pipitshed.scheduling.dispatcher import Dispatcher
+from pipitshed.simulator import adapter as drill
+from pipitshed.simulator import wire
 
 INFO = json.dumps(
     {
@@ -42,7 +43,7 @@
 
 def run(data: bytes) -> "subprocess.CompletedProcess[bytes]":
     return subprocess.run(
-        [sys.executable, "-m", "pipitshed.simulator.drill"], input=data, capture_output=True
+        [sys.executable, "-m", "pipitshed.simulator.adapter"], input=data, capture_output=True
     )
 
 
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -13,10 +13,11 @@
 import pytest
 import uvloop
 
-from pipitshed.lab.clients import Asked, HttpClients
-from pipitshed.lab.fleet import oracles
-from pipitshed.lab.fleet.play import Play, play, smallest
-from pipitshed.lab.fleet.scenario import (
+from pipitshed.membership.timing import Scales
+from pipitshed.testbed.clients import Asked, HttpClients
+from pipitshed.testbed.fleet import oracles
+from pipitshed.testbed.fleet.play import Play, play, smallest
+from pipitshed.testbed.fleet.scenario import (
     Fault,
     Mix,
     Scenario,
@@ -27,7 +28,6 @@
     read,
     script,
 )
-from pipitshed.membership.timing import Scales
 
 # Three times as fast as the default, so that a case takes seconds.
 FAST = Scales(period=0.1, ack_within=0.05, sync=0.6, sync_with_gone=1.0, tombstones=30.0)
--- a/tests/test_four_rules.py
+++ b/tests/test_four_rules.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from pipitshed.decisions.interface import (
+from pipitshed.scheduling.interface import (
     Cancel,
     Effect,
     Fail,
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -24,11 +24,11 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from pipitshed.decisions.interface import Send
-from pipitshed.egress.grpc_connection import UNREAD_LIMIT, Connection
-from pipitshed.exchange.parties import Endpoint
-from pipitshed.interfaces import planner_pb2 as pb
-from pipitshed.wire.grpc import MESSAGE_LIMIT, frame
+from pipitshed.protocols.grpc import MESSAGE_LIMIT, frame
+from pipitshed.proxy.request import Endpoint
+from pipitshed.scheduling.interface import Send
+from pipitshed.upstream.grpc_connection import UNREAD_LIMIT, Connection
+from pipitshed.worker_api import planner_pb2 as pb
 
 CASES = int(os.environ.get("PIPITSHED_FUZZ", "300"))
 
--- a/tests/test_gearman_front.py
+++ b/tests/test_gearman_front.py
@@ -7,7 +7,7 @@
 import pytest
 from loopback import FRONT, ONCE, GearmanPeer, HttpClient, Planner, Run, program, story
 
-from pipitshed.wire.gearman import HEAD, REQUEST, Kind, pack
+from pipitshed.protocols.gearman import HEAD, REQUEST, Kind, pack
 
 
 @story
--- a/tests/test_grpc_egress.py
+++ b/tests/test_grpc_egress.py
@@ -8,9 +8,9 @@
 from grpc_peer import BOOK, Call, GrpcPlanner, bench
 from loopback import ONCE, SETTINGS, story
 
-from pipitshed.decisions.interface import NoteKind, State
-from pipitshed.interfaces import planner_pb2 as pb
-from pipitshed.wire.grpc import PREFIX, timeout_text
+from pipitshed.protocols.grpc import PREFIX, timeout_text
+from pipitshed.scheduling.interface import NoteKind, State
+from pipitshed.worker_api import planner_pb2 as pb
 
 CANCEL = h2.errors.ErrorCodes.CANCEL
 
--- a/tests/test_interfaces.py
+++ b/tests/test_interfaces.py
@@ -7,11 +7,11 @@
 from grpc_peer import GrpcPlanner
 from loopback import Planner, story
 
-from pipitshed.decisions.interface import ListKind, State
-from pipitshed.egress.sounding import Sounder
-from pipitshed.exchange.route_table import RouteTable
-from pipitshed.routes.discovery import Instance, Listing, Names
-from pipitshed.routes.interfaces import AT_ONCE, Interfaces
+from pipitshed.discovery.catalog import Instance, Listing, Names
+from pipitshed.discovery.worker_interfaces import AT_ONCE, Interfaces
+from pipitshed.proxy.endpoint_table import RouteTable
+from pipitshed.scheduling.interface import ListKind, State
+from pipitshed.upstream.interface_probe import Sounder
 
 
 class World:
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -13,11 +13,11 @@
 from helpers import settings, worker_id
 from test_list_sizes import HEAD, chunk, news_of, rows
 
-from pipitshed.decisions.interface import Entry, ListKind, ListNews, State, Weights
-from pipitshed.exchange.core import Core
-from pipitshed.exchange.parties import Endpoint
-from pipitshed.exchange.route_table import RouteTable
-from pipitshed.routes import discovery as module
+from pipitshed.discovery import catalog as module
+from pipitshed.proxy.endpoint_table import RouteTable
+from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.request import Endpoint
+from pipitshed.scheduling.interface import Entry, ListKind, ListNews, State, Weights
 
 
 class Rig:
--- a/tests/test_list_replaced.py
+++ b/tests/test_list_replaced.py
@@ -13,9 +13,9 @@
 from test_crossings import Rig, late_connections
 from test_interfaces import World, row
 
-from pipitshed.decisions.interface import Entry, ListKind, Outcome, State
-from pipitshed.exchange.parties import Endpoint
-from pipitshed.exchange.route_table import REMEMBERED, RouteTable
+from pipitshed.proxy.endpoint_table import REMEMBERED, RouteTable
+from pipitshed.proxy.request import Endpoint
+from pipitshed.scheduling.interface import Entry, ListKind, Outcome, State
 
 DAY, REPLACED, LISTED = 86_400.0, 433, 200
 
--- a/tests/test_list_sizes.py
+++ b/tests/test_list_sizes.py
@@ -8,8 +8,8 @@
 import pytest
 from loopback import Catalog, HttpClient, Planner, Writer, program, story
 
-from pipitshed.exchange.route_table import RouteTable
-from pipitshed.routes import discovery as module
+from pipitshed.discovery import catalog as module
+from pipitshed.proxy.endpoint_table import RouteTable
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -16,7 +16,8 @@
 from hypothesis import strategies as st
 from loopback import PATIENCE, Catalog, HttpClient, Planner, Run, program
 
-from pipitshed.decisions.interface import (
+from pipitshed.config.settings_parser import settings_from
+from pipitshed.scheduling.interface import (
     Action,
     Cancel,
     Entry,
@@ -32,7 +33,6 @@
     State,
     Submitted,
 )
-from pipitshed.decisions.settings import settings_from
 
 REPRODUCIBLE = settings(
     derandomize=True,
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -8,7 +8,8 @@
 import pytest
 from helpers import Bench, entries, sends_of, settings, worker_id
 
-from pipitshed.decisions.interface import (
+from pipitshed.scheduling.dispatcher import REFUSE_ABOVE, WINDOW
+from pipitshed.scheduling.interface import (
     Cancel,
     Effect,
     Fail,
@@ -36,8 +37,7 @@
     WatchList,
     Weights,
 )
-from pipitshed.decisions.interface import WorkerId as WorkerIdType
-from pipitshed.decisions.rules import REFUSE_ABOVE, WINDOW
+from pipitshed.scheduling.interface import WorkerId as WorkerIdType
 
 FIELDS = ("free_slots", "queue")
 NEAR = Limits(cancel=True, parallel=True, max_attempts=4, connect_timeout=30.0)  # connections come up soon
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,10 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pipitshed.lab.virtual_view import Network
 from pipitshed.membership.members import Address, State, Word, rank
 from pipitshed.membership.timing import Scales, suspicion_lasts
 from pipitshed.membership.view import View
+from pipitshed.testbed.virtual_view import Network
 
 WITHIN = 5.0  # s in which 20 schedulers settle after the last fault
 
--- a/tests/test_mgmt.py
+++ b/tests/test_mgmt.py
@@ -6,7 +6,7 @@
 
 from loopback import Catalog, HttpClient, Planner, Reader, Writer, call, figures, program, story
 
-from pipitshed.mgmt.figures import Gauges, by_class, parse, render
+from pipitshed.admin.metrics import Gauges, by_class, parse, render
 
 READY = b"GET /-/ready HTTP/1.1\r\nHost: mgmt\r\n\r\n"
 
--- a/tests/test_old_clients.py
+++ b/tests/test_old_clients.py
@@ -10,10 +10,10 @@
 from loopback import FRONT, GearmanPeer, HttpClient, Planner, Run, program, story
 from test_dns_sd import SERVICE, NameServer
 
-from pipitshed.cli import main
-from pipitshed.interfaces import planner_pb2 as pb
-from pipitshed.wire.gearman import Kind
-from pipitshed.wire.grpc import PREFIX
+from pipitshed.cli.commands import main
+from pipitshed.protocols.gearman import Kind
+from pipitshed.protocols.grpc import PREFIX
+from pipitshed.worker_api import planner_pb2 as pb
 
 FORMS_FILE = Path(__file__).parent.parent / "deploy" / "translation.toml"
 TRANSLATE = f'\n[translation]\nfile = "{FORMS_FILE}"\n'
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -15,16 +15,16 @@
 from hypothesis import strategies as st
 from loopback import SETTINGS, story
 
-from pipitshed.cli import main
+from pipitshed.cli.commands import main
+from pipitshed.cluster import streams
+from pipitshed.cluster.codec import DATAGRAM_LIMIT, FRAME_LIMIT, LENGTH, Codec, RefusedError
+from pipitshed.cluster.datagrams import Allowance
+from pipitshed.cluster.messages import Show, Shown
+from pipitshed.cluster.node import Fleet
+from pipitshed.cluster.peers_file import Peers, PeersError, read
 from pipitshed.membership.members import State, Word
 from pipitshed.membership.messages import ROOM, Ack, Exchange, Ping
 from pipitshed.membership.timing import Scales
-from pipitshed.peers import streams
-from pipitshed.peers.codec import DATAGRAM_LIMIT, FRAME_LIMIT, LENGTH, Codec, RefusedError
-from pipitshed.peers.datagrams import Allowance
-from pipitshed.peers.file import Peers, PeersError, read
-from pipitshed.peers.fleet import Fleet
-from pipitshed.peers.messages import Show, Shown
 from pipitshed.replication.messages import Rows, pack
 from pipitshed.replication.rumours import Rumours
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -12,8 +12,7 @@
 from loopback import HttpClient, Planner, program, story
 
 from benchmarks.placement_proof import judge
-from pipitshed.cli import main
-from pipitshed.decisions.interface import Entry, State
+from pipitshed.cli.commands import main
 from pipitshed.placement import plan as plans
 from pipitshed.placement.explain import explain
 from pipitshed.placement.follow import STEP, Follower
@@ -23,6 +22,7 @@
 from pipitshed.placement.plan import Place, Plan, PlanError
 from pipitshed.placement.score import score
 from pipitshed.placement.solve import solve
+from pipitshed.scheduling.interface import Entry, State
 
 LIMA = (Path(__file__).parent.parent / "experiments" / "fleet-lima.toml").read_text()
 QUOTE = Demand("quote", 4.0, 0.5, "x", zone="a")
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -12,9 +12,9 @@
 
 from loopback import FRONT, Catalog, GearmanPeer, HttpClient, Planner, Reader, Run, Writer, program, story
 
-from pipitshed.ingress.http import FLOOD, PIPELINED, HttpFront
-from pipitshed.ingress.listener import Listener
-from pipitshed.wire.gearman import Kind
+from pipitshed.frontends.http import FLOOD, PIPELINED, HttpFront
+from pipitshed.frontends.listener import Listener
+from pipitshed.protocols.gearman import Kind
 
 
 async def small(port: int) -> HttpClient:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -9,11 +9,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pipitshed.lab import virtual_view
-from pipitshed.lab.virtual_view import ENVELOPE, Network, Node
+from pipitshed.cluster.codec import DATAGRAM_LIMIT, Codec
 from pipitshed.membership.members import Address
 from pipitshed.membership.messages import Exchange, Ping
-from pipitshed.peers.codec import DATAGRAM_LIMIT, Codec
 from pipitshed.replication.budget import BURST, RATE, Budget
 from pipitshed.replication.carrier import message_size
 from pipitshed.replication.digests import DEPTH, ROOT, WAYS, Tree, depth
@@ -22,6 +20,8 @@
 from pipitshed.replication.row import FORM, Row, rank
 from pipitshed.replication.rows import RowError, RowTable, Taken
 from pipitshed.replication.rumours import Rumours, tellings
+from pipitshed.testbed import virtual_view
+from pipitshed.testbed.virtual_view import ENVELOPE, Network, Node
 
 THERE = ("127.0.0.1", 1)
 ROWS = msgspec.msgpack.Decoder(tuple[Row, ...])
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -10,8 +10,11 @@
 from hypothesis import strategies as st
 from loopback import SETTINGS, Catalog, HttpClient, Planner, Run, figures, program, story
 
-from pipitshed.config import load, load_front
-from pipitshed.decisions.interface import (
+from pipitshed.config.class_registry import ClassBook
+from pipitshed.config.completeness import lacking
+from pipitshed.config.platform import load, load_front
+from pipitshed.scheduling.dispatcher import Dispatcher
+from pipitshed.scheduling.interface import (
     Effect,
     Entry,
     JobClass,
@@ -22,10 +25,7 @@
     Submitted,
     Weights,
 )
-from pipitshed.decisions.rules import Dispatcher
-from pipitshed.scheduler import Scheduler
-from pipitshed.tuning.classes import ClassBook
-from pipitshed.tuning.whole import lacking
+from pipitshed.server.server import Scheduler
 
 QUOTE, BOOK = JobClass(2500.0, 5000.0, effect=Effect.SAFE), JobClass(10000.0, 15000.0, effect=Effect.KEYED)
 RUSH = JobClass(500.0, 1000.0)
--- a/tests/test_run_as_shipped.py
+++ b/tests/test_run_as_shipped.py
@@ -18,25 +18,31 @@
 # Of the registry, and no other; the last two are what uvloop asks for, and what an environment itself loads.
 PACKAGES = {"click", "httptools", "msgspec", "uvloop", "typing_extensions", "_distutils_hack"}
 PARTS = {
+    "admin",
     "cli",
     "config",
-    "decisions",
-    "egress",
-    "exchange",
-    "ingress",
-    "mgmt",
-    "routes",
-    "scheduler",
-    "tuning",
-    "wire",
+    "discovery",
+    "frontends",
+    "protocols",
+    "proxy",
+    "scheduling",
+    "server",
+    "upstream",
 }
 UNASKED = {
-    "routes.dns_sd",
-    "routes.interfaces",
-    "egress.grpc",
-    "egress.grpc_connection",
-    "egress.grpc_outcomes",
-    "tuning.rows",
+    "cli.fleet",
+    "cli.place",
+    "cli.settings",
+    "cli.testbed",
+    "config.row_overlay",
+    "discovery.dns_sd",
+    "discovery.placement_plan",
+    "discovery.worker_interfaces",
+    "server.translation",
+    "upstream.grpc",
+    "upstream.grpc_connection",
+    "upstream.grpc_outcomes",
+    "upstream.interface_probe",
 }
 THREADS = 1
 WORD = re.compile(r"import time:\s+\d+ \|\s+\d+ \| +(\S+)")
--- a/tests/test_settings_fleet.py
+++ b/tests/test_settings_fleet.py
@@ -19,15 +19,15 @@
 from loopback import FRONT, SETTINGS, Catalog, HttpClient, Planner, Program, Run, figures, program, story
 from test_peers import peers, until
 
-from pipitshed.cli import main
-from pipitshed.config import Config, load, load_front, resettled
-from pipitshed.peers import rows as fleet_rows
-from pipitshed.peers import rowsfile
-from pipitshed.peers.codec import Codec
-from pipitshed.peers.fleet import Fleet
-from pipitshed.peers.messages import AskForce, Put, PutDone, Said
+from pipitshed.cli.commands import main
+from pipitshed.cluster import row_store as rowsfile
+from pipitshed.cluster import settings as fleet_rows
+from pipitshed.cluster.codec import Codec
+from pipitshed.cluster.messages import AskForce, Put, PutDone, Said
+from pipitshed.cluster.node import Fleet
+from pipitshed.config.platform import Config, load, load_front, resettled
 from pipitshed.replication.acting import Acting
-from pipitshed.scheduler import Scheduler
+from pipitshed.server.server import Scheduler
 
 SHARE, DEADLINE = "tenant/andes-retail/share", "class/quote/deadline"
 
--- a/tests/test_settings_rig.py
+++ b/tests/test_settings_rig.py
@@ -9,10 +9,11 @@
 import pytest
 import uvloop
 
-from pipitshed.lab.fleet import oracles, row_oracles
-from pipitshed.lab.fleet.oracles import InForce, Instance, Logs
-from pipitshed.lab.fleet.play import play
-from pipitshed.lab.fleet.scenario import (
+from pipitshed.membership.timing import Scales
+from pipitshed.testbed.fleet import oracles, row_oracles
+from pipitshed.testbed.fleet.oracles import InForce, Instance, Logs
+from pipitshed.testbed.fleet.play import play
+from pipitshed.testbed.fleet.scenario import (
     Fault,
     Put,
     PutMix,
@@ -24,7 +25,6 @@
     read,
     script,
 )
-from pipitshed.membership.timing import Scales
 
 FAST = Scales(period=0.1, ack_within=0.05, sync=0.6, sync_with_gone=1.0, tombstones=30.0)
 SHARE, QUOTA = "tenant/andes-retail/share", "tenant/andes-retail/allowancePerS"
--- a/tests/test_settings_rows.py
+++ b/tests/test_settings_rows.py
@@ -13,10 +13,11 @@
 from hypothesis import strategies as st
 from loopback import SETTINGS
 
-from pipitshed.decisions.settings import settings_from
-from pipitshed.peers import rowsfile
-from pipitshed.peers.codec import Codec
-from pipitshed.peers.rowsfile import Kept
+from pipitshed.cluster import row_store as rowsfile
+from pipitshed.cluster.codec import Codec
+from pipitshed.cluster.row_store import Kept
+from pipitshed.config.row_overlay import Laid, RefusedRowError, check, file_value, overlay
+from pipitshed.config.settings_parser import settings_from
 from pipitshed.replication.acting import (
     ASK_AFTER,
     ASK_AGAIN,
@@ -30,7 +31,6 @@
 )
 from pipitshed.replication.row import Row, rank
 from pipitshed.replication.rows import RowTable
-from pipitshed.tuning.rows import Laid, RefusedRowError, check, file_value, overlay
 
 SHARE, GOAL = "tenant/andes-retail/share", "class/quote/goalTime"
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -4,7 +4,8 @@
 
 import io
 
-from pipitshed.decisions.interface import (
+from pipitshed.proxy.decision_log import Trace, line
+from pipitshed.scheduling.interface import (
     Entry,
     Finished,
     ListKind,
@@ -14,7 +15,6 @@
     SetTimer,
     TimerFired,
 )
-from pipitshed.exchange.trace import Trace, line
 
 
 def test_a_line_names_the_kind_and_the_fields_that_say_something() -> None:
--- a/tests/test_translation.py
+++ b/tests/test_translation.py
@@ -12,11 +12,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pipitshed.exchange.parties import Request
-from pipitshed.interfaces import planner_pb2 as pb
+from pipitshed.proxy.request import Request
 from pipitshed.translation.file import TranslationError, read
 from pipitshed.translation.translator import Translator
 from pipitshed.translation.values import Unfit
+from pipitshed.worker_api import planner_pb2 as pb
 
 FILE = read(FORMS)
 TRANSLATOR = Translator(FILE, ["quote", "book"])
--- a/tests/test_whole_lists.py
+++ b/tests/test_whole_lists.py
@@ -151,7 +151,7 @@
 
 def test_counts_of_the_list_are_lines_beside_the_fleets_figures_alone() -> None:
     """The page of the operators' address names what stands there; it does not say that more may."""
-    from pipitshed.mgmt.figures import count_lines, parse
+    from pipitshed.admin.metrics import count_lines, parse
 
     assert parse(count_lines({"whole lists": 2, "list bytes": 90})) == {
         "scheduler.list_bytes": 90,
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from pipitshed.decisions import interface as api
-from pipitshed.egress.http import read_load, report_of
+from pipitshed.scheduling import interface as api
 from pipitshed.simulator import wire
+from pipitshed.upstream.http import read_load, report_of
 
 BATCH = bytes.fromhex(
     "03000000 4c000000 00000000206ec040"
