--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -10,26 +10,20 @@
 
 import click
 
+from pipitshed.scheduling.actions import Send
 from pipitshed.scheduling.dispatcher import Dispatcher
-from pipitshed.scheduling.interface import (
-    Effect,
+from pipitshed.scheduling.events import (
     Entry,
     Finished,
-    JobClass,
-    Limits,
     ListKind,
     ListNews,
     Note,
     NoteKind,
     Outcome,
-    Prices,
-    Rules,
-    Send,
-    Settings,
     State,
     Submitted,
-    Weights,
 )
+from pipitshed.scheduling.settings import Effect, JobClass, Limits, Prices, Rules, Settings, Weights
 
 ZONES, CELLS = 7, 70
 CLASSES = 3
--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -26,7 +26,7 @@
 from pipitshed.config.settings_parser import settings_from
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Attempt, Endpoint, Request
-from pipitshed.scheduling.interface import Entry, ListKind, NoteKind
+from pipitshed.scheduling.events import Entry, ListKind, NoteKind
 
 SLOPE = "held"
 SIZES = (50, 100, 200, 400, 800)  # exchanges held by one scheduler
--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -17,7 +17,7 @@
 
 from pipitshed.discovery.catalog import SOURCE, Discovery, Listing, Names, _Call
 from pipitshed.proxy.forwarder import Core
-from pipitshed.scheduling.interface import JobClass, Settings
+from pipitshed.scheduling.settings import JobClass, Settings
 from pipitshed.upstream.http import HttpCarrier
 
 DAY = 86_400.0  # s
--- a/benchmarks/capacity/modelled.py
+++ b/benchmarks/capacity/modelled.py
@@ -8,29 +8,21 @@
 from dataclasses import dataclass, field
 from functools import partial
 
+from pipitshed.scheduling.actions import Cancel, Fail, Refuse, Send, SetTimer
 from pipitshed.scheduling.dispatcher import Dispatcher
-from pipitshed.scheduling.interface import (
-    Cancel,
-    Effect,
+from pipitshed.scheduling.events import (
     Entry,
     Event,
-    Fail,
     Finished,
-    JobClass,
-    Limits,
     ListKind,
     ListNews,
     Note,
     NoteKind,
     Outcome,
-    Refuse,
-    Rules,
-    Send,
-    SetTimer,
-    Settings,
     Submitted,
     TimerFired,
 )
+from pipitshed.scheduling.settings import Effect, JobClass, Limits, Rules, Settings
 
 TRIP = 1.0  # ms from a scheduler to a planner, and back
 ZONES = 7
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -19,7 +19,7 @@
 from benchmarks.capacity.records import Row
 from benchmarks.capacity.schedulers import each
 from pipitshed.config.settings_parser import settings_from
-from pipitshed.scheduling import interface as api
+from pipitshed.scheduling import actions, events
 from pipitshed.scheduling.dispatcher import Dispatcher
 from pipitshed.testbed.program import settings
 
@@ -55,7 +55,9 @@
     teams: list[Team]
     room: float  # starts a second
     rng: random.Random
-    due: list[tuple[float, int, int, api.Event]] = field(default_factory=list)  # ms, order, scheduler, event
+    due: list[tuple[float, int, int, events.Event]] = field(
+        default_factory=list
+    )  # ms, order, scheduler, event
     order: Iterator[int] = field(default_factory=count)
     jobs: dict[int, tuple[int, int]] = field(default_factory=dict)  # its team, and its attempts so far
     tokens: float = BURST
@@ -77,12 +79,12 @@
             self._arrive(number, team, 0.0)
         while self.due and self.due[0][0] <= end:
             now, _, place, event = heappop(self.due)
-            if isinstance(event, api.Submitted):
+            if isinstance(event, events.Submitted):
                 team = self.teams[event.tenant]
                 team.asked += now >= WARM * 1000
                 self.jobs[event.job] = event.tenant, 0
                 self._arrive(event.tenant, team, now)
-            elif isinstance(event, api.Finished) and event.settled:
+            elif isinstance(event, events.Finished) and event.settled:
                 team = self.teams[self.jobs.pop(event.job)[0]]
                 team.started += now >= WARM * 1000
             for action in self.dispatchers[place].handle(now, [event]):
@@ -91,22 +93,24 @@
     def _arrive(self, number: int, team: Team, now: float) -> None:
         when = now + self.rng.expovariate(team.asks) * 1000
         place = self.rng.choice(team.homes) if team.homes else self.rng.randrange(len(self.dispatchers))
-        self._at(when, place, api.Submitted(next(self.order), 5000.0, 0, number))
+        self._at(when, place, events.Submitted(next(self.order), 5000.0, 0, number))
 
-    def _carry_out(self, now: float, place: int, action: api.Action) -> None:
-        if isinstance(action, api.SetTimer):
-            self._at(now + action.delay, place, api.TimerFired(action.token))
-        elif isinstance(action, api.Send):
+    def _carry_out(self, now: float, place: int, action: actions.Action) -> None:
+        if isinstance(action, actions.SetTimer):
+            self._at(now + action.delay, place, events.TimerFired(action.token))
+        elif isinstance(action, actions.Send):
             team, attempt = self.jobs[action.job]
             self.jobs[action.job] = team, attempt + 1
             full = not self.starts(now)
             takes = TURNED_MS if full else STARTED_MS
-            outcome = api.Outcome.FULL if full else api.Outcome.OK
+            outcome = events.Outcome.FULL if full else events.Outcome.OK
             self._at(
-                now + takes, place, api.Finished(action.job, attempt, action.worker, outcome, takes, not full)
+                now + takes,
+                place,
+                events.Finished(action.job, attempt, action.worker, outcome, takes, not full),
             )
 
-    def _at(self, when: float, place: int, event: api.Event) -> None:
+    def _at(self, when: float, place: int, event: events.Event) -> None:
         heappush(self.due, (when, next(self.order), place, event))
 
 
@@ -127,8 +131,10 @@
             for place, team in enumerate(made)
         ],
     }
-    listed = api.ListNews(
-        api.ListKind.FULL, 1, tuple(api.Entry(b"p%d" % place, zone=place % 3) for place in range(PLANNERS))
+    listed = events.ListNews(
+        events.ListKind.FULL,
+        1,
+        tuple(events.Entry(b"p%d" % place, zone=place % 3) for place in range(PLANNERS)),
     )
     dispatchers = [Dispatcher(settings_from(told), seed * 1000 + place) for place in range(schedulers)]
     for dispatcher in dispatchers:
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -23,30 +23,21 @@
 
 import click
 
+from pipitshed.scheduling.actions import Action, Cancel, Refuse, Send, SetTimer
 from pipitshed.scheduling.dispatcher import Dispatcher
-from pipitshed.scheduling.interface import (
-    Action,
-    Cancel,
-    Effect,
+from pipitshed.scheduling.events import (
     Entry,
     Event,
     Finished,
-    JobClass,
-    Limits,
     ListKind,
     ListNews,
     Note,
     NoteKind,
     Outcome,
-    Prices,
-    Refuse,
-    Rules,
-    Send,
-    SetTimer,
-    Settings,
     Submitted,
     TimerFired,
 )
+from pipitshed.scheduling.settings import Effect, JobClass, Limits, Prices, Rules, Settings
 
 WARM_UP = 8_000.0  # ms before the restarts: estimates are there
 AFTER = 14_000.0  # ms that are watched from the restarts on
--- a/pipitshed/__init__.py
+++ b/pipitshed/__init__.py
@@ -1,7 +1,7 @@
 """A scheduler that pushes jobs to planners; its decisions can be used on their own."""
 
 from pipitshed.scheduling.dispatcher import Dispatcher
-from pipitshed.scheduling.interface import Settings
+from pipitshed.scheduling.settings import Settings
 
 __version__ = "0.2.0"
 
--- a/pipitshed/config/class_registry.py
+++ b/pipitshed/config/class_registry.py
@@ -12,7 +12,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
 
-from pipitshed.scheduling.interface import JobClass
+from pipitshed.scheduling.settings import JobClass
 
 REST = 60.0  # s beyond its deadline and window for which a number that the door no longer gives is left alone
 GRACE = 1.2  # s for which a class that a file dropped is still taken: new ones come into use so late
--- a/pipitshed/config/platform.py
+++ b/pipitshed/config/platform.py
@@ -15,7 +15,7 @@
 from pipitshed.config.settings_parser import SettingsError, settings_from
 from pipitshed.discovery.catalog import Members, address_of
 from pipitshed.protocols.toml import line_at
-from pipitshed.scheduling.interface import Settings
+from pipitshed.scheduling.settings import Settings
 
 if TYPE_CHECKING:
     from pipitshed.translation.file import TranslationFile
--- a/pipitshed/config/settings_parser.py
+++ b/pipitshed/config/settings_parser.py
@@ -8,20 +8,24 @@
 import math
 from typing import Any
 
-from pipitshed.scheduling import interface as api
+from pipitshed.scheduling import settings
 
 
 class SettingsError(ValueError):
     """The settings do not have their form."""
 
 
-_EFFECTS = {"retryable": api.Effect.SAFE, "dedup": api.Effect.KEYED, "fragile": api.Effect.UNSAFE}
-_GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.CELL}
+_EFFECTS = {
+    "retryable": settings.Effect.SAFE,
+    "dedup": settings.Effect.KEYED,
+    "fragile": settings.Effect.UNSAFE,
+}
+_GROUPS = {"all": settings.Group.ALL, "zone": settings.Group.ZONE, "cell": settings.Group.CELL}
 _WEIGHTS = {
-    "off": api.Weights.NONE,
-    "nominal": api.Weights.NOMINAL,
-    "rough": api.Weights.ROUGH,
-    "live": api.Weights.LIVE,
+    "off": settings.Weights.NONE,
+    "nominal": settings.Weights.NOMINAL,
+    "rough": settings.Weights.ROUGH,
+    "live": settings.Weights.LIVE,
 }
 _DISCOVERY = {"pushed": False, "on_request": True}
 _SOURCES = {"inline": True, "on_probe": True, "off": False}
@@ -88,7 +92,7 @@
         return words[got]
 
 
-def _class(table: _Table, place: int, family: _Table) -> api.JobClass:
+def _class(table: _Table, place: int, family: _Table) -> settings.JobClass:
     def of_family(key: str, default: float, low: float) -> float:
         values = family.items(key)
         if place >= len(values):
@@ -99,7 +103,7 @@
     deadline = table.number("deadline", None)
     if deadline <= 0:
         raise SettingsError(f"settings: {table.name}.deadline = {deadline} is not a positive number")
-    return api.JobClass(
+    return settings.JobClass(
         aim=table.number("goalTime", None),
         deadline=deadline,
         worth=table.number("gain", 1.0),
@@ -114,8 +118,8 @@
     )
 
 
-def _tenant(table: _Table) -> api.Tenant:
-    return api.Tenant(table.number("share", 1.0), table.number("allowancePerS", 0.0))
+def _tenant(table: _Table) -> settings.Tenant:
+    return settings.Tenant(table.number("share", 1.0), table.number("allowancePerS", 0.0))
 
 
 def check_entry(kind: str, value: Any) -> None:
@@ -128,7 +132,7 @@
         _tenant(_Table(value, kind))
 
 
-def settings_from(value: Any) -> api.Settings:
+def settings_from(value: Any) -> settings.Settings:
     """The start settings; unknown keys are skipped, impossible values refused by the key's name."""
     top = _Table(value, "")
     family, allowed, charged, rules, stats = (
@@ -142,10 +146,10 @@
     if locality >= max(1, len(zones)):
         raise SettingsError(f"settings: locality = {locality} is not one of the areas")
     fields = stats.items("fields") if stats.word("source", _SOURCES, "off") else []
-    return api.Settings(
+    return settings.Settings(
         classes=classes,
         tenants=tuple(_tenant(table) for table in top.tables("tenants")),
-        prices=api.Prices(
+        prices=settings.Prices(
             cross_zone=charged.number("crossZone", 0.0),
             waste=charged.number("waste", 0.0),
             probe=charged.number("probe", 0.0),
@@ -153,7 +157,7 @@
             handshake=charged.number("handshake", 0.0),
             late_fail=charged.number("lateFail", 0.0),
         ),
-        limits=api.Limits(
+        limits=settings.Limits(
             cancel=allowed.flag("cancel"),
             probes=allowed.flag("probes"),
             parallel=allowed.flag("parallelTries"),
@@ -163,7 +167,7 @@
             connect_timeout=allowed.number("connectTimeout", 250.0),
             idle_close=allowed.number("idleClose", 15000.0),
         ),
-        rules=api.Rules(
+        rules=settings.Rules(
             answer_slack=rules.number("answerSlack", 0.0),
             drain_grace=rules.number("drainGrace", 0.0),
             cold=rules.number("cold", 0.0),
--- a/pipitshed/discovery/catalog.py
+++ b/pipitshed/discovery/catalog.py
@@ -16,7 +16,7 @@
 from pipitshed.protocols.http import BadAnswerError, Reader
 from pipitshed.proxy.endpoint_table import Line, RouteTable
 from pipitshed.proxy.request import Carrier, Endpoint
-from pipitshed.scheduling.interface import Entry, ListKind, State
+from pipitshed.scheduling.events import Entry, ListKind, State
 
 SOURCE = "discovery"
 PATH = "/catalog/members"
--- a/pipitshed/discovery/dns_sd.py
+++ b/pipitshed/discovery/dns_sd.py
@@ -18,7 +18,7 @@
 
 from pipitshed.discovery.catalog import Instance, Listing
 from pipitshed.proxy.endpoint_table import Line, RouteTable
-from pipitshed.scheduling.interface import ListKind
+from pipitshed.scheduling.events import ListKind
 
 SOURCE = "dns-sd"
 ASK_TIMEOUT = 0.5  # s for one question
--- a/pipitshed/discovery/worker_interfaces.py
+++ b/pipitshed/discovery/worker_interfaces.py
@@ -12,7 +12,7 @@
 from pipitshed.discovery.catalog import Instance, Listing, address_of
 from pipitshed.proxy.endpoint_table import RouteTable
 from pipitshed.proxy.request import Carrier
-from pipitshed.scheduling.interface import ListKind, WorkerId
+from pipitshed.scheduling.events import ListKind, WorkerId
 
 AT_ONCE = 8  # planners asked at the same time: a wide fleet that starts together is not met by a storm
 FIRST_WAIT = 0.25  # s after a planner that could not be asked, doubling
--- a/pipitshed/frontends/gearman.py
+++ b/pipitshed/frontends/gearman.py
@@ -21,7 +21,7 @@
 from pipitshed.proxy.deduplication import Entry, Ledger
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Refusal, Request
-from pipitshed.scheduling.interface import NoteKind
+from pipitshed.scheduling.events import NoteKind
 from pipitshed.upstream.gearman import WORKER_KINDS, GearmanCarrier, Worker
 
 LINGER = 0.5  # s for which more is read and thrown away after the last packet
--- a/pipitshed/frontends/http.py
+++ b/pipitshed/frontends/http.py
@@ -19,7 +19,7 @@
 from pipitshed.protocols.http import BODY_LIMIT, HEAD_LIMIT
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Exchange, Refusal, Request
-from pipitshed.scheduling.interface import NoteKind
+from pipitshed.scheduling.events import NoteKind
 
 PIPELINED = 8  # requests that may wait behind one on a connection; clients send one at a time
 FLOOD = 256  # of those beyond, each refused in its turn, after which the connection is ended
--- a/pipitshed/placement/follow.py
+++ b/pipitshed/placement/follow.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from pipitshed.placement.plan import Plan, PlanError
-from pipitshed.scheduling.interface import Entry, State, WorkerId
+from pipitshed.scheduling.events import Entry, State, WorkerId
 
 SCALE = 100_000.0
 STEP = 0.1  # part of a class's load that one step may shift
--- a/pipitshed/proxy/decision_log.py
+++ b/pipitshed/proxy/decision_log.py
@@ -14,7 +14,8 @@
 
 import msgspec
 
-from pipitshed.scheduling.interface import Entry, SetTimer, TimerFired
+from pipitshed.scheduling.actions import SetTimer
+from pipitshed.scheduling.events import Entry, TimerFired
 
 QUIET = (SetTimer, TimerFired)
 
--- a/pipitshed/proxy/deduplication.py
+++ b/pipitshed/proxy/deduplication.py
@@ -12,7 +12,8 @@
 
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Client, Exchange, Refusal, Request
-from pipitshed.scheduling.interface import Effect, NoteKind
+from pipitshed.scheduling.events import NoteKind
+from pipitshed.scheduling.settings import Effect
 
 Key = tuple[int, str]
 KEPT_BYTES = 16 * 1024 * 1024  # of results; of the oldest beyond it only that they ran is kept
--- a/pipitshed/proxy/endpoint_table.py
+++ b/pipitshed/proxy/endpoint_table.py
@@ -8,7 +8,7 @@
 from time import monotonic
 
 from pipitshed.proxy.request import Endpoint
-from pipitshed.scheduling.interface import Entry, ListKind, ListMoved, ListNews, State, WorkerId
+from pipitshed.scheduling.events import Entry, ListKind, ListMoved, ListNews, State, WorkerId
 
 Line = tuple[Entry, Endpoint]
 REMEMBERED = 60.0  # s for which a planner that nobody lists is known; a turn's decisions may name it
--- a/pipitshed/proxy/forwarder.py
+++ b/pipitshed/proxy/forwarder.py
@@ -13,36 +13,37 @@
 from pipitshed.proxy.decision_log import Trace
 from pipitshed.proxy.endpoint_table import RouteTable, together
 from pipitshed.proxy.request import Attempt, Client, Endpoint, Exchange, Refusal, Request, Translator
-from pipitshed.scheduling.dispatcher import PACE_AGE, SLOW, Dispatcher
-from pipitshed.scheduling.interface import (
+from pipitshed.scheduling.actions import (
     Action,
     Cancel,
     CloseIdle,
-    Event,
     Fail,
     FetchList,
+    Log,
+    Probe,
+    Refuse,
+    Send,
+    SetTimer,
+    WatchList,
+)
+from pipitshed.scheduling.dispatcher import PACE_AGE, SLOW, Dispatcher
+from pipitshed.scheduling.events import (
+    Event,
     Finished,
     LinkLost,
     ListKind,
     ListMoved,
     ListNews,
-    Log,
     Note,
     NoteKind,
     Outcome,
-    Probe,
     Probed,
-    Refuse,
-    Send,
-    SetTimer,
-    Settings,
     Submitted,
     TimerFired,
-    WatchList,
-    Weights,
     Withdrawn,
     WorkerId,
 )
+from pipitshed.scheduling.settings import Settings, Weights
 
 MARGIN_MS = 30.0  # the final answer is out so long before the client gives up
 GUARD_MS = 10.0  # after the decisions' own deadline; still before the client's
--- a/pipitshed/proxy/request.py
+++ b/pipitshed/proxy/request.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from pipitshed.scheduling.interface import NoteKind, Outcome, WorkerId
+from pipitshed.scheduling.events import NoteKind, Outcome, WorkerId
 
 UNRUN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT))  # these prove it never ran
 
--- a/pipitshed/scheduling/dispatcher.py
+++ b/pipitshed/scheduling/dispatcher.py
@@ -1,4 +1,4 @@
-"""The decisions of a dispatcher. Its settings, events and actions are in pipitshed/scheduling/interface.py.
+"""The decisions of a dispatcher. Its settings, events and actions are in the modules of these names.
 
 The ordinary path: a worker is drawn at random in proportion to capacity (Equation 1 of the paper), the
 share f of recent draws that found no room sets how many attempts a job gets (Equation 2), attempts are
@@ -12,17 +12,12 @@
 from collections.abc import Iterable
 from itertools import takewhile
 
-from pipitshed.scheduling.interface import (
-    Action,
-    Cancel,
-    Effect,
+from pipitshed.scheduling.actions import Action, Cancel, Fail, Refuse, Send, SetTimer, WatchList
+from pipitshed.scheduling.events import (
     Entry,
     Event,
-    Fail,
     Finished,
     FirstByte,
-    Group,
-    JobClass,
     LinkLost,
     ListKind,
     ListMoved,
@@ -30,19 +25,14 @@
     Note,
     NoteKind,
     Outcome,
-    Refuse,
-    Send,
-    SetTimer,
-    Settings,
     State,
     Submitted,
     TimerFired,
-    WatchList,
-    Weights,
     Withdrawn,
     WorkerId,
 )
 from pipitshed.scheduling.recent_counts import Fading, Window
+from pipitshed.scheduling.settings import Effect, Group, JobClass, Settings, Weights
 from pipitshed.scheduling.weighted_pools import Pools
 
 WINDOW = 30  # attempts in the estimate of f; the paper's figure
--- a/pipitshed/simulator/adapter.py
+++ b/pipitshed/simulator/adapter.py
@@ -6,7 +6,7 @@
 from typing import BinaryIO
 
 from pipitshed.scheduling.dispatcher import Dispatcher
-from pipitshed.scheduling.interface import Event
+from pipitshed.scheduling.events import Event
 from pipitshed.simulator import wire
 
 
--- a/pipitshed/simulator/wire.py
+++ b/pipitshed/simulator/wire.py
@@ -15,7 +15,8 @@
 import msgspec
 
 from pipitshed.config.settings_parser import SettingsError, settings_from
-from pipitshed.scheduling import interface as api
+from pipitshed.scheduling import actions, events
+from pipitshed.scheduling.settings import Settings
 
 HEADER = struct.Struct("<IId")
 REPLY_HEADER = struct.Struct("<II")
@@ -33,7 +34,7 @@
     """An instance begins, with its seed and its settings."""
 
     seed: int
-    settings: api.Settings
+    settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +42,7 @@
     """An instance is dead; all it knew is void."""
 
 
-WireEvent = Born | Halted | api.Event
+WireEvent = Born | Halted | events.Event
 
 # Fixed parts of the records, after the code byte and the instance number.
 _HEAD = struct.Struct("<BI")
@@ -107,45 +108,45 @@
     return Born(seed, settings_from_json(read.raw(length)))
 
 
-def _mail(read: _Reader) -> api.PeerMessage:
+def _mail(read: _Reader) -> events.PeerMessage:
     sender, length = read.fields(_MAIL)
-    return api.PeerMessage(sender, read.raw(length))
+    return events.PeerMessage(sender, read.raw(length))
 
 
-def _note(read: _Reader) -> api.Note:
+def _note(read: _Reader) -> events.Note:
     job, done, worker, kind, attempt = read.fields(_NOTE)
-    return api.Note(job, attempt, worker, kind, _number(done, "progress"))
+    return events.Note(job, attempt, worker, kind, _number(done, "progress"))
 
 
-def _probed(read: _Reader) -> api.Probed:
+def _probed(read: _Reader) -> events.Probed:
     worker, elapsed, outcome, count = read.fields(_PROBED)
-    return api.Probed(
-        worker, _number(elapsed, "elapsed"), _enum(api.Outcome, outcome, "outcome"), read.report(count)
+    return events.Probed(
+        worker, _number(elapsed, "elapsed"), _enum(events.Outcome, outcome, "outcome"), read.report(count)
     )
 
 
-def _list_news(read: _Reader) -> api.ListNews:
+def _list_news(read: _Reader) -> events.ListNews:
     kind, version, count = read.fields(_LIST)
     body = read.raw(_ENTRY.size * count)
     entries = []
     for cell, started, machine, worker, weight, state, zone in _ENTRY.iter_unpack(body):
         entries.append(
-            api.Entry(
+            events.Entry(
                 worker,
                 zone,
                 cell,
                 machine,
                 _number(weight, "units"),
                 _number(started, "startedAt"),
-                _enum(api.State, state, "worker state"),
+                _enum(events.State, state, "worker state"),
             )
         )
-    return api.ListNews(_enum(api.ListKind, kind, "list mode"), version, tuple(entries))
+    return events.ListNews(_enum(events.ListKind, kind, "list mode"), version, tuple(entries))
 
 
-def _submitted(read: _Reader) -> api.Submitted:
+def _submitted(read: _Reader) -> events.Submitted:
     job, left, job_class, memory, hint, key, bits, tenant, slots = read.fields(_SUBMIT)
-    return api.Submitted(
+    return events.Submitted(
         job,
         _number(left, "patienceLeft"),
         job_class,
@@ -158,32 +159,32 @@
     )
 
 
-def _finished(read: _Reader) -> api.Finished:
+def _finished(read: _Reader) -> events.Finished:
     job, attempt, worker, outcome, elapsed, settled, _note_of_family, count = read.fields(_FINISHED)
-    return api.Finished(
+    return events.Finished(
         job,
         attempt,
         worker,
-        _enum(api.Outcome, outcome, "outcome"),
+        _enum(events.Outcome, outcome, "outcome"),
         _number(elapsed, "elapsed"),
         bool(settled),
         read.report(count),
     )
 
 
-def _first_byte(read: _Reader) -> api.FirstByte:
+def _first_byte(read: _Reader) -> events.FirstByte:
     job, attempt, worker, elapsed = read.fields(_FIRST)
-    return api.FirstByte(job, attempt, worker, _number(elapsed, "elapsed"))
+    return events.FirstByte(job, attempt, worker, _number(elapsed, "elapsed"))
 
 
 _EVENTS: dict[int, Callable[[_Reader], WireEvent]] = {
-    1: lambda read: api.TimerFired(read.fields(_TOKEN)[0]),
+    1: lambda read: events.TimerFired(read.fields(_TOKEN)[0]),
     2: lambda read: Halted(),
     3: _born,
     4: _mail,
     5: _note,
     6: _probed,
-    7: lambda read: api.Withdrawn(read.fields(_TOKEN)[0]),
+    7: lambda read: events.Withdrawn(read.fields(_TOKEN)[0]),
     8: _list_news,
     9: _submitted,
     10: _finished,
@@ -219,19 +220,19 @@
 _EVERY_PEER = 0xFFFF
 
 _ACTIONS: dict[type, Callable[[int, Any], bytes]] = {
-    api.Send: lambda i, a: _SEND.pack(65, i, a.job, a.worker, a.timeout),
-    api.Refuse: lambda i, a: _REFUSE.pack(66, i, a.job, a.retry_after),
-    api.Fail: lambda i, a: _FAIL.pack(67, i, a.job),
-    api.Cancel: lambda i, a: _CANCEL.pack(68, i, a.job, a.attempt),
-    api.SetTimer: lambda i, a: _REFUSE.pack(69, i, a.token, min(max(a.delay, 0.0), _MAX_DELAY_MS)),
-    api.Probe: lambda i, a: _WORKER.pack(70, i, a.worker),
-    api.CloseIdle: lambda i, a: _WORKER.pack(71, i, a.worker),
-    api.TellPeer: lambda i, a: (
+    actions.Send: lambda i, a: _SEND.pack(65, i, a.job, a.worker, a.timeout),
+    actions.Refuse: lambda i, a: _REFUSE.pack(66, i, a.job, a.retry_after),
+    actions.Fail: lambda i, a: _FAIL.pack(67, i, a.job),
+    actions.Cancel: lambda i, a: _CANCEL.pack(68, i, a.job, a.attempt),
+    actions.SetTimer: lambda i, a: _REFUSE.pack(69, i, a.token, min(max(a.delay, 0.0), _MAX_DELAY_MS)),
+    actions.Probe: lambda i, a: _WORKER.pack(70, i, a.worker),
+    actions.CloseIdle: lambda i, a: _WORKER.pack(71, i, a.worker),
+    actions.TellPeer: lambda i, a: (
         _TELL.pack(72, i, _EVERY_PEER if a.recipient is None else a.recipient, len(a.data)) + a.data
     ),
-    api.Log: lambda i, a: encode_text(73, i, a.text),
-    api.WatchList: lambda i, a: _WATCH.pack(75, i, a.on),
-    api.FetchList: lambda i, a: _HEAD.pack(76, i),
+    actions.Log: lambda i, a: encode_text(73, i, a.text),
+    actions.WatchList: lambda i, a: _WATCH.pack(75, i, a.on),
+    actions.FetchList: lambda i, a: _HEAD.pack(76, i),
 }
 
 
@@ -246,7 +247,7 @@
     return encode_text(74, instance, text)
 
 
-def encode_action(instance: int, action: api.Action) -> bytes:
+def encode_action(instance: int, action: actions.Action) -> bytes:
     """One action as a record."""
     return _ACTIONS[type(action)](instance, action)
 
@@ -260,7 +261,7 @@
 # ---- settings
 
 
-def settings_from_json(data: bytes) -> api.Settings:
+def settings_from_json(data: bytes) -> Settings:
     """The start settings from their text."""
     try:
         return settings_from(msgspec.json.decode(data))
--- a/pipitshed/upstream/gearman.py
+++ b/pipitshed/upstream/gearman.py
@@ -10,7 +10,7 @@
 from pipitshed.protocols.gearman import Kind, PacketError, pack
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Attempt, Endpoint
-from pipitshed.scheduling.interface import Entry, ListKind, NoteKind, Outcome, State
+from pipitshed.scheduling.events import Entry, ListKind, NoteKind, Outcome, State
 
 SOURCE = "gearman workers"
 _GRABS = {
--- a/pipitshed/upstream/grpc_connection.py
+++ b/pipitshed/upstream/grpc_connection.py
@@ -21,7 +21,7 @@
 from pipitshed.protocols.grpc import MESSAGE_LIMIT, BadMessageError, Http2, frame, messages
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Attempt, Endpoint
-from pipitshed.scheduling.interface import NoteKind, Outcome
+from pipitshed.scheduling.events import NoteKind, Outcome
 from pipitshed.upstream.grpc_outcomes import by_status, pushback_of
 from pipitshed.worker_api import planner_pb2
 
--- a/pipitshed/upstream/grpc_outcomes.py
+++ b/pipitshed/upstream/grpc_outcomes.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from pipitshed.protocols.grpc import Status
-from pipitshed.scheduling.interface import Outcome
+from pipitshed.scheduling.events import Outcome
 
 
 def by_status(status: bytes, headers: Mapping[bytes, bytes], heard: bool) -> tuple[Outcome, bool]:
--- a/pipitshed/upstream/http.py
+++ b/pipitshed/upstream/http.py
@@ -12,7 +12,8 @@
 from pipitshed.protocols.http import BODY_LIMIT, BadAnswerError, Reader
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Attempt, Endpoint
-from pipitshed.scheduling.interface import Effect, Limits, NoteKind, Outcome
+from pipitshed.scheduling.events import NoteKind, Outcome
+from pipitshed.scheduling.settings import Effect, Limits
 
 PROBE_TIMEOUT = 0.5  # s
 IDLE_SPARE = 0.1  # part of the planner's idle time by which a connection is closed ahead of it
--- a/pipitshed/upstream/interface_probe.py
+++ b/pipitshed/upstream/interface_probe.py
@@ -14,7 +14,7 @@
 import h2.exceptions
 
 from pipitshed.protocols.grpc import Http2
-from pipitshed.scheduling.interface import WorkerId
+from pipitshed.scheduling.events import WorkerId
 
 CONNECT_TIMEOUT = 1.0  # s
 ANSWER_TIMEOUT = 1.0  # s
--- a/tests/equivalence/names.py
+++ b/tests/equivalence/names.py
@@ -12,9 +12,8 @@
 
 from pipitshed.config.settings_parser import settings_from
 from pipitshed.proxy.request import Request
+from pipitshed.scheduling import actions, events
 from pipitshed.scheduling import dispatcher as rules
-from pipitshed.scheduling import interface as actions
-from pipitshed.scheduling import interface as events
 from pipitshed.scheduling.dispatcher import Dispatcher
 
 Fields = dict[str, Any]
--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -19,7 +19,7 @@
 from pipitshed.protocols.grpc import frame
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Endpoint, Request
-from pipitshed.scheduling.interface import Entry, ListKind, NoteKind
+from pipitshed.scheduling.events import Entry, ListKind, NoteKind
 from pipitshed.translation.file import read
 from pipitshed.translation.translator import Translator
 from pipitshed.upstream.grpc import GrpcCarrier
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,30 +4,21 @@
 
 from dataclasses import dataclass, field
 
+from pipitshed.scheduling.actions import Action, Fail, Refuse, Send, SetTimer
 from pipitshed.scheduling.dispatcher import Dispatcher
-from pipitshed.scheduling.interface import (
-    Action,
-    Effect,
+from pipitshed.scheduling.events import (
     Entry,
     Event,
-    Fail,
     Finished,
-    Group,
-    JobClass,
-    Limits,
     ListKind,
     ListNews,
     Outcome,
-    Refuse,
-    Rules,
-    Send,
-    SetTimer,
-    Settings,
     State,
     Submitted,
     TimerFired,
     WorkerId,
 )
+from pipitshed.scheduling.settings import Effect, Group, JobClass, Limits, Rules, Settings
 
 UNRUN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -13,7 +13,8 @@
 from pipitshed.frontends.listener import Listener
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Attempt, Endpoint, Exchange, Request
-from pipitshed.scheduling.interface import Event, Finished, LinkLost, ListKind, Note, Refuse
+from pipitshed.scheduling.actions import Refuse
+from pipitshed.scheduling.events import Event, Finished, LinkLost, ListKind, Note
 from pipitshed.upstream.http import HttpCarrier
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,18 +16,9 @@
 from pipitshed.protocols.gearman import Kind, pack
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Endpoint, Exchange, Request
-from pipitshed.scheduling.interface import (
-    Effect,
-    Event,
-    Finished,
-    JobClass,
-    Limits,
-    ListKind,
-    Outcome,
-    Send,
-    State,
-    Submitted,
-)
+from pipitshed.scheduling.actions import Send
+from pipitshed.scheduling.events import Event, Finished, ListKind, Outcome, State, Submitted
+from pipitshed.scheduling.settings import Effect, JobClass, Limits
 from pipitshed.upstream.gearman import GearmanCarrier, Place
 from pipitshed.upstream.http import HttpCarrier
 
--- a/tests/test_decisions_forget.py
+++ b/tests/test_decisions_forget.py
@@ -10,19 +10,10 @@
 from helpers import Bench, entries, sends_of, settings, worker_id
 
 from benchmarks.capacity.decisions import Scheduler
+from pipitshed.scheduling.actions import Send
 from pipitshed.scheduling.dispatcher import FORGET_MS, Worker
-from pipitshed.scheduling.interface import (
-    Effect,
-    Group,
-    Limits,
-    ListKind,
-    ListNews,
-    Outcome,
-    Rules,
-    Send,
-    State,
-    Submitted,
-)
+from pipitshed.scheduling.events import ListKind, ListNews, Outcome, State, Submitted
+from pipitshed.scheduling.settings import Effect, Group, Limits, Rules
 
 ONE, TWO = worker_id(1), worker_id(2)
 FIRST, SECOND, THIRD = entries(3, started_at=500.0)
--- a/tests/test_decisions_scale.py
+++ b/tests/test_decisions_scale.py
@@ -15,7 +15,8 @@
 from benchmarks.capacity.decisions import CLASSES, ZONES, Scheduler, gone
 from pipitshed.scheduling import weighted_pools as pools
 from pipitshed.scheduling.dispatcher import Dispatcher
-from pipitshed.scheduling.interface import JobClass, ListKind, Settings, Submitted, Tenant
+from pipitshed.scheduling.events import ListKind, Submitted
+from pipitshed.scheduling.settings import JobClass, Settings, Tenant
 from pipitshed.scheduling.weighted_pools import Pools, Sums
 
 
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from pipitshed.scheduling import interface as api
+from pipitshed.scheduling import actions, events
 from pipitshed.scheduling.dispatcher import Dispatcher
 from pipitshed.simulator import adapter as drill
 from pipitshed.simulator import wire
@@ -100,7 +100,7 @@
 
 
 def test_an_exception_in_the_rules_becomes_broken(monkeypatch: pytest.MonkeyPatch) -> None:
-    def fail(self: Dispatcher, now: float, events: list[api.Event]) -> list[api.Action]:
+    def fail(self: Dispatcher, now: float, events: list[events.Event]) -> list[actions.Action]:
         raise KeyError("lost")
 
     monkeypatch.setattr(Dispatcher, "handle", fail)
--- a/tests/test_fleet_lists.py
+++ b/tests/test_fleet_lists.py
@@ -4,7 +4,9 @@
 
 from helpers import Bench, entries, settings
 
-from pipitshed.scheduling.interface import ListKind, ListNews, Rules, WatchList
+from pipitshed.scheduling.actions import WatchList
+from pipitshed.scheduling.events import ListKind, ListNews
+from pipitshed.scheduling.settings import Rules
 
 SERVE_MS = 110.0  # one call at a time
 QUEUE = 4  # calls that may wait; more are turned down at once
--- a/tests/test_four_rules.py
+++ b/tests/test_four_rules.py
@@ -10,24 +10,19 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from pipitshed.scheduling.interface import (
-    Cancel,
-    Effect,
-    Fail,
+from pipitshed.scheduling.actions import Cancel, Fail, Refuse, Send
+from pipitshed.scheduling.events import (
     Finished,
-    Group,
-    Limits,
     ListKind,
     ListNews,
     Note,
     NoteKind,
     Outcome,
-    Refuse,
-    Send,
     State,
     Submitted,
     Withdrawn,
 )
+from pipitshed.scheduling.settings import Effect, Group, Limits
 
 CONFIGS = [
     settings(
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -26,7 +26,7 @@
 
 from pipitshed.protocols.grpc import MESSAGE_LIMIT, frame
 from pipitshed.proxy.request import Endpoint
-from pipitshed.scheduling.interface import Send
+from pipitshed.scheduling.actions import Send
 from pipitshed.upstream.grpc_connection import UNREAD_LIMIT, Connection
 from pipitshed.worker_api import planner_pb2 as pb
 
--- a/tests/test_grpc_egress.py
+++ b/tests/test_grpc_egress.py
@@ -9,7 +9,7 @@
 from loopback import ONCE, SETTINGS, story
 
 from pipitshed.protocols.grpc import PREFIX, timeout_text
-from pipitshed.scheduling.interface import NoteKind, State
+from pipitshed.scheduling.events import NoteKind, State
 from pipitshed.worker_api import planner_pb2 as pb
 
 CANCEL = h2.errors.ErrorCodes.CANCEL
--- a/tests/test_interfaces.py
+++ b/tests/test_interfaces.py
@@ -10,7 +10,7 @@
 from pipitshed.discovery.catalog import Instance, Listing, Names
 from pipitshed.discovery.worker_interfaces import AT_ONCE, Interfaces
 from pipitshed.proxy.endpoint_table import RouteTable
-from pipitshed.scheduling.interface import ListKind, State
+from pipitshed.scheduling.events import ListKind, State
 from pipitshed.upstream.interface_probe import Sounder
 
 
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -17,7 +17,8 @@
 from pipitshed.proxy.endpoint_table import RouteTable
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Endpoint
-from pipitshed.scheduling.interface import Entry, ListKind, ListNews, State, Weights
+from pipitshed.scheduling.events import Entry, ListKind, ListNews, State
+from pipitshed.scheduling.settings import Weights
 
 
 class Rig:
--- a/tests/test_list_replaced.py
+++ b/tests/test_list_replaced.py
@@ -15,7 +15,7 @@
 
 from pipitshed.proxy.endpoint_table import REMEMBERED, RouteTable
 from pipitshed.proxy.request import Endpoint
-from pipitshed.scheduling.interface import Entry, ListKind, Outcome, State
+from pipitshed.scheduling.events import Entry, ListKind, Outcome, State
 
 DAY, REPLACED, LISTED = 86_400.0, 433, 200
 
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -17,9 +17,8 @@
 from loopback import PATIENCE, Catalog, HttpClient, Planner, Run, program
 
 from pipitshed.config.settings_parser import settings_from
-from pipitshed.scheduling.interface import (
-    Action,
-    Cancel,
+from pipitshed.scheduling.actions import Action, Cancel, Send
+from pipitshed.scheduling.events import (
     Entry,
     Event,
     Finished,
@@ -28,11 +27,10 @@
     Note,
     NoteKind,
     Outcome,
-    Send,
-    Settings,
     State,
     Submitted,
 )
+from pipitshed.scheduling.settings import Settings
 
 REPRODUCIBLE = settings(
     derandomize=True,
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -8,36 +8,24 @@
 import pytest
 from helpers import Bench, entries, sends_of, settings, worker_id
 
+from pipitshed.scheduling.actions import Cancel, Fail, Refuse, Send, SetTimer, WatchList
 from pipitshed.scheduling.dispatcher import REFUSE_ABOVE, WINDOW
-from pipitshed.scheduling.interface import (
-    Cancel,
-    Effect,
-    Fail,
+from pipitshed.scheduling.events import (
     Finished,
     FirstByte,
-    Group,
-    JobClass,
-    Limits,
     LinkLost,
     ListKind,
     ListNews,
     Note,
     NoteKind,
     Outcome,
-    Prices,
     Probed,
-    Refuse,
-    Rules,
-    Send,
-    SetTimer,
     State,
     Submitted,
-    Tenant,
     TimerFired,
-    WatchList,
-    Weights,
 )
-from pipitshed.scheduling.interface import WorkerId as WorkerIdType
+from pipitshed.scheduling.events import WorkerId as WorkerIdType
+from pipitshed.scheduling.settings import Effect, Group, JobClass, Limits, Prices, Rules, Tenant, Weights
 
 FIELDS = ("free_slots", "queue")
 NEAR = Limits(cancel=True, parallel=True, max_attempts=4, connect_timeout=30.0)  # connections come up soon
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -22,7 +22,7 @@
 from pipitshed.placement.plan import Place, Plan, PlanError
 from pipitshed.placement.score import score
 from pipitshed.placement.solve import solve
-from pipitshed.scheduling.interface import Entry, State
+from pipitshed.scheduling.events import Entry, State
 
 LIMA = (Path(__file__).parent.parent / "experiments" / "fleet-lima.toml").read_text()
 QUOTE = Demand("quote", 4.0, 0.5, "x", zone="a")
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -13,18 +13,10 @@
 from pipitshed.config.class_registry import ClassBook
 from pipitshed.config.completeness import lacking
 from pipitshed.config.platform import load, load_front
+from pipitshed.scheduling.actions import Send
 from pipitshed.scheduling.dispatcher import Dispatcher
-from pipitshed.scheduling.interface import (
-    Effect,
-    Entry,
-    JobClass,
-    ListKind,
-    ListNews,
-    Send,
-    Settings,
-    Submitted,
-    Weights,
-)
+from pipitshed.scheduling.events import Entry, ListKind, ListNews, Submitted
+from pipitshed.scheduling.settings import Effect, JobClass, Settings, Weights
 from pipitshed.server.server import Scheduler
 
 QUOTE, BOOK = JobClass(2500.0, 5000.0, effect=Effect.SAFE), JobClass(10000.0, 15000.0, effect=Effect.KEYED)
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -5,16 +5,8 @@
 import io
 
 from pipitshed.proxy.decision_log import Trace, line
-from pipitshed.scheduling.interface import (
-    Entry,
-    Finished,
-    ListKind,
-    ListNews,
-    Outcome,
-    Send,
-    SetTimer,
-    TimerFired,
-)
+from pipitshed.scheduling.actions import Send, SetTimer
+from pipitshed.scheduling.events import Entry, Finished, ListKind, ListNews, Outcome, TimerFired
 
 
 def test_a_line_names_the_kind_and_the_fields_that_say_something() -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,7 +5,8 @@
 
 import pytest
 
-from pipitshed.scheduling import interface as api
+from pipitshed.scheduling import actions, events
+from pipitshed.scheduling.settings import Effect, Group, JobClass, Weights
 from pipitshed.simulator import wire
 from pipitshed.upstream.http import read_load, report_of
 
@@ -36,17 +37,17 @@
     assert (count, length, now) == (3, len(BATCH) - 16, 8412.25)
     submit, timer, withdrawn = wire.decode_batch(count, BATCH[16:])
     number = struct.unpack("<Q", bytes.fromhex("c4913a5d1e900500"))[0]
-    assert submit == (3, api.Submitted(number, 240.0, 0, 0, 2.0, 1.5, 12.0, 0x91F03B7C55D20A64, False))
-    assert timer == (3, api.TimerFired(77))
-    assert withdrawn[0] == 5 and isinstance(withdrawn[1], api.Withdrawn)
+    assert submit == (3, events.Submitted(number, 240.0, 0, 0, 2.0, 1.5, 12.0, 0x91F03B7C55D20A64, False))
+    assert timer == (3, events.TimerFired(77))
+    assert withdrawn[0] == 5 and isinstance(withdrawn[1], events.Withdrawn)
 
 
 def test_the_reply_shown_on_the_wire_page() -> None:
     number = struct.unpack("<Q", bytes.fromhex("c4913a5d1e900500"))[0]
     records = [
-        wire.encode_action(3, api.Send(number, WORKER, 80.0)),
-        wire.encode_action(3, api.SetTimer(77, 500.0)),
-        wire.encode_action(5, api.Log("two servers known")),
+        wire.encode_action(3, actions.Send(number, WORKER, 80.0)),
+        wire.encode_action(3, actions.SetTimer(77, 500.0)),
+        wire.encode_action(5, actions.Log("two servers known")),
     ]
     assert wire.encode_reply(records) == REPLY
 
@@ -58,15 +59,15 @@
         "0000 0000000000d4b740 00 0a9011f2 6c1f 0000c03f 01 0100"
     )
     assert instance == 3
-    assert news == api.ListNews(
-        api.ListKind.CACHED,
+    assert news == events.ListNews(
+        events.ListKind.CACHED,
         41,
-        (api.Entry(WORKER), api.Entry(bytes.fromhex("0a9011f26c1f"), 1, 0, 0, 1.5, 6100.0)),
+        (events.Entry(WORKER), events.Entry(bytes.fromhex("0a9011f26c1f"), 1, 0, 0, 1.5, 6100.0)),
     )
     [(_, finished)] = decode("0a 03000000 c4913a5d1e900500 0000 0a124a07 431f 01 0000000000803240 01 00 00")
-    assert isinstance(finished, api.Finished)
+    assert isinstance(finished, events.Finished)
     assert (finished.outcome, finished.elapsed, finished.settled, finished.report) == (
-        api.Outcome.OK,
+        events.Outcome.OK,
         18.5,
         True,
         (),
@@ -80,12 +81,12 @@
     mail = b"\x04" + head + struct.pack("<HH", 7, 2) + b"hi"
     first = b"\x0b" + head + struct.pack("<QH6sd", 9, 1, WORKER, 4.0)
     halt = b"\x02" + head
-    events = [event for _, event in wire.decode_batch(5, note + probed + mail + first + halt)]
-    assert events == [
-        api.Note(9, 1, WORKER, 2, 0.5),
-        api.Probed(WORKER, 3.0, api.Outcome.OK, (4.0, 0.5)),
-        api.PeerMessage(7, b"hi"),
-        api.FirstByte(9, 1, WORKER, 4.0),
+    decoded = [event for _, event in wire.decode_batch(5, note + probed + mail + first + halt)]
+    assert decoded == [
+        events.Note(9, 1, WORKER, 2, 0.5),
+        events.Probed(WORKER, 3.0, events.Outcome.OK, (4.0, 0.5)),
+        events.PeerMessage(7, b"hi"),
+        events.FirstByte(9, 1, WORKER, 4.0),
         wire.Halted(),
     ]
 
@@ -93,18 +94,18 @@
 @pytest.mark.parametrize(
     ("action", "record"),
     [
-        (api.Refuse(9, 2.0), struct.pack("<BIQd", 66, 2, 9, 2.0)),
-        (api.Fail(9), struct.pack("<BIQ", 67, 2, 9)),
-        (api.Cancel(9, 1), struct.pack("<BIQH", 68, 2, 9, 1)),
-        (api.Probe(WORKER), struct.pack("<BI6s", 70, 2, WORKER)),
-        (api.CloseIdle(WORKER), struct.pack("<BI6s", 71, 2, WORKER)),
-        (api.TellPeer(None, b"hi 7"), bytes.fromhex("48 02000000 ffff 0400 68692037")),
-        (api.TellPeer(4, b""), bytes.fromhex("48 02000000 0400 0000")),
-        (api.WatchList(True), bytes.fromhex("4b 02000000 01")),
-        (api.FetchList(), bytes.fromhex("4c 02000000")),
+        (actions.Refuse(9, 2.0), struct.pack("<BIQd", 66, 2, 9, 2.0)),
+        (actions.Fail(9), struct.pack("<BIQ", 67, 2, 9)),
+        (actions.Cancel(9, 1), struct.pack("<BIQH", 68, 2, 9, 1)),
+        (actions.Probe(WORKER), struct.pack("<BI6s", 70, 2, WORKER)),
+        (actions.CloseIdle(WORKER), struct.pack("<BI6s", 71, 2, WORKER)),
+        (actions.TellPeer(None, b"hi 7"), bytes.fromhex("48 02000000 ffff 0400 68692037")),
+        (actions.TellPeer(4, b""), bytes.fromhex("48 02000000 0400 0000")),
+        (actions.WatchList(True), bytes.fromhex("4b 02000000 01")),
+        (actions.FetchList(), bytes.fromhex("4c 02000000")),
     ],
 )
-def test_each_action(action: api.Action, record: bytes) -> None:
+def test_each_action(action: actions.Action, record: bytes) -> None:
     assert wire.encode_action(2, action) == record
 
 
@@ -137,8 +138,8 @@
 
 def test_settings_defaults_and_unknown_keys() -> None:
     settings = wire.settings_from_json(info(novelty={"a": 1}))
-    assert settings.classes == (api.JobClass(300.0, 7500.0, group=api.Group.CELL),)
-    assert settings.classes[0].effect is api.Effect.UNSAFE  # the careful default
+    assert settings.classes == (JobClass(300.0, 7500.0, group=Group.CELL),)
+    assert settings.classes[0].effect is Effect.UNSAFE  # the careful default
     assert settings.limits.max_attempts == 1 and not settings.limits.probes
 
 
@@ -157,14 +158,14 @@
     )
     cls = settings.classes[0]
     assert (cls.effect, cls.group, cls.kind, cls.stretch, cls.priority) == (
-        api.Effect.KEYED,
-        api.Group.ZONE,
+        Effect.KEYED,
+        Group.ZONE,
         1,
         2.0,
         1,
     )
     assert settings.report_fields == ("free_slots", "queue", "")
-    assert settings.weights is api.Weights.LIVE and settings.list_on_request and settings.tells_start
+    assert settings.weights is Weights.LIVE and settings.list_on_request and settings.tells_start
     assert (settings.zone, settings.zones, settings.tenants[0].allowance) == (1, 2, 31.0)
 
 
