--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -10,20 +10,28 @@
 
 import click
 
-from pipitshed.scheduling.actions import Send
+from pipitshed.scheduling.actions import StartAttempt
 from pipitshed.scheduling.dispatcher import Dispatcher
 from pipitshed.scheduling.events import (
-    Entry,
-    Finished,
-    ListKind,
-    ListNews,
-    Note,
-    NoteKind,
+    AttemptFinished,
+    AttemptProgressed,
+    EndpointEntry,
+    EndpointState,
+    EndpointsUpdated,
+    JobSubmitted,
     Outcome,
-    State,
-    Submitted,
+    ProgressKind,
+    UpdateKind,
+)
+from pipitshed.scheduling.settings import (
+    Costs,
+    Guarantees,
+    Idempotency,
+    JobClass,
+    Limits,
+    Settings,
+    WeightKind,
 )
-from pipitshed.scheduling.settings import Effect, JobClass, Limits, Prices, Rules, Settings, Weights
 
 ZONES, CELLS = 7, 70
 CLASSES = 3
@@ -35,32 +43,40 @@
 
     def __init__(self, planners: int) -> None:
         classes = tuple(
-            JobClass(aim=800.0, deadline=5000.0, effect=Effect.SAFE, window=5000.0) for _ in range(CLASSES)
+            JobClass(
+                latency_objective_ms=800.0,
+                deadline_ms=5000.0,
+                idempotency=Idempotency.IDEMPOTENT,
+                idempotency_window_ms=5000.0,
+            )
+            for _ in range(CLASSES)
         )
         self.dispatcher = Dispatcher(
             Settings(
                 classes=classes,
-                prices=Prices(cross_zone=0.014),
-                tick=2.0,
-                siblings=300,
-                tells_start=True,
-                limits=Limits(cancel=True, max_attempts=5),
-                rules=Rules(cold=8800.0, cold_from=0.3),
-                weights=Weights.ROUGH,
-                zones=ZONES,
+                costs=Costs(cross_zone_cost=0.014),
+                tick_ms=2.0,
+                scheduler_count=300,
+                workers_report_start=True,
+                limits=Limits(may_cancel=True, max_attempts=5),
+                guarantees=Guarantees(slow_start_ms=8800.0, initial_capacity_fraction=0.3),
+                weight_kind=WeightKind.ROUGH,
+                zone_count=ZONES,
             ),
             1,
         )
         self.now, self.jobs, self.names = 1_000_000.0, 0, planners
         self.entries = [self.entry(number) for number in range(planners)]
-        self.tell(ListKind.CACHED, self.entries)
+        self.tell(UpdateKind.CACHED, self.entries)
 
     @staticmethod
-    def entry(number: int) -> Entry:
-        return Entry(b"p%05d" % number, zone=number % ZONES, cell=number % CELLS, weight=1.0 + number % 3)
+    def entry(number: int) -> EndpointEntry:
+        return EndpointEntry(
+            b"p%05d" % number, zone=number % ZONES, cell=number % CELLS, weight=1.0 + number % 3
+        )
 
-    def tell(self, kind: ListKind, entries: list[Entry]) -> None:
-        self.dispatcher.handle(self.now, [ListNews(kind, 1, tuple(entries))])
+    def tell(self, kind: UpdateKind, entries: list[EndpointEntry]) -> None:
+        self.dispatcher.handle(self.now, [EndpointsUpdated(kind, 1, tuple(entries))])
 
     def job(self) -> None:
         """One ordinary job: taken, started, served."""
@@ -69,26 +85,28 @@
         [send] = [
             action
             for action in self.dispatcher.handle(
-                self.now, [Submitted(self.jobs, 5000.0, self.jobs % CLASSES)]
+                self.now, [JobSubmitted(self.jobs, 5000.0, self.jobs % CLASSES)]
             )
-            if isinstance(action, Send)
+            if isinstance(action, StartAttempt)
         ]
-        self.dispatcher.handle(self.now, [Note(self.jobs, 0, send.worker, NoteKind.STARTED)])
-        self.dispatcher.handle(self.now, [Finished(self.jobs, 0, send.worker, Outcome.OK, 1.0, True)])
+        self.dispatcher.handle(self.now, [AttemptProgressed(self.jobs, 0, send.worker, ProgressKind.STARTED)])
+        self.dispatcher.handle(self.now, [AttemptFinished(self.jobs, 0, send.worker, Outcome.OK, 1.0, True)])
 
     def replace(self) -> None:
         """One planner goes and another comes, told in two pieces of news."""
         place = self.names * 7919 % len(self.entries)
         old, self.entries[place] = self.entries[place], self.entry(self.names)
         self.names += 1
-        self.tell(ListKind.DELTA, [gone(old)])
+        self.tell(UpdateKind.DELTA, [gone(old)])
         self.job()
-        self.tell(ListKind.DELTA, [self.entries[place]])
+        self.tell(UpdateKind.DELTA, [self.entries[place]])
         self.job()
 
 
-def gone(entry: Entry) -> Entry:
-    return Entry(entry.worker, entry.zone, entry.cell, entry.kind, entry.weight, state=State.GONE)
+def gone(entry: EndpointEntry) -> EndpointEntry:
+    return EndpointEntry(
+        entry.worker, entry.zone, entry.cell, entry.worker_kind, entry.weight, state=EndpointState.REMOVED
+    )
 
 
 def least(rounds: list[float]) -> float:
@@ -132,7 +150,7 @@
         changes = len(lost)
         begun = process_time()
         for news in [lost] if at_once else [[entry] for entry in lost]:
-            scheduler.tell(ListKind.DELTA, news)
+            scheduler.tell(UpdateKind.DELTA, news)
             for _ in range(CLASSES if at_once else 1):
                 scheduler.job()
         rounds.append(process_time() - begun)
--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -26,7 +26,7 @@
 from pipitshed.config.settings_parser import settings_from
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Attempt, Endpoint, Request
-from pipitshed.scheduling.events import Entry, ListKind, NoteKind
+from pipitshed.scheduling.events import EndpointEntry, ProgressKind, UpdateKind
 
 SLOPE = "held"
 SIZES = (50, 100, 200, 400, 800)  # exchanges held by one scheduler
@@ -68,14 +68,17 @@
         core, carrier = Core(settings, 1, loop), _Carrier()  # type: ignore[arg-type]
         core.ask_list = lambda watch: None
         core.routes.fill(
-            "capacity", ListKind.FULL, 1, [(Entry(b"p"), Endpoint(b"p", carrier, ("127.0.0.1", 1)))]
+            "capacity",
+            UpdateKind.SNAPSHOT,
+            1,
+            [(EndpointEntry(b"p"), Endpoint(b"p", carrier, ("127.0.0.1", 1)))],
         )  # type: ignore[arg-type]
         await asyncio.sleep(0.01)
         before = set(loop.timers)
         core.take(Request("a", 2, PATIENCE_S * 1000, 0), Mock())
         attempt = await carrier.carried
         core.written(attempt)
-        core.attempt_noted(attempt, NoteKind.STARTED)
+        core.attempt_noted(attempt, ProgressKind.STARTED)
         await asyncio.sleep(0.01)
         return sum(not handle.cancelled() for handle in loop.timers if handle not in before)
 
--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -58,7 +58,13 @@
     """A scheduler's side of a watch: what is read goes through the program's own classes."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.core = Core(Settings(classes=(JobClass(aim=300.0, deadline=5000.0),), zones=len(ZONES)), 1, loop)
+        self.core = Core(
+            Settings(
+                classes=(JobClass(latency_objective_ms=300.0, deadline_ms=5000.0),), zone_count=len(ZONES)
+            ),
+            1,
+            loop,
+        )
         self.carrier = HttpCarrier(self.core, [], loop)
         listing = Listing(SOURCE, Names(ZONES), Names(["standard"]), self.carrier)
         self.discovery = Discovery(("127.0.0.1", 1), listing, self.core.routes, loop)
--- a/benchmarks/capacity/modelled.py
+++ b/benchmarks/capacity/modelled.py
@@ -8,21 +8,21 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from pipitshed.scheduling.actions import Cancel, Fail, Refuse, Send, SetTimer
+from pipitshed.scheduling.actions import CancelAttempt, FailRequest, RejectRequest, SetTimer, StartAttempt
 from pipitshed.scheduling.dispatcher import Dispatcher
 from pipitshed.scheduling.events import (
-    Entry,
+    AttemptFinished,
+    AttemptProgressed,
+    EndpointEntry,
+    EndpointsUpdated,
     Event,
-    Finished,
-    ListKind,
-    ListNews,
-    Note,
-    NoteKind,
+    JobSubmitted,
     Outcome,
-    Submitted,
+    ProgressKind,
     TimerFired,
+    UpdateKind,
 )
-from pipitshed.scheduling.settings import Effect, JobClass, Limits, Rules, Settings
+from pipitshed.scheduling.settings import Guarantees, Idempotency, JobClass, Limits, Settings
 
 TRIP = 1.0  # ms from a scheduler to a planner, and back
 ZONES = 7
@@ -34,18 +34,29 @@
 
 def settings(siblings: int) -> Settings:
     """Two classes: ordinary tasks, and urgent ones, whose aim and worth are all that says so."""
-    limits = Limits(cancel=True, retry_after=True, max_attempts=5)
+    limits = Limits(may_cancel=True, clients_honour_retry_after=True, max_attempts=5)
     return Settings(
         classes=(
-            JobClass(aim=27_000.0, deadline=600_000.0, worth=5.0, effect=Effect.SAFE),
-            JobClass(aim=URGENT_MS, deadline=600_000.0, worth=50.0, effect=Effect.SAFE, priority=9),
+            JobClass(
+                latency_objective_ms=27_000.0,
+                deadline_ms=600_000.0,
+                priority_weight=5.0,
+                idempotency=Idempotency.IDEMPOTENT,
+            ),
+            JobClass(
+                latency_objective_ms=URGENT_MS,
+                deadline_ms=600_000.0,
+                priority_weight=50.0,
+                idempotency=Idempotency.IDEMPOTENT,
+                priority=9,
+            ),
         ),
         limits=limits,
-        rules=Rules(),
-        tick=2.0,
-        siblings=siblings,
-        tells_start=True,
-        zones=ZONES,
+        guarantees=Guarantees(),
+        tick_ms=2.0,
+        scheduler_count=siblings,
+        workers_report_start=True,
+        zone_count=ZONES,
     )
 
 
@@ -91,9 +102,9 @@
         self.sends: dict[tuple[int, int], int] = {}
         self._numbers = self._order = 0
         self._due: list[tuple[float, int, Callable[[], None]]] = []
-        rows = tuple(Entry(b"%d" % number, zone=number % ZONES) for number in range(planners))
+        rows = tuple(EndpointEntry(b"%d" % number, zone=number % ZONES) for number in range(planners))
         for number in range(schedulers):
-            self._tell(number, ListNews(ListKind.FULL, 1, rows))
+            self._tell(number, EndpointsUpdated(UpdateKind.SNAPSHOT, 1, rows))
 
     def fill(self, share: float, stays: bool) -> None:
         """Take this share of all slots, evenly drawn, with tasks that end one after the other; where the
@@ -135,7 +146,7 @@
         self._numbers += 1
         self.asked[asked.scheduler, self._numbers] = asked
         deadline = 600_000.0
-        self._tell(asked.scheduler, Submitted(self._numbers, deadline, asked.job_class))
+        self._tell(asked.scheduler, JobSubmitted(self._numbers, deadline, asked.job_class))
 
     def busy(self) -> float:
         """The share of all slots that are taken."""
@@ -145,33 +156,33 @@
     def _tell(self, scheduler: int, event: Event) -> None:
         for action in self.schedulers[scheduler].handle(self.now, [event]):
             if isinstance(action, SetTimer):
-                self.later(action.delay, partial(self._tell, scheduler, TimerFired(action.token)))
-            elif isinstance(action, Send):
-                key = scheduler, action.job
+                self.later(action.delay_ms, partial(self._tell, scheduler, TimerFired(action.token)))
+            elif isinstance(action, StartAttempt):
+                key = scheduler, action.job_id
                 number = self.sends[key] = self.sends.get(key, -1) + 1
                 self.asked[key].sends += 1
                 self.later(TRIP, partial(self._comes, scheduler, action, number))
-            elif isinstance(action, Refuse | Fail):
+            elif isinstance(action, RejectRequest | FailRequest):
                 self._refused(scheduler, action)
-            elif isinstance(action, Cancel):
+            elif isinstance(action, CancelAttempt):
                 raise RuntimeError("a planner here tells at once whether it has room: nothing is called off")
 
-    def _refused(self, scheduler: int, action: Refuse | Fail) -> None:
-        asked = self.asked.pop((scheduler, action.job))
+    def _refused(self, scheduler: int, action: RejectRequest | FailRequest) -> None:
+        asked = self.asked.pop((scheduler, action.job_id))
         asked.refusals += 1
         asked.ended = self.now
-        asked.wait = action.retry_after if isinstance(action, Refuse) else 0.0
+        asked.wait = action.retry_after_ms if isinstance(action, RejectRequest) else 0.0
         asked.done(asked)
 
-    def _comes(self, scheduler: int, send: Send, number: int) -> None:
-        planner, key, begun = self.planners[int(send.worker)], (scheduler, send.job), self.now
+    def _comes(self, scheduler: int, send: StartAttempt, number: int) -> None:
+        planner, key, begun = self.planners[int(send.worker)], (scheduler, send.job_id), self.now
         if planner.taken >= SLOTS:
             self.later(
                 TRIP,
                 partial(
                     self._tell,
                     scheduler,
-                    Finished(send.job, number, send.worker, Outcome.FULL, 2 * TRIP, False),
+                    AttemptFinished(send.job_id, number, send.worker, Outcome.REJECTED, 2 * TRIP, False),
                 ),
             )
             return
@@ -180,12 +191,20 @@
         asked.started = self.now
         asked.done(asked)
         self.later(
-            TRIP, partial(self._tell, scheduler, Note(send.job, number, send.worker, NoteKind.STARTED))
+            TRIP,
+            partial(
+                self._tell,
+                scheduler,
+                AttemptProgressed(send.job_id, number, send.worker, ProgressKind.STARTED),
+            ),
         )
 
         def end() -> None:
             planner.held.discard(key)
             self.asked.pop(key)
-            self._tell(scheduler, Finished(send.job, number, send.worker, Outcome.OK, self.now - begun, True))
+            self._tell(
+                scheduler,
+                AttemptFinished(send.job_id, number, send.worker, Outcome.OK, self.now - begun, True),
+            )
 
         self.later(max(2 * TRIP, asked.lasts), end)
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -79,13 +79,13 @@
             self._arrive(number, team, 0.0)
         while self.due and self.due[0][0] <= end:
             now, _, place, event = heappop(self.due)
-            if isinstance(event, events.Submitted):
+            if isinstance(event, events.JobSubmitted):
                 team = self.teams[event.tenant]
                 team.asked += now >= WARM * 1000
-                self.jobs[event.job] = event.tenant, 0
+                self.jobs[event.job_id] = event.tenant, 0
                 self._arrive(event.tenant, team, now)
-            elif isinstance(event, events.Finished) and event.settled:
-                team = self.teams[self.jobs.pop(event.job)[0]]
+            elif isinstance(event, events.AttemptFinished) and event.answered:
+                team = self.teams[self.jobs.pop(event.job_id)[0]]
                 team.started += now >= WARM * 1000
             for action in self.dispatchers[place].handle(now, [event]):
                 self._carry_out(now, place, action)
@@ -93,21 +93,21 @@
     def _arrive(self, number: int, team: Team, now: float) -> None:
         when = now + self.rng.expovariate(team.asks) * 1000
         place = self.rng.choice(team.homes) if team.homes else self.rng.randrange(len(self.dispatchers))
-        self._at(when, place, events.Submitted(next(self.order), 5000.0, 0, number))
+        self._at(when, place, events.JobSubmitted(next(self.order), 5000.0, 0, number))
 
     def _carry_out(self, now: float, place: int, action: actions.Action) -> None:
         if isinstance(action, actions.SetTimer):
-            self._at(now + action.delay, place, events.TimerFired(action.token))
-        elif isinstance(action, actions.Send):
-            team, attempt = self.jobs[action.job]
-            self.jobs[action.job] = team, attempt + 1
+            self._at(now + action.delay_ms, place, events.TimerFired(action.token))
+        elif isinstance(action, actions.StartAttempt):
+            team, attempt = self.jobs[action.job_id]
+            self.jobs[action.job_id] = team, attempt + 1
             full = not self.starts(now)
             takes = TURNED_MS if full else STARTED_MS
-            outcome = events.Outcome.FULL if full else events.Outcome.OK
+            outcome = events.Outcome.REJECTED if full else events.Outcome.OK
             self._at(
                 now + takes,
                 place,
-                events.Finished(action.job, attempt, action.worker, outcome, takes, not full),
+                events.AttemptFinished(action.job_id, attempt, action.worker, outcome, takes, not full),
             )
 
     def _at(self, when: float, place: int, event: events.Event) -> None:
@@ -131,10 +131,10 @@
             for place, team in enumerate(made)
         ],
     }
-    listed = events.ListNews(
-        events.ListKind.FULL,
+    listed = events.EndpointsUpdated(
+        events.UpdateKind.SNAPSHOT,
         1,
-        tuple(events.Entry(b"p%d" % place, zone=place % 3) for place in range(PLANNERS)),
+        tuple(events.EndpointEntry(b"p%d" % place, zone=place % 3) for place in range(PLANNERS)),
     )
     dispatchers = [Dispatcher(settings_from(told), seed * 1000 + place) for place in range(schedulers)]
     for dispatcher in dispatchers:
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -23,21 +23,21 @@
 
 import click
 
-from pipitshed.scheduling.actions import Action, Cancel, Refuse, Send, SetTimer
+from pipitshed.scheduling.actions import Action, CancelAttempt, RejectRequest, SetTimer, StartAttempt
 from pipitshed.scheduling.dispatcher import Dispatcher
 from pipitshed.scheduling.events import (
-    Entry,
+    AttemptFinished,
+    AttemptProgressed,
+    EndpointEntry,
+    EndpointsUpdated,
     Event,
-    Finished,
-    ListKind,
-    ListNews,
-    Note,
-    NoteKind,
+    JobSubmitted,
     Outcome,
-    Submitted,
+    ProgressKind,
     TimerFired,
+    UpdateKind,
 )
-from pipitshed.scheduling.settings import Effect, JobClass, Limits, Prices, Rules, Settings
+from pipitshed.scheduling.settings import Costs, Guarantees, Idempotency, JobClass, Limits, Settings
 
 WARM_UP = 8_000.0  # ms before the restarts: estimates are there
 AFTER = 14_000.0  # ms that are watched from the restarts on
@@ -59,14 +59,14 @@
     zones: int = 1
     skew: float = 1.0  # times the mean that the first zone's processes get
     starts: bool = True  # planners tell of starts
-    rules: Rules = field(
-        default_factory=lambda: Rules(
-            answer_slack=8.0,
-            drain_grace=1500.0,
-            cold=8800.0,
-            cold_from=0.3,
-            fall_multiple=3.0,
-            fall_for=1500.0,
+    rules: Guarantees = field(
+        default_factory=lambda: Guarantees(
+            answer_slack_ms=8.0,
+            drain_grace_ms=1500.0,
+            slow_start_ms=8800.0,
+            initial_capacity_fraction=0.3,
+            overload_multiple=3.0,
+            overload_window_ms=1500.0,
         )
     )
 
@@ -103,9 +103,12 @@
 
     def part(self, now: float) -> float:
         rules = self.world.scene.rules
-        if now - self.started >= rules.cold:
+        if now - self.started >= rules.slow_start_ms:
             return 1.0
-        return rules.cold_from + (1 - rules.cold_from) * (now - self.started) / rules.cold
+        return (
+            rules.initial_capacity_fraction
+            + (1 - rules.initial_capacity_fraction) * (now - self.started) / rules.slow_start_ms
+        )
 
     def take(self, held: Held) -> None:
         world = self.world
@@ -118,13 +121,16 @@
         elif len(self.waiting) < self.QUEUE:
             self.waiting.append(held)
         else:
-            world.finish(held, self, Outcome.FULL)
+            world.finish(held, self, Outcome.REJECTED)
 
     def start(self, held: Held) -> None:
         world = self.world
         self.running[held.job.number] = held
         if world.scene.starts:
-            world.tell(held.process, Note(held.job.number, held.attempt, self.id, NoteKind.STARTED, 0.0))
+            world.tell(
+                held.process,
+                AttemptProgressed(held.job.number, held.attempt, self.id, ProgressKind.STARTED, 0.0),
+            )
         world.at(held.job.work / self.part(world.now), lambda: self.end(held))
 
     def end(self, held: Held) -> None:
@@ -171,23 +177,31 @@
     def process(self, number: int) -> Dispatcher:
         scene = self.scene
         config = Settings(
-            classes=(JobClass(aim=800.0, deadline=5000.0, stretch=1.75, effect=Effect.SAFE, window=5000.0),),
-            prices=Prices(cross_zone=0.014),
-            rules=scene.rules,
-            tick=2.0,
-            siblings=scene.processes,
-            limits=Limits(cancel=True, max_attempts=5),
-            tells_start=scene.starts,
-            zones=scene.zones,
-            zone=number % scene.zones,
+            classes=(
+                JobClass(
+                    latency_objective_ms=800.0,
+                    deadline_ms=5000.0,
+                    latency_objective_per_work=1.75,
+                    idempotency=Idempotency.IDEMPOTENT,
+                    idempotency_window_ms=5000.0,
+                ),
+            ),
+            costs=Costs(cross_zone_cost=0.014),
+            guarantees=scene.rules,
+            tick_ms=2.0,
+            scheduler_count=scene.processes,
+            limits=Limits(may_cancel=True, max_attempts=5),
+            workers_report_start=scene.starts,
+            zone_count=scene.zones,
+            own_zone=number % scene.zones,
         )
         dispatcher = Dispatcher(config, self.rng.getrandbits(48))
-        self.act(number, dispatcher, [ListNews(ListKind.CACHED, 1, self.entries())])
+        self.act(number, dispatcher, [EndpointsUpdated(UpdateKind.CACHED, 1, self.entries())])
         return dispatcher
 
-    def entries(self) -> tuple[Entry, ...]:
+    def entries(self) -> tuple[EndpointEntry, ...]:
         return tuple(
-            Entry(planner.id, zone=planner.zone, weight=1.0, started_at=max(0.0, planner.started))
+            EndpointEntry(planner.id, zone=planner.zone, weight=1.0, started_at_ms=max(0.0, planner.started))
             for planner in self.planners
         )
 
@@ -206,26 +220,26 @@
         if isinstance(action, SetTimer):
             token = action.token
             self.at(
-                action.delay,
+                action.delay_ms,
                 lambda: (
                     self.act(number, dispatcher, [TimerFired(token)])
                     if dispatcher is self.dispatchers[number]
                     else None
                 ),
             )
-        elif isinstance(action, Send):
-            job = self.jobs[action.job]
+        elif isinstance(action, StartAttempt):
+            job = self.jobs[action.job_id]
             attempt, job.attempts = job.attempts, job.attempts + 1
             held, planner = Held(job, attempt, number), self.by_id[action.worker]
-            self.held[action.job, attempt] = held, planner
+            self.held[action.job_id, attempt] = held, planner
             self.at(0.3, lambda: planner.take(held) if held.attempt >= 0 else None)
-        elif isinstance(action, Cancel):
-            told = self.held.get((action.job, action.attempt))
+        elif isinstance(action, CancelAttempt):
+            told = self.held.get((action.job_id, action.attempt_index))
             if told is not None:
                 told[1].drop(told[0])
                 self.at(0.0, lambda: self.finish(told[0], told[1], Outcome.CANCELLED))
-        elif isinstance(action, Refuse):
-            job = self.jobs[action.job]
+        elif isinstance(action, RejectRequest):
+            job = self.jobs[action.job_id]
             if job.tries < 3:  # the client comes again at once
                 self.at(50.0, lambda: self.submit(job.work, job.tries + 1))
 
@@ -240,7 +254,7 @@
         if held.process < len(self.dispatchers):
             self.tell(
                 held.process,
-                Finished(held.job.number, attempt, planner.id, outcome, 1.0, outcome is Outcome.OK),
+                AttemptFinished(held.job.number, attempt, planner.id, outcome, 1.0, outcome is Outcome.OK),
             )
 
     def submit(self, work: float, tries: int) -> None:
@@ -253,7 +267,7 @@
             for number in range(scene.processes)
         ]
         number = self.rng.choices(range(scene.processes), weights)[0]
-        self.tell(number, Submitted(job.number, 5000.0))
+        self.tell(number, JobSubmitted(job.number, 5000.0))
 
     def arrive(self) -> None:
         scene = self.scene
@@ -286,27 +300,27 @@
             if self.rng.random() < scene.restarted:
                 self.dispatchers[number] = self.process(number)
             elif number not in self.untold:
-                self.tell(number, ListNews(ListKind.DELTA, 2, self.entries()))
+                self.tell(number, EndpointsUpdated(UpdateKind.DELTA, 2, self.entries()))
         self.run(begun + WARM_UP + AFTER)
         return cold
 
 
-def worst(planner: Planner, rules: Rules, by_work: bool) -> tuple[float, int]:
+def worst(planner: Planner, rules: Guarantees, by_work: bool) -> tuple[float, int]:
     """The largest share of N + 2 * sqrt(N) + 2 in any window, and the windows over it, of those of which over
     two thirds came from processes that had been told."""
     most, over, window = 0.0, 0, deque[tuple[float, float, bool]]()
     full = Planner.SLOTS / planner.world.mean
     for when, work, told in planner.came:
-        if when > planner.started + rules.cold:
+        if when > planner.started + rules.slow_start_ms:
             break
         window.append((when, work if by_work else 1.0, told))
-        while window[0][0] <= when - rules.fall_for:
+        while window[0][0] <= when - rules.overload_window_ms:
             window.popleft()
         allowed = (
-            rules.fall_multiple
+            rules.overload_multiple
             * full
-            * rules.fall_for
-            * planner.part(max(planner.started, when - rules.fall_for))
+            * rules.overload_window_ms
+            * planner.part(max(planner.started, when - rules.overload_window_ms))
         )
         rate = sum(entry[1] for entry in window)
         if sum(entry[1] for entry in window if entry[2]) * 3 > rate * 2:
--- a/pipitshed/config/class_registry.py
+++ b/pipitshed/config/class_registry.py
@@ -103,14 +103,14 @@
             held = self.classes[place]
             if (
                 self.names[place] == name
-                and now - since > (held.deadline + held.window) / 1000 + REST
+                and now - since > (held.deadline_ms + held.idempotency_window_ms) / 1000 + REST
                 and replace(
                     held,
-                    aim=job_class.aim,
-                    deadline=job_class.deadline,
-                    worth=job_class.worth,
-                    late_worth=job_class.late_worth,
-                    stretch=job_class.stretch,
+                    latency_objective_ms=job_class.latency_objective_ms,
+                    deadline_ms=job_class.deadline_ms,
+                    priority_weight=job_class.priority_weight,
+                    late_weight=job_class.late_weight,
+                    latency_objective_per_work=job_class.latency_objective_per_work,
                 )
                 == job_class
             ):
--- a/pipitshed/config/platform.py
+++ b/pipitshed/config/platform.py
@@ -95,7 +95,7 @@
     """The settings as they hold on sockets. Guards against a list that no one ever asks for: where the
     settings say that news is pushed, a watch is what it comes by, as discovery answers only who calls.
     """
-    return replace(settings, list_on_request=True, list_pushed=not settings.list_on_request)
+    return replace(settings, endpoints_polled=True, endpoints_pushed=not settings.endpoints_polled)
 
 
 def resettled(config: Config, settings: dict[str, Any]) -> Config:
--- a/pipitshed/config/settings_parser.py
+++ b/pipitshed/config/settings_parser.py
@@ -16,16 +16,20 @@
 
 
 _EFFECTS = {
-    "retryable": settings.Effect.SAFE,
-    "dedup": settings.Effect.KEYED,
-    "fragile": settings.Effect.UNSAFE,
+    "retryable": settings.Idempotency.IDEMPOTENT,
+    "dedup": settings.Idempotency.IDEMPOTENT_WITH_KEY,
+    "fragile": settings.Idempotency.NON_IDEMPOTENT,
+}
+_GROUPS = {
+    "all": settings.DeduplicationScope.ALL,
+    "zone": settings.DeduplicationScope.ZONE,
+    "cell": settings.DeduplicationScope.CELL,
 }
-_GROUPS = {"all": settings.Group.ALL, "zone": settings.Group.ZONE, "cell": settings.Group.CELL}
 _WEIGHTS = {
-    "off": settings.Weights.NONE,
-    "nominal": settings.Weights.NOMINAL,
-    "rough": settings.Weights.ROUGH,
-    "live": settings.Weights.LIVE,
+    "off": settings.WeightKind.NONE,
+    "nominal": settings.WeightKind.NOMINAL,
+    "rough": settings.WeightKind.ROUGH,
+    "live": settings.WeightKind.LIVE,
 }
 _DISCOVERY = {"pushed": False, "on_request": True}
 _SOURCES = {"inline": True, "on_probe": True, "off": False}
@@ -104,16 +108,16 @@
     if deadline <= 0:
         raise SettingsError(f"settings: {table.name}.deadline = {deadline} is not a positive number")
     return settings.JobClass(
-        aim=table.number("goalTime", None),
-        deadline=deadline,
-        worth=table.number("gain", 1.0),
-        late_worth=table.number("lateWorth", 0.0),
-        stretch=table.number("aimStretch", of_family("classStretch", 0.0, 0.0)),
-        effect=table.word("repeat", _EFFECTS, "fragile"),
-        group=table.word("keyScope", _GROUPS, "cell"),
-        window=table.number("window", 0.0),
+        latency_objective_ms=table.number("goalTime", None),
+        deadline_ms=deadline,
+        priority_weight=table.number("gain", 1.0),
+        late_weight=table.number("lateWorth", 0.0),
+        latency_objective_per_work=table.number("aimStretch", of_family("classStretch", 0.0, 0.0)),
+        idempotency=table.word("repeat", _EFFECTS, "fragile"),
+        deduplication_scope=table.word("keyScope", _GROUPS, "cell"),
+        idempotency_window_ms=table.number("window", 0.0),
         stream=table.flag("stream"),
-        kind=None if kind < 0 else kind,
+        worker_kind=None if kind < 0 else kind,
         priority=int(of_family("classPriority", 0, -math.inf)),
     )
 
@@ -149,41 +153,41 @@
     return settings.Settings(
         classes=classes,
         tenants=tuple(_tenant(table) for table in top.tables("tenants")),
-        prices=settings.Prices(
-            cross_zone=charged.number("crossZone", 0.0),
-            waste=charged.number("waste", 0.0),
-            probe=charged.number("probe", 0.0),
-            connection=charged.number("connection", 0.0),
-            handshake=charged.number("handshake", 0.0),
-            late_fail=charged.number("lateFail", 0.0),
+        costs=settings.Costs(
+            cross_zone_cost=charged.number("crossZone", 0.0),
+            wasted_work_cost=charged.number("waste", 0.0),
+            probe_cost=charged.number("probe", 0.0),
+            connection_cost=charged.number("connection", 0.0),
+            handshake_cost=charged.number("handshake", 0.0),
+            late_failure_cost=charged.number("lateFail", 0.0),
         ),
         limits=settings.Limits(
-            cancel=allowed.flag("cancel"),
-            probes=allowed.flag("probes"),
-            parallel=allowed.flag("parallelTries"),
-            retry_after=allowed.flag("retryAfter"),
+            may_cancel=allowed.flag("cancel"),
+            may_probe=allowed.flag("probes"),
+            parallel_attempts=allowed.flag("parallelTries"),
+            clients_honour_retry_after=allowed.flag("retryAfter"),
             max_attempts=allowed.whole("maxAttempts", 1, 1),
-            max_retry_after=allowed.number("maxRetryAfter", 0.0),
-            connect_timeout=allowed.number("connectTimeout", 250.0),
-            idle_close=allowed.number("idleClose", 15000.0),
+            max_retry_after_ms=allowed.number("maxRetryAfter", 0.0),
+            connect_timeout_ms=allowed.number("connectTimeout", 250.0),
+            idle_timeout_ms=allowed.number("idleClose", 15000.0),
         ),
-        rules=settings.Rules(
-            answer_slack=rules.number("answerSlack", 0.0),
-            drain_grace=rules.number("drainGrace", 0.0),
-            cold=rules.number("cold", 0.0),
-            cold_from=rules.number("coldFrom", 1.0, 0.0, 1.0),
-            fall_multiple=rules.number("tipMultiple", 1.0),
-            fall_for=rules.number("overloadFor", 1000.0),
-            ask_within=rules.number("askWithin", 10000.0),
+        guarantees=settings.Guarantees(
+            answer_slack_ms=rules.number("answerSlack", 0.0),
+            drain_grace_ms=rules.number("drainGrace", 0.0),
+            slow_start_ms=rules.number("cold", 0.0),
+            initial_capacity_fraction=rules.number("coldFrom", 1.0, 0.0, 1.0),
+            overload_multiple=rules.number("tipMultiple", 1.0),
+            overload_window_ms=rules.number("overloadFor", 1000.0),
+            poll_deadline_ms=rules.number("askWithin", 10000.0),
         ),
-        weights=top.word("weights", _WEIGHTS, "off"),
-        zone=locality,
-        zones=max(1, len(zones)),
-        siblings=top.whole("siblings", 1, 1),
-        tick=top.number("tick", 1.0),
-        list_on_request=top.word("discovery", _DISCOVERY, "pushed"),
-        tells_start=family.flag("tellsStart"),
-        progress=family.number("progress", 0.0),
+        weight_kind=top.word("weights", _WEIGHTS, "off"),
+        own_zone=locality,
+        zone_count=max(1, len(zones)),
+        scheduler_count=top.whole("siblings", 1, 1),
+        tick_ms=top.number("tick", 1.0),
+        endpoints_polled=top.word("discovery", _DISCOVERY, "pushed"),
+        workers_report_start=family.flag("tellsStart"),
+        progress_interval_ms=family.number("progress", 0.0),
         report_fields=tuple(_FIELDS.get(name, "") if isinstance(name, str) else "" for name in fields),
-        worth_by_work=top.word("worthBy", {"request": False, "work": True}, "request"),
+        weight_by_work=top.word("worthBy", {"request": False, "work": True}, "request"),
     )
--- a/pipitshed/discovery/catalog.py
+++ b/pipitshed/discovery/catalog.py
@@ -16,7 +16,7 @@
 from pipitshed.protocols.http import BadAnswerError, Reader
 from pipitshed.proxy.endpoint_table import Line, RouteTable
 from pipitshed.proxy.request import Carrier, Endpoint
-from pipitshed.scheduling.events import Entry, ListKind, State
+from pipitshed.scheduling.events import EndpointEntry, EndpointState, UpdateKind
 
 SOURCE = "discovery"
 PATH = "/catalog/members"
@@ -39,7 +39,7 @@
 
 log = logging.getLogger("pipitshed")
 
-_STATES = {"ready": State.READY, "draining": State.DRAINING, "gone": State.GONE}
+_STATES = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING, "gone": EndpointState.REMOVED}
 
 
 class Instance(msgspec.Struct, rename="camel", gc=False):
@@ -115,14 +115,14 @@
             interface, carrier = self.carriers.choose(self.source, item, self)
         # What is not known to be of any interface gets nothing.
         classes = frozenset[int]() if interface == 0 else None
-        entry = Entry(
+        entry = EndpointEntry(
             worker,
             self.zones.place(item.zone),
             item.cell,
             self.kinds.place(item.machine_type),
             item.weight,
             item.started_at_ms,
-            _STATES.get(item.lifecycle, State.DRAINING),
+            _STATES.get(item.lifecycle, EndpointState.DRAINING),
             classes,
             interface,
         )
@@ -171,7 +171,7 @@
         """The list as this scheduler last had it."""
         self.version = members.generation
         lines = map(self.listing.line, members.instances)
-        self.table.fill(SOURCE, ListKind.CACHED, members.generation, lines)
+        self.table.fill(SOURCE, UpdateKind.CACHED, members.generation, lines)
 
     def follow(self, address: tuple[str, int]) -> None:
         """Discovery is at another address from now on. The watch at the old one tells what it still can,
@@ -261,7 +261,7 @@
                 if len(self._lines) < len(members.instances):
                     self.loop.call_soon(self._work)
                     return
-                kind = ListKind.FULL if members.reset else ListKind.DELTA
+                kind = UpdateKind.SNAPSHOT if members.reset else UpdateKind.DELTA
                 self.table.fill(SOURCE, kind, members.generation, self._lines)
             except Exception as error:
                 # Guards against what came behind it in this call, which would be taken for all that there is.
--- a/pipitshed/discovery/dns_sd.py
+++ b/pipitshed/discovery/dns_sd.py
@@ -18,7 +18,7 @@
 
 from pipitshed.discovery.catalog import Instance, Listing
 from pipitshed.proxy.endpoint_table import Line, RouteTable
-from pipitshed.scheduling.events import ListKind
+from pipitshed.scheduling.events import UpdateKind
 
 SOURCE = "dns-sd"
 ASK_TIMEOUT = 0.5  # s for one question
@@ -172,4 +172,4 @@
         for instance in changed:
             with contextlib.suppress(ValueError):
                 lines.append(self._listing.line(instance))
-        self._table.fill(SOURCE, ListKind.DELTA, 0, lines)
+        self._table.fill(SOURCE, UpdateKind.DELTA, 0, lines)
--- a/pipitshed/discovery/worker_interfaces.py
+++ b/pipitshed/discovery/worker_interfaces.py
@@ -12,7 +12,7 @@
 from pipitshed.discovery.catalog import Instance, Listing, address_of
 from pipitshed.proxy.endpoint_table import RouteTable
 from pipitshed.proxy.request import Carrier
-from pipitshed.scheduling.events import ListKind, WorkerId
+from pipitshed.scheduling.events import UpdateKind, WorkerId
 
 AT_ONCE = 8  # planners asked at the same time: a wide fleet that starts together is not met by a storm
 FIRST_WAIT = 0.25  # s after a planner that could not be asked, doubling
@@ -126,7 +126,7 @@
             self._ask(worker, known)
 
     def _refill(self, known: _Known) -> None:
-        self._table.fill(known.source, ListKind.DELTA, 0, [known.listing.line(known.item)])
+        self._table.fill(known.source, UpdateKind.DELTA, 0, [known.listing.line(known.item)])
 
     # ---- what carriers see
 
@@ -153,7 +153,7 @@
         entry, target = known.listing.line(known.item)
         if entry.interface:
             return  # settings say otherwise, and stand
-        self._table.fill(known.source, ListKind.DELTA, 0, [(entry, target)])
+        self._table.fill(known.source, UpdateKind.DELTA, 0, [(entry, target)])
 
     def drains(self, worker: WorkerId) -> None:
         """A planner has said itself that it drains. Its source tells of the next start; where none does, a
--- a/pipitshed/frontends/gearman.py
+++ b/pipitshed/frontends/gearman.py
@@ -21,7 +21,7 @@
 from pipitshed.proxy.deduplication import Entry, Ledger
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Refusal, Request
-from pipitshed.scheduling.events import NoteKind
+from pipitshed.scheduling.events import ProgressKind
 from pipitshed.upstream.gearman import WORKER_KINDS, GearmanCarrier, Worker
 
 LINGER = 0.5  # s for which more is read and thrown away after the last packet
@@ -84,9 +84,9 @@
         """Final, with the reason as an exception where the client has asked for these."""
         self.failed()
 
-    def noted(self, kind: NoteKind, share: float) -> None:
+    def noted(self, kind: ProgressKind, share: float) -> None:
         self.started = True
-        if kind is NoteKind.PROGRESS:
+        if kind is ProgressKind.PROGRESS:
             self.share = share
             if self.connection is not None:
                 done = b"%d" % round(share * 100)
--- a/pipitshed/frontends/http.py
+++ b/pipitshed/frontends/http.py
@@ -19,7 +19,7 @@
 from pipitshed.protocols.http import BODY_LIMIT, HEAD_LIMIT
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Exchange, Refusal, Request
-from pipitshed.scheduling.events import NoteKind
+from pipitshed.scheduling.events import ProgressKind
 
 PIPELINED = 8  # requests that may wait behind one on a connection; clients send one at a time
 FLOOD = 256  # of those beyond, each refused in its turn, after which the connection is ended
@@ -141,7 +141,7 @@
             raise MalformedError(400, "no X-Request-Id or Idempotency-Key that can be handed on")
         if job_class is None:
             raise MalformedError(400, "no such X-Class")
-        patience = self._core.settings.classes[job_class].deadline
+        patience = self._core.settings.classes[job_class].deadline_ms
         if b"x-deadline" in head:
             patience = min(patience, 1000 * _number(head[b"x-deadline"], "X-Deadline"))
         extras: dict[bytes, float] = {}
@@ -470,7 +470,7 @@
         )
         self._next()
 
-    def noted(self, kind: NoteKind, share: float) -> None:
+    def noted(self, kind: ProgressKind, share: float) -> None:
         """The platform's clients wait for the answer alone."""
 
     def close(self) -> None:
--- a/pipitshed/placement/follow.py
+++ b/pipitshed/placement/follow.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from pipitshed.placement.plan import Plan, PlanError
-from pipitshed.scheduling.events import Entry, State, WorkerId
+from pipitshed.scheduling.events import EndpointEntry, EndpointState, WorkerId
 
 SCALE = 100_000.0
 STEP = 0.1  # part of a class's load that one step may shift
@@ -30,7 +30,7 @@
     _eased: dict[str, dict[WorkerId, float]] = field(default_factory=dict)  # by class: parts in force
     moving: bool = False  # the last step did not come to the plan's own parts yet
 
-    def offer(self, plan: Plan, now: float, listed: Iterable[Entry]) -> None:
+    def offer(self, plan: Plan, now: float, listed: Iterable[EndpointEntry]) -> None:
         """Take a plan whole; PlanError with the reason, and the one in force stands. `now`: Unix time, s."""
         if self.plan is not None and plan.number < self.plan.number:
             raise PlanError(f"is number {plan.number}, older than {self.plan.number} in force")
@@ -38,7 +38,7 @@
             raise PlanError("has outlived its life")
         if not any(group.startswith(f"{self.zone}/") for group in plan.parts):
             raise PlanError(f"has nothing for zone {self.zone}")
-        known = {entry.worker.decode() for entry in listed if entry.state is not State.GONE}
+        known = {entry.worker.decode() for entry in listed if entry.state is not EndpointState.REMOVED}
         used = {
             name
             for group, held in plan.parts.items()
@@ -49,7 +49,7 @@
             raise PlanError("is for another fleet: no planner that it uses is listed")
         self.plan = plan
 
-    def weights(self, entries: Iterable[Entry], now: float) -> Weights | None:
+    def weights(self, entries: Iterable[EndpointEntry], now: float) -> Weights | None:
         """The weights by class of each ready planner; None where the list's own count: no plan, or its life
         is over. `now`: Unix time, s.
         """
@@ -58,7 +58,7 @@
         if self.plan is None:
             self._eased.clear()
             return None
-        ready = {entry.worker: entry for entry in entries if entry.state is State.READY}
+        ready = {entry.worker: entry for entry in entries if entry.state is EndpointState.READY}
         listed, names = self._listed(ready), dict.fromkeys(self.classes)
         wanted = {name: self._warm(self._wanted(self.plan, name, ready), ready, now) for name in names}
         self.moving = False
@@ -67,19 +67,21 @@
         return {worker: tuple(SCALE * held.get(worker, 0.0) for held in parts) for worker in ready}
 
     @staticmethod
-    def _listed(ready: Mapping[WorkerId, Entry]) -> dict[WorkerId, float]:
+    def _listed(ready: Mapping[WorkerId, EndpointEntry]) -> dict[WorkerId, float]:
         total = sum(entry.weight for entry in ready.values()) or 1.0
         return {worker: entry.weight / total for worker, entry in ready.items()}
 
     def _warm(
-        self, parts: dict[WorkerId, float], ready: Mapping[WorkerId, Entry], now: float
+        self, parts: dict[WorkerId, float], ready: Mapping[WorkerId, EndpointEntry], now: float
     ) -> dict[WorkerId, float]:
         """Guards cold planners: none is raised above what the list itself would give it."""
-        cold = [worker for worker, entry in ready.items() if now * 1000 - entry.started_at < self.cold]
+        cold = [worker for worker, entry in ready.items() if now * 1000 - entry.started_at_ms < self.cold]
         listed = self._listed(ready) if cold else {}
         return parts | {worker: min(parts[worker], listed[worker]) for worker in cold}
 
-    def _wanted(self, plan: Plan, job_class: str, ready: Mapping[WorkerId, Entry]) -> dict[WorkerId, float]:
+    def _wanted(
+        self, plan: Plan, job_class: str, ready: Mapping[WorkerId, EndpointEntry]
+    ) -> dict[WorkerId, float]:
         """The plan's parts among those that are ready. One that it does not know gets what its listed weight
         is to those known, scaled to what the plan gives these.
         """
@@ -108,7 +110,10 @@
         return {worker: part / total for worker, part in parts.items()} if total else self._listed(ready)
 
     def _ease(
-        self, old: Mapping[WorkerId, float], new: Mapping[WorkerId, float], ready: Mapping[WorkerId, Entry]
+        self,
+        old: Mapping[WorkerId, float],
+        new: Mapping[WorkerId, float],
+        ready: Mapping[WorkerId, EndpointEntry],
     ) -> dict[WorkerId, float]:
         """One step towards the new parts. What has left frees its part at once, in proportion."""
         staying = {worker: part for worker, part in old.items() if worker in ready}
--- a/pipitshed/proxy/decision_log.py
+++ b/pipitshed/proxy/decision_log.py
@@ -14,8 +14,9 @@
 
 import msgspec
 
+from pipitshed.proxy.published_names import CLASSES, member_name
 from pipitshed.scheduling.actions import SetTimer
-from pipitshed.scheduling.events import Entry, TimerFired
+from pipitshed.scheduling.events import EndpointEntry, TimerFired
 
 QUIET = (SetTimer, TimerFired)
 
@@ -24,11 +25,11 @@
     if isinstance(value, bytes):
         return value.decode("latin-1")
     if isinstance(value, enum.Enum):
-        return value.name
+        return member_name(value)
     if isinstance(value, float):
         return f"{value:.1f}"
-    if isinstance(value, Entry):
-        return f"{_value(value.worker)}:{value.state.name}:{value.zone}:{value.started_at:.0f}"
+    if isinstance(value, EndpointEntry):
+        return f"{_value(value.worker)}:{member_name(value.state)}:{value.zone}:{value.started_at_ms:.0f}"
     if isinstance(value, tuple | list):
         return ",".join(_value(one) for one in value)
     return str(value)
@@ -36,13 +37,14 @@
 
 def line(now: float, way: str, item: object) -> str:
     """`now way Kind name=value ...`; fields that are empty or None are left out."""
-    parts = [f"{now:.1f}", way, type(item).__name__]
+    published = CLASSES[type(item)]
+    parts = [f"{now:.1f}", way, published.name]
     if dataclasses.is_dataclass(item):
-        for one in dataclasses.fields(item):
-            value = getattr(item, one.name)
+        for field in dataclasses.fields(item):
+            value = getattr(item, field.name)
             if value is None or value == ():
                 continue
-            parts.append(f"{one.name}={_value(value)}")
+            parts.append(f"{published.fields.get(field.name, field.name)}={_value(value)}")
     return " ".join(parts)
 
 
--- a/pipitshed/proxy/deduplication.py
+++ b/pipitshed/proxy/deduplication.py
@@ -12,8 +12,8 @@
 
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Client, Exchange, Refusal, Request
-from pipitshed.scheduling.events import NoteKind
-from pipitshed.scheduling.settings import Effect
+from pipitshed.scheduling.events import ProgressKind
+from pipitshed.scheduling.settings import Idempotency
 
 Key = tuple[int, str]
 KEPT_BYTES = 16 * 1024 * 1024  # of results; of the oldest beyond it only that they ran is kept
@@ -29,7 +29,7 @@
     exchange: Exchange | None = None
     result: bytes | None = None
     ended: bool = False
-    notes: dict[NoteKind, float] = field(default_factory=dict)
+    notes: dict[ProgressKind, float] = field(default_factory=dict)
 
     def served(self, result: bytes) -> None:
         self.result = result
@@ -48,7 +48,7 @@
         for client in self._end():
             client.unfit(why, ran)
 
-    def noted(self, kind: NoteKind, share: float) -> None:
+    def noted(self, kind: ProgressKind, share: float) -> None:
         self.notes[kind] = share
         for client in self.clients:
             client.noted(kind, share)
@@ -114,7 +114,9 @@
         exchange = entry.exchange
         if exchange is None or entry.key is None or not exchange.may_have_run:
             return False
-        return self._core.settings.classes[exchange.request.job_class].effect is not Effect.SAFE
+        return (
+            self._core.settings.classes[exchange.request.job_class].idempotency is not Idempotency.IDEMPOTENT
+        )
 
     def ended(self, entry: Entry) -> None:
         """Keep what must not run anew as long as its class says, and forget the rest."""
@@ -125,7 +127,15 @@
             return
         cls = self._core.settings.classes[entry.exchange.request.job_class]
         first = min(attempt.sent_at for attempt in entry.exchange.attempts if attempt.may_have_run)
-        until = first + (cls.window if cls.effect is Effect.KEYED else cls.deadline) / 1000
+        until = (
+            first
+            + (
+                cls.idempotency_window_ms
+                if cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+                else cls.deadline_ms
+            )
+            / 1000
+        )
         self._loop.call_at(max(until, self._loop.time()), self._forget, entry)
         if entry.result is not None:
             self._kept.append(entry)
--- a/pipitshed/proxy/endpoint_table.py
+++ b/pipitshed/proxy/endpoint_table.py
@@ -8,34 +8,43 @@
 from time import monotonic
 
 from pipitshed.proxy.request import Endpoint
-from pipitshed.scheduling.events import Entry, ListKind, ListMoved, ListNews, State, WorkerId
-
-Line = tuple[Entry, Endpoint]
+from pipitshed.scheduling.events import (
+    DiscoveryMoved,
+    EndpointEntry,
+    EndpointState,
+    EndpointsUpdated,
+    UpdateKind,
+    WorkerId,
+)
+
+Line = tuple[EndpointEntry, Endpoint]
 REMEMBERED = 60.0  # s for which a planner that nobody lists is known; a turn's decisions may name it
 
 
-def together(news: Sequence[ListNews]) -> ListNews:
+def together(news: Sequence[EndpointsUpdated]) -> EndpointsUpdated:
     """Changes that came one after the other as one: the last that was told of each planner, in the order in
     which that came.
     """
-    entries: dict[WorkerId, Entry] = {}
+    entries: dict[WorkerId, EndpointEntry] = {}
     for one in news:
         for entry in one.entries:
             entries.pop(entry.worker, None)
             entries[entry.worker] = entry
-    return ListNews(ListKind.DELTA, max(one.version for one in news), tuple(entries.values()))
+    return EndpointsUpdated(UpdateKind.DELTA, max(one.version for one in news), tuple(entries.values()))
 
 
 class RouteTable:
     """What each source lists now, and the endpoints of all that is listed, or has left and is still owed."""
 
     def __init__(
-        self, post: Callable[[ListNews | ListMoved], None], clock: Callable[[], float] = monotonic
+        self,
+        post: Callable[[EndpointsUpdated | DiscoveryMoved], None],
+        clock: Callable[[], float] = monotonic,
     ) -> None:
         self._post = post
         self._clock = clock
         self._targets: dict[WorkerId, Endpoint] = {}
-        self._listed: dict[str, dict[WorkerId, Entry]] = {}
+        self._listed: dict[str, dict[WorkerId, EndpointEntry]] = {}
         self._held: dict[WorkerId, float] = {}  # said itself that it drains: the start for which that holds
         self._planned: dict[WorkerId, tuple[float, ...]] | None = None  # a plan's weights by class
         self._ready: dict[int, int] = {}  # how many are listed as ready, by their interface
@@ -68,34 +77,34 @@
         """The interfaces of all that is listed as ready; 0 is one that is still being found out."""
         return self._interfaces
 
-    def fill(self, source: str, kind: ListKind, version: int, lines: Iterable[Line]) -> None:
+    def fill(self, source: str, kind: UpdateKind, version: int, lines: Iterable[Line]) -> None:
         """News from one source. A whole list is made a change: it speaks for its own source alone, and
         what that source no longer lists is gone. What is told as it is known is no news to the decisions.
         """
         listed = self._listed.setdefault(source, {})
-        entries: dict[WorkerId, Entry] = {}
-        told: set[WorkerId] | None = set() if kind is ListKind.FULL else None
+        entries: dict[WorkerId, EndpointEntry] = {}
+        told: set[WorkerId] | None = set() if kind is UpdateKind.SNAPSHOT else None
         for entry, target in lines:
             worker = entry.worker
             if told is not None:
                 told.add(worker)
             entry = self._as_held(entry)
             if self._planned is not None:
-                entry = replace(entry, planned=self._planned.get(worker))
+                entry = replace(entry, planned_weights=self._planned.get(worker))
             if self._targets.get(worker) != target:
                 self._targets[worker] = target
-            if entry != listed.get(worker) or kind is ListKind.CACHED or self.retold:
+            if entry != listed.get(worker) or kind is UpdateKind.CACHED or self.retold:
                 entries[worker] = entry
             else:
                 entries.pop(worker, None)  # what an earlier line told is void
         if told is not None:
             for worker, old in listed.items():
                 if worker not in told:
-                    entries[worker] = self._as_held(replace(old, state=State.GONE))
+                    entries[worker] = self._as_held(replace(old, state=EndpointState.REMOVED))
         for entry in entries.values():
             self._list(listed, entry)
-        kind = ListKind.DELTA if kind is ListKind.FULL else kind
-        self._tell(ListNews(kind, version, tuple(entries.values())))
+        kind = UpdateKind.DELTA if kind is UpdateKind.SNAPSHOT else kind
+        self._tell(EndpointsUpdated(kind, version, tuple(entries.values())))
         self._forget()
 
     def _forget(self) -> None:
@@ -116,40 +125,44 @@
             self._leaving.discard(worker)
             self.on_forgotten(worker)
 
-    def _list(self, listed: dict[WorkerId, Entry], entry: Entry) -> None:
+    def _list(self, listed: dict[WorkerId, EndpointEntry], entry: EndpointEntry) -> None:
         """Put one entry into a source's list, or take it out."""
-        old = listed.pop(entry.worker, None) if entry.state is State.GONE else listed.get(entry.worker)
-        if old is not None and old.state is State.READY:
+        old = (
+            listed.pop(entry.worker, None)
+            if entry.state is EndpointState.REMOVED
+            else listed.get(entry.worker)
+        )
+        if old is not None and old.state is EndpointState.READY:
             self._ready[old.interface] -= 1
             if not self._ready[old.interface]:
                 del self._ready[old.interface]
         self._left.pop(entry.worker, None)
-        if entry.state is State.GONE:
+        if entry.state is EndpointState.REMOVED:
             if not any(entry.worker in one for one in self._listed.values()):
                 self._left[entry.worker] = self._clock()
         else:
             listed[entry.worker] = entry
-            if entry.state is State.READY:
+            if entry.state is EndpointState.READY:
                 self._ready[entry.interface] = self._ready.get(entry.interface, 0) + 1
 
-    def _tell(self, news: ListNews) -> None:
+    def _tell(self, news: EndpointsUpdated) -> None:
         for entry in news.entries:
-            (self._leaving.discard if entry.state is State.READY else self._leaving.add)(entry.worker)
+            (self._leaving.discard if entry.state is EndpointState.READY else self._leaving.add)(entry.worker)
         self._post(news)
         if self._ready.keys() != self._interfaces:
             self._interfaces = frozenset(self._ready)
             self.on_interfaces()
 
-    def _as_held(self, entry: Entry) -> Entry:
+    def _as_held(self, entry: EndpointEntry) -> EndpointEntry:
         start = self._held.get(entry.worker)
         if start is None:
             return entry
-        if entry.state is State.GONE or entry.started_at > start:
+        if entry.state is EndpointState.REMOVED or entry.started_at_ms > start:
             del self._held[entry.worker]  # what was held against the old process is void
             return entry
-        return replace(entry, state=State.DRAINING) if entry.state is State.READY else entry
+        return replace(entry, state=EndpointState.DRAINING) if entry.state is EndpointState.READY else entry
 
-    def entries(self) -> list[Entry]:
+    def entries(self) -> list[EndpointEntry]:
         """All that is listed now."""
         return [entry for listed in self._listed.values() for entry in listed.values()]
 
@@ -160,11 +173,11 @@
         for listed in self._listed.values():
             for worker, entry in listed.items():
                 planned = weights.get(worker) if weights is not None else None
-                if planned != entry.planned:
-                    changed.append(replace(entry, planned=planned))
+                if planned != entry.planned_weights:
+                    changed.append(replace(entry, planned_weights=planned))
                     listed[worker] = changed[-1]
         if changed:
-            self._tell(ListNews(ListKind.DELTA, 0, tuple(changed)))
+            self._tell(EndpointsUpdated(UpdateKind.DELTA, 0, tuple(changed)))
 
     def hold(self, worker: WorkerId) -> None:
         """The planner itself has said that it drains: nothing new goes there, whatever its sources list,
@@ -173,12 +186,12 @@
         found = [(listed, listed[worker]) for listed in self._listed.values() if worker in listed]
         if not found or worker in self._held:
             return
-        self._held[worker] = max(entry.started_at for _, entry in found)
+        self._held[worker] = max(entry.started_at_ms for _, entry in found)
         changed = []
         for listed, entry in found:
             changed.append(self._as_held(entry))
             self._list(listed, changed[-1])
-        self._tell(ListNews(ListKind.DELTA, 0, tuple(changed)))
+        self._tell(EndpointsUpdated(UpdateKind.DELTA, 0, tuple(changed)))
 
     def holds(self, worker: WorkerId) -> bool:
         """Whether the planner's own word of a drain still counts."""
@@ -190,8 +203,8 @@
 
     def failed(self) -> None:
         """A call for the list has failed, or its watch has ended."""
-        self._post(ListNews(ListKind.FAILED))
+        self._post(EndpointsUpdated(UpdateKind.FETCH_FAILED))
 
     def moved(self) -> None:
         """A source that must be asked is at another address; what it has listed stands."""
-        self._post(ListMoved())
+        self._post(DiscoveryMoved())
--- a/pipitshed/proxy/forwarder.py
+++ b/pipitshed/proxy/forwarder.py
@@ -12,38 +12,39 @@
 
 from pipitshed.proxy.decision_log import Trace
 from pipitshed.proxy.endpoint_table import RouteTable, together
+from pipitshed.proxy.published_names import member_name
 from pipitshed.proxy.request import Attempt, Client, Endpoint, Exchange, Refusal, Request, Translator
 from pipitshed.scheduling.actions import (
     Action,
-    Cancel,
-    CloseIdle,
-    Fail,
-    FetchList,
-    Log,
-    Probe,
-    Refuse,
-    Send,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpoints,
+    LogLine,
+    ProbeWorker,
+    RejectRequest,
     SetTimer,
-    WatchList,
+    StartAttempt,
+    WatchEndpoints,
 )
 from pipitshed.scheduling.dispatcher import PACE_AGE, SLOW, Dispatcher
 from pipitshed.scheduling.events import (
+    AttemptFinished,
+    AttemptProgressed,
+    ConnectionLost,
+    DiscoveryMoved,
+    EndpointsUpdated,
     Event,
-    Finished,
-    LinkLost,
-    ListKind,
-    ListMoved,
-    ListNews,
-    Note,
-    NoteKind,
+    JobSubmitted,
+    JobWithdrawn,
     Outcome,
-    Probed,
-    Submitted,
+    ProbeFinished,
+    ProgressKind,
     TimerFired,
-    Withdrawn,
+    UpdateKind,
     WorkerId,
 )
-from pipitshed.scheduling.settings import Settings, Weights
+from pipitshed.scheduling.settings import Settings, WeightKind
 
 MARGIN_MS = 30.0  # the final answer is out so long before the client gives up
 GUARD_MS = 10.0  # after the decisions' own deadline; still before the client's
@@ -57,7 +58,7 @@
     def __init__(self, settings: Settings, seed: int, loop: asyncio.AbstractEventLoop) -> None:
         self.settings = settings
         self.routes = RouteTable(self._list_told)
-        self.routes.retold = settings.weights is Weights.LIVE
+        self.routes.retold = settings.weight_kind is WeightKind.LIVE
         self.routes.owed = self._with_attempts
         self.translator: Translator | None = None  # where messages are translated
         self._untranslated: deque[Exchange] = deque()
@@ -77,14 +78,14 @@
         self._numbers = 0
         self._events: list[Event] = []
         self._due = False
-        self._changes: list[ListNews] = []  # of the list, in this turn: one change to the decisions
+        self._changes: list[EndpointsUpdated] = []  # of the list, in this turn: one change to the decisions
         self._changes_at = 0  # the place of the first of them among the events
         self.trace: Trace | None = None  # off but where LB_TRACE asks for it
 
     def retune(self, settings: Settings) -> None:
         """Settings read anew, with every class that was ever in force, so that exchanges keep theirs."""
         self.settings = settings
-        self.routes.retold = settings.weights is Weights.LIVE
+        self.routes.retold = settings.weight_kind is WeightKind.LIVE
         self._dispatcher.retune(settings)
 
     # ---- the loop
@@ -96,11 +97,11 @@
             self._due = True
             self._loop.call_soon(self._hand_over)
 
-    def _list_told(self, news: ListNews | ListMoved) -> None:
+    def _list_told(self, news: EndpointsUpdated | DiscoveryMoved) -> None:
         """News of the list. A lost zone may come as hundreds of changes in one turn: the decisions get them
         as one, where the first of them stood.
         """
-        if isinstance(news, ListMoved) or news.kind is not ListKind.DELTA:
+        if isinstance(news, DiscoveryMoved) or news.kind is not UpdateKind.DELTA:
             self._close_changes()
         else:
             self._changes.append(news)
@@ -138,29 +139,29 @@
 
     def _carry_out(self, action: Action) -> None:
         if isinstance(action, SetTimer):
-            due = monotonic() + action.delay / 1000
+            due = monotonic() + action.delay_ms / 1000
             self._loop.call_at(due, self._timer_due, TimerFired(action.token), due)
-        elif isinstance(action, Send):
+        elif isinstance(action, StartAttempt):
             self._send(action)
-        elif isinstance(action, Refuse):
-            if exchange := self._settle(action.job, "refused"):
-                exchange.client.refused(action.retry_after)
-        elif isinstance(action, Fail):
-            if exchange := self._settle(action.job, "failed"):
+        elif isinstance(action, RejectRequest):
+            if exchange := self._settle(action.job_id, "refused"):
+                exchange.client.refused(action.retry_after_ms)
+        elif isinstance(action, FailRequest):
+            if exchange := self._settle(action.job_id, "failed"):
                 exchange.client.failed()
-        elif isinstance(action, Cancel):
-            held = self._exchanges.get(action.job)
-            if held is not None and not held.attempts[action.attempt].over:
-                self._stop(held.attempts[action.attempt], Outcome.CANCELLED)
-        elif isinstance(action, WatchList | FetchList):
-            self.ask_list(isinstance(action, WatchList))
-        elif isinstance(action, Probe | CloseIdle):
+        elif isinstance(action, CancelAttempt):
+            held = self._exchanges.get(action.job_id)
+            if held is not None and not held.attempts[action.attempt_index].over:
+                self._stop(held.attempts[action.attempt_index], Outcome.CANCELLED)
+        elif isinstance(action, WatchEndpoints | FetchEndpoints):
+            self.ask_list(isinstance(action, WatchEndpoints))
+        elif isinstance(action, ProbeWorker | CloseIdleConnections):
             target = self.routes.target(action.worker)
-            if target is not None and isinstance(action, Probe):
+            if target is not None and isinstance(action, ProbeWorker):
                 target.carrier.probe(target)
             elif target is not None:
                 target.carrier.close_idle(target)
-        elif isinstance(action, Log):
+        elif isinstance(action, LogLine):
             log.info("%s", action.text)
 
     def _timer_due(self, event: TimerFired, due: float) -> None:
@@ -196,7 +197,7 @@
     def _submit(self, exchange: Exchange, left: float, fits: frozenset[int] | None = None) -> None:
         request = exchange.request
         self.post(
-            Submitted(
+            JobSubmitted(
                 exchange.number,
                 left,
                 request.job_class,
@@ -250,12 +251,12 @@
         for exchange in list(self._exchanges.values()):
             if not exchange.settled and not exchange.attempts and (why := self._unfit(exchange)):
                 self._refuse_unfit(exchange, why)
-                self.post(Withdrawn(exchange.number))
+                self.post(JobWithdrawn(exchange.number))
 
     def withdraw(self, exchange: Exchange) -> None:
         """The client has gone: nothing more is owed to it."""
         if self._settle(exchange.number, "withdrawn"):
-            self.post(Withdrawn(exchange.number))
+            self.post(JobWithdrawn(exchange.number))
 
     def orphan(self, exchange: Exchange) -> None:
         """The clients have gone, but what runs must not run anew: it goes on, and no attempt begins."""
@@ -274,7 +275,7 @@
         if self._settle(exchange.number, "overdue"):
             log.warning("exchange %d had no answer at its deadline", exchange.number)
             exchange.client.failed()
-            self.post(Withdrawn(exchange.number))
+            self.post(JobWithdrawn(exchange.number))
 
     def _settle(self, number: int, how: str) -> Exchange | None:
         """End an exchange; None where it has ended before, so that no second answer goes out."""
@@ -326,9 +327,9 @@
 
     # ---- attempts
 
-    def _send(self, action: Send) -> None:
-        exchange = self._exchanges.get(action.job)
-        if exchange is not None and exchange.orphan and self._settle(action.job, "failed"):
+    def _send(self, action: StartAttempt) -> None:
+        exchange = self._exchanges.get(action.job_id)
+        if exchange is not None and exchange.orphan and self._settle(action.job_id, "failed"):
             exchange.client.failed()
         target = self.routes.target(action.worker)
         now = monotonic()
@@ -340,16 +341,21 @@
             or (len(exchange.attempts) >= self.settings.limits.max_attempts)
         ):
             number = len(exchange.attempts) if exchange is not None else 0
-            self.tally["attempt MOOT"] += 1
+            self.tally[f"attempt {member_name(Outcome.SUPERSEDED)}"] += 1
             self.post(
-                Finished(
-                    action.job, number, action.worker, Outcome.MOOT, 0.0, exchange is None or exchange.settled
+                AttemptFinished(
+                    action.job_id,
+                    number,
+                    action.worker,
+                    Outcome.SUPERSEDED,
+                    0.0,
+                    exchange is None or exchange.settled,
                 )
             )
             return
         deadline = exchange.deadline
-        if action.timeout > 0:
-            deadline = min(deadline, now + action.timeout / 1000)
+        if action.timeout_ms > 0:
+            deadline = min(deadline, now + action.timeout_ms / 1000)
         prepared = exchange.prepared
         if prepared is not None and target.interface not in prepared.bodies:
             # The planner came back with another interface in this very turn.
@@ -358,8 +364,8 @@
             return
         body = exchange.request.body if prepared is None else prepared.bodies[target.interface]
         attempt = Attempt(exchange, len(exchange.attempts), target, now, deadline, body)
-        if action.write_within > 0:
-            attempt.write_by = now + action.write_within / 1000
+        if action.write_within_ms > 0:
+            attempt.write_by = now + action.write_within_ms / 1000
         exchange.attempts.append(attempt)
         attempt.timer = self._loop.call_at(deadline, self.give_up, attempt)
         target.carrier.carry(attempt)
@@ -393,10 +399,12 @@
         ran = attempt.target.carrier.drop(attempt)
         self.attempt_ended(attempt, outcome if ran else Outcome.CONNECT_FAILED)
 
-    def attempt_noted(self, attempt: Attempt, kind: NoteKind, share: float = 0.0) -> None:
+    def attempt_noted(self, attempt: Attempt, kind: ProgressKind, share: float = 0.0) -> None:
         """The planner tells of a job's start or progress."""
         if not attempt.over:
-            self.post(Note(attempt.exchange.number, attempt.number, attempt.target.id, kind, share))
+            self.post(
+                AttemptProgressed(attempt.exchange.number, attempt.number, attempt.target.id, kind, share)
+            )
             if not attempt.exchange.settled:
                 attempt.exchange.client.noted(kind, share)
 
@@ -416,14 +424,14 @@
         attempt.outcome = outcome
         if attempt.timer is not None:
             attempt.timer.cancel()
-        self.tally[f"attempt {outcome.name}"] += 1
+        self.tally[f"attempt {member_name(outcome)}"] += 1
         exchange = attempt.exchange
         if outcome is Outcome.ERROR:
             exchange.fault = result
         if outcome is Outcome.OK and not exchange.settled:
             self._serve(exchange, attempt, result)
         self.post(
-            Finished(
+            AttemptFinished(
                 exchange.number,
                 attempt.number,
                 attempt.target.id,
@@ -451,10 +459,10 @@
 
     def link_lost(self, target: Endpoint) -> None:
         """A connection that an ended attempt had left free has closed."""
-        self.post(LinkLost(target.id))
+        self.post(ConnectionLost(target.id))
 
     def probe_ended(
         self, target: Endpoint, outcome: Outcome, elapsed: float, report: Sequence[float] = ()
     ) -> None:
         """What one probe found."""
-        self.post(Probed(target.id, elapsed, outcome, tuple(report)))
+        self.post(ProbeFinished(target.id, elapsed, outcome, tuple(report)))
--- a/pipitshed/proxy/request.py
+++ b/pipitshed/proxy/request.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from pipitshed.scheduling.events import NoteKind, Outcome, WorkerId
+from pipitshed.scheduling.events import Outcome, ProgressKind, WorkerId
 
-UNRUN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT))  # these prove it never ran
+UNRUN = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.SUPERSEDED))  # these prove it never ran
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,7 +72,7 @@
     def unfit(self, why: Refusal, ran: bool) -> None:
         """A final no: no planner can be told the request, or (where it ran) the client not the result."""
 
-    def noted(self, kind: NoteKind, share: float) -> None:
+    def noted(self, kind: ProgressKind, share: float) -> None:
         """The job has started, or got so far."""
 
 
--- a/pipitshed/scheduling/actions.py
+++ b/pipitshed/scheduling/actions.py
@@ -11,38 +11,38 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class StartAttempt:
     """Start an attempt of a job; a time-out of 0 lasts as long as the client waits. `write_within`: ms within
     which a repeat is written, or not at all; 0 where it may be at any time.
     """
 
-    job: int
+    job_id: int
     worker: WorkerId
-    timeout: float = 0.0
-    write_within: float = 0.0
+    timeout_ms: float = 0.0
+    write_within_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class RejectRequest:
     """Final answer: no, and trying again is harmless."""
 
-    job: int
-    retry_after: float = 0.0
+    job_id: int
+    retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Fail:
+class FailRequest:
     """Final answer: failed, promising nothing."""
 
-    job: int
+    job_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
+class CancelAttempt:
     """Call off one attempt."""
 
-    job: int
-    attempt: int
+    job_id: int
+    attempt_index: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,25 +50,25 @@
     """Ask for a TimerFired after a delay."""
 
     token: int
-    delay: float
+    delay_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class ProbeWorker:
     """Ask a worker how it is."""
 
     worker: WorkerId
 
 
 @dataclass(frozen=True, slots=True)
-class CloseIdle:
+class CloseIdleConnections:
     """Close this dispatcher's idle connections to a worker."""
 
     worker: WorkerId
 
 
 @dataclass(frozen=True, slots=True)
-class TellPeer:
+class SendPeerMessage:
     """Send bytes to one other dispatcher, or to all (None)."""
 
     recipient: int | None
@@ -76,22 +76,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WatchList:
+class WatchEndpoints:
     """Subscribe to changes of the worker list, or end that."""
 
-    on: bool = True
+    enabled: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class FetchList:
+class FetchEndpoints:
     """Ask once for the whole worker list."""
 
 
 @dataclass(frozen=True, slots=True)
-class Log:
+class LogLine:
     """A line for the operators."""
 
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | SetTimer | Probe | CloseIdle | TellPeer | WatchList | FetchList | Log
+Action = (
+    StartAttempt
+    | RejectRequest
+    | FailRequest
+    | CancelAttempt
+    | SetTimer
+    | ProbeWorker
+    | CloseIdleConnections
+    | SendPeerMessage
+    | WatchEndpoints
+    | FetchEndpoints
+    | LogLine
+)
--- a/pipitshed/scheduling/dispatcher.py
+++ b/pipitshed/scheduling/dispatcher.py
@@ -12,27 +12,35 @@
 from collections.abc import Iterable
 from itertools import takewhile
 
-from pipitshed.scheduling.actions import Action, Cancel, Fail, Refuse, Send, SetTimer, WatchList
+from pipitshed.scheduling.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
 from pipitshed.scheduling.events import (
-    Entry,
+    AttemptFinished,
+    AttemptProgressed,
+    ConnectionLost,
+    DiscoveryMoved,
+    EndpointEntry,
+    EndpointState,
+    EndpointsUpdated,
     Event,
-    Finished,
-    FirstByte,
-    LinkLost,
-    ListKind,
-    ListMoved,
-    ListNews,
-    Note,
-    NoteKind,
+    JobSubmitted,
+    JobWithdrawn,
     Outcome,
-    State,
-    Submitted,
+    ProgressKind,
+    ResponseStarted,
     TimerFired,
-    Withdrawn,
+    UpdateKind,
     WorkerId,
 )
 from pipitshed.scheduling.recent_counts import Fading, Window
-from pipitshed.scheduling.settings import Effect, Group, JobClass, Settings, Weights
+from pipitshed.scheduling.settings import DeduplicationScope, Idempotency, JobClass, Settings, WeightKind
 from pipitshed.scheduling.weighted_pools import Pools
 
 WINDOW = 30  # attempts in the estimate of f; the paper's figure
@@ -74,7 +82,7 @@
 MOVED_SPREAD = 0.01  # part of the time within which the list must be asked for, to ask it where it moved
 LIVE_SMOOTHING = 0.1  # weight of a new live list weight: live weights fold in load and lag
 FORGET_MS = 60_000.0  # after which what has left the list is forgotten; nothing is held against it so long
-UNRUN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT))  # these prove it never ran
+UNRUN = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.SUPERSEDED))  # these prove it never ran
 
 Scope = tuple[str, int] | None  # workers a job may go to: a zone, a cell, or all
 
@@ -105,11 +113,11 @@
         "planned",
     )
 
-    def __init__(self, entry: Entry) -> None:
+    def __init__(self, entry: EndpointEntry) -> None:
         self.id = entry.worker
-        self.zone, self.cell, self.kind = entry.zone, entry.cell, entry.kind
-        self.weight, self.classes, self.interface = entry.weight, entry.classes, entry.interface
-        self.planned = entry.planned
+        self.zone, self.cell, self.kind = entry.zone, entry.cell, entry.worker_kind
+        self.weight, self.classes, self.interface = entry.weight, entry.job_classes, entry.interface
+        self.planned = entry.planned_weights
         self.started_at = 0.0
         self.ready = False
         self.unstarted = 0  # own jobs sent there that have not started
@@ -172,16 +180,16 @@
         "fits",
     )
 
-    def __init__(self, event: Submitted, cls: JobClass, now: float) -> None:
-        self.id, self.cls, self.number, self.came = event.job, cls, event.job_class, now
-        self.deadline = now + event.time_left
+    def __init__(self, event: JobSubmitted, cls: JobClass, now: float) -> None:
+        self.id, self.cls, self.number, self.came = event.job_id, cls, event.job_class, now
+        self.deadline = now + event.remaining_ms
         self.attempts: list[Attempt] = []
         self.over = self.stream = self.served = False
         self.resume = now
         self.failures = 0
         self.promised = 0  # attempts that it gets whatever becomes of f: one was called off for the next
         self.broken = self.failed = 0  # attempts whose connection broke, and that ended in an error
-        self.fits = event.fits  # the interfaces that can express it; None for all
+        self.fits = event.compatible_interfaces  # the interfaces that can express it; None for all
         self.slots, self.work, self.unsure, self.wake = event.slots, event.work, UNSURE, math.inf
 
     def outs(self) -> list[Attempt]:
@@ -228,13 +236,13 @@
         """Settings anew. Classes are only ever added, so a job under way keeps its own; what is known of
         workers and of f stays.
         """
-        if settings.weights is not self.settings.weights:
+        if settings.weight_kind is not self.settings.weight_kind:
             self.pools.clear()
         self.settings = settings
         self.means += [0.0] * (len(settings.classes) - len(self.means))
         self.heard = [*self.heard, *(Fading(SHARE_MS) for _ in settings.tenants)][: len(settings.tenants)]
-        self.shares = sum(tenant.share for tenant in settings.tenants) or 1.0
-        self.least_worth = min(cls.worth for cls in settings.classes) or 1.0
+        self.shares = sum(tenant.quota_share for tenant in settings.tenants) or 1.0
+        self.least_worth = min(cls.priority_weight for cls in settings.classes) or 1.0
         self.fields = {name: place for place, name in enumerate(settings.report_fields)}
 
     def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
@@ -242,37 +250,37 @@
         self.now = now
         self.actions = []
         for event in events:
-            if isinstance(event, Finished):
+            if isinstance(event, AttemptFinished):
                 self._finished(event)
-            elif isinstance(event, Submitted):
+            elif isinstance(event, JobSubmitted):
                 self._submitted(event)
             elif isinstance(event, TimerFired):
                 self._timer(event.token)
-            elif isinstance(event, Note):
+            elif isinstance(event, AttemptProgressed):
                 self._note(event)
-            elif isinstance(event, ListNews):
+            elif isinstance(event, EndpointsUpdated):
                 self._list_news(event)
-            elif isinstance(event, LinkLost):
+            elif isinstance(event, ConnectionLost):
                 self._link_lost(event.worker)
-            elif isinstance(event, ListMoved):
+            elif isinstance(event, DiscoveryMoved):
                 self._list_moved()
-            elif isinstance(event, Withdrawn):
-                self._withdrawn(event.job)
-            elif isinstance(event, FirstByte):
+            elif isinstance(event, JobWithdrawn):
+                self._withdrawn(event.job_id)
+            elif isinstance(event, ResponseStarted):
                 self._first_byte(event)
         return self.actions
 
     # ---- the worker list
 
-    def _list_news(self, news: ListNews) -> None:
-        if news.kind is ListKind.FAILED:
+    def _list_news(self, news: EndpointsUpdated) -> None:
+        if news.kind is UpdateKind.FETCH_FAILED:
             self.list_failures += 1
         else:
             listed = set()
             for entry in news.entries:
                 self._entry(entry)
                 listed.add(entry.worker)
-            if news.kind is not ListKind.DELTA:
+            if news.kind is not UpdateKind.DELTA:
                 for worker in self.workers.values():
                     if worker.id not in listed:
                         self.gone.setdefault(worker.id, self.now)
@@ -280,21 +288,21 @@
                             worker.ready = False
                             self._changed(worker)
             self._forget()
-        if self.settings.list_on_request and news.kind in (ListKind.FAILED, ListKind.CACHED):
+        if self.settings.endpoints_polled and news.kind in (UpdateKind.FETCH_FAILED, UpdateKind.CACHED):
             self._ask_list_in(self._list_wait(news.kind))
-        elif news.kind is not ListKind.FAILED:
+        elif news.kind is not UpdateKind.FETCH_FAILED:
             self.list_failures = 0
 
-    def _list_wait(self, kind: ListKind) -> float:
+    def _list_wait(self, kind: UpdateKind) -> float:
         """Discovery serves all siblings in turn, and turns calls down while its short queue is full: failed
         calls back off so that it drains, counted from the call, as one that took long has waited already.
         Where it is back, two more calls have time before what it has to tell counts as told (6 s).
         """
         settings, again = self.settings, max(0, self.list_failures - 1)
-        if settings.list_pushed:
-            longest = max(2 * LEAST_ASK, PUSHED_PART * settings.rules.drain_grace)
-            return 0.0 if kind is ListKind.CACHED else longest * self.rng.uniform(0.5, 1.0)
-        longest = min(LONGEST_ASK, settings.rules.ask_within * ASK_PART * 2.0 ** min(again, 4))
+        if settings.endpoints_pushed:
+            longest = max(2 * LEAST_ASK, PUSHED_PART * settings.guarantees.drain_grace_ms)
+            return 0.0 if kind is UpdateKind.CACHED else longest * self.rng.uniform(0.5, 1.0)
+        longest = min(LONGEST_ASK, settings.guarantees.poll_deadline_ms * ASK_PART * 2.0 ** min(again, 4))
         if not again:
             return longest * self.rng.uniform(0.1, 1.0)
         return max(LEAST_ASK, longest * self.rng.uniform(0.5, 1.0) - (self.now - self.list_asked))
@@ -304,36 +312,36 @@
         the old place is void, and a back-off from it would overrun the time after which news counts.
         """
         self.list_failures = 0
-        if self.settings.list_on_request:
-            self._ask_list_in(MOVED_SPREAD * self.settings.rules.ask_within * self.rng.random())
+        if self.settings.endpoints_polled:
+            self._ask_list_in(MOVED_SPREAD * self.settings.guarantees.poll_deadline_ms * self.rng.random())
 
     def _ask_list_in(self, wait: float) -> None:
         self.list_due = min(self.list_due, self.now + wait)
         self._set_timer(None, self.now + wait)
 
-    def _entry(self, entry: Entry) -> None:
+    def _entry(self, entry: EndpointEntry) -> None:
         worker = self.workers.get(entry.worker)
         if worker is None:
-            if entry.state is State.GONE:
+            if entry.state is EndpointState.REMOVED:
                 return
             worker = self.workers[entry.worker] = Worker(entry)
             self.pools.add(worker, (None, ("zone", worker.zone), ("cell", worker.cell)))
         before = worker.told()
-        if self.settings.weights is Weights.LIVE:
+        if self.settings.weight_kind is WeightKind.LIVE:
             worker.weight += LIVE_SMOOTHING * (entry.weight - worker.weight)
         elif entry.weight > 0:
             worker.weight = entry.weight
-        worker.ready, worker.classes = entry.state is State.READY, entry.classes
-        worker.interface, worker.planned = entry.interface, entry.planned
+        worker.ready, worker.classes = entry.state is EndpointState.READY, entry.job_classes
+        worker.interface, worker.planned = entry.interface, entry.planned_weights
         if before != worker.told():
             self._changed(worker)
-        if entry.state is State.GONE:
+        if entry.state is EndpointState.REMOVED:
             self.gone.setdefault(worker.id, self.now)
         else:
             self.gone.pop(worker.id, None)
-        if entry.started_at > worker.started_at:
+        if entry.started_at_ms > worker.started_at:
             # A new start: what was held against the old process is void, and it is cold.
-            worker.started_at = entry.started_at
+            worker.started_at = entry.started_at_ms
             worker.ejected_until, worker.strikes = 0.0, 0
 
     def _forget(self) -> None:
@@ -364,10 +372,10 @@
             not worker.ready
             or (worker.classes is not None and number not in worker.classes)
             or (fits is not None and worker.interface not in fits)
-            or (self.settings.classes[number].kind not in (None, worker.kind))
+            or (self.settings.classes[number].worker_kind not in (None, worker.kind))
         ):
             return None
-        listed = 0.0 if self.settings.weights is Weights.NONE else worker.weight
+        listed = 0.0 if self.settings.weight_kind is WeightKind.NONE else worker.weight
         planned = worker.planned or ()  # which knows no class that came after it
         return planned[number] if number < len(planned) else 0.0, listed, 1.0
 
@@ -385,17 +393,17 @@
         doubted = strange = None
         tried = {attempt.worker.id: attempt.out for attempt in job.attempts}
         again = bool(job.attempts)
-        near, dear = None, self.settings.prices.cross_zone
+        near, dear = None, self.settings.costs.cross_zone_cost
         if (
             scope is None
-            and self.settings.zones > 1
+            and self.settings.zone_count > 1
             and not self.planned
             and (  # a plan weighed this
                 (self._f() or 0.0) <= NEAR_LONGER * dear
             )
         ):
-            near = self.pools.get(("zone", self.settings.zone), key)
-            if near and self.rng.random() * pool.total > near.total * self.settings.zones:
+            near = self.pools.get(("zone", self.settings.own_zone), key)
+            if near and self.rng.random() * pool.total > near.total * self.settings.zone_count:
                 near = None  # a zone with few workers, or few left, keeps no more than its capacity's part
         for place in range(DRAWS):
             worker = (near if near and place < NEAR_DRAWS + NEAR_DEAR * dear else pool).draw(self.rng)
@@ -419,8 +427,8 @@
 
     def _connected(self, worker: Worker) -> bool:
         """Whether a send there needs no new connection, where that has a price."""
-        return self.settings.prices.handshake < DEAR_HANDSHAKE or (
-            worker.idle > 0 and self.now - worker.idle_at < self.settings.limits.idle_close
+        return self.settings.costs.handshake_cost < DEAR_HANDSHAKE or (
+            worker.idle > 0 and self.now - worker.idle_at < self.settings.limits.idle_timeout_ms
         )
 
     def _link_lost(self, number: WorkerId) -> None:
@@ -438,7 +446,7 @@
             and (self.rng.random() > self.pace / worker.pace)
         ):
             return True  # its jobs would be late; a trickle tells when it is well again
-        if self.settings.tells_start:
+        if self.settings.workers_report_start:
             # What own jobs hold is no capacity: the draw goes by what is left of it.
             return worker.unstarted > 0 or self.rng.random() * SLOTS < worker.held * (job.slots + 1) / 2
         # Guards against queues that nobody tells of: reports are older than the jobs sent since, so what own
@@ -451,19 +459,22 @@
 
     def _part(self) -> float:
         """The part of all jobs that are this dispatcher's own: by the reports, else an equal one."""
-        return self.mine / self.all if self.all else 1.0 / self.settings.siblings
+        return self.mine / self.all if self.all else 1.0 / self.settings.scheduler_count
 
     def _cold(self, worker: Worker) -> bool:
-        return worker.started_at > 0 and self.now - worker.started_at < self.settings.rules.cold
+        return worker.started_at > 0 and self.now - worker.started_at < self.settings.guarantees.slow_start_ms
 
     def _cold_turn(self, worker: Worker, job: Job) -> bool:
         """A cold worker is taken with the chance of what it can do by now, at a job's first draw alone: all
         siblings together send it what a warm one bears times that part, and no redraws, which pile up on
         newcomers as they look idle. A heavy job goes there more rarely.
         """
-        rules = self.settings.rules
+        rules = self.settings.guarantees
         age = max(0.0, self.now - worker.started_at)
-        part = rules.cold_from + (1 - rules.cold_from) * age / rules.cold
+        part = (
+            rules.initial_capacity_fraction
+            + (1 - rules.initial_capacity_fraction) * age / rules.slow_start_ms
+        )
         heavy = job.slots * self.means[job.number] / self.mean if self.mean else job.slots
         taken = min(self.served, 1 - self._turned_away())
         return self.rng.random() * max(1.0, heavy) < part * taken
@@ -477,28 +488,31 @@
         limits, cls = self.settings.limits, job.cls
         first = job.first()
         free = len(job.attempts) < limits.max_attempts and not job.over and not job.stream
-        if not limits.parallel and any(attempt.out for attempt in job.attempts):
+        if not limits.parallel_attempts and any(attempt.out for attempt in job.attempts):
             free = False
-        if first is None or cls.effect is Effect.SAFE:
+        if first is None or cls.idempotency is Idempotency.IDEMPOTENT:
             return free, None, True
-        if cls.effect is Effect.UNSAFE:
+        if cls.idempotency is Idempotency.NON_IDEMPOTENT:
             return False, None, False
-        in_time = self.now < first.sent_at + cls.window - 2 * self.settings.tick
+        in_time = self.now < first.sent_at + cls.idempotency_window_ms - 2 * self.settings.tick_ms
         scope: Scope = {
-            Group.ALL: None,
-            Group.ZONE: ("zone", first.worker.zone),
-            Group.CELL: ("cell", first.worker.cell),
-        }[cls.group]
-        return free and in_time, scope, cls.group is Group.ALL and in_time
+            DeduplicationScope.ALL: None,
+            DeduplicationScope.ZONE: ("zone", first.worker.zone),
+            DeduplicationScope.CELL: ("cell", first.worker.cell),
+        }[cls.deduplication_scope]
+        return free and in_time, scope, cls.deduplication_scope is DeduplicationScope.ALL and in_time
 
     def _write_within(self, job: Job) -> float:
         """What is left of the window in which a keyed job may be repeated: a connection may come up late."""
-        if job.cls.effect is not Effect.KEYED:
+        if job.cls.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
             return 0.0
         first = job.first()
         if first is None or first.sent_at == self.now:
             return 0.0
-        return max(self.settings.tick, first.sent_at + job.cls.window - 2 * self.settings.tick - self.now)
+        return max(
+            self.settings.tick_ms,
+            first.sent_at + job.cls.idempotency_window_ms - 2 * self.settings.tick_ms - self.now,
+        )
 
     # ---- the failure probability
 
@@ -525,10 +539,10 @@
 
     # ---- jobs
 
-    def _submitted(self, event: Submitted) -> None:
+    def _submitted(self, event: JobSubmitted) -> None:
         cls = self.settings.classes[event.job_class]
-        job = self.jobs[event.job] = Job(event, cls, self.now)
-        job.unsure = UNSURE * min(1.0, self.least_worth / (cls.worth or self.least_worth))
+        job = self.jobs[event.job_id] = Job(event, cls, self.now)
+        job.unsure = UNSURE * min(1.0, self.least_worth / (cls.priority_weight or self.least_worth))
         over = self._over_share(event.tenant)
         job.unsure = UNSURE if over else job.unsure
         f = self._f()
@@ -544,13 +558,13 @@
             self._close(job)
             return
         self.waiting[job.id] = job
-        self._set_timer(job.id, job.deadline - 2 * self.settings.tick)
+        self._set_timer(job.id, job.deadline - 2 * self.settings.tick_ms)
         self._step(job)
 
     def _value(self, job: Job) -> float:
         """The job's worth for its work, beside that of the mean job served."""
-        work = 1.0 if self.settings.worth_by_work else self.means[job.number] * job.slots
-        return job.cls.worth / work / self.value if work and self.value else 1.0
+        work = 1.0 if self.settings.weight_by_work else self.means[job.number] * job.slots
+        return job.cls.priority_weight / work / self.value if work and self.value else 1.0
 
     def _over_share(self, tenant: int) -> bool:
         """Whether this job is over its tenant's share: of a tenant that sends more than this dispatcher's
@@ -558,11 +572,11 @@
         traffic: only a tenant with a larger part of the own traffic than its share is over it.
         """
         tenants = self.settings.tenants
-        if tenant >= len(tenants) or not tenants[tenant].allowance:
+        if tenant >= len(tenants) or not tenants[tenant].quota_per_s:
             return False  # none is told: nothing is beyond it
         mine, every, told = self.heard[tenant].add(self.now), self.heard_all.add(self.now), tenants[tenant]
-        allowed = told.allowance / 1000 * SHARE_MS * self._part()
-        if not self.all and mine <= UNEVEN * told.share / self.shares * every:
+        allowed = told.quota_per_s / 1000 * SHARE_MS * self._part()
+        if not self.all and mine <= UNEVEN * told.quota_share / self.shares * every:
             return False
         return mine > max(1.0, allowed) and self.rng.random() > allowed / mine
 
@@ -573,7 +587,7 @@
         outs = job.outs()
         if outs:
             self._tend(job, outs)
-        elif self.now >= job.deadline - 3 * self.settings.tick:
+        elif self.now >= job.deadline - 3 * self.settings.tick_ms:
             self._close(job)
         elif self.now >= job.resume:
             self._place(job)
@@ -595,7 +609,12 @@
             if not job.outs():
                 self._close(job)
             return
-        if job.attempts and not alone and self.now > job.came + job.cls.aim and (self._f() or 0.0) > BUSY:
+        if (
+            job.attempts
+            and not alone
+            and self.now > job.came + job.cls.latency_objective_ms
+            and (self._f() or 0.0) > BUSY
+        ):
             # Too late to be in time, and others still could be: not one more attempt in a busy fleet.
             if not job.outs():
                 self._close(job)
@@ -612,9 +631,11 @@
         job.attempts.append(attempt)
         worker.out += 1
         self.waiting.pop(job.id, None)
-        worker.idle = max(0, worker.idle - 1) if now - worker.idle_at < self.settings.limits.idle_close else 0
-        self.actions.append(Send(job.id, worker.id, write_within=self._write_within(job)))
-        if self.settings.tells_start:
+        worker.idle = (
+            max(0, worker.idle - 1) if now - worker.idle_at < self.settings.limits.idle_timeout_ms else 0
+        )
+        self.actions.append(StartAttempt(job.id, worker.id, write_within_ms=self._write_within(job)))
+        if self.settings.workers_report_start:
             worker.unstarted += 1
             self._wake(job, now + self._bound(job))
             return
@@ -632,14 +653,18 @@
         find room it is no shorter than a new connection may take, as the next attempt would need one after a
         cancel: handshakes that are counted as lack of room make a fleet look full.
         """
-        part = START_PART + START_DEAR * self.settings.prices.handshake + TURNED_PART * self._turned_away()
-        opening = (1 - (self._f() or 0.0)) * self.settings.limits.connect_timeout
-        return max(3 * self.settings.tick, part * job.cls.aim, opening) * 2.0 ** (len(job.attempts) - 1)
+        part = (
+            START_PART + START_DEAR * self.settings.costs.handshake_cost + TURNED_PART * self._turned_away()
+        )
+        opening = (1 - (self._f() or 0.0)) * self.settings.limits.connect_timeout_ms
+        return max(3 * self.settings.tick_ms, part * job.cls.latency_objective_ms, opening) * 2.0 ** (
+            len(job.attempts) - 1
+        )
 
     def _tend(self, job: Job, outs: list[Attempt]) -> None:
         """Watch the attempts that are out: those that do not start, and those that stall."""
         settings = self.settings
-        if not settings.tells_start:
+        if not settings.workers_report_start:
             return
         running = [attempt for attempt in outs if attempt.started]
         if running:
@@ -657,10 +682,10 @@
                 attempt.counted = True
                 self._no_room(attempt.worker)
                 job.failures += 1
-        if settings.limits.parallel:
+        if settings.limits.parallel_attempts:
             # The place in the queue is kept until another attempt starts.
             self._place(job)
-        elif job.cls.effect is not Effect.UNSAFE and len(job.attempts) < self._allowed(job):
+        elif job.cls.idempotency is not Idempotency.NON_IDEMPOTENT and len(job.attempts) < self._allowed(job):
             job.promised = len(job.attempts) + 1
             for attempt in outs:
                 self._cancel(job, attempt)
@@ -669,14 +694,17 @@
         """Draw a job again whose worker has fallen silent, where its class allows: a machine that vanished or
         was cut off closes no connection, and without this its jobs wait there until their deadline.
         """
-        due = max(attempt.heard_at for attempt in running) + STALLED * self.settings.progress
+        due = max(attempt.heard_at for attempt in running) + STALLED * self.settings.progress_interval_ms
         cls, limits = job.cls, self.settings.limits
         if (
-            not self.settings.progress
-            or not limits.cancel
+            not self.settings.progress_interval_ms
+            or not limits.may_cancel
             or len(job.attempts) >= limits.max_attempts
-            or (cls.effect is Effect.UNSAFE)
-            or (cls.effect is Effect.KEYED and due > job.attempts[0].sent_at + cls.window)
+            or (cls.idempotency is Idempotency.NON_IDEMPOTENT)
+            or (
+                cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+                and due > job.attempts[0].sent_at + cls.idempotency_window_ms
+            )
         ):
             return
         if self.now < due:
@@ -689,9 +717,9 @@
                 self._cancel(job, attempt)
 
     def _cancel(self, job: Job, attempt: Attempt) -> None:
-        if self.settings.limits.cancel and not attempt.cancelled:
+        if self.settings.limits.may_cancel and not attempt.cancelled:
             attempt.cancelled = True
-            self.actions.append(Cancel(job.id, job.attempts.index(attempt)))
+            self.actions.append(CancelAttempt(job.id, job.attempts.index(attempt)))
 
     def _no_room(self, worker: Worker, full: bool = False) -> None:
         """A draw found no room: it counts in f, and the worker is passed over for a while."""
@@ -705,7 +733,10 @@
 
     def _pause(self, job: Job) -> None:
         """Wait a random while that grows with the failures, then go on."""
-        mean = min(PAUSE_PART * job.cls.aim * 2.0**job.failures, LONGEST_PAUSE * job.cls.aim)
+        mean = min(
+            PAUSE_PART * job.cls.latency_objective_ms * 2.0**job.failures,
+            LONGEST_PAUSE * job.cls.latency_objective_ms,
+        )
         job.resume = self.now + mean * self.rng.uniform(0.5, 1.5)
         self._wake(job, job.resume)
 
@@ -714,11 +745,11 @@
         if self._may(job)[2]:
             # The client's aim runs on while it waits: it is asked back as soon as a longest pause is over.
             # Also where clients are not bound to it: a refusal says when to come back.
-            spread = self.rng.uniform(0.5, 1.5) if self.settings.limits.retry_after else 1.0
-            wait = LONGEST_PAUSE * job.cls.aim * spread
-            self.actions.append(Refuse(job.id, wait))
+            spread = self.rng.uniform(0.5, 1.5) if self.settings.limits.clients_honour_retry_after else 1.0
+            wait = LONGEST_PAUSE * job.cls.latency_objective_ms * spread
+            self.actions.append(RejectRequest(job.id, wait))
         else:
-            self.actions.append(Fail(job.id))
+            self.actions.append(FailRequest(job.id))
         self._over(job)
 
     def _over(self, job: Job) -> None:
@@ -734,26 +765,30 @@
 
     # ---- what comes back
 
-    def _finished(self, event: Finished) -> None:
-        job = self.jobs.get(event.job)
-        if job is None or event.attempt >= len(job.attempts) or not job.attempts[event.attempt].out:
+    def _finished(self, event: AttemptFinished) -> None:
+        job = self.jobs.get(event.job_id)
+        if (
+            job is None
+            or event.attempt_index >= len(job.attempts)
+            or not job.attempts[event.attempt_index].out
+        ):
             return
-        attempt = job.attempts[event.attempt]
+        attempt = job.attempts[event.attempt_index]
         worker = attempt.worker
         attempt.out = False
         worker.out -= 1
         attempt.unrun = event.outcome in UNRUN
         job.served = job.served or event.outcome is Outcome.OK
-        self._report(worker, event.report)
+        self._report(worker, event.load_report)
         if attempt.started:
             worker.held = max(0.0, worker.held - job.slots)
         else:
             worker.unstarted = max(0, worker.unstarted - 1)
-        if event.outcome in (Outcome.OK, Outcome.ERROR, Outcome.FULL):
+        if event.outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED):
             worker.idle, worker.idle_at = worker.idle + 1, self.now
-        if event.outcome in (Outcome.FULL, Outcome.CONNECT_FAILED):
-            if not attempt.counted or not self.settings.tells_start:
-                self._no_room(worker, event.outcome is Outcome.FULL)
+        if event.outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED):
+            if not attempt.counted or not self.settings.workers_report_start:
+                self._no_room(worker, event.outcome is Outcome.REJECTED)
             job.failures += 1
         elif event.outcome is Outcome.ERROR:
             # Guards against a worker that fails jobs fast: its connections come free at once and it drew
@@ -768,17 +803,19 @@
             # that says nothing of room, and f, which counts room alone, would allow no second attempt.
             job.broken += 1
         elif event.outcome is Outcome.OK:
-            took = self.now - attempt.news_at if attempt.started else event.elapsed
+            took = self.now - attempt.news_at if attempt.started else event.elapsed_ms
             self.means[job.number] += MEAN_SMOOTHING * (took - self.means[job.number])
             self.mean += MEAN_SMOOTHING * (took * job.slots - self.mean)
-            self.worth += MEAN_SMOOTHING * (job.cls.worth - self.worth)
-            self.value = self.worth / (1.0 if self.settings.worth_by_work else self.mean or 1.0)
+            self.worth += MEAN_SMOOTHING * (job.cls.priority_weight - self.worth)
+            self.value = self.worth / (1.0 if self.settings.weight_by_work else self.mean or 1.0)
             self._paced(job, attempt, 1.0)
             worker.failing = max(0, worker.failing - 1)  # one that fails half of its jobs stays known for it
             if not attempt.counted:
-                late = took > job.cls.aim + job.cls.stretch * (job.work or took / 2)
-                self._room(worker, late and not self.settings.tells_start)
-        if event.settled and not job.over:
+                late = took > job.cls.latency_objective_ms + job.cls.latency_objective_per_work * (
+                    job.work or took / 2
+                )
+                self._room(worker, late and not self.settings.workers_report_start)
+        if event.answered and not job.over:
             self._over(job)
         elif job.over:
             if not job.outs():
@@ -786,11 +823,11 @@
         elif not job.outs():
             self.waiting[job.id] = job
             self._pause(job)
-            if event.pushback is not None:
+            if event.pushback_ms is not None:
                 # Its worker knows better than a drawn pause when there will be room, or that there won't.
-                job.resume = max(job.resume, self.now + event.pushback)
+                job.resume = max(job.resume, self.now + event.pushback_ms)
                 worker.ejected_until = max(worker.ejected_until, job.resume)
-                if event.pushback < 0 or job.resume >= job.deadline:
+                if event.pushback_ms < 0 or job.resume >= job.deadline:
                     self._close(job)
             self._step(job)
 
@@ -814,12 +851,12 @@
         self.mine += MEAN_SMOOTHING * (worker.held - self.mine)
         self.all += MEAN_SMOOTHING * (max(worker.held, in_hand) - self.all)
 
-    def _note(self, event: Note) -> None:
-        job = self.jobs.get(event.job)
-        if job is None or event.attempt >= len(job.attempts):
+    def _note(self, event: AttemptProgressed) -> None:
+        job = self.jobs.get(event.job_id)
+        if job is None or event.attempt_index >= len(job.attempts):
             return
-        attempt = job.attempts[event.attempt]
-        if event.kind == NoteKind.STARTED and not attempt.started:
+        attempt = job.attempts[event.attempt_index]
+        if event.kind == ProgressKind.STARTED and not attempt.started:
             attempt.started = True
             attempt.news_at = attempt.heard_at = self.now
             attempt.worker.unstarted = max(0, attempt.worker.unstarted - 1)
@@ -828,14 +865,14 @@
                 self._room(attempt.worker)
             attempt.counted = True
             self._step(job)
-        elif event.kind == NoteKind.PROGRESS:
+        elif event.kind == ProgressKind.PROGRESS:
             attempt.heard_at = self.now
-            if event.done > LEAST_DONE:
-                self._paced(job, attempt, event.done)
+            if event.done_fraction > LEAST_DONE:
+                self._paced(job, attempt, event.done_fraction)
 
     def _paced(self, job: Job, attempt: Attempt, done: float) -> None:
         """Learn how fast a worker works, where jobs come with a hint of their work."""
-        if job.work and attempt.started and self.settings.tells_start:
+        if job.work and attempt.started and self.settings.workers_report_start:
             pace, worker = (self.now - attempt.news_at) / (job.work * done), attempt.worker
             old = worker.pace if self.now - worker.pace_at < PACE_AGE else pace
             worker.pace, worker.pace_at = old + 0.5 * (pace - old), self.now
@@ -846,13 +883,13 @@
         if job is not None and not job.over:
             self._over(job)
 
-    def _first_byte(self, event: FirstByte) -> None:
-        job = self.jobs.get(event.job)
-        if job is None or event.attempt >= len(job.attempts):
+    def _first_byte(self, event: ResponseStarted) -> None:
+        job = self.jobs.get(event.job_id)
+        if job is None or event.attempt_index >= len(job.attempts):
             return
         job.stream = True
         for place, attempt in enumerate(job.attempts):
-            if attempt.out and place != event.attempt:
+            if attempt.out and place != event.attempt_index:
                 self._cancel(job, attempt)
 
     # ---- timers
@@ -875,7 +912,7 @@
         if number is None:
             if self.now >= self.list_due:
                 self.list_due, self.list_asked = math.inf, self.now
-                self.actions.append(WatchList(True))
+                self.actions.append(WatchEndpoints(True))
         elif (job := self.jobs.get(number)) is not None:
             if self.now >= job.wake:
                 job.wake = math.inf
--- a/pipitshed/scheduling/events.py
+++ b/pipitshed/scheduling/events.py
@@ -11,20 +11,20 @@
 WorkerId = bytes
 
 
-class State(enum.IntEnum):
+class EndpointState(enum.IntEnum):
     """What the list says of a worker."""
 
-    GONE = 0
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
 
-class ListKind(enum.IntEnum):
+class UpdateKind(enum.IntEnum):
     """How a piece of list news is to be read."""
 
-    FULL = 0
+    SNAPSHOT = 0
     DELTA = 1
-    FAILED = 2
+    FETCH_FAILED = 2
     CACHED = 3
 
 
@@ -33,15 +33,15 @@
 
     OK = 1
     ERROR = 2
-    FULL = 3
+    REJECTED = 3
     TIMEOUT = 4
     CONNECT_FAILED = 5
     RESET = 6
     CANCELLED = 7
-    MOOT = 8
+    SUPERSEDED = 8
 
 
-class NoteKind(enum.IntEnum):
+class ProgressKind(enum.IntEnum):
     """News of an attempt that is still out."""
 
     STARTED = 1
@@ -49,108 +49,108 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class EndpointEntry:
     """One line of the worker list."""
 
     worker: WorkerId
     zone: int = 0
     cell: int = 0
-    kind: int = 0
+    worker_kind: int = 0
     weight: float = 1.0
-    started_at: float = 0.0
-    state: State = State.READY
-    classes: frozenset[int] | None = None  # the classes it runs; None for all
+    started_at_ms: float = 0.0
+    state: EndpointState = EndpointState.READY
+    job_classes: frozenset[int] | None = None  # the classes it runs; None for all
     interface: int = 1  # what it speaks
-    planned: tuple[float, ...] | None = None  # by class, a plan's weights in place of the list's
+    planned_weights: tuple[float, ...] | None = None  # by class, a plan's weights in place of the list's
 
 
 @dataclass(frozen=True, slots=True)
-class ListNews:
+class EndpointsUpdated:
     """News of the worker list."""
 
-    kind: ListKind
+    kind: UpdateKind
     version: int = 0
-    entries: tuple[Entry, ...] = ()
+    entries: tuple[EndpointEntry, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class ListMoved:
+class DiscoveryMoved:
     """The worker list is served elsewhere from now on; a watch at the old place tells no more."""
 
 
 @dataclass(frozen=True, slots=True)
-class LinkLost:
+class ConnectionLost:
     """A connection that an attempt's OK, ERROR or FULL had left free has closed."""
 
     worker: WorkerId
 
 
 @dataclass(frozen=True, slots=True)
-class Submitted:
+class JobSubmitted:
     """A client's job has come in."""
 
-    job: int
-    time_left: float
+    job_id: int
+    remaining_ms: float
     job_class: int = 0
     tenant: int = 0
     slots: float = 1.0
     memory: float = 0.0
     work: float | None = None
-    key: int = 0
-    repeat: bool = False
-    fits: frozenset[int] | None = None  # the interfaces that can express it; None for all
+    affinity_key: int = 0
+    is_retry: bool = False
+    compatible_interfaces: frozenset[int] | None = None  # the interfaces that can express it; None for all
 
 
 @dataclass(frozen=True, slots=True)
-class FirstByte:
+class ResponseStarted:
     """A streamed answer has begun; the attempt now belongs to the client."""
 
-    job: int
-    attempt: int
+    job_id: int
+    attempt_index: int
     worker: WorkerId
-    elapsed: float
+    elapsed_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class AttemptProgressed:
     """News of an attempt that is still out; `done` is the share done, for progress."""
 
-    job: int
-    attempt: int
+    job_id: int
+    attempt_index: int
     worker: WorkerId
     kind: int
-    done: float = 0.0
+    done_fraction: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeFinished:
     """The result of one probe."""
 
     worker: WorkerId
-    elapsed: float
+    elapsed_ms: float
     outcome: Outcome
-    report: tuple[float, ...] = ()
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Finished:
+class AttemptFinished:
     """The end of an attempt; `settled` when the job itself is over."""
 
-    job: int
-    attempt: int
+    job_id: int
+    attempt_index: int
     worker: WorkerId
     outcome: Outcome
-    elapsed: float
-    settled: bool
-    report: tuple[float, ...] = ()
-    pushback: float | None = None  # the worker asks to wait so long; negative: not to try again
+    elapsed_ms: float
+    answered: bool
+    load_report: tuple[float, ...] = ()
+    pushback_ms: float | None = None  # the worker asks to wait so long; negative: not to try again
 
 
 @dataclass(frozen=True, slots=True)
-class Withdrawn:
+class JobWithdrawn:
     """The client has gone; nothing more is owed to it."""
 
-    job: int
+    job_id: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -161,7 +161,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerMessage:
+class PeerMessageReceived:
     """Bytes from another dispatcher."""
 
     sender: int
@@ -169,15 +169,15 @@
 
 
 Event = (
-    ListNews
-    | ListMoved
-    | LinkLost
-    | Submitted
-    | FirstByte
-    | Note
-    | Probed
-    | Finished
-    | Withdrawn
+    EndpointsUpdated
+    | DiscoveryMoved
+    | ConnectionLost
+    | JobSubmitted
+    | ResponseStarted
+    | AttemptProgressed
+    | ProbeFinished
+    | AttemptFinished
+    | JobWithdrawn
     | TimerFired
-    | PeerMessage
+    | PeerMessageReceived
 )
--- a/pipitshed/scheduling/settings.py
+++ b/pipitshed/scheduling/settings.py
@@ -9,15 +9,15 @@
 from dataclasses import dataclass, field
 
 
-class Effect(enum.Enum):
+class Idempotency(enum.Enum):
     """What running a job twice would do."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"
+    IDEMPOTENT_WITH_KEY = "keyed"
+    NON_IDEMPOTENT = "unsafe"
 
 
-class Group(enum.Enum):
+class DeduplicationScope(enum.Enum):
     """The workers among which repeats of a keyed job are dropped."""
 
     ALL = "all"
@@ -25,7 +25,7 @@
     CELL = "cell"
 
 
-class Weights(enum.Enum):
+class WeightKind(enum.Enum):
     """The meaning of a listed worker's weight."""
 
     NONE = "none"
@@ -38,16 +38,16 @@
 class JobClass:
     """One class of jobs; `kind` is the only kind of worker that runs it, or None."""
 
-    aim: float
-    deadline: float
-    worth: float = 1.0
-    late_worth: float = 0.0
-    stretch: float = 0.0
-    effect: Effect = Effect.UNSAFE
-    group: Group = Group.ALL
-    window: float = 0.0
+    latency_objective_ms: float
+    deadline_ms: float
+    priority_weight: float = 1.0
+    late_weight: float = 0.0
+    latency_objective_per_work: float = 0.0
+    idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    idempotency_window_ms: float = 0.0
     stream: bool = False
-    kind: int | None = None
+    worker_kind: int | None = None
     priority: int = 0
 
 
@@ -55,47 +55,47 @@
 class Tenant:
     """A tenant's share and its allowance in jobs a second over all dispatchers (0: unlimited)."""
 
-    share: float = 1.0
-    allowance: float = 0.0
+    quota_share: float = 1.0
+    quota_per_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Prices:
+class Costs:
     """What is taken off the result, in parts of the worth asked for."""
 
-    cross_zone: float = 0.0
-    waste: float = 0.0
-    probe: float = 0.0
-    connection: float = 0.0
-    handshake: float = 0.0
-    late_fail: float = 0.0
+    cross_zone_cost: float = 0.0
+    wasted_work_cost: float = 0.0
+    probe_cost: float = 0.0
+    connection_cost: float = 0.0
+    handshake_cost: float = 0.0
+    late_failure_cost: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
     """What the deployment permits."""
 
-    cancel: bool = False
-    probes: bool = False
-    parallel: bool = False
-    retry_after: bool = False
+    may_cancel: bool = False
+    may_probe: bool = False
+    parallel_attempts: bool = False
+    clients_honour_retry_after: bool = False
     max_attempts: int = 1
-    max_retry_after: float = 0.0
-    connect_timeout: float = 250.0
-    idle_close: float = 15000.0
+    max_retry_after_ms: float = 0.0
+    connect_timeout_ms: float = 250.0
+    idle_timeout_ms: float = 15000.0
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class Guarantees:
     """The figures of the four rules."""
 
-    answer_slack: float = 0.0
-    drain_grace: float = 0.0
-    cold: float = 0.0
-    cold_from: float = 1.0
-    fall_multiple: float = 1.0
-    fall_for: float = 1000.0
-    ask_within: float = 10000.0
+    answer_slack_ms: float = 0.0
+    drain_grace_ms: float = 0.0
+    slow_start_ms: float = 0.0
+    initial_capacity_fraction: float = 1.0
+    overload_multiple: float = 1.0
+    overload_window_ms: float = 1000.0
+    poll_deadline_ms: float = 10000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,17 +104,19 @@
 
     classes: tuple[JobClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    prices: Prices = field(default_factory=Prices)
+    costs: Costs = field(default_factory=Costs)
     limits: Limits = field(default_factory=Limits)
-    rules: Rules = field(default_factory=Rules)
-    weights: Weights = Weights.NONE
-    zone: int = 0
-    zones: int = 1
-    siblings: int = 1
-    tick: float = 1.0
-    list_on_request: bool = False
-    list_pushed: bool = False  # asked for on sockets alone, of an agent whose news counts as told at once
-    tells_start: bool = False
-    progress: float = 0.0
+    guarantees: Guarantees = field(default_factory=Guarantees)
+    weight_kind: WeightKind = WeightKind.NONE
+    own_zone: int = 0
+    zone_count: int = 1
+    scheduler_count: int = 1
+    tick_ms: float = 1.0
+    endpoints_polled: bool = False
+    endpoints_pushed: bool = (
+        False  # asked for on sockets alone, of an agent whose news counts as told at once
+    )
+    workers_report_start: bool = False
+    progress_interval_ms: float = 0.0
     report_fields: tuple[str, ...] = ()
-    worth_by_work: bool = False
+    weight_by_work: bool = False
--- a/pipitshed/server/server.py
+++ b/pipitshed/server/server.py
@@ -174,9 +174,9 @@
             if translator is not None and form is None:
                 form = translator.clients.gearman
             functions[name] = Function(
-                number, known, min(patience, config.settings.classes[number].deadline), tenant, form
+                number, known, min(patience, config.settings.classes[number].deadline_ms), tenant, form
             )
-        zone = zones.place(front.workers.zone) if front.workers.zone else config.settings.zone
+        zone = zones.place(front.workers.zone) if front.workers.zone else config.settings.own_zone
         place = Place(zone, front.workers.cell, kinds.place(front.workers.kind), front.workers.weight)
         carrier = GearmanCarrier(
             self.core, {name: one.job_class for name, one in functions.items()}, place, BODY_LIMIT, self._loop
@@ -198,9 +198,14 @@
         from pipitshed.discovery.placement_plan import FollowedPlan
 
         assert front.plan is not None
-        zone = config.zones[config.settings.zone] if config.zones else ""
+        zone = config.zones[config.settings.own_zone] if config.zones else ""
         return FollowedPlan(
-            front.plan, zone, self._names, config.settings.rules.cold, self.core.routes, self._loop
+            front.plan,
+            zone,
+            self._names,
+            config.settings.guarantees.slow_start_ms,
+            self.core.routes,
+            self._loop,
         )
 
     def _fleet(self, config: Config, front: Front, peers: Peers) -> Fleet:
@@ -208,7 +213,7 @@
         from pipitshed.cluster.node import Fleet
         from pipitshed.cluster.settings import Tuned
 
-        zone = config.zones[config.settings.zone] if config.zones else ""
+        zone = config.zones[config.settings.own_zone] if config.zones else ""
         # Gearman's functions and workers know the classes by the numbers of the start.
         fixed = frozenset(name for name, *_ in front.functions.values()) if front.listen else frozenset()
         tuned = Tuned(
@@ -219,8 +224,8 @@
         return Fleet(peers, zone, self._loop, tuned)
 
     def _hurry(self, config: Config) -> None:
-        if self.discovery is not None and config.settings.list_pushed:
-            self.discovery.hurry(config.settings.rules.drain_grace / 1000)
+        if self.discovery is not None and config.settings.endpoints_pushed:
+            self.discovery.hurry(config.settings.guarantees.drain_grace_ms / 1000)
 
     async def run(self) -> None:
         """Serve until SIGTERM or SIGINT, and then until all that was taken is answered."""
@@ -274,11 +279,11 @@
         told = config.settings
         # Guards against a file that tells zones, kinds or report fields in another order: planners that are
         # listed keep the places that the names had first, and reports come by the new names.
-        zone = self._zones.place(config.zones[told.zone]) if config.zones else told.zone
+        zone = self._zones.place(config.zones[told.own_zone]) if config.zones else told.own_zone
         classes = [
             cls
-            if cls.kind is None or cls.kind >= len(config.kinds)
-            else replace(cls, kind=self._kinds.place(config.kinds[cls.kind]))
+            if cls.worker_kind is None or cls.worker_kind >= len(config.kinds)
+            else replace(cls, worker_kind=self._kinds.place(config.kinds[cls.worker_kind]))
             for cls in told.classes
         ]
         self.book, change = self.book.retune(config.classes, classes, now)
@@ -286,7 +291,7 @@
         self._names[:] = self.book.names
         if self.plan is not None and more:
             self.plan.weigh()
-        settings = replace(told, classes=self.book.classes, zone=zone)
+        settings = replace(told, classes=self.book.classes, own_zone=zone)
         self.core.retune(settings)
         self.carrier.retune(settings.limits, config.fields)
         self.front.reading.retune(self.book.taken(now), config.tenants)
@@ -314,7 +319,7 @@
             return
         self._draining = True
         log.info("ending: no longer ready; all that was taken is answered first")
-        longest = max(cls.deadline for cls in self.core.settings.classes) / 1000
+        longest = max(cls.deadline_ms for cls in self.core.settings.classes) / 1000
         self._end_by = self._loop.time() + LISTEN_ON + longest + LONGEST_END
         self._loop.call_later(LISTEN_ON, self._close_doors)
         # Guards against a roll in which nobody is left to go to: clients sent away at once find the peer that
@@ -327,7 +332,7 @@
         """The time after SIGTERM (s) by which all that came late is answered. Guards against the figure of a
         deployment with long deadlines in one where they are short, and SIGKILL comes sooner.
         """
-        longest = max(cls.deadline for cls in self.core.settings.classes) / 1000
+        longest = max(cls.deadline_ms for cls in self.core.settings.classes) / 1000
         return min(longest, LONGEST_COUNTED) + KILLED_AFTER - BEFORE_KILL
 
     def _close_doors(self) -> None:
--- a/pipitshed/simulator/wire.py
+++ b/pipitshed/simulator/wire.py
@@ -108,45 +108,45 @@
     return Born(seed, settings_from_json(read.raw(length)))
 
 
-def _mail(read: _Reader) -> events.PeerMessage:
+def _mail(read: _Reader) -> events.PeerMessageReceived:
     sender, length = read.fields(_MAIL)
-    return events.PeerMessage(sender, read.raw(length))
+    return events.PeerMessageReceived(sender, read.raw(length))
 
 
-def _note(read: _Reader) -> events.Note:
+def _note(read: _Reader) -> events.AttemptProgressed:
     job, done, worker, kind, attempt = read.fields(_NOTE)
-    return events.Note(job, attempt, worker, kind, _number(done, "progress"))
+    return events.AttemptProgressed(job, attempt, worker, kind, _number(done, "progress"))
 
 
-def _probed(read: _Reader) -> events.Probed:
+def _probed(read: _Reader) -> events.ProbeFinished:
     worker, elapsed, outcome, count = read.fields(_PROBED)
-    return events.Probed(
+    return events.ProbeFinished(
         worker, _number(elapsed, "elapsed"), _enum(events.Outcome, outcome, "outcome"), read.report(count)
     )
 
 
-def _list_news(read: _Reader) -> events.ListNews:
+def _list_news(read: _Reader) -> events.EndpointsUpdated:
     kind, version, count = read.fields(_LIST)
     body = read.raw(_ENTRY.size * count)
     entries = []
     for cell, started, machine, worker, weight, state, zone in _ENTRY.iter_unpack(body):
         entries.append(
-            events.Entry(
+            events.EndpointEntry(
                 worker,
                 zone,
                 cell,
                 machine,
                 _number(weight, "units"),
                 _number(started, "startedAt"),
-                _enum(events.State, state, "worker state"),
+                _enum(events.EndpointState, state, "worker state"),
             )
         )
-    return events.ListNews(_enum(events.ListKind, kind, "list mode"), version, tuple(entries))
+    return events.EndpointsUpdated(_enum(events.UpdateKind, kind, "list mode"), version, tuple(entries))
 
 
-def _submitted(read: _Reader) -> events.Submitted:
+def _submitted(read: _Reader) -> events.JobSubmitted:
     job, left, job_class, memory, hint, key, bits, tenant, slots = read.fields(_SUBMIT)
-    return events.Submitted(
+    return events.JobSubmitted(
         job,
         _number(left, "patienceLeft"),
         job_class,
@@ -159,9 +159,9 @@
     )
 
 
-def _finished(read: _Reader) -> events.Finished:
+def _finished(read: _Reader) -> events.AttemptFinished:
     job, attempt, worker, outcome, elapsed, settled, _note_of_family, count = read.fields(_FINISHED)
-    return events.Finished(
+    return events.AttemptFinished(
         job,
         attempt,
         worker,
@@ -172,9 +172,9 @@
     )
 
 
-def _first_byte(read: _Reader) -> events.FirstByte:
+def _first_byte(read: _Reader) -> events.ResponseStarted:
     job, attempt, worker, elapsed = read.fields(_FIRST)
-    return events.FirstByte(job, attempt, worker, _number(elapsed, "elapsed"))
+    return events.ResponseStarted(job, attempt, worker, _number(elapsed, "elapsed"))
 
 
 _EVENTS: dict[int, Callable[[_Reader], WireEvent]] = {
@@ -184,7 +184,7 @@
     4: _mail,
     5: _note,
     6: _probed,
-    7: lambda read: events.Withdrawn(read.fields(_TOKEN)[0]),
+    7: lambda read: events.JobWithdrawn(read.fields(_TOKEN)[0]),
     8: _list_news,
     9: _submitted,
     10: _finished,
@@ -220,19 +220,19 @@
 _EVERY_PEER = 0xFFFF
 
 _ACTIONS: dict[type, Callable[[int, Any], bytes]] = {
-    actions.Send: lambda i, a: _SEND.pack(65, i, a.job, a.worker, a.timeout),
-    actions.Refuse: lambda i, a: _REFUSE.pack(66, i, a.job, a.retry_after),
-    actions.Fail: lambda i, a: _FAIL.pack(67, i, a.job),
-    actions.Cancel: lambda i, a: _CANCEL.pack(68, i, a.job, a.attempt),
-    actions.SetTimer: lambda i, a: _REFUSE.pack(69, i, a.token, min(max(a.delay, 0.0), _MAX_DELAY_MS)),
-    actions.Probe: lambda i, a: _WORKER.pack(70, i, a.worker),
-    actions.CloseIdle: lambda i, a: _WORKER.pack(71, i, a.worker),
-    actions.TellPeer: lambda i, a: (
+    actions.StartAttempt: lambda i, a: _SEND.pack(65, i, a.job_id, a.worker, a.timeout_ms),
+    actions.RejectRequest: lambda i, a: _REFUSE.pack(66, i, a.job_id, a.retry_after_ms),
+    actions.FailRequest: lambda i, a: _FAIL.pack(67, i, a.job_id),
+    actions.CancelAttempt: lambda i, a: _CANCEL.pack(68, i, a.job_id, a.attempt_index),
+    actions.SetTimer: lambda i, a: _REFUSE.pack(69, i, a.token, min(max(a.delay_ms, 0.0), _MAX_DELAY_MS)),
+    actions.ProbeWorker: lambda i, a: _WORKER.pack(70, i, a.worker),
+    actions.CloseIdleConnections: lambda i, a: _WORKER.pack(71, i, a.worker),
+    actions.SendPeerMessage: lambda i, a: (
         _TELL.pack(72, i, _EVERY_PEER if a.recipient is None else a.recipient, len(a.data)) + a.data
     ),
-    actions.Log: lambda i, a: encode_text(73, i, a.text),
-    actions.WatchList: lambda i, a: _WATCH.pack(75, i, a.on),
-    actions.FetchList: lambda i, a: _HEAD.pack(76, i),
+    actions.LogLine: lambda i, a: encode_text(73, i, a.text),
+    actions.WatchEndpoints: lambda i, a: _WATCH.pack(75, i, a.enabled),
+    actions.FetchEndpoints: lambda i, a: _HEAD.pack(76, i),
 }
 
 
--- a/pipitshed/upstream/gearman.py
+++ b/pipitshed/upstream/gearman.py
@@ -10,7 +10,7 @@
 from pipitshed.protocols.gearman import Kind, PacketError, pack
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Attempt, Endpoint
-from pipitshed.scheduling.events import Entry, ListKind, NoteKind, Outcome, State
+from pipitshed.scheduling.events import EndpointEntry, EndpointState, Outcome, ProgressKind, UpdateKind
 
 SOURCE = "gearman workers"
 _GRABS = {
@@ -126,7 +126,7 @@
         core.written(attempt)
         if limit := self.abilities.get(function, 0.0):
             self.carrier.loop.call_later(limit, core.give_up, attempt)
-        core.attempt_noted(attempt, NoteKind.STARTED)
+        core.attempt_noted(attempt, ProgressKind.STARTED)
 
     def _work(self, kind: Kind, arguments: list[bytes]) -> None:
         """News of a job, or its end. What comes for a job that is over here is passed over."""
@@ -137,7 +137,7 @@
         core = self.carrier.core
         if kind is Kind.WORK_STATUS:
             done, whole = (_count(argument) for argument in arguments[1:])
-            core.attempt_noted(attempt, NoteKind.PROGRESS, min(1.0, done / whole) if whole else 0.0)
+            core.attempt_noted(attempt, ProgressKind.PROGRESS, min(1.0, done / whole) if whole else 0.0)
             return
         if kind is Kind.WORK_DATA:
             held = self.data.get(handle, b"") + arguments[1]
@@ -231,18 +231,22 @@
         its connection ends; attempts that wait for what it no longer does never ran.
         """
         can = frozenset(self.classes[name] for name in worker.abilities if name in self.classes)
-        state = State.GONE if worker.gone else State.READY if can else State.DRAINING
+        state = (
+            EndpointState.REMOVED if worker.gone else EndpointState.READY if can else EndpointState.DRAINING
+        )
         if worker.gone:
             self.workers.pop(worker, None)
         if can or worker.listed:
             worker.listed = True
             place = self.place
-            entry = Entry(worker.target.id, place.zone, place.cell, place.kind, place.weight, 0.0, state, can)
-            self.core.routes.fill(SOURCE, ListKind.DELTA, 0, [(entry, worker.target)])
+            entry = EndpointEntry(
+                worker.target.id, place.zone, place.cell, place.kind, place.weight, 0.0, state, can
+            )
+            self.core.routes.fill(SOURCE, UpdateKind.DELTA, 0, [(entry, worker.target)])
         if not worker.gone:
             for attempt in [attempt for attempt in worker.waiting if self.function(attempt, worker) is None]:
                 worker.waiting.remove(attempt)
-                self.core.attempt_ended(attempt, Outcome.FULL)
+                self.core.attempt_ended(attempt, Outcome.REJECTED)
 
     # ---- what the core asks
 
@@ -252,7 +256,7 @@
         if worker.gone:
             self.core.attempt_ended(attempt, Outcome.CONNECT_FAILED)
         elif self.function(attempt, worker) is None:
-            self.core.attempt_ended(attempt, Outcome.FULL)
+            self.core.attempt_ended(attempt, Outcome.REJECTED)
         else:
             worker.add(attempt)
 
--- a/pipitshed/upstream/grpc.py
+++ b/pipitshed/upstream/grpc.py
@@ -69,8 +69,8 @@
         self.on_wrong_interface: Callable[[Endpoint], None] = lambda target: None
         self.on_drain: Callable[[Endpoint], None] = lambda target: core.routes.hold(target.id)
         limits = core.settings.limits
-        self.connect_timeout = limits.connect_timeout / 1000
-        self.idle_for = limits.idle_close / 1000 * (1 - IDLE_SPARE)
+        self.connect_timeout = limits.connect_timeout_ms / 1000
+        self.idle_for = limits.idle_timeout_ms / 1000 * (1 - IDLE_SPARE)
         self.probes = 0
         self._connections: dict[Address, Connection] = {}  # those that take new streams
         self._all: set[Connection] = set()
--- a/pipitshed/upstream/grpc_connection.py
+++ b/pipitshed/upstream/grpc_connection.py
@@ -21,7 +21,7 @@
 from pipitshed.protocols.grpc import MESSAGE_LIMIT, BadMessageError, Http2, frame, messages
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Attempt, Endpoint
-from pipitshed.scheduling.events import NoteKind, Outcome
+from pipitshed.scheduling.events import Outcome, ProgressKind
 from pipitshed.upstream.grpc_outcomes import by_status, pushback_of
 from pipitshed.worker_api import planner_pb2
 
@@ -325,7 +325,7 @@
             if stream is not None:
                 self._count_control()
                 # Proof that it never ran: the planner refused the stream, or had not got the whole request.
-                unrun = Outcome.FULL if event.error_code == _REFUSED else Outcome.CONNECT_FAILED
+                unrun = Outcome.REJECTED if event.error_code == _REFUSED else Outcome.CONNECT_FAILED
                 known = event.error_code == _REFUSED or not stream.written
                 self._finish(stream, unrun if known else Outcome.RESET, ended=True)
         elif isinstance(event, h2.events.RemoteSettingsChanged):
@@ -381,9 +381,9 @@
     def _event(self, stream: Stream, event: planner_pb2.RunEvent) -> None:
         kind, core = event.WhichOneof("event"), self.owner.core
         if kind == "started":
-            core.attempt_noted(stream.attempt, NoteKind.STARTED)
+            core.attempt_noted(stream.attempt, ProgressKind.STARTED)
         elif kind == "running":
-            core.attempt_noted(stream.attempt, NoteKind.PROGRESS, min(1.0, max(0.0, event.running.share)))
+            core.attempt_noted(stream.attempt, ProgressKind.PROGRESS, min(1.0, max(0.0, event.running.share)))
         elif kind == "done":
             stream.verdict = Outcome.OK
             self._report(stream, Outcome.OK, event.done.SerializeToString())
@@ -391,7 +391,7 @@
             stream.verdict = Outcome.ERROR
             stream.result = f"{event.failed.code}: {event.failed.text}".encode()
         elif kind == "returned":
-            stream.verdict = Outcome.FULL
+            stream.verdict = Outcome.REJECTED
         if stream.verdict is not None:
             # The status behind it may ask to wait; and a stream that is never ended holds no place for long.
             stream.timer = self.owner.loop.call_later(LINGER, self._lingered, stream)
@@ -427,7 +427,7 @@
         self, stream: Stream, outcome: Outcome, result: bytes = b"", pushback: float | None = None
     ) -> None:
         if not stream.attempt.over:
-            if outcome in (Outcome.OK, Outcome.ERROR, Outcome.FULL) and not self.over:
+            if outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED) and not self.over:
                 self.left += 1
             self.owner.core.attempt_ended(stream.attempt, outcome, result, (), pushback)
 
--- a/pipitshed/upstream/grpc_outcomes.py
+++ b/pipitshed/upstream/grpc_outcomes.py
@@ -16,7 +16,7 @@
     if code == Status.OK:
         return Outcome.RESET, False  # it ended without an event that ends the job
     if headers.get(b"x-not-run") == b"1" and not heard:
-        return Outcome.FULL, False
+        return Outcome.REJECTED, False
     if code == Status.UNIMPLEMENTED and not heard:
         return Outcome.CONNECT_FAILED, True
     if code == Status.DEADLINE_EXCEEDED:
--- a/pipitshed/upstream/http.py
+++ b/pipitshed/upstream/http.py
@@ -12,8 +12,8 @@
 from pipitshed.protocols.http import BODY_LIMIT, BadAnswerError, Reader
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Attempt, Endpoint
-from pipitshed.scheduling.events import NoteKind, Outcome
-from pipitshed.scheduling.settings import Effect, Limits
+from pipitshed.scheduling.events import Outcome, ProgressKind
+from pipitshed.scheduling.settings import Idempotency, Limits
 
 PROBE_TIMEOUT = 0.5  # s
 IDLE_SPARE = 0.1  # part of the planner's idle time by which a connection is closed ahead of it
@@ -37,7 +37,7 @@
 
 
 _decode_line = msgspec.json.Decoder(_Line).decode
-_ENDS = {"done": Outcome.OK, "failed": Outcome.ERROR, "returned": Outcome.FULL, "lost": Outcome.RESET}
+_ENDS = {"done": Outcome.OK, "failed": Outcome.ERROR, "returned": Outcome.REJECTED, "lost": Outcome.RESET}
 
 
 def _header_text(text: str) -> str:
@@ -209,9 +209,9 @@
         if line.id != attempt.exchange.request.id:
             raise BadAnswerError("a line is not for this request")  # never serve what was made for another
         if line.state == "started":
-            self._carrier.core.attempt_noted(attempt, NoteKind.STARTED)
+            self._carrier.core.attempt_noted(attempt, ProgressKind.STARTED)
         elif line.state == "running":
-            self._carrier.core.attempt_noted(attempt, NoteKind.PROGRESS, line.share)
+            self._carrier.core.attempt_noted(attempt, ProgressKind.PROGRESS, line.share)
         elif line.state in _ENDS:
             self._end(_ENDS[line.state], line.result.encode(), report_of(line.load, self._carrier.fields))
 
@@ -232,9 +232,9 @@
             late = (
                 self.attempt is not None
                 and self._carrier.loop.time() < self.rested
-                and (self._carrier.effect(self.attempt) is not Effect.SAFE)
+                and (self._carrier.effect(self.attempt) is not Idempotency.IDEMPOTENT)
             )
-            self._end(Outcome.RESET if late else Outcome.FULL, b"", report)
+            self._end(Outcome.RESET if late else Outcome.REJECTED, b"", report)
         elif self.probed is not None and self._status == 200:
             body = read_load(self._reader.buffer.take_all(), self._carrier.fields)
             self._end(Outcome.OK, b"", body or report)
@@ -258,7 +258,7 @@
         self._told = True
         core = self._carrier.core
         if self.attempt is not None:
-            if outcome in (Outcome.OK, Outcome.ERROR, Outcome.FULL):
+            if outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED):
                 self.left = self.attempt.target
             core.attempt_ended(self.attempt, outcome, result, report)
         elif self.probed is not None:
@@ -288,14 +288,14 @@
         self._idle: dict[Address, list[_Connection]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         limits = core.settings.limits
-        self._connect_timeout = limits.connect_timeout / 1000
-        self._idle_for = limits.idle_close / 1000 * (1 - IDLE_SPARE)
+        self._connect_timeout = limits.connect_timeout_ms / 1000
+        self._idle_for = limits.idle_timeout_ms / 1000 * (1 - IDLE_SPARE)
 
     def retune(self, limits: Limits, fields: Sequence[str]) -> None:
         """Limits and report fields anew: what stands idle is closed by the new time where that is sooner."""
         self.fields = fields
-        self._connect_timeout = limits.connect_timeout / 1000
-        idle_for, self._idle_for = self._idle_for, limits.idle_close / 1000 * (1 - IDLE_SPARE)
+        self._connect_timeout = limits.connect_timeout_ms / 1000
+        idle_for, self._idle_for = self._idle_for, limits.idle_timeout_ms / 1000 * (1 - IDLE_SPARE)
         if self._idle_for >= idle_for:
             return
         for connections in self._idle.values():
@@ -315,9 +315,9 @@
             self.core.tally["connections"] += 1
             self._start(self._connect_for_attempt(attempt))
 
-    def effect(self, attempt: Attempt) -> Effect:
+    def effect(self, attempt: Attempt) -> Idempotency:
         """What the attempt's class allows where a job may have run."""
-        return self.core.settings.classes[attempt.exchange.request.job_class].effect
+        return self.core.settings.classes[attempt.exchange.request.job_class].idempotency
 
     def drop(self, attempt: Attempt) -> bool:
         connection = attempt.link
--- a/tests/equivalence/names.py
+++ b/tests/equivalence/names.py
@@ -28,21 +28,26 @@
     fields: dict[str, str]
 
 
-def _same(current: type, *fields: str) -> Renamed:
-    return Renamed(current, {name: name for name in fields})
-
-
 ENUMS: dict[str, tuple[type[enum.Enum], dict[str, str]]] = {
     "Outcome": (
         events.Outcome,
         {
-            name: name
-            for name in ("OK", "ERROR", "FULL", "TIMEOUT", "CONNECT_FAILED", "RESET", "CANCELLED", "MOOT")
+            "OK": "OK",
+            "ERROR": "ERROR",
+            "FULL": "REJECTED",
+            "TIMEOUT": "TIMEOUT",
+            "CONNECT_FAILED": "CONNECT_FAILED",
+            "RESET": "RESET",
+            "CANCELLED": "CANCELLED",
+            "MOOT": "SUPERSEDED",
         },
     ),
-    "ListKind": (events.ListKind, {name: name for name in ("FULL", "DELTA", "FAILED", "CACHED")}),
-    "State": (events.State, {name: name for name in ("GONE", "READY", "DRAINING")}),
-    "NoteKind": (events.NoteKind, {name: name for name in ("STARTED", "PROGRESS")}),
+    "ListKind": (
+        events.UpdateKind,
+        {"FULL": "SNAPSHOT", "DELTA": "DELTA", "FAILED": "FETCH_FAILED", "CACHED": "CACHED"},
+    ),
+    "State": (events.EndpointState, {"GONE": "REMOVED", "READY": "READY", "DRAINING": "DRAINING"}),
+    "NoteKind": (events.ProgressKind, {"STARTED": "STARTED", "PROGRESS": "PROGRESS"}),
 }
 
 # Fields whose recorded value is the name of an enum's member.
@@ -54,52 +59,84 @@
 }
 
 EVENTS: dict[str, Renamed] = {
-    "Entry": _same(
-        events.Entry,
-        "worker",
-        "zone",
-        "cell",
-        "kind",
-        "weight",
-        "started_at",
-        "state",
-        "classes",
-        "interface",
-        "planned",
+    "ListNews": Renamed(
+        events.EndpointsUpdated, {"kind": "kind", "version": "version", "entries": "entries"}
+    ),
+    "ListMoved": Renamed(events.DiscoveryMoved, {}),
+    "LinkLost": Renamed(events.ConnectionLost, {"worker": "worker"}),
+    "Submitted": Renamed(
+        events.JobSubmitted,
+        {
+            "job": "job_id",
+            "time_left": "remaining_ms",
+            "job_class": "job_class",
+            "tenant": "tenant",
+            "slots": "slots",
+            "memory": "memory",
+            "work": "work",
+            "key": "affinity_key",
+            "repeat": "is_retry",
+            "fits": "compatible_interfaces",
+        },
+    ),
+    "FirstByte": Renamed(
+        events.ResponseStarted,
+        {"job": "job_id", "attempt": "attempt_index", "worker": "worker", "elapsed": "elapsed_ms"},
+    ),
+    "Note": Renamed(
+        events.AttemptProgressed,
+        {
+            "job": "job_id",
+            "attempt": "attempt_index",
+            "worker": "worker",
+            "kind": "kind",
+            "done": "done_fraction",
+        },
     ),
-    "ListNews": _same(events.ListNews, "kind", "version", "entries"),
-    "ListMoved": _same(events.ListMoved),
-    "LinkLost": _same(events.LinkLost, "worker"),
-    "Submitted": _same(
-        events.Submitted,
-        "job",
-        "time_left",
-        "job_class",
-        "tenant",
-        "slots",
-        "memory",
-        "work",
-        "key",
-        "repeat",
-        "fits",
+    "Finished": Renamed(
+        events.AttemptFinished,
+        {
+            "job": "job_id",
+            "attempt": "attempt_index",
+            "worker": "worker",
+            "outcome": "outcome",
+            "elapsed": "elapsed_ms",
+            "settled": "answered",
+            "report": "load_report",
+            "pushback": "pushback_ms",
+        },
     ),
-    "FirstByte": _same(events.FirstByte, "job", "attempt", "worker", "elapsed"),
-    "Note": _same(events.Note, "job", "attempt", "worker", "kind", "done"),
-    "Finished": _same(
-        events.Finished, "job", "attempt", "worker", "outcome", "elapsed", "settled", "report", "pushback"
+    "Withdrawn": Renamed(events.JobWithdrawn, {"job": "job_id"}),
+    "TimerFired": Renamed(events.TimerFired, {"token": "token"}),
+    "Entry": Renamed(
+        events.EndpointEntry,
+        {
+            "worker": "worker",
+            "zone": "zone",
+            "cell": "cell",
+            "kind": "worker_kind",
+            "weight": "weight",
+            "started_at": "started_at_ms",
+            "state": "state",
+            "classes": "job_classes",
+            "interface": "interface",
+            "planned": "planned_weights",
+        },
     ),
-    "Withdrawn": _same(events.Withdrawn, "job"),
-    "TimerFired": _same(events.TimerFired, "token"),
 }
 
 ACTIONS: dict[str, Renamed] = {
-    "Send": _same(actions.Send, "job", "worker", "timeout", "write_within"),
-    "Refuse": _same(actions.Refuse, "job", "retry_after"),
-    "Fail": _same(actions.Fail, "job"),
-    "Cancel": _same(actions.Cancel, "job", "attempt"),
-    "SetTimer": _same(actions.SetTimer, "token", "delay"),
-    "WatchList": _same(actions.WatchList, "on"),
+    "Send": Renamed(
+        actions.StartAttempt,
+        {"job": "job_id", "worker": "worker", "timeout": "timeout_ms", "write_within": "write_within_ms"},
+    ),
+    "Refuse": Renamed(actions.RejectRequest, {"job": "job_id", "retry_after": "retry_after_ms"}),
+    "Fail": Renamed(actions.FailRequest, {"job": "job_id"}),
+    "Cancel": Renamed(actions.CancelAttempt, {"job": "job_id", "attempt": "attempt_index"}),
+    "SetTimer": Renamed(actions.SetTimer, {"token": "token", "delay": "delay_ms"}),
+    "WatchList": Renamed(actions.WatchEndpoints, {"on": "enabled"}),
 }
+
 # Constants of the rules by recorded name: where each stands now, and a value near its own.
 CONSTANTS: dict[str, tuple[Any, str, float]] = {
     "REFUSE_ABOVE": (rules, "REFUSE_ABOVE", 0.85),
--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -19,7 +19,7 @@
 from pipitshed.protocols.grpc import frame
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Endpoint, Request
-from pipitshed.scheduling.events import Entry, ListKind, NoteKind
+from pipitshed.scheduling.events import EndpointEntry, ProgressKind, UpdateKind
 from pipitshed.translation.file import read
 from pipitshed.translation.translator import Translator
 from pipitshed.upstream.grpc import GrpcCarrier
@@ -198,7 +198,7 @@
     """A client of the core, and all that it was told."""
 
     told: list[tuple[str, Any]] = field(default_factory=list)
-    notes: list[tuple[NoteKind, float]] = field(default_factory=list)
+    notes: list[tuple[ProgressKind, float]] = field(default_factory=list)
     over: asyncio.Event = field(default_factory=asyncio.Event)
     exchange: Any = None
 
@@ -218,7 +218,7 @@
     def unfit(self, why: Any, ran: bool) -> None:
         self._end("unfit", (why.field, ran))
 
-    def noted(self, kind: NoteKind, share: float) -> None:
+    def noted(self, kind: ProgressKind, share: float) -> None:
         self.notes.append((kind, share))
 
     async def answer(self) -> tuple[str, Any]:
@@ -236,17 +236,17 @@
         self.core.translator = Translator(read(forms), ["quote", "book"])
         self.core.routes.on_interfaces = self.core.interfaces_changed
         self.carrier = GrpcCarrier(self.core, ["quote", "book"], self.loop, keepalive)
-        self.core.routes.fill("test", ListKind.CACHED, 0, [])
+        self.core.routes.fill("test", UpdateKind.CACHED, 0, [])
         self._ids = 0
 
     def list(self, *planners: GrpcPlanner, **changes: Any) -> None:
         self.core.routes.fill(
             "test",
-            ListKind.DELTA,
+            UpdateKind.DELTA,
             1,
             [
                 (
-                    replace(Entry(planner.name.encode(), planner.zone, interface=2), **changes),
+                    replace(EndpointEntry(planner.name.encode(), planner.zone, interface=2), **changes),
                     Endpoint(planner.name.encode(), self.carrier, ("127.0.0.1", planner.port), 2),
                 )
                 for planner in planners
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,45 +4,62 @@
 
 from dataclasses import dataclass, field
 
-from pipitshed.scheduling.actions import Action, Fail, Refuse, Send, SetTimer
+from pipitshed.scheduling.actions import Action, FailRequest, RejectRequest, SetTimer, StartAttempt
 from pipitshed.scheduling.dispatcher import Dispatcher
 from pipitshed.scheduling.events import (
-    Entry,
+    AttemptFinished,
+    EndpointEntry,
+    EndpointState,
+    EndpointsUpdated,
     Event,
-    Finished,
-    ListKind,
-    ListNews,
+    JobSubmitted,
     Outcome,
-    State,
-    Submitted,
     TimerFired,
+    UpdateKind,
     WorkerId,
 )
-from pipitshed.scheduling.settings import Effect, Group, JobClass, Limits, Rules, Settings
+from pipitshed.scheduling.settings import (
+    DeduplicationScope,
+    Guarantees,
+    Idempotency,
+    JobClass,
+    Limits,
+    Settings,
+)
 
-UNRUN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+UNRUN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.SUPERSEDED)
 
 
 def worker_id(number: int) -> WorkerId:
     return bytes([10, 0, 0, number, 0, 1])
 
 
-def entries(count: int, **changes: object) -> tuple[Entry, ...]:
+def entries(count: int, **changes: object) -> tuple[EndpointEntry, ...]:
     """Workers over two zones, in cells of three."""
     return tuple(
-        Entry(worker_id(n), zone=n % 2, cell=n // 3, **changes)  # type: ignore[arg-type]
+        EndpointEntry(worker_id(n), zone=n % 2, cell=n // 3, **changes)  # type: ignore[arg-type]
         for n in range(1, count + 1)
     )
 
 
-def settings(effect: Effect = Effect.SAFE, group: Group = Group.ALL, **changes: object) -> Settings:
-    cls = JobClass(aim=300.0, deadline=5000.0, effect=effect, group=group, window=3000.0)
+def settings(
+    effect: Idempotency = Idempotency.IDEMPOTENT,
+    group: DeduplicationScope = DeduplicationScope.ALL,
+    **changes: object,
+) -> Settings:
+    cls = JobClass(
+        latency_objective_ms=300.0,
+        deadline_ms=5000.0,
+        idempotency=effect,
+        deduplication_scope=group,
+        idempotency_window_ms=3000.0,
+    )
     base: dict[str, object] = {
         "classes": (cls,),
-        "limits": Limits(cancel=True, parallel=True, max_attempts=4),
-        "rules": Rules(answer_slack=20.0, drain_grace=100.0),
-        "tick": 5.0,
-        "zones": 2,
+        "limits": Limits(may_cancel=True, parallel_attempts=True, max_attempts=4),
+        "guarantees": Guarantees(answer_slack_ms=20.0, drain_grace_ms=100.0),
+        "tick_ms": 5.0,
+        "zone_count": 2,
     }
     return Settings(**(base | changes))  # type: ignore[arg-type]
 
@@ -64,42 +81,45 @@
     def __init__(self, config: Settings) -> None:
         self.config = config
         self.jobs: dict[int, Held] = {}
-        self.listed: dict[WorkerId, Entry] = {}
+        self.listed: dict[WorkerId, EndpointEntry] = {}
         self.stop_at: dict[WorkerId, float] = {}
         self.faults: list[str] = []
 
     def event(self, now: float, event: Event) -> None:
-        if isinstance(event, Submitted):
-            self.jobs[event.job] = Held(now + event.time_left, self.config.classes[event.job_class])
-        elif isinstance(event, Finished):
-            held = self.jobs[event.job]
-            held.outcomes[event.attempt] = event.outcome
-            held.answered = held.answered or event.settled
-        elif isinstance(event, ListNews) and event.kind is not ListKind.FAILED:
+        if isinstance(event, JobSubmitted):
+            self.jobs[event.job_id] = Held(now + event.remaining_ms, self.config.classes[event.job_class])
+        elif isinstance(event, AttemptFinished):
+            held = self.jobs[event.job_id]
+            held.outcomes[event.attempt_index] = event.outcome
+            held.answered = held.answered or event.answered
+        elif isinstance(event, EndpointsUpdated) and event.kind is not UpdateKind.FETCH_FAILED:
             told = {entry.worker: entry for entry in event.entries}
-            for worker in set(self.listed) - set(told) if event.kind is not ListKind.DELTA else ():
+            for worker in set(self.listed) - set(told) if event.kind is not UpdateKind.DELTA else ():
                 self.stop_at.setdefault(worker, now)
             for worker, entry in told.items():
                 self.listed[worker] = entry
-                if entry.state is State.READY:
+                if entry.state is EndpointState.READY:
                     self.stop_at.pop(worker, None)
                 else:
                     self.stop_at.setdefault(worker, now)
 
     def action(self, now: float, action: Action) -> None:
-        if isinstance(action, Send):
-            self._send(now, self.jobs[action.job], action.worker)
-        elif isinstance(action, Refuse):
-            held = self.jobs[action.job]
+        if isinstance(action, StartAttempt):
+            self._send(now, self.jobs[action.job_id], action.worker)
+        elif isinstance(action, RejectRequest):
+            held = self.jobs[action.job_id]
             self._answer(now, held)
             ran = self._may_have_run(held)
             if ran and (
-                held.cls.effect is Effect.UNSAFE
-                or (held.cls.effect is Effect.KEYED and held.cls.group is not Group.ALL)
+                held.cls.idempotency is Idempotency.NON_IDEMPOTENT
+                or (
+                    held.cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+                    and held.cls.deduplication_scope is not DeduplicationScope.ALL
+                )
             ):
                 self.faults.append("refused though it may have run")
-        elif isinstance(action, Fail):
-            self._answer(now, self.jobs[action.job])
+        elif isinstance(action, FailRequest):
+            self._answer(now, self.jobs[action.job_id])
 
     def _may_have_run(self, held: Held) -> list[tuple[float, WorkerId]]:
         return [sent for place, sent in enumerate(held.sends) if held.outcomes.get(place) not in UNRUN]
@@ -108,7 +128,7 @@
         if held.answered:
             self.faults.append("answered twice")
         held.answered = True
-        if now > held.deadline + self.config.rules.answer_slack:
+        if now > held.deadline + self.config.guarantees.answer_slack_ms:
             self.faults.append("answered late")
 
     def _send(self, now: float, held: Held, worker: WorkerId) -> None:
@@ -116,39 +136,43 @@
             self.faults.append("sent after the end")
         if worker not in self.listed:
             self.faults.append("sent to a worker never listed")
-        elif now > self.stop_at.get(worker, now) + self.config.rules.drain_grace:
+        elif now > self.stop_at.get(worker, now) + self.config.guarantees.drain_grace_ms:
             self.faults.append("sent to a drained worker")
-        if not self.config.limits.parallel and len(held.outcomes) < len(held.sends):
+        if not self.config.limits.parallel_attempts and len(held.outcomes) < len(held.sends):
             self.faults.append("two attempts at once")
         for sent_at, first in self._may_have_run(held):
-            if held.cls.effect is Effect.UNSAFE:
+            if held.cls.idempotency is Idempotency.NON_IDEMPOTENT:
                 self.faults.append("unsafe job repeated")
-            elif held.cls.effect is Effect.KEYED:
+            elif held.cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
                 old, new = self.listed[first], self.listed[worker]
-                inside = {Group.ALL: True, Group.ZONE: old.zone == new.zone, Group.CELL: old.cell == new.cell}
-                if not inside[held.cls.group] or now > sent_at + held.cls.window:
+                inside = {
+                    DeduplicationScope.ALL: True,
+                    DeduplicationScope.ZONE: old.zone == new.zone,
+                    DeduplicationScope.CELL: old.cell == new.cell,
+                }
+                if not inside[held.cls.deduplication_scope] or now > sent_at + held.cls.idempotency_window_ms:
                     self.faults.append("keyed job repeated outside its group or window")
         held.sends.append((now, worker))
 
     def close(self, now: float) -> None:
         for held in self.jobs.values():
-            if not held.answered and now > held.deadline + self.config.rules.answer_slack:
+            if not held.answered and now > held.deadline + self.config.guarantees.answer_slack_ms:
                 self.faults.append("never answered")
 
 
 class Bench:
     """Drives one dispatcher by hand: a clock, its timers, and the checker."""
 
-    def __init__(self, config: Settings, workers: tuple[Entry, ...] = (), seed: int = 1) -> None:
+    def __init__(self, config: Settings, workers: tuple[EndpointEntry, ...] = (), seed: int = 1) -> None:
         self.config = config
         self.dispatcher = Dispatcher(config, seed)
         self.checker = Checker(config)
         self.now = 1000.0
         self.timers: list[tuple[float, int]] = []
-        self.sends: list[tuple[float, Send]] = []
+        self.sends: list[tuple[float, StartAttempt]] = []
         self.log: list[Action] = []
         if workers:
-            self.feed(ListNews(ListKind.CACHED, 1, workers))
+            self.feed(EndpointsUpdated(UpdateKind.CACHED, 1, workers))
 
     def feed(self, *events: Event) -> list[Action]:
         for event in events:
@@ -157,8 +181,8 @@
         for action in actions:
             self.checker.action(self.now, action)
             if isinstance(action, SetTimer):
-                self.timers.append((self.now + action.delay, action.token))
-            elif isinstance(action, Send):
+                self.timers.append((self.now + action.delay_ms, action.token))
+            elif isinstance(action, StartAttempt):
                 self.sends.append((self.now, action))
         self.log += actions
         return actions
@@ -167,17 +191,17 @@
         """Fire the timers that come due, tick by tick."""
         done: list[Action] = []
         while self.now < until:
-            self.now += self.config.tick
+            self.now += self.config.tick_ms
             due = [timer for timer in self.timers if timer[0] <= self.now]
             self.timers = [timer for timer in self.timers if timer[0] > self.now]
             if due:
                 done += self.feed(*(TimerFired(token) for _, token in sorted(due)))
         return done
 
-    def finish(self, send: Send, attempt: int, outcome: Outcome, **changes: object) -> list[Action]:
-        settled = bool(changes.pop("settled", outcome is Outcome.OK))
-        return self.feed(Finished(send.job, attempt, send.worker, outcome, 1.0, settled, **changes))  # type: ignore[arg-type]
+    def finish(self, send: StartAttempt, attempt: int, outcome: Outcome, **changes: object) -> list[Action]:
+        settled = bool(changes.pop("answered", outcome is Outcome.OK))
+        return self.feed(AttemptFinished(send.job_id, attempt, send.worker, outcome, 1.0, settled, **changes))  # type: ignore[arg-type]
 
 
-def sends_of(actions: list[Action]) -> list[Send]:
-    return [action for action in actions if isinstance(action, Send)]
+def sends_of(actions: list[Action]) -> list[StartAttempt]:
+    return [action for action in actions if isinstance(action, StartAttempt)]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -13,8 +13,8 @@
 from pipitshed.frontends.listener import Listener
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Attempt, Endpoint, Exchange, Request
-from pipitshed.scheduling.actions import Refuse
-from pipitshed.scheduling.events import Event, Finished, LinkLost, ListKind, Note
+from pipitshed.scheduling.actions import RejectRequest
+from pipitshed.scheduling.events import AttemptFinished, AttemptProgressed, ConnectionLost, Event, UpdateKind
 from pipitshed.upstream.http import HttpCarrier
 
 
@@ -34,10 +34,10 @@
 
     async def run() -> None:
         asked = asyncio.Event()
-        core = Core(settings(list_on_request=True), 1, HastyLoop())  # type: ignore[arg-type]
+        core = Core(settings(endpoints_polled=True), 1, HastyLoop())  # type: ignore[arg-type]
         core.ask_list = lambda watch: asked.set()
         lines = [(entry, Endpoint(entry.worker, None, None)) for entry in entries(3)]  # type: ignore[arg-type]
-        core.routes.fill("test", ListKind.CACHED, 1, lines)
+        core.routes.fill("test", UpdateKind.CACHED, 1, lines)
         await asyncio.wait_for(asked.wait(), 5)
 
     asyncio.run(run())
@@ -61,7 +61,7 @@
 
             def post(event: Event) -> None:
                 events.append(event)
-                if isinstance(event, LinkLost):
+                if isinstance(event, ConnectionLost):
                     lost.set()
 
             core.post = post  # type: ignore[method-assign]
@@ -70,7 +70,7 @@
             exchange = Exchange(1, Request("a1", 0, 5000.0, 0), Mock(), loop.time() + 5)
             carrier.carry(Attempt(exchange, 0, target, loop.time(), loop.time() + 5))
             await asyncio.wait_for(lost.wait(), 5)
-            assert [type(event) for event in events] == [Note, Finished, LinkLost]
+            assert [type(event) for event in events] == [AttemptProgressed, AttemptFinished, ConnectionLost]
 
     asyncio.run(run())
 
@@ -120,7 +120,7 @@
             core.take(Request(name, 0, 5000.0, 0), client) for name, client in (("a1", broken), ("a2", usual))
         ]
         core._dispatcher.handle = Mock(side_effect=RuntimeError("planted"))  # type: ignore[method-assign]
-        core._dispatcher.actions = [Refuse(first.number, 1.0), Refuse(second.number, 1.0)]
+        core._dispatcher.actions = [RejectRequest(first.number, 1.0), RejectRequest(second.number, 1.0)]
         await asyncio.wait_for(done.wait(), 5)
         assert broken.refused.called
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,9 +16,16 @@
 from pipitshed.protocols.gearman import Kind, pack
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Endpoint, Exchange, Request
-from pipitshed.scheduling.actions import Send
-from pipitshed.scheduling.events import Event, Finished, ListKind, Outcome, State, Submitted
-from pipitshed.scheduling.settings import Effect, JobClass, Limits
+from pipitshed.scheduling.actions import StartAttempt
+from pipitshed.scheduling.events import (
+    AttemptFinished,
+    EndpointState,
+    Event,
+    JobSubmitted,
+    Outcome,
+    UpdateKind,
+)
+from pipitshed.scheduling.settings import Idempotency, JobClass, Limits
 from pipitshed.upstream.gearman import GearmanCarrier, Place
 from pipitshed.upstream.http import HttpCarrier
 
@@ -28,30 +35,37 @@
 class Rig:
     """A core whose events are heard, and whose decisions are the test's own."""
 
-    def __init__(self, effect: Effect = Effect.SAFE) -> None:
+    def __init__(self, effect: Idempotency = Idempotency.IDEMPOTENT) -> None:
         loop = asyncio.get_running_loop()
-        classes = (JobClass(aim=1000.0, deadline=9000.0, effect=effect, window=5000.0),)
-        self.core = Core(settings(classes=classes, limits=Limits(cancel=False, max_attempts=3)), 1, loop)
+        classes = (
+            JobClass(
+                latency_objective_ms=1000.0,
+                deadline_ms=9000.0,
+                idempotency=effect,
+                idempotency_window_ms=5000.0,
+            ),
+        )
+        self.core = Core(settings(classes=classes, limits=Limits(may_cancel=False, max_attempts=3)), 1, loop)
         self.core.post = self._heard  # type: ignore[method-assign]
         self.carrier = HttpCarrier(self.core, [], loop)
-        self.ended: asyncio.Queue[Finished] = asyncio.Queue()
+        self.ended: asyncio.Queue[AttemptFinished] = asyncio.Queue()
 
     def _heard(self, event: Event) -> None:
-        if isinstance(event, Finished):
+        if isinstance(event, AttemptFinished):
             self.ended.put_nowait(event)
-        assert not isinstance(event, Submitted) or event.job
+        assert not isinstance(event, JobSubmitted) or event.job_id
 
-    def lists(self, port: int, state: State = State.READY) -> None:
+    def lists(self, port: int, state: EndpointState = EndpointState.READY) -> None:
         [entry] = entries(1)
         target = Endpoint(entry.worker, self.carrier, ("127.0.0.1", port))
-        self.core.routes.fill("test", ListKind.DELTA, 1, [(replace(entry, state=state), target)])
+        self.core.routes.fill("test", UpdateKind.DELTA, 1, [(replace(entry, state=state), target)])
         self.worker = entry.worker
 
     def take(self, name: str = "a1", body: bytes = b"pallets") -> Exchange:
         return self.core.take(Request(name, 0, 9000.0, 0, body, "k-" + name), Mock())
 
     def send(self, exchange: Exchange, write_within: float = 0.0) -> None:
-        self.core._carry_out(Send(exchange.number, self.worker, write_within=write_within))
+        self.core._carry_out(StartAttempt(exchange.number, self.worker, write_within_ms=write_within))
 
     async def outcome(self) -> Outcome:
         return (await self.ended.get()).outcome
@@ -83,7 +97,7 @@
     @story
     async def run() -> None:
         async with Planner("p1") as planner, late_connections() as up:
-            rig = Rig(Effect.KEYED)
+            rig = Rig(Idempotency.IDEMPOTENT_WITH_KEY)
             rig.lists(planner.port)
             exchange = rig.take("a1")
             rig.send(exchange, 30.0 if crossing == "the window ends" else 0.0)
@@ -95,7 +109,9 @@
                 loop.call_at(exchange.attempts[0].write_by + 0.001, passed.set)
                 await passed.wait()
             else:
-                rig.lists(planner.port, State.DRAINING if "drains" in crossing else State.GONE)
+                rig.lists(
+                    planner.port, EndpointState.DRAINING if "drains" in crossing else EndpointState.REMOVED
+                )
             up()
             assert await rig.outcome() is Outcome.CONNECT_FAILED
             rig.lists(planner.port)
@@ -184,10 +200,14 @@
 
 @pytest.mark.parametrize(
     "effect, outcome",
-    [(Effect.SAFE, Outcome.FULL), (Effect.KEYED, Outcome.RESET), (Effect.UNSAFE, Outcome.RESET)],
+    [
+        (Idempotency.IDEMPOTENT, Outcome.REJECTED),
+        (Idempotency.IDEMPOTENT_WITH_KEY, Outcome.RESET),
+        (Idempotency.NON_IDEMPOTENT, Outcome.RESET),
+    ],
 )
 def test_a_late_second_answer_is_no_proof_that_the_next_job_never_ran(
-    effect: Effect, outcome: Outcome
+    effect: Idempotency, outcome: Outcome
 ) -> None:
     """A 503 names no request. One that comes just after the next request was written would be "never ran" of
     a job that runs: where that matters, it says nothing."""
@@ -239,20 +259,20 @@
         rig = Rig()
         rig.lists(planner.port)
         rig.send(rig.take("a1", bytes(32 * 1024 * 1024)))
-        assert await rig.outcome() is Outcome.FULL
+        assert await rig.outcome() is Outcome.REJECTED
         assert not rig.carrier._idle.get(("127.0.0.1", planner.port))
 
 
 @story
 async def test_a_worker_that_grabs_after_a_repeats_window_gets_nothing() -> None:
     """An attempt that waits for a Gearman worker is assigned when that asks, maybe after the window."""
-    rig = Rig(Effect.KEYED)
+    rig = Rig(Idempotency.IDEMPOTENT_WITH_KEY)
     link = Mock()
     carrier = GearmanCarrier(rig.core, {"plan": 0}, Place(0, 0, 0, 1.0), 1000, asyncio.get_running_loop())
     worker = carrier.worker(link)
     worker.handle(Kind.CAN_DO, [b"plan"])
     exchange = rig.take("a1")
-    rig.core._carry_out(Send(exchange.number, worker.target.id, write_within=1.0))
+    rig.core._carry_out(StartAttempt(exchange.number, worker.target.id, write_within_ms=1.0))
     passed = asyncio.Event()
     asyncio.get_running_loop().call_at(exchange.attempts[0].write_by + 0.001, passed.set)
     await passed.wait()
--- a/tests/test_decisions_forget.py
+++ b/tests/test_decisions_forget.py
@@ -10,42 +10,50 @@
 from helpers import Bench, entries, sends_of, settings, worker_id
 
 from benchmarks.capacity.decisions import Scheduler
-from pipitshed.scheduling.actions import Send
+from pipitshed.scheduling.actions import StartAttempt
 from pipitshed.scheduling.dispatcher import FORGET_MS, Worker
-from pipitshed.scheduling.events import ListKind, ListNews, Outcome, State, Submitted
-from pipitshed.scheduling.settings import Effect, Group, Limits, Rules
+from pipitshed.scheduling.events import EndpointState, EndpointsUpdated, JobSubmitted, Outcome, UpdateKind
+from pipitshed.scheduling.settings import DeduplicationScope, Guarantees, Idempotency, Limits
 
 ONE, TWO = worker_id(1), worker_id(2)
-FIRST, SECOND, THIRD = entries(3, started_at=500.0)
-LONG = Limits(cancel=True, parallel=True, max_attempts=9)
-
-
-def bench_of(effect: Effect = Effect.SAFE, group: Group = Group.ALL) -> Bench:
-    config = settings(effect, group, limits=LONG, zones=1, rules=Rules(answer_slack=20.0, cold=9000.0))
-    cls = replace(config.classes[0], window=300_000.0, deadline=300_000.0)
+FIRST, SECOND, THIRD = entries(3, started_at_ms=500.0)
+LONG = Limits(may_cancel=True, parallel_attempts=True, max_attempts=9)
+
+
+def bench_of(
+    effect: Idempotency = Idempotency.IDEMPOTENT, group: DeduplicationScope = DeduplicationScope.ALL
+) -> Bench:
+    config = settings(
+        effect,
+        group,
+        limits=LONG,
+        zone_count=1,
+        guarantees=Guarantees(answer_slack_ms=20.0, slow_start_ms=9000.0),
+    )
+    cls = replace(config.classes[0], idempotency_window_ms=300_000.0, deadline_ms=300_000.0)
     bench = Bench(replace(config, classes=(cls,)))
     bench.now = 100_000.0
     tell(bench, FIRST)
     return bench
 
 
-def tell(bench: Bench, *listed: object) -> list[Send]:
-    return sends_of(bench.feed(ListNews(ListKind.DELTA, 1, listed)))  # type: ignore[arg-type]
+def tell(bench: Bench, *listed: object) -> list[StartAttempt]:
+    return sends_of(bench.feed(EndpointsUpdated(UpdateKind.DELTA, 1, listed)))  # type: ignore[arg-type]
 
 
 def gone(bench: Bench, wait: float = FORGET_MS) -> None:
     """The first leaves the list, and so long after it there is other news."""
-    tell(bench, replace(FIRST, state=State.GONE))
+    tell(bench, replace(FIRST, state=EndpointState.REMOVED))
     bench.now += wait
-    tell(bench, replace(THIRD, state=State.DRAINING))
+    tell(bench, replace(THIRD, state=EndpointState.DRAINING))
 
 
-def sent(bench: Bench) -> Send:
-    [send] = sends_of(bench.feed(Submitted(1, 250_000.0)))
+def sent(bench: Bench) -> StartAttempt:
+    [send] = sends_of(bench.feed(JobSubmitted(1, 250_000.0)))
     return send
 
 
-def retried(bench: Bench) -> Iterable[Send]:
+def retried(bench: Bench) -> Iterable[StartAttempt]:
     return sends_of(bench.run(bench.now + 1000.0))
 
 
@@ -66,7 +74,7 @@
 
 def test_what_a_list_lacked_once_is_as_it_was() -> None:
     bench = bench_of()
-    bench.finish(sent(bench), 0, Outcome.FULL)
+    bench.finish(sent(bench), 0, Outcome.REJECTED)
     was = bench.dispatcher.workers[ONE]
     assert was.strikes == 1
     gone(bench, FORGET_MS - 1)
@@ -76,8 +84,8 @@
     assert ONE in bench.dispatcher.workers
 
 
-@pytest.mark.parametrize("state", (State.DRAINING, State.READY))
-def test_what_is_listed_is_kept(state: State) -> None:
+@pytest.mark.parametrize("state", (EndpointState.DRAINING, EndpointState.READY))
+def test_what_is_listed_is_kept(state: EndpointState) -> None:
     bench = bench_of()
     gone(bench, 0.0)
     tell(bench, replace(FIRST, state=state))
@@ -99,7 +107,7 @@
 
 def test_a_planners_own_word_of_when_to_come_back_holds_for_it() -> None:
     bench = bench_of()
-    bench.finish(sent(bench), 0, Outcome.FULL, pushback=2 * FORGET_MS)
+    bench.finish(sent(bench), 0, Outcome.REJECTED, pushback_ms=2 * FORGET_MS)
     gone(bench)
     assert bench.dispatcher.workers[ONE].ejected_until > bench.now
     bench.now += 2 * FORGET_MS
@@ -110,25 +118,25 @@
 def test_a_job_goes_not_again_to_one_it_tried_that_was_forgotten_and_is_back() -> None:
     for _ in range(8):
         bench = bench_of()
-        bench.finish(sent(bench), 0, Outcome.FULL)
+        bench.finish(sent(bench), 0, Outcome.REJECTED)
         gone(bench)
         assert ONE not in bench.dispatcher.workers
-        tell(bench, replace(FIRST, started_at=600.0), SECOND)
+        tell(bench, replace(FIRST, started_at_ms=600.0), SECOND)
         assert [send.worker for send in retried(bench)][:1] == [TWO]
 
 
 def test_a_repeat_stays_in_the_zone_of_one_that_was_forgotten() -> None:
-    bench = bench_of(Effect.KEYED, Group.ZONE)
+    bench = bench_of(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE)
     bench.finish(sent(bench), 0, Outcome.RESET)
     gone(bench)
     tell(bench, SECOND)
     assert ONE not in bench.dispatcher.workers and not retried(bench)
-    tell(bench, replace(THIRD, state=State.READY))
+    tell(bench, replace(THIRD, state=EndpointState.READY))
     assert {send.worker for send in retried(bench)} == {THIRD.worker}
 
 
 def test_one_that_was_forgotten_is_cold_from_its_new_start() -> None:
     bench = bench_of()
     gone(bench)
-    tell(bench, replace(FIRST, started_at=bench.now - 100.0))
+    tell(bench, replace(FIRST, started_at_ms=bench.now - 100.0))
     assert bench.dispatcher._cold(bench.dispatcher.workers[ONE])
--- a/tests/test_decisions_scale.py
+++ b/tests/test_decisions_scale.py
@@ -15,7 +15,7 @@
 from benchmarks.capacity.decisions import CLASSES, ZONES, Scheduler, gone
 from pipitshed.scheduling import weighted_pools as pools
 from pipitshed.scheduling.dispatcher import Dispatcher
-from pipitshed.scheduling.events import ListKind, Submitted
+from pipitshed.scheduling.events import JobSubmitted, UpdateKind
 from pipitshed.scheduling.settings import JobClass, Settings, Tenant
 from pipitshed.scheduling.weighted_pools import Pools, Sums
 
@@ -63,7 +63,7 @@
     scheduler = scheduler_of(4600)
     lost = [gone(entry) for entry in scheduler.entries if entry.zone == ZONES - 1]
     touched.clear()
-    scheduler.tell(ListKind.DELTA, lost)
+    scheduler.tell(UpdateKind.DELTA, lost)
     assert not touched  # nothing is due before the next draw
     for _ in range(20 * CLASSES):
         scheduler.job()
@@ -74,7 +74,7 @@
 def test_what_changes_nothing_touches_no_row(touched: Counter[str]) -> None:
     scheduler = scheduler_of(200)
     touched.clear()
-    scheduler.tell(ListKind.CACHED, scheduler.entries)
+    scheduler.tell(UpdateKind.CACHED, scheduler.entries)
     scheduler.dispatcher.retune(scheduler.dispatcher.settings)
     for _ in range(20 * CLASSES):
         scheduler.job()
@@ -94,7 +94,7 @@
     dispatcher.heard = Rows(dispatcher.heard)
     read.clear()
     for job in range(20):
-        dispatcher.handle(1000.0, [Submitted(job, 4000.0, tenant=job % 3)])
+        dispatcher.handle(1000.0, [JobSubmitted(job, 4000.0, tenant=job % 3)])
     assert not read and dispatcher.heard[0].count == 7 and dispatcher.heard_all.count == 20
 
 
--- a/tests/test_fleet_lists.py
+++ b/tests/test_fleet_lists.py
@@ -4,9 +4,9 @@
 
 from helpers import Bench, entries, settings
 
-from pipitshed.scheduling.actions import WatchList
-from pipitshed.scheduling.events import ListKind, ListNews
-from pipitshed.scheduling.settings import Rules
+from pipitshed.scheduling.actions import WatchEndpoints
+from pipitshed.scheduling.events import EndpointsUpdated, UpdateKind
+from pipitshed.scheduling.settings import Guarantees
 
 SERVE_MS = 110.0  # one call at a time
 QUEUE = 4  # calls that may wait; more are turned down at once
@@ -22,9 +22,9 @@
     between two calls of one sibling in ms) after `seconds`, all starting together from their cached list; for
     the first `down` seconds, discovery turns every call down."""
     config = settings(
-        list_on_request=True,
-        siblings=siblings,
-        rules=Rules(answer_slack=20.0, drain_grace=100.0, ask_within=ask_within),
+        endpoints_polled=True,
+        scheduler_count=siblings,
+        guarantees=Guarantees(answer_slack_ms=20.0, drain_grace_ms=100.0, poll_deadline_ms=ask_within),
     )
     benches = [Bench(config, entries(3), seed=number) for number in range(siblings)]
     queue: list[int] = []
@@ -32,23 +32,23 @@
     calls, free_at, start = 0, 0.0, benches[0].now
     now, last, gap = start, [start] * siblings, 0.0
     while now < start + seconds * 1000:
-        now += config.tick
+        now += config.tick_ms
         for number, bench in enumerate(benches):
             for action in bench.run(now):
-                if isinstance(action, WatchList) and action.on:
+                if isinstance(action, WatchEndpoints) and action.enabled:
                     gap, last[number] = max(gap, now - last[number]), now
                     if now < start + down * 1000:
                         calls += 1
-                        bench.feed(ListNews(ListKind.FAILED))
+                        bench.feed(EndpointsUpdated(UpdateKind.FETCH_FAILED))
                     elif len(queue) < QUEUE:
                         queue.append(number)
                     else:
-                        bench.feed(ListNews(ListKind.FAILED))
+                        bench.feed(EndpointsUpdated(UpdateKind.FETCH_FAILED))
         if queue and now >= free_at:
             number = queue.pop(0)
             free_at = now + SERVE_MS
             watching[number] = now - start
-            benches[number].feed(ListNews(ListKind.FULL, 2, entries(3)))
+            benches[number].feed(EndpointsUpdated(UpdateKind.SNAPSHOT, 2, entries(3)))
     return calls, watching, gap
 
 
@@ -78,14 +78,14 @@
 def test_an_agent_that_is_down_is_not_asked_in_a_busy_loop() -> None:
     """Where lists are pushed the wait is a part of the grace for drains, which may be set to nothing."""
     config = settings(
-        list_on_request=True,
-        list_pushed=True,
-        rules=Rules(answer_slack=20.0, drain_grace=0.0, ask_within=10_000.0),
+        endpoints_polled=True,
+        endpoints_pushed=True,
+        guarantees=Guarantees(answer_slack_ms=20.0, drain_grace_ms=0.0, poll_deadline_ms=10_000.0),
     )
     bench, calls = Bench(config, entries(3)), 0
     for _ in range(1000):
-        for action in bench.run(bench.now + config.tick):
-            if isinstance(action, WatchList):
+        for action in bench.run(bench.now + config.tick_ms):
+            if isinstance(action, WatchEndpoints):
                 calls += 1
-                bench.feed(ListNews(ListKind.FAILED))
-    assert 10 < calls <= 1000 * config.tick / 20.0 + 1
+                bench.feed(EndpointsUpdated(UpdateKind.FETCH_FAILED))
+    assert 10 < calls <= 1000 * config.tick_ms / 20.0 + 1
--- a/tests/test_four_rules.py
+++ b/tests/test_four_rules.py
@@ -10,35 +10,35 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from pipitshed.scheduling.actions import Cancel, Fail, Refuse, Send
+from pipitshed.scheduling.actions import CancelAttempt, FailRequest, RejectRequest, StartAttempt
 from pipitshed.scheduling.events import (
-    Finished,
-    ListKind,
-    ListNews,
-    Note,
-    NoteKind,
+    AttemptFinished,
+    AttemptProgressed,
+    EndpointState,
+    EndpointsUpdated,
+    JobSubmitted,
+    JobWithdrawn,
     Outcome,
-    State,
-    Submitted,
-    Withdrawn,
+    ProgressKind,
+    UpdateKind,
 )
-from pipitshed.scheduling.settings import Effect, Group, Limits
+from pipitshed.scheduling.settings import DeduplicationScope, Idempotency, Limits
 
 CONFIGS = [
     settings(
         effect,
         group,
-        limits=Limits(cancel=cancel, parallel=parallel, max_attempts=4),
-        tells_start=tells,
-        list_on_request=ask,
-        progress=1000.0,
+        limits=Limits(may_cancel=cancel, parallel_attempts=parallel, max_attempts=4),
+        workers_report_start=tells,
+        endpoints_polled=ask,
+        progress_interval_ms=1000.0,
     )
     for effect, group in [
-        (Effect.SAFE, Group.ALL),
-        (Effect.UNSAFE, Group.ALL),
-        (Effect.KEYED, Group.ALL),
-        (Effect.KEYED, Group.ZONE),
-        (Effect.KEYED, Group.CELL),
+        (Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
+        (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL),
+        (Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ALL),
+        (Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE),
+        (Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL),
     ]
     for cancel, parallel, tells, ask in [
         (True, True, True, True),
@@ -59,7 +59,7 @@
 
 def play(bench: Bench, steps: list[tuple[str, int]]) -> None:
     """Random but legal traffic: every attempt ends once, time-outs come by the deadline."""
-    out: dict[tuple[int, int], Send] = {}
+    out: dict[tuple[int, int], StartAttempt] = {}
     left: dict[int, float] = {}
     listed = list(entries(9))
     seen = 0
@@ -67,17 +67,19 @@
     def end(key: tuple[int, int], outcome: Outcome) -> None:
         send = out.pop(key)
         was = bench.checker.jobs[key[0]].answered
-        bench.feed(Finished(key[0], key[1], send.worker, outcome, 1.0, was or outcome is Outcome.OK))
+        bench.feed(AttemptFinished(key[0], key[1], send.worker, outcome, 1.0, was or outcome is Outcome.OK))
         collect()
 
     def collect() -> None:
         nonlocal seen
         for action in bench.log[seen:]:
-            if isinstance(action, Send):
-                number = len([1 for a in bench.log[:seen] if isinstance(a, Send) and a.job == action.job])
-                out[action.job, number] = action
-            elif isinstance(action, Cancel):
-                cancelled.append((action.job, action.attempt))
+            if isinstance(action, StartAttempt):
+                number = len(
+                    [1 for a in bench.log[:seen] if isinstance(a, StartAttempt) and a.job_id == action.job_id]
+                )
+                out[action.job_id, number] = action
+            elif isinstance(action, CancelAttempt):
+                cancelled.append((action.job_id, action.attempt_index))
             seen += 1
 
     def pass_time(span: float) -> None:
@@ -85,7 +87,7 @@
         while bench.now < stop:
             for key in [key for key in out if left[key[0]] <= bench.now]:
                 end(key, Outcome.TIMEOUT)
-            bench.run(bench.now + bench.config.tick)
+            bench.run(bench.now + bench.config.tick_ms)
             collect()
             while cancelled:
                 key = cancelled.pop()
@@ -98,32 +100,38 @@
         if kind == "submit":
             job += 1
             left[job] = bench.now + 200.0 + pick % 4000
-            bench.feed(Submitted(job, left[job] - bench.now))
+            bench.feed(JobSubmitted(job, left[job] - bench.now))
         elif kind == "end" and out:
             end(list(out)[pick % len(out)], list(Outcome)[pick // 16 % 8])
         elif kind == "note" and out:
             key = list(out)[pick % len(out)]
-            bench.feed(Note(*key, out[key].worker, NoteKind.STARTED if pick % 2 else NoteKind.PROGRESS, 0.5))
+            bench.feed(
+                AttemptProgressed(
+                    *key, out[key].worker, ProgressKind.STARTED if pick % 2 else ProgressKind.PROGRESS, 0.5
+                )
+            )
         elif kind == "list":
             place = pick % 9
-            state = State(pick // 16 % 3)
+            state = EndpointState(pick // 16 % 3)
             listed[place] = replace(listed[place], state=state)
-            whole = tuple(entry for entry in listed if entry.state is not State.GONE)
+            whole = tuple(entry for entry in listed if entry.state is not EndpointState.REMOVED)
             news = [
-                ListNews(ListKind.DELTA, pick, (listed[place],)),
-                ListNews(ListKind.FULL, pick, whole),
-                ListNews(ListKind.FAILED),
+                EndpointsUpdated(UpdateKind.DELTA, pick, (listed[place],)),
+                EndpointsUpdated(UpdateKind.SNAPSHOT, pick, whole),
+                EndpointsUpdated(UpdateKind.FETCH_FAILED),
             ]
             bench.feed(news[pick // 64 % 3])
         elif kind == "withdraw" and job:
             target = 1 + pick % job
             bench.checker.jobs[target].answered = True
-            bench.feed(Withdrawn(target))
+            bench.feed(JobWithdrawn(target))
         elif kind == "stray":
-            bench.feed(Withdrawn(10_000 + pick), Note(20_000, 0, worker_id(1), 1))
-            bench.dispatcher.handle(bench.now, [Finished(30_000, 3, worker_id(1), Outcome.OK, 1.0, True)])
+            bench.feed(JobWithdrawn(10_000 + pick), AttemptProgressed(20_000, 0, worker_id(1), 1))
+            bench.dispatcher.handle(
+                bench.now, [AttemptFinished(30_000, 3, worker_id(1), Outcome.OK, 1.0, True)]
+            )
         collect()
-        pass_time(bench.config.tick * (1 + pick % 40))
+        pass_time(bench.config.tick_ms * (1 + pick % 40))
     pass_time(6000.0)
     bench.checker.close(bench.now)
 
@@ -137,20 +145,22 @@
     assert bench.checker.faults == []
 
 
-def checker_with(effect: Effect, group: Group = Group.ALL, parallel: bool = True) -> Checker:
-    checker = Checker(settings(effect, group, limits=Limits(parallel=parallel, max_attempts=4)))
-    checker.event(0.0, ListNews(ListKind.FULL, 1, entries(9)))
-    checker.event(0.0, Submitted(1, 1000.0))
-    checker.action(0.0, Send(1, worker_id(1)))
+def checker_with(
+    effect: Idempotency, group: DeduplicationScope = DeduplicationScope.ALL, parallel: bool = True
+) -> Checker:
+    checker = Checker(settings(effect, group, limits=Limits(parallel_attempts=parallel, max_attempts=4)))
+    checker.event(0.0, EndpointsUpdated(UpdateKind.SNAPSHOT, 1, entries(9)))
+    checker.event(0.0, JobSubmitted(1, 1000.0))
+    checker.action(0.0, StartAttempt(1, worker_id(1)))
     return checker
 
 
 def test_the_checker_catches_planted_violations() -> None:
-    checker = checker_with(Effect.UNSAFE)
-    checker.action(1.0, Send(1, worker_id(2)))
-    checker.action(1.0, Refuse(1))
-    checker.action(1.0, Fail(1))
-    checker.action(2.0, Send(1, worker_id(2)))
+    checker = checker_with(Idempotency.NON_IDEMPOTENT)
+    checker.action(1.0, StartAttempt(1, worker_id(2)))
+    checker.action(1.0, RejectRequest(1))
+    checker.action(1.0, FailRequest(1))
+    checker.action(2.0, StartAttempt(1, worker_id(2)))
     assert {
         "unsafe job repeated",
         "refused though it may have run",
@@ -158,27 +168,29 @@
         "sent after the end",
     } <= set(checker.faults)
 
-    checker = checker_with(Effect.KEYED, Group.ZONE)
-    checker.action(1.0, Send(1, worker_id(3)))
+    checker = checker_with(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE)
+    checker.action(1.0, StartAttempt(1, worker_id(3)))
     assert checker.faults == []
-    checker.action(1.0, Send(1, worker_id(2)))
+    checker.action(1.0, StartAttempt(1, worker_id(2)))
     assert set(checker.faults) == {"keyed job repeated outside its group or window"}
-    checker = checker_with(Effect.KEYED, Group.CELL)
-    checker.action(3500.0, Send(1, worker_id(2)))
+    checker = checker_with(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL)
+    checker.action(3500.0, StartAttempt(1, worker_id(2)))
     assert set(checker.faults) == {"keyed job repeated outside its group or window"}
 
-    checker = checker_with(Effect.SAFE, parallel=False)
-    checker.action(1.0, Send(1, worker_id(2)))
+    checker = checker_with(Idempotency.IDEMPOTENT, parallel=False)
+    checker.action(1.0, StartAttempt(1, worker_id(2)))
     assert checker.faults == ["two attempts at once"]
 
-    checker = checker_with(Effect.SAFE)
-    checker.event(10.0, ListNews(ListKind.DELTA, 2, (replace(entries(9)[1], state=State.DRAINING),)))
-    checker.action(100.0, Send(1, worker_id(2)))
+    checker = checker_with(Idempotency.IDEMPOTENT)
+    checker.event(
+        10.0, EndpointsUpdated(UpdateKind.DELTA, 2, (replace(entries(9)[1], state=EndpointState.DRAINING),))
+    )
+    checker.action(100.0, StartAttempt(1, worker_id(2)))
     assert checker.faults == []
-    checker.action(111.0, Send(1, worker_id(2)))
-    checker.action(112.0, Send(1, worker_id(77)))
+    checker.action(111.0, StartAttempt(1, worker_id(2)))
+    checker.action(112.0, StartAttempt(1, worker_id(77)))
     checker.close(1021.0)
-    checker.action(1030.0, Fail(1))
+    checker.action(1030.0, FailRequest(1))
     assert checker.faults == [
         "sent to a drained worker",
         "sent to a worker never listed",
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -26,7 +26,7 @@
 
 from pipitshed.protocols.grpc import MESSAGE_LIMIT, frame
 from pipitshed.proxy.request import Endpoint
-from pipitshed.scheduling.actions import Send
+from pipitshed.scheduling.actions import StartAttempt
 from pipitshed.upstream.grpc_connection import UNREAD_LIMIT, Connection
 from pipitshed.worker_api import planner_pb2 as pb
 
@@ -165,7 +165,7 @@
             callers = [Caller(), Caller()]
             for caller in callers:
                 caller.exchange = world.core.take(world.request("quote", QUOTE, form=None), caller)
-                world.core._send(Send(caller.exchange.number, b"p1"))
+                world.core._send(StartAttempt(caller.exchange.number, b"p1"))
             data = (made(SettingsFrame, 0) if greets else b"") + b"".join(parts)
             for place in range(0, len(data), piece):
                 if connection.over or transport.closed:
--- a/tests/test_grpc_egress.py
+++ b/tests/test_grpc_egress.py
@@ -9,7 +9,7 @@
 from loopback import ONCE, SETTINGS, story
 
 from pipitshed.protocols.grpc import PREFIX, timeout_text
-from pipitshed.scheduling.events import NoteKind, State
+from pipitshed.scheduling.events import EndpointState, ProgressKind
 from pipitshed.worker_api import planner_pb2 as pb
 
 CANCEL = h2.errors.ErrorCodes.CANCEL
@@ -38,7 +38,7 @@
             "served",
             b'{"booking_ref":"B-1","departs":"2027-01-15T08:00:00Z","stops":["LIM","AQP"]}',
         )
-        assert caller.notes == [(NoteKind.STARTED, 0.0), (NoteKind.PROGRESS, 0.5)]
+        assert caller.notes == [(ProgressKind.STARTED, 0.0), (ProgressKind.PROGRESS, 0.5)]
 
 
 def test_the_time_left_is_never_rounded_up() -> None:
@@ -156,9 +156,9 @@
         await asyncio.sleep(0.05)
         for changes, ready in [
             ({}, False),
-            ({"started_at": 0.0}, False),
-            ({"started_at": 9.0}, True),
-            ({"started_at": 9.0, "state": State.DRAINING}, False),
+            ({"started_at_ms": 0.0}, False),
+            ({"started_at_ms": 9.0}, True),
+            ({"started_at_ms": 9.0, "state": EndpointState.DRAINING}, False),
         ]:
             made.list(planner, **changes)
             await asyncio.sleep(0.02)
@@ -218,7 +218,7 @@
         assert (await caller.answer())[0] == "refused"
         assert made.core.tally["attempt RESET"] == 0 and made.core.tally["attempt CONNECT_FAILED"] >= 1
         made.carrier.on_wrong_interface = wrong.append
-        made.list(mute, state=State.GONE)
+        made.list(mute, state=EndpointState.REMOVED)
         made.list(old)
         caller = made.ask("book", patience=600.0)
         while not old.peers:
@@ -319,7 +319,7 @@
             seen, begun = len(planner.calls), made.loop.time()
             assert (await made.ask("quote", patience=4000.0).answer())[0] == "refused"
             assert len(planner.calls) == seen + 1 and made.loop.time() - begun < 1.0
-            made.list(planner, started_at=made.core._epoch * 1000 + len(planner.calls))
+            made.list(planner, started_at_ms=made.core._epoch * 1000 + len(planner.calls))
 
 
 @pytest.mark.parametrize("zone", [0, 1])
@@ -333,7 +333,7 @@
             caller = made.ask("book", patience=1500.0)
             (await first.call(1)).started()
             made.list(second)
-            made.list(first, state=State.GONE)
+            made.list(first, state=EndpointState.REMOVED)
             await asyncio.sleep(0.02)
             first.cut()
             assert (await caller.answer())[0] == ("served" if zone == 0 else "failed")
@@ -375,7 +375,7 @@
 async def test_what_waits_is_refused_when_the_last_planner_that_could_be_told_has_gone() -> None:
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
     async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, bench(newer) as made:
-        made.list(older, interface=1, classes=frozenset())  # it can be told, but has no room
+        made.list(older, interface=1, job_classes=frozenset())  # it can be told, but has no room
         caller = made.ask("book", hazard)
         await asyncio.sleep(0.05)
         assert not caller.told
--- a/tests/test_interfaces.py
+++ b/tests/test_interfaces.py
@@ -10,7 +10,7 @@
 from pipitshed.discovery.catalog import Instance, Listing, Names
 from pipitshed.discovery.worker_interfaces import AT_ONCE, Interfaces
 from pipitshed.proxy.endpoint_table import RouteTable
-from pipitshed.scheduling.events import ListKind, State
+from pipitshed.scheduling.events import EndpointState, UpdateKind
 from pipitshed.upstream.interface_probe import Sounder
 
 
@@ -33,7 +33,7 @@
         self.listing = Listing("test", Names(["z"]), Names([]), "http", self.interfaces)  # type: ignore[arg-type]
 
     def list(self, *rows: Instance) -> None:
-        self.table.fill("test", ListKind.DELTA, 1, [self.listing.line(row) for row in rows])
+        self.table.fill("test", UpdateKind.DELTA, 1, [self.listing.line(row) for row in rows])
 
     def entry(self, name: str) -> Any:
         return next(
@@ -58,14 +58,14 @@
     world = World()
     world.list(row())
     world.list(row(), row())
-    assert len(world.asked) == 1 and world.entry("p1").classes == frozenset()
+    assert len(world.asked) == 1 and world.entry("p1").job_classes == frozenset()
     assert 0 in world.table.interfaces()
     world.interfaces.sounded(*world.asked[0], 2)
-    assert world.entry("p1").interface == 2 and world.entry("p1").classes is None
+    assert world.entry("p1").interface == 2 and world.entry("p1").job_classes is None
     world.list(row())
     assert len(world.asked) == 1
     world.list(row(started=2.0))  # the same instance is back, perhaps with the other one
-    assert len(world.asked) == 2 and world.entry("p1").classes == frozenset()
+    assert len(world.asked) == 2 and world.entry("p1").job_classes == frozenset()
     world.interfaces.sounded(*world.asked[1], 1)
     assert world.entry("p1").interface == 1
 
@@ -99,7 +99,7 @@
     world = World()
     world.list(row(interface=2))
     world.interfaces.doubt(b"p1")
-    assert world.entry("p1").classes == frozenset()
+    assert world.entry("p1").job_classes == frozenset()
     world.interfaces.sounded(*world.asked[0], 1)
     assert world.entry("p1").interface == 1
     world.list(row(interface=2))  # the row says the same again: what was found stands for this start
@@ -112,18 +112,18 @@
     world = World()
     world.list(row(interface=2))
     world.interfaces.drains(b"p1")
-    assert world.entry("p1").state is State.DRAINING
+    assert world.entry("p1").state is EndpointState.DRAINING
     world.list(row(interface=2))
-    assert world.entry("p1").state is State.DRAINING
+    assert world.entry("p1").state is EndpointState.DRAINING
     [(wait, again)] = world.later
     assert wait == 2.0
     world.later.clear()
     again()
     world.interfaces.sounded(*world.asked[0], 0)  # it leaves still
-    assert world.entry("p1").state is State.DRAINING
+    assert world.entry("p1").state is EndpointState.DRAINING
     world.later.pop()[1]()
     world.interfaces.sounded(*world.asked[1], 2)
-    assert world.entry("p1").state is State.READY
+    assert world.entry("p1").state is EndpointState.READY
 
 
 @story
