--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -17,8 +17,8 @@
 from pipitshed.proxy.endpoint_table import RouteTable
 from pipitshed.proxy.forwarder import Core
 from pipitshed.proxy.request import Endpoint
-from pipitshed.scheduling.events import Entry, ListKind, ListNews, State
-from pipitshed.scheduling.settings import Weights
+from pipitshed.scheduling.events import EndpointEntry, EndpointState, EndpointsUpdated, UpdateKind
+from pipitshed.scheduling.settings import WeightKind
 
 
 class Rig:
@@ -28,10 +28,10 @@
         loop = asyncio.get_running_loop()
         self.core = Core(settings(**changes), 1, loop)
         handle = self.core._dispatcher.handle
-        self.told: list[list[ListNews]] = []  # by turn
+        self.told: list[list[EndpointsUpdated]] = []  # by turn
 
         def heard(now: float, events: Any) -> Any:
-            self.told.append([event for event in events if isinstance(event, ListNews)])
+            self.told.append([event for event in events if isinstance(event, EndpointsUpdated)])
             return handle(now, events)
 
         self.core._dispatcher.handle = heard  # type: ignore[method-assign]
@@ -83,11 +83,11 @@
     )
     await rig.turns(lambda: len(rig.told) == 2)
     [change] = rig.told[1]
-    assert change.kind is ListKind.DELTA and change.version == 700 == rig.discovery.version
+    assert change.kind is UpdateKind.DELTA and change.version == 700 == rig.discovery.version
     names = [str(row["instanceId"]).encode() for row in lost]
     assert [entry.worker for entry in change.entries] == [*names[:5], *names[6:], names[5]]
-    assert {entry.state for entry in change.entries[:-1]} == {State.DRAINING}
-    assert (change.entries[-1].state, change.entries[-1].started_at) == (State.READY, 9.0)
+    assert {entry.state for entry in change.entries[:-1]} == {EndpointState.DRAINING}
+    assert (change.entries[-1].state, change.entries[-1].started_at_ms) == (EndpointState.READY, 9.0)
     assert rig.core.routes.ready() == 1400 - 656 and rig.core.routes.size() == 1400
 
 
@@ -101,18 +101,18 @@
     rig.read(news_of(3, False, [one | {"weight": 2.0}]), news_of(4, False, [two | {"weight": 2.0}]))
     await rig.turns(lambda: len(rig.told) == 1)
     assert [(news.kind, news.version, len(news.entries)) for news in rig.told[0]] == [
-        (ListKind.DELTA, 2, 2),
-        (ListKind.FAILED, 0, 0),
-        (ListKind.DELTA, 4, 2),
+        (UpdateKind.DELTA, 2, 2),
+        (UpdateKind.FETCH_FAILED, 0, 0),
+        (UpdateKind.DELTA, 4, 2),
     ]
 
 
-@pytest.mark.parametrize("weights, told", [(Weights.ROUGH, 2), (Weights.LIVE, 1500)])
-def test_a_whole_list_tells_the_decisions_what_has_changed(weights: Weights, told: int) -> None:
+@pytest.mark.parametrize("weights, told", [(WeightKind.ROUGH, 2), (WeightKind.LIVE, 1500)])
+def test_a_whole_list_tells_the_decisions_what_has_changed(weights: WeightKind, told: int) -> None:
     """One changed and one gone, of 1,500. Live weights are smoothed with each telling, so all are told."""
 
     async def run() -> None:
-        rig = Rig(weights=weights)
+        rig = Rig(weight_kind=weights)
         rig.read(news_of(1, True, rows(1500, "ready")))
         await rig.turns(lambda: len(rig.told) == 1)
         before = dict(rig.core.routes._targets)
@@ -122,9 +122,11 @@
         await rig.turns(lambda: len(rig.told) == 2)
         [change] = rig.told[1]
         assert len(change.entries) == told
-        assert {entry.worker: entry.state for entry in change.entries if entry.state is not State.READY} == {
-            b"s-00000007": State.DRAINING,
-            b"s-000005db": State.GONE,
+        assert {
+            entry.worker: entry.state for entry in change.entries if entry.state is not EndpointState.READY
+        } == {
+            b"s-00000007": EndpointState.DRAINING,
+            b"s-000005db": EndpointState.REMOVED,
         }
         assert all(before[worker] is target for worker, target in rig.core.routes._targets.items())
 
@@ -153,7 +155,7 @@
     bad[-1]["hostPort"] = "nowhere"
     rig.read(news_of(8, True, bad), news_of(9, False, rows(1, "ready")))
     await rig.turns(lambda: len(rig.told) == 1)
-    assert [news.kind for news in rig.told[0]] == [ListKind.FAILED]
+    assert [news.kind for news in rig.told[0]] == [UpdateKind.FETCH_FAILED]
     assert rig.discovery.version == 0 and rig.core.routes.size() == 0
     rig.opened()
     rig.read(news_of(9, True, rows(3, "ready")))
@@ -174,19 +176,19 @@
     table.on_interfaces = lambda: sets.append(table.interfaces())
     for _ in range(3000):
         source, worker = rng.choice("ab"), worker_id(rng.randrange(12))
-        entry = Entry(
+        entry = EndpointEntry(
             worker,
-            state=rng.choice(list(State)),
-            started_at=float(rng.randrange(3)),
+            state=rng.choice(list(EndpointState)),
+            started_at_ms=float(rng.randrange(3)),
             interface=rng.randrange(3),
         )
         what = rng.random()
         if what < 0.8:
             line = (entry, Endpoint(worker, Mock(), None))
-            more = (replace(entry, state=State.READY), line[1])
+            more = (replace(entry, state=EndpointState.READY), line[1])
             table.fill(
                 source,
-                rng.choice((ListKind.DELTA, ListKind.DELTA, ListKind.FULL)),
+                rng.choice((UpdateKind.DELTA, UpdateKind.DELTA, UpdateKind.SNAPSHOT)),
                 0,
                 [line, more][: rng.randrange(1, 3)],
             )
@@ -195,7 +197,7 @@
         else:
             table.plan({worker: (rng.random(),)})
         listed = table.entries()
-        ready = [entry for entry in listed if entry.state is State.READY]
+        ready = [entry for entry in listed if entry.state is EndpointState.READY]
         assert table.ready() == len(ready)
         assert table.size() == len({entry.worker for entry in listed})
         assert table.interfaces() == {entry.interface for entry in ready}
--- a/tests/test_list_replaced.py
+++ b/tests/test_list_replaced.py
@@ -15,7 +15,7 @@
 
 from pipitshed.proxy.endpoint_table import REMEMBERED, RouteTable
 from pipitshed.proxy.request import Endpoint
-from pipitshed.scheduling.events import Entry, ListKind, Outcome, State
+from pipitshed.scheduling.events import EndpointEntry, EndpointState, Outcome, UpdateKind
 
 DAY, REPLACED, LISTED = 86_400.0, 433, 200
 
@@ -31,8 +31,12 @@
     return b"s-%06d" % number
 
 
-def line(number: int, state: State = State.READY, port: int = 5000) -> tuple[Entry, Endpoint]:
-    return Entry(name(number), state=state), Endpoint(name(number), Mock(), (f"10.0.{number >> 8}.1", port))
+def line(
+    number: int, state: EndpointState = EndpointState.READY, port: int = 5000
+) -> tuple[EndpointEntry, Endpoint]:
+    return EndpointEntry(name(number), state=state), Endpoint(
+        name(number), Mock(), (f"10.0.{number >> 8}.1", port)
+    )
 
 
 def objects(table: RouteTable) -> int:
@@ -48,16 +52,18 @@
     table = RouteTable(lambda news: None, clock)
     forgotten: list[bytes] = []
     table.on_forgotten = forgotten.append
-    table.fill("test", ListKind.FULL, 1, [line(number) for number in range(LISTED)])
+    table.fill("test", UpdateKind.SNAPSHOT, 1, [line(number) for number in range(LISTED)])
     for number in range(REPLACED):
         clock.now += DAY / REPLACED
         table.hold(name(number))
         if whole:
             first = number + 1
-            table.fill("test", ListKind.FULL, 2, [line(one) for one in range(first, first + LISTED)])
+            table.fill("test", UpdateKind.SNAPSHOT, 2, [line(one) for one in range(first, first + LISTED)])
         else:
-            table.fill("test", ListKind.DELTA, 2, [line(number, State.DRAINING)])
-            table.fill("test", ListKind.DELTA, 2, [line(number, State.GONE), line(number + LISTED)])
+            table.fill("test", UpdateKind.DELTA, 2, [line(number, EndpointState.DRAINING)])
+            table.fill(
+                "test", UpdateKind.DELTA, 2, [line(number, EndpointState.REMOVED), line(number + LISTED)]
+            )
         assert objects(table) <= LISTED + 1
     assert table.size() == table.ready() == LISTED
     assert forgotten == [name(number) for number in range(REPLACED - 1)]
@@ -68,14 +74,16 @@
     clock = Clock()
     table = RouteTable(lambda news: None, clock)
     for after in (REMEMBERED - 1, REMEMBERED + 1):
-        table.fill("test", ListKind.DELTA, 1, [line(1), line(2)])
-        table.fill("other", ListKind.DELTA, 1, [line(2)])
-        table.fill("test", ListKind.DELTA, 1, [line(1, State.GONE), line(2, State.GONE)])
+        table.fill("test", UpdateKind.DELTA, 1, [line(1), line(2)])
+        table.fill("other", UpdateKind.DELTA, 1, [line(2)])
+        table.fill(
+            "test", UpdateKind.DELTA, 1, [line(1, EndpointState.REMOVED), line(2, EndpointState.REMOVED)]
+        )
         assert table.leaving(name(1))
         clock.now += after
-        table.fill("test", ListKind.DELTA, 2, [line(1, port=6000)])
+        table.fill("test", UpdateKind.DELTA, 2, [line(1, port=6000)])
         clock.now += 2 * REMEMBERED
-        table.fill("test", ListKind.DELTA, 2, [line(3)])
+        table.fill("test", UpdateKind.DELTA, 2, [line(3)])
         told = [table.target(name(number)) for number in (1, 2)]
         assert [one is not None and one.address[1] for one in told] == [6000, 5000]
         assert not table.leaving(name(1))
@@ -95,10 +103,10 @@
             [entry, other] = entries(2)
             rig.send(rig.take("a1"))
             await asyncio.sleep(0)
-            rig.lists(planner.port, State.GONE)
+            rig.lists(planner.port, EndpointState.REMOVED)
             for _ in range(3):  # news of another planner, in which others would be forgotten
                 clock.now += 2 * REMEMBERED
-                table.fill("test", ListKind.DELTA, 1, [(other, Endpoint(other.worker, rig.carrier, None))])
+                table.fill("test", UpdateKind.DELTA, 1, [(other, Endpoint(other.worker, rig.carrier, None))])
             assert table.leaving(entry.worker) and table.target(entry.worker) is not None
             up()
             assert await rig.outcome() is Outcome.CONNECT_FAILED and not planner.runs
@@ -107,7 +115,7 @@
                 rig.send(rig.take("a2"))
                 assert await rig.outcome() is Outcome.OK
             clock.now += 2 * REMEMBERED
-            table.fill("test", ListKind.DELTA, 1, [(replace(other, weight=2.0), Mock())])
+            table.fill("test", UpdateKind.DELTA, 1, [(replace(other, weight=2.0), Mock())])
             assert (table.target(entry.worker) is not None) is again
             rig.carrier.close()
 
@@ -124,9 +132,9 @@
         rig.lists(planner.port)
         rig.send(rig.take("a1"))
         run = await planner.wait_for(1)
-        rig.lists(planner.port, State.GONE)
+        rig.lists(planner.port, EndpointState.REMOVED)
         clock.now += 2 * REMEMBERED
-        rig.core.routes.fill("test", ListKind.DELTA, 1, [])
+        rig.core.routes.fill("test", UpdateKind.DELTA, 1, [])
         assert rig.core.routes.target(rig.worker) is None
         run.say("done", result="made")
         assert await rig.outcome() is Outcome.OK
@@ -159,7 +167,7 @@
         caller = made.ask()
         while not made.carrier._all:
             await asyncio.sleep(0)
-        made.list(planner, state=State.GONE)
+        made.list(planner, state=EndpointState.REMOVED)
         up()
         while not planner.peers:
             await asyncio.sleep(0)
@@ -174,7 +182,7 @@
     world.table._clock = clock
     world.table.on_forgotten = world.interfaces.forget
     world.list(row("p1"), row("p2"))
-    world.table.fill("test", ListKind.FULL, 2, [world.listing.line(row("p2"))])
+    world.table.fill("test", UpdateKind.SNAPSHOT, 2, [world.listing.line(row("p2"))])
     clock.now += 2 * REMEMBERED
     world.list(row("p2"))
     assert list(world.interfaces._known) == [b"p2"]
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -17,18 +17,18 @@
 from loopback import PATIENCE, Catalog, HttpClient, Planner, Run, program
 
 from pipitshed.config.settings_parser import settings_from
-from pipitshed.scheduling.actions import Action, Cancel, Send
+from pipitshed.scheduling.actions import Action, CancelAttempt, StartAttempt
 from pipitshed.scheduling.events import (
-    Entry,
+    AttemptFinished,
+    AttemptProgressed,
+    EndpointEntry,
+    EndpointState,
+    EndpointsUpdated,
     Event,
-    Finished,
-    ListKind,
-    ListNews,
-    Note,
-    NoteKind,
+    JobSubmitted,
     Outcome,
-    State,
-    Submitted,
+    ProgressKind,
+    UpdateKind,
 )
 from pipitshed.scheduling.settings import Settings
 
@@ -51,12 +51,12 @@
         self.rng = random.Random(seed)
         self.config = config
         self.entries = tuple(
-            Entry(worker_id(n), zone=n % zones, cell=n // 3, weight=1.0 + n % 2) for n in range(1, 9)
+            EndpointEntry(worker_id(n), zone=n % zones, cell=n // 3, weight=1.0 + n % 2) for n in range(1, 9)
         )
         self.bench = Bench(config, self.entries, seed)
         self.due: list[tuple[float, int, Event]] = []
         self.numbers = count()
-        self.attempts: dict[int, list[Send]] = {}
+        self.attempts: dict[int, list[StartAttempt]] = {}
         self.over: set[tuple[int, int]] = set()
         self.settled: set[int] = set()
 
@@ -65,25 +65,34 @@
 
     def carry_out(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Send):
-                sends = self.attempts.setdefault(action.job, [])
+            if isinstance(action, StartAttempt):
+                sends = self.attempts.setdefault(action.job_id, [])
                 sends.append(action)
                 assert len(sends) <= self.config.limits.max_attempts
                 self._attempt(action, len(sends) - 1)
-            elif isinstance(action, Cancel):
-                assert self.config.limits.cancel
-                send = self.attempts[action.job][action.attempt]
-                self.at(0.5, self._finished(send, action.attempt, Outcome.CANCELLED, 1.0))
+            elif isinstance(action, CancelAttempt):
+                assert self.config.limits.may_cancel
+                send = self.attempts[action.job_id][action.attempt_index]
+                self.at(0.5, self._finished(send, action.attempt_index, Outcome.CANCELLED, 1.0))
 
-    def _attempt(self, send: Send, attempt: int) -> None:
+    def _attempt(self, send: StartAttempt, attempt: int) -> None:
         """Most are served; a few are turned away, fail, break, or are never heard of again."""
-        held = self.bench.checker.jobs[send.job]
+        held = self.bench.checker.jobs[send.job_id]
         took = self.rng.expovariate(1 / 150.0)
-        if self.config.tells_start and self.rng.random() < 0.9:
-            self.at(took * 0.3, Note(send.job, attempt, send.worker, NoteKind.STARTED))
-            self.at(took * 0.6, Note(send.job, attempt, send.worker, NoteKind.PROGRESS, 0.5))
+        if self.config.workers_report_start and self.rng.random() < 0.9:
+            self.at(took * 0.3, AttemptProgressed(send.job_id, attempt, send.worker, ProgressKind.STARTED))
+            self.at(
+                took * 0.6, AttemptProgressed(send.job_id, attempt, send.worker, ProgressKind.PROGRESS, 0.5)
+            )
         outcome = self.rng.choices(
-            (Outcome.OK, Outcome.FULL, Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.TIMEOUT),
+            (
+                Outcome.OK,
+                Outcome.REJECTED,
+                Outcome.ERROR,
+                Outcome.RESET,
+                Outcome.CONNECT_FAILED,
+                Outcome.TIMEOUT,
+            ),
             (70, 12, 5, 5, 4, 4),
         )[0]
         left = max(0.0, held.deadline - self.bench.now)
@@ -91,34 +100,36 @@
             outcome, took = Outcome.TIMEOUT, left
         self.at(took, self._finished(send, attempt, outcome, took))
 
-    def _finished(self, send: Send, attempt: int, outcome: Outcome, took: float) -> Finished:
+    def _finished(self, send: StartAttempt, attempt: int, outcome: Outcome, took: float) -> AttemptFinished:
         report = tuple(self.rng.uniform(0, 6) for _ in self.config.report_fields)
-        return Finished(
-            send.job,
+        return AttemptFinished(
+            send.job_id,
             attempt,
             send.worker,
             outcome,
             took,
             outcome is Outcome.OK,
-            report if outcome in (Outcome.OK, Outcome.FULL) else (),
+            report if outcome in (Outcome.OK, Outcome.REJECTED) else (),
         )
 
     def _still(self, event: Event) -> Event | None:
         """What becomes of an event by now: an attempt ends once, and one answer settles a job."""
-        if isinstance(event, Note):
-            return None if (event.job, event.attempt) in self.over else event
-        if isinstance(event, Finished):
-            if (event.job, event.attempt) in self.over:
+        if isinstance(event, AttemptProgressed):
+            return None if (event.job_id, event.attempt_index) in self.over else event
+        if isinstance(event, AttemptFinished):
+            if (event.job_id, event.attempt_index) in self.over:
                 return None
-            self.over.add((event.job, event.attempt))
-            if self.bench.checker.jobs[event.job].answered and event.outcome is Outcome.OK:
-                return Finished(event.job, event.attempt, event.worker, Outcome.OK, event.elapsed, True)
+            self.over.add((event.job_id, event.attempt_index))
+            if self.bench.checker.jobs[event.job_id].answered and event.outcome is Outcome.OK:
+                return AttemptFinished(
+                    event.job_id, event.attempt_index, event.worker, Outcome.OK, event.elapsed_ms, True
+                )
         return event
 
     def play(self, until: float) -> None:
         bench = self.bench
         while bench.now < until:
-            self.carry_out(bench.run(bench.now + self.config.tick))
+            self.carry_out(bench.run(bench.now + self.config.tick_ms))
             while self.due and self.due[0][0] <= bench.now:
                 event = self._still(heappop(self.due)[2])
                 if event is not None:
@@ -135,25 +146,28 @@
         number = rng.randrange(len(config.classes))
         fleet.carry_out(
             fleet.bench.feed(
-                Submitted(
+                JobSubmitted(
                     job,
-                    config.classes[number].deadline,
+                    config.classes[number].deadline_ms,
                     number,
                     rng.randrange(max(1, len(config.tenants))),
                     slots=rng.choice((1.0, 1.0, 2.0)),
                     work=rng.choice((None, 120.0)),
-                    key=rng.randrange(2**63),
+                    affinity_key=rng.randrange(2**63),
                 )
             )
         )
         fleet.play(fleet.bench.now + rng.expovariate(1 / 40.0))
         if job in (25, 40):
             entry = fleet.entries[job // 20]
-            left = Entry(
-                entry.worker, entry.zone, entry.cell, state=State.DRAINING if job == 25 else State.GONE
+            left = EndpointEntry(
+                entry.worker,
+                entry.zone,
+                entry.cell,
+                state=EndpointState.DRAINING if job == 25 else EndpointState.REMOVED,
             )
-            fleet.carry_out(fleet.bench.feed(ListNews(ListKind.DELTA, job, (left,))))
-    fleet.play(fleet.bench.now + 3000.0 + config.rules.answer_slack + 2 * config.tick)
+            fleet.carry_out(fleet.bench.feed(EndpointsUpdated(UpdateKind.DELTA, job, (left,))))
+    fleet.play(fleet.bench.now + 3000.0 + config.guarantees.answer_slack_ms + 2 * config.tick_ms)
     fleet.bench.checker.close(fleet.bench.now)
     assert fleet.bench.checker.faults == []
     assert all(held.answered for held in fleet.bench.checker.jobs.values())
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -8,34 +8,52 @@
 import pytest
 from helpers import Bench, entries, sends_of, settings, worker_id
 
-from pipitshed.scheduling.actions import Cancel, Fail, Refuse, Send, SetTimer, WatchList
+from pipitshed.scheduling.actions import (
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
 from pipitshed.scheduling.dispatcher import REFUSE_ABOVE, WINDOW
 from pipitshed.scheduling.events import (
-    Finished,
-    FirstByte,
-    LinkLost,
-    ListKind,
-    ListNews,
-    Note,
-    NoteKind,
+    AttemptFinished,
+    AttemptProgressed,
+    ConnectionLost,
+    EndpointState,
+    EndpointsUpdated,
+    JobSubmitted,
     Outcome,
-    Probed,
-    State,
-    Submitted,
+    ProbeFinished,
+    ProgressKind,
+    ResponseStarted,
     TimerFired,
+    UpdateKind,
 )
 from pipitshed.scheduling.events import WorkerId as WorkerIdType
-from pipitshed.scheduling.settings import Effect, Group, JobClass, Limits, Prices, Rules, Tenant, Weights
+from pipitshed.scheduling.settings import (
+    Costs,
+    DeduplicationScope,
+    Guarantees,
+    Idempotency,
+    JobClass,
+    Limits,
+    Tenant,
+    WeightKind,
+)
 
 FIELDS = ("free_slots", "queue")
-NEAR = Limits(cancel=True, parallel=True, max_attempts=4, connect_timeout=30.0)  # connections come up soon
+NEAR = Limits(
+    may_cancel=True, parallel_attempts=True, max_attempts=4, connect_timeout_ms=30.0
+)  # connections come up soon
 
 
-def serve(bench: Bench, jobs: int, outcome: Outcome = Outcome.OK, first: int = 1) -> list[Send]:
+def serve(bench: Bench, jobs: int, outcome: Outcome = Outcome.OK, first: int = 1) -> list[StartAttempt]:
     """Submit jobs one by one, ending each first attempt the same way."""
     sends = []
     for job in range(first, first + jobs):
-        for send in sends_of(bench.feed(Submitted(job, 4000.0))):
+        for send in sends_of(bench.feed(JobSubmitted(job, 4000.0))):
             sends.append(send)
             bench.finish(send, 0, outcome)
     return sends
@@ -45,7 +63,7 @@
     workers = tuple(
         replace(entry, weight=1.0 + (place % 2) * 3, zone=0) for place, entry in enumerate(entries(8))
     )
-    bench = Bench(settings(weights=Weights.ROUGH, zones=1), workers)
+    bench = Bench(settings(weight_kind=WeightKind.ROUGH, zone_count=1), workers)
     counts = Counter(send.worker for send in serve(bench, 4000))
     heavy = sum(counts[worker_id(n)] for n in (2, 4, 6, 8))
     assert heavy / 4000 == pytest.approx(0.8, abs=0.03)
@@ -53,7 +71,7 @@
 
 def test_without_weights_picks_are_even() -> None:
     bench = Bench(
-        settings(zones=1),
+        settings(zone_count=1),
         tuple(replace(entry, weight=float(place)) for place, entry in enumerate(entries(5))),
     )
     counts = Counter(send.worker for send in serve(bench, 2000))
@@ -61,39 +79,39 @@
 
 
 def test_only_workers_of_the_class_kind_are_picked() -> None:
-    cls = JobClass(300.0, 5000.0, effect=Effect.SAFE, kind=1)
-    workers = tuple(replace(entry, kind=place % 2) for place, entry in enumerate(entries(8)))
+    cls = JobClass(300.0, 5000.0, idempotency=Idempotency.IDEMPOTENT, worker_kind=1)
+    workers = tuple(replace(entry, worker_kind=place % 2) for place, entry in enumerate(entries(8)))
     bench = Bench(settings(classes=(cls,)), workers)
     assert {send.worker for send in serve(bench, 200)} <= {worker_id(n) for n in (2, 4, 6, 8)}
 
 
 def test_a_class_that_no_worker_runs_is_answered_in_time() -> None:
-    cls = JobClass(300.0, 5000.0, effect=Effect.UNSAFE, kind=7)
+    cls = JobClass(300.0, 5000.0, idempotency=Idempotency.NON_IDEMPOTENT, worker_kind=7)
     bench = Bench(settings(classes=(cls,)), entries(4))
-    bench.feed(Submitted(1, 1000.0))
+    bench.feed(JobSubmitted(1, 1000.0))
     bench.run(2100.0)
     bench.checker.close(bench.now)
-    assert Refuse in {type(action) for action in bench.log} and bench.checker.faults == []
+    assert RejectRequest in {type(action) for action in bench.log} and bench.checker.faults == []
 
 
 def test_the_own_zone_is_preferred() -> None:
-    bench = Bench(settings(zone=1), entries(9))
+    bench = Bench(settings(own_zone=1), entries(9))
     assert {send.worker[3] % 2 for send in serve(bench, 200)} == {1}
 
 
 def test_an_empty_window_gives_one_attempt_and_one_more_for_each_refusal_met() -> None:
-    bench = Bench(settings(zones=1), entries(9))
-    [send] = sends_of(bench.feed(Submitted(1, 4000.0)))
-    bench.finish(send, 0, Outcome.FULL)
+    bench = Bench(settings(zone_count=1), entries(9))
+    [send] = sends_of(bench.feed(JobSubmitted(1, 4000.0)))
+    bench.finish(send, 0, Outcome.REJECTED)
     again = sends_of(bench.run(bench.now + 200.0))
     assert len(again) == 1 and again[0].worker != send.worker
 
 
 def test_f_of_zero_gives_one_attempt_and_high_f_more() -> None:
-    bench = Bench(settings(zones=1), entries(9))
+    bench = Bench(settings(zone_count=1), entries(9))
     serve(bench, WINDOW)
     job = bench.dispatcher.jobs
-    bench.feed(Submitted(500, 4000.0))
+    bench.feed(JobSubmitted(500, 4000.0))
     assert bench.dispatcher._allowed(job[500]) == 1
     for _ in range(WINDOW // 2):
         bench.dispatcher.window.add(bench.now, True)
@@ -101,7 +119,7 @@
 
 
 def test_old_attempts_leave_the_window() -> None:
-    bench = Bench(settings(zones=1), entries(9))
+    bench = Bench(settings(zone_count=1), entries(9))
     serve(bench, WINDOW)
     assert bench.dispatcher._f() == 0.0
     bench.now += 60_000.0
@@ -112,11 +130,11 @@
 def test_pauses_grow_with_the_failures() -> None:
     gaps: list[list[float]] = [[], [], []]
     for seed in range(60):
-        bench = Bench(settings(zones=1), entries(9), seed)
-        bench.feed(Submitted(1, 4000.0))
+        bench = Bench(settings(zone_count=1), entries(9), seed)
+        bench.feed(JobSubmitted(1, 4000.0))
         for attempt in range(3):
             last, send = bench.sends[-1]
-            bench.finish(send, attempt, Outcome.FULL)
+            bench.finish(send, attempt, Outcome.REJECTED)
             while len(bench.sends) < attempt + 2:
                 bench.run(bench.now + 5.0)
             gaps[attempt].append(bench.sends[-1][0] - last)
@@ -126,33 +144,33 @@
 
 
 def test_near_full_load_new_jobs_are_refused_but_some_are_tried() -> None:
-    bench = Bench(settings(zones=1), entries(9))
+    bench = Bench(settings(zone_count=1), entries(9))
     fill(bench, WINDOW, full=True)
     assert bench.dispatcher._f() == 1.0 > REFUSE_ABOVE
     tried = 0
     for job in range(1, 1001):
-        for send in sends_of(bench.feed(Submitted(job, 4000.0))):
+        for send in sends_of(bench.feed(JobSubmitted(job, 4000.0))):
             tried += 1
-            bench.finish(send, 0, Outcome.FULL)  # as a full fleet does
+            bench.finish(send, 0, Outcome.REJECTED)  # as a full fleet does
     assert 20 <= tried <= 90
-    assert sum(isinstance(action, Refuse) for action in bench.log) == 1000 - tried
+    assert sum(isinstance(action, RejectRequest) for action in bench.log) == 1000 - tried
 
 
 def test_a_job_that_does_not_start_gets_a_copy_and_the_loser_is_cancelled() -> None:
-    bench = Bench(settings(zones=1, tells_start=True, limits=NEAR), entries(9))
-    [first] = sends_of(bench.feed(Submitted(1, 4000.0)))
+    bench = Bench(settings(zone_count=1, workers_report_start=True, limits=NEAR), entries(9))
+    [first] = sends_of(bench.feed(JobSubmitted(1, 4000.0)))
     [second] = sends_of(bench.run(bench.now + 60.0))
     assert second.worker != first.worker
-    actions = bench.feed(Note(1, 1, second.worker, NoteKind.STARTED))
-    assert actions == [Cancel(1, 0)]
+    actions = bench.feed(AttemptProgressed(1, 1, second.worker, ProgressKind.STARTED))
+    assert actions == [CancelAttempt(1, 0)]
 
 
 def test_without_parallel_attempts_a_late_start_is_cancelled_before_the_next() -> None:
-    limits = replace(NEAR, parallel=False)
-    bench = Bench(settings(zones=1, tells_start=True, limits=limits), entries(9))
-    [first] = sends_of(bench.feed(Submitted(1, 4000.0)))
+    limits = replace(NEAR, parallel_attempts=False)
+    bench = Bench(settings(zone_count=1, workers_report_start=True, limits=limits), entries(9))
+    [first] = sends_of(bench.feed(JobSubmitted(1, 4000.0)))
     actions = bench.run(bench.now + 60.0)
-    assert Cancel(1, 0) in actions and sends_of(actions) == []
+    assert CancelAttempt(1, 0) in actions and sends_of(actions) == []
     bench.finish(first, 0, Outcome.CANCELLED)
     assert len(sends_of(bench.run(bench.now + 200.0))) == 1
     assert bench.checker.faults == []
@@ -162,65 +180,84 @@
     """The failure met: starts told 78 ms after the send, behind three round trips for a new connection, were
     awaited for 70; each call-off closed the connection, so the next attempt needed one again, and a fleet
     with room refused six jobs in ten. A full fleet keeps nobody waiting so."""
-    limits = Limits(cancel=True, max_attempts=4)
-    bench = Bench(settings(zones=1, tells_start=True, limits=limits), entries(9))
+    limits = Limits(may_cancel=True, max_attempts=4)
+    bench = Bench(settings(zone_count=1, workers_report_start=True, limits=limits), entries(9))
     for job in range(1, WINDOW + 1):
-        [send] = sends_of(bench.feed(Submitted(job, 4000.0)))
-        bench.run(bench.now + limits.connect_timeout - bench.config.tick)
-        assert not any(isinstance(action, Cancel) for action in bench.log)
-        bench.feed(Note(job, 0, send.worker, NoteKind.STARTED))
+        [send] = sends_of(bench.feed(JobSubmitted(job, 4000.0)))
+        bench.run(bench.now + limits.connect_timeout_ms - bench.config.tick_ms)
+        assert not any(isinstance(action, CancelAttempt) for action in bench.log)
+        bench.feed(AttemptProgressed(job, 0, send.worker, ProgressKind.STARTED))
         bench.finish(send, 0, Outcome.OK)
     assert bench.dispatcher._f() == 0.0
-    bench.feed(Submitted(WINDOW + 1, 4000.0))
+    bench.feed(JobSubmitted(WINDOW + 1, 4000.0))
     fill(bench, WINDOW)
     assert bench.dispatcher._bound(bench.dispatcher.jobs[WINDOW + 1]) == pytest.approx(30.0)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.ERROR])
-@pytest.mark.parametrize("effect", [Effect.SAFE, Effect.KEYED, Effect.UNSAFE])
+@pytest.mark.parametrize(
+    "effect", [Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT_WITH_KEY, Idempotency.NON_IDEMPOTENT]
+)
 def test_a_job_that_broke_off_or_failed_is_drawn_again_where_its_class_allows(
-    effect: Effect, outcome: Outcome
+    effect: Idempotency, outcome: Outcome
 ) -> None:
     """The failures met: 51 requests on connections that had gone stale, and a planner that failed one job in
     ten of a day, each given up in a fleet with room."""
-    bench = Bench(settings(effect, Group.ZONE, zones=2, tells_start=True), entries(9))
+    bench = Bench(
+        settings(effect, DeduplicationScope.ZONE, zone_count=2, workers_report_start=True), entries(9)
+    )
     fill(bench, 0)
-    first, *_ = sends_of(bench.feed(Submitted(1, 5000.0)))
+    first, *_ = sends_of(bench.feed(JobSubmitted(1, 5000.0)))
     bench.finish(first, 0, outcome)
     again = sends_of(bench.run(bench.now + 100.0))
-    assert len(again) == (0 if effect is Effect.UNSAFE else 1)
+    assert len(again) == (0 if effect is Idempotency.NON_IDEMPOTENT else 1)
     assert all(send.worker != first.worker for send in again)
-    assert any(isinstance(action, Fail) for action in bench.log) == (effect is Effect.UNSAFE)
+    assert any(isinstance(action, FailRequest) for action in bench.log) == (
+        effect is Idempotency.NON_IDEMPOTENT
+    )
 
 
 def test_a_keyed_job_that_broke_off_is_not_given_up_for_lack_of_room() -> None:
     """The failure met: reset, turned away once, then failed, as f near 0 allowed two attempts in all; its
     client must not ask again, so it was lost. One that never ran is refused as before."""
-    limits = Limits(cancel=True, max_attempts=4)
-    for first, attempts in [(Outcome.RESET, 4), (Outcome.FULL, 1)]:
-        bench = Bench(settings(Effect.KEYED, Group.ZONE, tells_start=True, limits=limits), entries(9))
+    limits = Limits(may_cancel=True, max_attempts=4)
+    for first, attempts in [(Outcome.RESET, 4), (Outcome.REJECTED, 1)]:
+        bench = Bench(
+            settings(
+                Idempotency.IDEMPOTENT_WITH_KEY,
+                DeduplicationScope.ZONE,
+                workers_report_start=True,
+                limits=limits,
+            ),
+            entries(9),
+        )
         fill(bench, 0)
-        [send] = sends_of(bench.feed(Submitted(1, 2500.0)))
+        [send] = sends_of(bench.feed(JobSubmitted(1, 2500.0)))
         bench.finish(send, 0, first)
         for attempt in range(1, 4):
             for send in sends_of(bench.run(bench.now + 150.0)):
-                bench.finish(send, attempt, Outcome.FULL)
+                bench.finish(send, attempt, Outcome.REJECTED)
         assert len(bench.sends) == attempts
-        assert any(isinstance(action, Refuse) for action in bench.log) == (first is Outcome.FULL)
+        assert any(isinstance(action, RejectRequest) for action in bench.log) == (first is Outcome.REJECTED)
 
 
-@pytest.mark.parametrize("effect", [Effect.SAFE, Effect.KEYED, Effect.UNSAFE])
-def test_a_started_job_whose_worker_falls_silent_is_drawn_again(effect: Effect) -> None:
+@pytest.mark.parametrize(
+    "effect", [Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT_WITH_KEY, Idempotency.NON_IDEMPOTENT]
+)
+def test_a_started_job_whose_worker_falls_silent_is_drawn_again(effect: Idempotency) -> None:
     """The failure met: a machine that is cut off closes nothing; its jobs waited for their deadline."""
-    limits = Limits(cancel=True, max_attempts=4)
-    bench = Bench(settings(effect, zones=1, tells_start=True, progress=1000.0, limits=limits), entries(9))
-    [first] = sends_of(bench.feed(Submitted(1, 5000.0)))
-    bench.feed(Note(1, 0, first.worker, NoteKind.STARTED))
+    limits = Limits(may_cancel=True, max_attempts=4)
+    bench = Bench(
+        settings(effect, zone_count=1, workers_report_start=True, progress_interval_ms=1000.0, limits=limits),
+        entries(9),
+    )
+    [first] = sends_of(bench.feed(JobSubmitted(1, 5000.0)))
+    bench.feed(AttemptProgressed(1, 0, first.worker, ProgressKind.STARTED))
     bench.run(bench.now + 1000.0)
-    bench.feed(Note(1, 0, first.worker, NoteKind.PROGRESS, 0.01))
-    assert Cancel(1, 0) not in bench.run(bench.now + 1700.0)
-    again = Cancel(1, 0) in bench.run(bench.now + 100.0)
-    assert again == (effect is not Effect.UNSAFE)
+    bench.feed(AttemptProgressed(1, 0, first.worker, ProgressKind.PROGRESS, 0.01))
+    assert CancelAttempt(1, 0) not in bench.run(bench.now + 1700.0)
+    again = CancelAttempt(1, 0) in bench.run(bench.now + 100.0)
+    assert again == (effect is not Idempotency.NON_IDEMPOTENT)
     if again:
         bench.finish(first, 0, Outcome.CANCELLED)
         [second] = sends_of(bench.run(bench.now + 100.0))
@@ -229,46 +266,53 @@
 
 def test_no_second_attempt_beside_one_that_is_out_where_copies_are_not_allowed() -> None:
     for parallel in (False, True):
-        limits = Limits(cancel=True, max_attempts=4, parallel=parallel)
-        bench = Bench(settings(zones=1, limits=limits), entries(9))
-        bench.feed(Submitted(1, 4000.0))
+        limits = Limits(may_cancel=True, max_attempts=4, parallel_attempts=parallel)
+        bench = Bench(settings(zone_count=1, limits=limits), entries(9))
+        bench.feed(JobSubmitted(1, 4000.0))
         assert bench.dispatcher._may(bench.dispatcher.jobs[1])[0] is parallel
 
 
 def test_an_unsafe_job_that_may_have_run_is_failed_not_refused() -> None:
-    bench = Bench(settings(Effect.UNSAFE, zones=1), entries(9))
-    [send] = sends_of(bench.feed(Submitted(1, 4000.0)))
+    bench = Bench(settings(Idempotency.NON_IDEMPOTENT, zone_count=1), entries(9))
+    [send] = sends_of(bench.feed(JobSubmitted(1, 4000.0)))
     actions = bench.finish(send, 0, Outcome.RESET)
     actions += bench.run(bench.now + 4100.0)
-    assert Fail(1) in actions and sends_of(actions) == []
-    assert not any(isinstance(action, Refuse) for action in actions)
+    assert FailRequest(1) in actions and sends_of(actions) == []
+    assert not any(isinstance(action, RejectRequest) for action in actions)
 
 
 def test_a_keyed_job_stays_in_its_cell() -> None:
     for seed in range(20):
-        bench = Bench(settings(Effect.KEYED, Group.CELL, zones=1), entries(9), seed)
-        [send] = sends_of(bench.feed(Submitted(1, 4000.0)))
+        bench = Bench(
+            settings(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL, zone_count=1), entries(9), seed
+        )
+        [send] = sends_of(bench.feed(JobSubmitted(1, 4000.0)))
         bench.finish(send, 0, Outcome.ERROR)
         bench.run(bench.now + 500.0)
         assert bench.checker.faults == []
 
 
 def test_nothing_is_sent_to_a_drained_worker_or_one_missing_from_a_full_list() -> None:
-    bench = Bench(settings(zones=1), entries(3))
-    bench.feed(ListNews(ListKind.DELTA, 2, (replace(entries(3)[0], state=State.DRAINING),)))
-    bench.feed(ListNews(ListKind.FULL, 3, entries(3)[:2]))
+    bench = Bench(settings(zone_count=1), entries(3))
+    bench.feed(EndpointsUpdated(UpdateKind.DELTA, 2, (replace(entries(3)[0], state=EndpointState.DRAINING),)))
+    bench.feed(EndpointsUpdated(UpdateKind.SNAPSHOT, 3, entries(3)[:2]))
     assert {send.worker for send in serve(bench, 100)} <= {worker_id(1), worker_id(2)}
 
 
 @pytest.mark.parametrize("siblings", [1, 20])
 def test_cold_workers_get_their_part_from_all_siblings_together(siblings: int) -> None:
-    rules = Rules(cold=10_000.0, cold_from=0.2, fall_multiple=3.0, fall_for=1000.0)
+    rules = Guarantees(
+        slow_start_ms=10_000.0,
+        initial_capacity_fraction=0.2,
+        overload_multiple=3.0,
+        overload_window_ms=1000.0,
+    )
     workers = tuple(
-        replace(entry, started_at=990.0 if place == 0 else 0.0) for place, entry in enumerate(entries(10))
+        replace(entry, started_at_ms=990.0 if place == 0 else 0.0) for place, entry in enumerate(entries(10))
     )
     cold = total = 0
     for seed in range(siblings):
-        bench = Bench(settings(zones=1, rules=rules), workers, seed)
+        bench = Bench(settings(zone_count=1, guarantees=rules), workers, seed)
         for send in serve(bench, 2000 // siblings):
             cold += send.worker == worker_id(1)
             total += 1
@@ -278,7 +322,7 @@
 
 def test_an_idle_connection_is_preferred_where_handshakes_cost() -> None:
     def used(price: float) -> int:
-        bench = Bench(settings(zones=1, prices=Prices(handshake=price)), entries(60))
+        bench = Bench(settings(zone_count=1, costs=Costs(handshake_cost=price)), entries(60))
         return len({send.worker for send in serve(bench, 60)})
 
     assert used(0.12) < used(0.0) / 2
@@ -286,21 +330,21 @@
 
 def test_a_worker_whose_kept_connection_has_closed_is_no_longer_preferred() -> None:
     def used(closes: bool) -> int:
-        bench = Bench(settings(zones=1, prices=Prices(handshake=0.12)), entries(4))
+        bench = Bench(settings(zone_count=1, costs=Costs(handshake_cost=0.12)), entries(4))
         workers = set()
         for job in range(1, 31):
             [send] = serve(bench, 1, first=job)
             workers.add(send.worker)
             if closes:
-                bench.feed(LinkLost(send.worker))
+                bench.feed(ConnectionLost(send.worker))
         return len(workers)
 
     assert used(closes=False) == 1 and used(closes=True) == 4
 
 
 def test_the_start_bound_grows_where_workers_turn_away() -> None:
-    bench = Bench(settings(zones=1, tells_start=True, limits=NEAR), entries(9))
-    bench.feed(Submitted(1, 4000.0))
+    bench = Bench(settings(zone_count=1, workers_report_start=True, limits=NEAR), entries(9))
+    bench.feed(JobSubmitted(1, 4000.0))
     job = bench.dispatcher.jobs[1]
     short = bench.dispatcher._bound(job)
     for _ in range(15):
@@ -309,38 +353,38 @@
 
 
 def test_a_busy_fleet_gets_no_attempt_that_comes_too_late() -> None:
-    bench = Bench(settings(zones=1), entries(9))
+    bench = Bench(settings(zone_count=1), entries(9))
     fill(bench, 18)
-    [send] = sends_of(bench.feed(Submitted(1, 4000.0)))
+    [send] = sends_of(bench.feed(JobSubmitted(1, 4000.0)))
     bench.now += 400.0
-    bench.finish(send, 0, Outcome.FULL)
+    bench.finish(send, 0, Outcome.REJECTED)
     actions = bench.run(bench.now + 300.0)
-    assert sends_of(actions) == [] and any(isinstance(action, Refuse) for action in actions)
+    assert sends_of(actions) == [] and any(isinstance(action, RejectRequest) for action in actions)
 
 
 def test_a_watch_is_kept_where_the_list_must_be_asked() -> None:
-    bench = Bench(settings(list_on_request=True), entries(3))
-    assert bench.run(bench.now + 1000.0) == [WatchList(True)]
+    bench = Bench(settings(endpoints_polled=True), entries(3))
+    assert bench.run(bench.now + 1000.0) == [WatchEndpoints(True)]
     waits = []
     for _ in range(4):
         asked = bench.now
-        bench.feed(ListNews(ListKind.FAILED))
-        while not any(isinstance(action, WatchList) for action in bench.run(bench.now + 50.0)):
+        bench.feed(EndpointsUpdated(UpdateKind.FETCH_FAILED))
+        while not any(isinstance(action, WatchEndpoints) for action in bench.run(bench.now + 50.0)):
             assert bench.now < asked + 40_000.0
         waits.append(bench.now - asked)
     assert max(waits[2:]) > max(waits[:1])
 
 
 def test_stale_and_unknown_events_are_ignored() -> None:
-    bench = Bench(settings(zones=1, tells_start=True), entries(9))
-    [send] = sends_of(bench.feed(Submitted(1, 4000.0)))
+    bench = Bench(settings(zone_count=1, workers_report_start=True), entries(9))
+    [send] = sends_of(bench.feed(JobSubmitted(1, 4000.0)))
     bench.finish(send, 0, Outcome.OK)
     assert bench.dispatcher.jobs == {}
     late = bench.feed(
         TimerFired(999),
-        Note(1, 0, send.worker, NoteKind.STARTED),
-        Note(1, 5, send.worker, 9),
-        Probed(worker_id(99), 1.0, Outcome.OK),
+        AttemptProgressed(1, 0, send.worker, ProgressKind.STARTED),
+        AttemptProgressed(1, 5, send.worker, 9),
+        ProbeFinished(worker_id(99), 1.0, Outcome.OK),
     )
     assert late == []
     assert all(isinstance(action, SetTimer) for action in bench.run(bench.now + 6000.0))
@@ -355,13 +399,13 @@
 def test_the_excess_of_a_flooding_tenant_is_refused_first() -> None:
     tenants = (Tenant(0.5, 50.0), Tenant(0.5, 50.0))
     for seed in range(4):
-        bench = Bench(settings(zones=1, tenants=tenants), entries(9), seed)
+        bench = Bench(settings(zone_count=1, tenants=tenants), entries(9), seed)
         fill(bench, 20)
         refused = [0, 0]
         for job in range(1, 801):
             tenant = int(job % 10 == 0)  # nine in ten jobs are the first tenant's
-            actions = bench.feed(Submitted(job, 4000.0, tenant=tenant))
-            refused[tenant] += any(isinstance(action, Refuse) for action in actions)
+            actions = bench.feed(JobSubmitted(job, 4000.0, tenant=tenant))
+            refused[tenant] += any(isinstance(action, RejectRequest) for action in actions)
             bench.now += 1.0
             fill(bench, 20)
         assert refused[0] > 350 and refused[1] == 0
@@ -374,18 +418,19 @@
     refused = []
     for others in (0.0, 9.0):
         bench = Bench(
-            settings(zones=1, tenants=(Tenant(1.0, 100.0),), siblings=4, report_fields=FIELDS), entries(9)
+            settings(zone_count=1, tenants=(Tenant(1.0, 100.0),), scheduler_count=4, report_fields=FIELDS),
+            entries(9),
         )
         for job in range(1, 101):
-            [send] = sends_of(bench.feed(Submitted(job, 4000.0)))
-            bench.finish(send, 0, Outcome.OK, report=(9.0 - others * (job > 9), 0.0))
+            [send] = sends_of(bench.feed(JobSubmitted(job, 4000.0)))
+            bench.finish(send, 0, Outcome.OK, load_report=(9.0 - others * (job > 9), 0.0))
         fill(bench, 20)
         before = len(bench.log)
         for job in range(1001, 1201):
-            bench.feed(Submitted(job, 4000.0))
+            bench.feed(JobSubmitted(job, 4000.0))
             fill(bench, 20)
             bench.now += 8.0
-        refused.append(sum(isinstance(action, Refuse) for action in bench.log[before:]))
+        refused.append(sum(isinstance(action, RejectRequest) for action in bench.log[before:]))
     assert refused[0] < 40 < 120 < refused[1]
 
 
@@ -393,18 +438,20 @@
     """The failure met: one of forty with more than a fortieth of the traffic took all of its tenants to be
     over their shares, and refused twice as much while planners joined."""
     tenants = (Tenant(0.5, 10.0), Tenant(0.5, 10.0))
-    bench = Bench(settings(zones=1, tenants=tenants, siblings=40), entries(9))
+    bench = Bench(settings(zone_count=1, tenants=tenants, scheduler_count=40), entries(9))
     for job in range(1, 200):
         fill(bench, 20)
-        told = bench.feed(Submitted(job, 4000.0, tenant=job % 2))
-        assert job < 20 or not any(isinstance(one, Refuse) for one in told)  # a few say nothing of parts
+        told = bench.feed(JobSubmitted(job, 4000.0, tenant=job % 2))
+        assert job < 20 or not any(
+            isinstance(one, RejectRequest) for one in told
+        )  # a few say nothing of parts
 
 
 def test_a_tenant_that_is_told_no_allowance_is_never_over_it() -> None:
-    bench = Bench(settings(zones=1, tenants=(Tenant(0.5), Tenant(0.5))), entries(9))
+    bench = Bench(settings(zone_count=1, tenants=(Tenant(0.5), Tenant(0.5))), entries(9))
     for job in range(1, 200):  # all of the first one's: twice its share
         fill(bench, 20)
-        assert not any(isinstance(one, Refuse) for one in bench.feed(Submitted(job, 4000.0)))
+        assert not any(isinstance(one, RejectRequest) for one in bench.feed(JobSubmitted(job, 4000.0)))
 
 
 def loaded(bench: Bench, zone: int, jobs: float) -> None:
@@ -415,7 +462,7 @@
 
 def test_first_tries_spill_from_a_full_zone_and_the_dearer_a_crossing_the_less() -> None:
     def away(price: float, held: float, failed: int) -> int:
-        bench = Bench(settings(zone=1, prices=Prices(cross_zone=price)), entries(8))
+        bench = Bench(settings(own_zone=1, costs=Costs(cross_zone_cost=price)), entries(8))
         loaded(bench, 1, held)
         sends = []
         for job in range(1, 201):
@@ -431,33 +478,33 @@
 def test_a_zone_with_more_traffic_than_room_does_not_keep_it() -> None:
     """The failure met: nine in ten jobs stayed in a zone that got three fifths of the traffic; 30 jobs waited
     at one worker there while others were idle, as nothing but a refusal counted as a lack of room."""
-    config = settings(zone=1, zones=3, prices=Prices(cross_zone=0.01, handshake=0.02))
+    config = settings(own_zone=1, zone_count=3, costs=Costs(cross_zone_cost=0.01, handshake_cost=0.02))
     bench = Bench(config, tuple(replace(entry, zone=place % 3) for place, entry in enumerate(entries(12))))
     counts = Counter(
-        send.worker for job in range(1, 37) for send in sends_of(bench.feed(Submitted(job, 4000.0)))
+        send.worker for job in range(1, 37) for send in sends_of(bench.feed(JobSubmitted(job, 4000.0)))
     )
     assert max(counts.values()) <= 5 and len(counts) >= 11
 
 
 def test_where_no_starts_are_told_draws_go_by_what_own_jobs_leave() -> None:
-    bench = Bench(settings(zones=1), entries(6))
+    bench = Bench(settings(zone_count=1), entries(6))
     bench.dispatcher.workers[worker_id(1)].held = 2.0
     counts = Counter(send.worker for send in serve(bench, 600))
     assert counts[worker_id(1)] < 10 and min(counts[worker_id(n)] for n in range(2, 7)) > 70
 
 
 def test_where_no_starts_are_told_own_jobs_are_given_back_at_each_outcome() -> None:
-    bench = Bench(settings(zones=1), entries(6))
-    for job, outcome in enumerate((Outcome.OK, Outcome.FULL, Outcome.ERROR, Outcome.TIMEOUT), 1):
-        [send] = sends_of(bench.feed(Submitted(job, 300.0, slots=2.0)))
+    bench = Bench(settings(zone_count=1), entries(6))
+    for job, outcome in enumerate((Outcome.OK, Outcome.REJECTED, Outcome.ERROR, Outcome.TIMEOUT), 1):
+        [send] = sends_of(bench.feed(JobSubmitted(job, 300.0, slots=2.0)))
         assert bench.dispatcher.workers[send.worker].held == 2.0
-        bench.finish(send, 0, outcome, settled=True)
+        bench.finish(send, 0, outcome, answered=True)
         assert bench.dispatcher.workers[send.worker].held == 0.0
 
 
 def test_queues_that_nobody_refuses_for_count_in_f() -> None:
     """The failure met: deep queues turn nothing away; f stood at 0 while seven in ten answers came late."""
-    config = settings(zones=1, report_fields=FIELDS)
+    config = settings(zone_count=1, report_fields=FIELDS)
     for held, f in ((0, 0.0), (4, 1.0)):
         bench = Bench(config, entries(9))
         serve_reported(bench, 5)
@@ -469,26 +516,31 @@
 
 def serve_reported(bench: Bench, jobs: int, first: int = 1) -> None:
     for job in range(first, first + jobs):
-        for send in sends_of(bench.feed(Submitted(job, 4000.0))):
-            bench.finish(send, 0, Outcome.OK, report=(4.0, 0.0))
+        for send in sends_of(bench.feed(JobSubmitted(job, 4000.0))):
+            bench.finish(send, 0, Outcome.OK, load_report=(4.0, 0.0))
 
 
 @pytest.mark.parametrize(("took", "f"), [(200.0, 0.0), (700.0, 1.0)])
 def test_without_starts_and_reports_late_answers_count_in_f(took: float, f: float) -> None:
-    cls = JobClass(aim=300.0, deadline=5000.0, effect=Effect.SAFE, stretch=2.0)
-    bench = Bench(settings(zones=1, classes=(cls,)), entries(9))
+    cls = JobClass(
+        latency_objective_ms=300.0,
+        deadline_ms=5000.0,
+        idempotency=Idempotency.IDEMPOTENT,
+        latency_objective_per_work=2.0,
+    )
+    bench = Bench(settings(zone_count=1, classes=(cls,)), entries(9))
     for job in range(1, WINDOW + 1):
-        for send in sends_of(bench.feed(Submitted(job, 4000.0, work=100.0))):
+        for send in sends_of(bench.feed(JobSubmitted(job, 4000.0, work=100.0))):
             bench.now += took
-            bench.feed(Finished(job, 0, send.worker, Outcome.OK, took, True))
+            bench.feed(AttemptFinished(job, 0, send.worker, Outcome.OK, took, True))
     assert bench.dispatcher._f() == f
 
 
 def test_a_worker_that_turned_a_job_away_is_passed_over_where_no_starts_are_told() -> None:
-    bench = Bench(settings(zones=1, report_fields=FIELDS), entries(6))
+    bench = Bench(settings(zone_count=1, report_fields=FIELDS), entries(6))
     serve_reported(bench, 5)
-    [send] = sends_of(bench.feed(Submitted(50, 4000.0)))
-    bench.finish(send, 0, Outcome.FULL)
+    [send] = sends_of(bench.feed(JobSubmitted(50, 4000.0)))
+    bench.finish(send, 0, Outcome.REJECTED)
     assert bench.dispatcher._turned_away() > 0
     assert send.worker not in {one.worker for one in serve(bench, 20, first=60)}
 
@@ -496,36 +548,36 @@
 def test_a_zone_with_few_workers_keeps_no_more_than_its_part() -> None:
     # Two zones, one worker in five here: with all of the own traffic it would bear two and a half shares.
     workers = tuple(replace(entry, zone=0 if place else 1) for place, entry in enumerate(entries(5)))
-    bench = Bench(settings(zone=1, prices=Prices(cross_zone=0.1)), workers)
+    bench = Bench(settings(own_zone=1, costs=Costs(cross_zone_cost=0.1)), workers)
     counts = Counter(send.worker for send in serve(bench, 1000))
     assert 350 < counts[worker_id(1)] < 600
 
 
 def test_a_slow_worker_keeps_a_trickle() -> None:
-    bench = Bench(settings(zones=1, tells_start=True), entries(4))
+    bench = Bench(settings(zone_count=1, workers_report_start=True), entries(4))
     counts: Counter[bytes] = Counter()
     for job in range(1, 401):
-        for send in sends_of(bench.feed(Submitted(job, 4000.0, work=10.0))):
+        for send in sends_of(bench.feed(JobSubmitted(job, 4000.0, work=10.0))):
             counts[send.worker] += 1
-            bench.feed(Note(job, 0, send.worker, NoteKind.STARTED))
+            bench.feed(AttemptProgressed(job, 0, send.worker, ProgressKind.STARTED))
             bench.now += 100.0 if send.worker == worker_id(1) else 10.0
             bench.finish(send, 0, Outcome.OK)
     assert 0 < counts[worker_id(1)] < 50
 
 
 def test_heavy_jobs_go_to_cold_workers_more_rarely() -> None:
-    rules = Rules(cold=1e9, cold_from=0.5)
+    rules = Guarantees(slow_start_ms=1e9, initial_capacity_fraction=0.5)
     workers = tuple(
-        replace(entry, started_at=990.0 if place == 0 else 0.0) for place, entry in enumerate(entries(5))
+        replace(entry, started_at_ms=990.0 if place == 0 else 0.0) for place, entry in enumerate(entries(5))
     )
 
     def cold(slots: float) -> int:
-        bench = Bench(settings(zones=1, rules=rules), workers)
+        bench = Bench(settings(zone_count=1, guarantees=rules), workers)
         bench.dispatcher.means, bench.dispatcher.mean = [100.0], 100.0
         return sum(
             send.worker == worker_id(1)
             for job in range(1, 1001)
-            for send in sends_of(bench.feed(Submitted(job, 4000.0, slots=slots)))
+            for send in sends_of(bench.feed(JobSubmitted(job, 4000.0, slots=slots)))
         )
 
     assert cold(4.0) < cold(1.0) / 2
@@ -533,59 +585,64 @@
 
 def test_what_is_worth_little_for_its_work_is_refused_first() -> None:
     classes = (
-        JobClass(300.0, 5000.0, worth=1.0, effect=Effect.SAFE),
-        JobClass(300.0, 5000.0, worth=9.0, effect=Effect.SAFE),
+        JobClass(300.0, 5000.0, priority_weight=1.0, idempotency=Idempotency.IDEMPOTENT),
+        JobClass(300.0, 5000.0, priority_weight=9.0, idempotency=Idempotency.IDEMPOTENT),
     )
-    bench = Bench(settings(zones=1, classes=classes), entries(9))
+    bench = Bench(settings(zone_count=1, classes=classes), entries(9))
     bench.dispatcher.means, bench.dispatcher.mean, bench.dispatcher.value = [100.0, 100.0], 100.0, 0.05
     refused = [0, 0]
     for job in range(1, 401):
         fill(bench, 25)
-        actions = bench.feed(Submitted(job, 4000.0, job_class=job % 2))
-        refused[job % 2] += any(isinstance(action, Refuse) for action in actions)
+        actions = bench.feed(JobSubmitted(job, 4000.0, job_class=job % 2))
+        refused[job % 2] += any(isinstance(action, RejectRequest) for action in actions)
     assert 50 < refused[0] < 190 and refused[1] == 0
 
 
 def test_where_worth_goes_by_work_a_long_job_is_worth_no_less() -> None:
-    classes = (JobClass(300.0, 5000.0, effect=Effect.SAFE), JobClass(300.0, 5000.0, effect=Effect.SAFE))
+    classes = (
+        JobClass(300.0, 5000.0, idempotency=Idempotency.IDEMPOTENT),
+        JobClass(300.0, 5000.0, idempotency=Idempotency.IDEMPOTENT),
+    )
     refused = {}
     for by_work in (False, True):
-        bench = Bench(settings(zones=1, classes=classes, worth_by_work=by_work), entries(9))
+        bench = Bench(settings(zone_count=1, classes=classes, weight_by_work=by_work), entries(9))
         bench.dispatcher.means, bench.dispatcher.mean = [100.0, 900.0], 100.0
         bench.dispatcher.value = 1.0 if by_work else 0.01
         refused[by_work] = 0
         for job in range(1, 201):
             fill(bench, 25)
-            actions = bench.feed(Submitted(job, 4000.0, job_class=1))
-            refused[by_work] += any(isinstance(action, Refuse) for action in actions)
+            actions = bench.feed(JobSubmitted(job, 4000.0, job_class=1))
+            refused[by_work] += any(isinstance(action, RejectRequest) for action in actions)
     assert refused[False] > 50 and refused[True] == 0
 
 
 def test_where_no_progress_is_told_silence_after_a_start_says_nothing() -> None:
-    limits = Limits(cancel=True, max_attempts=4)
-    bench = Bench(settings(zones=1, tells_start=True, progress=0.0, limits=limits), entries(9))
-    [first] = sends_of(bench.feed(Submitted(1, 5000.0)))
-    bench.feed(Note(1, 0, first.worker, NoteKind.STARTED))
+    limits = Limits(may_cancel=True, max_attempts=4)
+    bench = Bench(
+        settings(zone_count=1, workers_report_start=True, progress_interval_ms=0.0, limits=limits), entries(9)
+    )
+    [first] = sends_of(bench.feed(JobSubmitted(1, 5000.0)))
+    bench.feed(AttemptProgressed(1, 0, first.worker, ProgressKind.STARTED))
     bench.run(bench.now + 4000.0)
-    assert Cancel(1, 0) not in bench.log
+    assert CancelAttempt(1, 0) not in bench.log
 
 
 def test_where_starts_are_told_late_answers_say_nothing_of_room() -> None:
-    bench = Bench(settings(zones=1, tells_start=True), entries(9))
+    bench = Bench(settings(zone_count=1, workers_report_start=True), entries(9))
     for job in range(1, WINDOW + 1):  # the word of each start was lost
-        [send] = sends_of(bench.feed(Submitted(job, 4000.0)))
-        bench.feed(Finished(job, 0, send.worker, Outcome.OK, 2000.0, True))
+        [send] = sends_of(bench.feed(JobSubmitted(job, 4000.0)))
+        bench.feed(AttemptFinished(job, 0, send.worker, Outcome.OK, 2000.0, True))
     assert len(bench.dispatcher.window.entries) == WINDOW and bench.dispatcher._f() == 0.0
 
 
 def test_a_started_stream_is_left_to_the_client() -> None:
-    bench = Bench(settings(zones=1, tells_start=True, limits=NEAR), entries(9))
-    [first] = sends_of(bench.feed(Submitted(1, 500.0)))
+    bench = Bench(settings(zone_count=1, workers_report_start=True, limits=NEAR), entries(9))
+    [first] = sends_of(bench.feed(JobSubmitted(1, 500.0)))
     [second] = sends_of(bench.run(bench.now + 60.0))
-    assert bench.feed(FirstByte(1, 1, second.worker, 5.0)) == [Cancel(1, 0)]
+    assert bench.feed(ResponseStarted(1, 1, second.worker, 5.0)) == [CancelAttempt(1, 0)]
     assert [action for action in bench.run(bench.now + 1000.0) if not isinstance(action, SetTimer)] == []
     bench.finish(first, 0, Outcome.CANCELLED)
-    bench.finish(second, 1, Outcome.RESET, settled=True)
+    bench.finish(second, 1, Outcome.RESET, answered=True)
     assert bench.dispatcher.jobs == {}
 
 
@@ -593,30 +650,32 @@
     """Guards against a worker that starts every job and fails it at once: its connection came free at
     once, so draws that prefer kept connections sent it twice its share, and each of its jobs was lost."""
     workers = tuple(replace(entry, zone=0) for entry in entries(6))
-    bench = Bench(settings(zones=1, tells_start=True, prices=Prices(handshake=0.12)), workers)
+    bench = Bench(
+        settings(zone_count=1, workers_report_start=True, costs=Costs(handshake_cost=0.12)), workers
+    )
     sick = worker_id(2)
     sent: Counter[WorkerIdType] = Counter()
     tries: Counter[int] = Counter()
-    busy: list[tuple[float, Send, int]] = []
+    busy: list[tuple[float, StartAttempt, int]] = []
 
     def carry(actions: list[object]) -> None:
-        for send in [action for action in actions if isinstance(action, Send)]:
-            attempt, tries[send.job] = tries[send.job], tries[send.job] + 1
+        for send in [action for action in actions if isinstance(action, StartAttempt)]:
+            attempt, tries[send.job_id] = tries[send.job_id], tries[send.job_id] + 1
             sent[send.worker] += 1
-            carry(bench.feed(Note(send.job, attempt, send.worker, NoteKind.STARTED)))
+            carry(bench.feed(AttemptProgressed(send.job_id, attempt, send.worker, ProgressKind.STARTED)))
             if send.worker == sick:
-                carry(bench.finish(send, attempt, Outcome.ERROR, settled=False))
+                carry(bench.finish(send, attempt, Outcome.ERROR, answered=False))
             else:
                 busy.append((bench.now + 250.0, send, attempt))
 
     for job in range(1, 601):
-        carry(bench.feed(Submitted(job, 4000.0)))
+        carry(bench.feed(JobSubmitted(job, 4000.0)))
         for _ in range(4):
             carry(bench.run(bench.now + 5.0))
             for item in [item for item in busy if item[0] <= bench.now]:
                 busy.remove(item)
                 carry(bench.finish(item[1], item[2], Outcome.OK))
-    lost = sum(isinstance(action, Refuse | Fail) for action in bench.log)
+    lost = sum(isinstance(action, RejectRequest | FailRequest) for action in bench.log)
     assert sent[sick] < 0.5 * sum(sent.values()) / len(workers)
     assert lost < 6
     assert bench.checker.faults == []
@@ -625,13 +684,13 @@
 def test_a_worker_that_fails_jobs_fast_is_the_last_resort_where_all_others_hold_jobs() -> None:
     """The failure met: with all draws doubted, the least held was taken, which is the one that ends each job
     at once by an error; it drew 14 of 127 jobs in a fleet of ten, and each was lost."""
-    cls = JobClass(300.0, 5000.0, effect=Effect.UNSAFE)
-    bench, sick = Bench(settings(zones=1, classes=(cls,)), entries(9)), worker_id(4)
+    cls = JobClass(300.0, 5000.0, idempotency=Idempotency.NON_IDEMPOTENT)
+    bench, sick = Bench(settings(zone_count=1, classes=(cls,)), entries(9)), worker_id(4)
     for worker in bench.dispatcher.workers.values():
         worker.held = 0.0 if worker.id == sick else 3.0
     drawn = Counter[WorkerIdType]()
     for job in range(1, 101):
-        for send in sends_of(bench.feed(Submitted(job, 4000.0))):
+        for send in sends_of(bench.feed(JobSubmitted(job, 4000.0))):
             drawn[send.worker] += 1
             failed = send.worker == sick and drawn[sick] % 2
             bench.finish(send, 0, Outcome.ERROR if failed else Outcome.OK)
@@ -641,12 +700,12 @@
 
 def test_an_error_grants_an_attempt_only_where_equation_2_grants_none() -> None:
     """The failure met: on top of what f allows, such attempts filled a fleet of forty short of a zone."""
-    limits = Limits(cancel=True, max_attempts=5)
+    limits = Limits(may_cancel=True, max_attempts=5)
     for missed, attempts in ((0, 1 + 1), (9, 2)):  # with 9 of 30, log(0.1) / log(0.3) is 2 attempts
-        bench = Bench(settings(zones=1, tells_start=True, limits=limits), entries(9))
+        bench = Bench(settings(zone_count=1, workers_report_start=True, limits=limits), entries(9))
         fill(bench, missed)
-        sends = sends_of(bench.feed(Submitted(1, 5000.0)))
-        for outcome in (Outcome.FULL, Outcome.ERROR) if missed else (Outcome.ERROR, Outcome.FULL):
+        sends = sends_of(bench.feed(JobSubmitted(1, 5000.0)))
+        for outcome in (Outcome.REJECTED, Outcome.ERROR) if missed else (Outcome.ERROR, Outcome.REJECTED):
             if sends:
                 bench.finish(sends[0], len(bench.sends) - 1, outcome)
                 sends = sends_of(bench.run(bench.now + 200.0))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -22,7 +22,7 @@
 from pipitshed.placement.plan import Place, Plan, PlanError
 from pipitshed.placement.score import score
 from pipitshed.placement.solve import solve
-from pipitshed.scheduling.events import Entry, State
+from pipitshed.scheduling.events import EndpointEntry, EndpointState
 
 LIMA = (Path(__file__).parent.parent / "experiments" / "fleet-lima.toml").read_text()
 QUOTE = Demand("quote", 4.0, 0.5, "x", zone="a")
@@ -196,11 +196,13 @@
     )  # type: ignore[arg-type]
 
 
-def entry(name: str, weight: float = 1.0, state: State = State.READY, started: float = 0.0) -> Entry:
-    return Entry(name.encode(), weight=weight, state=state, started_at=started)
+def entry(
+    name: str, weight: float = 1.0, state: EndpointState = EndpointState.READY, started: float = 0.0
+) -> EndpointEntry:
+    return EndpointEntry(name.encode(), weight=weight, state=state, started_at_ms=started)
 
 
-def eased(follower: Follower, entries: list[Entry], now: float = 1000.0) -> dict[str, float]:
+def eased(follower: Follower, entries: list[EndpointEntry], now: float = 1000.0) -> dict[str, float]:
     """Step until nothing moves; each step within its bound."""
     last: dict[str, float] | None = None
     for _ in range(40):
@@ -247,7 +249,7 @@
     listed = [entry("p1", 2.0), entry("p2", 1.0), entry("p3", 1.0)]
     follower.offer(plan({"p1": 6, "p2": 3}), 1000.0, listed)
     assert eased(follower, listed) == pytest.approx({"p1": 0.5, "p2": 0.25, "p3": 0.25})
-    gone = [entry("p1", state=State.DRAINING), *listed[1:]]
+    gone = [entry("p1", state=EndpointState.DRAINING), *listed[1:]]
     first = follower.weights(gone, 1000.0) or {}
     assert sum(told[0] for told in first.values()) == pytest.approx(100_000)  # its part is free at once
     back = [entry("p1", 1.0, started=999_000.0), *listed[1:]]
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -9,4 +9,4 @@
     [example] = re.findall(r"```python\n(.*?)```", text, re.S)
     names: dict[str, object] = {}
     exec(compile(example, "README.md", "exec"), names)
-    assert "send" in names
+    assert "start" in names
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -13,19 +13,22 @@
 from pipitshed.config.class_registry import ClassBook
 from pipitshed.config.completeness import lacking
 from pipitshed.config.platform import load, load_front
-from pipitshed.scheduling.actions import Send
+from pipitshed.scheduling.actions import StartAttempt
 from pipitshed.scheduling.dispatcher import Dispatcher
-from pipitshed.scheduling.events import Entry, ListKind, ListNews, Submitted
-from pipitshed.scheduling.settings import Effect, JobClass, Settings, Weights
+from pipitshed.scheduling.events import EndpointEntry, EndpointsUpdated, JobSubmitted, UpdateKind
+from pipitshed.scheduling.settings import Idempotency, JobClass, Settings, WeightKind
 from pipitshed.server.server import Scheduler
 
-QUOTE, BOOK = JobClass(2500.0, 5000.0, effect=Effect.SAFE), JobClass(10000.0, 15000.0, effect=Effect.KEYED)
+QUOTE, BOOK = (
+    JobClass(2500.0, 5000.0, idempotency=Idempotency.IDEMPOTENT),
+    JobClass(10000.0, 15000.0, idempotency=Idempotency.IDEMPOTENT_WITH_KEY),
+)
 RUSH = JobClass(500.0, 1000.0)
 
 
 def test_a_class_that_changes_gets_a_number_of_its_own_and_one_that_goes_is_taken_for_a_grace() -> None:
     book = ClassBook.first(["quote", "book"], [QUOTE, BOOK])
-    stricter = JobClass(2500.0, 5000.0, effect=Effect.UNSAFE)
+    stricter = JobClass(2500.0, 5000.0, idempotency=Idempotency.NON_IDEMPOTENT)
     after, change = book.retune(["rush", "quote"], [RUSH, stricter], now=10.0)
     assert after.classes == (QUOTE, BOOK, RUSH, stricter)
     assert after.door == {"rush": 2, "quote": 3}
@@ -66,7 +69,9 @@
     book, given = ClassBook.first(["quote", "book"], [QUOTE, BOOK]), dict[int, tuple[float, JobClass]]()
     for step in range(7800):
         now, goal = step * 11.0, 1000.0 + step
-        book, _ = book.retune(["quote", "book"], [JobClass(goal, 5000.0, effect=Effect.SAFE), BOOK], now)
+        book, _ = book.retune(
+            ["quote", "book"], [JobClass(goal, 5000.0, idempotency=Idempotency.IDEMPOTENT), BOOK], now
+        )
         number = book.door["quote"]
         if number in given:  # no job that was taken with it is left
             assert now - given[number][0] > 5.0 + 60.0
@@ -75,7 +80,9 @@
                 assert book.classes[place] == job_class
         given[number] = now, book.classes[number]
     assert len(book.classes) < 12 and set(book.names) == {"quote", "book"}
-    other = JobClass(1.0, 5000.0, effect=Effect.UNSAFE)  # no limit alone: a number of its own
+    other = JobClass(
+        1.0, 5000.0, idempotency=Idempotency.NON_IDEMPOTENT
+    )  # no limit alone: a number of its own
     assert book.retune(["quote"], [other], 1e6)[0].door["quote"] == len(book.classes)
 
 
@@ -227,7 +234,7 @@
         path.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": turned}))
         scheduler._retune(load({"LB_CONFIG": str(path)}))
         settings = scheduler.core.settings
-        assert settings.zone == 0 and [cls.kind for cls in settings.classes] == [None, 2]
+        assert settings.own_zone == 0 and [cls.worker_kind for cls in settings.classes] == [None, 2]
         assert list(scheduler.carrier.fields) == ["x1", "x0"]
         assert settings.report_fields == ("free_memory", "free_slots")
         for listener in scheduler.listeners:
@@ -237,17 +244,22 @@
 
 
 def test_a_class_that_came_after_the_plan_is_drawn_by_the_list() -> None:
-    dispatcher = Dispatcher(Settings(classes=(QUOTE,), weights=Weights.ROUGH), 1)
+    dispatcher = Dispatcher(Settings(classes=(QUOTE,), weight_kind=WeightKind.ROUGH), 1)
     dispatcher.handle(
         0.0,
         [
-            ListNews(
-                ListKind.CACHED,
+            EndpointsUpdated(
+                UpdateKind.CACHED,
                 1,
-                (Entry(b"p1", weight=0.0, planned=(5.0,)), Entry(b"p2", weight=1.0, planned=(0.0,))),
+                (
+                    EndpointEntry(b"p1", weight=0.0, planned_weights=(5.0,)),
+                    EndpointEntry(b"p2", weight=1.0, planned_weights=(0.0,)),
+                ),
             )
         ],
     )
-    dispatcher.retune(Settings(classes=(QUOTE, RUSH), weights=Weights.ROUGH))
-    actions = dispatcher.handle(1.0, [Submitted(1, 900.0, job_class=0), Submitted(2, 900.0, job_class=1)])
-    assert [action.worker for action in actions if isinstance(action, Send)] == [b"p1", b"p2"]
+    dispatcher.retune(Settings(classes=(QUOTE, RUSH), weight_kind=WeightKind.ROUGH))
+    actions = dispatcher.handle(
+        1.0, [JobSubmitted(1, 900.0, job_class=0), JobSubmitted(2, 900.0, job_class=1)]
+    )
+    assert [action.worker for action in actions if isinstance(action, StartAttempt)] == [b"p1", b"p2"]
--- a/tests/test_settings_fleet.py
+++ b/tests/test_settings_fleet.py
@@ -55,7 +55,7 @@
 
     @property
     def share(self) -> float:
-        return self.config.settings.tenants[0].share
+        return self.config.settings.tenants[0].quota_share
 
     @property
     def peer(self) -> str:
@@ -247,7 +247,7 @@
                 await until(
                     lambda node=node: (
                         len(  # type: ignore[misc]
-                            [tenant for tenant in node.config.settings.tenants if tenant.share == 0.5]
+                            [tenant for tenant in node.config.settings.tenants if tenant.quota_share == 0.5]
                         )
                         == 20
                     )
--- a/tests/test_settings_rows.py
+++ b/tests/test_settings_rows.py
@@ -59,8 +59,8 @@
     assert laid.acted == {one.key: one for one in rows}
     assert laid.raw["settings"]["tenants"] == [before["settings"]["tenants"][0] | {"share": 0.4}]
     settings = settings_from(laid.raw["settings"])
-    assert (settings.classes[0].aim, settings.classes[1].worth) == (1500.0, 20.0)
-    assert settings.tenants[0].allowance == 1000.0  # a deleted row leaves it to the file
+    assert (settings.classes[0].latency_objective_ms, settings.classes[1].priority_weight) == (1500.0, 20.0)
+    assert settings.tenants[0].quota_per_s == 1000.0  # a deleted row leaves it to the file
     assert (file_value(file, GOAL), file_value(file, "class/book/gain")) == (2500.0, None)
     assert file_value(file, "nothing") is None
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,7 +6,7 @@
 import pytest
 
 from pipitshed.scheduling import actions, events
-from pipitshed.scheduling.settings import Effect, Group, JobClass, Weights
+from pipitshed.scheduling.settings import DeduplicationScope, Idempotency, JobClass, WeightKind
 from pipitshed.simulator import wire
 from pipitshed.upstream.http import read_load, report_of
 
@@ -37,17 +37,17 @@
     assert (count, length, now) == (3, len(BATCH) - 16, 8412.25)
     submit, timer, withdrawn = wire.decode_batch(count, BATCH[16:])
     number = struct.unpack("<Q", bytes.fromhex("c4913a5d1e900500"))[0]
-    assert submit == (3, events.Submitted(number, 240.0, 0, 0, 2.0, 1.5, 12.0, 0x91F03B7C55D20A64, False))
+    assert submit == (3, events.JobSubmitted(number, 240.0, 0, 0, 2.0, 1.5, 12.0, 0x91F03B7C55D20A64, False))
     assert timer == (3, events.TimerFired(77))
-    assert withdrawn[0] == 5 and isinstance(withdrawn[1], events.Withdrawn)
+    assert withdrawn[0] == 5 and isinstance(withdrawn[1], events.JobWithdrawn)
 
 
 def test_the_reply_shown_on_the_wire_page() -> None:
     number = struct.unpack("<Q", bytes.fromhex("c4913a5d1e900500"))[0]
     records = [
-        wire.encode_action(3, actions.Send(number, WORKER, 80.0)),
+        wire.encode_action(3, actions.StartAttempt(number, WORKER, 80.0)),
         wire.encode_action(3, actions.SetTimer(77, 500.0)),
-        wire.encode_action(5, actions.Log("two servers known")),
+        wire.encode_action(5, actions.LogLine("two servers known")),
     ]
     assert wire.encode_reply(records) == REPLY
 
@@ -59,14 +59,17 @@
         "0000 0000000000d4b740 00 0a9011f2 6c1f 0000c03f 01 0100"
     )
     assert instance == 3
-    assert news == events.ListNews(
-        events.ListKind.CACHED,
+    assert news == events.EndpointsUpdated(
+        events.UpdateKind.CACHED,
         41,
-        (events.Entry(WORKER), events.Entry(bytes.fromhex("0a9011f26c1f"), 1, 0, 0, 1.5, 6100.0)),
+        (
+            events.EndpointEntry(WORKER),
+            events.EndpointEntry(bytes.fromhex("0a9011f26c1f"), 1, 0, 0, 1.5, 6100.0),
+        ),
     )
     [(_, finished)] = decode("0a 03000000 c4913a5d1e900500 0000 0a124a07 431f 01 0000000000803240 01 00 00")
-    assert isinstance(finished, events.Finished)
-    assert (finished.outcome, finished.elapsed, finished.settled, finished.report) == (
+    assert isinstance(finished, events.AttemptFinished)
+    assert (finished.outcome, finished.elapsed_ms, finished.answered, finished.load_report) == (
         events.Outcome.OK,
         18.5,
         True,
@@ -83,10 +86,10 @@
     halt = b"\x02" + head
     decoded = [event for _, event in wire.decode_batch(5, note + probed + mail + first + halt)]
     assert decoded == [
-        events.Note(9, 1, WORKER, 2, 0.5),
-        events.Probed(WORKER, 3.0, events.Outcome.OK, (4.0, 0.5)),
-        events.PeerMessage(7, b"hi"),
-        events.FirstByte(9, 1, WORKER, 4.0),
+        events.AttemptProgressed(9, 1, WORKER, 2, 0.5),
+        events.ProbeFinished(WORKER, 3.0, events.Outcome.OK, (4.0, 0.5)),
+        events.PeerMessageReceived(7, b"hi"),
+        events.ResponseStarted(9, 1, WORKER, 4.0),
         wire.Halted(),
     ]
 
@@ -94,15 +97,15 @@
 @pytest.mark.parametrize(
     ("action", "record"),
     [
-        (actions.Refuse(9, 2.0), struct.pack("<BIQd", 66, 2, 9, 2.0)),
-        (actions.Fail(9), struct.pack("<BIQ", 67, 2, 9)),
-        (actions.Cancel(9, 1), struct.pack("<BIQH", 68, 2, 9, 1)),
-        (actions.Probe(WORKER), struct.pack("<BI6s", 70, 2, WORKER)),
-        (actions.CloseIdle(WORKER), struct.pack("<BI6s", 71, 2, WORKER)),
-        (actions.TellPeer(None, b"hi 7"), bytes.fromhex("48 02000000 ffff 0400 68692037")),
-        (actions.TellPeer(4, b""), bytes.fromhex("48 02000000 0400 0000")),
-        (actions.WatchList(True), bytes.fromhex("4b 02000000 01")),
-        (actions.FetchList(), bytes.fromhex("4c 02000000")),
+        (actions.RejectRequest(9, 2.0), struct.pack("<BIQd", 66, 2, 9, 2.0)),
+        (actions.FailRequest(9), struct.pack("<BIQ", 67, 2, 9)),
+        (actions.CancelAttempt(9, 1), struct.pack("<BIQH", 68, 2, 9, 1)),
+        (actions.ProbeWorker(WORKER), struct.pack("<BI6s", 70, 2, WORKER)),
+        (actions.CloseIdleConnections(WORKER), struct.pack("<BI6s", 71, 2, WORKER)),
+        (actions.SendPeerMessage(None, b"hi 7"), bytes.fromhex("48 02000000 ffff 0400 68692037")),
+        (actions.SendPeerMessage(4, b""), bytes.fromhex("48 02000000 0400 0000")),
+        (actions.WatchEndpoints(True), bytes.fromhex("4b 02000000 01")),
+        (actions.FetchEndpoints(), bytes.fromhex("4c 02000000")),
     ],
 )
 def test_each_action(action: actions.Action, record: bytes) -> None:
@@ -138,9 +141,9 @@
 
 def test_settings_defaults_and_unknown_keys() -> None:
     settings = wire.settings_from_json(info(novelty={"a": 1}))
-    assert settings.classes == (JobClass(300.0, 7500.0, group=Group.CELL),)
-    assert settings.classes[0].effect is Effect.UNSAFE  # the careful default
-    assert settings.limits.max_attempts == 1 and not settings.limits.probes
+    assert settings.classes == (JobClass(300.0, 7500.0, deduplication_scope=DeduplicationScope.CELL),)
+    assert settings.classes[0].idempotency is Idempotency.NON_IDEMPOTENT  # the careful default
+    assert settings.limits.max_attempts == 1 and not settings.limits.may_probe
 
 
 def test_settings_are_translated() -> None:
@@ -157,16 +160,26 @@
         )
     )
     cls = settings.classes[0]
-    assert (cls.effect, cls.group, cls.kind, cls.stretch, cls.priority) == (
-        Effect.KEYED,
-        Group.ZONE,
+    assert (
+        cls.idempotency,
+        cls.deduplication_scope,
+        cls.worker_kind,
+        cls.latency_objective_per_work,
+        cls.priority,
+    ) == (
+        Idempotency.IDEMPOTENT_WITH_KEY,
+        DeduplicationScope.ZONE,
         1,
         2.0,
         1,
     )
     assert settings.report_fields == ("free_slots", "queue", "")
-    assert settings.weights is Weights.LIVE and settings.list_on_request and settings.tells_start
-    assert (settings.zone, settings.zones, settings.tenants[0].allowance) == (1, 2, 31.0)
+    assert (
+        settings.weight_kind is WeightKind.LIVE
+        and settings.endpoints_polled
+        and settings.workers_report_start
+    )
+    assert (settings.own_zone, settings.zone_count, settings.tenants[0].quota_per_s) == (1, 2, 31.0)
 
 
 @pytest.mark.parametrize(
