--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -24,7 +24,7 @@
     scheduler,
 )
 from pipitshed.config.settings_parser import settings_from
-from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.proxy.request import Attempt, Endpoint, Request
 from pipitshed.scheduling.events import EndpointEntry, ProgressKind, UpdateKind
 
@@ -55,7 +55,7 @@
     def __init__(self) -> None:
         self.carried: asyncio.Future[Attempt] = asyncio.get_running_loop().create_future()
 
-    def carry(self, attempt: Attempt) -> None:
+    def start(self, attempt: Attempt) -> None:
         self.carried.set_result(attempt)
 
 
@@ -65,9 +65,9 @@
 
     async def run() -> int:
         loop, settings = _CountedLoop(), settings_from(configured["settings"])
-        core, carrier = Core(settings, 1, loop), _Carrier()  # type: ignore[arg-type]
-        core.ask_list = lambda watch: None
-        core.routes.fill(
+        core, carrier = Forwarder(settings, 1, loop), _Carrier()  # type: ignore[arg-type]
+        core.fetch_endpoints = lambda watch: None
+        core.endpoints.update(
             "capacity",
             UpdateKind.SNAPSHOT,
             1,
@@ -75,10 +75,10 @@
         )  # type: ignore[arg-type]
         await asyncio.sleep(0.01)
         before = set(loop.timers)
-        core.take(Request("a", 2, PATIENCE_S * 1000, 0), Mock())
+        core.submit(Request("a", 2, PATIENCE_S * 1000, 0), Mock())
         attempt = await carrier.carried
-        core.written(attempt)
-        core.attempt_noted(attempt, ProgressKind.STARTED)
+        core.attempt_sent(attempt)
+        core.attempt_progressed(attempt, ProgressKind.STARTED)
         await asyncio.sleep(0.01)
         return sum(not handle.cancelled() for handle in loop.timers if handle not in before)
 
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -31,8 +31,8 @@
 from pipitshed.cluster.messages import Said
 from pipitshed.cluster.peers_file import Peers
 from pipitshed.cluster.settings import Tuned
-from pipitshed.config.platform import Config, load
-from pipitshed.discovery.catalog import address_of
+from pipitshed.config.platform import Config, load_platform_config
+from pipitshed.discovery.catalog import parse_address
 from pipitshed.membership.members import Address
 from pipitshed.membership.timing import Scales
 from pipitshed.testbed.virtual_fleet import DATAGRAM_HEADERS, ZONES, Second, worst
@@ -349,7 +349,7 @@
         hollow(
             int(sys.argv[2]),
             int(sys.argv[3]),
-            load({"LB_CONFIG": sys.argv[1]}),
-            [address_of(seed) for seed in sys.argv[4:]],
+            load_platform_config({"LB_CONFIG": sys.argv[1]}),
+            [parse_address(seed) for seed in sys.argv[4:]],
         )
     )
--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -15,10 +15,10 @@
 
 import uvloop
 
-from pipitshed.discovery.catalog import SOURCE, Discovery, Listing, Names, _Call
-from pipitshed.proxy.forwarder import Core
+from pipitshed.discovery.catalog import SOURCE, CatalogClient, EndpointParser, NameIndex, _Call
+from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.scheduling.settings import JobClass, Settings
-from pipitshed.upstream.http import HttpCarrier
+from pipitshed.upstream.http import HttpWorkerClient
 
 DAY = 86_400.0  # s
 READ = 64 * 1024  # bytes that a read of the list's connection brings
@@ -58,16 +58,16 @@
     """A scheduler's side of a watch: what is read goes through the program's own classes."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.core = Core(
+        self.core = Forwarder(
             Settings(
                 classes=(JobClass(latency_objective_ms=300.0, deadline_ms=5000.0),), zone_count=len(ZONES)
             ),
             1,
             loop,
         )
-        self.carrier = HttpCarrier(self.core, [], loop)
-        listing = Listing(SOURCE, Names(ZONES), Names(["standard"]), self.carrier)
-        self.discovery = Discovery(("127.0.0.1", 1), listing, self.core.routes, loop)
+        self.carrier = HttpWorkerClient(self.core, [], loop)
+        listing = EndpointParser(SOURCE, NameIndex(ZONES), NameIndex(["standard"]), self.carrier)
+        self.discovery = CatalogClient(("127.0.0.1", 1), listing, self.core.endpoints, loop)
         self.call = _Call(self.discovery, True)
         self.call.data_received(HEAD)
         self.turns: list[float] = []  # s of CPU of each turn that did any of the list's work
@@ -109,7 +109,7 @@
             await side.read(text, version)
             told[f"{name}_cpu_ms"] = (time.process_time() - begun) * 1000
             told[f"{name}_turn_ms"] = max(side.turns) * 1000
-        assert side.core.routes.ready() == planners
+        assert side.core.endpoints.ready() == planners
         return told
 
     async def weighed() -> int:
@@ -131,7 +131,7 @@
 
     async def play() -> dict[str, Any]:
         side = Side(asyncio.get_running_loop())
-        table, now = side.core.routes, 0.0
+        table, now = side.core.endpoints, 0.0
         table._clock = lambda: now
         await side.read(news(1, True, [planner_row(number) for number in range(planners)]), 1)
         tracemalloc.start()
@@ -151,7 +151,7 @@
             "replaced": replaced,
             "listed": table.size(),
             "decisions": len(side.core._dispatcher.workers) - planners,
-            "route_table": max(len(table._targets), len(table._leaving) + planners) - planners,
+            "route_table": max(len(table._endpoints), len(table._leaving) + planners) - planners,
             "pool": len(side.carrier._idle),
             "bytes": held,
         }
--- a/pipitshed/admin/frontend.py
+++ b/pipitshed/admin/frontend.py
@@ -25,7 +25,7 @@
 class _Call(asyncio.Protocol):
     """One operator's call."""
 
-    def __init__(self, front: MgmtFront) -> None:
+    def __init__(self, front: AdminFrontend) -> None:
         self._front = front
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
@@ -101,7 +101,7 @@
             self._transport.abort()
 
 
-class MgmtFront:
+class AdminFrontend:
     """All operators' calls."""
 
     def __init__(
--- a/pipitshed/cli/commands.py
+++ b/pipitshed/cli/commands.py
@@ -10,7 +10,14 @@
 import click
 
 from pipitshed import __version__
-from pipitshed.config.platform import Config, ConfigError, Front, FrontFile, load, load_front
+from pipitshed.config.platform import (
+    Config,
+    ConfigError,
+    FrontConfig,
+    FrontFile,
+    load_front,
+    load_platform_config,
+)
 from pipitshed.server.server import serve as run_scheduler
 
 if TYPE_CHECKING:
@@ -49,9 +56,9 @@
     sys.exit(2)
 
 
-def _load(front: Path | None) -> tuple[Config, Front]:
+def _load(front: Path | None) -> tuple[Config, FrontConfig]:
     try:
-        config = load()
+        config = load_platform_config()
         return config, load_front(front, config)
     except ConfigError as error:
         click.echo(f"pipitshed: {error}", err=True)
@@ -91,7 +98,7 @@
     """A scheduler that pushes jobs to planners."""
 
 
-def _versions(asked: Front) -> str:
+def _versions(asked: FrontConfig) -> str:
     assert asked.translation is not None
     return ", ".join(str(form.version) for form in asked.translation.file.forms)
 
--- a/pipitshed/cli/fleet.py
+++ b/pipitshed/cli/fleet.py
@@ -16,7 +16,7 @@
 from pipitshed.cluster.messages import Leave, Said, Show, Shown
 from pipitshed.cluster.peers_file import PeersError, read
 from pipitshed.cluster.streams import framed
-from pipitshed.discovery.catalog import address_of
+from pipitshed.discovery.catalog import parse_address
 from pipitshed.membership.members import Address
 
 WITHIN = 3.0  # s for an answer
@@ -131,11 +131,11 @@
     try:
         if file is not None:
             told = read(file)
-            return address_of(peer) if peer else told.listen, Codec(told.cluster, told.secret)
+            return parse_address(peer) if peer else told.listen, Codec(told.cluster, told.secret)
         if peer is None:
             raise PeersError("--peer or --fleet says which scheduler is asked")
         secret = secret_file.read_bytes().split(b"\n")[0].strip() if secret_file is not None else b""
-        return address_of(peer), Codec(cluster, secret)
+        return parse_address(peer), Codec(cluster, secret)
     except (PeersError, ValueError, OSError) as error:
         click.echo(f"pipitshed: {error}", err=True)
         sys.exit(2)
--- a/pipitshed/cli/settings.py
+++ b/pipitshed/cli/settings.py
@@ -24,7 +24,7 @@
     ShowRows,
     Status,
 )
-from pipitshed.discovery.catalog import address_of
+from pipitshed.discovery.catalog import parse_address
 from pipitshed.membership.members import Address
 
 IN_FORCE, NO_ANSWER, REFUSED, NOT_EVERYWHERE = 0, 1, 2, 3  # exit codes
@@ -157,7 +157,7 @@
         if state not in ("alive", "suspect"):
             return "left" if state == "left" else "out of touch"
         try:
-            return ask(address_of(at), codec, AskStatus(), Status)
+            return ask(parse_address(at), codec, AskStatus(), Status)
         except AskError as error:
             return f"no answer: {error}"
 
--- a/pipitshed/cluster/peers_file.py
+++ b/pipitshed/cluster/peers_file.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from pipitshed.discovery.catalog import address_of
+from pipitshed.discovery.catalog import parse_address
 from pipitshed.membership.members import NAME_LIMIT, Address
 from pipitshed.membership.timing import Scales
 from pipitshed.protocols.toml import line_at
@@ -85,11 +85,11 @@
     return Peers(
         file.name,
         file.zone,
-        address_of(file.listen),
-        address_of(file.advertise) if file.advertise else None,
+        parse_address(file.listen),
+        parse_address(file.advertise) if file.advertise else None,
         file.cluster,
         secret,
-        [address_of(seed) for seed in file.seeds],
+        [parse_address(seed) for seed in file.seeds],
         path.parent / file.event_log if file.event_log else None,
         file.scales,
         file.region,
@@ -124,7 +124,7 @@
         if key == "advertise" and not value:
             continue
         try:
-            address_of(value)
+            parse_address(value)
         except ValueError as error:
             return (key,), str(error)
     if (fault := file.scales.fault()) is not None:
--- a/pipitshed/cluster/settings.py
+++ b/pipitshed/cluster/settings.py
@@ -29,7 +29,7 @@
     Status,
 )
 from pipitshed.cluster.row_store import Kept
-from pipitshed.config.row_overlay import Laid, RefusedRowError, check, file_value, overlay
+from pipitshed.config.row_overlay import Overlay, RowRejectedError, check, file_value, overlay
 from pipitshed.membership.members import Address, Word
 from pipitshed.membership.members import State as MemberState
 from pipitshed.replication.acting import Acting, AskActing, Confirmations, State
@@ -196,7 +196,7 @@
         digest: bytes,
         stood: Mapping[str, Row],
         anew: bool = False,
-    ) -> Laid:
+    ) -> Overlay:
         """Rows over a file; who has to know is told, and so is the log."""
         laid, before = overlay(raw, rows, stood, self._tuned.fixed), self._confirmations.state
         changed = [
@@ -258,7 +258,7 @@
                 row = Row(message.key, 1, 1, self._me.name, message.body)
                 check(self._tuned.raw(), row, self._tuned.fixed)
                 row = self.table.put(message.key, message.body, self._me.name, message.take_over)
-        except (RowError, RefusedRowError) as error:
+        except (RowError, RowRejectedError) as error:
             reply(PutDone(self._me.name, str(error)))
             return
         self._event("delete" if row.deleted else "put", row)
@@ -373,7 +373,7 @@
             self._timer.cancel()
 
 
-def _log(raw: dict[str, Any], laid: Laid, rows: Sequence[Row]) -> None:
+def _log(raw: dict[str, Any], laid: Overlay, rows: Sequence[Row]) -> None:
     """Say which rows stand over what the file says, and which are refused."""
     acted = [row for row in rows if row.key not in laid.refused]
     for row in acted[:LOGGED]:
--- a/pipitshed/config/class_registry.py
+++ b/pipitshed/config/class_registry.py
@@ -14,12 +14,16 @@
 
 from pipitshed.scheduling.settings import JobClass
 
-REST = 60.0  # s beyond its deadline and window for which a number that the door no longer gives is left alone
-GRACE = 1.2  # s for which a class that a file dropped is still taken: new ones come into use so late
+NUMBER_REUSE_DELAY_S = (
+    60.0  # s beyond its deadline and window for which a number that the door no longer gives is left alone
+)
+DROPPED_CLASS_GRACE_S = (
+    1.2  # s for which a class that a file dropped is still taken: new ones come into use so late
+)
 
 
 @dataclass(frozen=True)
-class Change:
+class ClassChanges:
     """What a file changed, by name."""
 
     added: tuple[str, ...] = ()
@@ -36,34 +40,40 @@
 
 
 @dataclass(frozen=True)
-class ClassBook:
+class ClassRegistry:
     """All classes ever in force since the start, by number, and the numbers that the door gives names."""
 
     classes: tuple[JobClass, ...]
     names: tuple[str, ...]
-    door: dict[str, int]  # the classes of the file in force
+    accepted: dict[str, int]  # the classes of the file in force
     leaving: dict[str, tuple[int, float]] = field(default_factory=dict)  # dropped: number, taken until
-    idle: dict[int, float] = field(default_factory=dict)  # numbers that the door gives no more: since when
+    unused_since: dict[int, float] = field(
+        default_factory=dict
+    )  # numbers that the door gives no more: since when
 
     @classmethod
-    def first(cls, names: Sequence[str], classes: Sequence[JobClass]) -> ClassBook:
+    def first(cls, names: Sequence[str], classes: Sequence[JobClass]) -> ClassRegistry:
         return cls(tuple(classes), tuple(names), {name: place for place, name in enumerate(names)})
 
     def number(self, name: str, now: float) -> int | None:
         """The number of the class by this name for a job taken at `now`; None where there is none."""
-        place = self.door.get(name)
+        place = self.accepted.get(name)
         if place is not None:
             return place
         leaving = self.leaving.get(name)
         return leaving[0] if leaving is not None and now < leaving[1] else None
 
-    def taken(self, now: float) -> dict[str, int]:
+    def accepted_at(self, now: float) -> dict[str, int]:
         """Every name that the door takes at `now`, with its number."""
-        return {name: place for name, (place, until) in self.leaving.items() if now < until} | self.door
-
-    def retune(
-        self, names: Sequence[str], classes: Sequence[JobClass], now: float, grace: float = GRACE
-    ) -> tuple[ClassBook, Change]:
+        return {name: place for name, (place, until) in self.leaving.items() if now < until} | self.accepted
+
+    def updated(
+        self,
+        names: Sequence[str],
+        classes: Sequence[JobClass],
+        now: float,
+        grace: float = DROPPED_CLASS_GRACE_S,
+    ) -> tuple[ClassRegistry, ClassChanges]:
         """The book after a file with these classes, read at `now`."""
         every, called = list(self.classes), list(self.names)
         door: dict[str, int] = {}
@@ -87,23 +97,24 @@
             elif before != same:
                 changed.append(name)
         leaving = {name: entry for name, entry in self.leaving.items() if name not in door and now < entry[1]}
-        dropped = [name for name in self.door if name not in door]
+        dropped = [name for name in self.accepted if name not in door]
         for name in dropped:
-            leaving[name] = (self.door[name], now + grace)
+            leaving[name] = (self.accepted[name], now + grace)
         given = {*door.values(), *(place for place, _ in leaving.values())}
-        idle = {place: self.idle.get(place, now) for place in range(len(every)) if place not in given}
+        idle = {place: self.unused_since.get(place, now) for place in range(len(every)) if place not in given}
         return (
-            ClassBook(tuple(every), tuple(called), door, leaving, idle),
-            Change(tuple(added), tuple(changed), tuple(dropped)),
+            ClassRegistry(tuple(every), tuple(called), door, leaving, idle),
+            ClassChanges(tuple(added), tuple(changed), tuple(dropped)),
         )
 
     def _rested(self, name: str, job_class: JobClass, now: float) -> int | None:
         """A number of this name that no job can have any more, whose class differs in its limits alone."""
-        for place, since in self.idle.items():
+        for place, since in self.unused_since.items():
             held = self.classes[place]
             if (
                 self.names[place] == name
-                and now - since > (held.deadline_ms + held.idempotency_window_ms) / 1000 + REST
+                and now - since
+                > (held.deadline_ms + held.idempotency_window_ms) / 1000 + NUMBER_REUSE_DELAY_S
                 and replace(
                     held,
                     latency_objective_ms=job_class.latency_objective_ms,
--- a/pipitshed/config/completeness.py
+++ b/pipitshed/config/completeness.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 
-def lacking(before: Any, after: Any, path: str = "") -> str | None:
+def missing_key(before: Any, after: Any, path: str = "") -> str | None:
     """The first key that `after` lacks, where `before` (the file in force) has it; None where it lacks none.
 
     Objects are compared key by key, all the way down. In a list of objects (classes, tenants, planners), each
@@ -20,7 +20,7 @@
         if key not in after:
             return here
         if isinstance(value, dict):
-            if (found := lacking(value, after[key], here)) is not None:
+            if (found := missing_key(value, after[key], here)) is not None:
                 return found
         elif isinstance(value, list) and value and all(isinstance(item, dict) for item in value):
             common = set.intersection(*(set(item) for item in value))
--- a/pipitshed/config/platform.py
+++ b/pipitshed/config/platform.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from pipitshed.config.settings_parser import SettingsError, settings_from
-from pipitshed.discovery.catalog import Members, address_of
+from pipitshed.discovery.catalog import CatalogUpdate, parse_address
 from pipitshed.protocols.toml import line_at
 from pipitshed.scheduling.settings import Settings
 
@@ -57,7 +57,7 @@
     mgmt: str = ""
     seed: str = "0"
     limits: _Limits = msgspec.field(default_factory=_Limits)
-    known: Members | None = None
+    known: CatalogUpdate | None = None
 
 
 @dataclass(frozen=True)
@@ -70,7 +70,7 @@
     seed: int
     sockets: int
     memory_mb: float
-    known: Members | None
+    known: CatalogUpdate | None
     settings: Settings
     classes: list[str]
     tenants: list[str]
@@ -83,7 +83,7 @@
     trace: str = ""  # LB_TRACE: where the decisions' trace goes, `-` for the standard error; none where empty
 
 
-def passed_socket(environment: Mapping[str, str]) -> int | None:
+def inherited_socket(environment: Mapping[str, str]) -> int | None:
     """The descriptor that `LB_PASSED_SOCKET` names: a number, or 3 where it names it otherwise."""
     text = environment.get("LB_PASSED_SOCKET", "").strip()
     if not text:
@@ -98,14 +98,14 @@
     return replace(settings, endpoints_polled=True, endpoints_pushed=not settings.endpoints_polled)
 
 
-def resettled(config: Config, settings: dict[str, Any]) -> Config:
+def with_settings(config: Config, settings: dict[str, Any]) -> Config:
     """The configuration with the settings of another file, which has the same names; `raw` stays the file
     that was read. SettingsError where the settings can't be.
     """
     return replace(config, settings=_on_sockets(settings_from(settings)))
 
 
-def load(environment: Mapping[str, str] = os.environ) -> Config:
+def load_platform_config(environment: Mapping[str, str] = os.environ) -> Config:
     """Read what LB_CONFIG names; ConfigError where that can't be used."""
     path = environment.get("LB_CONFIG", "")
     if not path:
@@ -116,14 +116,14 @@
             raise ValueError("the file holds no object")
         file = msgspec.convert(raw, _File)
         names = msgspec.convert(file.settings, _Names)
-        listen = address_of(file.listen or environment.get("LB_LISTEN", ""))
+        listen = parse_address(file.listen or environment.get("LB_LISTEN", ""))
         asked = file.discovery or environment.get("LB_DISCOVERY", "")
         # Each process is told its own in the environment: at an upgrade, two share one file.
         mgmt = environment.get("LB_MGMT", "") or file.mgmt
         return Config(
             file.name or environment.get("LB_NAME", ""),
             listen,
-            address_of(asked) if asked else None,
+            parse_address(asked) if asked else None,
             int(file.seed, 16),
             file.limits.sockets,
             file.limits.memory_mb,
@@ -134,8 +134,8 @@
             names.areas,
             names.shapes,
             names.stats.fields,
-            address_of(mgmt) if mgmt else None,
-            passed_socket(environment),
+            parse_address(mgmt) if mgmt else None,
+            inherited_socket(environment),
             raw,
             environment.get("LB_TRACE", ""),
         )
@@ -204,7 +204,7 @@
 
 
 @dataclass(frozen=True)
-class Front:
+class FrontConfig:
     """What the front file asks for; nothing where it gives no addresses."""
 
     listen: list[tuple[str, int]]
@@ -239,20 +239,20 @@
     return f"the settings have no {what} {name!r} ({', '.join(known) or 'none at all'})"
 
 
-def load_front(path: Path | None, config: Config) -> Front:
+def load_front(path: Path | None, config: Config) -> FrontConfig:
     """Read the front file; ConfigError where it can't be used, with line and key where it doesn't fit the
     settings. Where none is asked for, nothing is on: a file that lies at some place turns nothing on.
     """
     if path is None:
-        return Front([], {}, _Workers(), None, "")
+        return FrontConfig([], {}, _Workers(), None, "")
     try:
         text = path.read_text()
         file = msgspec.convert(tomllib.loads(text), FrontFile)
         if misfit := _misfit(file, config):
             keys, why = misfit
             raise ConfigError(f"{path}:{line_at(text, *keys)}: {'.'.join(keys)}: {why}")
-        return Front(
-            [address_of(text) for text in file.gearman.listen],
+        return FrontConfig(
+            [parse_address(text) for text in file.gearman.listen],
             {
                 name: (
                     one.job_class,
@@ -263,7 +263,7 @@
                 for name, one in file.gearman.functions.items()
             },
             file.gearman.workers,
-            address_of(file.dns_sd.server) if file.dns_sd else None,
+            parse_address(file.dns_sd.server) if file.dns_sd else None,
             file.dns_sd.service if file.dns_sd else "",
             _translation(path, file, config.classes),
             path.parent / file.placement.plan if file.placement else None,
--- a/pipitshed/config/row_overlay.py
+++ b/pipitshed/config/row_overlay.py
@@ -24,12 +24,12 @@
 }
 
 
-class RefusedRowError(ValueError):
+class RowRejectedError(ValueError):
     """A row can't be acted on; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class Laid:
+class Overlay:
     """Rows laid over a file."""
 
     raw: dict[str, Any]  # the file as it would read with the rows' values in it
@@ -42,7 +42,7 @@
     rows: Iterable[Row],
     stood: Mapping[str, Row] | None = None,
     fixed: Container[str] = (),
-) -> Laid:
+) -> Overlay:
     """These rows laid over a file as it was read, which is not changed. Where one is refused, the row that
     was acted on before (`stood`, by key) stands; where there was none, the file's value does. Classes that
     are `fixed` can't be changed here.
@@ -60,7 +60,7 @@
                 break
             try:
                 kind, place, field, value = _checked(raw, places, one, fixed)
-            except RefusedRowError as error:
+            except RowRejectedError as error:
                 refused.setdefault(one.key, str(error))
                 continue
             values.setdefault((kind, place), {})[field] = value
@@ -72,7 +72,7 @@
             told[name] = list(told[name])
     for (kind, place), changed in values.items():
         told[_LISTS[kind]][place] = told[_LISTS[kind]][place] | changed
-    return Laid(raw | {"settings": told}, acted, refused)
+    return Overlay(raw | {"settings": told}, acted, refused)
 
 
 def check(raw: dict[str, Any], row: Row, fixed: Container[str] = ()) -> float:
@@ -84,7 +84,7 @@
     """What the file itself says at a key; None where it says nothing there."""
     try:
         kind, name, field = _parts(key)
-    except RefusedRowError:
+    except RowRejectedError:
         return None
     found = _places(raw, kind).get(name, [])
     value = raw["settings"][_LISTS[kind]][found[0]].get(field) if found else None
@@ -95,9 +95,9 @@
     kind, _, rest = key.partition("/")
     name, _, field = rest.rpartition("/")
     if kind not in FIELDS or not name:
-        raise RefusedRowError(f"a key is tenant/NAME/FIELD or class/NAME/FIELD, not {key!r}")
+        raise RowRejectedError(f"a key is tenant/NAME/FIELD or class/NAME/FIELD, not {key!r}")
     if field not in FIELDS[kind]:
-        raise RefusedRowError(f"{field!r} can't be changed by row, only {', '.join(FIELDS[kind])}")
+        raise RowRejectedError(f"{field!r} can't be changed by row, only {', '.join(FIELDS[kind])}")
     return kind, name, field
 
 
@@ -113,20 +113,20 @@
     raw: dict[str, Any], places: dict[str, dict[str, list[int]]], row: Row, fixed: Container[str]
 ) -> tuple[str, int, str, float]:
     if not row.readable:
-        raise RefusedRowError(f"it is of a newer program (form {row.form})")
+        raise RowRejectedError(f"it is of a newer program (form {row.form})")
     kind, name, field = _parts(row.key)
     if kind == "class" and name in fixed:
-        raise RefusedRowError(f"Gearman's functions keep the limits that {name!r} had at the start")
+        raise RowRejectedError(f"Gearman's functions keep the limits that {name!r} had at the start")
     found = places[kind].get(name, [])
     if len(found) != 1:
-        raise RefusedRowError(
+        raise RowRejectedError(
             f"the settings in force have {'no' if not found else 'more than one'} {kind} {name!r}"
         )
     if len(row.body) > VALUE_LIMIT or not _NUMBER.fullmatch(row.body):
-        raise RefusedRowError(f"a value is a JSON number of {VALUE_LIMIT} bytes at most")
+        raise RowRejectedError(f"a value is a JSON number of {VALUE_LIMIT} bytes at most")
     value, entry = float(row.body), raw["settings"][_LISTS[kind]][found[0]]
     try:
         check_entry(kind, entry | {field: value})  # the check that a file's value goes through
     except SettingsError as error:
-        raise RefusedRowError(field + str(error).partition(f".{field}")[2]) from None
+        raise RowRejectedError(field + str(error).partition(f".{field}")[2]) from None
     return kind, found[0], field, value
--- a/pipitshed/discovery/catalog.py
+++ b/pipitshed/discovery/catalog.py
@@ -14,8 +14,8 @@
 import msgspec
 
 from pipitshed.protocols.http import BadAnswerError, Reader
-from pipitshed.proxy.endpoint_table import Line, RouteTable
-from pipitshed.proxy.request import Carrier, Endpoint
+from pipitshed.proxy.endpoint_table import EndpointRow, EndpointTable
+from pipitshed.proxy.request import Endpoint, WorkerClient
 from pipitshed.scheduling.events import EndpointEntry, EndpointState, UpdateKind
 
 SOURCE = "discovery"
@@ -42,7 +42,7 @@
 _STATES = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING, "gone": EndpointState.REMOVED}
 
 
-class Instance(msgspec.Struct, rename="camel", gc=False):
+class CatalogEntry(msgspec.Struct, rename="camel", gc=False):
     """One line of the list."""
 
     instance_id: str
@@ -56,25 +56,25 @@
     interface: int = 0  # the planner interface that it speaks, where the row tells it
 
 
-class Members(msgspec.Struct):
+class CatalogUpdate(msgspec.Struct):
     """One piece of list news."""
 
     generation: int
-    instances: list[Instance]
+    instances: list[CatalogEntry]
     reset: bool = False
 
 
-_decode = msgspec.json.Decoder(Members).decode
+_decode = msgspec.json.Decoder(CatalogUpdate).decode
 
 
-def list_bound(memory_mb: float) -> int:
+def update_size_limit(memory_mb: float) -> int:
     """Bytes of a piece of news that a process with this memory limit (MB) takes: as many as fit into it
     beside all else while they are read and parsed, with the list before still there.
     """
     return max(LEAST_BOUND, int((memory_mb - REST_MB) * 1024 * 1024 / LIST_COST))
 
 
-def address_of(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """`host:port`; ValueError where it is not."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
@@ -82,54 +82,59 @@
     return host.strip("[]"), int(port)
 
 
-class Names:
+class NameIndex:
     """The places of names in the settings; a name they do not have gets a place of its own behind them."""
 
     def __init__(self, names: list[str]) -> None:
         self._places = {name: place for place, name in enumerate(names)}
 
-    def place(self, name: str) -> int:
+    def index(self, name: str) -> int:
         return self._places.setdefault(name, len(self._places))
 
 
-class Carriers(Protocol):
+class InterfaceResolver(Protocol):
     """Which interface a planner speaks, where there is more than one."""
 
-    def choose(self, source: str, item: Instance, listing: Listing) -> tuple[int, Carrier]:
+    def choose(self, source: str, item: CatalogEntry, listing: EndpointParser) -> tuple[int, WorkerClient]:
         """The interface, 0 while it is being found out, and what carries attempts to it."""
 
 
-class Listing:
+class EndpointParser:
     """Turns one source's lines into route table lines."""
 
     def __init__(
-        self, source: str, zones: Names, kinds: Names, carrier: Carrier, carriers: Carriers | None = None
+        self,
+        source: str,
+        zones: NameIndex,
+        kinds: NameIndex,
+        carrier: WorkerClient,
+        carriers: InterfaceResolver | None = None,
     ) -> None:
         self.source = source
-        self.zones, self.kinds, self.carrier, self.carriers = zones, kinds, carrier, carriers
+        self.zones, self.kinds, self.client, self.interface_resolver = zones, kinds, carrier, carriers
 
-    def line(self, item: Instance) -> Line:
+    def row(self, item: CatalogEntry) -> EndpointRow:
         worker = item.instance_id.encode()
-        interface, carrier = 1, self.carrier
-        if self.carriers is not None:
-            interface, carrier = self.carriers.choose(self.source, item, self)
+        interface, carrier = 1, self.client
+        if self.interface_resolver is not None:
+            interface, carrier = self.interface_resolver.choose(self.source, item, self)
         # What is not known to be of any interface gets nothing.
         classes = frozenset[int]() if interface == 0 else None
         entry = EndpointEntry(
             worker,
-            self.zones.place(item.zone),
+            self.zones.index(item.zone),
             item.cell,
-            self.kinds.place(item.machine_type),
+            self.kinds.index(item.machine_type),
             item.weight,
             item.started_at_ms,
             _STATES.get(item.lifecycle, EndpointState.DRAINING),
             classes,
             interface,
         )
-        return entry, Endpoint(worker, carrier, address_of(item.host_port), interface)
+        return entry, Endpoint(worker, carrier, parse_address(item.host_port), interface)
 
 
-class Discovery:
+class CatalogClient:
     """Asks for the list when the decisions say so. Whatever ends a call is news that it failed; when to
     ask again is theirs to decide.
     """
@@ -137,41 +142,41 @@
     def __init__(
         self,
         address: tuple[str, int],
-        listing: Listing,
-        table: RouteTable,
+        listing: EndpointParser,
+        table: EndpointTable,
         loop: asyncio.AbstractEventLoop,
-        bound: int = list_bound(192),
+        bound: int = update_size_limit(192),
     ) -> None:
         self.address = address
-        self.bound = bound  # bytes of a piece of news
-        self.listing = listing
+        self.size_limit = bound  # bytes of a piece of news
+        self.parser = listing
         self.table = table
         self.loop = loop
         self.version = 0
-        self.heard = False  # discovery itself has told a list since the start
-        self.unreached = False  # the last call that ended could not connect
+        self.received_any = False  # discovery itself has told a list since the start
+        self.unreachable = False  # the last call that ended could not connect
         self.connect_timeout, self.answer_timeout = CONNECT_TIMEOUT, ANSWER_TIMEOUT
         self.calls = 0  # that are under way
         self._idle_since = math.inf
         self._look: asyncio.TimerHandle | None = None
         self._watch: _Call | None = None
-        self.tally: Counter[str] = Counter()  # calls, bytes that came, whole lists, planners in changes
+        self.counters: Counter[str] = Counter()  # calls, bytes that came, whole lists, planners in changes
         self._wrong = ""  # what was last said to be wrong with the news
         self._waiting: deque[_News] = deque()  # pieces that are not in the table yet
-        self._lines: list[Line] = []  # of the first of them
+        self._lines: list[EndpointRow] = []  # of the first of them
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def hurry(self, grace: float) -> None:
+    def set_timeouts(self, grace: float) -> None:
         """The list is pushed to an agent, and what that has counts as told at once: calls to it do not wait
         in turn, and one that hangs is given up well within the grace (s) for drains.
         """
         self.connect_timeout = self.answer_timeout = min(CONNECT_TIMEOUT, max(LEAST_HURRY, grace / 3))
 
-    def known(self, members: Members) -> None:
+    def load_cached(self, members: CatalogUpdate) -> None:
         """The list as this scheduler last had it."""
         self.version = members.generation
-        lines = map(self.listing.line, members.instances)
-        self.table.fill(SOURCE, UpdateKind.CACHED, members.generation, lines)
+        lines = map(self.parser.row, members.instances)
+        self.table.update(SOURCE, UpdateKind.CACHED, members.generation, lines)
 
     def follow(self, address: tuple[str, int]) -> None:
         """Discovery is at another address from now on. The watch at the old one tells what it still can,
@@ -179,15 +184,15 @@
         """
         if address != self.address:
             self.address = address
-            self.table.moved()
+            self.table.discovery_moved()
 
-    def ask(self, watch: bool) -> None:
+    def fetch(self, watch: bool) -> None:
         """Watch from the version that is known, or ask once for the whole list."""
         if watch:
             self.close()
         call = _Call(self, watch)
         self.calls += 1
-        self.tally["list calls"] += 1
+        self.counters["list calls"] += 1
         self._idle_since = math.inf
         if self._look is None:
             self._look = self.loop.call_later(IDLE_LOOK, self._look_after)
@@ -210,7 +215,7 @@
         if self.loop.time() - self._idle_since >= IDLE_LOOK:
             log.warning("no call to discovery is under way, and none has come: the last one counts as failed")
             self._idle_since = self.loop.time()
-            self.table.failed()
+            self.table.fetch_failed()
 
     def close(self) -> None:
         """End the watch without news of it."""
@@ -234,7 +239,7 @@
         """News came as it should."""
         self._wrong = ""
 
-    def take(self, call: _Call, members: Members, current: bool) -> None:
+    def take(self, call: _Call, members: CatalogUpdate, current: bool) -> None:
         """Put one piece of news of a call into the route table; `current` says whether all before it was
         taken, so that the list known is of its version. Guards the loop's timers against a long piece: its
         planners are taken up in slices, and it is one change all the same.
@@ -249,7 +254,7 @@
     @property
     def _slice(self) -> int:
         # Where interfaces are found out meanwhile, a line that was made some turns ago may be out of date.
-        return SLICE if self.listing.carriers is None else sys.maxsize
+        return SLICE if self.parser.interface_resolver is None else sys.maxsize
 
     def _work(self) -> None:
         """Take up what waits, as much as one turn may."""
@@ -257,12 +262,12 @@
             call, members, current = self._waiting[0]
             place = len(self._lines)
             try:
-                self._lines += map(self.listing.line, members.instances[place : place + self._slice])
+                self._lines += map(self.parser.row, members.instances[place : place + self._slice])
                 if len(self._lines) < len(members.instances):
                     self.loop.call_soon(self._work)
                     return
                 kind = UpdateKind.SNAPSHOT if members.reset else UpdateKind.DELTA
-                self.table.fill(SOURCE, kind, members.generation, self._lines)
+                self.table.update(SOURCE, kind, members.generation, self._lines)
             except Exception as error:
                 # Guards against what came behind it in this call, which would be taken for all that there is.
                 self._waiting = deque(one for one in self._waiting if one[0] is not call)
@@ -275,31 +280,31 @@
                 continue
             self._waiting.popleft()
             self._lines = []
-            self.heard = True
+            self.received_any = True
             if members.reset:
-                self.tally["whole lists"] += 1
+                self.counters["whole lists"] += 1
                 log.info(
                     "discovery: the whole list, version %d, %d planners",
                     members.generation,
                     len(members.instances),
                 )
             else:
-                self.tally["list changes"] += len(members.instances)
+                self.counters["list changes"] += len(members.instances)
             if current:
                 self.version = members.generation
                 self.right()
 
 
-_News = tuple["_Call", Members, bool]
+_News = tuple["_Call", CatalogUpdate, bool]
 
 
 class _Call(asyncio.Protocol):
     """One call: the whole list, or a watch that lasts until its connection ends."""
 
-    def __init__(self, discovery: Discovery, watch: bool) -> None:
+    def __init__(self, discovery: CatalogClient, watch: bool) -> None:
         self._discovery = discovery
         self._watch = watch
-        self._bound = discovery.bound
+        self._bound = discovery.size_limit
         self._reader = Reader(self, self._bound + READ)
         self._transport: asyncio.Transport | None = None
         self._status = 0
@@ -321,7 +326,7 @@
             async with asyncio.timeout(owner.connect_timeout):
                 await owner.loop.create_connection(lambda: self, *owner.address)
         except OSError:
-            owner.unreached = True
+            owner.unreachable = True
             self.fail()
         except Exception:
             log.exception("a call to discovery")
@@ -343,7 +348,7 @@
     def fail(self) -> None:
         if not self._over:
             self.end()
-            self._discovery.table.failed()
+            self._discovery.table.fetch_failed()
 
     def _expect(self, seconds: float, otherwise: Callable[[], None] | None = None) -> None:
         """What is awaited now comes within so long, whatever bytes come before it is whole; else the call has
@@ -370,7 +375,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are none by inheritance
-        self._discovery.unreached = False
+        self._discovery.unreachable = False
         if self._over:
             self._transport.abort()
             return
@@ -382,7 +387,7 @@
         if self._over:
             return
         unfinished = self._unfinished
-        self._discovery.tally["list bytes"] += len(data)
+        self._discovery.counters["list bytes"] += len(data)
         self._came += len(data)
         try:
             self._reader.feed(data)
--- a/pipitshed/discovery/dns_sd.py
+++ b/pipitshed/discovery/dns_sd.py
@@ -16,8 +16,8 @@
 import dns.rrset
 import msgspec
 
-from pipitshed.discovery.catalog import Instance, Listing
-from pipitshed.proxy.endpoint_table import Line, RouteTable
+from pipitshed.discovery.catalog import CatalogEntry, EndpointParser
+from pipitshed.proxy.endpoint_table import EndpointRow, EndpointTable
 from pipitshed.scheduling.events import UpdateKind
 
 SOURCE = "dns-sd"
@@ -53,15 +53,15 @@
     return value if 0 <= value < 1e15 else default
 
 
-class DnsSd:
+class DnsSdClient:
     """Browses one service at one name server, and asks again as the records' times to live say."""
 
     def __init__(
         self,
         server: tuple[str, int],
         service: str,
-        listing: Listing,
-        table: RouteTable,
+        listing: EndpointParser,
+        table: EndpointTable,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         self._server = server
@@ -69,8 +69,8 @@
         self._listing = listing
         self._table = table
         self._loop = loop
-        self._instances: dict[dns.name.Name, tuple[Instance, float]] = {}  # and until when it may stand
-        self._told: dict[dns.name.Name, Instance] = {}
+        self._instances: dict[dns.name.Name, tuple[CatalogEntry, float]] = {}  # and until when it may stand
+        self._told: dict[dns.name.Name, CatalogEntry] = {}
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
@@ -127,7 +127,7 @@
         self._tell()
         return min(lives, default=LONGEST)
 
-    async def _instance(self, name: dns.name.Name) -> tuple[Instance, float] | None:
+    async def _instance(self, name: dns.name.Name) -> tuple[CatalogEntry, float] | None:
         """One instance's SRV, TXT and address; what is known of it where the server gives no answer."""
         try:
             srv, txt = await asyncio.gather(
@@ -142,7 +142,7 @@
         if address is None:
             return None
         pairs = _txt(txt) if txt is not None else {}
-        instance = Instance(
+        instance = CatalogEntry(
             name.to_text(),
             f"{address[0].to_text()}:{record.port}",
             pairs.get("zone", ""),
@@ -168,8 +168,8 @@
             for name, instance in before.items()
             if name not in told
         ]
-        lines: list[Line] = []
+        lines: list[EndpointRow] = []
         for instance in changed:
             with contextlib.suppress(ValueError):
-                lines.append(self._listing.line(instance))
-        self._table.fill(SOURCE, UpdateKind.DELTA, 0, lines)
+                lines.append(self._listing.row(instance))
+        self._table.update(SOURCE, UpdateKind.DELTA, 0, lines)
--- a/pipitshed/discovery/placement_plan.py
+++ b/pipitshed/discovery/placement_plan.py
@@ -10,12 +10,12 @@
 
 from pipitshed.placement.follow import EVERY, Follower
 from pipitshed.placement.plan import PlanError, read
-from pipitshed.proxy.endpoint_table import RouteTable
+from pipitshed.proxy.endpoint_table import EndpointTable
 
 log = logging.getLogger("pipitshed")
 
 
-class FollowedPlan:
+class PlacementPlanSource:
     """The file, and the steps by which the route table's weights come to it."""
 
     def __init__(
@@ -24,7 +24,7 @@
         zone: str,
         classes: Sequence[str],
         cold: float,
-        table: RouteTable,
+        table: EndpointTable,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         self._path = path
@@ -54,14 +54,14 @@
 
     def _step(self) -> None:
         self._timer = self._loop.call_later(EVERY, self._step)
-        self.weigh()
+        self.apply_weights()
 
-    def weigh(self) -> None:
+    def apply_weights(self) -> None:
         """Give the route table the weights of now. Guards, after new classes, against a job of a number that
         no planner has a weight for.
         """
         held = self.follower.plan
-        self._table.plan(self.follower.weights(self._table.entries(), time.time()))
+        self._table.set_planned_weights(self.follower.weights(self._table.entries(), time.time()))
         if held is not None and self.follower.plan is None:
             log.warning("plan %s: its life is over; the list's weights count", self._path.name)
 
--- a/pipitshed/discovery/worker_interfaces.py
+++ b/pipitshed/discovery/worker_interfaces.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from pipitshed.discovery.catalog import Instance, Listing, address_of
-from pipitshed.proxy.endpoint_table import RouteTable
-from pipitshed.proxy.request import Carrier
+from pipitshed.discovery.catalog import CatalogEntry, EndpointParser, parse_address
+from pipitshed.proxy.endpoint_table import EndpointTable
+from pipitshed.proxy.request import WorkerClient
 from pipitshed.scheduling.events import UpdateKind, WorkerId
 
 AT_ONCE = 8  # planners asked at the same time: a wide fleet that starts together is not met by a storm
@@ -26,21 +26,21 @@
 class _Known:
     """What is known of one planner."""
 
-    item: Instance
+    item: CatalogEntry
     source: str
-    listing: Listing
+    listing: EndpointParser
     interface: int = 0  # found out, for this start
     asking: bool = False
     failures: int = 0
 
 
-class Interfaces:
+class InterfaceRegistry:
     """The interfaces of all listed planners."""
 
     def __init__(
         self,
-        table: RouteTable,
-        carriers: Mapping[int, Carrier],
+        table: EndpointTable,
+        carriers: Mapping[int, WorkerClient],
         told: Mapping[str, int],
         default: int,
         sound: Callable[[WorkerId, Address], None],
@@ -56,7 +56,7 @@
         self._queue: deque[WorkerId] = deque()
         self._out = 0
 
-    def choose(self, source: str, item: Instance, listing: Listing) -> tuple[int, Carrier]:
+    def choose(self, source: str, item: CatalogEntry, listing: EndpointParser) -> tuple[int, WorkerClient]:
         """The interface of one row, 0 while it is being found out, and what carries attempts to it."""
         worker = item.instance_id.encode()
         known = self._known.get(worker)
@@ -74,7 +74,7 @@
             self._ask(worker, known)
         return interface, self._carriers[interface or 1]
 
-    def _of(self, item: Instance, known: _Known | None) -> int:
+    def _of(self, item: CatalogEntry, known: _Known | None) -> int:
         found = known.interface if known is not None else 0
         if item.interface in self._carriers:
             # The row speaks for the planner, unless that has just been seen to be wrong.
@@ -99,17 +99,17 @@
             known = self._known.get(worker)
             if known is not None:
                 self._out += 1
-                self._sound(worker, address_of(known.item.host_port))
+                self._sound(worker, parse_address(known.item.host_port))
 
-    def sounded(self, worker: WorkerId, address: Address, interface: int) -> None:
+    def detected(self, worker: WorkerId, address: Address, interface: int) -> None:
         """The answer for one planner; 0 where it could not be asked, or is about to leave."""
         self._out -= 1
         known = self._known.get(worker)
-        if known is not None and address == address_of(known.item.host_port):
+        if known is not None and address == parse_address(known.item.host_port):
             known.asking = False
             if interface:
                 known.interface, known.failures = interface, 0
-                self._table.release(worker)
+                self._table.clear_draining(worker)
                 self._refill(known)
             else:
                 wait = min(LONGEST_WAIT, FIRST_WAIT * 2.0**known.failures)
@@ -121,16 +121,16 @@
         self._next()
 
     def _again(self, worker: WorkerId, known: _Known) -> None:
-        unsure = self._of(known.item, known) == 0 or self._table.holds(worker)
+        unsure = self._of(known.item, known) == 0 or self._table.is_marked_draining(worker)
         if self._known.get(worker) is known and unsure:
             self._ask(worker, known)
 
     def _refill(self, known: _Known) -> None:
-        self._table.fill(known.source, UpdateKind.DELTA, 0, [known.listing.line(known.item)])
+        self._table.update(known.source, UpdateKind.DELTA, 0, [known.listing.row(known.item)])
 
     # ---- what carriers see
 
-    def doubt(self, worker: WorkerId) -> None:
+    def mismatched(self, worker: WorkerId) -> None:
         """A planner has answered in another interface than the one it was taken for: it gets nothing until it
         is known which.
         """
@@ -138,7 +138,7 @@
         if known is None or known.asking:
             return
         known.interface = 0
-        known.item = Instance(
+        known.item = CatalogEntry(
             known.item.instance_id,
             known.item.host_port,
             known.item.zone,
@@ -150,20 +150,20 @@
             0,
         )
         self._ask(worker, known)
-        entry, target = known.listing.line(known.item)
+        entry, target = known.listing.row(known.item)
         if entry.interface:
             return  # settings say otherwise, and stand
-        self._table.fill(known.source, UpdateKind.DELTA, 0, [(entry, target)])
+        self._table.update(known.source, UpdateKind.DELTA, 0, [(entry, target)])
 
     def drains(self, worker: WorkerId) -> None:
         """A planner has said itself that it drains. Its source tells of the next start; where none does, a
         planner that takes connections again without such word is back.
         """
-        self._table.hold(worker)
-        if self._table.holds(worker):
+        self._table.mark_draining(worker)
+        if self._table.is_marked_draining(worker):
             self._later(CLEAN, lambda: self._look_again(worker))
 
     def _look_again(self, worker: WorkerId) -> None:
         known = self._known.get(worker)
-        if known is not None and self._table.holds(worker):
+        if known is not None and self._table.is_marked_draining(worker):
             self._ask(worker, known)
--- a/pipitshed/frontends/gearman.py
+++ b/pipitshed/frontends/gearman.py
@@ -18,11 +18,11 @@
 from pipitshed.protocols.buffer import Buffer, TooLongError
 from pipitshed.protocols.gearman import HEAD, PACKET_LIMIT, Kind, PacketError, pack, requests
 from pipitshed.protocols.http import BODY_LIMIT
-from pipitshed.proxy.deduplication import Entry, Ledger
-from pipitshed.proxy.forwarder import Core
-from pipitshed.proxy.request import Refusal, Request
+from pipitshed.proxy.deduplication import DeduplicationEntry, DeduplicationTable
+from pipitshed.proxy.forwarder import Forwarder
+from pipitshed.proxy.request import Request, TranslationFailure
 from pipitshed.scheduling.events import ProgressKind
-from pipitshed.upstream.gearman import WORKER_KINDS, GearmanCarrier, Worker
+from pipitshed.upstream.gearman import WORKER_KINDS, GearmanWorker, GearmanWorkerClient
 
 LINGER = 0.5  # s for which more is read and thrown away after the last packet
 UNREAD_LIMIT = 1024 * 1024  # bytes that a peer may leave unread before its connection is closed
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Function:
+class GearmanFunction:
     """What a Gearman function is to the decisions."""
 
     job_class: int
@@ -57,34 +57,34 @@
     """One handle: the client of an exchange, or one of several that share it."""
 
     def __init__(
-        self, front: GearmanFront, handle: bytes, unique: bytes, connection: _Connection | None
+        self, front: GearmanFrontend, handle: bytes, unique: bytes, connection: _Connection | None
     ) -> None:
         self.front, self.handle, self.unique = front, handle, unique
         self.connection = connection  # None for a job in the background
-        self.entry: Entry | None = None
+        self.entry: DeduplicationEntry | None = None
         self.started = False
         self.share = 0.0
 
-    def served(self, result: bytes) -> None:
+    def succeeded(self, result: bytes) -> None:
         self._end(pack(Kind.WORK_COMPLETE, self.handle, result), done=True)
 
-    def refused(self, retry_after: float) -> None:
+    def rejected(self, retry_after: float) -> None:
         """Trying again is harmless: the warning says when."""
         seconds = b"retry-after %.3f" % (retry_after / 1000)
         self._end(pack(Kind.WORK_WARNING, self.handle, seconds), pack(Kind.WORK_FAIL, self.handle))
 
     def failed(self) -> None:
-        exchange = self.entry.exchange if self.entry is not None else None
+        exchange = self.entry.context if self.entry is not None else None
         packets = [pack(Kind.WORK_FAIL, self.handle)]
-        if exchange is not None and exchange.fault and self.connection and self.connection.exceptions:
-            packets.insert(0, pack(Kind.WORK_EXCEPTION, self.handle, exchange.fault))
+        if exchange is not None and exchange.last_error and self.connection and self.connection.exceptions:
+            packets.insert(0, pack(Kind.WORK_EXCEPTION, self.handle, exchange.last_error))
         self._end(*packets)
 
-    def unfit(self, why: Refusal, ran: bool) -> None:
+    def untranslatable(self, why: TranslationFailure, ran: bool) -> None:
         """Final, with the reason as an exception where the client has asked for these."""
         self.failed()
 
-    def noted(self, kind: ProgressKind, share: float) -> None:
+    def progressed(self, kind: ProgressKind, share: float) -> None:
         self.started = True
         if kind is ProgressKind.PROGRESS:
             self.share = share
@@ -105,9 +105,9 @@
 class _Connection(asyncio.Protocol):
     """One connection; client, worker and administrator are told apart by what they say."""
 
-    def __init__(self, front: GearmanFront) -> None:
+    def __init__(self, front: GearmanFrontend) -> None:
         self.exceptions = False
-        self.worker: Worker | None = None
+        self.worker: GearmanWorker | None = None
         self._front = front
         self._buffer = Buffer(HEAD.size + PACKET_LIMIT + 256 * 1024)  # a read, and a packet begun before it
         self._transport: asyncio.Transport | None = None
@@ -227,14 +227,14 @@
             self._transport.abort()
 
 
-class GearmanFront:
+class GearmanFrontend:
     """All Gearman connections, and the jobs by their handles."""
 
     def __init__(
         self,
-        core: Core,
-        carrier: GearmanCarrier,
-        functions: Mapping[str, Function],
+        core: Forwarder,
+        carrier: GearmanWorkerClient,
+        functions: Mapping[str, GearmanFunction],
         loop: asyncio.AbstractEventLoop,
         label: str,
         most: int,
@@ -244,7 +244,7 @@
         self.carrier = carrier
         self.functions = functions
         self.loop = loop
-        self.ledger = Ledger(core, loop)
+        self.ledger = DeduplicationTable(core, loop)
         self.connections: dict[_Connection, None] = {}
         self.jobs: dict[bytes, _Job] = {}
         self.closing = False  # no more jobs are taken
@@ -266,7 +266,7 @@
         self._handles += 1
         return b"H:%s:%d" % (self._label, self._handles)
 
-    def submit(self, job: _Job, known: Function, function: bytes, body: bytes, priority: int) -> None:
+    def submit(self, job: _Job, known: GearmanFunction, function: bytes, body: bytes, priority: int) -> None:
         """Hand a job in under its own handle, where its client is still there. The unique id is the key; `-`
         stands for the job's data.
         """
@@ -286,7 +286,7 @@
             function=function.decode("latin-1"),
             priority=priority,
             tenant_name=known.tenant_name,
-            form=known.form,
+            form_version=known.form,
         )
         job.entry = self.ledger.submit(request, job)
 
@@ -347,9 +347,9 @@
         total: Counter[str] = Counter()
         running: Counter[str] = Counter()
         for job in self.jobs.values():
-            if job.entry is not None and job.entry.exchange is not None:
-                total[job.entry.exchange.request.function] += 1
-                running[job.entry.exchange.request.function] += job.started
+            if job.entry is not None and job.entry.context is not None:
+                total[job.entry.context.request.function] += 1
+                running[job.entry.context.request.function] += job.started
         able = Counter(name for worker in self.carrier.workers for name in worker.abilities)
         return [f"{name}\t{total[name]}\t{running[name]}\t{able[name]}" for name in self.functions]
 
--- a/pipitshed/frontends/http.py
+++ b/pipitshed/frontends/http.py
@@ -17,8 +17,8 @@
 
 from pipitshed.protocols.buffer import Buffer, TooLongError
 from pipitshed.protocols.http import BODY_LIMIT, HEAD_LIMIT
-from pipitshed.proxy.forwarder import Core
-from pipitshed.proxy.request import Exchange, Refusal, Request
+from pipitshed.proxy.forwarder import Forwarder
+from pipitshed.proxy.request import Request, RequestContext, TranslationFailure
 from pipitshed.scheduling.events import ProgressKind
 
 PIPELINED = 8  # requests that may wait behind one on a connection; clients send one at a time
@@ -77,7 +77,7 @@
 }
 
 
-class Forms(Protocol):
+class ClientForms(Protocol):
     """What is known of the forms in which clients speak, where messages are translated."""
 
     def client_form(self, content_type: str) -> int: ...
@@ -116,17 +116,21 @@
     return 0
 
 
-class Reading:
+class RequestParser:
     """Turns a request's head and body into a Request, by the names in the settings."""
 
     def __init__(
-        self, core: Core, classes: Sequence[str], tenants: Sequence[str], forms: Forms | None = None
+        self,
+        core: Forwarder,
+        classes: Sequence[str],
+        tenants: Sequence[str],
+        forms: ClientForms | None = None,
     ) -> None:
         self._core = core
         self._forms = forms
-        self.retune({name: place for place, name in enumerate(classes)}, tenants)
+        self.apply_settings({name: place for place, name in enumerate(classes)}, tenants)
 
-    def retune(self, classes: dict[str, int], tenants: Sequence[str]) -> None:
+    def apply_settings(self, classes: dict[str, int], tenants: Sequence[str]) -> None:
         """The numbers of the classes that are taken from now on, and the tenants' places."""
         self._classes = {name.encode(): place for name, place in classes.items()}
         self._tenants = {name.encode(): place for place, name in enumerate(tenants)}
@@ -163,10 +167,10 @@
             resource.decode("latin-1"),
             slots=extras.get(b"slots", 1.0) or 1.0,
             memory=extras.get(b"memory", 0.0),
-            hint=_number(hint, "X-Cost-Hint") if hint else None,
-            repeat=head.get(b"x-retry", b"") == b"1",
+            work_hint=_number(hint, "X-Cost-Hint") if hint else None,
+            is_retry=head.get(b"x-retry", b"") == b"1",
             tenant_name=head.get(b"x-tenant", b"").decode("latin-1") if form is not None else "",
-            form=form,
+            form_version=form,
         )
 
     def _envelope(self, head: dict[bytes, bytes], body: bytes) -> int:
@@ -189,7 +193,7 @@
 class _Connection(asyncio.Protocol):
     """One client's connection."""
 
-    def __init__(self, front: HttpFront) -> None:
+    def __init__(self, front: HttpFrontend) -> None:
         self._front = front
         self._parser = httptools.HttpRequestParser(self)
         self._buffer = Buffer(BODY_LIMIT)
@@ -203,7 +207,7 @@
         self._due: asyncio.TimerHandle | None = None  # the request must be whole by then
         self._id = ""  # of the request that is open
         self._waiting: deque[Request | int] = deque()  # requests in order; a number is an answer's status
-        self._exchange: Exchange | None = None
+        self._exchange: RequestContext | None = None
         self._last = False  # nothing more is read
         self._clogged = False  # answers are not read: nothing more is taken, and reading rests
         self._unread: asyncio.TimerHandle | None = None  # they must be read by then
@@ -213,7 +217,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are none by inheritance
         self._due = self._front.loop.call_later(FIRST_WITHIN, self._too_late)
-        self._front.came(self)
+        self._front.connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._front.forget(self)
@@ -370,7 +374,7 @@
             if len(self._waiting) >= FLOOD:
                 self._flood()
         else:
-            self._waiting.append(self._front.reading.request(verb, self._resource, self._headers, body))
+            self._waiting.append(self._front.parser.request(verb, self._resource, self._headers, body))
             # Guards against a request of a client that has gone already: its end, where it stands behind the
             # request, is read in the turn between.
             self._front.loop.call_soon(self._next)
@@ -416,7 +420,7 @@
             else:
                 self._id = first.id
                 self._front.open_ids.add(first.id)
-                self._exchange = self._front.core.take(first, self)
+                self._exchange = self._front.core.submit(first, self)
 
     def _write(self, status: int, body: bytes = b"", extra: str = "") -> None:
         if self._exchange is not None:
@@ -436,11 +440,11 @@
         if final:
             self.close()
 
-    def served(self, result: bytes) -> None:
+    def succeeded(self, result: bytes) -> None:
         self._write(200, result)
         self._next()
 
-    def refused(self, retry_after: float) -> None:
+    def rejected(self, retry_after: float) -> None:
         self._write(503, b"", f"Retry-After: {retry_after / 1000:.3f}\r\n")
         self._next()
 
@@ -448,7 +452,7 @@
         self._write(500)
         self._next()
 
-    def unfit(self, why: Refusal, ran: bool) -> None:
+    def untranslatable(self, why: TranslationFailure, ran: bool) -> None:
         """Say what can't be expressed, as RFC 9457 has it: 422 for a request, which trying again won't mend;
         500 for the result of a job that ran.
         """
@@ -470,7 +474,7 @@
         )
         self._next()
 
-    def noted(self, kind: ProgressKind, share: float) -> None:
+    def progressed(self, kind: ProgressKind, share: float) -> None:
         """The platform's clients wait for the answer alone."""
 
     def close(self) -> None:
@@ -507,19 +511,19 @@
             self._transport.close()
 
 
-class HttpFront:
+class HttpFrontend:
     """All HTTP clients' connections."""
 
     def __init__(
         self,
-        core: Core,
-        reading: Reading,
+        core: Forwarder,
+        reading: RequestParser,
         most: int,
         loop: asyncio.AbstractEventLoop,
         ready: Callable[[], bool],
     ) -> None:
         self.core = core
-        self.reading = reading
+        self.parser = reading
         self.loop = loop
         self.ready = ready
         self.draining = False  # each answer says that its connection closes
@@ -534,7 +538,7 @@
         """A new client's connection."""
         return _Connection(self)
 
-    def came(self, newcomer: _Connection) -> None:
+    def connected(self, newcomer: _Connection) -> None:
         """A connection is up. Where there are too many, one makes room: the oldest on which no request has
         come, so that clients that only connect never cost a usual one its own, else the longest idle. Told
         here and not when it is made: in a burst, several are made before the first is up.
--- a/pipitshed/proxy/decision_log.py
+++ b/pipitshed/proxy/decision_log.py
@@ -18,7 +18,7 @@
 from pipitshed.scheduling.actions import SetTimer
 from pipitshed.scheduling.events import EndpointEntry, TimerFired
 
-QUIET = (SetTimer, TimerFired)
+OMITTED = (SetTimer, TimerFired)
 
 
 def _value(value: Any) -> str:
@@ -35,7 +35,7 @@
     return str(value)
 
 
-def line(now: float, way: str, item: object) -> str:
+def format_line(now: float, way: str, item: object) -> str:
     """`now way Kind name=value ...`; fields that are empty or None are left out."""
     published = CLASSES[type(item)]
     parts = [f"{now:.1f}", way, published.name]
@@ -48,28 +48,28 @@
     return " ".join(parts)
 
 
-class Trace:
+class DecisionLog:
     """Writes the lines of one turn of the loop."""
 
     def __init__(self, out: IO[str]) -> None:
         self._out = out
 
     @classmethod
-    def named(cls, name: str) -> Trace:
+    def named(cls, name: str) -> DecisionLog:
         return cls(sys.stderr if name == "-" else open(name, "a", buffering=1 << 16))  # noqa: SIM115
 
     def settings(self, told: object) -> None:
         """The settings as the configuration gave them, first."""
         self._out.write(f"settings {msgspec.json.encode(told).decode()}\n")
 
-    def turn(self, now: float, events: Iterable[object], actions: Iterable[object]) -> None:
+    def record(self, now: float, events: Iterable[object], actions: Iterable[object]) -> None:
         write = self._out.write
         for event in events:
-            if not isinstance(event, QUIET):
-                write(line(now, "<", event) + "\n")
+            if not isinstance(event, OMITTED):
+                write(format_line(now, "<", event) + "\n")
         for action in actions:
-            if not isinstance(action, QUIET):
-                write(line(now, ">", action) + "\n")
+            if not isinstance(action, OMITTED):
+                write(format_line(now, ">", action) + "\n")
 
     def close(self) -> None:
         self._out.flush()
--- a/pipitshed/proxy/endpoint_table.py
+++ b/pipitshed/proxy/endpoint_table.py
@@ -17,11 +17,11 @@
     WorkerId,
 )
 
-Line = tuple[EndpointEntry, Endpoint]
-REMEMBERED = 60.0  # s for which a planner that nobody lists is known; a turn's decisions may name it
+EndpointRow = tuple[EndpointEntry, Endpoint]
+FORGET_AFTER_S = 60.0  # s for which a planner that nobody lists is known; a turn's decisions may name it
 
 
-def together(news: Sequence[EndpointsUpdated]) -> EndpointsUpdated:
+def merge_updates(news: Sequence[EndpointsUpdated]) -> EndpointsUpdated:
     """Changes that came one after the other as one: the last that was told of each planner, in the order in
     which that came.
     """
@@ -33,7 +33,7 @@
     return EndpointsUpdated(UpdateKind.DELTA, max(one.version for one in news), tuple(entries.values()))
 
 
-class RouteTable:
+class EndpointTable:
     """What each source lists now, and the endpoints of all that is listed, or has left and is still owed."""
 
     def __init__(
@@ -43,24 +43,28 @@
     ) -> None:
         self._post = post
         self._clock = clock
-        self._targets: dict[WorkerId, Endpoint] = {}
+        self._endpoints: dict[WorkerId, Endpoint] = {}
         self._listed: dict[str, dict[WorkerId, EndpointEntry]] = {}
-        self._held: dict[WorkerId, float] = {}  # said itself that it drains: the start for which that holds
+        self._draining_marks: dict[
+            WorkerId, float
+        ] = {}  # said itself that it drains: the start for which that holds
         self._planned: dict[WorkerId, tuple[float, ...]] | None = None  # a plan's weights by class
         self._ready: dict[int, int] = {}  # how many are listed as ready, by their interface
         self._interfaces = frozenset[int]()  # those with any, as last told
-        self.retold = False  # an entry that is told anew as it was says something: weights are live
+        self.repeats_count = False  # an entry that is told anew as it was says something: weights are live
         self._leaving: set[WorkerId] = set()  # told of as draining or gone, and not of anything since
-        self._left: dict[WorkerId, float] = {}  # listed by nobody, and since when, the longest first
+        self._removed_at: dict[WorkerId, float] = {}  # listed by nobody, and since when, the longest first
         self.on_interfaces: Callable[[], None] = lambda: None  # another set of interfaces is listed
         self.on_forgotten: Callable[[WorkerId], None] = lambda worker: None
-        self.owed: Callable[[], Container[WorkerId]] = lambda: ()  # planners with attempts out, or to begin
+        self.workers_in_use: Callable[[], Container[WorkerId]] = (
+            lambda: ()
+        )  # planners with attempts out, or to begin
 
-    def target(self, worker: WorkerId) -> Endpoint | None:
+    def endpoint(self, worker: WorkerId) -> Endpoint | None:
         """Where an attempt to this planner goes; also when it has left the list."""
-        return self._targets.get(worker)
+        return self._endpoints.get(worker)
 
-    def leaving(self, worker: WorkerId) -> bool:
+    def is_leaving(self, worker: WorkerId) -> bool:
         """Whether the last that was told of this planner is that it drains or has gone."""
         return worker in self._leaving
 
@@ -77,7 +81,7 @@
         """The interfaces of all that is listed as ready; 0 is one that is still being found out."""
         return self._interfaces
 
-    def fill(self, source: str, kind: UpdateKind, version: int, lines: Iterable[Line]) -> None:
+    def update(self, source: str, kind: UpdateKind, version: int, lines: Iterable[EndpointRow]) -> None:
         """News from one source. A whole list is made a change: it speaks for its own source alone, and
         what that source no longer lists is gone. What is told as it is known is no news to the decisions.
         """
@@ -91,9 +95,9 @@
             entry = self._as_held(entry)
             if self._planned is not None:
                 entry = replace(entry, planned_weights=self._planned.get(worker))
-            if self._targets.get(worker) != target:
-                self._targets[worker] = target
-            if entry != listed.get(worker) or kind is UpdateKind.CACHED or self.retold:
+            if self._endpoints.get(worker) != target:
+                self._endpoints[worker] = target
+            if entry != listed.get(worker) or kind is UpdateKind.CACHED or self.repeats_count:
                 entries[worker] = entry
             else:
                 entries.pop(worker, None)  # what an earlier line told is void
@@ -113,15 +117,16 @@
         """
         now = self._clock()
         due = [
-            worker for worker, _ in takewhile(lambda left: now - left[1] >= REMEMBERED, self._left.items())
+            worker
+            for worker, _ in takewhile(lambda left: now - left[1] >= FORGET_AFTER_S, self._removed_at.items())
         ]
-        owed = self.owed() if due else ()
+        owed = self.workers_in_use() if due else ()
         for worker in due:
-            del self._left[worker]
+            del self._removed_at[worker]
             if worker in owed:
-                self._left[worker] = now
+                self._removed_at[worker] = now
                 continue
-            del self._targets[worker]
+            del self._endpoints[worker]
             self._leaving.discard(worker)
             self.on_forgotten(worker)
 
@@ -136,10 +141,10 @@
             self._ready[old.interface] -= 1
             if not self._ready[old.interface]:
                 del self._ready[old.interface]
-        self._left.pop(entry.worker, None)
+        self._removed_at.pop(entry.worker, None)
         if entry.state is EndpointState.REMOVED:
             if not any(entry.worker in one for one in self._listed.values()):
-                self._left[entry.worker] = self._clock()
+                self._removed_at[entry.worker] = self._clock()
         else:
             listed[entry.worker] = entry
             if entry.state is EndpointState.READY:
@@ -154,11 +159,11 @@
             self.on_interfaces()
 
     def _as_held(self, entry: EndpointEntry) -> EndpointEntry:
-        start = self._held.get(entry.worker)
+        start = self._draining_marks.get(entry.worker)
         if start is None:
             return entry
         if entry.state is EndpointState.REMOVED or entry.started_at_ms > start:
-            del self._held[entry.worker]  # what was held against the old process is void
+            del self._draining_marks[entry.worker]  # what was held against the old process is void
             return entry
         return replace(entry, state=EndpointState.DRAINING) if entry.state is EndpointState.READY else entry
 
@@ -166,7 +171,7 @@
         """All that is listed now."""
         return [entry for listed in self._listed.values() for entry in listed.values()]
 
-    def plan(self, weights: dict[WorkerId, tuple[float, ...]] | None) -> None:
+    def set_planned_weights(self, weights: dict[WorkerId, tuple[float, ...]] | None) -> None:
         """Weights by class in place of the list's, or the list's own again."""
         self._planned = weights
         changed = []
@@ -179,32 +184,32 @@
         if changed:
             self._tell(EndpointsUpdated(UpdateKind.DELTA, 0, tuple(changed)))
 
-    def hold(self, worker: WorkerId) -> None:
+    def mark_draining(self, worker: WorkerId) -> None:
         """The planner itself has said that it drains: nothing new goes there, whatever its sources list,
         until they tell of a newer start, or it is released.
         """
         found = [(listed, listed[worker]) for listed in self._listed.values() if worker in listed]
-        if not found or worker in self._held:
+        if not found or worker in self._draining_marks:
             return
-        self._held[worker] = max(entry.started_at_ms for _, entry in found)
+        self._draining_marks[worker] = max(entry.started_at_ms for _, entry in found)
         changed = []
         for listed, entry in found:
             changed.append(self._as_held(entry))
             self._list(listed, changed[-1])
         self._tell(EndpointsUpdated(UpdateKind.DELTA, 0, tuple(changed)))
 
-    def holds(self, worker: WorkerId) -> bool:
+    def is_marked_draining(self, worker: WorkerId) -> bool:
         """Whether the planner's own word of a drain still counts."""
-        return worker in self._held
+        return worker in self._draining_marks
 
-    def release(self, worker: WorkerId) -> None:
+    def clear_draining(self, worker: WorkerId) -> None:
         """Its own word of a drain counts no longer; its source has to list it again."""
-        self._held.pop(worker, None)
+        self._draining_marks.pop(worker, None)
 
-    def failed(self) -> None:
+    def fetch_failed(self) -> None:
         """A call for the list has failed, or its watch has ended."""
         self._post(EndpointsUpdated(UpdateKind.FETCH_FAILED))
 
-    def moved(self) -> None:
+    def discovery_moved(self) -> None:
         """A source that must be asked is at another address; what it has listed stands."""
         self._post(DiscoveryMoved())
--- a/pipitshed/server/server.py
+++ b/pipitshed/server/server.py
@@ -12,27 +12,33 @@
 
 import uvloop
 
-from pipitshed.admin.frontend import MgmtFront
+from pipitshed.admin.frontend import AdminFrontend
 from pipitshed.admin.metrics import Gauges, by_class, count_lines, render
-from pipitshed.config.class_registry import GRACE, Change, ClassBook
-from pipitshed.config.completeness import lacking
-from pipitshed.config.platform import Config, ConfigError, Front, load, resettled
+from pipitshed.config.class_registry import DROPPED_CLASS_GRACE_S, ClassChanges, ClassRegistry
+from pipitshed.config.completeness import missing_key
+from pipitshed.config.platform import Config, ConfigError, FrontConfig, load_platform_config, with_settings
 from pipitshed.discovery.catalog import SOURCE as DISCOVERY
-from pipitshed.discovery.catalog import Discovery, Listing, Members, Names, list_bound
-from pipitshed.frontends.gearman import Function, GearmanFront
-from pipitshed.frontends.http import LINGER_ENDING, HttpFront, Reading
+from pipitshed.discovery.catalog import (
+    CatalogClient,
+    CatalogUpdate,
+    EndpointParser,
+    NameIndex,
+    update_size_limit,
+)
+from pipitshed.frontends.gearman import GearmanFrontend, GearmanFunction
+from pipitshed.frontends.http import LINGER_ENDING, HttpFrontend, RequestParser
 from pipitshed.frontends.listener import Listener
 from pipitshed.protocols.http import BODY_LIMIT
-from pipitshed.proxy.decision_log import Trace
-from pipitshed.proxy.forwarder import Core
-from pipitshed.upstream.gearman import GearmanCarrier, Place
-from pipitshed.upstream.http import HttpCarrier
+from pipitshed.proxy.decision_log import DecisionLog
+from pipitshed.proxy.forwarder import Forwarder
+from pipitshed.upstream.gearman import GearmanWorkerClient, WorkerLocation
+from pipitshed.upstream.http import HttpWorkerClient
 
 if TYPE_CHECKING:
     from pipitshed.cluster.node import Fleet
     from pipitshed.cluster.peers_file import Peers
-    from pipitshed.discovery.dns_sd import DnsSd
-    from pipitshed.discovery.placement_plan import FollowedPlan
+    from pipitshed.discovery.dns_sd import DnsSdClient
+    from pipitshed.discovery.placement_plan import PlacementPlanSource
     from pipitshed.server.translation import TranslationParts
 
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
@@ -58,7 +64,7 @@
     """One running scheduler."""
 
     def __init__(
-        self, config: Config, front: Front, loop: asyncio.AbstractEventLoop, peers: Peers | None = None
+        self, config: Config, front: FrontConfig, loop: asyncio.AbstractEventLoop, peers: Peers | None = None
     ) -> None:
         self._loop = loop
         self._ended = asyncio.Event()
@@ -66,49 +72,49 @@
         self._end_by = 0.0
         self._started = loop.time()
         self.config = config
-        self.book = ClassBook.first(config.classes, config.settings.classes)
+        self.book = ClassRegistry.first(config.classes, config.settings.classes)
         self._names = list(self.book.names)  # of all class numbers, for the parts that tell them by name
         self.conf_loaded = self.conf_invalid = 0
-        self.core = Core(config.settings, config.seed, loop)
+        self.core = Forwarder(config.settings, config.seed, loop)
         if config.trace:
-            self.core.trace = Trace.named(config.trace)
-            self.core.trace.settings((config.raw or {}).get("settings"))
-        self.carrier = HttpCarrier(self.core, config.fields, loop, self._left)
-        zones, kinds = self._zones, self._kinds = Names(config.zones), Names(config.kinds)
+            self.core.decision_log = DecisionLog.named(config.trace)
+            self.core.decision_log.settings((config.raw or {}).get("settings"))
+        self.carrier = HttpWorkerClient(self.core, config.fields, loop, self._left)
+        zones, kinds = self._zones, self._kinds = NameIndex(config.zones), NameIndex(config.kinds)
         self.translation = self._translation(front) if front.translation is not None else None
         carriers = self.translation.interfaces if self.translation is not None else None
-        self.discovery: Discovery | None = None
-        self.dns_sd: DnsSd | None = None
-        self.gearman: GearmanFront | None = None
+        self.discovery: CatalogClient | None = None
+        self.dns_sd: DnsSdClient | None = None
+        self.gearman: GearmanFrontend | None = None
         if config.discovery is not None:
-            self.discovery = Discovery(
+            self.discovery = CatalogClient(
                 config.discovery,
-                Listing(DISCOVERY, zones, kinds, self.carrier, carriers),
-                self.core.routes,
+                EndpointParser(DISCOVERY, zones, kinds, self.carrier, carriers),
+                self.core.endpoints,
                 loop,
-                list_bound(config.memory_mb),
+                update_size_limit(config.memory_mb),
             )
-            self.core.ask_list = self.discovery.ask
+            self.core.fetch_endpoints = self.discovery.fetch
             self._hurry(config)
             # Guards against a start with no list that is known: the decisions ask once they are told one.
-            self.discovery.known(config.known or Members(0, []))
+            self.discovery.load_cached(config.known or CatalogUpdate(0, []))
         if front.dns_server is not None:
             # Imported where it is asked for: on the platform its library is a third of the time to start.
-            from pipitshed.discovery.dns_sd import SOURCE, DnsSd
+            from pipitshed.discovery.dns_sd import SOURCE, DnsSdClient
 
-            self.dns_sd = DnsSd(
+            self.dns_sd = DnsSdClient(
                 front.dns_server,
                 front.dns_service,
-                Listing(SOURCE, zones, kinds, self.carrier, carriers),
-                self.core.routes,
+                EndpointParser(SOURCE, zones, kinds, self.carrier, carriers),
+                self.core.endpoints,
                 loop,
             )
             self.dns_sd.start()
         translator = self.translation.translator if self.translation is not None else None
         self.plan = self._plan(config, front) if front.plan is not None else None
-        self.front = HttpFront(
+        self.front = HttpFrontend(
             self.core,
-            Reading(self.core, config.classes, config.tenants, translator),
+            RequestParser(self.core, config.classes, config.tenants, translator),
             int(config.sockets * CLIENTS_PART),
             loop,
             self.ready,
@@ -119,10 +125,10 @@
             self.listeners += [
                 Listener(address, gearman.connection, loop, gearman.has_room) for address in front.listen
             ]
-        self.mgmt: MgmtFront | None = None
+        self.mgmt: AdminFrontend | None = None
         self.mgmt_listener: Listener | None = None
         if config.mgmt is not None:
-            self.mgmt = MgmtFront(self.ready, self.figures, loop)
+            self.mgmt = AdminFrontend(self.ready, self.figures, loop)
             self.mgmt_listener = Listener(config.mgmt, self.mgmt.connection, loop)
         self.fleet = self._fleet(config, front, peers) if peers is not None else None
 
@@ -139,7 +145,7 @@
         room; no client is turned away for want of one, as it may displace another client itself.
         """
         if self.carrier.connections >= self._left():
-            self.carrier.shed()
+            self.carrier.close_oldest_idle()
         return self.front.connection()
 
     def ready(self) -> bool:
@@ -149,8 +155,8 @@
         """
         listed = (
             self.discovery is None
-            or self.discovery.heard
-            or self.discovery.unreached
+            or self.discovery.received_any
+            or self.discovery.unreachable
             or (self._loop.time() - self._started > READY_WITHOUT_LIST)
         )
         return listed and not self._draining
@@ -158,14 +164,22 @@
     def figures(self) -> bytes:
         """The text of the operators' `/-/metrics`."""
         core = self.core
-        gauges = Gauges(core.busy, core.routes.size(), core.avoided(), self.conf_loaded, self.conf_invalid)
-        told = render(by_class(self.book.names, core.ended, core.sends), gauges)
+        gauges = Gauges(
+            core.active_count,
+            core.endpoints.size(),
+            core.ejected_count(),
+            self.conf_loaded,
+            self.conf_invalid,
+        )
+        told = render(by_class(self.book.names, core.answered_counts, core.sent_counts), gauges)
         if self.fleet is None:
             return told
-        tally = self.discovery.tally if self.discovery is not None else Counter[str]()
+        tally = self.discovery.counters if self.discovery is not None else Counter[str]()
         return told + self.fleet.lines() + count_lines(tally)
 
-    def _gearman(self, config: Config, front: Front, zones: Names, kinds: Names) -> GearmanFront:
+    def _gearman(
+        self, config: Config, front: FrontConfig, zones: NameIndex, kinds: NameIndex
+    ) -> GearmanFrontend:
         functions = {}
         translator = self.translation.translator if self.translation is not None else None
         for name, (class_name, tenant, patience, form) in front.functions.items():
@@ -173,42 +187,44 @@
             known = config.tenants.index(tenant) if tenant in config.tenants else len(config.tenants)
             if translator is not None and form is None:
                 form = translator.clients.gearman
-            functions[name] = Function(
+            functions[name] = GearmanFunction(
                 number, known, min(patience, config.settings.classes[number].deadline_ms), tenant, form
             )
-        zone = zones.place(front.workers.zone) if front.workers.zone else config.settings.own_zone
-        place = Place(zone, front.workers.cell, kinds.place(front.workers.kind), front.workers.weight)
-        carrier = GearmanCarrier(
+        zone = zones.index(front.workers.zone) if front.workers.zone else config.settings.own_zone
+        place = WorkerLocation(
+            zone, front.workers.cell, kinds.index(front.workers.kind), front.workers.weight
+        )
+        carrier = GearmanWorkerClient(
             self.core, {name: one.job_class for name, one in functions.items()}, place, BODY_LIMIT, self._loop
         )
         label = f"{config.name or 'pipitshed'}-{config.seed & 0xFFFFFFFF:08x}"
-        return GearmanFront(
+        return GearmanFrontend(
             self.core, carrier, functions, self._loop, label, int(config.sockets * GEARMAN_PART), self.drain
         )
 
-    def _translation(self, front: Front) -> TranslationParts:
+    def _translation(self, front: FrontConfig) -> TranslationParts:
         # Imported where it is asked for: the platform's start and memory stay as they are.
         from pipitshed.server.translation import TranslationParts
 
         assert front.translation is not None
         return TranslationParts(self.core, self.carrier, front.translation, self._names, self._loop)
 
-    def _plan(self, config: Config, front: Front) -> FollowedPlan:
+    def _plan(self, config: Config, front: FrontConfig) -> PlacementPlanSource:
         # Imported where it is asked for, as above.
-        from pipitshed.discovery.placement_plan import FollowedPlan
+        from pipitshed.discovery.placement_plan import PlacementPlanSource
 
         assert front.plan is not None
         zone = config.zones[config.settings.own_zone] if config.zones else ""
-        return FollowedPlan(
+        return PlacementPlanSource(
             front.plan,
             zone,
             self._names,
             config.settings.guarantees.slow_start_ms,
-            self.core.routes,
+            self.core.endpoints,
             self._loop,
         )
 
-    def _fleet(self, config: Config, front: Front, peers: Peers) -> Fleet:
+    def _fleet(self, config: Config, front: FrontConfig, peers: Peers) -> Fleet:
         # Imported where it is asked for, as above; only the option `--fleet` asks.
         from pipitshed.cluster.node import Fleet
         from pipitshed.cluster.settings import Tuned
@@ -218,14 +234,14 @@
         fixed = frozenset(name for name, *_ in front.functions.values()) if front.listen else frozenset()
         tuned = Tuned(
             lambda: self.config.raw or {},
-            lambda settings: self._retune(resettled(self.config, settings)),
+            lambda settings: self._retune(with_settings(self.config, settings)),
             fixed,
         )
         return Fleet(peers, zone, self._loop, tuned)
 
     def _hurry(self, config: Config) -> None:
         if self.discovery is not None and config.settings.endpoints_pushed:
-            self.discovery.hurry(config.settings.guarantees.drain_grace_ms / 1000)
+            self.discovery.set_timeouts(config.settings.guarantees.drain_grace_ms / 1000)
 
     async def run(self) -> None:
         """Serve until SIGTERM or SIGINT, and then until all that was taken is answered."""
@@ -242,7 +258,7 @@
         await self._ended.wait()
         # Guards the exit code: when the loop ends, its handlers go.
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
-        tally = self.core.tally + (self.discovery.tally if self.discovery is not None else Counter())
+        tally = self.core.counters + (self.discovery.counters if self.discovery is not None else Counter())
         log.info("ended: %s", " ".join(f"{name}={count}" for name, count in sorted(tally.items())))
 
     def reload(self) -> None:
@@ -253,8 +269,8 @@
             self.plan.read()
         # Guards against the end of the program by a file that is half written or wrong: the old one stands.
         try:
-            config = load()
-            if (missing := lacking(self.config.raw, config.raw)) is not None:
+            config = load_platform_config()
+            if (missing := missing_key(self.config.raw, config.raw)) is not None:
                 raise ConfigError(f"the file lacks {missing}")
         except ConfigError as error:
             self.conf_invalid += 1
@@ -262,49 +278,49 @@
             return
         self.conf_loaded += 1
         if self.fleet is not None and self.fleet.rows is not None and config.raw is not None:
-            config = resettled(config, self.fleet.rows.over(config.raw))
+            config = with_settings(config, self.fleet.rows.over(config.raw))
         change = self._retune(config)
         log.info("settings read anew: %s; at most %d attempts", change, config.settings.limits.max_attempts)
         if self.discovery is None or config.discovery is None:
             log.warning("the configuration is read again; discovery can't be followed from or to nowhere")
             return
         self._hurry(config)
-        self.discovery.bound = list_bound(config.memory_mb)
+        self.discovery.size_limit = update_size_limit(config.memory_mb)
         self.discovery.follow(config.discovery)
         log.info("the configuration is read again; discovery is at %s:%d", *config.discovery)
 
-    def _retune(self, config: Config) -> Change:
+    def _retune(self, config: Config) -> ClassChanges:
         """Take the settings of a file that is whole, or of one with rows over it."""
         now = self._loop.time()
         told = config.settings
         # Guards against a file that tells zones, kinds or report fields in another order: planners that are
         # listed keep the places that the names had first, and reports come by the new names.
-        zone = self._zones.place(config.zones[told.own_zone]) if config.zones else told.own_zone
+        zone = self._zones.index(config.zones[told.own_zone]) if config.zones else told.own_zone
         classes = [
             cls
             if cls.worker_kind is None or cls.worker_kind >= len(config.kinds)
-            else replace(cls, worker_kind=self._kinds.place(config.kinds[cls.worker_kind]))
+            else replace(cls, worker_kind=self._kinds.index(config.kinds[cls.worker_kind]))
             for cls in told.classes
         ]
-        self.book, change = self.book.retune(config.classes, classes, now)
+        self.book, change = self.book.updated(config.classes, classes, now)
         more = len(self.book.names) > len(self._names)
         self._names[:] = self.book.names
         if self.plan is not None and more:
-            self.plan.weigh()
+            self.plan.apply_weights()
         settings = replace(told, classes=self.book.classes, own_zone=zone)
-        self.core.retune(settings)
-        self.carrier.retune(settings.limits, config.fields)
-        self.front.reading.retune(self.book.taken(now), config.tenants)
+        self.core.apply_settings(settings)
+        self.carrier.apply_settings(settings.limits, config.fields)
+        self.front.parser.apply_settings(self.book.accepted_at(now), config.tenants)
         if self.book.leaving:
-            self._loop.call_later(GRACE, self._door)
+            self._loop.call_later(DROPPED_CLASS_GRACE_S, self._door)
         self.config = config
         return change
 
     def _door(self) -> None:
         """Classes that a file dropped are taken no more once their grace is over."""
         now = self._loop.time()
-        taken = self.book.taken(now)
-        self.front.reading.retune(taken, self.config.tenants)
+        taken = self.book.accepted_at(now)
+        self.front.parser.apply_settings(taken, self.config.tenants)
         # Guards against a timer that fires a little early, as uvloop's may: the grace is then not over yet.
         if pending := [until for _, until in self.book.leaving.values() if until > now]:
             self._loop.call_later(min(pending) - now + 0.001, self._door)
@@ -340,7 +356,7 @@
             listener.close()
         if self.gearman is not None:
             self.gearman.closing = True
-        self.core.answer_by = self._loop.time() + self._answer_by() - LISTEN_ON
+        self.core.answer_deadline_at = self._loop.time() + self._answer_by() - LISTEN_ON
 
     def _send_away(self) -> None:
         self.front.draining = True
@@ -353,7 +369,7 @@
         owed = (
             self.front.connections
             or self.front.closing
-            or self.core.busy
+            or self.core.active_count
             or (self.gearman is not None and self.gearman.busy)
         )
         # Guards against a client that never ends the request it has begun.
@@ -371,14 +387,14 @@
         if self.fleet is not None:
             self.fleet.close()
         self.carrier.close()
-        if self.core.trace is not None:
-            self.core.trace.close()
+        if self.core.decision_log is not None:
+            self.core.decision_log.close()
         if self.translation is not None:
             self.translation.close()
         self._loop.call_later(SETTLE, self._ended.set)
 
 
-def serve(config: Config, front: Front, peers: Peers | None = None) -> None:
+def serve(config: Config, front: FrontConfig, peers: Peers | None = None) -> None:
     """Run one scheduler to its end, alone or among the peers that a file names."""
 
     async def run() -> None:
--- a/pipitshed/server/translation.py
+++ b/pipitshed/server/translation.py
@@ -6,13 +6,13 @@
 from collections.abc import Sequence
 
 from pipitshed.config.platform import Translation
-from pipitshed.discovery.worker_interfaces import Interfaces
-from pipitshed.proxy.forwarder import Core
+from pipitshed.discovery.worker_interfaces import InterfaceRegistry
+from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.proxy.request import Endpoint
 from pipitshed.translation.translator import Translator
-from pipitshed.upstream.grpc import GrpcCarrier
-from pipitshed.upstream.http import HttpCarrier
-from pipitshed.upstream.interface_probe import Sounder
+from pipitshed.upstream.grpc import GrpcWorkerClient
+from pipitshed.upstream.http import HttpWorkerClient
+from pipitshed.upstream.interface_probe import InterfaceProber
 
 
 class TranslationParts:
@@ -20,35 +20,35 @@
 
     def __init__(
         self,
-        core: Core,
-        http: HttpCarrier,
+        core: Forwarder,
+        http: HttpWorkerClient,
         asked: Translation,
         classes: Sequence[str],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         self.translator = Translator(asked.file, classes)
-        self.carrier = GrpcCarrier(core, classes, loop, asked.keepalive)
-        self.sounder = Sounder(loop, self._sounded)
-        self.interfaces = Interfaces(
-            core.routes,
+        self.carrier = GrpcWorkerClient(core, classes, loop, asked.keepalive)
+        self.sounder = InterfaceProber(loop, self._sounded)
+        self.interfaces = InterfaceRegistry(
+            core.endpoints,
             {1: http, 2: self.carrier},
             asked.planners,
             asked.interface,
-            self.sounder.sound,
+            self.sounder.probe,
             loop.call_later,
         )
         core.translator = self.translator
-        core.routes.on_interfaces = core.interfaces_changed
-        core.routes.on_forgotten = self.interfaces.forget
+        core.endpoints.on_interfaces = core.interfaces_changed
+        core.endpoints.on_forgotten = self.interfaces.forget
         http.classes = classes
         http.on_wrong_interface = self.carrier.on_wrong_interface = self._wrong
         self.carrier.on_drain = self._drains
 
     def _sounded(self, worker: bytes, address: tuple[str, int], interface: int) -> None:
-        self.interfaces.sounded(worker, address, interface)
+        self.interfaces.detected(worker, address, interface)
 
     def _wrong(self, target: Endpoint) -> None:
-        self.interfaces.doubt(target.id)
+        self.interfaces.mismatched(target.id)
 
     def _drains(self, target: Endpoint) -> None:
         self.interfaces.drains(target.id)
--- a/pipitshed/translation/translator.py
+++ b/pipitshed/translation/translator.py
@@ -16,11 +16,11 @@
 
 
 @dataclass(slots=True)
-class Prepared:
+class TranslatedRequest:
     """One request in the form of each interface that can express it."""
 
     bodies: dict[int, bytes] = field(default_factory=dict)  # interface: body
-    unfit: dict[int, Unfit] = field(default_factory=dict)  # interface: why it can't
+    failures: dict[int, Unfit] = field(default_factory=dict)  # interface: why it can't
 
 
 # What HTTP headers and gRPC metadata carry unchanged: visible ASCII, with spaces inside alone.
@@ -73,27 +73,31 @@
 
     # ---- requests
 
-    def prepare(self, request: Request) -> Prepared:
+    def prepare(self, request: Request) -> TranslatedRequest:
         """The request's body for each interface, or why there is none."""
-        for name, value in [("id", request.id), ("key", request.key), ("tenant", request.tenant_name)]:
+        for name, value in [
+            ("id", request.id),
+            ("key", request.idempotency_key),
+            ("tenant", request.tenant_name),
+        ]:
             if value and not _CARRIED.fullmatch(value):
                 # Guards the key above all: with characters left out, two keys could become one.
                 unfit = Unfit(name, value, "holds what neither a header nor metadata can carry")
-                return Prepared(unfit=dict.fromkeys(self.interfaces, unfit))
-        form = self.clients.http if request.form is None else request.form
+                return TranslatedRequest(failures=dict.fromkeys(self.interfaces, unfit))
+        form = self.clients.http if request.form_version is None else request.form_version
         return self.bodies(form, self._classes[request.job_class], request.body, self.interfaces)
 
     def answer(self, request: Request, interface: int, result: bytes) -> bytes | Unfit:
         """A planner's result in the form of the request's client."""
-        form = self.clients.http if request.form is None else request.form
+        form = self.clients.http if request.form_version is None else request.form_version
         try:
             return self.result(form, self._classes[request.job_class], interface, result)
         except Unfit as unfit:
             return unfit
 
-    def bodies(self, form: int, job_class: str, body: bytes, interfaces: Iterable[int]) -> Prepared:
+    def bodies(self, form: int, job_class: str, body: bytes, interfaces: Iterable[int]) -> TranslatedRequest:
         """The body for each of these interfaces, or why there is none. In its own form it goes unchanged."""
-        prepared = Prepared()
+        prepared = TranslatedRequest()
         record: Record | None = None
         for interface in interfaces:
             target = self.interfaces[interface]
@@ -106,7 +110,7 @@
                     record = self._request(form, job_class).decode(body)
                 prepared.bodies[interface] = self._told(record, form, target, job_class)
             except Unfit as unfit:
-                prepared.unfit[interface] = unfit
+                prepared.failures[interface] = unfit
         return prepared
 
     def _told(self, record: Record, form: int, target: int, job_class: str) -> bytes:
--- a/pipitshed/upstream/gearman.py
+++ b/pipitshed/upstream/gearman.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from pipitshed.protocols.gearman import Kind, PacketError, pack
-from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.proxy.request import Attempt, Endpoint
 from pipitshed.scheduling.events import EndpointEntry, EndpointState, Outcome, ProgressKind, UpdateKind
 
@@ -38,7 +38,7 @@
 )
 
 
-class Link(Protocol):
+class WorkerConnection(Protocol):
     """A worker's connection."""
 
     def write(self, data: bytes) -> None: ...
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class WorkerLocation:
     """Where workers stand, for the decisions: all at one place, as the front file says."""
 
     zone: int = 0
@@ -56,14 +56,14 @@
     weight: float = 1.0
 
 
-class Worker:
+class GearmanWorker:
     """One worker's connection: what it can do, the attempts that wait for it, and the one it runs."""
 
-    def __init__(self, carrier: GearmanCarrier, link: Link, number: int) -> None:
-        self.carrier = carrier
-        self.link = link
+    def __init__(self, carrier: GearmanWorkerClient, link: WorkerConnection, number: int) -> None:
+        self.client = carrier
+        self.connection = link
         self.name = "-"
-        self.target = Endpoint(f"gearman-{number}".encode(), carrier, self)
+        self.endpoint = Endpoint(f"gearman-{number}".encode(), carrier, self)
         self.abilities: dict[str, float] = {}  # function: seconds it may take, 0 for no limit
         self.waiting: list[Attempt] = []
         self.running: dict[bytes, Attempt] = {}
@@ -79,13 +79,13 @@
             if not seconds.isdigit():
                 raise PacketError("CAN_DO_TIMEOUT needs whole seconds")
             self.abilities[_text(arguments[0])] = float(seconds)
-            self.carrier.list_worker(self)
+            self.client.list_worker(self)
         elif kind is Kind.CANT_DO:
             self.abilities.pop(_text(arguments[0]), None)
-            self.carrier.list_worker(self)
+            self.client.list_worker(self)
         elif kind is Kind.RESET_ABILITIES:
             self.abilities.clear()
-            self.carrier.list_worker(self)
+            self.client.list_worker(self)
         elif kind is Kind.SET_CLIENT_ID:
             self.name = _text(arguments[0]) or "-"
         elif kind is Kind.PRE_SLEEP:
@@ -104,29 +104,29 @@
     def _wake(self) -> None:
         if self.asleep and self.waiting:
             self.asleep = False
-            self.link.write(pack(Kind.NOOP))
+            self.connection.write(pack(Kind.NOOP))
 
     def _grab(self, answer: Kind) -> None:
         self.asleep = False
-        for attempt in [attempt for attempt in self.waiting if not self.carrier.core.may_begin(attempt)]:
+        for attempt in [attempt for attempt in self.waiting if not self.client.core.may_begin(attempt)]:
             self.waiting.remove(attempt)
-            self.carrier.core.attempt_ended(attempt, Outcome.CONNECT_FAILED)
+            self.client.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
         if not self.waiting:
-            self.link.write(pack(Kind.NO_JOB))
+            self.connection.write(pack(Kind.NO_JOB))
             return
-        attempt = max(self.waiting, key=lambda one: one.exchange.request.priority)  # of equals the first
+        attempt = max(self.waiting, key=lambda one: one.context.request.priority)  # of equals the first
         self.waiting.remove(attempt)
-        core, request = self.carrier.core, attempt.exchange.request
-        function = self.carrier.function(attempt, self) or ""
-        handle = self.carrier.handle()
-        unique = (request.key or request.id).encode("latin-1", "replace")
+        core, request = self.client.core, attempt.context.request
+        function = self.client.function(attempt, self) or ""
+        handle = self.client.handle()
+        unique = (request.idempotency_key or request.id).encode("latin-1", "replace")
         extra = {Kind.JOB_ASSIGN: (), Kind.JOB_ASSIGN_UNIQ: (unique,), Kind.JOB_ASSIGN_ALL: (unique, b"")}
-        self.running[handle], attempt.link = attempt, handle
-        self.link.write(pack(answer, handle, function.encode("latin-1"), *extra[answer], attempt.body))
-        core.written(attempt)
+        self.running[handle], attempt.transport_state = attempt, handle
+        self.connection.write(pack(answer, handle, function.encode("latin-1"), *extra[answer], attempt.body))
+        core.attempt_sent(attempt)
         if limit := self.abilities.get(function, 0.0):
-            self.carrier.loop.call_later(limit, core.give_up, attempt)
-        core.attempt_noted(attempt, ProgressKind.STARTED)
+            self.client.loop.call_later(limit, core.attempt_timed_out, attempt)
+        core.attempt_progressed(attempt, ProgressKind.STARTED)
 
     def _work(self, kind: Kind, arguments: list[bytes]) -> None:
         """News of a job, or its end. What comes for a job that is over here is passed over."""
@@ -134,14 +134,14 @@
         attempt = self.running.get(handle)
         if attempt is None:
             return
-        core = self.carrier.core
+        core = self.client.core
         if kind is Kind.WORK_STATUS:
             done, whole = (_count(argument) for argument in arguments[1:])
-            core.attempt_noted(attempt, ProgressKind.PROGRESS, min(1.0, done / whole) if whole else 0.0)
+            core.attempt_progressed(attempt, ProgressKind.PROGRESS, min(1.0, done / whole) if whole else 0.0)
             return
         if kind is Kind.WORK_DATA:
             held = self.data.get(handle, b"") + arguments[1]
-            if len(held) > self.carrier.body_limit:
+            if len(held) > self.client.body_limit:
                 raise PacketError("the result is too long")
             self.data[handle] = held
             return
@@ -151,9 +151,11 @@
         del self.running[handle]
         data = self.data.pop(handle, b"")
         if kind is Kind.WORK_COMPLETE:
-            core.attempt_ended(attempt, Outcome.OK, data + arguments[1])
+            core.attempt_finished(attempt, Outcome.OK, data + arguments[1])
         else:
-            core.attempt_ended(attempt, Outcome.ERROR, arguments[1] if kind is Kind.WORK_EXCEPTION else b"")
+            core.attempt_finished(
+                attempt, Outcome.ERROR, arguments[1] if kind is Kind.WORK_EXCEPTION else b""
+            )
 
     def lost(self) -> None:
         """The connection has ended: what was assigned may have run, what waited never has."""
@@ -161,13 +163,13 @@
             return
         self.gone = True
         self.abilities.clear()
-        self.carrier.list_worker(self)
+        self.client.list_worker(self)
         running, waiting = list(self.running.values()), self.waiting
         self.running, self.waiting = {}, []
         for attempt in running:
-            self.carrier.core.attempt_ended(attempt, Outcome.RESET)
+            self.client.core.attempt_finished(attempt, Outcome.RESET)
         for attempt in waiting:
-            self.carrier.core.attempt_ended(attempt, Outcome.CONNECT_FAILED)
+            self.client.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
 
 
 def _text(data: bytes) -> str:
@@ -184,14 +186,14 @@
     return value
 
 
-class GearmanCarrier:
+class GearmanWorkerClient:
     """All workers' connections, and the functions by which they know the classes."""
 
     def __init__(
         self,
-        core: Core,
+        core: Forwarder,
         classes: Mapping[str, int],
-        place: Place,
+        place: WorkerLocation,
         body_limit: int,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
@@ -200,14 +202,14 @@
         self.classes = classes  # function: class
         self.place = place
         self.body_limit = body_limit
-        self.workers: dict[Worker, None] = {}
+        self.workers: dict[GearmanWorker, None] = {}
         self._numbers = 0
         self._handles = 0
 
-    def worker(self, link: Link) -> Worker:
+    def worker(self, link: WorkerConnection) -> GearmanWorker:
         """A connection has spoken as a worker."""
         self._numbers += 1
-        worker = Worker(self, link, self._numbers)
+        worker = GearmanWorker(self, link, self._numbers)
         self.workers[worker] = None
         return worker
 
@@ -216,9 +218,9 @@
         self._handles += 1
         return b"H:pipitshed:attempt:%d" % self._handles
 
-    def function(self, attempt: Attempt, worker: Worker) -> str | None:
+    def function(self, attempt: Attempt, worker: GearmanWorker) -> str | None:
         """The name by which this worker knows the attempt's work; None where it can't do it."""
-        request = attempt.exchange.request
+        request = attempt.context.request
         if request.function:
             return request.function if request.function in worker.abilities else None
         return next(
@@ -226,7 +228,7 @@
             None,
         )
 
-    def list_worker(self, worker: Worker) -> None:
+    def list_worker(self, worker: GearmanWorker) -> None:
         """Tell the route table what a worker can do now. One that can do nothing more is draining until
         its connection ends; attempts that wait for what it no longer does never ran.
         """
@@ -240,42 +242,42 @@
             worker.listed = True
             place = self.place
             entry = EndpointEntry(
-                worker.target.id, place.zone, place.cell, place.kind, place.weight, 0.0, state, can
+                worker.endpoint.id, place.zone, place.cell, place.kind, place.weight, 0.0, state, can
             )
-            self.core.routes.fill(SOURCE, UpdateKind.DELTA, 0, [(entry, worker.target)])
+            self.core.endpoints.update(SOURCE, UpdateKind.DELTA, 0, [(entry, worker.endpoint)])
         if not worker.gone:
             for attempt in [attempt for attempt in worker.waiting if self.function(attempt, worker) is None]:
                 worker.waiting.remove(attempt)
-                self.core.attempt_ended(attempt, Outcome.REJECTED)
+                self.core.attempt_finished(attempt, Outcome.REJECTED)
 
     # ---- what the core asks
 
-    def carry(self, attempt: Attempt) -> None:
-        worker: Worker = attempt.target.address
-        attempt.ran = False
+    def start(self, attempt: Attempt) -> None:
+        worker: GearmanWorker = attempt.endpoint.address
+        attempt.fully_sent = False
         if worker.gone:
-            self.core.attempt_ended(attempt, Outcome.CONNECT_FAILED)
+            self.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
         elif self.function(attempt, worker) is None:
-            self.core.attempt_ended(attempt, Outcome.REJECTED)
+            self.core.attempt_finished(attempt, Outcome.REJECTED)
         else:
             worker.add(attempt)
 
-    def drop(self, attempt: Attempt) -> bool:
+    def abort(self, attempt: Attempt) -> bool:
         """An attempt that waits leaves the queue. An assigned one can't be called off in this protocol: its
         worker's connection is closed, as a planner's is, so that no second attempt runs beside it.
         """
-        worker: Worker = attempt.target.address
+        worker: GearmanWorker = attempt.endpoint.address
         if attempt in worker.waiting:
             worker.waiting.remove(attempt)
             return False
-        if worker.running.pop(attempt.link, None) is not None:
-            worker.link.abort()
+        if worker.running.pop(attempt.transport_state, None) is not None:
+            worker.connection.abort()
             return True
         return False
 
     def probe(self, target: Endpoint) -> None:
-        worker: Worker = target.address
-        self.core.probe_ended(target, Outcome.CONNECT_FAILED if worker.gone else Outcome.OK, 0.0)
+        worker: GearmanWorker = target.address
+        self.core.probe_finished(target, Outcome.CONNECT_FAILED if worker.gone else Outcome.OK, 0.0)
 
-    def close_idle(self, target: Endpoint) -> None:
+    def close_idle_connections(self, target: Endpoint) -> None:
         """A worker's one connection is its own to close."""
--- a/pipitshed/upstream/grpc.py
+++ b/pipitshed/upstream/grpc.py
@@ -14,7 +14,7 @@
 
 from pipitshed import __version__
 from pipitshed.protocols.grpc import timeout_text
-from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.proxy.request import Attempt, Endpoint
 from pipitshed.upstream.grpc_connection import Connection, Header, Stream
 from pipitshed.upstream.http import IDLE_SPARE, Address
@@ -38,7 +38,7 @@
 
     def metadata(self, attempt: Attempt, left: float) -> list[Header]:
         """The head of an attempt's stream, which has `left` seconds."""
-        request = attempt.exchange.request
+        request = attempt.context.request
         head = [
             *_FIXED,
             (b"x-class", self.classes[request.job_class].encode()),
@@ -47,8 +47,10 @@
         ]
         if request.tenant_name:
             head.append((b"x-tenant", request.tenant_name.encode("latin-1")))
-        if request.key:
-            head.append(NeverIndexedHeaderTuple(b"idempotency-key", request.key.encode("latin-1")))
+        if request.idempotency_key:
+            head.append(
+                NeverIndexedHeaderTuple(b"idempotency-key", request.idempotency_key.encode("latin-1"))
+            )
         if request.slots != 1.0:
             head.append((b"x-slots", b"%.15g" % request.slots))
         if request.memory:
@@ -56,18 +58,18 @@
         return head
 
 
-class GrpcCarrier:
+class GrpcWorkerClient:
     """One connection to each planner, opened when there is an attempt for it."""
 
     def __init__(
-        self, core: Core, classes: Sequence[str], loop: asyncio.AbstractEventLoop, keepalive: float
+        self, core: Forwarder, classes: Sequence[str], loop: asyncio.AbstractEventLoop, keepalive: float
     ) -> None:
         self.core = core
         self.loop = loop
         self.metadata = Naming(classes).metadata
         self.keepalive = keepalive  # s of silence, with jobs out, before a sign of life is asked for
         self.on_wrong_interface: Callable[[Endpoint], None] = lambda target: None
-        self.on_drain: Callable[[Endpoint], None] = lambda target: core.routes.hold(target.id)
+        self.on_drain: Callable[[Endpoint], None] = lambda target: core.endpoints.mark_draining(target.id)
         limits = core.settings.limits
         self.connect_timeout = limits.connect_timeout_ms / 1000
         self.idle_for = limits.idle_timeout_ms / 1000 * (1 - IDLE_SPARE)
@@ -76,21 +78,21 @@
         self._all: set[Connection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def carry(self, attempt: Attempt) -> None:
-        self._connection(attempt.target).add(attempt)
+    def start(self, attempt: Attempt) -> None:
+        self._connection(attempt.endpoint).add(attempt)
 
     def _connection(self, target: Endpoint) -> Connection:
         """The one that takes new streams; it may still be coming up."""
         connection = self._connections.get(target.address)
         if connection is None:
-            self.core.tally["connections"] += 1
+            self.core.counters["connections"] += 1
             connection = self._connections[target.address] = Connection(self, target)
             self._all.add(connection)
             self._start(self._connect(connection))
         return connection
 
-    def drop(self, attempt: Attempt) -> bool:
-        link = attempt.link
+    def abort(self, attempt: Attempt) -> bool:
+        link = attempt.transport_state
         if isinstance(link, Stream):
             return link.connection.cancel(link)
         if isinstance(link, Connection):
@@ -101,7 +103,7 @@
         """Whether the planner is there: no load is told by this interface."""
         self._connection(target).probe()
 
-    def close_idle(self, target: Endpoint) -> None:
+    def close_idle_connections(self, target: Endpoint) -> None:
         connection = self._connections.get(target.address)
         if connection is not None and not connection.streams and not connection.queue:
             connection.close()
--- a/pipitshed/upstream/grpc_connection.py
+++ b/pipitshed/upstream/grpc_connection.py
@@ -19,7 +19,7 @@
 from google.protobuf.message import DecodeError
 
 from pipitshed.protocols.grpc import MESSAGE_LIMIT, BadMessageError, Http2, frame, messages
-from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.proxy.request import Attempt, Endpoint
 from pipitshed.scheduling.events import Outcome, ProgressKind
 from pipitshed.upstream.grpc_outcomes import by_status, pushback_of
@@ -43,7 +43,7 @@
 class Owner(Protocol):
     """Who keeps the connection: the carrier."""
 
-    core: Core
+    core: Forwarder
     loop: asyncio.AbstractEventLoop
     keepalive: float  # s of silence, with jobs out, before a sign of life is asked for
     idle_for: float  # s
@@ -164,11 +164,11 @@
             sent = stream.written and stream.number not in self._unflushed
             self._report(stream, stream.verdict or (Outcome.RESET if sent else Outcome.CONNECT_FAILED))
         for attempt in queue:
-            self.owner.core.attempt_ended(attempt, Outcome.CONNECT_FAILED)
+            self.owner.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
         for sign in list(self._probes):
             self._probed(sign, Outcome.CONNECT_FAILED)
         for _ in range(self.left):
-            self.owner.core.link_lost(self.target)
+            self.owner.core.connection_lost(self.target)
 
     def close(self) -> None:
         """Close in good order: nothing is owed here."""
@@ -182,8 +182,8 @@
 
     def add(self, attempt: Attempt) -> None:
         """An attempt for this connection: on a stream at once, or when one is free."""
-        attempt.link = self
-        attempt.ran = False
+        attempt.transport_state = self
+        attempt.fully_sent = False
         self.queue.append(attempt)
         if self._idle is not None:
             self._idle.cancel()
@@ -208,7 +208,7 @@
         while self.queue and not self.leaving and not self.over and len(self.streams) < most:
             attempt = self.queue.popleft()
             if not self.owner.core.may_begin(attempt):
-                self.owner.core.attempt_ended(attempt, Outcome.CONNECT_FAILED)
+                self.owner.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
                 continue
             try:
                 number = self._http2.get_next_available_stream_id()
@@ -216,8 +216,10 @@
                 self.queue.appendleft(attempt)
                 self.leave()
                 return
-            stream = self.streams[number] = attempt.link = Stream(self, attempt, number, frame(attempt.body))
-            left = attempt.deadline - self.owner.loop.time()
+            stream = self.streams[number] = attempt.transport_state = Stream(
+                self, attempt, number, frame(attempt.body)
+            )
+            left = attempt.deadline_at - self.owner.loop.time()
             self._http2.send_headers(number, self.owner.metadata(attempt, left))
             self.left = max(0, self.left - 1)
             self._pump(stream)
@@ -243,7 +245,7 @@
                 stream.written = last
         except h2.exceptions.ProtocolError:
             return  # the planner has ended it in this very turn: the event that says so follows
-        self.owner.core.written(stream.attempt)
+        self.owner.core.attempt_sent(stream.attempt)
         self._unflushed.add(stream.number)
 
     def _flush_soon(self) -> None:
@@ -367,7 +369,7 @@
         try:
             for message in messages(stream.buffer):
                 event = planner_pb2.RunEvent.FromString(message)
-                if event.id != stream.attempt.exchange.request.id:
+                if event.id != stream.attempt.context.request.id:
                     raise BadMessageError("an event is for another request")
                 stream.heard = True
                 self._event(stream, event)
@@ -381,9 +383,11 @@
     def _event(self, stream: Stream, event: planner_pb2.RunEvent) -> None:
         kind, core = event.WhichOneof("event"), self.owner.core
         if kind == "started":
-            core.attempt_noted(stream.attempt, ProgressKind.STARTED)
+            core.attempt_progressed(stream.attempt, ProgressKind.STARTED)
         elif kind == "running":
-            core.attempt_noted(stream.attempt, ProgressKind.PROGRESS, min(1.0, max(0.0, event.running.share)))
+            core.attempt_progressed(
+                stream.attempt, ProgressKind.PROGRESS, min(1.0, max(0.0, event.running.share))
+            )
         elif kind == "done":
             stream.verdict = Outcome.OK
             self._report(stream, Outcome.OK, event.done.SerializeToString())
@@ -426,10 +430,10 @@
     def _report(
         self, stream: Stream, outcome: Outcome, result: bytes = b"", pushback: float | None = None
     ) -> None:
-        if not stream.attempt.over:
+        if not stream.attempt.finished:
             if outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED) and not self.over:
                 self.left += 1
-            self.owner.core.attempt_ended(stream.attempt, outcome, result, (), pushback)
+            self.owner.core.attempt_finished(stream.attempt, outcome, result, (), pushback)
 
     def _goaway(self, event: h2.events.ConnectionTerminated) -> None:
         code, last = event.error_code, event.last_stream_id or 0
@@ -452,7 +456,7 @@
         self.owner.lost(self)
         queue, self.queue = list(self.queue), deque()
         for attempt in queue:
-            self.owner.core.attempt_ended(attempt, Outcome.CONNECT_FAILED)
+            self.owner.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
 
     # ---- probes: a PING tells that the planner is there, and nothing of its load
 
@@ -468,7 +472,7 @@
     def _probed(self, sign: bytes, outcome: Outcome) -> None:
         begun = self._probes.pop(sign, None)
         if begun is not None:
-            self.owner.core.probe_ended(self.target, outcome, (self.owner.loop.time() - begun) * 1000)
+            self.owner.core.probe_finished(self.target, outcome, (self.owner.loop.time() - begun) * 1000)
             self._rest()
 
     # ---- between requests
--- a/pipitshed/upstream/http.py
+++ b/pipitshed/upstream/http.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from pipitshed.protocols.http import BODY_LIMIT, BadAnswerError, Reader
-from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.proxy.request import Attempt, Endpoint
 from pipitshed.scheduling.events import Outcome, ProgressKind
 from pipitshed.scheduling.settings import Idempotency, Limits
@@ -49,22 +49,22 @@
     """The whole request of an attempt, which has `left` seconds. Where messages are translated, class and
     tenant go with it by name, as they do on every interface there.
     """
-    request = attempt.exchange.request
+    request = attempt.context.request
     told = ""
-    if attempt.exchange.prepared is not None:
+    if attempt.context.translated is not None:
         told = f"X-Class: {classes[request.job_class]}\r\n"
         if request.tenant_name:
             told += f"X-Tenant: {request.tenant_name}\r\n"
-    key = f"Idempotency-Key: {_header_text(request.key)}\r\n" if request.key else ""
+    key = f"Idempotency-Key: {_header_text(request.idempotency_key)}\r\n" if request.idempotency_key else ""
     return (
-        f"{request.verb} {request.resource} HTTP/1.1\r\nHost: service.internal\r\n"
+        f"{request.method} {request.target} HTTP/1.1\r\nHost: service.internal\r\n"
         f"X-Request-Id: {_header_text(request.id)}\r\n{key}{told}"
         f"X-Deadline: {max(0.001, left):.3f}\r\n"
         f"Content-Length: {len(attempt.body)}\r\n\r\n"
     ).encode("latin-1") + attempt.body
 
 
-def read_load(text: bytes, fields: Sequence[str]) -> tuple[float, ...]:
+def parse_load_report(text: bytes, fields: Sequence[str]) -> tuple[float, ...]:
     """A load report, `TEXT a=1, b=2` or JSON, as the values that the settings name."""
     values: dict[str, float] = {}
     body = text.strip().removeprefix(b"TEXT").removeprefix(b"JSON").strip()
@@ -78,10 +78,10 @@
                     values[name.strip()] = float(value)
     except (ValueError, msgspec.DecodeError):
         return ()
-    return report_of(values, fields)
+    return ordered_report(values, fields)
 
 
-def report_of(values: dict[str, float], fields: Sequence[str]) -> tuple[float, ...]:
+def ordered_report(values: dict[str, float], fields: Sequence[str]) -> tuple[float, ...]:
     """A load report in the order of the settings' fields. Guards against a planner that leaves one out, or
     names it otherwise: taken for 0, it would be the sign of a full planner, or of an idle one.
     """
@@ -91,7 +91,7 @@
 class _Connection(asyncio.Protocol):
     """One connection to a planner; it carries one attempt or probe at a time."""
 
-    def __init__(self, carrier: HttpCarrier, address: Address) -> None:
+    def __init__(self, carrier: HttpWorkerClient, address: Address) -> None:
         self.address = address
         self.attempt: Attempt | None = None
         self.probed: Endpoint | None = None
@@ -136,7 +136,7 @@
     def _count(self) -> None:
         if not self._counted and not self._unwritten and self.attempt is not None and not self._told:
             self._counted = True
-            self._carrier.core.written(self.attempt)
+            self._carrier.core.attempt_sent(self.attempt)
 
     @property
     def open(self) -> bool:
@@ -168,7 +168,7 @@
             self._reader.feed(data)
         except BadAnswerError:
             if self.attempt is not None and data.startswith(HTTP2_SETTINGS):
-                self._carrier.on_wrong_interface(self.attempt.target)
+                self._carrier.on_wrong_interface(self.attempt.endpoint)
             self._end(Outcome.RESET)
             self.close()
             return
@@ -185,7 +185,7 @@
         self._end(Outcome.CONNECT_FAILED if self._unwritten else Outcome.RESET)
         self._cancel_timers()
         if self.left is not None:
-            self._carrier.core.link_lost(self.left)
+            self._carrier.core.connection_lost(self.left)
         self._carrier.lost(self)
 
     def head_came(self, status: int) -> None:
@@ -206,14 +206,16 @@
             line = _decode_line(text)
         except msgspec.DecodeError:
             raise BadAnswerError("a line is not JSON") from None
-        if line.id != attempt.exchange.request.id:
+        if line.id != attempt.context.request.id:
             raise BadAnswerError("a line is not for this request")  # never serve what was made for another
         if line.state == "started":
-            self._carrier.core.attempt_noted(attempt, ProgressKind.STARTED)
+            self._carrier.core.attempt_progressed(attempt, ProgressKind.STARTED)
         elif line.state == "running":
-            self._carrier.core.attempt_noted(attempt, ProgressKind.PROGRESS, line.share)
+            self._carrier.core.attempt_progressed(attempt, ProgressKind.PROGRESS, line.share)
         elif line.state in _ENDS:
-            self._end(_ENDS[line.state], line.result.encode(), report_of(line.load, self._carrier.fields))
+            self._end(
+                _ENDS[line.state], line.result.encode(), ordered_report(line.load, self._carrier.fields)
+            )
 
     def answer_ended(self, keep_alive: bool) -> None:
         if self.attempt is None and self.probed is None:
@@ -221,7 +223,7 @@
             self.close()
             return
         headers = self._reader.headers
-        report = read_load(headers.get(b"x-load", b""), self._carrier.fields)
+        report = parse_load_report(headers.get(b"x-load", b""), self._carrier.fields)
         if self._status == 200 and self.attempt is not None:
             rest = self._reader.buffer.take_all().strip()
             if rest:
@@ -236,7 +238,7 @@
             )
             self._end(Outcome.RESET if late else Outcome.REJECTED, b"", report)
         elif self.probed is not None and self._status == 200:
-            body = read_load(self._reader.buffer.take_all(), self._carrier.fields)
+            body = parse_load_report(self._reader.buffer.take_all(), self._carrier.fields)
             self._end(Outcome.OK, b"", body or report)
         else:
             self._end(Outcome.ERROR, b"", report)
@@ -259,18 +261,18 @@
         core = self._carrier.core
         if self.attempt is not None:
             if outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED):
-                self.left = self.attempt.target
-            core.attempt_ended(self.attempt, outcome, result, report)
+                self.left = self.attempt.endpoint
+            core.attempt_finished(self.attempt, outcome, result, report)
         elif self.probed is not None:
-            core.probe_ended(self.probed, outcome, (self._carrier.loop.time() - self.begun) * 1000, report)
+            core.probe_finished(self.probed, outcome, (self._carrier.loop.time() - self.begun) * 1000, report)
 
 
-class HttpCarrier:
+class HttpWorkerClient:
     """The pool: idle connections are used again, the last used first, so that the others can grow old."""
 
     def __init__(
         self,
-        core: Core,
+        core: Forwarder,
         fields: Sequence[str],
         loop: asyncio.AbstractEventLoop,
         room: Callable[[], float] = lambda: math.inf,
@@ -291,7 +293,7 @@
         self._connect_timeout = limits.connect_timeout_ms / 1000
         self._idle_for = limits.idle_timeout_ms / 1000 * (1 - IDLE_SPARE)
 
-    def retune(self, limits: Limits, fields: Sequence[str]) -> None:
+    def apply_settings(self, limits: Limits, fields: Sequence[str]) -> None:
         """Limits and report fields anew: what stands idle is closed by the new time where that is sooner."""
         self.fields = fields
         self._connect_timeout = limits.connect_timeout_ms / 1000
@@ -305,22 +307,22 @@
                     connection.idle_timer.cancel()
                     connection.idle_timer = self.loop.call_at(connection.idle_until, connection.close)
 
-    def carry(self, attempt: Attempt) -> None:
-        connection = self._take(attempt.target.address)
+    def start(self, attempt: Attempt) -> None:
+        connection = self._take(attempt.endpoint.address)
         if connection is not None:
             self._write_attempt(connection, attempt)
-        elif self.connections >= self._room() and not self.shed():
-            self.core.attempt_ended(attempt, Outcome.CONNECT_FAILED)
+        elif self.connections >= self._room() and not self.close_oldest_idle():
+            self.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
         else:
-            self.core.tally["connections"] += 1
+            self.core.counters["connections"] += 1
             self._start(self._connect_for_attempt(attempt))
 
     def effect(self, attempt: Attempt) -> Idempotency:
         """What the attempt's class allows where a job may have run."""
-        return self.core.settings.classes[attempt.exchange.request.job_class].idempotency
+        return self.core.settings.classes[attempt.context.request.job_class].idempotency
 
-    def drop(self, attempt: Attempt) -> bool:
-        connection = attempt.link
+    def abort(self, attempt: Attempt) -> bool:
+        connection = attempt.transport_state
         if not isinstance(connection, _Connection):
             return False  # still connecting; the connection is closed or kept when it is up
         sent = connection.sent
@@ -330,7 +332,7 @@
     def probe(self, target: Endpoint) -> None:
         self._start(self._probe(target))
 
-    def close_idle(self, target: Endpoint) -> None:
+    def close_idle_connections(self, target: Endpoint) -> None:
         for connection in list(self._idle.get(target.address, ())):
             connection.close()
 
@@ -342,7 +344,7 @@
     def came(self, connection: _Connection) -> None:
         self._up.add(connection)
 
-    def shed(self) -> bool:
+    def close_oldest_idle(self) -> bool:
         """Close the connection that has rested longest; whether there was one. Guards discovery's call,
         attempts and clients against a pool of one connection for each of many planners.
         """
@@ -390,34 +392,34 @@
         return connection if connection.open else None  # it may have been reset just now
 
     def _write_attempt(self, connection: _Connection, attempt: Attempt) -> None:
-        connection.attempt, attempt.link = attempt, connection
+        connection.attempt, attempt.transport_state = attempt, connection
         connection.left = None
-        connection.write(request_bytes(attempt, attempt.deadline - self.loop.time(), self.classes))
+        connection.write(request_bytes(attempt, attempt.deadline_at - self.loop.time(), self.classes))
 
     async def _connect_for_attempt(self, attempt: Attempt) -> None:
-        timeout = min(self._connect_timeout, attempt.deadline - self.loop.time())
-        connection = await self._connect(attempt.target.address, max(0.001, timeout))
+        timeout = min(self._connect_timeout, attempt.deadline_at - self.loop.time())
+        connection = await self._connect(attempt.endpoint.address, max(0.001, timeout))
         if connection is None:
-            self.core.attempt_ended(attempt, Outcome.CONNECT_FAILED)
+            self.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
         elif self.core.may_begin(attempt):
             self._write_attempt(connection, attempt)
         else:
             # Called off while it was coming up, or not to be written any more: nothing was sent on it, so the
             # next attempt may use it.
             self.free(connection)
-            self.core.attempt_ended(attempt, Outcome.CONNECT_FAILED)
+            self.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
 
     async def _probe(self, target: Endpoint) -> None:
         begun = self.loop.time()
         connection = self._take(target.address) or await self._connect(target.address, PROBE_TIMEOUT)
         if connection is None:
-            self.core.probe_ended(target, Outcome.CONNECT_FAILED, (self.loop.time() - begun) * 1000)
+            self.core.probe_finished(target, Outcome.CONNECT_FAILED, (self.loop.time() - begun) * 1000)
             return
         connection.probed, connection.begun = target, begun
         connection.write(b"GET /_load HTTP/1.1\r\nHost: service.internal\r\n\r\n")
         await asyncio.sleep(PROBE_TIMEOUT)
         if connection.probed is target and connection.begun == begun:
-            self.core.probe_ended(target, Outcome.TIMEOUT, (self.loop.time() - begun) * 1000)
+            self.core.probe_finished(target, Outcome.TIMEOUT, (self.loop.time() - begun) * 1000)
             connection.close()
 
     def free(self, connection: _Connection) -> None:
--- a/pipitshed/upstream/interface_probe.py
+++ b/pipitshed/upstream/interface_probe.py
@@ -65,17 +65,17 @@
             self.answer.set_result(interface)
 
 
-class Sounder:
+class InterfaceProber:
     """Asks planners, each on a task of its own."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, sounded: Callable[[WorkerId, Address, int], None]
     ) -> None:
         self._loop = loop
-        self._sounded = sounded
+        self._on_detected = sounded
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def sound(self, worker: WorkerId, address: Address) -> None:
+    def probe(self, worker: WorkerId, address: Address) -> None:
         task = self._loop.create_task(self._run(worker, address))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -93,7 +93,7 @@
         finally:
             if sounding.transport is not None:
                 sounding.transport.abort()
-        self._sounded(worker, address, interface)
+        self._on_detected(worker, address, interface)
 
     def close(self) -> None:
         for task in self._tasks:
--- a/tests/equivalence/names.py
+++ b/tests/equivalence/names.py
@@ -213,7 +213,14 @@
     )
 
 
-REQUEST_FIELDS = {name: name for name in ("id", "job_class", "patience", "tenant", "body", "form")}
+REQUEST_FIELDS = {
+    "id": "id",
+    "job_class": "job_class",
+    "patience": "client_timeout_ms",
+    "tenant": "tenant",
+    "body": "body",
+    "form": "form_version",
+}
 
 
 def request(fields: Fields) -> Request:
--- a/tests/equivalence/test_same_bytes.py
+++ b/tests/equivalence/test_same_bytes.py
@@ -74,7 +74,7 @@
     translator = Translator(read((ROOT / "deploy" / "translation.toml").read_text()), ("quote", "book"))
     prepared = translator.prepare(names.request(held["request"]))
     assert {str(interface): body.hex() for interface, body in prepared.bodies.items()} == held["bodies"]
-    assert sorted(map(str, prepared.unfit)) == held["unfit"]
+    assert sorted(map(str, prepared.failures)) == held["unfit"]
 
 
 def test_the_json_schemas_ask_for_the_same_keys() -> None:
--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -17,12 +17,12 @@
 
 from pipitshed.config.settings_parser import settings_from
 from pipitshed.protocols.grpc import frame
-from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.proxy.request import Endpoint, Request
 from pipitshed.scheduling.events import EndpointEntry, ProgressKind, UpdateKind
 from pipitshed.translation.file import read
 from pipitshed.translation.translator import Translator
-from pipitshed.upstream.grpc import GrpcCarrier
+from pipitshed.upstream.grpc import GrpcWorkerClient
 from pipitshed.worker_api import planner_pb2 as pb
 
 ROOT = Path(__file__).parent.parent
@@ -206,19 +206,19 @@
         self.told.append((how, what))
         self.over.set()
 
-    def served(self, result: bytes) -> None:
+    def succeeded(self, result: bytes) -> None:
         self._end("served", result)
 
-    def refused(self, retry_after: float) -> None:
+    def rejected(self, retry_after: float) -> None:
         self._end("refused", retry_after)
 
     def failed(self) -> None:
         self._end("failed")
 
-    def unfit(self, why: Any, ran: bool) -> None:
+    def untranslatable(self, why: Any, ran: bool) -> None:
         self._end("unfit", (why.field, ran))
 
-    def noted(self, kind: ProgressKind, share: float) -> None:
+    def progressed(self, kind: ProgressKind, share: float) -> None:
         self.notes.append((kind, share))
 
     async def answer(self) -> tuple[str, Any]:
@@ -232,15 +232,15 @@
 
     def __init__(self, settings: dict[str, Any], forms: str, keepalive: float) -> None:
         self.loop = asyncio.get_running_loop()
-        self.core = Core(settings_from(SETTINGS | settings), 1, self.loop)
+        self.core = Forwarder(settings_from(SETTINGS | settings), 1, self.loop)
         self.core.translator = Translator(read(forms), ["quote", "book"])
-        self.core.routes.on_interfaces = self.core.interfaces_changed
-        self.carrier = GrpcCarrier(self.core, ["quote", "book"], self.loop, keepalive)
-        self.core.routes.fill("test", UpdateKind.CACHED, 0, [])
+        self.core.endpoints.on_interfaces = self.core.interfaces_changed
+        self.carrier = GrpcWorkerClient(self.core, ["quote", "book"], self.loop, keepalive)
+        self.core.endpoints.update("test", UpdateKind.CACHED, 0, [])
         self._ids = 0
 
     def list(self, *planners: GrpcPlanner, **changes: Any) -> None:
-        self.core.routes.fill(
+        self.core.endpoints.update(
             "test",
             UpdateKind.DELTA,
             1,
@@ -259,18 +259,18 @@
         told = {
             "id": f"r{self._ids}",
             "job_class": int(number),
-            "patience": 5000.0,
+            "client_timeout_ms": 5000.0,
             "tenant": 0,
             "body": body or (BOOK if number else QUOTE),
             "tenant_name": "andes-retail",
-            "form": 1,
-            "key": f"k{self._ids}" if number else "",
+            "form_version": 1,
+            "idempotency_key": f"k{self._ids}" if number else "",
         }
         return Request(**told | more)
 
     def ask(self, job_class: str = "quote", body: bytes | None = None, **more: Any) -> Caller:
         caller = Caller()
-        caller.exchange = self.core.take(self.request(job_class, body, **more), caller)
+        caller.exchange = self.core.submit(self.request(job_class, body, **more), caller)
         return caller
 
     def leave(self, caller: Caller) -> None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -11,11 +11,11 @@
 from loopback import Planner, Run
 
 from pipitshed.frontends.listener import Listener
-from pipitshed.proxy.forwarder import Core
-from pipitshed.proxy.request import Attempt, Endpoint, Exchange, Request
+from pipitshed.proxy.forwarder import Forwarder
+from pipitshed.proxy.request import Attempt, Endpoint, Request, RequestContext
 from pipitshed.scheduling.actions import RejectRequest
 from pipitshed.scheduling.events import AttemptFinished, AttemptProgressed, ConnectionLost, Event, UpdateKind
-from pipitshed.upstream.http import HttpCarrier
+from pipitshed.upstream.http import HttpWorkerClient
 
 
 class HastyLoop:
@@ -34,10 +34,10 @@
 
     async def run() -> None:
         asked = asyncio.Event()
-        core = Core(settings(endpoints_polled=True), 1, HastyLoop())  # type: ignore[arg-type]
-        core.ask_list = lambda watch: asked.set()
+        core = Forwarder(settings(endpoints_polled=True), 1, HastyLoop())  # type: ignore[arg-type]
+        core.fetch_endpoints = lambda watch: asked.set()
         lines = [(entry, Endpoint(entry.worker, None, None)) for entry in entries(3)]  # type: ignore[arg-type]
-        core.routes.fill("test", UpdateKind.CACHED, 1, lines)
+        core.endpoints.update("test", UpdateKind.CACHED, 1, lines)
         await asyncio.wait_for(asked.wait(), 5)
 
     asyncio.run(run())
@@ -56,7 +56,7 @@
 
         async with Planner("p1", act=close) as planner:
             loop = asyncio.get_running_loop()
-            core = Core(settings(), 1, loop)
+            core = Forwarder(settings(), 1, loop)
             events: list[Event] = []
 
             def post(event: Event) -> None:
@@ -65,10 +65,10 @@
                     lost.set()
 
             core.post = post  # type: ignore[method-assign]
-            carrier = HttpCarrier(core, [], loop)
+            carrier = HttpWorkerClient(core, [], loop)
             target = Endpoint(b"p1", carrier, ("127.0.0.1", planner.port))
-            exchange = Exchange(1, Request("a1", 0, 5000.0, 0), Mock(), loop.time() + 5)
-            carrier.carry(Attempt(exchange, 0, target, loop.time(), loop.time() + 5))
+            exchange = RequestContext(1, Request("a1", 0, 5000.0, 0), Mock(), loop.time() + 5)
+            carrier.start(Attempt(exchange, 0, target, loop.time(), loop.time() + 5))
             await asyncio.wait_for(lost.wait(), 5)
             assert [type(event) for event in events] == [AttemptProgressed, AttemptFinished, ConnectionLost]
 
@@ -111,17 +111,18 @@
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        core = Core(settings(), 1, loop)
+        core = Forwarder(settings(), 1, loop)
         broken, usual = Mock(), Mock()
-        broken.refused.side_effect = RuntimeError("planted")
+        broken.rejected.side_effect = RuntimeError("planted")
         done = asyncio.Event()
-        usual.refused.side_effect = lambda retry_after: done.set()
+        usual.rejected.side_effect = lambda retry_after: done.set()
         first, second = [
-            core.take(Request(name, 0, 5000.0, 0), client) for name, client in (("a1", broken), ("a2", usual))
+            core.submit(Request(name, 0, 5000.0, 0), client)
+            for name, client in (("a1", broken), ("a2", usual))
         ]
         core._dispatcher.handle = Mock(side_effect=RuntimeError("planted"))  # type: ignore[method-assign]
-        core._dispatcher.actions = [RejectRequest(first.number, 1.0), RejectRequest(second.number, 1.0)]
+        core._dispatcher.actions = [RejectRequest(first.job_id, 1.0), RejectRequest(second.job_id, 1.0)]
         await asyncio.wait_for(done.wait(), 5)
-        assert broken.refused.called
+        assert broken.rejected.called
 
     asyncio.run(run())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,8 +14,8 @@
 from loopback import Peer, Planner, Reader, Writer, story
 
 from pipitshed.protocols.gearman import Kind, pack
-from pipitshed.proxy.forwarder import Core
-from pipitshed.proxy.request import Endpoint, Exchange, Request
+from pipitshed.proxy.forwarder import Forwarder
+from pipitshed.proxy.request import Endpoint, Request, RequestContext
 from pipitshed.scheduling.actions import StartAttempt
 from pipitshed.scheduling.events import (
     AttemptFinished,
@@ -26,8 +26,8 @@
     UpdateKind,
 )
 from pipitshed.scheduling.settings import Idempotency, JobClass, Limits
-from pipitshed.upstream.gearman import GearmanCarrier, Place
-from pipitshed.upstream.http import HttpCarrier
+from pipitshed.upstream.gearman import GearmanWorkerClient, WorkerLocation
+from pipitshed.upstream.http import HttpWorkerClient
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -45,9 +45,11 @@
                 idempotency_window_ms=5000.0,
             ),
         )
-        self.core = Core(settings(classes=classes, limits=Limits(may_cancel=False, max_attempts=3)), 1, loop)
+        self.core = Forwarder(
+            settings(classes=classes, limits=Limits(may_cancel=False, max_attempts=3)), 1, loop
+        )
         self.core.post = self._heard  # type: ignore[method-assign]
-        self.carrier = HttpCarrier(self.core, [], loop)
+        self.carrier = HttpWorkerClient(self.core, [], loop)
         self.ended: asyncio.Queue[AttemptFinished] = asyncio.Queue()
 
     def _heard(self, event: Event) -> None:
@@ -58,14 +60,14 @@
     def lists(self, port: int, state: EndpointState = EndpointState.READY) -> None:
         [entry] = entries(1)
         target = Endpoint(entry.worker, self.carrier, ("127.0.0.1", port))
-        self.core.routes.fill("test", UpdateKind.DELTA, 1, [(replace(entry, state=state), target)])
+        self.core.endpoints.update("test", UpdateKind.DELTA, 1, [(replace(entry, state=state), target)])
         self.worker = entry.worker
 
-    def take(self, name: str = "a1", body: bytes = b"pallets") -> Exchange:
-        return self.core.take(Request(name, 0, 9000.0, 0, body, "k-" + name), Mock())
+    def take(self, name: str = "a1", body: bytes = b"pallets") -> RequestContext:
+        return self.core.submit(Request(name, 0, 9000.0, 0, body, "k-" + name), Mock())
 
-    def send(self, exchange: Exchange, write_within: float = 0.0) -> None:
-        self.core._carry_out(StartAttempt(exchange.number, self.worker, write_within_ms=write_within))
+    def send(self, exchange: RequestContext, write_within: float = 0.0) -> None:
+        self.core._carry_out(StartAttempt(exchange.job_id, self.worker, write_within_ms=write_within))
 
     async def outcome(self) -> Outcome:
         return (await self.ended.get()).outcome
@@ -106,7 +108,7 @@
             elif crossing == "the window ends":
                 loop = asyncio.get_running_loop()
                 passed = asyncio.Event()
-                loop.call_at(exchange.attempts[0].write_by + 0.001, passed.set)
+                loop.call_at(exchange.attempts[0].write_deadline_at + 0.001, passed.set)
                 await passed.wait()
             else:
                 rig.lists(
@@ -121,7 +123,7 @@
             assert [run.headers["x-request-id"] for run in planner.runs] == ["a2"]
             if crossing != "the client goes":
                 rig.core.withdraw(exchange)
-            assert not rig.core._exchanges
+            assert not rig.core._contexts
 
     run()
 
@@ -268,13 +270,15 @@
     """An attempt that waits for a Gearman worker is assigned when that asks, maybe after the window."""
     rig = Rig(Idempotency.IDEMPOTENT_WITH_KEY)
     link = Mock()
-    carrier = GearmanCarrier(rig.core, {"plan": 0}, Place(0, 0, 0, 1.0), 1000, asyncio.get_running_loop())
+    carrier = GearmanWorkerClient(
+        rig.core, {"plan": 0}, WorkerLocation(0, 0, 0, 1.0), 1000, asyncio.get_running_loop()
+    )
     worker = carrier.worker(link)
     worker.handle(Kind.CAN_DO, [b"plan"])
     exchange = rig.take("a1")
-    rig.core._carry_out(StartAttempt(exchange.number, worker.target.id, write_within_ms=1.0))
+    rig.core._carry_out(StartAttempt(exchange.job_id, worker.endpoint.id, write_within_ms=1.0))
     passed = asyncio.Event()
-    asyncio.get_running_loop().call_at(exchange.attempts[0].write_by + 0.001, passed.set)
+    asyncio.get_running_loop().call_at(exchange.attempts[0].write_deadline_at + 0.001, passed.set)
     await passed.wait()
     worker.handle(Kind.GRAB_JOB, [])
     link.write.assert_called_once_with(pack(Kind.NO_JOB))
@@ -322,7 +326,7 @@
     async with Planner("p1") as planner:
         rig = Rig()
         rig.lists(planner.port)
-        target = rig.core.routes.target(rig.worker)
+        target = rig.core.endpoints.endpoint(rig.worker)
         assert target is not None
         target.address = ("a" * 70 + ".example", 80)
         begun = asyncio.get_running_loop().time()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -223,7 +223,7 @@
     class Table:
         failures = 0
 
-        def failed(self) -> None:
+        def fetch_failed(self) -> None:
             self.failures += 1
             told.set()
 
@@ -231,9 +231,9 @@
     loop = asyncio.get_running_loop()
     table = Table()
     async with Planner("p1") as planner, Scripted(planner) as catalog:
-        one = module.Discovery(("127.0.0.1", catalog.port), None, table, loop)  # type: ignore[arg-type]
+        one = module.CatalogClient(("127.0.0.1", catalog.port), None, table, loop)  # type: ignore[arg-type]
         catalog.asked.append(0)
-        one.ask(True)
+        one.fetch(True)
         await catalog.watches.get()
         while not table.failures:  # the list can't be put anywhere: the call fails, and nobody asks again
             await told.wait()
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -159,13 +159,13 @@
             connection = Connection(world.carrier, Endpoint(b"p1", world.carrier, ("127.0.0.1", 1), 2))
             world.carrier._connections["127.0.0.1", 1] = connection
             world.carrier._all.add(connection)
-            world.core.routes._targets[b"p1"] = connection.target
+            world.core.endpoints._endpoints[b"p1"] = connection.target
             transport = Transport()
             connection.connection_made(transport)  # type: ignore[arg-type]
             callers = [Caller(), Caller()]
             for caller in callers:
-                caller.exchange = world.core.take(world.request("quote", QUOTE, form=None), caller)
-                world.core._send(StartAttempt(caller.exchange.number, b"p1"))
+                caller.exchange = world.core.submit(world.request("quote", QUOTE, form_version=None), caller)
+                world.core._send(StartAttempt(caller.exchange.job_id, b"p1"))
             data = (made(SettingsFrame, 0) if greets else b"") + b"".join(parts)
             for place in range(0, len(data), piece):
                 if connection.over or transport.closed:
@@ -179,7 +179,7 @@
             connection.connection_lost(None)
             await asyncio.sleep(0)
             for caller in callers:
-                assert all(attempt.over for attempt in caller.exchange.attempts) and len(caller.told) <= 1
+                assert all(attempt.finished for attempt in caller.exchange.attempts) and len(caller.told) <= 1
             assert not connection.streams and not connection.queue and not faults, faults
             for caller in callers:
                 world.leave(caller)
--- a/tests/test_grpc_egress.py
+++ b/tests/test_grpc_egress.py
@@ -22,7 +22,7 @@
 @story
 async def test_a_job_is_told_whole_and_its_result_comes_back() -> None:
     async with GrpcPlanner(act=silent) as planner, bench(planner) as made:
-        caller = made.ask("book", slots=2.0, memory=1.5, key="k 1", patience=4000.0)
+        caller = made.ask("book", slots=2.0, memory=1.5, idempotency_key="k 1", client_timeout_ms=4000.0)
         call = await planner.call(1)
         told = call.headers
         assert (told["x-request-id"], told["x-class"], told["x-tenant"]) == ("r1", "book", "andes-retail")
@@ -77,7 +77,7 @@
         await planner.until(lambda: call.reset is not None)
         assert call.reset == CANCEL
         assert not early.told and not first.told and not waiting.told
-        assert made.core.busy == 0 and made.core.tally["withdrawn"] == 3
+        assert made.core.active_count == 0 and made.core.counters["withdrawn"] == 3
         later = made.ask()
         (await planner.call(2)).done()
         assert (await later.answer())[0] == "served"
@@ -97,8 +97,8 @@
                 made.leave(caller)
                 call.done()
             await asyncio.sleep(0.05)
-            assert not caller.told and made.core.busy == 0
-        assert made.core.tally["attempt CANCELLED"] + made.core.tally["attempt OK"] == 2
+            assert not caller.told and made.core.active_count == 0
+        assert made.core.counters["attempt CANCELLED"] + made.core.counters["attempt OK"] == 2
         caller = made.ask()
         (await planner.call(3)).done()
         assert (await caller.answer())[0] == "served" and len(planner.peers) == 1
@@ -125,7 +125,7 @@
         late.done()
         other.done()
         assert (await beside.answer())[0] == "served"
-        assert made.core.tally["attempt RESET"] == 0 and not planner.peers[0].lost.is_set()
+        assert made.core.counters["attempt RESET"] == 0 and not planner.peers[0].lost.is_set()
         made.leave(third)
 
 
@@ -138,7 +138,7 @@
         low, high = sorted(leaving.calls, key=lambda call: call.number)
         low.peer.goaway(low.number)
         await staying.call(1)  # the one above never ran: it may go anywhere
-        assert made.core.routes.interfaces() == {2}
+        assert made.core.endpoints.interfaces() == {2}
         assert made.core._dispatcher.workers[b"p1"].ready is False
         for _ in range(20):
             assert (await made.ask().answer())[0] == "served"
@@ -195,10 +195,10 @@
         # One attempt each: on a busy machine a later one may be out at the deadline, and have run.
         alone = ONCE | {"permissions": SETTINGS["permissions"] | {"maxAttempts": 1}}
         async with GrpcPlanner(act=act) as planner, bench(planner, settings=alone) as made:
-            caller = made.ask("book", patience=2000.0)
+            caller = made.ask("book", client_timeout_ms=2000.0)
             how, _ = await caller.answer()
             await asyncio.sleep(0.01)
-            assert made.core.tally[f"attempt {tally}"] >= 1, made.core.tally
+            assert made.core.counters[f"attempt {tally}"] >= 1, made.core.counters
             if tally in ("RESET", "ERROR", "TIMEOUT"):
                 assert len(planner.calls) == 1 and how == "failed"
             else:
@@ -214,20 +214,20 @@
     wrong = []
     async with GrpcPlanner("mute") as mute, GrpcPlanner("old") as old, bench(mute) as made:
         mute.settings = old.settings = None
-        caller = made.ask("book", patience=600.0)
+        caller = made.ask("book", client_timeout_ms=600.0)
         assert (await caller.answer())[0] == "refused"
-        assert made.core.tally["attempt RESET"] == 0 and made.core.tally["attempt CONNECT_FAILED"] >= 1
+        assert made.core.counters["attempt RESET"] == 0 and made.core.counters["attempt CONNECT_FAILED"] >= 1
         made.carrier.on_wrong_interface = wrong.append
         made.list(mute, state=EndpointState.REMOVED)
         made.list(old)
-        caller = made.ask("book", patience=600.0)
+        caller = made.ask("book", client_timeout_ms=600.0)
         while not old.peers:
             await asyncio.sleep(0.01)
         old.peers[0].transport.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
         await old.peers[0].lost.wait()
         await asyncio.sleep(0.02)
         assert [target.id for target in wrong] == [b"old"]
-        assert made.core.tally["attempt RESET"] == 0
+        assert made.core.counters["attempt RESET"] == 0
 
 
 @story
@@ -238,7 +238,7 @@
     body = BOOK[:-1] + b',"goods":[' + b",".join([item] * ((65_000 - len(BOOK)) // (len(item) + 1))) + b"]}"
     assert 64_000 < len(body) <= 65_536
     async with GrpcPlanner(initial_window_size=64) as planner, bench(planner) as made:
-        caller = made.ask("book", body, patience=15_000.0)
+        caller = made.ask("book", body, client_timeout_ms=15_000.0)
         beside = made.ask("quote")
         assert (await beside.answer())[0] == "served" and not caller.told
         assert (await caller.answer())[0] == "served"
@@ -260,7 +260,7 @@
         made.list(other)
         stuck.cut()
         assert (await caller.answer())[0] == "served"
-        assert made.core.tally["attempt CONNECT_FAILED"] == 1 and not stuck.calls and len(other.calls) == 1
+        assert made.core.counters["attempt CONNECT_FAILED"] == 1 and not stuck.calls and len(other.calls) == 1
 
 
 @story
@@ -272,7 +272,7 @@
         call.peer.flush()
 
     async with GrpcPlanner("p1", act=flood) as bad, bench(bad) as made:
-        caller = made.ask("quote", patience=800.0)
+        caller = made.ask("quote", client_timeout_ms=800.0)
         await bad.call(1)
         await asyncio.wait_for(bad.peers[0].lost.wait(), 2.0)
         async with GrpcPlanner("p2") as good:
@@ -296,7 +296,7 @@
         made.list(other)
         begun = made.loop.time()
         assert (await caller.answer())[0] == "served"
-        assert 2.0 < made.loop.time() - begun < 4.0 and made.core.tally["attempt RESET"] == 1
+        assert 2.0 < made.loop.time() - begun < 4.0 and made.core.counters["attempt RESET"] == 1
 
 
 @story
@@ -308,7 +308,7 @@
         return lambda call: call.end(8, x_not_run="1", grpc_retry_pushback_ms=text)
 
     async with GrpcPlanner(act=full("300")) as planner, bench(planner) as made:
-        caller = made.ask("quote", patience=900.0)
+        caller = made.ask("quote", client_timeout_ms=900.0)
         await planner.call(1)
         begun = made.loop.time()
         await planner.call(2)
@@ -317,7 +317,7 @@
         for text in ("-1", "60000", "soon"):
             planner.act = full(text)
             seen, begun = len(planner.calls), made.loop.time()
-            assert (await made.ask("quote", patience=4000.0).answer())[0] == "refused"
+            assert (await made.ask("quote", client_timeout_ms=4000.0).answer())[0] == "refused"
             assert len(planner.calls) == seen + 1 and made.loop.time() - begun < 1.0
             made.list(planner, started_at_ms=made.core._epoch * 1000 + len(planner.calls))
 
@@ -330,7 +330,7 @@
             GrpcPlanner("p2", zone) as second,
             bench(first) as made,
         ):
-            caller = made.ask("book", patience=1500.0)
+            caller = made.ask("book", client_timeout_ms=1500.0)
             (await first.call(1)).started()
             made.list(second)
             made.list(first, state=EndpointState.REMOVED)
@@ -347,7 +347,7 @@
     """The job ran: even a quote, which is safe to repeat, is not run again for it."""
     async with GrpcPlanner(act=lambda call: call.done(truck="t" * 40)) as planner, bench(planner) as made:
         form = b"from=LIM&to=AQP&plts=4"
-        assert await made.ask("quote", form, form=0).answer() == ("unfit", ("truck", True))
+        assert await made.ask("quote", form, form_version=0).answer() == ("unfit", ("truck", True))
         assert len(planner.calls) == 1
         assert (await made.ask("quote").answer())[0] == "served"
 
@@ -367,7 +367,7 @@
             ("the message", b"[" * 30_000),
         ]:
             assert await made.ask("book", body).answer() == ("unfit", (name, False))
-        assert await made.ask("book", key="k\u00e9").answer() == ("unfit", ("key", False))
+        assert await made.ask("book", idempotency_key="k\u00e9").answer() == ("unfit", ("key", False))
         assert made.loop.time() - begun < 0.5 and not planner.calls
 
 
@@ -391,8 +391,8 @@
     async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, bench(newer, older) as made:
         made.list(older, interface=1)
         # The stand-in of interface 1 speaks gRPC as well: here it counts that alone the draw goes there.
-        made.core.routes._targets[b"p1"].interface = 1
+        made.core.endpoints._endpoints[b"p1"].interface = 1
         for _ in range(10):
             made.ask("book", hazard)
         await older.call(10)
-        assert not newer.calls and made.core.tally["attempt MOOT"] == 0
+        assert not newer.calls and made.core.counters["attempt MOOT"] == 0
--- a/tests/test_interfaces.py
+++ b/tests/test_interfaces.py
@@ -7,11 +7,11 @@
 from grpc_peer import GrpcPlanner
 from loopback import Planner, story
 
-from pipitshed.discovery.catalog import Instance, Listing, Names
-from pipitshed.discovery.worker_interfaces import AT_ONCE, Interfaces
-from pipitshed.proxy.endpoint_table import RouteTable
+from pipitshed.discovery.catalog import CatalogEntry, EndpointParser, NameIndex
+from pipitshed.discovery.worker_interfaces import AT_ONCE, InterfaceRegistry
+from pipitshed.proxy.endpoint_table import EndpointTable
 from pipitshed.scheduling.events import EndpointState, UpdateKind
-from pipitshed.upstream.interface_probe import Sounder
+from pipitshed.upstream.interface_probe import InterfaceProber
 
 
 class World:
@@ -21,8 +21,8 @@
         self.news: list[Any] = []
         self.asked: list[tuple[bytes, tuple[str, int]]] = []
         self.later: list[tuple[float, Callable[[], None]]] = []
-        self.table = RouteTable(self.news.append)
-        self.interfaces = Interfaces(
+        self.table = EndpointTable(self.news.append)
+        self.interfaces = InterfaceRegistry(
             self.table,
             {1: "http", 2: "grpc"},
             told or {},
@@ -30,10 +30,10 @@
             lambda worker, address: self.asked.append((worker, address)),
             lambda wait, what: self.later.append((wait, what)),
         )
-        self.listing = Listing("test", Names(["z"]), Names([]), "http", self.interfaces)  # type: ignore[arg-type]
+        self.listing = EndpointParser("test", NameIndex(["z"]), NameIndex([]), "http", self.interfaces)  # type: ignore[arg-type]
 
-    def list(self, *rows: Instance) -> None:
-        self.table.fill("test", UpdateKind.DELTA, 1, [self.listing.line(row) for row in rows])
+    def list(self, *rows: CatalogEntry) -> None:
+        self.table.update("test", UpdateKind.DELTA, 1, [self.listing.row(row) for row in rows])
 
     def entry(self, name: str) -> Any:
         return next(
@@ -41,8 +41,8 @@
         )
 
 
-def row(name: str = "p1", started: float = 1.0, **more: Any) -> Instance:
-    return Instance(name, "127.0.0.1:7", "z", started_at_ms=started, **more)
+def row(name: str = "p1", started: float = 1.0, **more: Any) -> CatalogEntry:
+    return CatalogEntry(name, "127.0.0.1:7", "z", started_at_ms=started, **more)
 
 
 def test_the_row_then_settings_then_the_default_tell() -> None:
@@ -50,7 +50,7 @@
     world.list(row("p1"), row("p2"), row("p3", interface=1))
     assert [world.entry(name).interface for name in ("p1", "p2", "p3")] == [1, 2, 1]
     assert not world.asked
-    assert world.table.target(b"p2").carrier == "grpc"  # type: ignore[union-attr,comparison-overlap]
+    assert world.table.endpoint(b"p2").client == "grpc"  # type: ignore[union-attr,comparison-overlap]
     assert world.table.interfaces() == {1, 2}
 
 
@@ -60,13 +60,13 @@
     world.list(row(), row())
     assert len(world.asked) == 1 and world.entry("p1").job_classes == frozenset()
     assert 0 in world.table.interfaces()
-    world.interfaces.sounded(*world.asked[0], 2)
+    world.interfaces.detected(*world.asked[0], 2)
     assert world.entry("p1").interface == 2 and world.entry("p1").job_classes is None
     world.list(row())
     assert len(world.asked) == 1
     world.list(row(started=2.0))  # the same instance is back, perhaps with the other one
     assert len(world.asked) == 2 and world.entry("p1").job_classes == frozenset()
-    world.interfaces.sounded(*world.asked[1], 1)
+    world.interfaces.detected(*world.asked[1], 1)
     assert world.entry("p1").interface == 1
 
 
@@ -75,13 +75,13 @@
     world.list(row())
     waits = []
     for _ in range(7):
-        world.interfaces.sounded(*world.asked[-1], 0)
+        world.interfaces.detected(*world.asked[-1], 0)
         wait, again = world.later.pop()
         waits.append(wait)
         again()
     assert waits == [0.25, 0.5, 1.0, 2.0, 4.0, 4.0, 4.0] and len(world.asked) == 8
     world.list(row(lifecycle="gone"))
-    world.interfaces.sounded(*world.asked[-1], 0)
+    world.interfaces.detected(*world.asked[-1], 0)
     assert not world.later
 
 
@@ -90,7 +90,7 @@
     world.list(*(row(f"p{number}") for number in range(100)))
     assert len(world.asked) == AT_ONCE
     for place in range(100):
-        world.interfaces.sounded(*world.asked[place], 1 + place % 2)
+        world.interfaces.detected(*world.asked[place], 1 + place % 2)
         assert len(world.asked) <= place + 1 + AT_ONCE
     assert len(world.asked) == 100 and world.table.interfaces() == {1, 2}
 
@@ -98,9 +98,9 @@
 def test_a_row_that_is_seen_to_be_wrong_is_doubted_and_found_out() -> None:
     world = World()
     world.list(row(interface=2))
-    world.interfaces.doubt(b"p1")
+    world.interfaces.mismatched(b"p1")
     assert world.entry("p1").job_classes == frozenset()
-    world.interfaces.sounded(*world.asked[0], 1)
+    world.interfaces.detected(*world.asked[0], 1)
     assert world.entry("p1").interface == 1
     world.list(row(interface=2))  # the row says the same again: what was found stands for this start
     assert world.entry("p1").interface == 1
@@ -119,10 +119,10 @@
     assert wait == 2.0
     world.later.clear()
     again()
-    world.interfaces.sounded(*world.asked[0], 0)  # it leaves still
+    world.interfaces.detected(*world.asked[0], 0)  # it leaves still
     assert world.entry("p1").state is EndpointState.DRAINING
     world.later.pop()[1]()
-    world.interfaces.sounded(*world.asked[1], 2)
+    world.interfaces.detected(*world.asked[1], 2)
     assert world.entry("p1").state is EndpointState.READY
 
 
@@ -130,7 +130,7 @@
 async def test_sounding_tells_the_interfaces_apart() -> None:
     found: dict[bytes, int] = {}
     loop = asyncio.get_running_loop()
-    sounder = Sounder(loop, lambda worker, address, interface: found.update({worker: interface}))
+    sounder = InterfaceProber(loop, lambda worker, address, interface: found.update({worker: interface}))
     async with (
         GrpcPlanner() as newer,
         Planner("old") as older,
@@ -138,11 +138,11 @@
         GrpcPlanner() as leaving,
     ):
         mute.settings = None
-        sounder.sound(b"newer", ("127.0.0.1", newer.port))
-        sounder.sound(b"older", ("127.0.0.1", older.port))
-        sounder.sound(b"mute", ("127.0.0.1", mute.port))
-        sounder.sound(b"nobody", ("127.0.0.1", 1))
-        sounder.sound(b"leaving", ("127.0.0.1", leaving.port))
+        sounder.probe(b"newer", ("127.0.0.1", newer.port))
+        sounder.probe(b"older", ("127.0.0.1", older.port))
+        sounder.probe(b"mute", ("127.0.0.1", mute.port))
+        sounder.probe(b"nobody", ("127.0.0.1", 1))
+        sounder.probe(b"leaving", ("127.0.0.1", leaving.port))
         while not leaving.peers:
             await asyncio.sleep(0.005)
         leaving.peers[0].goaway(0)
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -14,8 +14,8 @@
 from test_list_sizes import HEAD, chunk, news_of, rows
 
 from pipitshed.discovery import catalog as module
-from pipitshed.proxy.endpoint_table import RouteTable
-from pipitshed.proxy.forwarder import Core
+from pipitshed.proxy.endpoint_table import EndpointTable
+from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.proxy.request import Endpoint
 from pipitshed.scheduling.events import EndpointEntry, EndpointState, EndpointsUpdated, UpdateKind
 from pipitshed.scheduling.settings import WeightKind
@@ -26,7 +26,7 @@
 
     def __init__(self, **changes: Any) -> None:
         loop = asyncio.get_running_loop()
-        self.core = Core(settings(**changes), 1, loop)
+        self.core = Forwarder(settings(**changes), 1, loop)
         handle = self.core._dispatcher.handle
         self.told: list[list[EndpointsUpdated]] = []  # by turn
 
@@ -35,10 +35,12 @@
             return handle(now, events)
 
         self.core._dispatcher.handle = heard  # type: ignore[method-assign]
-        listing = module.Listing("test", module.Names(["lima-norte"]), module.Names(["standard"]), Mock())
-        self.discovery = module.Discovery(("127.0.0.1", 1), listing, self.core.routes, loop)
-        self.discovery.ask = Mock()  # type: ignore[method-assign]
-        self.core.ask_list = self.discovery.ask
+        listing = module.EndpointParser(
+            "test", module.NameIndex(["lima-norte"]), module.NameIndex(["standard"]), Mock()
+        )
+        self.discovery = module.CatalogClient(("127.0.0.1", 1), listing, self.core.endpoints, loop)
+        self.discovery.fetch = Mock()  # type: ignore[method-assign]
+        self.core.fetch_endpoints = self.discovery.fetch
         self.opened()
 
     def opened(self) -> None:
@@ -88,7 +90,7 @@
     assert [entry.worker for entry in change.entries] == [*names[:5], *names[6:], names[5]]
     assert {entry.state for entry in change.entries[:-1]} == {EndpointState.DRAINING}
     assert (change.entries[-1].state, change.entries[-1].started_at_ms) == (EndpointState.READY, 9.0)
-    assert rig.core.routes.ready() == 1400 - 656 and rig.core.routes.size() == 1400
+    assert rig.core.endpoints.ready() == 1400 - 656 and rig.core.endpoints.size() == 1400
 
 
 @rigged
@@ -115,7 +117,7 @@
         rig = Rig(weight_kind=weights)
         rig.read(news_of(1, True, rows(1500, "ready")))
         await rig.turns(lambda: len(rig.told) == 1)
-        before = dict(rig.core.routes._targets)
+        before = dict(rig.core.endpoints._endpoints)
         again = rows(1499, "ready")
         again[7]["lifecycle"] = "draining"
         rig.read(news_of(2, True, again))
@@ -128,7 +130,7 @@
             b"s-00000007": EndpointState.DRAINING,
             b"s-000005db": EndpointState.REMOVED,
         }
-        assert all(before[worker] is target for worker, target in rig.core.routes._targets.items())
+        assert all(before[worker] is target for worker, target in rig.core.endpoints._endpoints.items())
 
     asyncio.run(run())
 
@@ -140,12 +142,12 @@
     seen = set()
 
     def whole() -> bool:
-        seen.add(rig.core.routes.size())
+        seen.add(rig.core.endpoints.size())
         return bool(rig.told)
 
     assert await rig.turns(whole) >= 4600 // module.SLICE
     assert seen == {0, 4600} and rig.discovery.version == 2
-    assert rig.core.routes.ready() == 4599
+    assert rig.core.endpoints.ready() == 4599
 
 
 @rigged
@@ -156,23 +158,23 @@
     rig.read(news_of(8, True, bad), news_of(9, False, rows(1, "ready")))
     await rig.turns(lambda: len(rig.told) == 1)
     assert [news.kind for news in rig.told[0]] == [UpdateKind.FETCH_FAILED]
-    assert rig.discovery.version == 0 and rig.core.routes.size() == 0
+    assert rig.discovery.version == 0 and rig.core.endpoints.size() == 0
     rig.opened()
     rig.read(news_of(9, True, rows(3, "ready")))
-    assert rig.core.routes.ready() == 3 and rig.discovery.version == 9
+    assert rig.core.endpoints.ready() == 3 and rig.discovery.version == 9
     rig.read(news_of(10, True, bad))
     rig.call.fail()  # and where the next call's news waits behind it, that is taken
     rig.opened()
     rig.read(news_of(11, False, rows(2)))
     await rig.turns(lambda: rig.discovery.version == 11)
-    assert rig.core.routes.size() == 3 and rig.core.routes.ready() == 1
+    assert rig.core.endpoints.size() == 3 and rig.core.endpoints.ready() == 1
 
 
 def test_what_is_counted_as_it_changes_agrees_with_a_count_of_the_whole_list() -> None:
     """Ready planners, their number and their interfaces, through changes of two sources, drains and plans."""
     rng = random.Random(5)
     sets: list[frozenset[int]] = []
-    table = RouteTable(lambda news: None)
+    table = EndpointTable(lambda news: None)
     table.on_interfaces = lambda: sets.append(table.interfaces())
     for _ in range(3000):
         source, worker = rng.choice("ab"), worker_id(rng.randrange(12))
@@ -186,16 +188,16 @@
         if what < 0.8:
             line = (entry, Endpoint(worker, Mock(), None))
             more = (replace(entry, state=EndpointState.READY), line[1])
-            table.fill(
+            table.update(
                 source,
                 rng.choice((UpdateKind.DELTA, UpdateKind.DELTA, UpdateKind.SNAPSHOT)),
                 0,
                 [line, more][: rng.randrange(1, 3)],
             )
         elif what < 0.9:
-            table.hold(worker)
+            table.mark_draining(worker)
         else:
-            table.plan({worker: (rng.random(),)})
+            table.set_planned_weights({worker: (rng.random(),)})
         listed = table.entries()
         ready = [entry for entry in listed if entry.state is EndpointState.READY]
         assert table.ready() == len(ready)
--- a/tests/test_list_replaced.py
+++ b/tests/test_list_replaced.py
@@ -13,7 +13,7 @@
 from test_crossings import Rig, late_connections
 from test_interfaces import World, row
 
-from pipitshed.proxy.endpoint_table import REMEMBERED, RouteTable
+from pipitshed.proxy.endpoint_table import FORGET_AFTER_S, EndpointTable
 from pipitshed.proxy.request import Endpoint
 from pipitshed.scheduling.events import EndpointEntry, EndpointState, Outcome, UpdateKind
 
@@ -39,9 +39,9 @@
     )
 
 
-def objects(table: RouteTable) -> int:
+def objects(table: EndpointTable) -> int:
     """How many planners the table holds in any of its parts."""
-    parts = (table._targets, table._leaving, table._left, table._held)
+    parts = (table._endpoints, table._leaving, table._removed_at, table._draining_marks)
     return max(sum(map(len, table._listed.values())), *map(len, parts))
 
 
@@ -49,19 +49,19 @@
 def test_a_day_of_replacements_leaves_no_more_than_the_list_and_its_last_minute(whole: bool) -> None:
     """433 more were held after one day, in each of the table's parts; by changes, and by whole lists."""
     clock = Clock()
-    table = RouteTable(lambda news: None, clock)
+    table = EndpointTable(lambda news: None, clock)
     forgotten: list[bytes] = []
     table.on_forgotten = forgotten.append
-    table.fill("test", UpdateKind.SNAPSHOT, 1, [line(number) for number in range(LISTED)])
+    table.update("test", UpdateKind.SNAPSHOT, 1, [line(number) for number in range(LISTED)])
     for number in range(REPLACED):
         clock.now += DAY / REPLACED
-        table.hold(name(number))
+        table.mark_draining(name(number))
         if whole:
             first = number + 1
-            table.fill("test", UpdateKind.SNAPSHOT, 2, [line(one) for one in range(first, first + LISTED)])
+            table.update("test", UpdateKind.SNAPSHOT, 2, [line(one) for one in range(first, first + LISTED)])
         else:
-            table.fill("test", UpdateKind.DELTA, 2, [line(number, EndpointState.DRAINING)])
-            table.fill(
+            table.update("test", UpdateKind.DELTA, 2, [line(number, EndpointState.DRAINING)])
+            table.update(
                 "test", UpdateKind.DELTA, 2, [line(number, EndpointState.REMOVED), line(number + LISTED)]
             )
         assert objects(table) <= LISTED + 1
@@ -72,21 +72,21 @@
 def test_a_name_that_comes_back_is_not_forgotten_and_has_its_new_address() -> None:
     """Within the minute and after it, with the same or another address; and while another source lists it."""
     clock = Clock()
-    table = RouteTable(lambda news: None, clock)
-    for after in (REMEMBERED - 1, REMEMBERED + 1):
-        table.fill("test", UpdateKind.DELTA, 1, [line(1), line(2)])
-        table.fill("other", UpdateKind.DELTA, 1, [line(2)])
-        table.fill(
+    table = EndpointTable(lambda news: None, clock)
+    for after in (FORGET_AFTER_S - 1, FORGET_AFTER_S + 1):
+        table.update("test", UpdateKind.DELTA, 1, [line(1), line(2)])
+        table.update("other", UpdateKind.DELTA, 1, [line(2)])
+        table.update(
             "test", UpdateKind.DELTA, 1, [line(1, EndpointState.REMOVED), line(2, EndpointState.REMOVED)]
         )
-        assert table.leaving(name(1))
+        assert table.is_leaving(name(1))
         clock.now += after
-        table.fill("test", UpdateKind.DELTA, 2, [line(1, port=6000)])
-        clock.now += 2 * REMEMBERED
-        table.fill("test", UpdateKind.DELTA, 2, [line(3)])
-        told = [table.target(name(number)) for number in (1, 2)]
+        table.update("test", UpdateKind.DELTA, 2, [line(1, port=6000)])
+        clock.now += 2 * FORGET_AFTER_S
+        table.update("test", UpdateKind.DELTA, 2, [line(3)])
+        told = [table.endpoint(name(number)) for number in (1, 2)]
         assert [one is not None and one.address[1] for one in told] == [6000, 5000]
-        assert not table.leaving(name(1))
+        assert not table.is_leaving(name(1))
 
 
 @pytest.mark.parametrize("again", [False, True])
@@ -97,7 +97,7 @@
     async def run() -> None:
         async with Planner("p1") as planner, late_connections() as up:
             rig, clock = Rig(), Clock()
-            table = rig.core.routes
+            table = rig.core.endpoints
             table._clock = clock
             rig.lists(planner.port)
             [entry, other] = entries(2)
@@ -105,18 +105,20 @@
             await asyncio.sleep(0)
             rig.lists(planner.port, EndpointState.REMOVED)
             for _ in range(3):  # news of another planner, in which others would be forgotten
-                clock.now += 2 * REMEMBERED
-                table.fill("test", UpdateKind.DELTA, 1, [(other, Endpoint(other.worker, rig.carrier, None))])
-            assert table.leaving(entry.worker) and table.target(entry.worker) is not None
+                clock.now += 2 * FORGET_AFTER_S
+                table.update(
+                    "test", UpdateKind.DELTA, 1, [(other, Endpoint(other.worker, rig.carrier, None))]
+                )
+            assert table.is_leaving(entry.worker) and table.endpoint(entry.worker) is not None
             up()
             assert await rig.outcome() is Outcome.CONNECT_FAILED and not planner.runs
             if again:  # it is back, and cold: what is held of it is of its new start
                 rig.lists(planner.port)
                 rig.send(rig.take("a2"))
                 assert await rig.outcome() is Outcome.OK
-            clock.now += 2 * REMEMBERED
-            table.fill("test", UpdateKind.DELTA, 1, [(replace(other, weight=2.0), Mock())])
-            assert (table.target(entry.worker) is not None) is again
+            clock.now += 2 * FORGET_AFTER_S
+            table.update("test", UpdateKind.DELTA, 1, [(replace(other, weight=2.0), Mock())])
+            assert (table.endpoint(entry.worker) is not None) is again
             rig.carrier.close()
 
     run()
@@ -127,15 +129,15 @@
     """Its attempt holds its connection, and its outcome is told, whatever the table forgot."""
     async with Planner("p1", act=lambda run: run.say("started")) as planner:
         rig, clock = Rig(), Clock()
-        rig.core.routes._clock = clock
-        rig.core.routes.owed = lambda: ()  # even then
+        rig.core.endpoints._clock = clock
+        rig.core.endpoints.workers_in_use = lambda: ()  # even then
         rig.lists(planner.port)
         rig.send(rig.take("a1"))
         run = await planner.wait_for(1)
         rig.lists(planner.port, EndpointState.REMOVED)
-        clock.now += 2 * REMEMBERED
-        rig.core.routes.fill("test", UpdateKind.DELTA, 1, [])
-        assert rig.core.routes.target(rig.worker) is None
+        clock.now += 2 * FORGET_AFTER_S
+        rig.core.endpoints.update("test", UpdateKind.DELTA, 1, [])
+        assert rig.core.endpoints.endpoint(rig.worker) is None
         run.say("done", result="made")
         assert await rig.outcome() is Outcome.OK
 
@@ -182,10 +184,10 @@
     world.table._clock = clock
     world.table.on_forgotten = world.interfaces.forget
     world.list(row("p1"), row("p2"))
-    world.table.fill("test", UpdateKind.SNAPSHOT, 2, [world.listing.line(row("p2"))])
-    clock.now += 2 * REMEMBERED
+    world.table.update("test", UpdateKind.SNAPSHOT, 2, [world.listing.row(row("p2"))])
+    clock.now += 2 * FORGET_AFTER_S
     world.list(row("p2"))
     assert list(world.interfaces._known) == [b"p2"]
     world.list(row("p1", started=5.0))
-    world.interfaces.sounded(b"p1", ("127.0.0.1", 7), 2)
+    world.interfaces.detected(b"p1", ("127.0.0.1", 7), 2)
     assert world.entry("p1").interface == 2
--- a/tests/test_list_sizes.py
+++ b/tests/test_list_sizes.py
@@ -9,7 +9,7 @@
 from loopback import Catalog, HttpClient, Planner, Writer, program, story
 
 from pipitshed.discovery import catalog as module
-from pipitshed.proxy.endpoint_table import RouteTable
+from pipitshed.proxy.endpoint_table import EndpointTable
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -102,16 +102,18 @@
 
 
 def test_the_bound_follows_the_memory_limit() -> None:
-    bounds = [module.list_bound(limit) for limit in (32, 64, 128, 192, 256)]
+    bounds = [module.update_size_limit(limit) for limit in (32, 64, 128, 192, 256)]
     assert bounds == sorted(set(bounds)) and bounds[3] > 4 * 1_081_000
 
 
 def _watch(told: list[int]) -> tuple[module._Call, Mock]:
     """A watch whose news is counted by entries, without a socket."""
     loop = Mock()
-    table = RouteTable(lambda news: told.append(len(getattr(news, "entries", ()))))
-    listing = module.Listing("test", module.Names(["lima-norte"]), module.Names(["standard"]), Mock())
-    call = module._Call(module.Discovery(("127.0.0.1", 1), listing, table, loop), True)
+    table = EndpointTable(lambda news: told.append(len(getattr(news, "entries", ()))))
+    listing = module.EndpointParser(
+        "test", module.NameIndex(["lima-norte"]), module.NameIndex(["standard"]), Mock()
+    )
+    call = module._Call(module.CatalogClient(("127.0.0.1", 1), listing, table, loop), True)
     call.connection_made(Mock())
     call.data_received(HEAD)
     return call, table  # type: ignore[return-value]
@@ -141,7 +143,7 @@
     tried = 0
     decode = module._decode
 
-    def counting(text: bytes) -> module.Members:
+    def counting(text: bytes) -> module.CatalogUpdate:
         nonlocal tried
         tried += len(text)
         return decode(text)
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -12,7 +12,7 @@
 
 from loopback import FRONT, Catalog, GearmanPeer, HttpClient, Planner, Reader, Run, Writer, program, story
 
-from pipitshed.frontends.http import FLOOD, PIPELINED, HttpFront
+from pipitshed.frontends.http import FLOOD, PIPELINED, HttpFrontend
 from pipitshed.frontends.listener import Listener
 from pipitshed.protocols.gearman import Kind
 
@@ -200,7 +200,7 @@
         loop = asyncio.get_running_loop()
         core, reading, transport = Mock(), Mock(), Mock()
         transport.is_closing.return_value = False
-        front = HttpFront(core, reading, 10, loop, lambda: True)
+        front = HttpFrontend(core, reading, 10, loop, lambda: True)
         reading.request.side_effect = lambda *told: Mock(id="a")
         client = front.connection()
         client.connection_made(transport)
@@ -209,10 +209,10 @@
         client.data_received(b"POST /api HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
         for _ in range(3):
             await asyncio.sleep(0)  # the turn in which a request is handed in
-        assert not core.take.called
+        assert not core.submit.called
         client.resume_writing()
         transport.resume_reading.assert_called_once()
-        assert core.take.call_count == 1
+        assert core.submit.call_count == 1
         client.eof_received()
         assert core.withdraw.call_count == 1
         client.connection_lost(None)
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 from loopback import SETTINGS, Catalog, HttpClient, Planner, Run, figures, program, story
 
-from pipitshed.config.class_registry import ClassBook
-from pipitshed.config.completeness import lacking
-from pipitshed.config.platform import load, load_front
+from pipitshed.config.class_registry import ClassRegistry
+from pipitshed.config.completeness import missing_key
+from pipitshed.config.platform import load_front, load_platform_config
 from pipitshed.scheduling.actions import StartAttempt
 from pipitshed.scheduling.dispatcher import Dispatcher
 from pipitshed.scheduling.events import EndpointEntry, EndpointsUpdated, JobSubmitted, UpdateKind
@@ -27,18 +27,18 @@
 
 
 def test_a_class_that_changes_gets_a_number_of_its_own_and_one_that_goes_is_taken_for_a_grace() -> None:
-    book = ClassBook.first(["quote", "book"], [QUOTE, BOOK])
+    book = ClassRegistry.first(["quote", "book"], [QUOTE, BOOK])
     stricter = JobClass(2500.0, 5000.0, idempotency=Idempotency.NON_IDEMPOTENT)
-    after, change = book.retune(["rush", "quote"], [RUSH, stricter], now=10.0)
+    after, change = book.updated(["rush", "quote"], [RUSH, stricter], now=10.0)
     assert after.classes == (QUOTE, BOOK, RUSH, stricter)
-    assert after.door == {"rush": 2, "quote": 3}
+    assert after.accepted == {"rush": 2, "quote": 3}
     assert (change.added, change.changed, change.dropped) == (("rush",), ("quote",), ("book",))
     assert after.number("book", 11.0) == 1 and after.number("book", 11.3) is None
-    assert after.taken(10.5) == {"book": 1, "rush": 2, "quote": 3}
-    back, change = after.retune(["quote", "book"], [QUOTE, BOOK], now=12.0)
-    assert back.classes == after.classes and back.door == {"quote": 0, "book": 1}
+    assert after.accepted_at(10.5) == {"book": 1, "rush": 2, "quote": 3}
+    back, change = after.updated(["quote", "book"], [QUOTE, BOOK], now=12.0)
+    assert back.classes == after.classes and back.accepted == {"quote": 0, "book": 1}
     assert change.added == ("book",) and change.dropped == ("rush",)
-    same, change = back.retune(["quote", "book"], [QUOTE, BOOK], now=13.0)
+    same, change = back.updated(["quote", "book"], [QUOTE, BOOK], now=13.0)
     assert same.classes == back.classes and str(change) == "classes as they were"
 
 
@@ -53,26 +53,26 @@
 def test_numbers_once_given_keep_their_class(files: list[list[str]], kinds: list[JobClass]) -> None:
     """Whatever files come, a number always stands for the class it was first given, and the door names only
     classes of the file in force, or of one just before it."""
-    book, drawn = ClassBook.first(["quote"], [QUOTE]), iter(kinds)
+    book, drawn = ClassRegistry.first(["quote"], [QUOTE]), iter(kinds)
     seen = {0: ("quote", QUOTE)}
     for step, names in enumerate(files):
         classes = [next(drawn) for _ in names]
-        book, _ = book.retune(names, classes, now=float(step))
+        book, _ = book.updated(names, classes, now=float(step))
         for place, job_class in enumerate(book.classes):
             seen.setdefault(place, (book.names[place], job_class))
             assert seen[place] == (book.names[place], job_class)
-        door = {name: book.classes[book.door[name]] for name in names}
+        door = {name: book.classes[book.accepted[name]] for name in names}
         assert door == dict(zip(names, classes, strict=True))
 
 
 def test_a_day_of_changed_limits_needs_as_many_numbers_as_jobs_can_still_have() -> None:
-    book, given = ClassBook.first(["quote", "book"], [QUOTE, BOOK]), dict[int, tuple[float, JobClass]]()
+    book, given = ClassRegistry.first(["quote", "book"], [QUOTE, BOOK]), dict[int, tuple[float, JobClass]]()
     for step in range(7800):
         now, goal = step * 11.0, 1000.0 + step
-        book, _ = book.retune(
+        book, _ = book.updated(
             ["quote", "book"], [JobClass(goal, 5000.0, idempotency=Idempotency.IDEMPOTENT), BOOK], now
         )
-        number = book.door["quote"]
+        number = book.accepted["quote"]
         if number in given:  # no job that was taken with it is left
             assert now - given[number][0] > 5.0 + 60.0
         for place, (last, job_class) in list(given.items()):
@@ -83,7 +83,7 @@
     other = JobClass(
         1.0, 5000.0, idempotency=Idempotency.NON_IDEMPOTENT
     )  # no limit alone: a number of its own
-    assert book.retune(["quote"], [other], 1e6)[0].door["quote"] == len(book.classes)
+    assert book.updated(["quote"], [other], 1e6)[0].accepted["quote"] == len(book.classes)
 
 
 def test_a_key_that_the_file_in_force_has_must_be_there() -> None:
@@ -97,10 +97,10 @@
             ],
         },
     }
-    assert lacking(before, copy.deepcopy(before)) is None
+    assert missing_key(before, copy.deepcopy(before)) is None
     added = copy.deepcopy(before)
     added["settings"]["services"].append({"name": "rush", "deadline": 900, "goalTime": 400})
-    assert lacking(before, added) is None
+    assert missing_key(before, added) is None
     for path, expected in [
         (("name",), "name"),
         (("settings", "permissions", "maxAttempts"), "settings.permissions.maxAttempts"),
@@ -111,11 +111,11 @@
         for key in way:
             place = place[key]
         del place[last]
-        assert lacking(before, broken) == expected
+        assert missing_key(before, broken) == expected
     broken = copy.deepcopy(before)
     del broken["settings"]["services"][1]["goalTime"]
-    assert lacking(before, broken) == "settings.services[1].goalTime"
-    assert lacking(before, {"name": "n0", "settings": []}) == "settings"
+    assert missing_key(before, broken) == "settings.services[1].goalTime"
+    assert missing_key(before, {"name": "n0", "settings": []}) == "settings"
 
 
 def _file(running_config: str, **settings: object) -> str:
@@ -229,10 +229,10 @@
         }
         path = tmp_path / "config.json"
         path.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": told}))
-        config = load({"LB_CONFIG": str(path)})
+        config = load_platform_config({"LB_CONFIG": str(path)})
         scheduler = Scheduler(config, load_front(None, config), asyncio.get_running_loop())
         path.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": turned}))
-        scheduler._retune(load({"LB_CONFIG": str(path)}))
+        scheduler._retune(load_platform_config({"LB_CONFIG": str(path)}))
         settings = scheduler.core.settings
         assert settings.own_zone == 0 and [cls.worker_kind for cls in settings.classes] == [None, 2]
         assert list(scheduler.carrier.fields) == ["x1", "x0"]
--- a/tests/test_settings_fleet.py
+++ b/tests/test_settings_fleet.py
@@ -25,7 +25,7 @@
 from pipitshed.cluster.codec import Codec
 from pipitshed.cluster.messages import AskForce, Put, PutDone, Said
 from pipitshed.cluster.node import Fleet
-from pipitshed.config.platform import Config, load, load_front, resettled
+from pipitshed.config.platform import Config, load_front, load_platform_config, with_settings
 from pipitshed.replication.acting import Acting
 from pipitshed.server.server import Scheduler
 
@@ -47,10 +47,10 @@
     def read(self, config: Config) -> None:
         """A file that is read anew."""
         assert self.fleet.rows is not None and config.raw is not None
-        self.config = resettled(config, self.fleet.rows.over(config.raw))
+        self.config = with_settings(config, self.fleet.rows.over(config.raw))
 
     def retune(self, settings: dict[str, Any]) -> None:
-        self.config = resettled(self.config, settings)
+        self.config = with_settings(self.config, settings)
         self.retuned.append(self.config)
 
     @property
@@ -65,7 +65,7 @@
 def config(folder: Path, **settings: object) -> Config:
     path = folder / "config.json"
     path.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": SETTINGS | settings}))
-    return load({"LB_CONFIG": str(path)})
+    return load_platform_config({"LB_CONFIG": str(path)})
 
 
 @asynccontextmanager
--- a/tests/test_settings_rows.py
+++ b/tests/test_settings_rows.py
@@ -16,7 +16,7 @@
 from pipitshed.cluster import row_store as rowsfile
 from pipitshed.cluster.codec import Codec
 from pipitshed.cluster.row_store import Kept
-from pipitshed.config.row_overlay import Laid, RefusedRowError, check, file_value, overlay
+from pipitshed.config.row_overlay import Overlay, RowRejectedError, check, file_value, overlay
 from pipitshed.config.settings_parser import settings_from
 from pipitshed.replication.acting import (
     ASK_AFTER,
@@ -109,7 +109,7 @@
     changed: dict[str, Any], why: str
 ) -> None:
     bad = row(**changed)
-    with pytest.raises(RefusedRowError, match=why):
+    with pytest.raises(RowRejectedError, match=why):
         check(raw(), bad)
     laid = overlay(raw(), [bad, row(GOAL, b"1500")])
     assert laid.refused == {bad.key: pytest.approx(laid.refused[bad.key])} and why in laid.refused[bad.key]
@@ -125,7 +125,7 @@
     only = raw(services=SETTINGS["services"][1:])
     stood = overlay(raw(), [row(GOAL, b"1500")]).acted
     laid = overlay(only, [row(GOAL, b"1500")], stood)
-    assert laid == Laid(laid.raw, {}, {GOAL: "the settings in force have no class 'quote'"})
+    assert laid == Overlay(laid.raw, {}, {GOAL: "the settings in force have no class 'quote'"})
     assert laid.raw["settings"]["services"] == only["settings"]["services"]
     assert overlay(raw(), [row(GOAL, b"1500")], laid.acted).acted == stood
 
--- a/tests/test_translation.py
+++ b/tests/test_translation.py
@@ -138,11 +138,13 @@
 @given(st.text(max_size=20), st.text(max_size=20), st.text(max_size=20))
 def test_the_envelope_is_carried_whole_or_refused(number: str, key: str, tenant: str) -> None:
     """No character of an id, a key or a tenant is left out, so no two keys become one."""
-    prepared = TRANSLATOR.prepare(Request(number, 0, 1000.0, 0, b"{}", key, tenant_name=tenant, form=1))
+    prepared = TRANSLATOR.prepare(
+        Request(number, 0, 1000.0, 0, b"{}", key, tenant_name=tenant, form_version=1)
+    )
     for name, value in [("id", number), ("key", key), ("tenant", tenant)]:
         carried = all(" " <= char <= "~" for char in value) and value == value.strip()
         if not carried:
-            assert not prepared.bodies and prepared.unfit[1].field in ("id", "key", "tenant"), name
+            assert not prepared.bodies and prepared.failures[1].field in ("id", "key", "tenant"), name
 
 
 def test_unknown_protobuf_fields_and_choices_are_not_dropped() -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,7 +8,7 @@
 from pipitshed.scheduling import actions, events
 from pipitshed.scheduling.settings import DeduplicationScope, Idempotency, JobClass, WeightKind
 from pipitshed.simulator import wire
-from pipitshed.upstream.http import read_load, report_of
+from pipitshed.upstream.http import ordered_report, parse_load_report
 
 BATCH = bytes.fromhex(
     "03000000 4c000000 00000000206ec040"
@@ -211,6 +211,8 @@
 
 def test_a_report_that_lacks_a_field_is_no_report() -> None:
     """Taken for 0, a field that is left out would be the sign of a full planner, or of an idle one."""
-    assert report_of({"x0": 2.0, "depth": 1.0}, ["depth", "x0"]) == (1.0, 2.0)
-    assert report_of({"x0": 2.0}, ["depth", "x0"]) == () == report_of({}, ["x0"])
-    assert read_load(b"TEXT x0=2", ["depth", "x0"]) == () and read_load(b"TEXT x0=2", ["x0"]) == (2.0,)
+    assert ordered_report({"x0": 2.0, "depth": 1.0}, ["depth", "x0"]) == (1.0, 2.0)
+    assert ordered_report({"x0": 2.0}, ["depth", "x0"]) == () == ordered_report({}, ["x0"])
+    assert parse_load_report(b"TEXT x0=2", ["depth", "x0"]) == () and parse_load_report(
+        b"TEXT x0=2", ["x0"]
+    ) == (2.0,)
