--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -28,13 +28,13 @@
 from benchmarks.capacity.serving import Catalog, Listed, Planners, Scheduler, configuration, scheduler
 from pipitshed.cluster import node as edge
 from pipitshed.cluster.codec import Codec
-from pipitshed.cluster.messages import Said
-from pipitshed.cluster.peers_file import Peers
-from pipitshed.cluster.settings import Tuned
+from pipitshed.cluster.messages import ClusterMessage
+from pipitshed.cluster.peers_file import ClusterConfig
+from pipitshed.cluster.settings import SettingsTarget
 from pipitshed.config.platform import Config, load_platform_config
 from pipitshed.discovery.catalog import parse_address
 from pipitshed.membership.members import Address
-from pipitshed.membership.timing import Scales
+from pipitshed.membership.timing import ProtocolTimings
 from pipitshed.testbed.virtual_fleet import DATAGRAM_HEADERS, ZONES, Second, worst
 
 SLOPE = "hollow"
@@ -44,7 +44,7 @@
 SETTLE, REST, COUNTED = 3.0, 10.0, 5.0  # s
 JOIN = 20.0  # s for all to hold one view
 EVERY = 0.02  # s between looks at the loop's lateness
-LATE, LATE_PART = Scales().period / 4, 0.01
+LATE, LATE_PART = ProtocolTimings().period / 4, 0.01
 CLUSTER, TEAMS = "hollow", 380
 
 
@@ -58,7 +58,7 @@
         self.out = Second()
         self.made.append(self)
 
-    def encode(self, message: Said) -> bytes:
+    def encode(self, message: ClusterMessage) -> bytes:
         data = super().encode(message)
         self.out.add(monotonic(), len(data) + DATAGRAM_HEADERS)
         return data
@@ -100,7 +100,7 @@
     for number in range(first, first + count):
         acting.append(Acting(config))
         joins_by = seeds or [fleet.address for fleet in fleets[:3]]
-        peers = Peers(
+        peers = ClusterConfig(
             f"h{number}",
             ZONES[number % len(ZONES)],
             ("127.0.0.1", 0),
@@ -109,10 +109,10 @@
             b"",
             joins_by,
             None,
-            Scales(),
+            ProtocolTimings(),
         )
-        tuned = Tuned(lambda one=acting[-1]: one.config, acting[-1].retune)  # type: ignore[misc]
-        fleets.append(edge.Fleet(peers, "", loop, tuned))
+        tuned = SettingsTarget(lambda one=acting[-1]: one.config, acting[-1].retune)  # type: ignore[misc]
+        fleets.append(edge.ClusterNode(peers, "", loop, tuned))
     looks, reader = Looks(), asyncio.StreamReader()
     watching = loop.create_task(looks.look())
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -133,7 +133,7 @@
                     "worst": worst(out),
                     "late": looks.late / max(1, looks.all),
                     "views": sorted({view.digest() for view in views}),
-                    "alive": sorted({view.alive for view in views}),
+                    "alive": sorted({view.live_count for view in views}),
                     "since": [one.since for one in acting],
                 }
             )
--- a/benchmarks/capacity/regions.py
+++ b/benchmarks/capacity/regions.py
@@ -39,7 +39,7 @@
     for node in nodes:
         again = fleet.start(node.address[1] - fleet.first_port, fleet.seeds)
         for row in node.tables[0]:
-            again.tables[0].take(row)
+            again.tables[0].apply(row)
 
 
 def side(fleet: Fleet, lost: bool) -> list[Node]:
@@ -59,8 +59,12 @@
         lacked += sum(row.size for name, row in newest.items() if number_of(node, name) < row.number)
         for other in fleet.nodes.values():
             held = node.membership.view.get(other.name)
-            if held is None or held.gone or held.life != other.membership.me.life:
-                lacked += other.membership.me.size
+            if (
+                held is None
+                or held.is_departed
+                or held.instance_id != other.membership.self_record.instance_id
+            ):
+                lacked += other.membership.self_record.size
     return lacked / len(fleet.nodes)
 
 
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -18,7 +18,7 @@
 
 from benchmarks.capacity.machine import memory_mb
 from benchmarks.capacity.records import Row
-from pipitshed.membership.members import State
+from pipitshed.membership.members import MemberState
 from pipitshed.testbed.virtual_fleet import Fleet, worst
 from pipitshed.testbed.virtual_view import Node
 
@@ -142,14 +142,14 @@
     return row.number if row is not None else 0
 
 
-def words_of(fleet: Fleet, since: float, state: State) -> float:
+def words_of(fleet: Fleet, since: float, state: MemberState) -> float:
     """How many times one that lived was said to be in this state, counted once for each word."""
     return float(
         len(
             {
-                (news.word.name, news.word.incarnation)
+                (news.record.name, news.record.incarnation)
                 for when, _, news in fleet.news
-                if when >= since and news.word.state is state
+                if when >= since and news.record.state is state
             }
         )
     )
@@ -200,7 +200,8 @@
     with play.counted() as spent:
         current = play.holds(
             lambda: (
-                node.tables[0].digest() == whole.digest() and node.membership.view.alive >= len(fleet.nodes)
+                node.tables[0].digest() == whole.digest()
+                and node.membership.view.live_count >= len(fleet.nodes)
             ),
             SETTLED_WITHIN,
             0.05,
@@ -230,8 +231,8 @@
         play.row(
             "loss 1%",
             spent,
-            false_suspicions=words_of(fleet, since, State.SUSPECT),
-            false_deaths=words_of(fleet, since, State.DEAD),
+            false_suspicions=words_of(fleet, since, MemberState.SUSPECT),
+            false_deaths=words_of(fleet, since, MemberState.DEAD),
         )
         changes(play, "changes, loss 1%")
         fleet.loss = 0.0
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -19,7 +19,7 @@
 import click
 
 from pipitshed.cluster.codec import Codec
-from pipitshed.membership.members import State
+from pipitshed.membership.members import MemberState
 from pipitshed.testbed.virtual_view import Network
 
 HEADERS = 28  # bytes of IP and UDP around a datagram
@@ -47,7 +47,7 @@
     told = [
         when
         for when, _, news in network.news
-        if when > killed and news.word.name == victim.name and news.word.state is State.DEAD
+        if when > killed and news.record.name == victim.name and news.record.state is MemberState.DEAD
     ]
     apart = {node.address for node in list(network.nodes.values())[: max(1, size // 5)]}
     network.cut = lambda source, target: (source in apart) != (target in apart)
@@ -102,9 +102,9 @@
             network.stop(node, 0.3)
         network.run(2.0 if slow else 60.0)
     said = {
-        (news.word.name, news.word.incarnation)
+        (news.record.name, news.record.incarnation)
         for _, _, news in network.news
-        if news.word.state is State.DEAD
+        if news.record.state is MemberState.DEAD
     }
     return {
         "size": size,
--- a/pipitshed/cli/commands.py
+++ b/pipitshed/cli/commands.py
@@ -21,7 +21,7 @@
 from pipitshed.server.server import serve as run_scheduler
 
 if TYPE_CHECKING:
-    from pipitshed.cluster.peers_file import Peers
+    from pipitshed.cluster.peers_file import ClusterConfig
 
 front_option = click.option(
     "--front",
@@ -38,18 +38,18 @@
 )
 
 
-def _peers(path: Path | None) -> Peers | None:
+def _peers(path: Path | None) -> ClusterConfig | None:
     """What the fleet's file asks for; nothing of the fleet is loaded where none is named."""
     if path is None:
         return None
-    from pipitshed.cluster.peers_file import PeersError, read
+    from pipitshed.cluster.peers_file import ClusterConfigError, read
 
     try:
         peers = read(path)
         if peers.event_log is not None:
             import structlog  # noqa: F401 - is the extra there?
         return peers
-    except PeersError as error:
+    except ClusterConfigError as error:
         click.echo(f"pipitshed: {error}", err=True)
     except ImportError as error:
         click.echo(f"pipitshed: {path}: event-log needs the extra `fleet`: {error}", err=True)
@@ -168,9 +168,9 @@
 
         kinds[which] = Fleet
     elif which == "peers":
-        from pipitshed.cluster.peers_file import PeersFile
+        from pipitshed.cluster.peers_file import ClusterFile
 
-        kinds[which] = PeersFile
+        kinds[which] = ClusterFile
     made = {"$schema": "https://json-schema.org/draft/2020-12/schema"} | msgspec.json.schema(kinds[which])
     click.echo(msgspec.json.format(msgspec.json.encode(made), indent=2).decode())
 
--- a/pipitshed/cli/fleet.py
+++ b/pipitshed/cli/fleet.py
@@ -12,23 +12,23 @@
 import click
 import msgspec
 
-from pipitshed.cluster.codec import FRAME_LIMIT, LENGTH, Codec, RefusedError
-from pipitshed.cluster.messages import Leave, Said, Show, Shown
-from pipitshed.cluster.peers_file import PeersError, read
+from pipitshed.cluster.codec import FRAME_LIMIT, LENGTH, Codec, MessageRejectedError
+from pipitshed.cluster.messages import ClusterMessage, Leave, Show, Shown
+from pipitshed.cluster.peers_file import ClusterConfigError, read
 from pipitshed.cluster.streams import framed
 from pipitshed.discovery.catalog import parse_address
 from pipitshed.membership.members import Address
 
 WITHIN = 3.0  # s for an answer
 WATCH_EVERY = 1.0  # s
-_Told = TypeVar("_Told", bound=Said)
+_Told = TypeVar("_Told", bound=ClusterMessage)
 
 
 class AskError(Exception):
     """No answer; the text says why."""
 
 
-def ask(peer: Address, codec: Codec, message: Said, wanted: type[_Told]) -> _Told:
+def ask(peer: Address, codec: Codec, message: ClusterMessage, wanted: type[_Told]) -> _Told:
     """Ask a scheduler at its peer address; AskError where no answer of the wanted form comes in time."""
     try:
         with socket.create_connection(peer, WITHIN) as link:
@@ -40,7 +40,7 @@
             told = codec.decode(_exactly(link, length))
     except OSError as error:
         raise AskError(str(error) or "no answer in time") from None
-    except RefusedError as error:
+    except MessageRejectedError as error:
         raise AskError(f"the answer is of no scheduler of this cluster ({error})") from None
     if not isinstance(told, wanted):
         raise AskError("the answer is not of what was asked")
@@ -133,15 +133,15 @@
             told = read(file)
             return parse_address(peer) if peer else told.listen, Codec(told.cluster, told.secret)
         if peer is None:
-            raise PeersError("--peer or --fleet says which scheduler is asked")
+            raise ClusterConfigError("--peer or --fleet says which scheduler is asked")
         secret = secret_file.read_bytes().split(b"\n")[0].strip() if secret_file is not None else b""
         return parse_address(peer), Codec(cluster, secret)
-    except (PeersError, ValueError, OSError) as error:
+    except (ClusterConfigError, ValueError, OSError) as error:
         click.echo(f"pipitshed: {error}", err=True)
         sys.exit(2)
 
 
-def ask_or_end(way: tuple[Address, Codec], message: Said, wanted: type[_Told]) -> _Told:
+def ask_or_end(way: tuple[Address, Codec], message: ClusterMessage, wanted: type[_Told]) -> _Told:
     """The answer; the program ends with 1 where none comes."""
     try:
         return ask(*way, message, wanted)
--- a/pipitshed/cluster/codec.py
+++ b/pipitshed/cluster/codec.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pipitshed.cluster.messages import Said
+from pipitshed.cluster.messages import ClusterMessage
 
 VERSION = 2
 DATAGRAM_LIMIT = 1400  # bytes; what is longer goes over a stream
@@ -18,7 +18,7 @@
 _MARK = b"PF"
 
 
-class RefusedError(ValueError):
+class MessageRejectedError(ValueError):
     """Bytes that are no message of this cluster; the text is the reason in one word, to be counted by."""
 
 
@@ -31,28 +31,28 @@
         self._cluster = cluster
         self._secret = secret
         self._encoder = msgspec.msgpack.Encoder()
-        self._decoder = msgspec.msgpack.Decoder(tuple[str, Said])
+        self._decoder = msgspec.msgpack.Decoder(tuple[str, ClusterMessage])
 
-    def encode(self, message: Said) -> bytes:
+    def encode(self, message: ClusterMessage) -> bytes:
         """The bytes of one message."""
         body = self._encoder.encode((self._cluster, message))
         return _HEAD.pack(_MARK, VERSION, self._sum(body)) + body
 
-    def decode(self, data: bytes) -> Said:
+    def decode(self, data: bytes) -> ClusterMessage:
         """The message in these bytes; RefusedError where they are none of this cluster's."""
         if len(data) <= _HEAD.size or data[:2] != _MARK:
-            raise RefusedError("strange")
+            raise MessageRejectedError("strange")
         if data[2] != VERSION:
-            raise RefusedError("version")
+            raise MessageRejectedError("version")
         body = data[_HEAD.size :]
         if data[3 : _HEAD.size] != self._sum(body):
-            raise RefusedError("checksum")
+            raise MessageRejectedError("checksum")
         try:
             cluster, message = self._decoder.decode(body)
         except msgspec.MsgspecError:
-            raise RefusedError("malformed") from None
+            raise MessageRejectedError("malformed") from None
         if cluster != self._cluster:
-            raise RefusedError("cluster")
+            raise MessageRejectedError("cluster")
         return message
 
     def _sum(self, body: bytes) -> bytes:
--- a/pipitshed/cluster/datagrams.py
+++ b/pipitshed/cluster/datagrams.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import cast
 
-from pipitshed.cluster.codec import DATAGRAM_LIMIT, Codec, RefusedError
-from pipitshed.cluster.messages import Said
+from pipitshed.cluster.codec import DATAGRAM_LIMIT, Codec, MessageRejectedError
+from pipitshed.cluster.messages import ClusterMessage
 from pipitshed.membership.members import Address
 
 STRANGERS = 200.0  # datagrams a second that are read from addresses of no known member, in all
@@ -16,7 +16,7 @@
 MEMBERS_AT_ONCE = 8000.0
 
 
-class Allowance:
+class RateLimiter:
     """So many a second, and so many at once."""
 
     __slots__ = ("_rate", "_most", "_left", "_at")
@@ -42,7 +42,7 @@
         self,
         codec: Codec,
         loop: asyncio.AbstractEventLoop,
-        hear: Callable[[Said, Address], None],
+        hear: Callable[[ClusterMessage, Address], None],
         known: Callable[[Address], bool],
         count: Callable[[str], None],
     ) -> None:
@@ -52,8 +52,8 @@
         self._known = known
         self._count = count
         self._transport: asyncio.DatagramTransport | None = None
-        self._strangers = Allowance(STRANGERS, STRANGERS_AT_ONCE)
-        self._members = Allowance(MEMBERS, MEMBERS_AT_ONCE)
+        self._strangers = RateLimiter(STRANGERS, STRANGERS_AT_ONCE)
+        self._members = RateLimiter(MEMBERS, MEMBERS_AT_ONCE)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.DatagramTransport, transport)
@@ -70,7 +70,7 @@
             return
         try:
             message = self._codec.decode(data)
-        except RefusedError as error:
+        except MessageRejectedError as error:
             self._count(f"dropped_{error}")
             return
         self._count("datagrams_in")
--- a/pipitshed/cluster/messages.py
+++ b/pipitshed/cluster/messages.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from pipitshed.membership.messages import Ack, Exchange, Help, Nack, Ping
-from pipitshed.replication.acting import Acting, AskActing
+from pipitshed.membership.messages import Ack, IndirectPing, Nack, Ping, RepairMessage
+from pipitshed.replication.acting import AppliedQuery, AppliedReport
 
 
 class Show(msgspec.Struct, frozen=True, array_like=True, tag=16):
@@ -125,6 +125,6 @@
     members: tuple[tuple[str, str, str], ...]  # name, peer address, state
 
 
-Settings = Put | ShowRows | AskForce | AskStatus | Acting | AskActing
+Settings = Put | ShowRows | AskForce | AskStatus | AppliedReport | AppliedQuery
 Answer = Shown | PutDone | ShownRows | Force | Status
-Said = Ping | Ack | Help | Nack | Exchange | Show | Leave | Settings | Answer
+ClusterMessage = Ping | Ack | IndirectPing | Nack | RepairMessage | Show | Leave | Settings | Answer
--- a/pipitshed/cluster/node.py
+++ b/pipitshed/cluster/node.py
@@ -14,26 +14,30 @@
 from pipitshed.cluster.codec import DATAGRAM_LIMIT, Codec
 from pipitshed.cluster.datagrams import Datagrams
 from pipitshed.cluster.event_log import EventLog
-from pipitshed.cluster.messages import Answer, Leave, Row, Said, Settings, Show, Shown
-from pipitshed.cluster.peers_file import Peers
-from pipitshed.cluster.settings import Reply, SettingsRows, Tuned
+from pipitshed.cluster.messages import Answer, ClusterMessage, Leave, Row, Settings, Show, Shown
+from pipitshed.cluster.peers_file import ClusterConfig
+from pipitshed.cluster.settings import ReplicatedSettings, Reply, SettingsTarget
 from pipitshed.cluster.streams import Streams
-from pipitshed.membership.effects import Displaced, Effect, News, RowNews, Tell
-from pipitshed.membership.members import Address, State, Word
-from pipitshed.membership.messages import Exchange
+from pipitshed.membership.effects import Instruction, MemberStateChanged, RowsChanged, SendMessage, Superseded
+from pipitshed.membership.members import Address, MemberRecord, MemberState
+from pipitshed.membership.messages import RepairMessage
 from pipitshed.membership.protocol import Membership
 from pipitshed.replication.row import Row as SettingsRow
 
 log = logging.getLogger("pipitshed.fleet")
 
 
-class Fleet:
+class ClusterNode:
     """One scheduler among its peers. Nothing here decides about a request: where no peer answers, the
     scheduler serves on.
     """
 
     def __init__(
-        self, peers: Peers, zone: str, loop: asyncio.AbstractEventLoop, tuned: Tuned | None = None
+        self,
+        peers: ClusterConfig,
+        zone: str,
+        loop: asyncio.AbstractEventLoop,
+        tuned: SettingsTarget | None = None,
     ) -> None:
         """Bind the peer address; OSError where it is taken. Settings by row change what is `tuned`."""
         self._loop = loop
@@ -44,24 +48,26 @@
         self.address: Address = self._socket.getsockname()[:2]
         self._log = EventLog.to(peers.event_log)
         host, port = peers.advertise or self.address
-        me = Word(
+        me = MemberRecord(
             peers.name,
             host,
             port,
             peers.zone or zone,
             int(time.time() * 1000),
             secrets.randbits(32),
-            said_by=peers.name,
+            reported_by=peers.name,
             region=peers.region,
         )
-        self.rows = SettingsRows(peers, me, tuned, self, loop, self._log) if tuned is not None else None
+        self.settings = (
+            ReplicatedSettings(peers, me, tuned, self, loop, self._log) if tuned is not None else None
+        )
         self.membership = Membership(
             me,
             peers.scales,
             peers.seeds,
             random.Random(secrets.randbits(64)),
             loop.time(),
-            (self.rows.table,) if self.rows is not None else (),
+            (self.settings.table,) if self.settings is not None else (),
         )
         self._addresses: tuple[int, frozenset[Address]] = (-1, frozenset())
         self._streams = Streams(self._codec, loop, self._heard, self.count)
@@ -71,21 +77,21 @@
         self._due = math.inf  # loop time of that timer; uvloop's has none where it is due at once
         self._told = ""  # the digest that the event log has last
         self._closed = False
-        if self.rows is not None:
-            self.rows.begin()
+        if self.settings is not None:
+            self.settings.begin()
 
     async def start(self) -> None:
         """Join: listen, and exchange all with a seed."""
         await self._loop.create_datagram_endpoint(lambda: self._datagrams, sock=self._datagram_socket)
         self._server = await self._loop.create_server(self._streams.incoming, sock=self._socket)
-        me = self.membership.me
+        me = self.membership.self_record
         self._log.write(
             "started",
             name=me.name,
             address=f"{me.host}:{me.port}",
             zone=me.zone,
             incarnation=me.incarnation,
-            life=me.life,
+            life=me.instance_id,
         )
         log.info("peer address on %s:%d, as %s in cluster %s", *self.address, me.name, self._peers.cluster)
         self._step()
@@ -98,12 +104,12 @@
 
     def _known(self, address: Address) -> bool:
         number, addresses = self._addresses
-        if number != self.membership.view.number:
+        if number != self.membership.view.change_count:
             addresses = frozenset(word.address for word in self.membership.view)
-            self._addresses = self.membership.view.number, addresses
+            self._addresses = self.membership.view.change_count, addresses
         return address in addresses
 
-    def _heard(self, message: Said, source: Address) -> None:
+    def _heard(self, message: ClusterMessage, source: Address) -> None:
         if self._closed:
             return
         if isinstance(message, Show):
@@ -112,20 +118,20 @@
             self.leave()
             self._streams.answer(source, self._codec.encode(self.shown()))
         elif isinstance(message, Settings):
-            if self.rows is not None:
-                self.rows.hear(message, source)
+            if self.settings is not None:
+                self.settings.hear(message, source)
         elif not isinstance(message, Answer):
-            self._carry_out(self.membership.hear(self._loop.time(), message, source))
+            self._carry_out(self.membership.handle_message(self._loop.time(), message, source))
             self._arm()
 
     def _step(self) -> None:
         self._timer = None
-        self._carry_out(self.membership.tick(self._loop.time()))
+        self._carry_out(self.membership.handle_timeouts(self._loop.time()))
         self._arm()
 
     def _arm(self) -> None:
         """Wake when the protocol has something to do; an earlier wake stands."""
-        due = self.membership.due()
+        due = self.membership.next_due_at()
         if self._closed or (self._timer is not None and self._due <= due):
             return
         if self._timer is not None:
@@ -135,37 +141,39 @@
 
     # ---- out
 
-    def _carry_out(self, effects: list[Effect]) -> None:
+    def _carry_out(self, effects: list[Instruction]) -> None:
         for effect in effects:
-            if isinstance(effect, Tell):
+            if isinstance(effect, SendMessage):
                 self._tell(effect)
-            elif isinstance(effect, News):
+            elif isinstance(effect, MemberStateChanged):
                 self._news(effect)
-            elif isinstance(effect, RowNews):
-                assert self.rows is not None  # it has the only table
-                self.rows.news(effect.rows)
-            elif isinstance(effect, Displaced):
+            elif isinstance(effect, RowsChanged):
+                assert self.settings is not None  # it has the only table
+                self.settings.news(effect.rows)
+            elif isinstance(effect, Superseded):
                 log.error(
                     "another process holds the name %s: %s:%d, started later; this one is out of the view",
                     effect.by.name,
                     effect.by.host,
                     effect.by.port,
                 )
-                self._log.write("displaced", by=f"{effect.by.host}:{effect.by.port}", life=effect.by.life)
+                self._log.write(
+                    "displaced", by=f"{effect.by.host}:{effect.by.port}", life=effect.by.instance_id
+                )
         view = self.membership.view
         if effects and (digest := view.digest()) != self._told:
             self._told = digest
             self._log.write(
                 "view",
-                number=view.number,
+                number=view.change_count,
                 digest=digest,
                 health=self.membership.health.score,
-                living=[[word.name, word.life] for word in view.living()],
+                living=[[word.name, word.instance_id] for word in view.live_members()],
             )
 
-    def _tell(self, tell: Tell) -> None:
+    def _tell(self, tell: SendMessage) -> None:
         data = self._codec.encode(tell.message)
-        if isinstance(tell.message, Exchange):
+        if isinstance(tell.message, RepairMessage):
             self.counts["repair_bytes_out"] += len(data)
         if self._streams.answer(tell.to, data):
             return
@@ -176,10 +184,10 @@
 
     # ---- for settings by row
 
-    def send(self, to: Address, message: Said) -> None:
+    def send(self, to: Address, message: ClusterMessage) -> None:
         """Send a datagram; it goes whatever the budget has left, and counts."""
         data = self._codec.encode(message)
-        self.membership.carrier.budget.charge(self._loop.time(), len(data))
+        self.membership.replicator.budget.charge(self._loop.time(), len(data))
         self._datagrams.send(to, data)
 
     def reply(self, source: Address) -> Reply | None:
@@ -189,24 +197,28 @@
 
     def spread(self, row: SettingsRow) -> None:
         """Tell the others of a row that was written here."""
-        assert self.rows is not None
-        self._carry_out(self.membership.spread(self._loop.time(), self.rows.table.name, (row,)))
+        assert self.settings is not None
+        self._carry_out(self.membership.disseminate(self._loop.time(), self.settings.table.name, (row,)))
         self._arm()
 
-    def _news(self, news: News) -> None:
-        word = news.word
-        before = news.before.name.lower() if news.before is not None else "unknown"
+    def _news(self, news: MemberStateChanged) -> None:
+        word = news.record
+        before = news.previous_state.name.lower() if news.previous_state is not None else "unknown"
         state = word.state.name.lower()
-        if word.state is not State.SUSPECT and news.before is not State.SUSPECT or word.gone:
-            log.info("%s is %s (%s before), says %s", word.name, state, before, word.said_by)
+        if (
+            word.state is not MemberState.SUSPECT
+            and news.previous_state is not MemberState.SUSPECT
+            or word.is_departed
+        ):
+            log.info("%s is %s (%s before), says %s", word.name, state, before, word.reported_by)
         self._log.write(
             "member",
             name=word.name,
             state=state,
             before=before,
-            life=word.life,
+            life=word.instance_id,
             incarnation=word.incarnation,
-            said_by=word.said_by,
+            said_by=word.reported_by,
         )
 
     # ---- what operators ask
@@ -216,10 +228,10 @@
         membership, now = self.membership, self._loop.time()
         view, digest = membership.view, membership.view.digest()
 
-        def agrees(word: Word) -> bool | None:
-            if word.name == membership.me.name:
+        def agrees(word: MemberRecord) -> bool | None:
+            if word.name == membership.self_record.name:
                 return True
-            return None if word.gone else membership.carrier.agree(word.name)
+            return None if word.is_departed else membership.replicator.agree(word.name)
 
         rows = [
             Row(
@@ -229,17 +241,17 @@
                 word.state.name.lower(),
                 word.incarnation,
                 round(now - view.since(word.name), 3),
-                word.said_by,
+                word.reported_by,
                 agrees(word),
             )
             for word in sorted(view, key=lambda word: word.name)
         ]
         return Shown(
-            membership.me.name,
-            view.number,
+            membership.self_record.name,
+            view.change_count,
             digest,
             membership.health.score,
-            membership.displaced,
+            membership.superseded,
             membership.leaving,
             tuple(rows),
             dict(self.counts),
@@ -249,11 +261,11 @@
         """The fleet's figures, for `/-/metrics`."""
         view = self.membership.view
         counts = Counter(word.state for word in view)
-        told = {f"fleet.{state.name.lower()}": counts[state] for state in State}
-        told |= {"fleet.view_number": view.number, "fleet.health": self.membership.health.score}
+        told = {f"fleet.{state.name.lower()}": counts[state] for state in MemberState}
+        told |= {"fleet.view_number": view.change_count, "fleet.health": self.membership.health.score}
         told |= {f"fleet.{name}": count for name, count in sorted(self.counts.items())}
-        if self.rows is not None:
-            told |= {f"fleet.{name}": count for name, count in sorted(self.rows.figures().items())}
+        if self.settings is not None:
+            told |= {f"fleet.{name}": count for name, count in sorted(self.settings.figures().items())}
         return "".join(f"scheduler.{name}={value}\n" for name, value in told.items()).encode()
 
     def leave(self) -> None:
@@ -267,8 +279,8 @@
     def close(self) -> None:
         """End all of it."""
         self._closed = True
-        if self.rows is not None:
-            self.rows.close()
+        if self.settings is not None:
+            self.settings.close()
         if self._timer is not None:
             self._timer.cancel()
         self._datagrams.close()
--- a/pipitshed/cluster/peers_file.py
+++ b/pipitshed/cluster/peers_file.py
@@ -11,7 +11,7 @@
 
 from pipitshed.discovery.catalog import parse_address
 from pipitshed.membership.members import NAME_LIMIT, Address
-from pipitshed.membership.timing import Scales
+from pipitshed.membership.timing import ProtocolTimings
 from pipitshed.protocols.toml import line_at
 
 SECRET_LIMIT = 64  # bytes of the secret, which the checksum takes as its key
@@ -19,11 +19,11 @@
 _UNKNOWN = re.compile(r"unknown field `([^`]+)`")
 
 
-class PeersError(ValueError):
+class ClusterConfigError(ValueError):
     """The file can't be used; the text says why in one line."""
 
 
-class PeersFile(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
+class ClusterFile(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
     """The file as it is written."""
 
     name: str  # one that no other scheduler of the fleet has; the same after a restart
@@ -36,11 +36,11 @@
     region: str = ""  # where it stands, beside the zone: few messages cross to another
     rows_file: str = ""  # beside this file: keeps settings by row over a restart; written by the program
     event_log: str = ""  # beside this file: JSON lines of what this view saw; needs the extra `fleet`
-    scales: Scales = msgspec.field(default_factory=Scales)
+    scales: ProtocolTimings = msgspec.field(default_factory=ProtocolTimings)
 
 
 @dataclass(frozen=True)
-class Peers:
+class ClusterConfig:
     """What the file asks for."""
 
     name: str
@@ -51,38 +51,40 @@
     secret: bytes
     seeds: list[Address]
     event_log: Path | None
-    scales: Scales
+    scales: ProtocolTimings
     region: str = ""
     rows_file: Path | None = None
 
 
-def read(path: Path) -> Peers:
+def read(path: Path) -> ClusterConfig:
     """Read the file; PeersError with line and key where it can't be used."""
     try:
         text = path.read_text()
-        file = msgspec.convert(tomllib.loads(text), PeersFile)
+        file = msgspec.convert(tomllib.loads(text), ClusterFile)
     except OSError as error:
-        raise PeersError(f"{path}: {error.strerror}") from None
+        raise ClusterConfigError(f"{path}: {error.strerror}") from None
     except msgspec.ValidationError as error:
         keys, why = _place(str(error))
-        raise PeersError(
+        raise ClusterConfigError(
             f"{path}:{line_at(text, *keys) if keys else 1}: {'.'.join(keys) or 'the file'}: {why}"
         ) from None
     except (ValueError, UnicodeDecodeError) as error:
-        raise PeersError(f"{path}: {error}") from None
+        raise ClusterConfigError(f"{path}: {error}") from None
     if fault := _fault(file):
         keys, why = fault
-        raise PeersError(f"{path}:{line_at(text, *keys)}: {'.'.join(keys)}: {why}")
+        raise ClusterConfigError(f"{path}:{line_at(text, *keys)}: {'.'.join(keys)}: {why}")
     secret = b""
     if file.secret_file:
         here = f"{path}:{line_at(text, 'secret-file')}: secret-file"
         try:
             secret = (path.parent / file.secret_file).read_bytes().split(b"\n")[0].strip()
         except OSError as error:
-            raise PeersError(f"{here}: {error.strerror}") from None
+            raise ClusterConfigError(f"{here}: {error.strerror}") from None
         if not 0 < len(secret) <= SECRET_LIMIT:
-            raise PeersError(f"{here}: its first line has {len(secret)} bytes, not 1 to {SECRET_LIMIT}")
-    return Peers(
+            raise ClusterConfigError(
+                f"{here}: its first line has {len(secret)} bytes, not 1 to {SECRET_LIMIT}"
+            )
+    return ClusterConfig(
         file.name,
         file.zone,
         parse_address(file.listen),
@@ -107,7 +109,7 @@
     return keys, _PLACE.sub("", told)
 
 
-def _fault(file: PeersFile) -> tuple[tuple[str, ...], str] | None:
+def _fault(file: ClusterFile) -> tuple[tuple[str, ...], str] | None:
     """The first key that can't be, and why."""
     for key, value, needed in (
         ("name", file.name, True),
--- a/pipitshed/cluster/row_store.py
+++ b/pipitshed/cluster/row_store.py
@@ -17,29 +17,29 @@
 log = logging.getLogger("pipitshed.fleet")
 
 
-class Kept(msgspec.Struct, array_like=True):
+class StoredRows(msgspec.Struct, array_like=True):
     """What the file holds."""
 
     rows: tuple[Row, ...] = ()
     stood: tuple[Row, ...] = ()  # acted on in place of a row that was refused
 
 
-def read(path: Path) -> Kept:
+def read(path: Path) -> StoredRows:
     """What the last write left. A file that is damaged is logged and moved aside, so that the next write does
     not take it away; nothing is read from it.
     """
     try:
         data = path.read_bytes()
     except FileNotFoundError:
-        return Kept()
+        return StoredRows()
     except OSError as error:
         log.error("rows are not read: %s: %s", path, error.strerror)
-        return Kept()
+        return StoredRows()
     head, _, body = data.partition(b"\n")
     try:
         if head != MARK + _sum(body):
             raise ValueError("it is not whole, or of another version")
-        return msgspec.json.decode(body, type=Kept)
+        return msgspec.json.decode(body, type=StoredRows)
     except ValueError as error:
         aside = path.with_name(path.name + ".damaged")
         log.error("rows are not read: %s: %s; it is left aside as %s", path, error, aside.name)
@@ -47,10 +47,10 @@
             os.replace(path, aside)
         except OSError as failed:
             log.error("%s can't be moved aside: %s", path, failed.strerror)
-        return Kept()
+        return StoredRows()
 
 
-def write(path: Path, kept: Kept) -> None:
+def write(path: Path, kept: StoredRows) -> None:
     """Put this in the place of what is there, whole or not at all; OSError where it can't be."""
     body = msgspec.json.encode(kept)
     part = path.with_name(path.name + ".part")
--- a/pipitshed/cluster/settings.py
+++ b/pipitshed/cluster/settings.py
@@ -18,27 +18,26 @@
 from pipitshed.cluster import row_store as rowsfile
 from pipitshed.cluster.messages import (
     AskForce,
+    ClusterMessage,
     Force,
     Put,
     PutDone,
-    Said,
     Settings,
     ShownRow,
     ShownRows,
     ShowRows,
     Status,
 )
-from pipitshed.cluster.row_store import Kept
+from pipitshed.cluster.row_store import StoredRows
 from pipitshed.config.row_overlay import Overlay, RowRejectedError, check, file_value, overlay
-from pipitshed.membership.members import Address, Word
-from pipitshed.membership.members import State as MemberState
-from pipitshed.replication.acting import Acting, AskActing, Confirmations, State
+from pipitshed.membership.members import Address, MemberRecord, MemberState
+from pipitshed.replication.acting import AppliedQuery, AppliedReport, AppliedState, Confirmations
 from pipitshed.replication.row import Row
 from pipitshed.replication.rows import RowError, RowTable
 
 if TYPE_CHECKING:
     from pipitshed.cluster.event_log import EventLog
-    from pipitshed.cluster.peers_file import Peers
+    from pipitshed.cluster.peers_file import ClusterConfig
     from pipitshed.membership.protocol import Membership
 
 NAME = "settings"
@@ -48,11 +47,11 @@
 LOGGED = 8  # rows of one batch that the log names
 
 log = logging.getLogger("pipitshed.fleet")
-Reply = Callable[[Said], None]
+Reply = Callable[[ClusterMessage], None]
 
 
 @dataclass(frozen=True)
-class Tuned:
+class SettingsTarget:
     """The scheduler whose settings the rows change."""
 
     raw: Callable[[], dict[str, Any]]  # the file in force, as it was read
@@ -67,7 +66,7 @@
     def membership(self) -> Membership:
         """Who lives."""
 
-    def send(self, to: Address, message: Said) -> None:
+    def send(self, to: Address, message: ClusterMessage) -> None:
         """Send a datagram."""
 
     def reply(self, source: Address) -> Reply | None:
@@ -80,16 +79,16 @@
         """Count it."""
 
 
-class SettingsRows:
+class ReplicatedSettings:
     """The table, what is acted on, and who else acts on it. Rows are taken up a batch at a time: kept in the
     file first, so that no later start acts on older ones, then acted on in one go, then confirmed.
     """
 
     def __init__(
         self,
-        peers: Peers,
-        me: Word,
-        tuned: Tuned,
+        peers: ClusterConfig,
+        me: MemberRecord,
+        tuned: SettingsTarget,
         carrier: Carrier,
         loop: asyncio.AbstractEventLoop,
         events: EventLog,
@@ -97,7 +96,9 @@
         self.table = RowTable(NAME, MOST_ROWS, MOST_BYTES, ROW_LIMIT)
         self._me, self._tuned, self._carrier, self._loop, self._events = me, tuned, carrier, loop, events
         self._path, self._secret = peers.rows_file, bool(peers.secret)
-        self._confirmations = Confirmations(me.name, me.life, self.table, random.Random(secrets.randbits(64)))
+        self._confirmations = Confirmations(
+            me.name, me.instance_id, self.table, random.Random(secrets.randbits(64))
+        )
         self._lives: tuple[int, dict[str, int]] = (-1, {})  # of which number of the view
         self._since = loop.time()
         self._busy = self._changed = self._closed = False
@@ -108,9 +109,9 @@
 
     def begin(self) -> None:
         """Act on the rows that the file kept."""
-        kept = rowsfile.read(self._path) if self._path is not None else Kept()
+        kept = rowsfile.read(self._path) if self._path is not None else StoredRows()
         for row in kept.rows:
-            self.table.take(row)
+            self.table.apply(row)
         if kept.rows:
             self._act(tuple(self.table), self.table.digest(), {row.key: row for row in kept.stood})
         self._loop.call_later(ALONE, self._alone)
@@ -124,8 +125,8 @@
     def _living(self) -> dict[str, int]:
         """Who lives, and in which life; made anew only where the view has changed, as many tell at once."""
         view = self._carrier.membership.view
-        if self._lives[0] != view.number:
-            self._lives = view.number, {word.name: word.life for word in view.living()}
+        if self._lives[0] != view.change_count:
+            self._lives = view.change_count, {word.name: word.instance_id for word in view.live_members()}
         return self._lives[1]
 
     # ---- rows taken up
@@ -156,7 +157,7 @@
         newest = {row.key: row for row in rows}
         acted = self._confirmations.state.acted
         stood = tuple(row for key, row in acted.items() if newest.get(key) != row)
-        writing = self._loop.run_in_executor(None, rowsfile.write, self._path, Kept(rows, stood))
+        writing = self._loop.run_in_executor(None, rowsfile.write, self._path, StoredRows(rows, stood))
         writing.add_done_callback(partial(self._kept, rows, digest))
 
     def _kept(self, rows: tuple[Row, ...], digest: bytes, writing: asyncio.Future[None] | None) -> None:
@@ -207,7 +208,7 @@
         now = self._loop.time()
         if changed:
             self._since = now
-        state = State(digest, {row.key: row for row in rows}, laid.acted, laid.refused)
+        state = AppliedState(digest, {row.key: row for row in rows}, laid.acted, laid.refused)
         self._confirmations.acts(now, state, changed, len(self._living()))
         acted = [laid.acted[row.key] for row in changed if row.key in laid.acted]
         self._events.write(
@@ -224,10 +225,10 @@
 
     def hear(self, message: Settings, source: Address) -> None:
         """Take a message."""
-        if isinstance(message, Acting):
+        if isinstance(message, AppliedReport):
             self._confirmations.heard(message, self._living())
             return
-        if isinstance(message, AskActing):
+        if isinstance(message, AppliedQuery):
             self._send(message.sender, self._confirmations.asked(message))
             return
         reply = self._carrier.reply(source)
@@ -248,7 +249,7 @@
             if not self._secret and not ipaddress.ip_address(source[0]).is_loopback:
                 raise RowError("without a secret-file settings are taken from this machine alone")
             membership, held = self._carrier.membership, self.table.get(message.key)
-            if membership.displaced or membership.leaving:
+            if membership.superseded or membership.leaving:
                 raise RowError("this scheduler is no longer in the fleet")
             if message.over != ((held.term, held.number) if held is not None else (0, 0)):
                 raise RowError(f"{message.key} has changed meanwhile: look at it, and put it again")
@@ -302,20 +303,20 @@
         standing = self._confirmations.standing(self._loop.time(), row, living)
         self._arm()
         # Guards one that has just started against speaking for a fleet of which it knows a part.
-        agrees = self._carrier.membership.carrier.agree
+        agrees = self._carrier.membership.replicator.agree
         if not self.table.caught_up or (len(living) > 1 and not any(agrees(name) for name in living)):
             missing = dict(standing.missing) | {self._me.name: ""}
-            return Force(False, standing.acting, tuple(missing.items()), gone)
+            return Force(False, standing.appliers, tuple(missing.items()), gone)
         if standing.in_force:
             self._events.write(
                 "in_force",
                 key=row.key,
                 term=row.term,
                 number=row.number,
-                acting=[[name, living[name]] for name in standing.acting],
+                acting=[[name, living[name]] for name in standing.appliers],
                 gone=gone,
             )
-        return Force(standing.in_force, standing.acting, standing.missing, gone)
+        return Force(standing.in_force, standing.appliers, standing.missing, gone)
 
     def _status(self) -> Status:
         state, view = self._confirmations.state, self._carrier.membership.view
@@ -345,9 +346,9 @@
 
     # ---- time
 
-    def _send(self, name: str, message: Acting | AskActing) -> None:
+    def _send(self, name: str, message: AppliedReport | AppliedQuery) -> None:
         word = self._carrier.membership.view.get(name)
-        if word is not None and not word.gone:
+        if word is not None and not word.is_departed:
             self._carrier.send(word.address, message)
 
     def _arm(self) -> None:
--- a/pipitshed/cluster/streams.py
+++ b/pipitshed/cluster/streams.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import cast
 
-from pipitshed.cluster.codec import FRAME_LIMIT, LENGTH, Codec, RefusedError
-from pipitshed.cluster.messages import Said
+from pipitshed.cluster.codec import FRAME_LIMIT, LENGTH, Codec, MessageRejectedError
+from pipitshed.cluster.messages import ClusterMessage
 from pipitshed.membership.members import Address
 from pipitshed.protocols.buffer import Buffer, TooLongError
 
@@ -45,7 +45,7 @@
         try:
             self._buffer.append(data)
             self._read()
-        except (TooLongError, RefusedError) as error:
+        except (TooLongError, MessageRejectedError) as error:
             self._streams.count("dropped_size" if isinstance(error, TooLongError) else f"dropped_{error}")
             self.abort()
 
@@ -78,7 +78,7 @@
         self,
         codec: Codec,
         loop: asyncio.AbstractEventLoop,
-        hear: Callable[[Said, Address], None],
+        hear: Callable[[ClusterMessage, Address], None],
         count: Callable[[str], None],
     ) -> None:
         self.codec = codec
@@ -106,7 +106,7 @@
         """A stream is gone."""
         self._open.discard(stream)
 
-    def heard(self, stream: _Stream, message: Said) -> None:
+    def heard(self, stream: _Stream, message: ClusterMessage) -> None:
         """A whole message on a stream; what is told to its address while it is heard goes back on it."""
         self.count("streamed_in")
         self._answering[stream.address] = stream
--- a/pipitshed/membership/effects.py
+++ b/pipitshed/membership/effects.py
@@ -4,13 +4,13 @@
 
 from dataclasses import dataclass
 
-from pipitshed.membership.members import Address, State, Word
+from pipitshed.membership.members import Address, MemberRecord, MemberState
 from pipitshed.membership.messages import Message
 from pipitshed.replication.row import Row
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendMessage:
     """Send a message."""
 
     to: Address
@@ -18,26 +18,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class MemberStateChanged:
     """A member's state has changed in this view, from what was held before (None: it was unknown)."""
 
-    word: Word
-    before: State | None
+    record: MemberRecord
+    previous_state: MemberState | None
 
 
 @dataclass(frozen=True, slots=True)
-class Displaced:
+class Superseded:
     """Another process holds this one's name, and came later."""
 
-    by: Word
+    by: MemberRecord
 
 
 @dataclass(frozen=True, slots=True)
-class RowNews:
+class RowsChanged:
     """These rows of a table are new here: told by a peer, or put here."""
 
     table: str
     rows: tuple[Row, ...]
 
 
-Effect = Tell | News | Displaced | RowNews
+Instruction = SendMessage | MemberStateChanged | Superseded | RowsChanged
--- a/pipitshed/membership/members.py
+++ b/pipitshed/membership/members.py
@@ -13,7 +13,7 @@
 Address = tuple[str, int]
 
 
-class State(enum.IntEnum):
+class MemberState(enum.IntEnum):
     """What is held of a member, in the order in which one beats another at the same incarnation."""
 
     ALIVE = 0
@@ -22,7 +22,7 @@
     LEFT = 3  # it said so itself
 
 
-class Word(msgspec.Struct, frozen=True, array_like=True):
+class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
     """What is said of one member. `life` is drawn at a process's start: it tells two holders of a name apart.
     `said_by` is who first said it.
     """
@@ -32,9 +32,9 @@
     port: int
     zone: str
     incarnation: int  # Unix ms at the process's start, raised by each refutation
-    life: int
-    state: State = State.ALIVE
-    said_by: str = ""
+    instance_id: int
+    state: MemberState = MemberState.ALIVE
+    reported_by: str = ""
     region: str = ""  # its zone's part before the first "/" where it is empty
 
     @property
@@ -43,9 +43,9 @@
         return self.host, self.port
 
     @property
-    def gone(self) -> bool:
+    def is_departed(self) -> bool:
         """Whether nothing more is expected of it."""
-        return self.state >= State.DEAD
+        return self.state >= MemberState.DEAD
 
     @property
     def size(self) -> int:
@@ -58,37 +58,37 @@
         return self.name
 
     @property
-    def area(self) -> str:
+    def effective_region(self) -> str:
         """The region that it stands in."""
         return self.region or self.zone.partition("/")[0]
 
     @property
-    def content(self) -> int:
+    def content_hash(self) -> int:
         """A hash of what two views must hold alike of one that lives; 0, so nothing, of one that is gone.
         That it is suspected is no part of it, as suspicions come and go by themselves; the refutation that
         ends one, or a death, is.
         """
-        if self.gone:
+        if self.is_departed:
             return 0
         return hashed(
-            f"{self.name}\0{self.host}\0{self.port}\0{self.zone}\0{self.region}\0{self.life}\0"
+            f"{self.name}\0{self.host}\0{self.port}\0{self.zone}\0{self.region}\0{self.instance_id}\0"
             f"{self.incarnation}".encode()
         )
 
-    def sound(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether it has the form of a word; what strangers send is held against it."""
-        texts = (self.name, self.zone, self.host, self.said_by, self.region)
+        texts = (self.name, self.zone, self.host, self.reported_by, self.region)
         return (
             bool(self.name and self.host)
             and all(len(text) <= NAME_LIMIT // 4 or len(text.encode()) <= NAME_LIMIT for text in texts)
             and 0 < self.port < 65536
             and 0 <= self.incarnation < 2**62
-            and 0 <= self.life < 2**32
+            and 0 <= self.instance_id < 2**32
         )
 
 
-def rank(word: Word) -> tuple[int, int, int]:
+def precedence(word: MemberRecord) -> tuple[int, int, int]:
     """What is newer has the higher rank: a total order, so that joining views is the same in any order. The
     incarnation first, then the state; of two lives that claim one incarnation the higher life stands.
     """
-    return word.incarnation, word.life, int(word.state)
+    return word.incarnation, word.instance_id, int(word.state)
--- a/pipitshed/membership/messages.py
+++ b/pipitshed/membership/messages.py
@@ -4,12 +4,12 @@
 
 import msgspec
 
-from pipitshed.membership.members import Word
+from pipitshed.membership.members import MemberRecord
 from pipitshed.replication.messages import Compare, Items, Rows
 from pipitshed.replication.row import Row
 
-ROOM = 700  # bytes of rumours on one datagram, so that it stays under a network's usual 1,400
-Fresh = tuple[tuple[Row, ...], ...]  # by table
+GOSSIP_LIMIT_BYTES = 700  # bytes of rumours on one datagram, so that it stays under a network's usual 1,400
+FreshRows = tuple[tuple[Row, ...], ...]  # by table
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
@@ -18,11 +18,11 @@
     """
 
     number: int
-    sender: Word
+    sender: MemberRecord
     target: str
-    rumours: tuple[Word, ...] = ()
+    gossip: tuple[MemberRecord, ...] = ()
     digests: tuple[bytes, ...] = ()
-    rows: Fresh = ()
+    rows: FreshRows = ()
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=2):
@@ -31,34 +31,34 @@
     """
 
     number: int
-    sender: Word
-    rumours: tuple[Word, ...] = ()
+    sender: MemberRecord
+    gossip: tuple[MemberRecord, ...] = ()
     digests: tuple[bytes, ...] = ()
-    rows: Fresh = ()
+    rows: FreshRows = ()
 
 
-class Help(msgspec.Struct, frozen=True, array_like=True, tag=3):
+class IndirectPing(msgspec.Struct, frozen=True, array_like=True, tag=3):
     """Probe this one in my place."""
 
     number: int
-    sender: Word
-    target: Word
-    rumours: tuple[Word, ...] = ()
+    sender: MemberRecord
+    target: MemberRecord
+    gossip: tuple[MemberRecord, ...] = ()
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=4):
     """I was asked to help, probed, and have heard nothing so far: the asker's own link is well."""
 
     number: int
-    sender: Word
-    rumours: tuple[Word, ...] = ()
+    sender: MemberRecord
+    gossip: tuple[MemberRecord, ...] = ()
 
 
-class Exchange(msgspec.Struct, frozen=True, array_like=True, tag=5):
+class RepairMessage(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """A part of a repair. Its sender is told where the other may not know it yet."""
 
     part: Compare | Items | Rows
-    sender: Word | None = None
+    sender: MemberRecord | None = None
 
 
-Message = Ping | Ack | Help | Nack | Exchange
+Message = Ping | Ack | IndirectPing | Nack | RepairMessage
--- a/pipitshed/membership/probes.py
+++ b/pipitshed/membership/probes.py
@@ -4,15 +4,15 @@
 
 from dataclasses import dataclass, field
 
-from pipitshed.membership.members import Word
+from pipitshed.membership.members import MemberRecord
 
 
 @dataclass(slots=True)
 class Probe:
     """A probe that is out, of this scheduler's own round or for another that asked for help."""
 
-    target: Word
-    asked_by: Word | None = None  # whom the answer is passed to
+    target: MemberRecord
+    asked_by: MemberRecord | None = None  # whom the answer is passed to
     their_number: int = 0
     helpers: int = 0  # asked, each of which owes an answer or a no
     noes: int = 0
@@ -22,6 +22,6 @@
 class Suspicion:
     """Since when one is suspected, and who said so."""
 
-    word: Word
+    record: MemberRecord
     since: float
-    said_by: set[str] = field(default_factory=set)
+    reporters: set[str] = field(default_factory=set)
--- a/pipitshed/membership/protocol.py
+++ b/pipitshed/membership/protocol.py
@@ -12,25 +12,34 @@
 
 import msgspec
 
-from pipitshed.membership.areas import Areas
-from pipitshed.membership.effects import Displaced, Effect, News, RowNews, Tell
-from pipitshed.membership.members import Address, State, Word, rank
-from pipitshed.membership.messages import ROOM, Ack, Exchange, Fresh, Help, Message, Nack, Ping
+from pipitshed.membership.areas import RegionMap
+from pipitshed.membership.effects import Instruction, MemberStateChanged, RowsChanged, SendMessage, Superseded
+from pipitshed.membership.members import Address, MemberRecord, MemberState, precedence
+from pipitshed.membership.messages import (
+    GOSSIP_LIMIT_BYTES,
+    Ack,
+    FreshRows,
+    IndirectPing,
+    Message,
+    Nack,
+    Ping,
+    RepairMessage,
+)
 from pipitshed.membership.probes import Probe, Suspicion
-from pipitshed.membership.timing import Health, Scales, suspicion_lasts
-from pipitshed.membership.view import View
-from pipitshed.replication.carrier import AROUND, Carrier, message_size
+from pipitshed.membership.timing import LocalHealth, ProtocolTimings, suspicion_timeout_s
+from pipitshed.membership.view import MembershipView
+from pipitshed.replication.carrier import AROUND, Replicator, message_size
 from pipitshed.replication.messages import Compare, Items, unpack
-from pipitshed.replication.repair import Out
+from pipitshed.replication.repair import OutgoingMessage
 from pipitshed.replication.row import Row
-from pipitshed.replication.rows import RowTable, Taken
+from pipitshed.replication.rows import ApplyResult, RowTable
 
 ANYWAY = 0.1  # of the times for repair, part at which a range is compared whatever the digests are
 ALONE = 0.3  # of the time between repairs, where nobody is known yet: as a seed may be asked by very many
 ASKED_LATELY = 1.0  # s in which one that told another view, so that it lives, is not probed again
 GATHER = 0.03  # s that fresh rows wait for others to be pushed with
 VIEW = 0  # the view's place among the tables
-_words = msgspec.msgpack.Decoder(tuple[Word, ...])
+_words = msgspec.msgpack.Decoder(tuple[MemberRecord, ...])
 _rows = msgspec.msgpack.Decoder(tuple[Row, ...])
 
 
@@ -39,27 +48,27 @@
 
     def __init__(
         self,
-        me: Word,
-        scales: Scales,
+        me: MemberRecord,
+        scales: ProtocolTimings,
         seeds: list[Address],
         rng: random.Random,
         now: float,
         tables: Sequence[RowTable] = (),
     ) -> None:
-        self.me = me
-        self.scales = scales
-        self.view = View(scales.tombstones)
-        self.health = Health()
+        self.self_record = me
+        self.timings = scales
+        self.view = MembershipView(scales.tombstones)
+        self.health = LocalHealth()
         self.tables = tuple(tables)
-        self.displaced = False
+        self.superseded = False
         self.leaving = False
         self._seeds = [seed for seed in seeds if seed != me.address]
         self._rng = rng
-        self.carrier = Carrier((self.view, *tables), rng, now, self._seeds)
+        self.replicator = Replicator((self.view, *tables), rng, now, self._seeds)
         self._fresh: list[list[Row]] = [[] for _ in tables]  # rows to be told as news
         self._put = False  # whether some of what is to be pushed was put here
         self._push_due = False
-        self._areas = Areas(me, self.view, rng)
+        self._areas = RegionMap(me, self.view, rng)
         self._repair_due = math.inf  # when the alarm for exchanges that is set comes
         self._numbers = count(rng.randrange(1 << 30))
         self._probes: dict[int, Probe] = {}
@@ -67,9 +76,9 @@
         self._round: list[str] = []  # names still to be probed in this round
         self._due: list[tuple[float, int, str, int]] = []  # when, order, what, a probe's number
         self._judge_at = math.inf  # the next judgement that is due
-        self._effects: list[Effect] = []
-        self.view.take(now, me)
-        self.carrier.tell(VIEW, me)
+        self._effects: list[Instruction] = []
+        self.view.apply(now, me)
+        self.replicator.queue_item(VIEW, me)
         # Spread over a period, as many may start at once.
         self._at(now + rng.random() * scales.period, "probe")
         self._at(now, "sync")
@@ -77,17 +86,17 @@
 
     # ---- in
 
-    def due(self) -> float:
+    def next_due_at(self) -> float:
         """When `tick` has something to do."""
         return self._due[0][0]
 
-    def tick(self, now: float) -> list[Effect]:
+    def handle_timeouts(self, now: float) -> list[Instruction]:
         """Do what has come due."""
         self._late(now)
         while self._due and self._due[0][0] <= now:
             _, _, what, number = heappop(self._due)
             if what == "probe":
-                self._at(now + self.scales.period, "probe")
+                self._at(now + self.timings.period, "probe")
                 self._probe(now)
             elif what == "ask":
                 self._ask_for_help(now, number)
@@ -96,19 +105,19 @@
             elif what == "no":
                 self._say_no(now, number)
             elif what == "sync":
-                sooner = 1.0 if self.view.alive > 1 else ALONE
-                self._at(now + self.scales.sync * (0.5 + self._rng.random()) * sooner, "sync")
+                sooner = 1.0 if self.view.live_count > 1 else ALONE
+                self._at(now + self.timings.sync * (0.5 + self._rng.random()) * sooner, "sync")
                 self._sync(now)
             elif what == "gone":
-                self._at(now + self.scales.sync_with_gone * (0.5 + self._rng.random()), "gone")
+                self._at(now + self.timings.sync_with_gone * (0.5 + self._rng.random()), "gone")
                 self._reach_the_gone(now)
             elif what == "push":
                 self._push_due = False
-                self._send(now, self.carrier.push(now, self._areas.pushed(self._put)))
+                self._send(now, self.replicator.push(now, self._areas.push_targets(self._put)))
                 self._put = False
             elif what == "repair":
                 self._repair_due = math.inf
-                self._send(now, self.carrier.tick(now))
+                self._send(now, self.replicator.handle_timeouts(now))
             else:
                 self._judge(now)
         return self._out(now)
@@ -119,33 +128,33 @@
         sockets, still to be read, and so do refutations of what it suspects.
         """
         late = now - self._due[0][0]
-        if late <= self.scales.period:
+        if late <= self.timings.period:
             return
-        self.health.unwell(2)
+        self.health.record_failure(2)
         for suspicion in self._suspicions.values():
             suspicion.since += late
-        again = now + self.scales.ack_within * self.health.stretch
+        again = now + self.timings.ack_within * self.health.timeout_multiplier
         self._due = [
             (max(when, again) if what in ("ask", "close") else when, order, what, number)
             for when, order, what, number in self._due
         ]
         heapify(self._due)
 
-    def hear(self, now: float, message: Message, source: Address) -> list[Effect]:
+    def handle_message(self, now: float, message: Message, source: Address) -> list[Instruction]:
         """Take a message that came from `source`."""
-        if isinstance(message, Exchange):
+        if isinstance(message, RepairMessage):
             self._exchange(now, message, source)
             return self._out(now)
         sender = message.sender
-        for word in (sender, *message.rumours):
-            if word.sound():
+        for word in (sender, *message.gossip):
+            if word.is_valid():
                 self._take(now, word)
         if isinstance(message, Ping):
             self._take_fresh(now, message.rows)
             self._heard_digests(now, sender, message.digests)
-            if message.target == self.me.name and not self.leaving:
+            if message.target == self.self_record.name and not self.leaving:
                 self._ack(now, source, message)
-        elif isinstance(message, Help):
+        elif isinstance(message, IndirectPing):
             self._help(now, message, source)
         elif isinstance(message, Ack):
             self._take_fresh(now, message.rows)
@@ -154,90 +163,96 @@
             probe.noes += 1
         return self._out(now)
 
-    def spread(self, now: float, table: str, rows: Sequence[Row]) -> list[Effect]:
+    def disseminate(self, now: float, table: str, rows: Sequence[Row]) -> list[Instruction]:
         """Pass on rows that were put into a table here; they are news here too."""
         [place] = [place for place, one in enumerate(self.tables) if one.name == table]
         self._fresh[place] += rows
         self._put = True
-        self.carrier.fresh(now, VIEW + 1 + place, rows)
+        self.replicator.fresh(now, VIEW + 1 + place, rows)
         return self._out(now)
 
-    def told(self, table: str) -> dict[str, bytes]:
+    def reported_digests(self, table: str) -> dict[str, bytes]:
         """The digest of a table that each peer told last; empty where it has not caught up."""
         [place] = [place for place, one in enumerate(self.tables, VIEW + 1) if one.name == table]
-        return {name: digests[place] for name, digests in self.carrier.heard.items() if len(digests) > place}
+        return {
+            name: digests[place]
+            for name, digests in self.replicator.peer_digests.items()
+            if len(digests) > place
+        }
 
-    def leave(self, now: float) -> list[Effect]:
+    def leave(self, now: float) -> list[Instruction]:
         """Say that this scheduler goes, to as many as pass it on."""
         self.leaving = True
-        self.me = self._word(State.LEFT)
-        self.view.take(now, self.me)
-        self.carrier.tell(VIEW, self.me)
+        self.self_record = self._word(MemberState.LEFT)
+        self.view.apply(now, self.self_record)
+        self.replicator.queue_item(VIEW, self.self_record)
         self._say_goodbye(now)
         return self._out(now)
 
     def _say_goodbye(self, now: float) -> None:
-        others = [word for word in self.view.living() if word.name != self.me.name]
-        for word in self._rng.sample(others, min(len(others), 1 + self.scales.helpers)):
+        others = [word for word in self.view.live_members() if word.name != self.self_record.name]
+        for word in self._rng.sample(others, min(len(others), 1 + self.timings.helpers)):
             self._ping(now, word, next(self._numbers))
 
     # ---- probes
 
     def _probe(self, now: float) -> None:
         """Probe the next of a round in which each comes once, in an order drawn anew (SWIM, section 4.3)."""
-        for name in self.view.bury(now):
-            self.carrier.heard.pop(name, None)
+        for name in self.view.forget_departed(now):
+            self.replicator.peer_digests.pop(name, None)
         if self.leaving:
             self._say_goodbye(now)  # as long as the process still lives: what it says may be lost
             return
         target = self._next()
         # Whoever knows few members, as it has just begun, does not ask these all the time: a whole fleet that
         # begins may know the same few.
-        if target is None or now - self.carrier.differed(VIEW, target.address) < ASKED_LATELY:
+        if target is None or now - self.replicator.differed(VIEW, target.address) < ASKED_LATELY:
             return
         number = next(self._numbers)
         self._probes[number] = Probe(target)
-        stretch = self.health.stretch
-        self._at(now + self.scales.ack_within * stretch, "ask", number)
-        self._at(now + self.scales.period * stretch, "close", number)
+        stretch = self.health.timeout_multiplier
+        self._at(now + self.timings.ack_within * stretch, "ask", number)
+        self._at(now + self.timings.period * stretch, "close", number)
         self._ping(now, target, number)
 
-    def _ping(self, now: float, target: Word, number: int) -> None:
+    def _ping(self, now: float, target: MemberRecord, number: int) -> None:
         words, rows, spent = self._news_for(now, target)
         self._tell(
             now,
             target.address,
-            Ping(number, self.me, target.name, words, self.carrier.digests(), rows),
+            Ping(number, self.self_record, target.name, words, self.replicator.digests(), rows),
             spent,
         )
 
     def _ack(self, now: float, to: Address, ping: Ping) -> None:
-        words, rows, spent = self._news_for(now, ping.sender, (ping.rumours, *ping.rows))
-        self._tell(now, to, Ack(ping.number, self.me, words, self.carrier.digests(), rows), spent)
+        words, rows, spent = self._news_for(now, ping.sender, (ping.gossip, *ping.rows))
+        self._tell(now, to, Ack(ping.number, self.self_record, words, self.replicator.digests(), rows), spent)
 
-    def _next(self) -> Word | None:
+    def _next(self) -> MemberRecord | None:
         for fresh in (False, True):
             if fresh:
-                self._round = [word.name for word in self.view.living() if word.name != self.me.name]
+                self._round = [
+                    word.name for word in self.view.live_members() if word.name != self.self_record.name
+                ]
                 self._rng.shuffle(self._round)
             while self._round:
                 word = self.view.get(self._round.pop())
-                if word is not None and not word.gone:
+                if word is not None and not word.is_departed:
                     return word
         return None
 
     def _news_for(
-        self, now: float, to: Word, but: Sequence[Sequence[Word | Row]] = ()
-    ) -> tuple[tuple[Word, ...], Fresh, int]:
+        self, now: float, to: MemberRecord, but: Sequence[Sequence[MemberRecord | Row]] = ()
+    ) -> tuple[tuple[MemberRecord, ...], FreshRows, int]:
         """Words and rows for one message, and the bytes of these that are paid for. What is held against its
         receiver goes first, so that it can refute at once (Lifeguard's buddy). Suspicions are in no digest:
         while there are any, words go to one with the same view too.
         """
         held = self.view.get(to.name)
-        against = held if held is not None and held.state is not State.ALIVE else None
-        room = ROOM - (against.size if against is not None else 0)
-        places = len(self.carrier.tables) if self._areas.crosses(to) else 1
-        (words, *rows), spent = self.carrier.take(
+        against = held if held is not None and held.state is not MemberState.ALIVE else None
+        room = GOSSIP_LIMIT_BYTES - (against.size if against is not None else 0)
+        places = len(self.replicator.tables) if self._areas.carries_rows_to(to) else 1
+        (words, *rows), spent = self.replicator.take(
             now, room, to.name, len(self.view), places, VIEW if self._suspicions else -1, but
         )
         if against is not None and against not in words:
@@ -250,28 +265,28 @@
             return
         others = [
             word
-            for word in self.view.living()
-            if word.name not in (self.me.name, probe.target.name) and word.state is State.ALIVE
+            for word in self.view.live_members()
+            if word.name not in (self.self_record.name, probe.target.name) and word.state is MemberState.ALIVE
         ]
-        for word in self._rng.sample(others, min(len(others), self.scales.helpers)):
+        for word in self._rng.sample(others, min(len(others), self.timings.helpers)):
             probe.helpers += 1
             words, _, spent = self._news_for(now, word)
-            self._tell(now, word.address, Help(number, self.me, probe.target, words), spent)
+            self._tell(now, word.address, IndirectPing(number, self.self_record, probe.target, words), spent)
 
-    def _help(self, now: float, message: Help, source: Address) -> None:
-        if self.leaving or not message.target.sound():
+    def _help(self, now: float, message: IndirectPing, source: Address) -> None:
+        if self.leaving or not message.target.is_valid():
             return
         number = next(self._numbers)
         self._probes[number] = Probe(message.target, message.sender, message.number)
-        self._at(now + self.scales.ack_within * 0.8, "no", number)
-        self._at(now + self.scales.period, "close", number)
+        self._at(now + self.timings.ack_within * 0.8, "no", number)
+        self._at(now + self.timings.period, "close", number)
         self._ping(now, message.target, number)
 
     def _say_no(self, now: float, number: int) -> None:
         probe = self._probes.get(number)
         if probe is not None and probe.asked_by is not None:
             words, _, spent = self._news_for(now, probe.asked_by)
-            self._tell(now, probe.asked_by.address, Nack(probe.their_number, self.me, words), spent)
+            self._tell(now, probe.asked_by.address, Nack(probe.their_number, self.self_record, words), spent)
 
     def _acked(self, now: float, message: Ack) -> None:
         probe = self._probes.get(message.number)
@@ -280,7 +295,7 @@
         del self._probes[message.number]
         self._heard_digests(now, message.sender, message.digests)
         if probe.asked_by is None:
-            self.health.well()
+            self.health.record_success()
         else:
             self._tell(
                 now, probe.asked_by.address, Ack(probe.their_number, message.sender, (), message.digests)
@@ -292,82 +307,88 @@
         if probe is None or probe.asked_by is not None:
             return
         # Helpers that owe a no and gave none say more of this scheduler's link, or loop, than of the target.
-        self.health.unwell(probe.helpers - probe.noes if probe.helpers else 1)
+        self.health.record_failure(probe.helpers - probe.noes if probe.helpers else 1)
         held = self.view.get(probe.target.name)
-        if held is not None and held.state in (State.ALIVE, State.SUSPECT) and held.life == probe.target.life:
-            self._take(now, _said(held, State.SUSPECT, self.me.name))
+        if (
+            held is not None
+            and held.state in (MemberState.ALIVE, MemberState.SUSPECT)
+            and held.instance_id == probe.target.instance_id
+        ):
+            self._take(now, _said(held, MemberState.SUSPECT, self.self_record.name))
 
     # ---- what is held of members
 
-    def _word(self, state: State) -> Word:
-        return _said(self.me, state, self.me.name)
+    def _word(self, state: MemberState) -> MemberRecord:
+        return _said(self.self_record, state, self.self_record.name)
 
-    def _take(self, now: float, word: Word, repaired: int = 0) -> None:
+    def _take(self, now: float, word: MemberRecord, repaired: int = 0) -> None:
         """Take a word, refute it where it is wrong about oneself, and pass it on where it was new. Of a word
         that came by repair, `repaired` says among how many.
         """
-        if word.name == self.me.name:
+        if word.name == self.self_record.name:
             self._of_me(now, word)
             return
         held = self.view.get(word.name)
-        if held is not None and word.state is State.SUSPECT and rank(word) == rank(held):
+        if held is not None and word.state is MemberState.SUSPECT and precedence(word) == precedence(held):
             # A second one suspects it too: the suspicion grows shorter, and is passed on as theirs.
             suspicion = self._suspicions.get(word.name)
-            if suspicion is not None and word.said_by not in suspicion.said_by:
-                suspicion.said_by.add(word.said_by)
-                self.carrier.tell(VIEW, word)
+            if suspicion is not None and word.reported_by not in suspicion.reporters:
+                suspicion.reporters.add(word.reported_by)
+                self.replicator.queue_item(VIEW, word)
                 self._judge_by(self._ends(suspicion))
             return
-        if not self.view.take(now, word):
+        if not self.view.apply(now, word):
             return
         if repaired:
-            self.carrier.tell_repaired(now, VIEW, word, len(self.view), repaired)
+            self.replicator.queue_repaired(now, VIEW, word, len(self.view), repaired)
         else:
-            self.carrier.tell(VIEW, word)
-        if word.state is State.SUSPECT:
-            suspicion = self._suspicions[word.name] = Suspicion(word, now, {word.said_by})
+            self.replicator.queue_item(VIEW, word)
+        if word.state is MemberState.SUSPECT:
+            suspicion = self._suspicions[word.name] = Suspicion(word, now, {word.reported_by})
             self._judge_by(self._ends(suspicion))
         else:
             self._suspicions.pop(word.name, None)
         before = held.state if held is not None else None
-        if held is None or (held.state, held.life) != (word.state, word.life):
-            self._effects.append(News(word, before))
+        if held is None or (held.state, held.instance_id) != (word.state, word.instance_id):
+            self._effects.append(MemberStateChanged(word, before))
 
-    def _of_me(self, now: float, word: Word) -> None:
-        if word.life != self.me.life:
-            if rank(word) <= rank(self.me) or self.displaced:
+    def _of_me(self, now: float, word: MemberRecord) -> None:
+        if word.instance_id != self.self_record.instance_id:
+            if precedence(word) <= precedence(self.self_record) or self.superseded:
                 return
-            if word.gone or word.address == self.me.address:
+            if word.is_departed or word.address == self.self_record.address:
                 # It is said of a life before this one, by a clock that stood ahead: nobody else is here.
                 self._refute(now, word)
             else:
-                self.displaced = True
-                self._effects.append(Displaced(word))
+                self.superseded = True
+                self._effects.append(Superseded(word))
             return
-        if self.leaving or self.displaced or word.state is State.ALIVE:
+        if self.leaving or self.superseded or word.state is MemberState.ALIVE:
             return
-        if word.incarnation >= self.me.incarnation:
-            self.health.unwell()
+        if word.incarnation >= self.self_record.incarnation:
+            self.health.record_failure()
             self._refute(now, word)
 
-    def _refute(self, now: float, word: Word) -> None:
+    def _refute(self, now: float, word: MemberRecord) -> None:
         """Say that one lives, by a word that beats the rumour wherever they meet."""
-        me = self.me
-        self.me = Word(
+        me = self.self_record
+        self.self_record = MemberRecord(
             me.name,
             me.host,
             me.port,
             me.zone,
             word.incarnation + 1,
-            me.life,
-            said_by=me.name,
+            me.instance_id,
+            reported_by=me.name,
             region=me.region,
         )
-        self.view.take(now, self.me)
-        self.carrier.tell(VIEW, self.me)
+        self.view.apply(now, self.self_record)
+        self.replicator.queue_item(VIEW, self.self_record)
 
     def _ends(self, suspicion: Suspicion) -> float:
-        return suspicion.since + suspicion_lasts(self.scales, self.view.alive, len(suspicion.said_by) - 1)
+        return suspicion.since + suspicion_timeout_s(
+            self.timings, self.view.live_count, len(suspicion.reporters) - 1
+        )
 
     def _judge_by(self, when: float) -> None:
         """Judge by then. One alarm is enough, however many are suspected: with one for each, and each of them
@@ -387,14 +408,14 @@
                 continue
             del self._suspicions[name]
             held = self.view.get(name)
-            if held is not None and held.state is State.SUSPECT:
-                self._take(now, _said(held, State.DEAD, self.me.name))
+            if held is not None and held.state is MemberState.SUSPECT:
+                self._take(now, _said(held, MemberState.DEAD, self.self_record.name))
         if self._suspicions:
             self._judge_by(min(self._ends(suspicion) for suspicion in self._suspicions.values()))
 
     # ---- rows, digests and repair
 
-    def _take_fresh(self, now: float, fresh: Fresh) -> None:
+    def _take_fresh(self, now: float, fresh: FreshRows) -> None:
         for place, rows in enumerate(fresh[: len(self.tables)]):
             self._take_rows(now, place, rows, False)
 
@@ -404,43 +425,43 @@
         """Take rows into a table; how many are new, and the keys of those of which a newer one is held."""
         gained, newer = 0, []
         for row in rows:
-            taken = self.tables[place].take(row)
-            if taken is Taken.NEW:
+            taken = self.tables[place].apply(row)
+            if taken is ApplyResult.NEW:
                 gained += 1
                 self._fresh[place].append(row)
                 if repaired:
-                    self.carrier.tell_repaired(now, VIEW + 1 + place, row, len(self.view), len(rows))
+                    self.replicator.queue_repaired(now, VIEW + 1 + place, row, len(self.view), len(rows))
                 else:
-                    self.carrier.fresh(now, VIEW + 1 + place, [row])
-            elif taken in (Taken.OLD, Taken.CONFLICT):
+                    self.replicator.fresh(now, VIEW + 1 + place, [row])
+            elif taken in (ApplyResult.OLD, ApplyResult.CONFLICT):
                 newer.append(row.key)
         return gained, newer
 
-    def _take_words(self, now: float, words: Sequence[Word]) -> tuple[int, list[str]]:
+    def _take_words(self, now: float, words: Sequence[MemberRecord]) -> tuple[int, list[str]]:
         gained, newer = 0, []
         for word in words:
-            if not word.sound():
+            if not word.is_valid():
                 continue
-            number = self.view.number
+            number = self.view.change_count
             self._take(now, word, len(words))
             held = self.view.get(word.name)
-            gained += self.view.number != number
-            if held is not None and rank(held) > rank(word):
+            gained += self.view.change_count != number
+            if held is not None and precedence(held) > precedence(word):
                 newer.append(word.name)
         return gained, newer
 
-    def _heard_digests(self, now: float, sender: Word, digests: tuple[bytes, ...]) -> None:
-        if sender.name in self.view and sender.name != self.me.name:
-            out = self.carrier.hear(now, sender.name, sender.address, digests)
-            if not (self.leaving or self.displaced):
+    def _heard_digests(self, now: float, sender: MemberRecord, digests: tuple[bytes, ...]) -> None:
+        if sender.name in self.view and sender.name != self.self_record.name:
+            out = self.replicator.receive_digests(now, sender.name, sender.address, digests)
+            if not (self.leaving or self.superseded):
                 self._send(now, out)
 
-    def _exchange(self, now: float, message: Exchange, source: Address) -> None:
+    def _exchange(self, now: float, message: RepairMessage, source: Address) -> None:
         part = message.part
-        if message.sender is not None and message.sender.sound():
+        if message.sender is not None and message.sender.is_valid():
             self._take(now, message.sender)
         if isinstance(part, Compare | Items):
-            self._send(now, self.carrier.answer(now, source, part, self._others))
+            self._send(now, self.replicator.answer(now, source, part, self._others))
             return
         if part.table == VIEW:
             gained, newer = self._take_words(now, unpack(part.packed, _words))
@@ -448,38 +469,40 @@
             gained, newer = self._take_rows(now, place, unpack(part.packed, _rows), not part.fresh)
         else:
             return
-        self._send(now, self.carrier.taken(now, source, part, gained, newer, self._others))
+        self._send(now, self.replicator.taken(now, source, part, gained, newer, self._others))
 
     def _others(self) -> list[Address]:
         """Some that live."""
-        others = [word.address for word in self.view if not word.gone and word.name != self.me.name]
-        return self._rng.sample(others, min(len(others), self.scales.helpers))
+        others = [
+            word.address for word in self.view if not word.is_departed and word.name != self.self_record.name
+        ]
+        return self._rng.sample(others, min(len(others), self.timings.helpers))
 
     def _sync(self, now: float) -> None:
         """Repair with one that lately told another digest, or with a seed while nobody is known. At times a
         range is compared though all agree, in case their digests hide something.
         """
-        if self.leaving or self.displaced:
+        if self.leaving or self.superseded:
             return
-        if self.view.alive > 1:
-            for place in range(len(self.carrier.tables)):
-                self._send(now, self.carrier.consider(now, place, True, self._others))
+        if self.view.live_count > 1:
+            for place in range(len(self.replicator.tables)):
+                self._send(now, self.replicator.consider(now, place, True, self._others))
             if self._rng.random() < ANYWAY and (others := self._others()):
-                self._send(now, self.carrier.look(now, others[0]))
+                self._send(now, self.replicator.look(now, others[0]))
         elif self._seeds:
             seed = self._rng.choice(self._seeds)
-            for place in range(len(self.carrier.tables)):
-                self._send(now, self.carrier.ask(now, place, seed))
+            for place in range(len(self.replicator.tables)):
+                self._send(now, self.replicator.ask(now, place, seed))
 
     def _reach_the_gone(self, now: float) -> None:
         """Repair with one that is held dead, or a seed that nobody lives at. Guards against two halves of a
         fleet that hold each other dead for good once what was cut is whole.
         """
-        held = {word.address for word in self.view.living()}
-        dead = [word.address for word in self.view if word.state is State.DEAD]
+        held = {word.address for word in self.view.live_members()}
+        dead = [word.address for word in self.view if word.state is MemberState.DEAD]
         gone = sorted({*dead, *self._seeds} - held)
         if gone and not self.leaving:
-            self._send(now, self.carrier.ask(now, VIEW, self._rng.choice(gone)))
+            self._send(now, self.replicator.ask(now, VIEW, self._rng.choice(gone)))
 
     # ---- out
 
@@ -488,34 +511,36 @@
 
     def _tell(self, now: float, to: Address, message: Message, paid: int = 0) -> None:
         """Send a message that goes whatever the budget has left; so many of its bytes are paid for."""
-        self.carrier.budget.charge(now, AROUND + message_size(message) - paid)
-        self._effects.append(Tell(to, message))
+        self.replicator.budget.charge(now, AROUND + message_size(message) - paid)
+        self._effects.append(SendMessage(to, message))
 
-    def _send(self, now: float, out: Sequence[Out]) -> None:
+    def _send(self, now: float, out: Sequence[OutgoingMessage]) -> None:
         """Send parts of repairs, which the budget has let through."""
         for one in out:
             asks = isinstance(one.message, Compare) and one.message.answer
-            self._effects.append(Tell(one.to, Exchange(one.message, self.me if asks else None)))
+            self._effects.append(
+                SendMessage(one.to, RepairMessage(one.message, self.self_record if asks else None))
+            )
 
-    def _out(self, now: float) -> list[Effect]:
-        self.carrier.settle(now)
-        due = self.carrier.repair.due()
+    def _out(self, now: float) -> list[Instruction]:
+        self.replicator.settle(now)
+        due = self.replicator.repair.due()
         if due is not None and due < self._repair_due:
             self._repair_due = due
             self._at(due, "repair")
-        if self.carrier.pushes and not self._push_due:
+        if self.replicator.pushes and not self._push_due:
             self._push_due = True
             self._at(now + GATHER, "push")
         for table, fresh in zip(self.tables, self._fresh, strict=True):
             if fresh:
-                self._effects.append(RowNews(table.name, tuple(fresh)))
+                self._effects.append(RowsChanged(table.name, tuple(fresh)))
                 fresh.clear()
         effects, self._effects = self._effects, []
         return effects
 
 
-def _said(word: Word, state: State, by: str) -> Word:
+def _said(word: MemberRecord, state: MemberState, by: str) -> MemberRecord:
     """The same word with another state, as said by someone."""
-    return Word(
-        word.name, word.host, word.port, word.zone, word.incarnation, word.life, state, by, word.region
+    return MemberRecord(
+        word.name, word.host, word.port, word.zone, word.incarnation, word.instance_id, state, by, word.region
     )
--- a/pipitshed/membership/timing.py
+++ b/pipitshed/membership/timing.py
@@ -7,7 +7,7 @@
 import msgspec
 
 
-class Scales(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
+class ProtocolTimings(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
     """Time scales of the view, in seconds; all schedulers of a fleet should have the same."""
 
     period: float = 0.2  # between probes
@@ -44,10 +44,10 @@
         return None
 
 
-WORST_HEALTH = 8  # how far a scheduler may doubt itself
+MAX_HEALTH_SCORE = 8  # how far a scheduler may doubt itself
 
 
-class Health:
+class LocalHealth:
     """How far this scheduler doubts itself before others: 0 is well. It stretches probes' times by 1 + score,
     so that one whose loop is slow suspects nobody for its own lateness.
     """
@@ -55,21 +55,21 @@
     def __init__(self) -> None:
         self.score = 0
 
-    def well(self) -> None:
+    def record_success(self) -> None:
         """A probe was answered in time."""
         self.score = max(0, self.score - 1)
 
-    def unwell(self, by: int = 1) -> None:
+    def record_failure(self, by: int = 1) -> None:
         """A probe went unanswered, help that is owed did not come, or a suspicion of oneself was heard."""
-        self.score = min(WORST_HEALTH, self.score + by)
+        self.score = min(MAX_HEALTH_SCORE, self.score + by)
 
     @property
-    def stretch(self) -> int:
+    def timeout_multiplier(self) -> int:
         """What times are stretched by."""
         return self.score + 1
 
 
-def suspicion_lasts(scales: Scales, fleet: int, confirmations: int) -> float:
+def suspicion_timeout_s(scales: ProtocolTimings, fleet: int, confirmations: int) -> float:
     """How long (s) a suspicion lasts: the longest with no confirmation, the shortest once as many as are
     asked to help have confirmed it, each by its own probe (Lifeguard, section 4.2).
     """
--- a/pipitshed/membership/view.py
+++ b/pipitshed/membership/view.py
@@ -4,27 +4,27 @@
 
 from collections.abc import Iterator
 
-from pipitshed.membership.members import Word, rank
-from pipitshed.replication.digests import Tree
+from pipitshed.membership.members import MemberRecord, precedence
+from pipitshed.replication.digests import MerkleTree
 
-MOST_MEMBERS = 4096  # names held at the most, whatever strangers say
+MAX_MEMBERS = 4096  # names held at the most, whatever strangers say
 
 
-class View:
+class MembershipView:
     """The newest word on each member. `number` counts its changes."""
 
-    def __init__(self, tombstones_for: float, most: int = MOST_MEMBERS) -> None:
-        self._words: dict[str, Word] = {}
+    def __init__(self, tombstones_for: float, most: int = MAX_MEMBERS) -> None:
+        self._words: dict[str, MemberRecord] = {}
         self._since: dict[str, float] = {}  # s, when the state was taken
         self._gone: set[str] = set()
         self._tombstones_for = tombstones_for
         self._most = most
-        self.number = 0
+        self.change_count = 0
         self.caught_up = True  # whoever joins knows at least of itself, and says no more than it knows
-        self.tree = Tree()
-        self.turned_down = 0  # words of names beyond the bound
+        self.tree = MerkleTree()
+        self.rejected_count = 0  # words of names beyond the bound
 
-    def __iter__(self) -> Iterator[Word]:
+    def __iter__(self) -> Iterator[MemberRecord]:
         return iter(self._words.values())
 
     def __contains__(self, name: object) -> bool:
@@ -33,7 +33,7 @@
     def __len__(self) -> int:
         return len(self._words)
 
-    def get(self, name: str) -> Word | None:
+    def get(self, name: str) -> MemberRecord | None:
         """The word held on a member."""
         return self._words.get(name)
 
@@ -41,24 +41,24 @@
         """When its state was taken (s)."""
         return self._since[name]
 
-    def take(self, now: float, word: Word) -> bool:
+    def apply(self, now: float, word: MemberRecord) -> bool:
         """Take a word where it is newer; whether it was."""
         held = self._words.get(word.name)
         if held is None:
             if len(self._words) >= self._most:
-                self.turned_down += 1
+                self.rejected_count += 1
                 return False
-        elif rank(word) <= rank(held):
+        elif precedence(word) <= precedence(held):
             return False
-        if held is None or (held.state, held.life) != (word.state, word.life):
+        if held is None or (held.state, held.instance_id) != (word.state, word.instance_id):
             self._since[word.name] = now
         self._words[word.name] = word
-        self.tree.put(word.name, word.content)
-        (self._gone.add if word.gone else self._gone.discard)(word.name)
-        self.number += 1
+        self.tree.put(word.name, word.content_hash)
+        (self._gone.add if word.is_departed else self._gone.discard)(word.name)
+        self.change_count += 1
         return True
 
-    def bury(self, now: float) -> list[str]:
+    def forget_departed(self, now: float) -> list[str]:
         """Forget those that have been gone for the time of a tombstone, and tell their names. Guards against
         a view that grows with each name that ever was.
         """
@@ -67,17 +67,17 @@
             del self._words[name], self._since[name]
             self.tree.drop(name)
             self._gone.discard(name)
-            self.number += 1
+            self.change_count += 1
         return buried
 
     @property
-    def alive(self) -> int:
+    def live_count(self) -> int:
         """How many are alive or suspected."""
         return len(self._words) - len(self._gone)
 
-    def living(self) -> list[Word]:
+    def live_members(self) -> list[MemberRecord]:
         """Members that are alive or suspected, by name."""
-        return sorted((word for word in self if not word.gone), key=lambda word: word.name)
+        return sorted((word for word in self if not word.is_departed), key=lambda word: word.name)
 
     def digest(self) -> str:
         """A hash of who lives, at which address and incarnation: equal where two schedulers agree."""
--- a/pipitshed/replication/acting.py
+++ b/pipitshed/replication/acting.py
@@ -28,13 +28,13 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-class Acting(msgspec.Struct, frozen=True, array_like=True, tag=32):
+class AppliedReport(msgspec.Struct, frozen=True, array_like=True, tag=32):
     """I act on all rows of the table with this digest, and on these by their content, but not on what I
     refuse. `more`: not all that is refused stands here.
     """
 
     sender: str
-    life: int
+    instance_id: int
     at: int  # counts what the sender has acted on so far: of two messages the later one holds
     digest: bytes
     rows: tuple[int, ...] = ()
@@ -42,7 +42,7 @@
     more: bool = False
 
 
-class AskActing(msgspec.Struct, frozen=True, array_like=True, tag=33):
+class AppliedQuery(msgspec.Struct, frozen=True, array_like=True, tag=33):
     """Do you act on the rows of these keys?"""
 
     sender: str
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class State:
+class AppliedState:
     """What one scheduler acts on."""
 
     digest: bytes = b""  # of the table that it was made from
@@ -72,10 +72,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class CommitStatus:
     """Who acts on a row, and who does not."""
 
-    acting: tuple[str, ...]
+    appliers: tuple[str, ...]
     missing: tuple[tuple[str, str], ...]  # name, and the reason of one that refuses
     superseded: Row | None = None  # what is held in its place
 
@@ -85,8 +85,8 @@
         return not self.missing and self.superseded is None
 
 
-Living = Mapping[str, int]  # members that live, and in which life
-Said = tuple[str, Acting | AskActing]  # to whom, by name
+LiveInstances = Mapping[str, int]  # members that live, and in which life
+Said = tuple[str, AppliedReport | AppliedQuery]  # to whom, by name
 
 
 class Confirmations:
@@ -95,7 +95,7 @@
     """
 
     def __init__(self, me: str, life: int, table: RowTable, rng: random.Random) -> None:
-        self.state = State()
+        self.state = AppliedState()
         self._me, self._life = me, life
         self._table = table
         self._rng = rng
@@ -108,7 +108,7 @@
 
     # ---- as a member
 
-    def acts(self, now: float, state: State, changed: Iterable[Row], fleet: int) -> None:
+    def acts(self, now: float, state: AppliedState, changed: Iterable[Row], fleet: int) -> None:
         """This scheduler acts on (or refuses) these rows from now on; it tells their writers, each at a time
         drawn so that all members together keep to the rate.
         """
@@ -124,25 +124,26 @@
 
     def _lasts(self, fleet: int) -> float:
         """How long (s) all members tell of one row, if their words are as long as this one's."""
-        mine = Acting(self._me, self._life, self._at, self.state.digest, (2**63,))
+        mine = AppliedReport(self._me, self._life, self._at, self.state.digest, (2**63,))
         return fleet * (FRAME + len(_encoder.encode(mine))) / RATE
 
-    def asked(self, message: AskActing) -> Acting:
+    def asked(self, message: AppliedQuery) -> AppliedReport:
         """The answer to a question."""
         return self._told(message.keys[:ASKED_MOST])
 
-    def _told(self, keys: Iterable[str]) -> Acting:
+    def _told(self, keys: Iterable[str]) -> AppliedReport:
         chosen = tuple(keys)
         acted, refused = self.state.acted, self.state.refused
         first = sorted(refused, key=lambda key: key not in chosen)
-        return Acting(
+        return AppliedReport(
             self._me,
             self._life,
             self._at,
             self.state.digest,
-            tuple(acted[key].content for key in chosen if key in acted),
+            tuple(acted[key].content_hash for key in chosen if key in acted),
             tuple(
-                (self.state.held[key].content, refused[key][:REASON_LIMIT]) for key in first[:REFUSED_MOST]
+                (self.state.held[key].content_hash, refused[key][:REASON_LIMIT])
+                for key in first[:REFUSED_MOST]
             ),
             len(refused) > REFUSED_MOST,
         )
@@ -152,20 +153,22 @@
     def watch(self, now: float, row: Row) -> None:
         """Keep who acts on this row; ask those who don't say so."""
         watch = self._watches.get(row.key)
-        if watch is None or watch.content != row.content:
+        if watch is None or watch.content != row.content_hash:
             self._watches.pop(row.key, None)
             if len(self._watches) >= WATCHED:
                 del self._watches[next(iter(self._watches))]
-            watch = self._watches[row.key] = _Watch(row, row.content, now, now)
+            watch = self._watches[row.key] = _Watch(row, row.content_hash, now, now)
         watch.until = now + INTEREST
         self._ask_at = min(self._ask_at, now + ASK_EVERY)
 
-    def heard(self, message: Acting, living: Living) -> None:
+    def heard(self, message: AppliedReport, living: LiveInstances) -> None:
         """A member has told what it acts on. One that is not known in this life says nothing of it."""
         life, at = self._heard.get(message.sender, (0, 0))
-        if living.get(message.sender) != message.life or (life == message.life and message.at < at):
+        if living.get(message.sender) != message.instance_id or (
+            life == message.instance_id and message.at < at
+        ):
             return
-        self._heard[message.sender] = message.life, message.at
+        self._heard[message.sender] = message.instance_id, message.at
         # Guards against a digest that covers rows which the sender refuses and has no room to name.
         all_of_it = message.digest == self._table.digest() and not message.more
         refused, rows = dict(message.refused), set(message.rows)
@@ -173,30 +176,30 @@
             if watch.content in rows or (
                 all_of_it and watch.content not in refused and self._table.get(key) == watch.row
             ):
-                watch.lives[message.sender] = message.life
+                watch.lives[message.sender] = message.instance_id
                 watch.refused.pop(message.sender, None)
             elif watch.content in refused:
-                watch.refused[message.sender] = message.life, refused[watch.content]
+                watch.refused[message.sender] = message.instance_id, refused[watch.content]
                 watch.lives.pop(message.sender, None)
 
-    def standing(self, now: float, row: Row, living: Living) -> Standing:
+    def standing(self, now: float, row: Row, living: LiveInstances) -> CommitStatus:
         """Who acts on a row now."""
         held = self._table.get(row.key)
         if held != row:
-            return Standing((), (), held if held is not None else row)
+            return CommitStatus((), (), held if held is not None else row)
         self.watch(now, row)
         watch = self._watches[row.key]
         missing = self._missing(watch, living)
         acting = [name for name in living if name not in missing]
-        return Standing(tuple(sorted(acting)), tuple(sorted(missing.items())))
+        return CommitStatus(tuple(sorted(acting)), tuple(sorted(missing.items())))
 
-    def _missing(self, watch: _Watch, living: Living) -> dict[str, str]:
+    def _missing(self, watch: _Watch, living: LiveInstances) -> dict[str, str]:
         """Those who don't act on a row, and why where they said so."""
         mine = self.state.acted.get(watch.row.key)
         missing: dict[str, str] = {}
         for name, life in living.items():
             if name == self._me:
-                if mine is None or mine.content != watch.content:
+                if mine is None or mine.content_hash != watch.content:
                     missing[name] = self.state.refused.get(watch.row.key, "")
             elif watch.lives.get(name) != life:
                 told = watch.refused.get(name)
@@ -209,7 +212,7 @@
         """When `tick` has something to do."""
         return min([self._ask_at, *(when for when, _ in self._owed.values())])
 
-    def tick(self, now: float, living: Living) -> list[Said]:
+    def tick(self, now: float, living: LiveInstances) -> list[Said]:
         """What is to be said now."""
         said: list[Said] = []
         for writer, (when, keys) in list(self._owed.items()):
@@ -221,7 +224,7 @@
             said += self._questions(now, living)
         return said
 
-    def _questions(self, now: float, living: Living) -> list[Said]:
+    def _questions(self, now: float, living: LiveInstances) -> list[Said]:
         """Ask those who have not told of rows that someone waits for, so many at a time."""
         wait = self._lasts(len(living)) + ASK_AFTER
         wanted = [watch for watch in self._watches.values() if watch.until > now]
@@ -239,5 +242,5 @@
         for when, name in late[:ASKED_AT_ONCE]:
             if now - when >= ASK_AGAIN or name not in self._asked:
                 self._asked[name] = now
-                said.append((name, AskActing(self._me, tuple(open_[name][:ASKED_MOST]))))
+                said.append((name, AppliedQuery(self._me, tuple(open_[name][:ASKED_MOST]))))
         return said
--- a/pipitshed/replication/budget.py
+++ b/pipitshed/replication/budget.py
@@ -9,7 +9,7 @@
 HUNGRY = 1.0  # s that a table which was put off has its share kept for it
 
 
-class Budget:
+class BandwidthBudget:
     """What all tables may send together. What goes anyway is charged too. Times are seconds
     of any clock that goes forward.
     """
--- a/pipitshed/replication/carrier.py
+++ b/pipitshed/replication/carrier.py
@@ -8,10 +8,18 @@
 
 import msgspec
 
-from pipitshed.replication.budget import Budget
+from pipitshed.replication.budget import BandwidthBudget
 from pipitshed.replication.messages import ROOM, Compare, Items, Rows
-from pipitshed.replication.repair import ANSWERS, PULLED, Address, Held, Out, Repair, sampled
-from pipitshed.replication.rumours import Rumours, tellings
+from pipitshed.replication.repair import (
+    ANSWERS,
+    PULLED,
+    Address,
+    AntiEntropy,
+    ComparableTable,
+    OutgoingMessage,
+    sampled,
+)
+from pipitshed.replication.rumours import GossipQueue, transmission_limit
 
 AROUND = 50  # bytes around a message: the headers of IP and UDP, and the edge's frame
 FRAME = AROUND + 20  # and what holds the items
@@ -31,27 +39,27 @@
 ALONE = 3.0  # s after which a table is held to be caught up where no seed knows more
 
 
-class Carried(Held, Protocol):
+class ReplicatedTable(ComparableTable, Protocol):
     """A table that is carried."""
 
-    number: int  # counts its changes
+    change_count: int  # counts its changes
     caught_up: bool  # whether it was compared with a peer that was, or there is none
 
 
-class Carrier:
+class Replicator:
     """One scheduler's tables. Times are seconds of any clock that goes forward; peers have a name and an
     address.
     """
 
     def __init__(
-        self, tables: Sequence[Carried], rng: random.Random, now: float, seeds: Sequence[Address]
+        self, tables: Sequence[ReplicatedTable], rng: random.Random, now: float, seeds: Sequence[Address]
     ) -> None:
         """`seeds`: whom this one joins by; where there are none, it is the first."""
         self.tables = tables
-        self.budget = Budget(len(tables), now)
-        self.repair = Repair(tables, self.budget, rng, FRAME)
-        self.queues: list[Rumours[Any]] = [Rumours() for _ in tables]
-        self.heard: dict[str, tuple[bytes, ...]] = {}  # the digests that each peer told last, by name
+        self.budget = BandwidthBudget(len(tables), now)
+        self.repair = AntiEntropy(tables, self.budget, rng, FRAME)
+        self.queues: list[GossipQueue[Any]] = [GossipQueue() for _ in tables]
+        self.peer_digests: dict[str, tuple[bytes, ...]] = {}  # the digests that each peer told last, by name
         self._rng = rng
         self._began = now
         self._seeds = frozenset(seeds)
@@ -72,10 +80,12 @@
         """What is told of the tables; empty for one not caught up, as nobody may take it for whole."""
         return tuple(table.tree.digest() if table.caught_up else b"" for table in self.tables)
 
-    def hear(self, now: float, name: str, address: Address, digests: tuple[bytes, ...]) -> list[Out]:
+    def receive_digests(
+        self, now: float, name: str, address: Address, digests: tuple[bytes, ...]
+    ) -> list[OutgoingMessage]:
         """A peer told its digests."""
-        self.heard[name] = digests
-        out: list[Out] = []
+        self.peer_digests[name] = digests
+        out: list[OutgoingMessage] = []
         for place, (table, digest) in enumerate(zip(self.tables, digests, strict=False)):
             if digest == table.tree.digest():
                 table.caught_up = True
@@ -97,22 +107,22 @@
 
     def agree(self, name: str) -> bool | None:
         """Whether a peer told the digest of the first table that is held here; None where it told none."""
-        told = self.heard.get(name)
+        told = self.peer_digests.get(name)
         return None if not told else told[0] == self.tables[0].tree.digest()
 
     # ---- rumours
 
-    def tell(self, place: int, item: Any) -> None:
+    def queue_item(self, place: int, item: Any) -> None:
         """Pass this on from now on."""
         self.queues[place].add(item)
         self._agreeing[place] = 0
 
-    def tell_repaired(self, now: float, place: int, item: Any, fleet: int, among: int) -> None:
+    def queue_repaired(self, now: float, place: int, item: Any, fleet: int, among: int) -> None:
         """Pass on what came by repair `among` so many, a few times and while few wait. Where much is lacking
         here, others know it, or will repair as well.
         """
         if among <= SINGLE and len(self.queues[place]) < FEW and not self._is_behind(now, place):
-            self.queues[place].add(item, max(0, tellings(fleet) - AGAIN))
+            self.queues[place].add(item, max(0, transmission_limit(fleet) - AGAIN))
 
     def take(
         self,
@@ -128,7 +138,7 @@
         Nothing of a table whose digest the receiver told last; but of `all_of` in any case.
         And nothing of what the receiver has just told itself, `but`.
         """
-        told = self.heard.get(to, ())
+        told = self.peer_digests.get(to, ())
         chosen: list[Any] = [()] * len(self.tables)
         for place, queue in enumerate(self.queues):
             if len(queue) and self._agreeing[place] >= ENOUGH and place != all_of:
@@ -155,7 +165,7 @@
     def fresh(self, now: float, place: int, items: Sequence[Any]) -> None:
         """Told by a peer as fresh, or put here: pass them on, at once by `push` and with probes."""
         for item in items:
-            self.tell(place, item)
+            self.queue_item(place, item)
         if not self._is_behind(now, place):
             self._pushing[place] += [item.key for item in items]
 
@@ -164,15 +174,17 @@
         """Whether there is something to push."""
         return any(self._pushing)
 
-    def push(self, now: float, peers: Sequence[Address]) -> list[Out]:
+    def push(self, now: float, peers: Sequence[Address]) -> list[OutgoingMessage]:
         """Tell these peers what is fresh, where the budget has room; where not, probes carry it."""
-        out: list[Out] = []
+        out: list[OutgoingMessage] = []
         for place, keys in enumerate(self._pushing):
             if keys:
                 _, packed = self.repair.packed(self.tables[place], keys, ROOM)
                 message = Rows(place, packed, fresh=True)
                 out += [
-                    Out(peer, message) for peer in peers if self.repair.room(now, place, message, ANSWERS)
+                    OutgoingMessage(peer, message)
+                    for peer in peers
+                    if self.repair.room(now, place, message, ANSWERS)
                 ]
                 keys.clear()
         return out
@@ -185,13 +197,13 @@
         place: int,
         in_any_case: bool = False,
         others: Callable[[], list[Address]] | None = None,
-    ) -> list[Out]:
+    ) -> list[OutgoingMessage]:
         """Begin an exchange with one that lately told another digest, where that is no longer news under way,
         or in any case. While much is lacking, with several, and with `others` where none is known.
         """
         table = self.tables[place]
-        if self._changed[place][0] != table.number:
-            self._changed[place] = table.number, now
+        if self._changed[place][0] != table.change_count:
+            self._changed[place] = table.change_count, now
         behind = self._is_behind(now, place)
         # As many at a time as have something to ask: more would ask for a little each.
         most = 2 + min(MOST_EXCHANGES, self.repair.lacks(place) // PULLED) if behind else 1
@@ -215,18 +227,18 @@
             self._behind[place] = now + QUIET
         return now < self._behind[place] or not self.tables[place].caught_up
 
-    def ask(self, now: float, place: int, address: Address) -> list[Out]:
+    def ask(self, now: float, place: int, address: Address) -> list[OutgoingMessage]:
         """Begin an exchange with this one, though it was silent or in vain before."""
         return self.repair.begin(now, place, address) if self.repair.free(place, address) else []
 
-    def look(self, now: float, address: Address) -> list[Out]:
+    def look(self, now: float, address: Address) -> list[OutgoingMessage]:
         """Compare a range of one table, both drawn at random, whatever the digests are."""
         place = self._rng.randrange(len(self.tables))
         return self.repair.look(now, place, address) if self.repair.may(now, place, address) else []
 
     def answer(
         self, now: float, address: Address, part: Compare | Items, others: Callable[[], list[Address]]
-    ) -> list[Out]:
+    ) -> list[OutgoingMessage]:
         """What a peer asks, or answers to a comparison. A table that has not caught up answers nobody: what
         it lacks would be taken for what there is not.
         """
@@ -247,7 +259,7 @@
         gained: int,
         newer: Sequence[str],
         others: Callable[[], list[Address]],
-    ) -> list[Out]:
+    ) -> list[OutgoingMessage]:
         """A peer's items were taken: so many were new, and of the keys `newer` newer ones are held here."""
         much = gained >= MUCH or (gained > 0 and sampled(part))
         if much:
@@ -255,7 +267,7 @@
         out = self.repair.told(now, address, part, gained, newer)
         return out + (self.consider(now, part.table, False, others) if much else [])
 
-    def tick(self, now: float) -> list[Out]:
+    def handle_timeouts(self, now: float) -> list[OutgoingMessage]:
         """What has come due of the exchanges."""
         return self.repair.tick(now)
 
@@ -272,7 +284,7 @@
                 if (
                     not table.caught_up
                     and self._unknowing[place] == self._seeds
-                    and not any(len(told) > place and told[place] for told in self.heard.values())
+                    and not any(len(told) > place and told[place] for told in self.peer_digests.values())
                 ):
                     table.caught_up = True
 
--- a/pipitshed/replication/digests.py
+++ b/pipitshed/replication/digests.py
@@ -31,7 +31,7 @@
     return (node.bit_length() - 1) // 4
 
 
-class Tree:
+class MerkleTree:
     """What is held in each range: how many items, and the sum of their hashes. A change costs the depth. A
     sum, not an exclusive or, so that an item that is counted twice does not vanish.
     """
--- a/pipitshed/replication/repair.py
+++ b/pipitshed/replication/repair.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from pipitshed.replication.budget import Budget
-from pipitshed.replication.digests import DEPTH, MARK, ROOT, WAYS, Tree, depth, sound
+from pipitshed.replication.budget import BandwidthBudget
+from pipitshed.replication.digests import DEPTH, MARK, ROOT, WAYS, MerkleTree, depth, sound
 from pipitshed.replication.messages import ROOM, Compare, Items, Range, Rows, pack
 
 Address = tuple[str, int]
@@ -37,11 +37,11 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-class Held(Protocol):
+class ComparableTable(Protocol):
     """A table as repair sees it."""
 
     @property
-    def tree(self) -> Tree:
+    def tree(self) -> MerkleTree:
         """Its digests."""
 
     def get(self, key: str) -> Any:
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class Out:
+class OutgoingMessage:
     """Send this message."""
 
     to: Address
@@ -88,10 +88,12 @@
     partly: bool = False  # some of what differs was not looked at, or not fetched
 
 
-class Repair:
+class AntiEntropy:
     """All exchanges of one scheduler, for all its tables."""
 
-    def __init__(self, tables: Sequence[Held], budget: Budget, rng: random.Random, frame: int) -> None:
+    def __init__(
+        self, tables: Sequence[ComparableTable], budget: BandwidthBudget, rng: random.Random, frame: int
+    ) -> None:
         """`frame`: bytes around a message, at the most."""
         self._tables = tables
         self._budget = budget
@@ -127,11 +129,11 @@
         if self._strikes:
             self._strikes.pop((table, peer), None)
 
-    def begin(self, now: float, table: int, peer: Address) -> list[Out]:
+    def begin(self, now: float, table: int, peer: Address) -> list[OutgoingMessage]:
         """Compare all of a table with a peer, and fetch what differs."""
         return self._lead(now, _Exchange(table, peer, now + LASTS, compare=[ROOT]))
 
-    def look(self, now: float, table: int, peer: Address) -> list[Out]:
+    def look(self, now: float, table: int, peer: Address) -> list[OutgoingMessage]:
         """Compare a range drawn at random item by item, whatever its digests are: guards against digests that
         collide.
         """
@@ -142,7 +144,7 @@
             now, _Exchange(table, peer, now + LASTS, fetch={node: (UNKNOWN, LEAF)}, partly=True)
         )
 
-    def _lead(self, now: float, exchange: _Exchange) -> list[Out]:
+    def _lead(self, now: float, exchange: _Exchange) -> list[OutgoingMessage]:
         exchange.began_with = self._tables[exchange.table].tree.digest()
         self._led[exchange.table, exchange.peer] = exchange
         return self._next(now, exchange)
@@ -152,9 +154,9 @@
         due = min((one.due for one in self._led.values()), default=None)
         return due if not self._waiting else self._answer_at if due is None else min(due, self._answer_at)
 
-    def tick(self, now: float) -> list[Out]:
+    def tick(self, now: float) -> list[OutgoingMessage]:
         """Ask again where no answer came, or what the budget had no room for."""
-        out: list[Out] = []
+        out: list[OutgoingMessage] = []
         if self._waiting and now >= self._answer_at:
             waiting, self._waiting = self._waiting, {}
             for (_, peer), question in waiting.items():
@@ -185,7 +187,7 @@
             del self._strikes[next(iter(self._strikes))]
         self._strikes[place] = strikes, now + STRIKE * 2 ** (strikes - 1)
 
-    def _next(self, now: float, one: _Exchange) -> list[Out]:
+    def _next(self, now: float, one: _Exchange) -> list[OutgoingMessage]:
         """The next question of an exchange; it ends where there is none."""
         tree = self._tables[one.table].tree
         message: msgspec.Struct | None = None
@@ -209,7 +211,7 @@
             del one.compare[: MOST_RANGES // WAYS]
         one.again = None
         one.asked, one.due = message, now + WITHIN * (1 + one.tries)
-        return [Out(one.peer, message)]
+        return [OutgoingMessage(one.peer, message)]
 
     def room(self, now: float, table: int, message: msgspec.Struct, left: int = 0) -> bool:
         """Whether the budget has room for a message, and leaves so many bytes; it is spent then."""
@@ -219,7 +221,7 @@
         self._budget.spend(now, table, size)
         return True
 
-    def _question(self, one: _Exchange, tree: Tree) -> Items | None:
+    def _question(self, one: _Exchange, tree: MerkleTree) -> Items | None:
         """Ask for ranges that differ, as many as one answer may hold; none that another exchange asks for."""
         busy = {
             node
@@ -254,7 +256,7 @@
 
     # ---- what comes
 
-    def compared(self, now: float, peer: Address, message: Compare) -> list[Out]:
+    def compared(self, now: float, peer: Address, message: Compare) -> list[OutgoingMessage]:
         """A peer's digests: to be answered, or the answer to one's own."""
         tree = self._tables[message.table].tree
         differ = [
@@ -268,9 +270,9 @@
                 table = self._tables[message.table]
                 some = [table.get(key) for key in tree.sample(self._rng, SAMPLE)]
                 few = Rows(message.table, pack(some), whole=False)
-                return [Out(peer, few)] if self.room(now, message.table, few) else []
+                return [OutgoingMessage(peer, few)] if self.room(now, message.table, few) else []
             answer = Compare(message.table, tuple(self._parted(tree, differ)), False)
-            return [Out(peer, answer)] if self.room(now, message.table, answer) else []
+            return [OutgoingMessage(peer, answer)] if self.room(now, message.table, answer) else []
         one = self._led.get((message.table, peer))
         if one is None or not isinstance(one.asked, Compare):
             return []
@@ -288,7 +290,7 @@
                 one.fetch[node] = total, items
         return self._next(now, one)
 
-    def _parted(self, tree: Tree, differ: list[Range]) -> list[Range]:
+    def _parted(self, tree: MerkleTree, differ: list[Range]) -> list[Range]:
         told: list[Range] = []
         for place, (node, _, items) in enumerate(differ):
             left = MOST_RANGES - len(told) - (len(differ) - place - 1)
@@ -298,7 +300,7 @@
                 told.append((node, *tree.node(node)))
         return told
 
-    def asked(self, now: float, peer: Address, message: Items) -> list[Out]:
+    def asked(self, now: float, peer: Address, message: Items) -> list[OutgoingMessage]:
         """A peer tells what it holds in some ranges: tell it what it lacks, and what is lacking here."""
         table = self._tables[message.table]
         theirs = _read(message.marks)
@@ -315,9 +317,11 @@
         lacking = [key for mark, key in ours if mark not in theirs]
         told, packed = self.packed(table, lacking, room)
         answer = Rows(message.table, packed, ranges, message.salt, wants, told == len(lacking))
-        return [Out(peer, answer)] if self.room(now, message.table, answer) else []
+        return [OutgoingMessage(peer, answer)] if self.room(now, message.table, answer) else []
 
-    def told(self, now: float, peer: Address, message: Rows, gained: int, newer: Sequence[str]) -> list[Out]:
+    def told(
+        self, now: float, peer: Address, message: Rows, gained: int, newer: Sequence[str]
+    ) -> list[OutgoingMessage]:
         """A peer told items; so many were new here, and of the keys `newer` a newer one is held."""
         out = self._give(now, peer, message, newer)
         one = self._led.get((message.table, peer))
@@ -336,7 +340,7 @@
         one.asked, one.tries = None, 0
         return out + (self._next(now, one) if now < one.ends else [])
 
-    def _give(self, now: float, peer: Address, message: Rows, newer: Sequence[str]) -> list[Out]:
+    def _give(self, now: float, peer: Address, message: Rows, newer: Sequence[str]) -> list[OutgoingMessage]:
         """Tell a peer what it wants, and what it holds in an older version."""
         held, out = self._tables[message.table], []
         wants = _read(message.wants)
@@ -356,11 +360,11 @@
             answer = Rows(message.table, packed)
             if not told or not self.room(now, message.table, answer):
                 break  # the rest is found again by a later exchange
-            out.append(Out(peer, answer))
+            out.append(OutgoingMessage(peer, answer))
             del keys[:told]
         return out
 
-    def packed(self, table: Held, keys: Sequence[str], room: int) -> tuple[int, bytes]:
+    def packed(self, table: ComparableTable, keys: Sequence[str], room: int) -> tuple[int, bytes]:
         """The first of these items, as many as have room packed; how many they are."""
         items: list[Any] = []
         size = 0.0
--- a/pipitshed/replication/row.py
+++ b/pipitshed/replication/row.py
@@ -36,11 +36,11 @@
         return len(_encoder.encode(self))
 
     @property
-    def content(self) -> int:
+    def content_hash(self) -> int:
         """A hash of all of it."""
         return hashed(_encoder.encode(self))
 
-    def sound(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether it has the form of a row; what strangers send is held against it."""
         return (
             0 < len(self.key.encode()) <= KEY_LIMIT
@@ -51,8 +51,8 @@
         )
 
 
-def rank(row: Row) -> tuple[int, int, bool, int]:
+def precedence(row: Row) -> tuple[int, int, bool, int]:
     """What is newer has the higher rank. A total order: of two contents under one number the same one stands
     everywhere.
     """
-    return row.term, row.number, row.deleted, row.content
+    return row.term, row.number, row.deleted, row.content_hash
--- a/pipitshed/replication/rows.py
+++ b/pipitshed/replication/rows.py
@@ -8,13 +8,13 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from pipitshed.replication.digests import Tree
-from pipitshed.replication.row import FORM, KEY_LIMIT, WRITER_LIMIT, Row, rank
+from pipitshed.replication.digests import MerkleTree
+from pipitshed.replication.row import FORM, KEY_LIMIT, WRITER_LIMIT, Row, precedence
 
 __all__ = ["FORM", "Row", "RowError", "RowTable", "Taken"]
 
 
-class Taken(enum.Enum):
+class ApplyResult(enum.Enum):
     """What became of a row that was told."""
 
     NEW = "new"  # it stands now
@@ -42,10 +42,10 @@
         """`most_bytes` of all rows as they are sent, `row_limit` bytes of one."""
         self.name = name
         self.most_rows, self.most_bytes, self.row_limit = most_rows, most_bytes, row_limit
-        self.number = 0  # counts changes
+        self.change_count = 0  # counts changes
         self.counts: Counter[str] = Counter()  # rows taken, by `Taken`, and `conflicts` and `writers`
         self.caught_up = False  # whether it was compared with a peer since the start, or there is none
-        self.tree = Tree()
+        self.tree = MerkleTree()
         self._rows: dict[str, Row] = {}
         self._bytes = 0
 
@@ -86,31 +86,31 @@
             if not held.readable:
                 raise RowError(f"{key}: of a newer program (form {held.form}); it has to be taken over")
         row = Row(key, term + take_over, number + 1, writer, body, deleted)
-        told = self.take(row)
-        if told is not Taken.NEW:
+        told = self.apply(row)
+        if told is not ApplyResult.NEW:
             raise RowError(f"{key}: {self._why(told, row)}")
         return row
 
-    def _why(self, told: Taken, row: Row) -> str:
+    def _why(self, told: ApplyResult, row: Row) -> str:
         return {
-            Taken.TOO_LONG: f"{row.size} bytes, {self.row_limit} at most",
-            Taken.TOO_MANY: f"no room: {len(self)} rows and deleted ones of {self.most_rows}, "
+            ApplyResult.TOO_LONG: f"{row.size} bytes, {self.row_limit} at most",
+            ApplyResult.TOO_MANY: f"no room: {len(self)} rows and deleted ones of {self.most_rows}, "
             f"{self._bytes} bytes of {self.most_bytes}",
-            Taken.UNSOUND: f"its key has 1 to {KEY_LIMIT} bytes, its writer 1 to {WRITER_LIMIT}",
+            ApplyResult.UNSOUND: f"its key has 1 to {KEY_LIMIT} bytes, its writer 1 to {WRITER_LIMIT}",
         }[told]
 
-    def take(self, row: Row) -> Taken:
+    def apply(self, row: Row) -> ApplyResult:
         """Take a row where it is newer than what is held."""
         told = self._take(row)
         self.counts[told.value] += 1
         return told
 
-    def _take(self, row: Row) -> Taken:
+    def _take(self, row: Row) -> ApplyResult:
         held = self._rows.get(row.key)
         if held == row:
-            return Taken.SAME
-        if not row.sound():
-            return Taken.UNSOUND
+            return ApplyResult.SAME
+        if not row.is_valid():
+            return ApplyResult.UNSOUND
         if held is not None:
             version, ours = (row.term, row.number), (held.term, held.number)
             if version == ours:
@@ -119,18 +119,18 @@
                 # One writer a row in each term: who breaks this is counted, and ranked like any other, as
                 # whoever came first would otherwise stand here and not there.
                 self.counts["writers"] += 1
-            if rank(row) < rank(held):
-                return Taken.CONFLICT if version == ours else Taken.OLD
+            if precedence(row) < precedence(held):
+                return ApplyResult.CONFLICT if version == ours else ApplyResult.OLD
         size = row.size
         if size > self.row_limit:
-            return Taken.TOO_LONG
+            return ApplyResult.TOO_LONG
         more = size - (held.size if held is not None else 0)
         if (held is None and len(self) >= self.most_rows) or (
             more > 0 and self._bytes + more > self.most_bytes
         ):
-            return Taken.TOO_MANY
+            return ApplyResult.TOO_MANY
         self._rows[row.key] = row
         self._bytes += more
-        self.number += 1
-        self.tree.put(row.key, row.content)
-        return Taken.NEW
+        self.change_count += 1
+        self.tree.put(row.key, row.content_hash)
+        return ApplyResult.NEW
--- a/pipitshed/replication/rumours.py
+++ b/pipitshed/replication/rumours.py
@@ -7,10 +7,10 @@
 from typing import Generic, Protocol, TypeVar
 
 TELLINGS = 4  # times log10 of the fleet that an item is passed on
-MOST_RUMOURS = 512  # items that wait to be passed on
+MAX_QUEUED_ITEMS = 512  # items that wait to be passed on
 
 
-class Told(Protocol):
+class GossipItem(Protocol):
     """What can be told: a member's word, a row."""
 
     @property
@@ -22,10 +22,10 @@
         """Bytes that it takes in a message."""
 
 
-T = TypeVar("T", bound=Told)
+T = TypeVar("T", bound=GossipItem)
 
 
-class Rumours(Generic[T]):
+class GossipQueue(Generic[T]):
     """What one table still has to tell, by how often it has been. One item a key: a newer one takes the place
     of the older.
     """
@@ -42,7 +42,7 @@
         wait, one of the most told goes.
         """
         self._drop(item.key)
-        if len(self._level) >= MOST_RUMOURS:
+        if len(self._level) >= MAX_QUEUED_ITEMS:
             self._drop(next(iter(next(level for level in reversed(self._levels) if level))))
         self._put(item, told)
 
@@ -77,7 +77,7 @@
                 chosen.append((times, item))
             if room < 0:
                 break
-        most = tellings(fleet)
+        most = transmission_limit(fleet)
         for times, item in reversed(chosen):
             self._drop(item.key)
             if times + 1 < most:
@@ -85,6 +85,6 @@
         return tuple(item for _, item in chosen)
 
 
-def tellings(fleet: int) -> int:
+def transmission_limit(fleet: int) -> int:
     """How often an item is passed on by each in a fleet of this size."""
     return TELLINGS * math.ceil(math.log10(fleet + 1) + 0.001)
--- a/pipitshed/server/server.py
+++ b/pipitshed/server/server.py
@@ -35,8 +35,8 @@
 from pipitshed.upstream.http import HttpWorkerClient
 
 if TYPE_CHECKING:
-    from pipitshed.cluster.node import Fleet
-    from pipitshed.cluster.peers_file import Peers
+    from pipitshed.cluster.node import ClusterNode
+    from pipitshed.cluster.peers_file import ClusterConfig
     from pipitshed.discovery.dns_sd import DnsSdClient
     from pipitshed.discovery.placement_plan import PlacementPlanSource
     from pipitshed.server.translation import TranslationParts
@@ -64,7 +64,11 @@
     """One running scheduler."""
 
     def __init__(
-        self, config: Config, front: FrontConfig, loop: asyncio.AbstractEventLoop, peers: Peers | None = None
+        self,
+        config: Config,
+        front: FrontConfig,
+        loop: asyncio.AbstractEventLoop,
+        peers: ClusterConfig | None = None,
     ) -> None:
         self._loop = loop
         self._ended = asyncio.Event()
@@ -224,20 +228,20 @@
             self._loop,
         )
 
-    def _fleet(self, config: Config, front: FrontConfig, peers: Peers) -> Fleet:
+    def _fleet(self, config: Config, front: FrontConfig, peers: ClusterConfig) -> ClusterNode:
         # Imported where it is asked for, as above; only the option `--fleet` asks.
-        from pipitshed.cluster.node import Fleet
-        from pipitshed.cluster.settings import Tuned
+        from pipitshed.cluster.node import ClusterNode
+        from pipitshed.cluster.settings import SettingsTarget
 
         zone = config.zones[config.settings.own_zone] if config.zones else ""
         # Gearman's functions and workers know the classes by the numbers of the start.
         fixed = frozenset(name for name, *_ in front.functions.values()) if front.listen else frozenset()
-        tuned = Tuned(
+        tuned = SettingsTarget(
             lambda: self.config.raw or {},
             lambda settings: self._retune(with_settings(self.config, settings)),
             fixed,
         )
-        return Fleet(peers, zone, self._loop, tuned)
+        return ClusterNode(peers, zone, self._loop, tuned)
 
     def _hurry(self, config: Config) -> None:
         if self.discovery is not None and config.settings.endpoints_pushed:
@@ -277,8 +281,8 @@
             log.error("the configuration stays as it was: %s", error)
             return
         self.conf_loaded += 1
-        if self.fleet is not None and self.fleet.rows is not None and config.raw is not None:
-            config = with_settings(config, self.fleet.rows.over(config.raw))
+        if self.fleet is not None and self.fleet.settings is not None and config.raw is not None:
+            config = with_settings(config, self.fleet.settings.over(config.raw))
         change = self._retune(config)
         log.info("settings read anew: %s; at most %d attempts", change, config.settings.limits.max_attempts)
         if self.discovery is None or config.discovery is None:
@@ -394,7 +398,7 @@
         self._loop.call_later(SETTLE, self._ended.set)
 
 
-def serve(config: Config, front: FrontConfig, peers: Peers | None = None) -> None:
+def serve(config: Config, front: FrontConfig, peers: ClusterConfig | None = None) -> None:
     """Run one scheduler to its end, alone or among the peers that a file names."""
 
     async def run() -> None:
--- a/pipitshed/testbed/fleet/puts.py
+++ b/pipitshed/testbed/fleet/puts.py
@@ -9,14 +9,14 @@
 
 from pipitshed.cli.fleet import AskError, ask
 from pipitshed.cluster.codec import Codec
-from pipitshed.cluster.messages import AskForce, Force, PutDone, Said, ShownRows, ShowRows
+from pipitshed.cluster.messages import AskForce, ClusterMessage, Force, PutDone, ShownRows, ShowRows
 from pipitshed.cluster.messages import Put as PutRow
 from pipitshed.testbed.fleet.processes import Process, Processes
 from pipitshed.testbed.fleet.scenario import Put
 
 LOOK = 0.1  # s between questions whether one is in force
 WITHIN = 20.0  # s for which one is followed
-_Told = TypeVar("_Told", bound=Said)
+_Told = TypeVar("_Told", bound=ClusterMessage)
 
 
 class Puts:
@@ -78,5 +78,5 @@
             await asyncio.sleep(LOOK)
         return "not in force", version
 
-    async def _ask(self, process: Process, message: Said, wanted: type[_Told]) -> _Told:
+    async def _ask(self, process: Process, message: ClusterMessage, wanted: type[_Told]) -> _Told:
         return await asyncio.to_thread(ask, process.real, self._codec, message, wanted)
--- a/pipitshed/testbed/fleet/scenario.py
+++ b/pipitshed/testbed/fleet/scenario.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pipitshed.membership.timing import Scales
+from pipitshed.membership.timing import ProtocolTimings
 from pipitshed.protocols.toml import line_of
 from pipitshed.testbed.program import TENANTS
 
@@ -100,7 +100,7 @@
     zones: int = 3
     planners: int = 4
     seeds: int = 2  # processes that others join by
-    scales: Scales = msgspec.field(default_factory=Scales)
+    scales: ProtocolTimings = msgspec.field(default_factory=ProtocolTimings)
 
 
 class Traffic(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
--- a/pipitshed/testbed/virtual_fleet.py
+++ b/pipitshed/testbed/virtual_fleet.py
@@ -9,9 +9,9 @@
 from typing import cast
 
 from pipitshed.cluster.codec import DATAGRAM_LIMIT, Codec
-from pipitshed.membership.members import Address, State
+from pipitshed.membership.members import Address, MemberState
 from pipitshed.membership.messages import Message
-from pipitshed.membership.timing import Scales
+from pipitshed.membership.timing import ProtocolTimings
 from pipitshed.testbed.virtual_view import Network, Node
 
 ZONES = ("norte/1", "norte/2", "norte/3", "centro/1", "centro/2", "sur/1", "sur/2")
@@ -48,7 +48,7 @@
 class Fleet(Network):
     """Schedulers in zones."""
 
-    def __init__(self, seed: int, loss: float = 0.0, scales: Scales | None = None) -> None:
+    def __init__(self, seed: int, loss: float = 0.0, scales: ProtocolTimings | None = None) -> None:
         super().__init__(seed, scales, loss, tables=(SETTINGS,), zones=ZONES)
         self.codec = Codec("fleet")
         self.seeds: list[int] = []
@@ -93,8 +93,8 @@
         views = [node.membership.view for node in self.nodes.values()]
         return (
             len({view.digest() for view in views}) == 1
-            and [(word.name, word.address) for word in views[0].living()] == self.truth()
-            and all(word.state is not State.SUSPECT for view in views for word in view)
+            and [(word.name, word.address) for word in views[0].live_members()] == self.truth()
+            and all(word.state is not MemberState.SUSPECT for view in views for word in view)
         )
 
     def one_table(self) -> bool:
@@ -110,7 +110,7 @@
     def quiet(self) -> bool:
         """Whether that is so and nobody has anything left to tell."""
         return self.whole() and not any(
-            len(queue) for node in self.nodes.values() for queue in node.membership.carrier.queues
+            len(queue) for node in self.nodes.values() for queue in node.membership.replicator.queues
         )
 
     def until(self, holds: Callable[[], bool], within: float, step: float) -> float | None:
--- a/pipitshed/testbed/virtual_view.py
+++ b/pipitshed/testbed/virtual_view.py
@@ -10,11 +10,11 @@
 from heapq import heappop, heappush
 from itertools import count
 
-from pipitshed.membership.effects import Displaced, Effect, News, RowNews, Tell
-from pipitshed.membership.members import Address, State, Word
+from pipitshed.membership.effects import Instruction, MemberStateChanged, RowsChanged, SendMessage, Superseded
+from pipitshed.membership.members import Address, MemberRecord, MemberState
 from pipitshed.membership.messages import Message
 from pipitshed.membership.protocol import Membership
-from pipitshed.membership.timing import Scales
+from pipitshed.membership.timing import ProtocolTimings
 from pipitshed.replication.carrier import message_size
 from pipitshed.replication.row import Row
 from pipitshed.replication.rows import RowTable
@@ -44,7 +44,7 @@
     def __init__(
         self,
         seed: int,
-        scales: Scales | None = None,
+        scales: ProtocolTimings | None = None,
         loss: float = 0.0,
         delay: tuple[float, float] = (0.0005, 0.010),
         tables: tuple[str, ...] = (),
@@ -52,14 +52,14 @@
     ) -> None:
         """Each process carries a table of each of the names `tables`."""
         self.rng = random.Random(seed)
-        self.scales = scales or Scales()
+        self.scales = scales or ProtocolTimings()
         self.loss, self.delay = loss, delay
         self.tables, self.zones = tables, zones
         self.now = 0.0
         self.nodes: dict[Address, Node] = {}
         self.timers_first = False  # a loop that wakes runs its timers before it reads its sockets
         self.cut: Callable[[Address, Address], bool] = lambda source, target: False
-        self.news: list[tuple[float, str, News]] = []
+        self.news: list[tuple[float, str, MemberStateChanged]] = []
         self.row_news: list[tuple[float, str, Row]] = []
         self.displaced: list[str] = []
         self.sent: Counter[str] = Counter()
@@ -75,7 +75,9 @@
         address = ("127.0.0.1", self.first_port + number)
         incarnation = int((1_000_000 + self.now + clock) * 1000)
         name = name or f"n{number}"
-        me = Word(name, *address, self.zone_of(number), incarnation, self.rng.randrange(2**32), said_by=name)
+        me = MemberRecord(
+            name, *address, self.zone_of(number), incarnation, self.rng.randrange(2**32), reported_by=name
+        )
         tables = tuple(RowTable(table) for table in self.tables)
         membership = Membership(
             me,
@@ -110,7 +112,7 @@
     def put(self, node: Node, *rows: tuple[str, bytes], table: int = 0) -> None:
         """Put rows into one of its tables."""
         put = [node.tables[table].put(key, body, node.name) for key, body in rows]
-        self._carry_out(node, node.membership.spread(self.now, node.tables[table].name, put))
+        self._carry_out(node, node.membership.disseminate(self.now, node.tables[table].name, put))
         self._wake(node)
 
     def stop(self, node: Node, seconds: float) -> None:
@@ -147,8 +149,8 @@
         """Whether all that live hold exactly those alive that live."""
         truth = self.truth()
         return all(
-            [(word.name, word.address) for word in node.membership.view.living()] == truth
-            and all(word.state is State.ALIVE for word in node.membership.view.living())
+            [(word.name, word.address) for word in node.membership.view.live_members()] == truth
+            and all(word.state is MemberState.ALIVE for word in node.membership.view.live_members())
             for node in self.nodes.values()
         )
 
@@ -158,7 +160,7 @@
 
     def false_deaths(self) -> int:
         """How often one that lived was declared dead by one that lived."""
-        return sum(news.word.state is State.DEAD for _, _, news in self.news)
+        return sum(news.record.state is MemberState.DEAD for _, _, news in self.news)
 
     @property
     def log_hash(self) -> str:
@@ -169,35 +171,35 @@
 
     def _turn(self, node: Node, message: Message | None, source: Address) -> None:
         membership = node.membership
-        if self.timers_first and node.backlog and membership.due() <= self.now:
-            self._carry_out(node, membership.tick(self.now))
+        if self.timers_first and node.backlog and membership.next_due_at() <= self.now:
+            self._carry_out(node, membership.handle_timeouts(self.now))
         backlog, node.backlog = node.backlog, []
         for earlier, came_from in backlog:
-            self._carry_out(node, membership.hear(self.now, earlier, came_from))
+            self._carry_out(node, membership.handle_message(self.now, earlier, came_from))
         if message is not None:
-            self._carry_out(node, membership.hear(self.now, message, source))
+            self._carry_out(node, membership.handle_message(self.now, message, source))
         else:
-            if membership.due() <= self.now:
-                self._carry_out(node, membership.tick(self.now))
+            if membership.next_due_at() <= self.now:
+                self._carry_out(node, membership.handle_timeouts(self.now))
             self._wake(node)
 
     def _wake(self, node: Node) -> None:
         """Set the node's one alarm anew."""
         node.alarm = next(self._order)
-        when = max(node.membership.due(), self.now, node.stopped_until)
+        when = max(node.membership.next_due_at(), self.now, node.stopped_until)
         heappush(self._events, (when, node.alarm, node.address, node.alarm, None, node.address))
 
-    def _carry_out(self, node: Node, effects: list[Effect]) -> None:
+    def _carry_out(self, node: Node, effects: list[Instruction]) -> None:
         for effect in effects:
-            if isinstance(effect, Tell):
+            if isinstance(effect, SendMessage):
                 self._send(node, effect.to, effect.message)
-            elif isinstance(effect, News):
+            elif isinstance(effect, MemberStateChanged):
                 self.news.append((self.now, node.name, effect))
-                line = f"{self.now:.6f} {node.name} {effect.word.name} {effect.word.state}\n"
+                line = f"{self.now:.6f} {node.name} {effect.record.name} {effect.record.state}\n"
                 self._log.update(line.encode())
-            elif isinstance(effect, RowNews):
+            elif isinstance(effect, RowsChanged):
                 self.row_news += [(self.now, node.name, row) for row in effect.rows]
-            elif isinstance(effect, Displaced):
+            elif isinstance(effect, Superseded):
                 self.displaced.append(node.name)
 
     def _send(self, node: Node, to: Address, message: Message) -> None:
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -8,17 +8,17 @@
 import pytest
 
 from pipitshed.membership import protocol
-from pipitshed.membership.members import State, Word
-from pipitshed.membership.messages import Exchange
+from pipitshed.membership.members import MemberRecord, MemberState
+from pipitshed.membership.messages import RepairMessage
 from pipitshed.membership.protocol import Membership
-from pipitshed.membership.timing import Scales, suspicion_lasts
+from pipitshed.membership.timing import ProtocolTimings, suspicion_timeout_s
 from pipitshed.replication.messages import Rows, pack
 from pipitshed.testbed.virtual_fleet import Fleet, region, worst
 from pipitshed.testbed.virtual_view import Node
 
 
-def word(number: int, state: State = State.ALIVE) -> Word:
-    return Word(f"n{number}", "127.0.0.1", 10_000 + number, "z", 1, 1, state, "n0")
+def word(number: int, state: MemberState = MemberState.ALIVE) -> MemberRecord:
+    return MemberRecord(f"n{number}", "127.0.0.1", 10_000 + number, "z", 1, 1, state, "n0")
 
 
 def joined(size: int, rows: int = 0) -> Fleet:
@@ -84,21 +84,23 @@
     """A zone lost: its schedulers are suspected within the same seconds."""
     weighed = 0
 
-    def counted(scales: Scales, fleet: int, confirmations: int) -> float:
+    def counted(scales: ProtocolTimings, fleet: int, confirmations: int) -> float:
         nonlocal weighed
         weighed += 1
-        return suspicion_lasts(scales, fleet, confirmations)
+        return suspicion_timeout_s(scales, fleet, confirmations)
 
     suspects = 12
-    own_probes_far = Scales(period=1000.0, ack_within=500.0, suspect_for=0.001)
+    own_probes_far = ProtocolTimings(period=1000.0, ack_within=500.0, suspect_for=0.001)
     me = Membership(word(0), own_probes_far, [], random.Random(1), 0.0)
-    me.hear(0.0, Exchange(Rows(0, pack([word(number) for number in range(2, 40)])), word(1)), word(1).address)
-    monkeypatch.setattr(protocol, "suspicion_lasts", counted)
+    me.handle_message(
+        0.0, RepairMessage(Rows(0, pack([word(number) for number in range(2, 40)])), word(1)), word(1).address
+    )
+    monkeypatch.setattr(protocol, "suspicion_timeout_s", counted)
     for number in range(2, 2 + suspects):
-        told = Rows(0, pack([word(number, State.SUSPECT)]))
-        me.hear(number * 0.3, Exchange(told, word(1)), word(1).address)
-    while me.due() < 30.0 and any(member.state is State.SUSPECT for member in me.view):
-        me.tick(me.due())
-    gone = [member for member in me.view if member.state is State.DEAD]
+        told = Rows(0, pack([word(number, MemberState.SUSPECT)]))
+        me.handle_message(number * 0.3, RepairMessage(told, word(1)), word(1).address)
+    while me.next_due_at() < 30.0 and any(member.state is MemberState.SUSPECT for member in me.view):
+        me.handle_timeouts(me.next_due_at())
+    gone = [member for member in me.view if member.state is MemberState.DEAD]
     # Each judgement weighs those that are left: once to judge them, once for the time of the next.
     assert len(gone) == suspects and weighed <= suspects * (suspects + 2)
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -13,7 +13,7 @@
 import pytest
 import uvloop
 
-from pipitshed.membership.timing import Scales
+from pipitshed.membership.timing import ProtocolTimings
 from pipitshed.testbed.clients import Asked, HttpClients
 from pipitshed.testbed.fleet import oracles
 from pipitshed.testbed.fleet.play import Play, play, smallest
@@ -30,7 +30,7 @@
 )
 
 # Three times as fast as the default, so that a case takes seconds.
-FAST = Scales(period=0.1, ack_within=0.05, sync=0.6, sync_with_gone=1.0, tombstones=30.0)
+FAST = ProtocolTimings(period=0.1, ack_within=0.05, sync=0.6, sync_with_gone=1.0, tombstones=30.0)
 SETTLE = 6.0  # s; what the cases below need is a second or two
 WANTED = 2000.0  # ms; what a request takes is under 200
 GROUPS = [pytest.mark.xdist_group("rig-1"), pytest.mark.xdist_group("rig-2")]  # two plays at a time
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pipitshed.membership.members import Address, State, Word, rank
-from pipitshed.membership.timing import Scales, suspicion_lasts
-from pipitshed.membership.view import View
+from pipitshed.membership.members import Address, MemberRecord, MemberState, precedence
+from pipitshed.membership.timing import ProtocolTimings, suspicion_timeout_s
+from pipitshed.membership.view import MembershipView
 from pipitshed.testbed.virtual_view import Network
 
 WITHIN = 5.0  # s in which 20 schedulers settle after the last fault
@@ -28,28 +28,28 @@
     return network
 
 
-def words() -> st.SearchStrategy[Word]:
+def words() -> st.SearchStrategy[MemberRecord]:
     return st.builds(
-        Word,
+        MemberRecord,
         st.sampled_from(["a", "b", "c"]),
         st.just("127.0.0.1"),
         st.just(1),
         st.just("z"),
         st.integers(0, 3),
         st.integers(0, 1),
-        st.sampled_from(State),
+        st.sampled_from(MemberState),
     )
 
 
 @given(st.lists(words(), max_size=8), st.randoms(use_true_random=False))
-def test_views_join_the_same_in_any_order(told: list[Word], rng: random.Random) -> None:
+def test_views_join_the_same_in_any_order(told: list[MemberRecord], rng: random.Random) -> None:
     ends = []
     for _ in range(3):
-        view = View(60.0)
+        view = MembershipView(60.0)
         rng.shuffle(told)
         for word in told + told[:2]:
-            view.take(0.0, word)
-        ends.append(sorted((word.name, rank(word)) for word in view))
+            view.apply(0.0, word)
+        ends.append(sorted((word.name, precedence(word)) for word in view))
     assert ends[0] == ends[1] == ends[2]
 
 
@@ -60,7 +60,7 @@
         network.kill(node)
     assert network.settle(WITHIN) is not None
     # Each was suspected first, so that it could have refuted.
-    told = {news.word.name for _, _, news in network.news if news.word.state is State.SUSPECT}
+    told = {news.record.name for _, _, news in network.news if news.record.state is MemberState.SUSPECT}
     assert {"n3", "n4", "n5"} <= told
 
 
@@ -99,7 +99,7 @@
     network.run(60.0)
     assert network.false_deaths() == 0
     # Nobody is even suspected: what a direct probe does not reach, an indirect one does.
-    assert [news for _, _, news in network.news if news.word.state is State.SUSPECT] == []
+    assert [news for _, _, news in network.news if news.record.state is MemberState.SUSPECT] == []
     network.cut = lambda source, target: False
     assert network.settle(WITHIN) is not None
 
@@ -110,7 +110,9 @@
     network.stop(node, 5.0)
     network.run(5.0)
     assert network.settle(WITHIN) is not None
-    by_it = [news for _, name, news in network.news if name == node.name and news.word.state is State.DEAD]
+    by_it = [
+        news for _, name, news in network.news if name == node.name and news.record.state is MemberState.DEAD
+    ]
     assert by_it == []
 
 
@@ -126,7 +128,9 @@
     said = [
         news
         for _, name, news in network.news
-        if name == node.name and news.word.state >= State.SUSPECT and news.word.said_by == node.name
+        if name == node.name
+        and news.record.state >= MemberState.SUSPECT
+        and news.record.reported_by == node.name
     ]
     assert said == []
     assert network.settle(WITHIN) is not None
@@ -141,7 +145,9 @@
         network.start(8, [0, 1])
         network.run(0.6)
     assert network.settle(WITHIN) is not None
-    assert {news.word.name for _, _, news in network.news if news.word.state is State.DEAD} <= {name}
+    assert {news.record.name for _, _, news in network.news if news.record.state is MemberState.DEAD} <= {
+        name
+    }
 
 
 def test_a_name_that_comes_back_without_its_disk_and_on_another_address_is_alive() -> None:
@@ -178,8 +184,8 @@
     network.start(61, [0, 1], name="n5")
     network.run(10.0)
     assert network.displaced == ["n5"]
-    others = [node.membership for node in network.nodes.values() if not node.membership.displaced]
-    held = {word.address for one in others for word in one.view.living() if word.name == "n5"}
+    others = [node.membership for node in network.nodes.values() if not node.membership.superseded]
+    held = {word.address for one in others for word in one.view.live_members() if word.name == "n5"}
     assert len(others) == 20 and held == {("127.0.0.1", 10_061)}
 
 
@@ -189,7 +195,7 @@
     network.kill(old)
     network.run(10.0)
     rumour = next(word for word in list(network.nodes.values())[0].membership.view if word.name == old.name)
-    assert rumour.state is State.DEAD
+    assert rumour.state is MemberState.DEAD
     network.start(6, [0, 1])
     assert network.settle(WITHIN) is not None
     for node in network.nodes.values():
@@ -234,18 +240,18 @@
 
 
 def test_tombstones_end_and_the_view_is_bounded() -> None:
-    view = View(10.0, most=5)
+    view = MembershipView(10.0, most=5)
     for number in range(9):
-        view.take(float(number), Word(f"n{number}", "h", 1, "z", 1, 1, State.DEAD))
-    assert len(view) == 5 and view.turned_down == 4
-    view.bury(11.5)
+        view.apply(float(number), MemberRecord(f"n{number}", "h", 1, "z", 1, 1, MemberState.DEAD))
+    assert len(view) == 5 and view.rejected_count == 4
+    view.forget_departed(11.5)
     assert len(view) == 3
 
 
 @given(st.integers(1, 300), st.integers(0, 8))
 @settings(max_examples=60)
 def test_a_suspicion_shortens_with_each_confirmation_and_never_below_its_least(fleet: int, told: int) -> None:
-    scales = Scales()
-    lasts = [suspicion_lasts(scales, fleet, confirmations) for confirmations in range(told + 1)]
+    scales = ProtocolTimings()
+    lasts = [suspicion_timeout_s(scales, fleet, confirmations) for confirmations in range(told + 1)]
     assert all(later <= earlier for earlier, later in itertools.pairwise(lasts))
     assert lasts[-1] >= scales.suspect_for * scales.period
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -17,31 +17,31 @@
 
 from pipitshed.cli.commands import main
 from pipitshed.cluster import streams
-from pipitshed.cluster.codec import DATAGRAM_LIMIT, FRAME_LIMIT, LENGTH, Codec, RefusedError
-from pipitshed.cluster.datagrams import Allowance
+from pipitshed.cluster.codec import DATAGRAM_LIMIT, FRAME_LIMIT, LENGTH, Codec, MessageRejectedError
+from pipitshed.cluster.datagrams import RateLimiter
 from pipitshed.cluster.messages import Show, Shown
-from pipitshed.cluster.node import Fleet
-from pipitshed.cluster.peers_file import Peers, PeersError, read
-from pipitshed.membership.members import State, Word
-from pipitshed.membership.messages import ROOM, Ack, Exchange, Ping
-from pipitshed.membership.timing import Scales
+from pipitshed.cluster.node import ClusterNode
+from pipitshed.cluster.peers_file import ClusterConfig, ClusterConfigError, read
+from pipitshed.membership.members import MemberRecord, MemberState
+from pipitshed.membership.messages import GOSSIP_LIMIT_BYTES, Ack, Ping, RepairMessage
+from pipitshed.membership.timing import ProtocolTimings
 from pipitshed.replication.messages import Rows, pack
-from pipitshed.replication.rumours import Rumours
+from pipitshed.replication.rumours import GossipQueue
 
-FAST = Scales(period=0.05, ack_within=0.02, sync=0.3, sync_with_gone=0.5, tombstones=30.0)
+FAST = ProtocolTimings(period=0.05, ack_within=0.02, sync=0.3, sync_with_gone=0.5, tombstones=30.0)
 
 
-def words() -> st.SearchStrategy[Word]:
+def words() -> st.SearchStrategy[MemberRecord]:
     text = st.text("ab-é", min_size=1, max_size=9)
     return st.builds(
-        Word,
+        MemberRecord,
         text,
         text,
         st.integers(1, 65535),
         text,
         st.integers(0, 2**62 - 1),
         st.integers(0, 2**32 - 1),
-        st.sampled_from(State),
+        st.sampled_from(MemberState),
         text,
     )
 
@@ -55,9 +55,9 @@
         st.lists(words()).map(tuple),
         st.lists(st.binary(max_size=8), max_size=3).map(tuple),
     )
-    | st.builds(Exchange, st.builds(Rows, st.integers(0, 9), st.lists(words()).map(pack)), words())
+    | st.builds(RepairMessage, st.builds(Rows, st.integers(0, 9), st.lists(words()).map(pack)), words())
 )
-def test_messages_come_back_as_they_were(message: Ping | Ack | Exchange) -> None:
+def test_messages_come_back_as_they_were(message: Ping | Ack | RepairMessage) -> None:
     codec = Codec("red", b"key")
     assert codec.decode(codec.encode(message)) == message
 
@@ -66,15 +66,15 @@
 @settings(max_examples=300)
 def test_damaged_and_strange_bytes_are_refused(junk: bytes, place: int, value: int) -> None:
     codec = Codec("red")
-    data = bytearray(codec.encode(Ping(1, Word("a", "h", 1, "z", 1, 1), "b")))
+    data = bytearray(codec.encode(Ping(1, MemberRecord("a", "h", 1, "z", 1, 1), "b")))
     place %= len(data)
     if data[place] != value:
         data[place] = value
-        with pytest.raises(RefusedError):
+        with pytest.raises(MessageRejectedError):
             codec.decode(bytes(data))
-    with pytest.raises(RefusedError):
+    with pytest.raises(MessageRejectedError):
         codec.decode(junk)
-    with pytest.raises(RefusedError):
+    with pytest.raises(MessageRejectedError):
         codec.decode(bytes(data[:place]))
 
 
@@ -87,33 +87,35 @@
     if not why:
         assert Codec("red", b"key").decode(data) == Show()
         return
-    with pytest.raises(RefusedError, match="checksum" if why == "cluster" else why):
+    with pytest.raises(MessageRejectedError, match="checksum" if why == "cluster" else why):
         Codec("red", b"key").decode(data)
-    with pytest.raises(RefusedError, match=why):
+    with pytest.raises(MessageRejectedError, match=why):
         Codec("red").decode(data)
 
 
 def test_a_newer_version_is_refused_by_name() -> None:
     data = bytearray(Codec("red").encode(Show()))
     data[2] += 1
-    with pytest.raises(RefusedError, match="version"):
+    with pytest.raises(MessageRejectedError, match="version"):
         Codec("red").decode(bytes(data))
 
 
 def test_rumours_fit_a_datagram_however_long_the_names() -> None:
-    rumours: Rumours[Word] = Rumours()
+    rumours: GossipQueue[MemberRecord] = GossipQueue()
     long = [
-        Word(f"{n:064d}", "255.255.255.255", 65535, "z" * 64, 2**62 - 1, 2**32 - 1, State.DEAD, "s" * 64)
+        MemberRecord(
+            f"{n:064d}", "255.255.255.255", 65535, "z" * 64, 2**62 - 1, 2**32 - 1, MemberState.DEAD, "s" * 64
+        )
         for n in range(40)
     ]
     for word in long:
         rumours.add(word)
-    told = rumours.take(ROOM, 40)
+    told = rumours.take(GOSSIP_LIMIT_BYTES, 40)
     assert told and len(Codec("c" * 64).encode(Ping(2**60, long[0], long[1].name, told))) <= DATAGRAM_LIMIT
 
 
 def test_an_allowance_is_so_many_a_second() -> None:
-    allowance = Allowance(10.0, 20.0)
+    allowance = RateLimiter(10.0, 20.0)
     assert sum(allowance.take(5.0) for _ in range(100)) == 20
     assert sum(allowance.take(5.0 + place / 100) for place in range(100)) in (9, 10)
 
@@ -142,7 +144,7 @@
 ) -> None:
     path = tmp_path / "peers.toml"
     path.write_text(text)
-    with pytest.raises(PeersError) as error:
+    with pytest.raises(ClusterConfigError) as error:
         read(path)
     assert what in str(error.value) and "\n" not in str(error.value)
     assert not line or f"peers.toml:{line}: " in str(error.value), str(error.value)
@@ -158,25 +160,25 @@
     shipped = Path(__file__).parent.parent / "deploy" / "fleet.toml"
     assert read(shipped).cluster == "pipitshed"
     schema = json.loads(CliRunner().invoke(main, ["schema", "peers"]).output)
-    assert {"name", "listen", "seeds", "scales"} <= set(schema["$defs"]["PeersFile"]["properties"])
+    assert {"name", "listen", "seeds", "scales"} <= set(schema["$defs"]["ClusterFile"]["properties"])
 
 
 # ---- on sockets
 
 
-def peers(name: str, *seeds: tuple[str, int], secret: bytes = b"") -> Peers:
-    return Peers(name, "z", ("127.0.0.1", 0), None, "red", secret, list(seeds), None, FAST)
+def peers(name: str, *seeds: tuple[str, int], secret: bytes = b"") -> ClusterConfig:
+    return ClusterConfig(name, "z", ("127.0.0.1", 0), None, "red", secret, list(seeds), None, FAST)
 
 
-async def joined(count: int, secret: bytes = b"") -> list[Fleet]:
+async def joined(count: int, secret: bytes = b"") -> list[ClusterNode]:
     loop = asyncio.get_running_loop()
-    fleets: list[Fleet] = []
+    fleets: list[ClusterNode] = []
     for number in range(count):
         fleets.append(
-            Fleet(peers(f"s{number}", *(one.address for one in fleets[:2]), secret=secret), "", loop)
+            ClusterNode(peers(f"s{number}", *(one.address for one in fleets[:2]), secret=secret), "", loop)
         )
         await fleets[-1].start()
-    await until(lambda: all(len(one.membership.view.living()) == count for one in fleets))
+    await until(lambda: all(len(one.membership.view.live_members()) == count for one in fleets))
     return fleets
 
 
@@ -185,8 +187,8 @@
         await asyncio.sleep(0.01)
 
 
-def names(fleet: Fleet) -> list[str]:
-    return [word.name for word in fleet.membership.view.living()]
+def names(fleet: ClusterNode) -> list[str]:
+    return [word.name for word in fleet.membership.view.live_members()]
 
 
 def test_a_step_that_is_due_at_once_is_armed_again_without_an_exception() -> None:
@@ -196,8 +198,8 @@
     async def run() -> None:
         [fleet] = await joined(1)
         steps: list[float] = []
-        fleet.membership.due = lambda: 0.0  # type: ignore[method-assign]
-        fleet.membership.tick = lambda now: steps.append(now) or []  # type: ignore[method-assign, func-returns-value]
+        fleet.membership.next_due_at = lambda: 0.0  # type: ignore[method-assign]
+        fleet.membership.handle_timeouts = lambda now: steps.append(now) or []  # type: ignore[method-assign, func-returns-value]
         fleet._timer = None
         fleet._arm()
         fleet.leave()
@@ -217,7 +219,7 @@
     fleets[2].leave()
     await until(lambda: all(names(one) == ["s0", "s1"] for one in fleets[:2]))
     word = fleets[0].membership.view.get("s2")
-    assert word is not None and word.state is State.LEFT
+    assert word is not None and word.state is MemberState.LEFT
     for one in fleets:
         one.close()
 
@@ -230,7 +232,7 @@
         forger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         codec = Codec("red")
         for number in range(2000):
-            liar = Word(f"liar{number}", "127.0.0.9", 9, "z", 1, 1)
+            liar = MemberRecord(f"liar{number}", "127.0.0.9", 9, "z", 1, 1)
             forger.sendto(codec.encode(Ping(number, liar, "s0")), fleets[0].address)
             await asyncio.sleep(0)  # so that they are read, and do not end in the kernel's buffer
             forger.sendto(b"PF" + bytes(40), fleets[0].address)
@@ -244,7 +246,7 @@
             assert names(fleets[0]) == ["s0", "s1", "s2"] and counts["dropped_checksum"] > 0
         assert {"s0", "s1", "s2"} <= set(names(fleets[1]))
         assert all(
-            one.membership.view.get(name).state is not State.DEAD  # type: ignore[union-attr]
+            one.membership.view.get(name).state is not MemberState.DEAD  # type: ignore[union-attr]
             for one in fleets
             for name in ("s0", "s1", "s2")
         )
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -11,15 +11,15 @@
 
 from pipitshed.cluster.codec import DATAGRAM_LIMIT, Codec
 from pipitshed.membership.members import Address
-from pipitshed.membership.messages import Exchange, Ping
-from pipitshed.replication.budget import BURST, RATE, Budget
+from pipitshed.membership.messages import Ping, RepairMessage
+from pipitshed.replication.budget import BURST, RATE, BandwidthBudget
 from pipitshed.replication.carrier import message_size
-from pipitshed.replication.digests import DEPTH, ROOT, WAYS, Tree, depth
+from pipitshed.replication.digests import DEPTH, ROOT, WAYS, MerkleTree, depth
 from pipitshed.replication.messages import UNPACKED, Compare, Items, Rows, pack, unpack
-from pipitshed.replication.repair import Out, Repair
-from pipitshed.replication.row import FORM, Row, rank
-from pipitshed.replication.rows import RowError, RowTable, Taken
-from pipitshed.replication.rumours import Rumours, tellings
+from pipitshed.replication.repair import AntiEntropy, OutgoingMessage
+from pipitshed.replication.row import FORM, Row, precedence
+from pipitshed.replication.rows import ApplyResult, RowError, RowTable
+from pipitshed.replication.rumours import GossipQueue, transmission_limit
 from pipitshed.testbed import virtual_view
 from pipitshed.testbed.virtual_view import ENVELOPE, Network, Node
 
@@ -89,8 +89,8 @@
         one = table()
         rng.shuffle(told)
         for row in told + told[:2]:
-            one.take(row)
-        ends.append((one.digest(), sorted((row.key, rank(row)) for row in one)))
+            one.apply(row)
+        ends.append((one.digest(), sorted((row.key, precedence(row)) for row in one)))
     assert ends[0] == ends[1] == ends[2]
 
 
@@ -104,7 +104,7 @@
     network.run(30.0)
     writer = nodes(network)[2]
     row = writer.tables[0].delete("quota/red", writer.name)
-    network._carry_out(writer, writer.membership.spread(network.now, "settings", [row]))
+    network._carry_out(writer, writer.membership.disseminate(network.now, "settings", [row]))
     network.run(400.0)
     assert not away.tables[0].get("quota/red").deleted  # type: ignore[union-attr]
     network.cut = lambda source, target: False
@@ -139,7 +139,7 @@
         network.kill(network.nodes["127.0.0.1", 10_000 + number])
     network.cut = lambda source, target: (source[1] > 10_003) != (target[1] > 10_003)
     new = [network.start(4, [5, 0]), network.start(5, [4, 0])]
-    until(network, lambda: all(node.membership.view.alive == 2 for node in new), 20.0)
+    until(network, lambda: all(node.membership.view.live_count == 2 for node in new), 20.0)
     network.run(5.0)
     assert not any(node.tables[0].caught_up for node in new)
     network.cut = lambda source, target: False
@@ -151,9 +151,12 @@
     me, peer = RowTable("settings"), table()
     for number in range(600):
         peer.put(f"quota/t{number}", random.Random(number).randbytes(40), "w")
-    ends = [Repair([one], Budget(1, 0.0, rate=1e9, burst=1e9), random.Random(1), 40) for one in (me, peer)]
+    ends = [
+        AntiEntropy([one], BandwidthBudget(1, 0.0, rate=1e9, burst=1e9), random.Random(1), 40)
+        for one in (me, peer)
+    ]
 
-    def play(told: list[Out], cut_short: bool = False) -> bool:
+    def play(told: list[OutgoingMessage], cut_short: bool = False) -> bool:
         while told:
             message = told.pop().message
             told += [
@@ -170,16 +173,16 @@
             ]
         return ends[0].done.pop().whole
 
-    def answers(end: Repair, message: object, held: RowTable, leads: bool = False) -> list[object]:
+    def answers(end: AntiEntropy, message: object, held: RowTable, leads: bool = False) -> list[object]:
         if isinstance(message, Rows):
-            new = [row for row in unpack(message.packed, ROWS) if held.take(row) is Taken.NEW]
+            new = [row for row in unpack(message.packed, ROWS) if held.apply(row) is ApplyResult.NEW]
             out = end.told(0.0, THERE, message, len(new), [])
         else:
             out = (end.compared if isinstance(message, Compare) else end.asked)(0.0, THERE, message)  # type: ignore[operator]
         return list(out) if leads else [one.message for one in out]
 
     for number in range(300):
-        me.take(peer.get(f"quota/t{number}"))  # type: ignore[arg-type]
+        me.apply(peer.get(f"quota/t{number}"))  # type: ignore[arg-type]
     assert not play(ends[0].look(0.0, 0, THERE))
     assert not play(ends[0].begin(0.0, 0, THERE), cut_short=True)
     assert play(ends[0].begin(0.0, 0, THERE)) and me.digest() == peer.digest()
@@ -193,7 +196,7 @@
     for number in (2, 3):
         node = nodes(network)[number]
         row = node.tables[0].put("quota/red", b"%d" % number, node.name, take_over=True)
-        network._carry_out(node, node.membership.spread(network.now, "settings", [row]))
+        network._carry_out(node, node.membership.disseminate(network.now, "settings", [row]))
     network.run(10.0)
     assert not same(network)
     network.cut = lambda source, target: False
@@ -215,21 +218,21 @@
             one.put(key, body, "w")
     assert one.counts == {"new": 3, "too-long": 1, "too-many": 1, "unsound": 2}
     one.delete("a", "w")  # its tombstone holds its place, so that it can't come back
-    assert one.take(Row("d", 1, 1, "w", b"")) is Taken.TOO_MANY
-    assert one.take(Row("a", 1, 1, "w", b"1")) is Taken.OLD
+    assert one.apply(Row("d", 1, 1, "w", b"")) is ApplyResult.TOO_MANY
+    assert one.apply(Row("a", 1, 1, "w", b"1")) is ApplyResult.OLD
     for key in "bc":
         one.put(key, b"x" * 60, "w")
     one = table(most_bytes=100)
     one.put("a", b"x" * 60, "w")
-    assert one.take(Row("b", 1, 1, "w", b"x" * 60)) is Taken.TOO_MANY
+    assert one.apply(Row("b", 1, 1, "w", b"x" * 60)) is ApplyResult.TOO_MANY
 
 
 def test_a_row_of_a_newer_program_is_carried_unread() -> None:
     network = joined(5)
     newer = Row("quota/red", 1, 7, "n9", b"\xff\x00 who knows", form=FORM + 1)
     node = nodes(network)[3]
-    assert node.tables[0].take(newer) is Taken.NEW
-    network._carry_out(node, node.membership.spread(network.now, "settings", [newer]))
+    assert node.tables[0].apply(newer) is ApplyResult.NEW
+    network._carry_out(node, node.membership.disseminate(network.now, "settings", [newer]))
     until(network, lambda: all(node.tables[0].get("quota/red") == newer for node in nodes(network)), WITHIN)
     assert not newer.readable
     with pytest.raises(RowError, match="newer program"):
@@ -246,14 +249,14 @@
     st.sets(st.sampled_from([f"k{n}" for n in range(40)])),
 )
 def test_a_tree_that_changed_is_the_tree_made_anew(puts: list[tuple[str, int]], drops: set[str]) -> None:
-    changed, held = Tree(), {}
+    changed, held = MerkleTree(), {}
     for key, content in puts:
         changed.put(key, content)
         held[key] = content
     for key in drops & set(held):
         changed.drop(key)
         del held[key]
-    anew = Tree()
+    anew = MerkleTree()
     for key, content in held.items():
         anew.put(key, content)
     assert changed._nodes == anew._nodes and changed._places == anew._places
@@ -296,7 +299,7 @@
         send = network._send
 
         def seen(source: Node, to: Address, message: object) -> None:
-            if to == node.address and isinstance(message, Exchange) and message.part.table == 1:
+            if to == node.address and isinstance(message, RepairMessage) and message.part.table == 1:
                 self.asked.append(network.now)
             send(source, to, message)  # type: ignore[arg-type]
 
@@ -304,7 +307,9 @@
 
     def tell(self, target: Node, message: object) -> None:
         membership = target.membership
-        self.network._carry_out(target, membership.hear(self.network.now, message, self.node.address))  # type: ignore[arg-type]
+        self.network._carry_out(
+            target, membership.handle_message(self.network.now, message, self.node.address)
+        )  # type: ignore[arg-type]
         self.network._wake(target)
 
 
@@ -313,13 +318,13 @@
     network.put(nodes(network)[0], ("quota/red", b"1"))
     until(network, lambda: same(network), WITHIN)
     victim, liar = nodes(network)[1], Liar(network, nodes(network)[3])
-    me = liar.node.membership.me
+    me = liar.node.membership.self_record
     for step in range(600):
-        digests = (victim.membership.carrier.digests()[0], step.to_bytes(8, "big"))
+        digests = (victim.membership.replicator.digests()[0], step.to_bytes(8, "big"))
         liar.tell(victim, Ping(step, me, victim.name, (), digests))
         if step % 10 == 5:  # and answers what it was not asked, or in no way that ends
-            liar.tell(victim, Exchange(Compare(1, ((ROOT, step, 9),), False)))
-            liar.tell(victim, Exchange(Rows(1, bytes(5), (ROOT,), step, b"abc", False)))
+            liar.tell(victim, RepairMessage(Compare(1, ((ROOT, step, 9),), False)))
+            liar.tell(victim, RepairMessage(Rows(1, bytes(5), (ROOT,), step, b"abc", False)))
         network.run(0.1)
     assert 1 <= len(liar.asked) < 40
     assert victim.tables[0].get("quota/red").body == b"1"  # type: ignore[union-attr]
@@ -333,9 +338,9 @@
     begun = int(network.now) + 1
     for step in range(200):
         told = tuple(Row(f"k{step}-{n}", 1, 1, "w", b"x" * 40) for n in range(10))
-        liar.tell(victim, Exchange(Rows(1, pack(told), (ROOT,), 1, bytes(100), False)))
-        liar.tell(victim, Exchange(Items(1, (ROOT,) * 20, step, b"")))
-        liar.tell(victim, Exchange(Compare(1, ((ROOT, step, 5000),), True)))
+        liar.tell(victim, RepairMessage(Rows(1, pack(told), (ROOT,), 1, bytes(100), False)))
+        liar.tell(victim, RepairMessage(Items(1, (ROOT,) * 20, step, b"")))
+        liar.tell(victim, RepairMessage(Compare(1, ((ROOT, step, 5000),), True)))
         network.run(0.05)
     assert all(len(node.tables[0]) <= 200 for node in nodes(network))
     assert victim.tables[0].counts["too-many"] > 1000
@@ -380,14 +385,14 @@
     network = joined(10)
     network.timers_first = True
     sleeper = nodes(network)[6]
-    asked = sleeper.membership.carrier.ask(network.now, 1, nodes(network)[3].address)
+    asked = sleeper.membership.replicator.ask(network.now, 1, nodes(network)[3].address)
     sleeper.membership._send(network.now, asked)
     network.stop(sleeper, 20.0)
     for number in range(20):
         network.put(nodes(network)[number % 5], (f"quota/t{number}", b"1"))
         network.run(1.0)
     until(network, lambda: same(network), WITHIN)
-    assert sleeper.membership.carrier.repair._strikes == {}
+    assert sleeper.membership.replicator.repair._strikes == {}
 
 
 def test_sides_that_were_apart_hold_the_same_rows_soon_after_they_meet() -> None:
@@ -408,7 +413,7 @@
 
 
 def test_a_budget_holds_in_each_second_and_is_shared() -> None:
-    budget, sent = Budget(2, 0.0), [0, 0, 0]
+    budget, sent = BandwidthBudget(2, 0.0), [0, 0, 0]
     windows = []
     for step in range(2000):
         now = step / 100
@@ -423,12 +428,12 @@
     assert max(windows[at + 100] - windows[at] for at in range(1900)) < A_SECOND
     assert sum(sent) > 0.8 * 20 * RATE  # and nothing is left unused
     assert 0.7 < sent[0] / sent[1] < 1.4
-    budget = Budget(2, 0.0)
+    budget = BandwidthBudget(2, 0.0)
     assert budget.room(0.0, 0) == int(BURST)  # where nobody else waits, all of it
 
 
 def test_rumours_come_the_least_told_first_then_the_newest_and_end() -> None:
-    rumours: Rumours[Row] = Rumours()
+    rumours: GossipQueue[Row] = GossipQueue()
     for number in range(4):
         rumours.add(Row(f"k{number}", 1, 1, "w", b""))
     size = Row("k0", 1, 1, "w", b"").size
@@ -437,7 +442,7 @@
     assert [row.key for row in rumours.take(3 * size, 5)] == ["k4", "k1", "k0"]
     assert rumours.take(size, 5, but=[Row("k2", 1, 1, "w", b"")])[0].key != "k2"
     told = sum(len(rumours.take(10 * size, 5)) for _ in range(20))
-    assert told == 5 * tellings(5) - 6 and len(rumours) == 0
+    assert told == 5 * transmission_limit(5) - 6 and len(rumours) == 0
 
 
 def test_one_that_lost_everything_is_current_within_five_seconds(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -448,7 +453,7 @@
     made = [source.put(f"quota/team-{number}", bodies.randbytes(40), "ops") for number in range(800)]
     for node in nodes(network):
         for row in made:
-            node.tables[0].take(row)
+            node.tables[0].apply(row)
     network.run(3.0)
     longest, codec = [0], Codec("pipitshed")
     size = virtual_view.message_size
@@ -489,7 +494,7 @@
         until(
             network,
             lambda: (
-                not any(len(queue) for node in nodes(network) for queue in node.membership.carrier.queues)
+                not any(len(queue) for node in nodes(network) for queue in node.membership.replicator.queues)
             ),
             10.0,
         )
@@ -507,7 +512,7 @@
     send = network._send
 
     def seen(node: Node, to: Address, message: object) -> None:
-        part = message.part if isinstance(message, Exchange) else None
+        part = message.part if isinstance(message, RepairMessage) else None
         told = isinstance(part, Rows) and part.fresh or bool(getattr(message, "rows", ()))
         crossings[0] += told and node.address[1] % 2 != to[1] % 2
         send(node, to, message)  # type: ignore[arg-type]
@@ -531,14 +536,14 @@
             row = source.put(f"quota/team-{number}", b'{"share":0.125,"burst":12}', "ops")
             for place, node in enumerate(nodes(network)):
                 if place != 2 or number >= lacking:
-                    node.tables[0].take(row)
+                    node.tables[0].apply(row)
         sizes = []
         send = network._send
 
         def seen(
             node: Node, to: Address, message: object, sizes: list[int] = sizes, send: object = send
         ) -> None:
-            if isinstance(message, Exchange) and message.part.table == 1:
+            if isinstance(message, RepairMessage) and message.part.table == 1:
                 sizes.append(message_size(message) + ENVELOPE)
             send(node, to, message)  # type: ignore[operator]
 
--- a/tests/test_settings_fleet.py
+++ b/tests/test_settings_fleet.py
@@ -23,10 +23,10 @@
 from pipitshed.cluster import row_store as rowsfile
 from pipitshed.cluster import settings as fleet_rows
 from pipitshed.cluster.codec import Codec
-from pipitshed.cluster.messages import AskForce, Put, PutDone, Said
-from pipitshed.cluster.node import Fleet
+from pipitshed.cluster.messages import AskForce, ClusterMessage, Put, PutDone
+from pipitshed.cluster.node import ClusterNode
 from pipitshed.config.platform import Config, load_front, load_platform_config, with_settings
-from pipitshed.replication.acting import Acting
+from pipitshed.replication.acting import AppliedReport
 from pipitshed.server.server import Scheduler
 
 SHARE, DEADLINE = "tenant/andes-retail/share", "class/quote/deadline"
@@ -37,7 +37,7 @@
     """A scheduler's part in the fleet, and the settings that its rows change."""
 
     config: Config
-    fleet: Fleet = field(init=False)
+    fleet: ClusterNode = field(init=False)
     retuned: list[Config] = field(default_factory=list)
 
     def raw(self) -> dict[str, Any]:
@@ -46,8 +46,8 @@
 
     def read(self, config: Config) -> None:
         """A file that is read anew."""
-        assert self.fleet.rows is not None and config.raw is not None
-        self.config = with_settings(config, self.fleet.rows.over(config.raw))
+        assert self.fleet.settings is not None and config.raw is not None
+        self.config = with_settings(config, self.fleet.settings.over(config.raw))
 
     def retune(self, settings: dict[str, Any]) -> None:
         self.config = with_settings(self.config, settings)
@@ -79,12 +79,12 @@
         asked = peers(f"s{place}", *(one.fleet.address for one in made[:2]), secret=secret)
         if rows_file:
             object.__setattr__(asked, "rows_file", folder / f"{rows_file}-{place}")
-        node.fleet = Fleet(asked, "", loop, fleet_rows.Tuned(node.raw, node.retune))
+        node.fleet = ClusterNode(asked, "", loop, fleet_rows.SettingsTarget(node.raw, node.retune))
         made.append(node)
         await node.fleet.start()
     await until(
         lambda: all(
-            len(one.fleet.membership.view.living()) == len(made) and one.fleet.rows.table.caught_up
+            len(one.fleet.membership.view.live_members()) == len(made) and one.fleet.settings.table.caught_up
             for one in made
         )
     )  # type: ignore[union-attr]
@@ -163,7 +163,7 @@
         force = await call("put", SHARE, "0.5", "--peer", one.peer)
         assert force.startswith("0 ") and "all 3" in force
         three.fleet.close()  # no good-bye
-        await until(lambda: len(one.fleet.membership.view.living()) == 2)
+        await until(lambda: len(one.fleet.membership.view.live_members()) == 2)
         assert "in force at all 2 in touch; out of touch: s2" in await call(
             "put", SHARE, "0.6", "--peer", one.peer
         )
@@ -179,7 +179,7 @@
         (b"key", "10.0.0.7", True),
     ):
         async with nodes(folder, {}, secret=secret) as [node]:
-            answers: asyncio.Queue[Said] = asyncio.Queue()
+            answers: asyncio.Queue[ClusterMessage] = asyncio.Queue()
             node.fleet.reply = Mock(return_value=answers.put_nowait)  # type: ignore[method-assign]
             node.fleet._heard(Put(SHARE, b"0.4", (0, 0)), (source, 9))
             answer = await answers.get()
@@ -189,7 +189,7 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(Codec("red").encode(Put(SHARE, b"0.4", (0, 0))), node.fleet.address)
         await until(lambda: node.fleet.counts["dropped_settings"] == 1)
-        assert len(node.fleet.rows.table) == 0  # type: ignore[union-attr]
+        assert len(node.fleet.settings.table) == 0  # type: ignore[union-attr]
 
 
 @told
@@ -197,7 +197,7 @@
     folder: Path,
 ) -> None:
     async with nodes(folder, {}) as [node]:
-        rows, answers = node.fleet.rows, list[Any]()
+        rows, answers = node.fleet.settings, list[Any]()
         assert rows is not None
         node.fleet.reply = Mock(return_value=answers.append)  # type: ignore[method-assign]
 
@@ -227,7 +227,7 @@
     tenants = [{"name": f"t{place}", "share": 1.0} for place in range(20)]
     held, write = threading.Event(), rowsfile.write
 
-    def slow(path: Path, kept: rowsfile.Kept) -> None:
+    def slow(path: Path, kept: rowsfile.StoredRows) -> None:
         held.wait(10.0)
         write(path, kept)
 
@@ -235,12 +235,12 @@
         patch.setattr(rowsfile, "write", slow)
         (folder / "rows-0").write_bytes(b"pipitshed rows 1 half of")  # left aside, and the start goes on
         async with nodes(folder, {"tenants": tenants}, {"tenants": tenants}, rows_file="rows") as (one, two):
-            rows = one.fleet.rows
+            rows = one.fleet.settings
             assert rows is not None
             for place in range(20):
                 row = rows.table.put(f"tenant/t{place}/share", b"0.5", "s0")
                 one.fleet.spread(row)
-            await until(lambda: len(two.fleet.rows.table) == 20)  # type: ignore[union-attr]
+            await until(lambda: len(two.fleet.settings.table) == 20)  # type: ignore[union-attr]
             assert one.share == two.share == 1.0 and not (folder / "rows-0").exists()
             held.set()
             for node in (one, two):
@@ -256,7 +256,7 @@
             assert len(rowsfile.read(folder / "rows-0").rows) == 20
             assert (folder / "rows-0.damaged").exists()
 
-            def full(path: Path, kept: rowsfile.Kept) -> None:
+            def full(path: Path, kept: rowsfile.StoredRows) -> None:
                 raise OSError("no room")
 
             patch.setattr(rowsfile, "write", full)
@@ -267,19 +267,21 @@
 @told
 async def test_a_message_of_another_life_or_of_nobody_confirms_nothing(folder: Path) -> None:
     async with nodes(folder, {}, {}) as (one, two):
-        rows = one.fleet.rows
+        rows = one.fleet.settings
         assert rows is not None
         two.fleet.send = lambda to, message: None  # type: ignore[method-assign]
         assert (await call("put", SHARE, "0.4", "--wait", "0", "--peer", one.peer)).startswith("3 ")
         row = rows.table.get(SHARE)
         assert row is not None
-        me = two.fleet.membership.me
-        for name, life in ((me.name, me.life + 1), ("nobody", me.life)):
-            rows.hear(Acting(name, life, 9, rows.table.digest(), (row.content,)), two.fleet.address)
+        me = two.fleet.membership.self_record
+        for name, life in ((me.name, me.instance_id + 1), ("nobody", me.instance_id)):
+            rows.hear(
+                AppliedReport(name, life, 9, rows.table.digest(), (row.content_hash,)), two.fleet.address
+            )
             assert not rows._force(AskForce(SHARE, 1, 1)).in_force
-        rows.hear(Acting(me.name, me.life, 9, b"", (row.content,)), two.fleet.address)
+        rows.hear(AppliedReport(me.name, me.instance_id, 9, b"", (row.content_hash,)), two.fleet.address)
         await until(lambda: rows._force(AskForce(SHARE, 1, 1)).in_force)
-        one.fleet.membership.carrier.heard.clear()  # as just after a start: nobody has told the same view
+        one.fleet.membership.replicator.peer_digests.clear()  # as just after a start: nobody has told the same view
         assert rows._force(AskForce(SHARE, 1, 1)).missing == (("s0", ""),)
         await until(lambda: rows._force(AskForce(SHARE, 1, 1)).in_force)
         rows.table.caught_up = False
@@ -291,7 +293,7 @@
         made, front = config(tmp_path), tmp_path / "front.toml"
         front.write_text(FRONT)
         scheduler = Scheduler(made, load_front(front, made), asyncio.get_running_loop(), peers("s0"))
-        rows, answers = scheduler.fleet.rows, list[Any]()  # type: ignore[union-attr]
+        rows, answers = scheduler.fleet.settings, list[Any]()  # type: ignore[union-attr]
         scheduler.fleet.reply = Mock(return_value=answers.append)  # type: ignore[method-assign, union-attr]
         rows.hear(Put(DEADLINE, b"300", (0, 0)), ("127.0.0.1", 9))  # type: ignore[union-attr]
         assert "Gearman's functions" in answers[0].why
--- a/tests/test_settings_rig.py
+++ b/tests/test_settings_rig.py
@@ -9,7 +9,7 @@
 import pytest
 import uvloop
 
-from pipitshed.membership.timing import Scales
+from pipitshed.membership.timing import ProtocolTimings
 from pipitshed.testbed.fleet import oracles, row_oracles
 from pipitshed.testbed.fleet.oracles import InForce, Instance, Logs
 from pipitshed.testbed.fleet.play import play
@@ -26,7 +26,7 @@
     script,
 )
 
-FAST = Scales(period=0.1, ack_within=0.05, sync=0.6, sync_with_gone=1.0, tombstones=30.0)
+FAST = ProtocolTimings(period=0.1, ack_within=0.05, sync=0.6, sync_with_gone=1.0, tombstones=30.0)
 SHARE, QUOTA = "tenant/andes-retail/share", "tenant/andes-retail/allowancePerS"
 GROUPS = [pytest.mark.xdist_group("rig-1"), pytest.mark.xdist_group("rig-2")]
 
--- a/tests/test_settings_rows.py
+++ b/tests/test_settings_rows.py
@@ -15,7 +15,7 @@
 
 from pipitshed.cluster import row_store as rowsfile
 from pipitshed.cluster.codec import Codec
-from pipitshed.cluster.row_store import Kept
+from pipitshed.cluster.row_store import StoredRows
 from pipitshed.config.row_overlay import Overlay, RowRejectedError, check, file_value, overlay
 from pipitshed.config.settings_parser import settings_from
 from pipitshed.replication.acting import (
@@ -24,12 +24,12 @@
     RATE,
     TOLD_MOST,
     WATCHED,
-    Acting,
-    AskActing,
+    AppliedQuery,
+    AppliedReport,
+    AppliedState,
     Confirmations,
-    State,
 )
-from pipitshed.replication.row import Row, rank
+from pipitshed.replication.row import Row, precedence
 from pipitshed.replication.rows import RowTable
 
 SHARE, GOAL = "tenant/andes-retail/share", "class/quote/goalTime"
@@ -161,8 +161,8 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     path = tmp_path / "rows"
-    assert rowsfile.read(path) == Kept() and not caplog.text
-    kept = Kept((row(), row(GOAL, b"\xff\x00", form=2), row("x", b"", deleted=True)), (row(number=4),))
+    assert rowsfile.read(path) == StoredRows() and not caplog.text
+    kept = StoredRows((row(), row(GOAL, b"\xff\x00", form=2), row("x", b"", deleted=True)), (row(number=4),))
     rowsfile.write(path, kept)
     assert rowsfile.read(path) == kept
     whole = path.read_bytes()
@@ -179,26 +179,26 @@
     ):
         path.write_bytes(data)
         caplog.clear()
-        assert rowsfile.read(path) == Kept()
+        assert rowsfile.read(path) == StoredRows()
         assert caplog.text.count("left aside") == 1 and not path.exists()
         assert (tmp_path / "rows.damaged").read_bytes() == data
     path.mkdir()
-    assert rowsfile.read(path) == Kept()
+    assert rowsfile.read(path) == StoredRows()
 
 
 def test_a_write_that_is_cut_short_leaves_the_file_of_before(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "rows"
-    rowsfile.write(path, Kept((row(),)))
+    rowsfile.write(path, StoredRows((row(),)))
 
     def cut(fd: int) -> None:
         raise OSError("no room")
 
     monkeypatch.setattr("os.fsync", cut)
     with pytest.raises(OSError, match="no room"):
-        rowsfile.write(path, Kept((row(number=2),)))
-    assert rowsfile.read(path) == Kept((row(),))
+        rowsfile.write(path, StoredRows((row(number=2),)))
+    assert rowsfile.read(path) == StoredRows((row(),))
 
 
 # ---- who acts on what
@@ -228,12 +228,12 @@
             or told.get(one.key) != before.refused.get(one.key)
         ]
         held = {one.key: one for one in self.table}
-        self.one.acts(now, State(self.table.digest(), held, acted, told), changed, fleet)
+        self.one.acts(now, AppliedState(self.table.digest(), held, acted, told), changed, fleet)
 
     def acts_on(self, one: Row) -> bool:
         """Or on one that took its place since."""
         acted = self.one.state.acted.get(one.key)
-        return acted is not None and rank(acted) >= rank(one)
+        return acted is not None and precedence(acted) >= precedence(one)
 
 
 def pair() -> tuple[Member, Member, Row, dict[str, int]]:
@@ -242,7 +242,7 @@
     one = writer.table.put(SHARE, b"1", "w")
     writer.act(0.0, 2)
     writer.one.watch(0.0, one)
-    member.table.take(one)
+    member.table.apply(one)
     return writer, member, one, {"w": 1, "m": 7}
 
 
@@ -252,15 +252,15 @@
     assert writer.one.standing(0.0, one, {"w": 1}).in_force  # alone
     member.act(0.0, 2)
     [(to, told)] = member.one.tick(1.0, living)
-    assert to == "w" and isinstance(told, Acting)
+    assert to == "w" and isinstance(told, AppliedReport)
     writer.one.heard(told, living)
     assert writer.one.standing(0.0, one, living).in_force
     assert writer.one.standing(0.0, one, living | {"m": 8}).missing == (("m", ""),)  # started anew
     assert writer.one.standing(0.0, one, living | {"n": 1}).missing == (("n", ""),)  # has joined
     lower = Member("m", life=3)  # lives are drawn: a later one may be the lower
-    lower.table.take(one)
+    lower.table.apply(one)
     lower.act(0.0, 2)
-    writer.one.heard(lower.one.asked(AskActing("w", (SHARE,))), living | {"m": 3})
+    writer.one.heard(lower.one.asked(AppliedQuery("w", (SHARE,))), living | {"m": 3})
     assert writer.one.standing(0.0, one, living | {"m": 3}).in_force
     writer.table.put(SHARE, b"2", "w")
     assert writer.one.standing(0.0, one, living).superseded is not None
@@ -269,12 +269,12 @@
 def test_a_word_of_a_life_before_or_overtaken_by_a_later_one_counts_for_nothing() -> None:
     writer, member, one, living = pair()
     member.act(0.0, 2)
-    early = member.one.asked(AskActing("w", (SHARE,)))
+    early = member.one.asked(AppliedQuery("w", (SHARE,)))
     writer.one.heard(early, living | {"m": 8})
     assert not writer.one.standing(0.0, one, living).in_force
     member.act(0.0, 2, SHARE)  # a new file there has no such tenant
     [(_, late)] = member.one.tick(1.0, living)
-    assert isinstance(late, Acting)
+    assert isinstance(late, AppliedReport)
     writer.one.heard(late, living)
     writer.one.heard(early, living)
     assert writer.one.standing(0.0, one, living).missing == (("m", "no such tenant"),)
@@ -286,15 +286,15 @@
     writer.act(0.0, 2)
     for other in others:
         writer.one.watch(0.0, other)
-        member.table.take(other)
+        member.table.apply(other)
     member.act(0.0, 2, *(other.key for other in others))
-    writer.one.heard(member.one.asked(AskActing("w", ())), living)
+    writer.one.heard(member.one.asked(AppliedQuery("w", ())), living)
     assert not any(writer.one.standing(0.0, row_, living).in_force for row_ in (one, *others))
-    writer.one.heard(member.one.asked(AskActing("w", (SHARE, others[7].key))), living)
+    writer.one.heard(member.one.asked(AppliedQuery("w", (SHARE, others[7].key))), living)
     assert writer.one.standing(0.0, one, living).in_force
     assert writer.one.standing(0.0, others[7], living).missing == (("m", "no such tenant"),)
     member.act(0.0, 2)  # now it knows them all, and one digest says so
-    writer.one.heard(member.one.asked(AskActing("w", ())), living)
+    writer.one.heard(member.one.asked(AppliedQuery("w", ())), living)
     assert all(writer.one.standing(0.0, other, living).in_force for other in others)
 
 
@@ -304,7 +304,7 @@
     newer = writer.table.put(SHARE, b"2", "w")
     writer.act(0.0, 2)
     writer.one.watch(0.0, newer)
-    writer.one.heard(member.one.asked(AskActing("w", (SHARE,))), living)
+    writer.one.heard(member.one.asked(AppliedQuery("w", (SHARE,))), living)
     assert writer.one.standing(0.0, newer, living).missing == (("m", ""),)  # it has not told of this one
 
 
@@ -317,7 +317,7 @@
         asked += [
             now
             for to, message in writer.one.tick(now, living)
-            if isinstance(message, AskActing) and to == "m" and message.keys == (SHARE,)
+            if isinstance(message, AppliedQuery) and to == "m" and message.keys == (SHARE,)
         ]
     assert asked[0] >= ASK_AFTER and 8 <= len(asked) <= 10 / ASK_AGAIN
     assert all(later - earlier >= ASK_AGAIN for earlier, later in zip(asked, asked[1:], strict=False))
@@ -337,13 +337,13 @@
     living = {member.name: member.life for member in [writer, *members]}
     for member in members:
         for one in rows:
-            member.table.take(one)
+            member.table.apply(one)
         member.act(0.0, count)
     seconds = [0] * 30
     for member in members:
         due = member.one.due()
         for _, message in member.one.tick(due, living):
-            assert isinstance(message, Acting) and len(message.rows) <= TOLD_MOST
+            assert isinstance(message, AppliedReport) and len(message.rows) <= TOLD_MOST
             seconds[int(due)] += len(codec.encode(message))
             writer.one.heard(message, living)
     assert max(seconds) < 1.3 * RATE, seconds
@@ -354,7 +354,7 @@
     writer, member, one, living = pair()
     for place in range(WATCHED + 50):
         writer.one.watch(0.0, writer.table.put(f"tenant/t{place}/share", b"1", "w"))
-    writer.one.heard(Acting("m", 7, 1, b""), living)
+    writer.one.heard(AppliedReport("m", 7, 1, b""), living)
     writer.one.tick(5.0, living)
     assert len(writer.one._watches) == WATCHED and set(writer.one._asked) == {"m"} == set(writer.one._heard)
     writer.one.tick(8.0, {"w": 1})
@@ -387,7 +387,7 @@
             member.act(now, 5)
         elif what < 0.3:
             for one in rng.choice(list(members.values())).table:
-                member.table.take(one)
+                member.table.apply(one)
         elif what < 0.5:
             new = [one.key for one in member.table if not member.acts_on(one)]
             member.act(now, 5, *(key for key in new if rng.random() < 0.05))
@@ -400,7 +400,7 @@
             to, (message, sender) = post[place] if rng.random() < 0.2 else post.pop(place)
             if rng.random() < 0.2:
                 continue  # lost
-            if isinstance(message, Acting):
+            if isinstance(message, AppliedReport):
                 members[to].one.heard(message, living)
             else:
                 post.append((sender, (members[to].one.asked(message), to)))
