--- a/pipitshed/replication/rows.py
+++ b/pipitshed/replication/rows.py
@@ -11,7 +11,7 @@
 from pipitshed.replication.digests import MerkleTree
 from pipitshed.replication.row import FORM, KEY_LIMIT, WRITER_LIMIT, Row, precedence
 
-__all__ = ["FORM", "Row", "RowError", "RowTable", "Taken"]
+__all__ = ["FORM", "ApplyResult", "Row", "RowError", "RowTable"]
 
 
 class ApplyResult(enum.Enum):
--- a/tests/test_settings_fleet.py
+++ b/tests/test_settings_fleet.py
@@ -281,7 +281,7 @@
             assert not rows._force(AskForce(SHARE, 1, 1)).in_force
         rows.hear(AppliedReport(me.name, me.instance_id, 9, b"", (row.content_hash,)), two.fleet.address)
         await until(lambda: rows._force(AskForce(SHARE, 1, 1)).in_force)
-        one.fleet.membership.replicator.peer_digests.clear()  # as just after a start: nobody has told the same view
+        one.fleet.membership.replicator.peer_digests.clear()  # as after a start
         assert rows._force(AskForce(SHARE, 1, 1)).missing == (("s0", ""),)
         await until(lambda: rows._force(AskForce(SHARE, 1, 1)).in_force)
         rows.table.caught_up = False
