--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,7 +1,7 @@
 """Prints the pytest options that pass over the tests of KNOWN-RED.txt, and tells the reader which and why.
 
-An entry is one line: `test id | command and seed | what was seen | issue`. An entry that lacks a part, that is
-long, that names no test of the tree or that stands twice ends CI.
+An entry is one line: `test id | command and seed | what was seen | issue`. An entry that lacks a part, is
+long, names no test of the tree or stands twice ends CI.
 """
 
 from __future__ import annotations
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What CI passes over: just the tests of KNOWN-RED.txt, each with its command, what was seen and its issue."""
+"""What CI passes over: the tests of KNOWN-RED.txt, each with its command, what was seen and its issue."""
 
 from __future__ import annotations
 
