--- a/benchmarks/capacity/letter.py
+++ b/benchmarks/capacity/letter.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from benchmarks.capacity.figures import Figure, Line, given, plus, ratio, times
-from pipitshed.scheduling.dispatcher import STALLED
+from pipitshed.scheduling.attempt_watchdog import STALLED_PROGRESS_INTERVALS
 
 PLANNERS, SCHEDULERS, REGIONS, ZONES, TEAMS = 4600, 300, 3, 7, 380
 STARTS, TASKS, JOBS_A_DAY, GANG = 280, 29_000, 43_000, 128
@@ -836,7 +836,7 @@
         "CPU of one change in each scheduler",
         CHANGE.at(PLANNERS),
         "us",
-        given(STALLED * PROGRESS_MS),
+        given(STALLED_PROGRESS_INTERVALS * PROGRESS_MS),
         ("tests/test_mechanism.py::test_a_started_job_whose_worker_falls_silent_is_drawn_again",),
     ),
     Failure(
--- a/pipitshed/proxy/decision_log.py
+++ b/pipitshed/proxy/decision_log.py
@@ -41,6 +41,8 @@
     parts = [f"{now:.1f}", way, published.name]
     if dataclasses.is_dataclass(item):
         for field in dataclasses.fields(item):
+            if field.name in published.unpublished:
+                continue
             value = getattr(item, field.name)
             if value is None or value == ():
                 continue
--- a/pipitshed/proxy/forwarder.py
+++ b/pipitshed/proxy/forwarder.py
@@ -35,7 +35,7 @@
     StartAttempt,
     WatchEndpoints,
 )
-from pipitshed.scheduling.dispatcher import PACE_AGE, SLOW, Dispatcher
+from pipitshed.scheduling.dispatcher import Dispatcher
 from pipitshed.scheduling.events import (
     AttemptFinished,
     AttemptProgressed,
@@ -98,7 +98,7 @@
         """Settings read anew, with every class that was ever in force, so that exchanges keep theirs."""
         self.settings = settings
         self.endpoints.repeats_count = settings.weight_kind is WeightKind.LIVE
-        self._dispatcher.retune(settings)
+        self._dispatcher.apply_settings(settings)
 
     # ---- the loop
 
@@ -317,15 +317,7 @@
         """How many ready planners the decisions pass over at present: they found no room or no connection
         there a moment ago, or its jobs went slowly.
         """
-        now, dispatcher = (self._epoch + monotonic()) * 1000, self._dispatcher
-        return sum(
-            worker.ready
-            and (
-                worker.ejected_until > now
-                or (worker.pace > SLOW * dispatcher.pace and now - worker.pace_at < PACE_AGE)
-            )
-            for worker in dispatcher.workers.values()
-        )
+        return self._dispatcher.ejected_worker_count((self._epoch + monotonic()) * 1000)
 
     def _with_attempts(self) -> set[WorkerId]:
         """The planners that attempts are out at, or wait to begin at."""
--- a/pipitshed/proxy/published_names.py
+++ b/pipitshed/proxy/published_names.py
@@ -18,6 +18,7 @@
 
     name: str
     fields: dict[str, str]
+    unpublished: frozenset[str] = frozenset()  # fields that the trace leaves out
 
 
 CLASSES: dict[type, PublishedName] = {
@@ -58,8 +59,10 @@
     actions.StartAttempt: PublishedName(
         "Send", {"job_id": "job", "timeout_ms": "timeout", "write_within_ms": "write_within"}
     ),
-    actions.RejectRequest: PublishedName("Refuse", {"job_id": "job", "retry_after_ms": "retry_after"}),
-    actions.FailRequest: PublishedName("Fail", {"job_id": "job"}),
+    actions.RejectRequest: PublishedName(
+        "Refuse", {"job_id": "job", "retry_after_ms": "retry_after"}, unpublished=frozenset({"reason"})
+    ),
+    actions.FailRequest: PublishedName("Fail", {"job_id": "job"}, unpublished=frozenset({"reason"})),
     actions.CancelAttempt: PublishedName("Cancel", {"job_id": "job", "attempt_index": "attempt"}),
     actions.SetTimer: PublishedName("SetTimer", {"delay_ms": "delay"}),
     actions.WatchEndpoints: PublishedName("WatchList", {"enabled": "on"}),
--- a/pipitshed/scheduling/actions.py
+++ b/pipitshed/scheduling/actions.py
@@ -5,15 +5,31 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+import enum
+from dataclasses import dataclass, field
 
 from pipitshed.scheduling.events import WorkerId
 
 
+class AnswerReason(enum.Enum):
+    """Why a job is given up."""
+
+    SATURATED = "new jobs are shed near saturation"
+    LOW_VALUE = "new jobs of little value for their work are shed first"
+    OVER_QUOTA = "the tenant sends more than its quota, and the workers are busy"
+    DEADLINE = "no time is left before the deadline"
+    ATTEMPTS_EXHAUSTED = "all attempts are used up"
+    NOT_REPEATABLE = "it may have run, and its idempotency permits no further attempt"
+    OBJECTIVE_MISSED = "it is late already, and the workers are busy"
+    WORKER_PUSHBACK = "its worker said not to retry, or not before the deadline"
+
+
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Start an attempt of a job; a time-out of 0 lasts as long as the client waits. `write_within`: ms within
-    which a repeat is written, or not at all; 0 where it may be at any time.
+    """Start an attempt of a job.
+
+    A timeout of 0 lasts as long as the client waits. A repeat is written within `write_within_ms` or not at
+    all; with 0 it may be written at any time.
     """
 
     job_id: int
@@ -24,22 +40,24 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: no, and trying again is harmless."""
+    """Final answer: rejected, and the client may repeat the request without harm."""
 
     job_id: int
     retry_after_ms: float = 0.0
+    reason: AnswerReason | None = field(default=None, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: failed, promising nothing."""
+    """Final answer: failed, and the request may have run."""
 
     job_id: int
+    reason: AnswerReason | None = field(default=None, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Call off one attempt."""
+    """Cancel one attempt."""
 
     job_id: int
     attempt_index: int
--- /dev/null
+++ b/pipitshed/scheduling/endpoint_list.py
@@ -0,0 +1,129 @@
+"""The endpoint list: what discovery's updates say of workers, and when departed workers are forgotten."""
+
+from __future__ import annotations
+
+from itertools import takewhile
+
+from pipitshed.scheduling import outlier_ejection
+from pipitshed.scheduling.events import EndpointEntry, EndpointState, EndpointsUpdated, UpdateKind, WorkerId
+from pipitshed.scheduling.settings import Settings, WeightKind
+from pipitshed.scheduling.weighted_pools import Pools
+from pipitshed.scheduling.worker_state import Worker
+
+LIVE_WEIGHT_SMOOTHING = 0.1  # weight of a new live weight, which follows the worker's load and lags behind it
+FORGET_AFTER_MS = 60_000.0  # after which a departed worker is forgotten; no ejection lasts so long
+WEIGHT_COUNT = 3  # the weights of a worker: planned, listed, even
+
+PoolKey = tuple[int, frozenset[int] | None]  # a job's class and the interfaces that can express it
+
+
+class EndpointList:
+    """The workers that discovery lists, and the pools from which they are drawn."""
+
+    __slots__ = ("settings", "workers", "departed_at_ms", "pools", "planned_workers")
+
+    def __init__(self, settings: Settings) -> None:
+        self.settings = settings
+        self.workers: dict[WorkerId, Worker] = {}
+        self.departed_at_ms: dict[WorkerId, float] = {}  # of workers that are no longer listed, oldest first
+        self.pools: Pools[Worker] = Pools(self._weights, WEIGHT_COUNT)
+        self.planned_workers: set[WorkerId] = set()  # the ready ones to which a placement plan gives weights
+
+    def apply_settings(self, settings: Settings) -> None:
+        """Weigh workers by these settings from now on."""
+        if settings.weight_kind is not self.settings.weight_kind:
+            self.pools.clear()
+        self.settings = settings
+
+    def apply_update(self, update: EndpointsUpdated, now_ms: float) -> None:
+        """Take an update of the list in; a failed fetch changes nothing."""
+        if update.kind is UpdateKind.FETCH_FAILED:
+            return
+        listed = set()
+        for entry in update.entries:
+            self._apply_entry(entry, now_ms)
+            listed.add(entry.worker)
+        if update.kind is not UpdateKind.DELTA:
+            self._remove_all_except(listed, now_ms)
+        self._forget_departed(now_ms)
+
+    def _apply_entry(self, entry: EndpointEntry, now_ms: float) -> None:
+        worker = self.workers.get(entry.worker)
+        if worker is None:
+            if entry.state is EndpointState.REMOVED:
+                return
+            worker = self.workers[entry.worker] = Worker(entry)
+            self.pools.add(worker, (None, ("zone", worker.zone), ("cell", worker.cell)))
+        before = worker.selection_fields()
+        if self.settings.weight_kind is WeightKind.LIVE:
+            worker.weight += LIVE_WEIGHT_SMOOTHING * (entry.weight - worker.weight)
+        elif entry.weight > 0:
+            worker.weight = entry.weight
+        worker.ready = entry.state is EndpointState.READY
+        worker.job_classes = entry.job_classes
+        worker.interface = entry.interface
+        worker.planned_weights = entry.planned_weights
+        if before != worker.selection_fields():
+            self._reweigh(worker)
+        if entry.state is EndpointState.REMOVED:
+            self.departed_at_ms.setdefault(worker.id, now_ms)
+        else:
+            self.departed_at_ms.pop(worker.id, None)
+        if entry.started_at_ms > worker.started_at_ms:
+            worker.started_at_ms = entry.started_at_ms
+            outlier_ejection.readmit(worker)  # the ejection was that of the process before
+
+    def _remove_all_except(self, listed: set[WorkerId], now_ms: float) -> None:
+        """Count the workers that a snapshot lacks as departed."""
+        for worker in self.workers.values():
+            if worker.id not in listed:
+                self.departed_at_ms.setdefault(worker.id, now_ms)
+                if worker.ready:
+                    worker.ready = False
+                    self._reweigh(worker)
+
+    def _forget_departed(self, now_ms: float) -> None:
+        """Forget workers that departed long ago, except those with own attempts in flight or still ejected.
+
+        A worker that is listed again sooner is as it was, as a list may lack a worker once. A worker that is
+        listed again later is a new one.
+        """
+        departed = self.departed_at_ms
+        for worker_id in list(
+            takewhile(lambda worker_id: departed[worker_id] <= now_ms - FORGET_AFTER_MS, departed)
+        ):
+            worker = self.workers[worker_id]
+            del departed[worker_id]
+            if worker.in_flight_count or outlier_ejection.is_ejected(worker, now_ms):
+                departed[worker_id] = now_ms  # moves it to the end, to be looked at again
+            else:
+                del self.workers[worker_id]
+                self.pools.remove(worker)
+
+    def _reweigh(self, worker: Worker) -> None:
+        """Have a worker's changed fields count in the draws."""
+        if worker.ready and worker.planned_weights:
+            self.planned_workers.add(worker.id)
+        else:
+            self.planned_workers.discard(worker.id)
+        self.pools.change(worker)
+
+    def _weights(self, worker: Worker, key: PoolKey) -> tuple[float, ...] | None:
+        """A worker's weights for the jobs of a class; None where it can't be drawn for them.
+
+        The pool draws by the first weight that any worker has: the plan's, the list's, then an even one.
+        """
+        class_index, interfaces = key
+        if (
+            not worker.ready
+            or (worker.job_classes is not None and class_index not in worker.job_classes)
+            or (interfaces is not None and worker.interface not in interfaces)
+            or (self.settings.classes[class_index].worker_kind not in (None, worker.kind))
+        ):
+            return None
+        listed_weight = 0.0 if self.settings.weight_kind is WeightKind.NONE else worker.weight
+        planned = (
+            worker.planned_weights or ()
+        )  # shorter than the classes where some were added after the plan
+        planned_weight = planned[class_index] if class_index < len(planned) else 0.0
+        return planned_weight, listed_weight, 1.0
--- a/pipitshed/scheduling/recent_counts.py
+++ b/pipitshed/scheduling/recent_counts.py
@@ -1,4 +1,4 @@
-"""Counts of what was lately. Nothing here knows what is counted, or what follows from it."""
+"""Counts of recent happenings: a window of attempts, and a count that decays with time."""
 
 from __future__ import annotations
 
@@ -6,45 +6,57 @@
 from collections import deque
 
 
-class Window:
-    """The last samples that are not too old, with what is taken from them counted as they come and go."""
+class AttemptWindow:
+    """The most recent attempts that are not too old, and how many of them found no capacity."""
 
-    __slots__ = ("size", "age", "entries", "missed", "turned")
+    __slots__ = ("size", "max_age_ms", "entries", "no_capacity_count", "rejected_count")
 
-    def __init__(self, size: int, age: float) -> None:
-        self.size, self.age = size, age  # samples at most, ms that one counts
-        self.entries: deque[tuple[float, bool, bool]] = deque()  # when, no room, turned away
-        self.missed = self.turned = 0
+    def __init__(self, size: int, max_age_ms: float) -> None:
+        self.size = size
+        self.max_age_ms = max_age_ms
+        self.entries: deque[tuple[float, bool, bool]] = deque()  # (time in ms, no capacity, rejected)
+        self.no_capacity_count = 0
+        self.rejected_count = 0
 
-    def add(self, now: float, missed: bool, turned: bool = False) -> None:
+    def add(self, now_ms: float, no_capacity: bool, rejected: bool = False) -> None:
+        """Record one attempt; `rejected` where the worker itself turned it down."""
         if len(self.entries) == self.size:
-            self._drop()
-        self.entries.append((now, missed, turned))
-        self.missed += missed
-        self.turned += turned
+            self._drop_oldest()
+        self.entries.append((now_ms, no_capacity, rejected))
+        self.no_capacity_count += no_capacity
+        self.rejected_count += rejected
 
-    def f(self, now: float) -> float | None:
-        """The part that found no room; None while there are too few that are not too old."""
-        while self.entries and self.entries[0][0] < now - self.age:
-            self._drop()
-        return self.missed / self.size if len(self.entries) == self.size else None
+    def no_capacity_probability(self, now_ms: float) -> float | None:
+        """The probability that a drawn worker has no capacity, f in the paper's Equation 1.
 
-    def _drop(self) -> None:
-        _, missed, turned = self.entries.popleft()
-        self.missed -= missed
-        self.turned -= turned
+        It is the share of the attempts in the window, and None while there are too few that are not too old.
+        """
+        while self.entries and self.entries[0][0] < now_ms - self.max_age_ms:
+            self._drop_oldest()
+        return self.no_capacity_count / self.size if len(self.entries) == self.size else None
 
+    def rejected_fraction(self) -> float:
+        """The share of the window's attempts that workers themselves rejected."""
+        return self.rejected_count / self.size
 
-class Fading:
-    """A count whose entries fade: to 1 / e of themselves after `span` ms."""
+    def _drop_oldest(self) -> None:
+        _, no_capacity, rejected = self.entries.popleft()
+        self.no_capacity_count -= no_capacity
+        self.rejected_count -= rejected
 
-    __slots__ = ("span", "count", "at")
 
-    def __init__(self, span: float) -> None:
-        self.span, self.count, self.at = span, 0.0, 0.0
+class DecayingCount:
+    """A count that decays exponentially: to 1/e of itself after `time_constant_ms`."""
 
-    def add(self, now: float) -> float:
-        """Count one more; what all come to by now."""
-        self.count = self.count * math.exp((self.at - now) / self.span) + 1
-        self.at = now
+    __slots__ = ("time_constant_ms", "count", "updated_at_ms")
+
+    def __init__(self, time_constant_ms: float) -> None:
+        self.time_constant_ms = time_constant_ms
+        self.count = 0.0
+        self.updated_at_ms = 0.0
+
+    def add(self, now_ms: float) -> float:
+        """Count one more, and return the count as of now."""
+        self.count = self.count * math.exp((self.updated_at_ms - now_ms) / self.time_constant_ms) + 1
+        self.updated_at_ms = now_ms
         return self.count
--- /dev/null
+++ b/pipitshed/scheduling/retry_policy.py
@@ -0,0 +1,153 @@
+"""The retry policy: how many attempts a job gets, where to, until when, and its answer when it gets none.
+
+Nothing that may have run is repeated beyond what its idempotency permits, or rejected as if it had not run.
+"""
+
+from __future__ import annotations
+
+import math
+import random
+from dataclasses import dataclass
+
+from pipitshed.scheduling.actions import AnswerReason, FailRequest, RejectRequest
+from pipitshed.scheduling.capacity_estimate import BUSY_PROBABILITY
+from pipitshed.scheduling.events import Outcome
+from pipitshed.scheduling.job_state import Attempt, Job, Scope
+from pipitshed.scheduling.recent_counts import AttemptWindow
+from pipitshed.scheduling.settings import DeduplicationScope, Idempotency, JobClass, Limits, Settings
+
+ALLOWED_FAILURE_PROBABILITY = 0.1  # of jobs of the class of least priority weight; other classes' is smaller
+BACKOFF_OBJECTIVE_FRACTION = 0.02  # first mean pause, as a part of the latency objective; it doubles
+MAX_BACKOFF_OBJECTIVE_FRACTION = 0.25  # longest mean pause, as a part of the latency objective
+CLOSE_BEFORE_WINDOW_END_TICKS = 2  # a repeat leaves so many ticks before the idempotency window ends
+NOT_EXECUTED_OUTCOMES = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.SUPERSEDED))
+
+
+@dataclass(frozen=True, slots=True)
+class RetryOptions:
+    """What a job's idempotency permits at present."""
+
+    may_attempt: bool
+    scope: Scope
+    rejectable: bool  # whether the client may repeat the request without harm
+
+
+_ATTEMPT_ANYWHERE = RetryOptions(True, None, True)
+_NO_ATTEMPT = RetryOptions(False, None, True)
+_MAY_HAVE_RUN = RetryOptions(False, None, False)
+
+
+def retry_options(job: Job, limits: Limits, tick_ms: float, now_ms: float) -> RetryOptions:
+    """Whether the job may get an attempt now, which workers it may go to, and whether it may be rejected."""
+    job_class = job.job_class
+    first = job.first_possible_execution()
+    may_attempt = len(job.attempts) < limits.max_attempts and not job.finished and not job.streaming
+    if not limits.parallel_attempts and any(attempt.in_flight for attempt in job.attempts):
+        may_attempt = False
+    if first is None or job_class.idempotency is Idempotency.IDEMPOTENT:
+        return _ATTEMPT_ANYWHERE if may_attempt else _NO_ATTEMPT
+    if job_class.idempotency is Idempotency.NON_IDEMPOTENT:
+        return _MAY_HAVE_RUN
+    in_window = now_ms < _last_repeat_ms(first, job_class, tick_ms)
+    covers_all = job_class.deduplication_scope is DeduplicationScope.ALL
+    return RetryOptions(may_attempt and in_window, _scope(first, job_class), covers_all and in_window)
+
+
+def _scope(first: Attempt, job_class: JobClass) -> Scope:
+    """The workers among which a repeat of the attempt is recognised as one."""
+    if job_class.deduplication_scope is DeduplicationScope.ALL:
+        return None
+    if job_class.deduplication_scope is DeduplicationScope.ZONE:
+        return "zone", first.worker.zone
+    return "cell", first.worker.cell
+
+
+def _last_repeat_ms(first: Attempt, job_class: JobClass, tick_ms: float) -> float:
+    window_end_ms = first.dispatched_at_ms + job_class.idempotency_window_ms
+    return window_end_ms - CLOSE_BEFORE_WINDOW_END_TICKS * tick_ms
+
+
+def write_within_ms(job: Job, tick_ms: float, now_ms: float) -> float:
+    """How long the attempt made now may wait for its connection before it is written; 0 without a bound.
+
+    The repeat of a job with an idempotency key must reach its worker within the window.
+    """
+    if job.job_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
+        return 0.0
+    first = job.first_possible_execution()
+    if first is None or first.dispatched_at_ms == now_ms:
+        return 0.0
+    return max(tick_ms, _last_repeat_ms(first, job.job_class, tick_ms) - now_ms)
+
+
+def allowed_failure_probability(priority_weight: float, min_priority_weight: float) -> float:
+    """The probability that all of a job's attempts may fail, p in the paper's Equation 2."""
+    return ALLOWED_FAILURE_PROBABILITY * min(
+        1.0, min_priority_weight / (priority_weight or min_priority_weight)
+    )
+
+
+def allowed_attempts(job: Job, max_attempts: int, window: AttemptWindow, now_ms: float) -> int:
+    """The attempts after which one has found capacity with enough assurance, the paper's Equation 2."""
+    probability = window.no_capacity_probability(now_ms)
+    if probability is None:
+        # Too few samples: one attempt, and one more for each that itself found no capacity.
+        return min(max_attempts, 1 + job.no_capacity_count)
+    if probability <= 0:
+        return 1
+    if probability >= 1:
+        return max_attempts
+    wanted = math.ceil(math.log(job.allowed_failure_probability) / math.log(probability))
+    return max(1, min(max_attempts, wanted))
+
+
+def reason_for_no_attempt(
+    job: Job, options: RetryOptions, limits: Limits, window: AttemptWindow, now_ms: float
+) -> AnswerReason | None:
+    """Why the job gets no further attempt now; None where it gets one."""
+    # Nobody else can repeat a job that broke off and can't be rejected: its client must not repeat it.
+    # It gets all the attempts there are.
+    only_we_can_repeat = bool(job.reset_count) and not options.rejectable and not job.attempts_in_flight()
+    if only_we_can_repeat:
+        allowed = limits.max_attempts
+    else:
+        by_estimate = allowed_attempts(job, limits.max_attempts, window, now_ms)
+        allowed = max(by_estimate, 1 + job.error_count) + job.reset_count
+    if len(job.attempts) >= max(job.promised_attempt_count, allowed):
+        return AnswerReason.ATTEMPTS_EXHAUSTED
+    if not options.may_attempt:
+        return AnswerReason.NOT_REPEATABLE
+    if (
+        job.attempts
+        and not only_we_can_repeat
+        and now_ms > job.submitted_at_ms + job.job_class.latency_objective_ms
+        and (window.no_capacity_probability(now_ms) or 0.0) > BUSY_PROBABILITY
+    ):
+        # Other jobs could still be in time: a late one takes none of a busy fleet's capacity.
+        return AnswerReason.OBJECTIVE_MISSED
+    return None
+
+
+def backoff_ms(job: Job, rng: random.Random) -> float:
+    """A random pause before the next attempt, whose mean doubles with each that found no capacity."""
+    objective_ms = job.job_class.latency_objective_ms
+    mean_ms = min(
+        BACKOFF_OBJECTIVE_FRACTION * objective_ms * 2.0**job.no_capacity_count,
+        MAX_BACKOFF_OBJECTIVE_FRACTION * objective_ms,
+    )
+    return mean_ms * rng.uniform(0.5, 1.5)
+
+
+def final_answer(
+    job: Job, reason: AnswerReason, settings: Settings, now_ms: float, rng: random.Random
+) -> RejectRequest | FailRequest:
+    """The answer to a job that is given up, as its idempotency permits.
+
+    A rejected client may come again after the longest mean pause, as its latency objective runs on meanwhile.
+    The time is spread where clients are bound to it, so that they do not return all at once.
+    """
+    if not retry_options(job, settings.limits, settings.tick_ms, now_ms).rejectable:
+        return FailRequest(job.id, reason)
+    spread = rng.uniform(0.5, 1.5) if settings.limits.clients_honour_retry_after else 1.0
+    retry_after_ms = MAX_BACKOFF_OBJECTIVE_FRACTION * job.job_class.latency_objective_ms * spread
+    return RejectRequest(job.id, retry_after_ms, reason)
--- /dev/null
+++ b/pipitshed/scheduling/slow_start.py
@@ -0,0 +1,40 @@
+"""Slow start: how much a worker that has just started is sent."""
+
+from __future__ import annotations
+
+import random
+
+from pipitshed.scheduling.capacity_estimate import ServiceStatistics
+from pipitshed.scheduling.job_state import Job
+from pipitshed.scheduling.settings import Guarantees
+from pipitshed.scheduling.worker_state import Worker
+
+
+def is_warming_up(worker: Worker, slow_start_ms: float, now_ms: float) -> bool:
+    """Whether the worker started so recently that it does not bear its full load yet."""
+    return worker.started_at_ms > 0 and now_ms - worker.started_at_ms < slow_start_ms
+
+
+def accepts(
+    worker: Worker,
+    job: Job,
+    guarantees: Guarantees,
+    statistics: ServiceStatistics,
+    rejected_fraction: float,
+    now_ms: float,
+    rng: random.Random,
+) -> bool:
+    """Draw whether a worker that is warming up gets this job.
+
+    The chance is the part of its capacity that it has by now, and smaller for jobs of more than mean work.
+    The caller draws only once for each job. Further draws would prefer these workers, which look idle, and
+    all dispatchers together would send one of them more than its part.
+    """
+    age_ms = max(0.0, now_ms - worker.started_at_ms)
+    capacity_fraction = (
+        guarantees.initial_capacity_fraction
+        + (1 - guarantees.initial_capacity_fraction) * age_ms / guarantees.slow_start_ms
+    )
+    relative_work = statistics.relative_work(job)
+    accepted_fraction = min(statistics.served_fraction, 1 - rejected_fraction)
+    return rng.random() * max(1.0, relative_work) < capacity_fraction * accepted_fraction
--- /dev/null
+++ b/pipitshed/scheduling/worker_selection.py
@@ -0,0 +1,142 @@
+"""Worker selection: a weighted random draw, local zone first, that passes over workers in doubt.
+
+Workers are drawn in proportion to capacity, the policy of the paper. A drawn worker that is ejected, slow, in
+use or without an idle connection is passed over and another is drawn, a bounded number of times.
+"""
+
+from __future__ import annotations
+
+import math
+import random
+
+from pipitshed.scheduling import slow_start
+from pipitshed.scheduling.capacity_estimate import DEFAULT_WORKER_SLOTS, LoadEstimate, ServiceStatistics
+from pipitshed.scheduling.endpoint_list import EndpointList, PoolKey
+from pipitshed.scheduling.job_state import Job, Scope
+from pipitshed.scheduling.outlier_ejection import is_ejected, is_slow
+from pipitshed.scheduling.recent_counts import AttemptWindow
+from pipitshed.scheduling.settings import Settings
+from pipitshed.scheduling.weighted_pools import Pool
+from pipitshed.scheduling.worker_state import Worker
+
+MAX_DRAWS = 16  # for one selection, before a worker that was passed over is taken after all
+LOCAL_DRAWS = 2.0  # of these, the draws from the own zone alone
+LOCAL_DRAWS_PER_CROSS_ZONE_COST = 50.0  # more of these for each unit of the cost of leaving the zone
+LOCAL_MAX_PROBABILITY_PER_CROSS_ZONE_COST = 9.0  # no-capacity probability up to which the zone comes first
+RESERVED_SLOTS_EXPONENT = 24.0  # keeps workers with few slots from filling up by chance
+COSTLY_HANDSHAKE = 0.05  # handshake cost from which workers without an idle connection are passed over
+
+
+class WorkerSelector:
+    """Chooses the worker for an attempt."""
+
+    __slots__ = ("settings", "_endpoints", "_window", "_load", "_statistics", "_rng")
+
+    def __init__(
+        self,
+        settings: Settings,
+        endpoints: EndpointList,
+        window: AttemptWindow,
+        load: LoadEstimate,
+        statistics: ServiceStatistics,
+        rng: random.Random,
+    ) -> None:
+        self.settings = settings
+        self._endpoints = endpoints
+        self._window = window
+        self._load = load
+        self._statistics = statistics
+        self._rng = rng
+
+    def select(self, job: Job, scope: Scope, now_ms: float) -> Worker | None:
+        """A worker of the scope for the job's next attempt; None where there is none.
+
+        The order of preference: a worker in no doubt with an idle connection, one in no doubt without it,
+        and the last resort among those where no attempt of the job is in flight.
+        """
+        key = (job.class_index, job.compatible_interfaces)
+        pool = self._endpoints.pools.get(scope, key)
+        if pool is None:
+            return None
+        local_pool = self._local_pool(scope, key, pool, now_ms)
+        local_draws = LOCAL_DRAWS + LOCAL_DRAWS_PER_CROSS_ZONE_COST * self.settings.costs.cross_zone_cost
+        slow_start_ms = self.settings.guarantees.slow_start_ms
+        tried = {attempt.worker.id: attempt.in_flight for attempt in job.attempts}
+        unconnected: Worker | None = None
+        doubtful: Worker | None = None
+        for draw in range(MAX_DRAWS):
+            worker = (local_pool if local_pool and draw < local_draws else pool).draw(self._rng)
+            if slow_start.is_warming_up(worker, slow_start_ms, now_ms) and (
+                draw or tried or not self._accepts_in_slow_start(worker, job, now_ms)
+            ):
+                continue
+            if worker.id not in tried and not self._is_in_doubt(worker, job, now_ms):
+                if self._has_connection(worker, now_ms):
+                    return worker
+                unconnected = unconnected or worker
+            elif not tried.get(worker.id) and (
+                doubtful is None
+                or self._last_resort_rank(worker, now_ms) < self._last_resort_rank(doubtful, now_ms)
+            ):
+                doubtful = worker
+        return unconnected or doubtful
+
+    def _local_pool(
+        self, scope: Scope, key: PoolKey, pool: Pool[Worker], now_ms: float
+    ) -> Pool[Worker] | None:
+        """The pool of the own zone where it is drawn from first: unless the job is bound to a scope.
+
+        A placement plan weighs the cost of crossing zones itself, so with one there is no preference.
+        """
+        settings = self.settings
+        if scope is not None or settings.zone_count <= 1 or self._endpoints.planned_workers:
+            return None
+        max_probability = LOCAL_MAX_PROBABILITY_PER_CROSS_ZONE_COST * settings.costs.cross_zone_cost
+        if (self._window.no_capacity_probability(now_ms) or 0.0) > max_probability:
+            return None
+        local_pool = self._endpoints.pools.get(("zone", settings.own_zone), key)
+        if local_pool and self._rng.random() * pool.total > local_pool.total * settings.zone_count:
+            return None  # a zone with few workers gets no more than its capacity's part
+        return local_pool
+
+    def _accepts_in_slow_start(self, worker: Worker, job: Job, now_ms: float) -> bool:
+        return slow_start.accepts(
+            worker,
+            job,
+            self.settings.guarantees,
+            self._statistics,
+            self._window.rejected_fraction(),
+            now_ms,
+            self._rng,
+        )
+
+    def _is_in_doubt(self, worker: Worker, job: Job, now_ms: float) -> bool:
+        """Whether the worker is passed over in this draw."""
+        if worker.ejected_until_ms > now_ms:
+            return True
+        mean_ms = self._statistics.ms_per_work_unit
+        if is_slow(worker, mean_ms, now_ms) and self._rng.random() > mean_ms / worker.ms_per_work_unit:
+            return True  # the draws that still choose it show when it is fast again
+        if self.settings.workers_report_start:
+            return (
+                worker.unstarted_count > 0
+                or self._rng.random() * DEFAULT_WORKER_SLOTS < worker.reserved_slots * (job.slots + 1) / 2
+            )
+        # Nobody reports queues as they are now, so only what own jobs leave of the slots counts as capacity.
+        free_fraction = max(0.0, 1 - worker.reserved_slots / self._load.worker_slots(worker))
+        return self._rng.random() > math.pow(free_fraction, RESERVED_SLOTS_EXPONENT)
+
+    def _has_connection(self, worker: Worker, now_ms: float) -> bool:
+        """Whether a dispatch there opens no connection, where that is costly."""
+        return self.settings.costs.handshake_cost < COSTLY_HANDSHAKE or (
+            worker.idle_connection_count > 0
+            and now_ms - worker.idle_connection_at_ms < self.settings.limits.idle_timeout_ms
+        )
+
+    def _last_resort_rank(self, worker: Worker, now_ms: float) -> tuple[bool, float]:
+        """The order in which workers in doubt are taken: least load first, but those that fail jobs last.
+
+        A worker that fails jobs ends them at once, so that it always has the least load.
+        """
+        fails_jobs = worker.error_count > 0 and is_ejected(worker, now_ms)
+        return fails_jobs, worker.reserved_slots / self._load.worker_slots(worker)
--- a/tests/equivalence/names.py
+++ b/tests/equivalence/names.py
@@ -12,8 +12,16 @@
 
 from pipitshed.config.settings_parser import settings_from
 from pipitshed.proxy.request import Request
-from pipitshed.scheduling import actions, events
-from pipitshed.scheduling import dispatcher as rules
+from pipitshed.scheduling import (
+    actions,
+    admission,
+    attempt_watchdog,
+    events,
+    outlier_ejection,
+    poll_schedule,
+    retry_policy,
+    worker_selection,
+)
 from pipitshed.scheduling.dispatcher import Dispatcher
 
 Fields = dict[str, Any]
@@ -139,14 +147,14 @@
 
 # Constants of the rules by recorded name: where each stands now, and a value near its own.
 CONSTANTS: dict[str, tuple[Any, str, float]] = {
-    "REFUSE_ABOVE": (rules, "REFUSE_ABOVE", 0.85),
-    "EJECTION_MS": (rules, "EJECTION_MS", 330.0),
-    "PAUSE_PART": (rules, "PAUSE_PART", 0.021),
-    "START_PART": (rules, "START_PART", 0.11),
-    "LEFT_POWER": (rules, "LEFT_POWER", 24.5),
-    "LONGEST_ASK": (rules, "LONGEST_ASK", 2001.0),
-    "UNEVEN": (rules, "UNEVEN", 1.3),
-    "STALLED": (rules, "STALLED", 1.8),
+    "REFUSE_ABOVE": (admission, "SATURATION_THRESHOLD", 0.85),
+    "EJECTION_MS": (outlier_ejection, "EJECTION_MS", 330.0),
+    "PAUSE_PART": (retry_policy, "BACKOFF_OBJECTIVE_FRACTION", 0.021),
+    "START_PART": (attempt_watchdog, "START_TIMEOUT_OBJECTIVE_FRACTION", 0.11),
+    "LEFT_POWER": (worker_selection, "RESERVED_SLOTS_EXPONENT", 24.5),
+    "LONGEST_ASK": (poll_schedule, "MAX_POLL_BACKOFF_MS", 2001.0),
+    "UNEVEN": (admission, "UNEVEN_TRAFFIC_FACTOR", 1.3),
+    "STALLED": (attempt_watchdog, "STALLED_PROGRESS_INTERVALS", 1.8),
 }
 _ACTION_NAMES = {renamed.current: name for name, renamed in ACTIONS.items()}
 
@@ -168,7 +176,7 @@
 
     def retune(self, settings: Fields) -> None:
         """New settings under way."""
-        self._dispatcher.retune(self._settings(settings))
+        self._dispatcher.apply_settings(self._settings(settings))
 
     def handle(self, now: float, items: list[Item]) -> list[Item]:
         """One turn: the actions that these events bring."""
--- a/tests/test_decisions_forget.py
+++ b/tests/test_decisions_forget.py
@@ -11,9 +11,11 @@
 
 from benchmarks.capacity.decisions import Scheduler
 from pipitshed.scheduling.actions import StartAttempt
-from pipitshed.scheduling.dispatcher import FORGET_MS, Worker
+from pipitshed.scheduling.endpoint_list import FORGET_AFTER_MS
 from pipitshed.scheduling.events import EndpointState, EndpointsUpdated, JobSubmitted, Outcome, UpdateKind
 from pipitshed.scheduling.settings import DeduplicationScope, Guarantees, Idempotency, Limits
+from pipitshed.scheduling.slow_start import is_warming_up
+from pipitshed.scheduling.worker_state import Worker
 
 ONE, TWO = worker_id(1), worker_id(2)
 FIRST, SECOND, THIRD = entries(3, started_at_ms=500.0)
@@ -41,7 +43,7 @@
     return sends_of(bench.feed(EndpointsUpdated(UpdateKind.DELTA, 1, listed)))  # type: ignore[arg-type]
 
 
-def gone(bench: Bench, wait: float = FORGET_MS) -> None:
+def gone(bench: Bench, wait: float = FORGET_AFTER_MS) -> None:
     """The first leaves the list, and so long after it there is other news."""
     tell(bench, replace(FIRST, state=EndpointState.REMOVED))
     bench.now += wait
@@ -59,14 +61,14 @@
 
 def test_replaced_planners_are_forgotten_with_all_that_held_them() -> None:
     scheduler = Scheduler(200)
-    tables = scheduler.dispatcher
+    tables = scheduler.dispatcher.endpoints
     before = sum(isinstance(one, Worker) for one in gc.get_objects())
     for _ in range(3):
         for _ in range(433):
             scheduler.replace()
-        scheduler.now += FORGET_MS
+        scheduler.now += FORGET_AFTER_MS
         scheduler.replace()
-    assert len(tables.workers) <= 202 and len(tables.gone) <= 2
+    assert len(tables.workers) <= 202 and len(tables.departed_at_ms) <= 2
     assert all(len(tagged.members) <= 200 + 433 + 3 for tagged in tables.pools._tagged.values())
     gc.collect()
     assert sum(isinstance(one, Worker) for one in gc.get_objects()) - before <= 2
@@ -76,11 +78,11 @@
     bench = bench_of()
     bench.finish(sent(bench), 0, Outcome.REJECTED)
     was = bench.dispatcher.workers[ONE]
-    assert was.strikes == 1
-    gone(bench, FORGET_MS - 1)
+    assert was.consecutive_rejections == 1
+    gone(bench, FORGET_AFTER_MS - 1)
     tell(bench, FIRST)
     assert bench.dispatcher.workers[ONE] is was
-    gone(bench, FORGET_MS - 1)  # it was listed meanwhile: its time begins anew
+    gone(bench, FORGET_AFTER_MS - 1)  # it was listed meanwhile: its time begins anew
     assert ONE in bench.dispatcher.workers
 
 
@@ -89,7 +91,7 @@
     bench = bench_of()
     gone(bench, 0.0)
     tell(bench, replace(FIRST, state=state))
-    bench.now += 2 * FORGET_MS
+    bench.now += 2 * FORGET_AFTER_MS
     tell(bench)
     assert ONE in bench.dispatcher.workers
 
@@ -98,19 +100,19 @@
     bench = bench_of()
     send = sent(bench)
     gone(bench)
-    assert bench.dispatcher.workers[ONE].unstarted + bench.dispatcher.workers[ONE].held == 1
+    assert bench.dispatcher.workers[ONE].unstarted_count + bench.dispatcher.workers[ONE].reserved_slots == 1
     bench.finish(send, 0, Outcome.OK)
-    bench.now += FORGET_MS
+    bench.now += FORGET_AFTER_MS
     tell(bench)
     assert ONE not in bench.dispatcher.workers
 
 
 def test_a_planners_own_word_of_when_to_come_back_holds_for_it() -> None:
     bench = bench_of()
-    bench.finish(sent(bench), 0, Outcome.REJECTED, pushback_ms=2 * FORGET_MS)
+    bench.finish(sent(bench), 0, Outcome.REJECTED, pushback_ms=2 * FORGET_AFTER_MS)
     gone(bench)
-    assert bench.dispatcher.workers[ONE].ejected_until > bench.now
-    bench.now += 2 * FORGET_MS
+    assert bench.dispatcher.workers[ONE].ejected_until_ms > bench.now
+    bench.now += 2 * FORGET_AFTER_MS
     tell(bench)
     assert ONE not in bench.dispatcher.workers
 
@@ -139,4 +141,5 @@
     bench = bench_of()
     gone(bench)
     tell(bench, replace(FIRST, started_at_ms=bench.now - 100.0))
-    assert bench.dispatcher._cold(bench.dispatcher.workers[ONE])
+    slow_start_ms = bench.config.guarantees.slow_start_ms
+    assert is_warming_up(bench.dispatcher.workers[ONE], slow_start_ms, bench.dispatcher.now_ms)
--- a/tests/test_decisions_scale.py
+++ b/tests/test_decisions_scale.py
@@ -75,7 +75,7 @@
     scheduler = scheduler_of(200)
     touched.clear()
     scheduler.tell(UpdateKind.CACHED, scheduler.entries)
-    scheduler.dispatcher.retune(scheduler.dispatcher.settings)
+    scheduler.dispatcher.apply_settings(scheduler.dispatcher.settings)
     for _ in range(20 * CLASSES):
         scheduler.job()
     assert not touched
@@ -91,11 +91,12 @@
 
     tenants = Rows(Tenant(1.0, 0.5) for _ in range(380))
     dispatcher = Dispatcher(Settings(classes=(JobClass(300.0, 5000.0),), tenants=tenants), 1)
-    dispatcher.heard = Rows(dispatcher.heard)
+    admission = dispatcher.admission
+    admission.tenant_counts = Rows(admission.tenant_counts)
     read.clear()
     for job in range(20):
         dispatcher.handle(1000.0, [JobSubmitted(job, 4000.0, tenant=job % 3)])
-    assert not read and dispatcher.heard[0].count == 7 and dispatcher.heard_all.count == 20
+    assert not read and admission.tenant_counts[0].count == 7 and admission.all_tenants_count.count == 20
 
 
 def test_pools_that_are_not_drawn_from_are_dropped() -> None:
@@ -103,7 +104,7 @@
     for _ in range(120):
         scheduler.jobs = 0  # the next job is again of class 1
         scheduler.replace()
-    assert {key[0] for key in scheduler.dispatcher.pools._tagged[None].pools} == {1, 2}
+    assert {key[0] for key in scheduler.dispatcher.endpoints.pools._tagged[None].pools} == {1, 2}
 
 
 class Part:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -8,6 +8,7 @@
 import pytest
 from helpers import Bench, entries, sends_of, settings, worker_id
 
+from pipitshed.scheduling import attempt_watchdog, retry_policy
 from pipitshed.scheduling.actions import (
     CancelAttempt,
     FailRequest,
@@ -16,7 +17,8 @@
     StartAttempt,
     WatchEndpoints,
 )
-from pipitshed.scheduling.dispatcher import REFUSE_ABOVE, WINDOW
+from pipitshed.scheduling.admission import SATURATION_THRESHOLD
+from pipitshed.scheduling.capacity_estimate import WINDOW_ATTEMPT_COUNT
 from pipitshed.scheduling.events import (
     AttemptFinished,
     AttemptProgressed,
@@ -32,6 +34,7 @@
     UpdateKind,
 )
 from pipitshed.scheduling.events import WorkerId as WorkerIdType
+from pipitshed.scheduling.job_state import Job
 from pipitshed.scheduling.settings import (
     Costs,
     DeduplicationScope,
@@ -99,6 +102,26 @@
     assert {send.worker[3] % 2 for send in serve(bench, 200)} == {1}
 
 
+def no_capacity_probability(bench: Bench) -> float | None:
+    return bench.dispatcher.window.no_capacity_probability(bench.dispatcher.now_ms)
+
+
+def allowed_attempts(bench: Bench, job: Job) -> int:
+    dispatcher = bench.dispatcher
+    max_attempts = dispatcher.settings.limits.max_attempts
+    return retry_policy.allowed_attempts(job, max_attempts, dispatcher.window, dispatcher.now_ms)
+
+
+def may_attempt(bench: Bench, job: Job) -> bool:
+    settings, now_ms = bench.dispatcher.settings, bench.dispatcher.now_ms
+    return retry_policy.retry_options(job, settings.limits, settings.tick_ms, now_ms).may_attempt
+
+
+def start_timeout_ms(bench: Bench, job: Job) -> float:
+    dispatcher = bench.dispatcher
+    return attempt_watchdog.start_timeout_ms(job, dispatcher.settings, dispatcher.window, dispatcher.now_ms)
+
+
 def test_an_empty_window_gives_one_attempt_and_one_more_for_each_refusal_met() -> None:
     bench = Bench(settings(zone_count=1), entries(9))
     [send] = sends_of(bench.feed(JobSubmitted(1, 4000.0)))
@@ -109,22 +132,22 @@
 
 def test_f_of_zero_gives_one_attempt_and_high_f_more() -> None:
     bench = Bench(settings(zone_count=1), entries(9))
-    serve(bench, WINDOW)
+    serve(bench, WINDOW_ATTEMPT_COUNT)
     job = bench.dispatcher.jobs
     bench.feed(JobSubmitted(500, 4000.0))
-    assert bench.dispatcher._allowed(job[500]) == 1
-    for _ in range(WINDOW // 2):
+    assert allowed_attempts(bench, job[500]) == 1
+    for _ in range(WINDOW_ATTEMPT_COUNT // 2):
         bench.dispatcher.window.add(bench.now, True)
-    assert bench.dispatcher._allowed(job[500]) == 4  # log(0.1) / log(0.5), rounded up
+    assert allowed_attempts(bench, job[500]) == 4  # log(0.1) / log(0.5), rounded up
 
 
 def test_old_attempts_leave_the_window() -> None:
     bench = Bench(settings(zone_count=1), entries(9))
-    serve(bench, WINDOW)
-    assert bench.dispatcher._f() == 0.0
+    serve(bench, WINDOW_ATTEMPT_COUNT)
+    assert no_capacity_probability(bench) == 0.0
     bench.now += 60_000.0
     bench.feed()
-    assert bench.dispatcher._f() is None
+    assert no_capacity_probability(bench) is None
 
 
 def test_pauses_grow_with_the_failures() -> None:
@@ -145,8 +168,8 @@
 
 def test_near_full_load_new_jobs_are_refused_but_some_are_tried() -> None:
     bench = Bench(settings(zone_count=1), entries(9))
-    fill(bench, WINDOW, full=True)
-    assert bench.dispatcher._f() == 1.0 > REFUSE_ABOVE
+    fill(bench, WINDOW_ATTEMPT_COUNT, full=True)
+    assert no_capacity_probability(bench) == 1.0 > SATURATION_THRESHOLD
     tried = 0
     for job in range(1, 1001):
         for send in sends_of(bench.feed(JobSubmitted(job, 4000.0))):
@@ -182,16 +205,16 @@
     with room refused six jobs in ten. A full fleet keeps nobody waiting so."""
     limits = Limits(may_cancel=True, max_attempts=4)
     bench = Bench(settings(zone_count=1, workers_report_start=True, limits=limits), entries(9))
-    for job in range(1, WINDOW + 1):
+    for job in range(1, WINDOW_ATTEMPT_COUNT + 1):
         [send] = sends_of(bench.feed(JobSubmitted(job, 4000.0)))
         bench.run(bench.now + limits.connect_timeout_ms - bench.config.tick_ms)
         assert not any(isinstance(action, CancelAttempt) for action in bench.log)
         bench.feed(AttemptProgressed(job, 0, send.worker, ProgressKind.STARTED))
         bench.finish(send, 0, Outcome.OK)
-    assert bench.dispatcher._f() == 0.0
-    bench.feed(JobSubmitted(WINDOW + 1, 4000.0))
-    fill(bench, WINDOW)
-    assert bench.dispatcher._bound(bench.dispatcher.jobs[WINDOW + 1]) == pytest.approx(30.0)
+    assert no_capacity_probability(bench) == 0.0
+    bench.feed(JobSubmitted(WINDOW_ATTEMPT_COUNT + 1, 4000.0))
+    fill(bench, WINDOW_ATTEMPT_COUNT)
+    assert start_timeout_ms(bench, bench.dispatcher.jobs[WINDOW_ATTEMPT_COUNT + 1]) == pytest.approx(30.0)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.ERROR])
@@ -269,7 +292,7 @@
         limits = Limits(may_cancel=True, max_attempts=4, parallel_attempts=parallel)
         bench = Bench(settings(zone_count=1, limits=limits), entries(9))
         bench.feed(JobSubmitted(1, 4000.0))
-        assert bench.dispatcher._may(bench.dispatcher.jobs[1])[0] is parallel
+        assert may_attempt(bench, bench.dispatcher.jobs[1]) is parallel
 
 
 def test_an_unsafe_job_that_may_have_run_is_failed_not_refused() -> None:
@@ -346,10 +369,10 @@
     bench = Bench(settings(zone_count=1, workers_report_start=True, limits=NEAR), entries(9))
     bench.feed(JobSubmitted(1, 4000.0))
     job = bench.dispatcher.jobs[1]
-    short = bench.dispatcher._bound(job)
+    short = start_timeout_ms(bench, job)
     for _ in range(15):
         bench.dispatcher.window.add(bench.now, True, True)
-    assert bench.dispatcher._bound(job) > 4 * short
+    assert start_timeout_ms(bench, job) > 4 * short
 
 
 def test_a_busy_fleet_gets_no_attempt_that_comes_too_late() -> None:
@@ -392,7 +415,7 @@
 
 def fill(bench: Bench, failed: int, full: bool = False) -> None:
     """A full window in which so many of the attempts found no room."""
-    for place in range(WINDOW):
+    for place in range(WINDOW_ATTEMPT_COUNT):
         bench.dispatcher.window.add(bench.now, place < failed, full and place < failed)
 
 
@@ -457,7 +480,7 @@
 def loaded(bench: Bench, zone: int, jobs: float) -> None:
     """Own jobs that stay out on each worker of a zone."""
     for worker in bench.dispatcher.workers.values():
-        worker.held += jobs * (worker.zone == zone)
+        worker.reserved_slots += jobs * (worker.zone == zone)
 
 
 def test_first_tries_spill_from_a_full_zone_and_the_dearer_a_crossing_the_less() -> None:
@@ -488,7 +511,7 @@
 
 def test_where_no_starts_are_told_draws_go_by_what_own_jobs_leave() -> None:
     bench = Bench(settings(zone_count=1), entries(6))
-    bench.dispatcher.workers[worker_id(1)].held = 2.0
+    bench.dispatcher.workers[worker_id(1)].reserved_slots = 2.0
     counts = Counter(send.worker for send in serve(bench, 600))
     assert counts[worker_id(1)] < 10 and min(counts[worker_id(n)] for n in range(2, 7)) > 70
 
@@ -497,9 +520,9 @@
     bench = Bench(settings(zone_count=1), entries(6))
     for job, outcome in enumerate((Outcome.OK, Outcome.REJECTED, Outcome.ERROR, Outcome.TIMEOUT), 1):
         [send] = sends_of(bench.feed(JobSubmitted(job, 300.0, slots=2.0)))
-        assert bench.dispatcher.workers[send.worker].held == 2.0
+        assert bench.dispatcher.workers[send.worker].reserved_slots == 2.0
         bench.finish(send, 0, outcome, answered=True)
-        assert bench.dispatcher.workers[send.worker].held == 0.0
+        assert bench.dispatcher.workers[send.worker].reserved_slots == 0.0
 
 
 def test_queues_that_nobody_refuses_for_count_in_f() -> None:
@@ -510,8 +533,8 @@
         serve_reported(bench, 5)
         loaded(bench, 0, held)
         loaded(bench, 1, held)
-        serve_reported(bench, WINDOW, first=100)
-        assert bench.dispatcher._f() == pytest.approx(f, abs=0.1)  # from 0.9 on few are still tried
+        serve_reported(bench, WINDOW_ATTEMPT_COUNT, first=100)
+        assert no_capacity_probability(bench) == pytest.approx(f, abs=0.1)  # from 0.9 on few are still tried
 
 
 def serve_reported(bench: Bench, jobs: int, first: int = 1) -> None:
@@ -529,11 +552,11 @@
         latency_objective_per_work=2.0,
     )
     bench = Bench(settings(zone_count=1, classes=(cls,)), entries(9))
-    for job in range(1, WINDOW + 1):
+    for job in range(1, WINDOW_ATTEMPT_COUNT + 1):
         for send in sends_of(bench.feed(JobSubmitted(job, 4000.0, work=100.0))):
             bench.now += took
             bench.feed(AttemptFinished(job, 0, send.worker, Outcome.OK, took, True))
-    assert bench.dispatcher._f() == f
+    assert no_capacity_probability(bench) == f
 
 
 def test_a_worker_that_turned_a_job_away_is_passed_over_where_no_starts_are_told() -> None:
@@ -541,7 +564,7 @@
     serve_reported(bench, 5)
     [send] = sends_of(bench.feed(JobSubmitted(50, 4000.0)))
     bench.finish(send, 0, Outcome.REJECTED)
-    assert bench.dispatcher._turned_away() > 0
+    assert bench.dispatcher.window.rejected_fraction() > 0
     assert send.worker not in {one.worker for one in serve(bench, 20, first=60)}
 
 
@@ -573,7 +596,8 @@
 
     def cold(slots: float) -> int:
         bench = Bench(settings(zone_count=1, guarantees=rules), workers)
-        bench.dispatcher.means, bench.dispatcher.mean = [100.0], 100.0
+        statistics = bench.dispatcher.statistics
+        statistics.mean_service_time_ms, statistics.mean_slot_time_ms = [100.0], 100.0
         return sum(
             send.worker == worker_id(1)
             for job in range(1, 1001)
@@ -589,7 +613,9 @@
         JobClass(300.0, 5000.0, priority_weight=9.0, idempotency=Idempotency.IDEMPOTENT),
     )
     bench = Bench(settings(zone_count=1, classes=classes), entries(9))
-    bench.dispatcher.means, bench.dispatcher.mean, bench.dispatcher.value = [100.0, 100.0], 100.0, 0.05
+    statistics = bench.dispatcher.statistics
+    statistics.mean_service_time_ms, statistics.mean_slot_time_ms = [100.0, 100.0], 100.0
+    statistics.mean_value = 0.05
     refused = [0, 0]
     for job in range(1, 401):
         fill(bench, 25)
@@ -606,8 +632,9 @@
     refused = {}
     for by_work in (False, True):
         bench = Bench(settings(zone_count=1, classes=classes, weight_by_work=by_work), entries(9))
-        bench.dispatcher.means, bench.dispatcher.mean = [100.0, 900.0], 100.0
-        bench.dispatcher.value = 1.0 if by_work else 0.01
+        statistics = bench.dispatcher.statistics
+        statistics.mean_service_time_ms, statistics.mean_slot_time_ms = [100.0, 900.0], 100.0
+        statistics.mean_value = 1.0 if by_work else 0.01
         refused[by_work] = 0
         for job in range(1, 201):
             fill(bench, 25)
@@ -629,10 +656,12 @@
 
 def test_where_starts_are_told_late_answers_say_nothing_of_room() -> None:
     bench = Bench(settings(zone_count=1, workers_report_start=True), entries(9))
-    for job in range(1, WINDOW + 1):  # the word of each start was lost
+    for job in range(1, WINDOW_ATTEMPT_COUNT + 1):  # the word of each start was lost
         [send] = sends_of(bench.feed(JobSubmitted(job, 4000.0)))
         bench.feed(AttemptFinished(job, 0, send.worker, Outcome.OK, 2000.0, True))
-    assert len(bench.dispatcher.window.entries) == WINDOW and bench.dispatcher._f() == 0.0
+    assert (
+        len(bench.dispatcher.window.entries) == WINDOW_ATTEMPT_COUNT and no_capacity_probability(bench) == 0.0
+    )
 
 
 def test_a_started_stream_is_left_to_the_client() -> None:
@@ -687,7 +716,7 @@
     cls = JobClass(300.0, 5000.0, idempotency=Idempotency.NON_IDEMPOTENT)
     bench, sick = Bench(settings(zone_count=1, classes=(cls,)), entries(9)), worker_id(4)
     for worker in bench.dispatcher.workers.values():
-        worker.held = 0.0 if worker.id == sick else 3.0
+        worker.reserved_slots = 0.0 if worker.id == sick else 3.0
     drawn = Counter[WorkerIdType]()
     for job in range(1, 101):
         for send in sends_of(bench.feed(JobSubmitted(job, 4000.0))):
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -258,7 +258,7 @@
             )
         ],
     )
-    dispatcher.retune(Settings(classes=(QUOTE, RUSH), weight_kind=WeightKind.ROUGH))
+    dispatcher.apply_settings(Settings(classes=(QUOTE, RUSH), weight_kind=WeightKind.ROUGH))
     actions = dispatcher.handle(
         1.0, [JobSubmitted(1, 900.0, job_class=0), JobSubmitted(2, 900.0, job_class=1)]
     )
