--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -24,8 +24,10 @@
     scheduler,
 )
 from pipitshed.config.settings_parser import settings_from
+from pipitshed.proxy.attempt import Attempt
 from pipitshed.proxy.forwarder import Forwarder
-from pipitshed.proxy.request import Attempt, Endpoint, Request
+from pipitshed.proxy.request import Request
+from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.events import EndpointEntry, ProgressKind, UpdateKind
 
 SLOPE = "held"
--- a/pipitshed/discovery/catalog.py
+++ b/pipitshed/discovery/catalog.py
@@ -15,7 +15,7 @@
 
 from pipitshed.protocols.http import BadAnswerError, Reader
 from pipitshed.proxy.endpoint_table import EndpointRow, EndpointTable
-from pipitshed.proxy.request import Endpoint, WorkerClient
+from pipitshed.proxy.worker_client import Endpoint, WorkerClient
 from pipitshed.scheduling.events import EndpointEntry, EndpointState, UpdateKind
 
 SOURCE = "discovery"
--- a/pipitshed/discovery/worker_interfaces.py
+++ b/pipitshed/discovery/worker_interfaces.py
@@ -11,7 +11,7 @@
 
 from pipitshed.discovery.catalog import CatalogEntry, EndpointParser, parse_address
 from pipitshed.proxy.endpoint_table import EndpointTable
-from pipitshed.proxy.request import WorkerClient
+from pipitshed.proxy.worker_client import WorkerClient
 from pipitshed.scheduling.events import UpdateKind, WorkerId
 
 AT_ONCE = 8  # planners asked at the same time: a wide fleet that starts together is not met by a storm
--- /dev/null
+++ b/pipitshed/proxy/attempt.py
@@ -0,0 +1,42 @@
+"""One attempt of a request at one endpoint."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from dataclasses import dataclass
+from typing import Any
+
+from pipitshed.proxy.request import RequestContext
+from pipitshed.proxy.worker_client import Endpoint
+from pipitshed.scheduling.events import Outcome
+
+# Outcomes that prove that the job never ran.
+NOT_EXECUTED_OUTCOMES = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.SUPERSEDED))
+
+
+@dataclass(slots=True, eq=False)
+class Attempt:
+    """One attempt of a request at one endpoint; it has ended once it has an outcome."""
+
+    context: RequestContext
+    index: int
+    endpoint: Endpoint
+    started_at: float  # loop time
+    deadline_at: float  # loop time
+    body: bytes = b""  # in the endpoint's form
+    write_deadline_at: float = math.inf  # loop time from which it must not be written any more
+    fully_sent: bool = False  # its last byte is written, or a worker has it: it may have run
+    outcome: Outcome | None = None
+    timeout_timer: asyncio.TimerHandle | None = None
+    transport_state: Any = None  # of the worker client alone
+
+    @property
+    def finished(self) -> bool:
+        """Whether the attempt has ended."""
+        return self.outcome is not None
+
+    @property
+    def may_have_run(self) -> bool:
+        """Whether the worker may have run the job, as far as is known now."""
+        return self.outcome not in NOT_EXECUTED_OUTCOMES if self.outcome is not None else self.fully_sent
--- a/pipitshed/proxy/endpoint_table.py
+++ b/pipitshed/proxy/endpoint_table.py
@@ -7,7 +7,7 @@
 from itertools import takewhile
 from time import monotonic
 
-from pipitshed.proxy.request import Endpoint
+from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.events import (
     DiscoveryMoved,
     EndpointEntry,
--- a/pipitshed/proxy/forwarder.py
+++ b/pipitshed/proxy/forwarder.py
@@ -10,18 +10,12 @@
 from collections.abc import Callable, Sequence
 from time import monotonic
 
+from pipitshed.proxy.attempt import Attempt
 from pipitshed.proxy.decision_log import DecisionLog
 from pipitshed.proxy.endpoint_table import EndpointTable, merge_updates
 from pipitshed.proxy.published_names import member_name
-from pipitshed.proxy.request import (
-    Attempt,
-    Endpoint,
-    Request,
-    RequestContext,
-    Requester,
-    TranslationFailure,
-    Translator,
-)
+from pipitshed.proxy.request import Request, RequestContext, Requester, TranslationFailure, Translator
+from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.actions import (
     Action,
     CancelAttempt,
--- a/pipitshed/server/translation.py
+++ b/pipitshed/server/translation.py
@@ -8,7 +8,7 @@
 from pipitshed.config.platform import Translation
 from pipitshed.discovery.worker_interfaces import InterfaceRegistry
 from pipitshed.proxy.forwarder import Forwarder
-from pipitshed.proxy.request import Endpoint
+from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.translation.translator import Translator
 from pipitshed.upstream.grpc import GrpcWorkerClient
 from pipitshed.upstream.http import HttpWorkerClient
--- a/pipitshed/upstream/gearman.py
+++ b/pipitshed/upstream/gearman.py
@@ -8,8 +8,9 @@
 from typing import Protocol
 
 from pipitshed.protocols.gearman import Kind, PacketError, pack
+from pipitshed.proxy.attempt import Attempt
 from pipitshed.proxy.forwarder import Forwarder
-from pipitshed.proxy.request import Attempt, Endpoint
+from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.events import EndpointEntry, EndpointState, Outcome, ProgressKind, UpdateKind
 
 SOURCE = "gearman workers"
--- a/pipitshed/upstream/grpc.py
+++ b/pipitshed/upstream/grpc.py
@@ -14,8 +14,9 @@
 
 from pipitshed import __version__
 from pipitshed.protocols.grpc import timeout_text
+from pipitshed.proxy.attempt import Attempt
 from pipitshed.proxy.forwarder import Forwarder
-from pipitshed.proxy.request import Attempt, Endpoint
+from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.upstream.grpc_connection import Connection, Header, Stream
 from pipitshed.upstream.http import IDLE_SPARE, Address
 
--- a/pipitshed/upstream/grpc_connection.py
+++ b/pipitshed/upstream/grpc_connection.py
@@ -19,8 +19,9 @@
 from google.protobuf.message import DecodeError
 
 from pipitshed.protocols.grpc import MESSAGE_LIMIT, BadMessageError, Http2, frame, messages
+from pipitshed.proxy.attempt import Attempt
 from pipitshed.proxy.forwarder import Forwarder
-from pipitshed.proxy.request import Attempt, Endpoint
+from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.events import Outcome, ProgressKind
 from pipitshed.upstream.grpc_outcomes import by_status, pushback_of
 from pipitshed.worker_api import planner_pb2
--- a/pipitshed/upstream/http.py
+++ b/pipitshed/upstream/http.py
@@ -10,8 +10,9 @@
 import msgspec
 
 from pipitshed.protocols.http import BODY_LIMIT, BadAnswerError, Reader
+from pipitshed.proxy.attempt import Attempt
 from pipitshed.proxy.forwarder import Forwarder
-from pipitshed.proxy.request import Attempt, Endpoint
+from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.events import Outcome, ProgressKind
 from pipitshed.scheduling.settings import Idempotency, Limits
 
--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -18,7 +18,8 @@
 from pipitshed.config.settings_parser import settings_from
 from pipitshed.protocols.grpc import frame
 from pipitshed.proxy.forwarder import Forwarder
-from pipitshed.proxy.request import Endpoint, Request
+from pipitshed.proxy.request import Request
+from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.events import EndpointEntry, ProgressKind, UpdateKind
 from pipitshed.translation.file import read
 from pipitshed.translation.translator import Translator
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -11,8 +11,10 @@
 from loopback import Planner, Run
 
 from pipitshed.frontends.listener import Listener
+from pipitshed.proxy.attempt import Attempt
 from pipitshed.proxy.forwarder import Forwarder
-from pipitshed.proxy.request import Attempt, Endpoint, Request, RequestContext
+from pipitshed.proxy.request import Request, RequestContext
+from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.actions import RejectRequest
 from pipitshed.scheduling.events import AttemptFinished, AttemptProgressed, ConnectionLost, Event, UpdateKind
 from pipitshed.upstream.http import HttpWorkerClient
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,7 +15,8 @@
 
 from pipitshed.protocols.gearman import Kind, pack
 from pipitshed.proxy.forwarder import Forwarder
-from pipitshed.proxy.request import Endpoint, Request, RequestContext
+from pipitshed.proxy.request import Request, RequestContext
+from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.actions import StartAttempt
 from pipitshed.scheduling.events import (
     AttemptFinished,
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -25,7 +25,7 @@
 from hypothesis import strategies as st
 
 from pipitshed.protocols.grpc import MESSAGE_LIMIT, frame
-from pipitshed.proxy.request import Endpoint
+from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.actions import StartAttempt
 from pipitshed.upstream.grpc_connection import UNREAD_LIMIT, Connection
 from pipitshed.worker_api import planner_pb2 as pb
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -16,7 +16,7 @@
 from pipitshed.discovery import catalog as module
 from pipitshed.proxy.endpoint_table import EndpointTable
 from pipitshed.proxy.forwarder import Forwarder
-from pipitshed.proxy.request import Endpoint
+from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.events import EndpointEntry, EndpointState, EndpointsUpdated, UpdateKind
 from pipitshed.scheduling.settings import WeightKind
 
--- a/tests/test_list_replaced.py
+++ b/tests/test_list_replaced.py
@@ -14,7 +14,7 @@
 from test_interfaces import World, row
 
 from pipitshed.proxy.endpoint_table import FORGET_AFTER_S, EndpointTable
-from pipitshed.proxy.request import Endpoint
+from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.events import EndpointEntry, EndpointState, Outcome, UpdateKind
 
 DAY, REPLACED, LISTED = 86_400.0, 433, 200
