--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -68,7 +68,7 @@
     async def run() -> int:
         loop, settings = _CountedLoop(), settings_from(configured["settings"])
         core, carrier = Forwarder(settings, 1, loop), _Carrier()  # type: ignore[arg-type]
-        core.fetch_endpoints = lambda watch: None
+        core.attach_discovery(lambda watch: None)
         core.endpoints.update(
             "capacity",
             UpdateKind.SNAPSHOT,
--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -71,7 +71,7 @@
         self.call = _Call(self.discovery, True)
         self.call.data_received(HEAD)
         self.turns: list[float] = []  # s of CPU of each turn that did any of the list's work
-        self.core._hand_over = self._timed(self.core._hand_over)  # type: ignore[method-assign]
+        self.core._turns._run_turn = self._timed(self.core._turns._run_turn)  # type: ignore[method-assign]
         self.discovery._work = self._timed(self.discovery._work)  # type: ignore[method-assign]
 
     def _timed(self, work: Callable[..., None]) -> Callable[..., None]:
@@ -137,7 +137,7 @@
         tracemalloc.start()
         for number in range(replaced):
             now += DAY / replaced
-            side.core._epoch += DAY / replaced  # the decisions' clock
+            side.core._turns.epoch_s += DAY / replaced  # the decisions' clock
             version = 2 * number + 2
             await side.read(news(version, False, [planner_row(number, 0, "draining")]), version)
             version += 1
--- a/pipitshed/admin/frontend.py
+++ b/pipitshed/admin/frontend.py
@@ -1,4 +1,4 @@
-"""The operators' address: HTTP/1.1, one call per connection, `GET /-/ready` and `GET /-/metrics`."""
+"""The admin address: HTTP/1.1, one call per connection, `GET /-/ready` and `GET /-/metrics`."""
 
 from __future__ import annotations
 
@@ -8,10 +8,12 @@
 
 import httptools
 
-WITHIN = 2.0  # s from connecting by which a call is whole; after that it is closed without a word
-MOST = 16  # open calls; a new one closes the oldest
-HEAD_LIMIT = 8 * 1024  # bytes of a call; a call has no body
-LINGER = 1.0  # s for which an answered call waits for the caller's close
+CALL_TIMEOUT_S = 2.0  # from connecting until a call is complete; then it is closed without an answer
+MAX_OPEN_CALLS = 16  # a new one closes the oldest
+HEAD_LIMIT_BYTES = 8 * 1024  # of a call; a call has no body
+LINGER_S = 1.0  # for which an answered call waits for the caller's close
+READY_PATH = b"/-/ready"
+METRICS_PATH = b"/-/metrics"
 
 _REASONS = {
     200: "OK",
@@ -23,64 +25,70 @@
 
 
 class _Call(asyncio.Protocol):
-    """One operator's call."""
+    """One call: a connection with one request."""
 
-    def __init__(self, front: AdminFrontend) -> None:
-        self._front = front
+    def __init__(self, frontend: AdminFrontend) -> None:
+        self._frontend = frontend
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
         self._url = b""
-        self._size = 0
-        self._done = False
-        self._due: asyncio.TimerHandle | None = None
+        self._received_bytes = 0
+        self._answered = False
+        self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are none by inheritance
-        self._front.calls[self] = None
-        self._due = self._front.loop.call_later(WITHIN, self.close)
+        """Start the timer of the call."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports don't inherit from it
+        self._frontend.calls[self] = None
+        self._timer = self._frontend.loop.call_later(CALL_TIMEOUT_S, self.close)
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        self._front.calls.pop(self, None)
-        if self._due is not None:
-            self._due.cancel()
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """The call is over."""
+        self._frontend.calls.pop(self, None)
+        if self._timer is not None:
+            self._timer.cancel()
 
     def data_received(self, data: bytes) -> None:
-        if self._done:
+        """Parse what has come; a head that is too long or broken is answered with 400."""
+        if self._answered:
             return
-        self._size += len(data)
+        self._received_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self._answer(400, b"")
             return
-        if not self._done and self._size > HEAD_LIMIT:
+        if not self._answered and self._received_bytes > HEAD_LIMIT_BYTES:
             self._answer(400, b"")
 
     def eof_received(self) -> bool | None:
+        """Close when the caller does."""
         if self._transport is not None:
-            self._transport.close()  # answered or not, the caller has said all
+            self._transport.close()  # answered or not, the caller sends no more
         return None
 
     def on_url(self, url: bytes) -> None:
+        """Called by the parser with a part of the URL."""
         self._url += url
 
     def on_message_complete(self) -> None:
-        if self._done:
+        """Called by the parser when the request is complete: answer it."""
+        if self._answered:
             return
         method, path = self._parser.get_method(), self._url.split(b"?")[0]
-        if path not in (b"/-/ready", b"/-/metrics"):
+        if path not in (READY_PATH, METRICS_PATH):
             self._answer(404, b"no such call\n")
         elif method not in (b"GET", b"HEAD"):
             self._answer(405, b"only GET\n", b"Allow: GET, HEAD\r\n")
-        elif path == b"/-/ready":
-            ready = self._front.ready()
+        elif path == READY_PATH:
+            ready = self._frontend.ready()
             text = b"ready\n" if ready else b"not ready\n"
             self._answer(200 if ready else 503, text, head=method == b"HEAD")
         else:
-            self._answer(200, self._front.figures(), head=method == b"HEAD")
+            self._answer(200, self._frontend.metrics(), head=method == b"HEAD")
 
     def _answer(self, status: int, body: bytes, extra: bytes = b"", head: bool = False) -> None:
-        self._done = True
+        self._answered = True
         transport = self._transport
         if transport is None or transport.is_closing():
             return
@@ -89,35 +97,37 @@
             b"%sConnection: close\r\n\r\n%s"
             % (status, _REASONS[status].encode(), len(body), extra, b"" if head else body)
         )
-        # Guards the answer's way to the caller: what it may still send is not read, and a close with bytes
-        # unread would reset the connection; its end comes from the caller, or from the timer.
+        # What the caller may still send is not read, and a close with bytes unread would reset the connection
+        # before the answer arrives: the caller closes first, or the timer does.
         transport.write_eof()
-        if self._due is not None:
-            self._due.cancel()
-        self._due = self._front.loop.call_later(LINGER, transport.close)
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer = self._frontend.loop.call_later(LINGER_S, transport.close)
 
     def close(self) -> None:
+        """Close without waiting for anything."""
         if self._transport is not None:
             self._transport.abort()
 
 
 class AdminFrontend:
-    """All operators' calls."""
+    """All calls at the admin address."""
 
     def __init__(
-        self, ready: Callable[[], bool], figures: Callable[[], bytes], loop: asyncio.AbstractEventLoop
+        self, ready: Callable[[], bool], metrics: Callable[[], bytes], loop: asyncio.AbstractEventLoop
     ) -> None:
         self.ready = ready
-        self.figures = figures
+        self.metrics = metrics
         self.loop = loop
         self.calls: dict[_Call, None] = {}  # the oldest first
 
     def connection(self) -> _Call:
         """A new call; where there are too many, the oldest is closed."""
-        if len(self.calls) >= MOST:
+        if len(self.calls) >= MAX_OPEN_CALLS:
             next(iter(self.calls)).close()
         return _Call(self)
 
     def close(self) -> None:
+        """Close all calls."""
         for call in list(self.calls):
             call.close()
--- a/pipitshed/admin/metrics.py
+++ b/pipitshed/admin/metrics.py
@@ -1,69 +1,76 @@
-"""The figures as the operators' address gives them: one `name=value` line each. No I/O."""
+"""The metrics as the admin address gives them: one `name=value` line each. No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
+from pipitshed.proxy.request_end import RequestEnd
+
 PREFIX = "scheduler"
 
-# How an exchange ended, as the core counts it, to the figure that counts it.
-BY_END = {
-    "served": "answered",
-    "refused": "deferred",
-    "failed": "errored",
-    "unfit": "errored",
-    "overdue": "errored",
+# The metric that counts requests that ended so; withdrawn ones are in none.
+BY_END: dict[str, str] = {
+    RequestEnd.SUCCEEDED: "answered",
+    RequestEnd.REJECTED: "deferred",
+    RequestEnd.FAILED: "errored",
+    RequestEnd.UNTRANSLATABLE: "errored",
+    RequestEnd.OVERDUE: "errored",
 }
 PER_CLASS = ("answered", "deferred", "errored", "sends")
 
 
 @dataclass(frozen=True, slots=True)
 class Gauges:
-    """What stands at the moment of the call."""
+    """Values at the moment of the call; the field names are published."""
 
-    current: int  # exchanges taken and not yet ended
-    cluster_size: int  # planners listed as ready or draining
-    cluster_unhealthy: int  # of them, those that the decisions pass over at present
-    conf_loaded: int  # files taken at SIGHUP
-    conf_invalid: int  # files turned down at SIGHUP
+    current: int  # requests that wait for their answer
+    cluster_size: int  # workers listed as ready or draining
+    cluster_unhealthy: int  # of them, those that the dispatcher passes over at present
+    conf_loaded: int  # files applied at SIGHUP
+    conf_invalid: int  # files rejected at SIGHUP
 
 
 def by_class(
     names: Sequence[str], ended: Mapping[tuple[str, int], int], sends: Mapping[int, int]
 ) -> dict[str, dict[str, int]]:
-    """Counts by figure and class name. `names` gives each class number its name; a name that stands for
-    several numbers (a class that a new file changed) sums them.
+    """Count by metric and class name.
+
+    Args:
+        names: The name of each class number; a name that stands for several (of a class that a new file
+            changed) sums them.
+        ended: Requests by how they ended, and class number.
+        sends: Attempts whose last byte was written, by class number.
     """
-    counts = {figure: dict.fromkeys(names, 0) for figure in PER_CLASS}
-    for (how, number), count in ended.items():
-        figure = BY_END.get(how)
-        if figure is not None and number < len(names):
-            counts[figure][names[number]] += count
-    for number, count in sends.items():
-        if number < len(names):
-            counts["sends"][names[number]] += count
+    counts = {metric: dict.fromkeys(names, 0) for metric in PER_CLASS}
+    for (end, class_number), count in ended.items():
+        metric = BY_END.get(end)
+        if metric is not None and class_number < len(names):
+            counts[metric][names[class_number]] += count
+    for class_number, count in sends.items():
+        if class_number < len(names):
+            counts["sends"][names[class_number]] += count
     return counts
 
 
 def render(counts: Mapping[str, Mapping[str, int]], gauges: Gauges) -> bytes:
     """The text of `/-/metrics`: by class first, in the order of the names, then the totals and gauges."""
     lines: list[str] = []
-    for figure in PER_CLASS:
-        lines += [f"{PREFIX}.{figure}.{name}={count}" for name, count in counts.get(figure, {}).items()]
+    for metric in PER_CLASS:
+        lines += [f"{PREFIX}.{metric}.{name}={count}" for name, count in counts.get(metric, {}).items()]
     lines.append(f"{PREFIX}.sends={sum(counts.get('sends', {}).values())}")
-    lines += [f"{PREFIX}.{name}={value}" for name, value in _gauges(gauges)]
+    lines += [f"{PREFIX}.{name}={value}" for name, value in _gauge_values(gauges)]
     return ("\n".join(lines) + "\n").encode()
 
 
-def count_lines(tally: Mapping[str, int]) -> bytes:
-    """Further counts, such as those of the list's calls; told beside the fleet's figures alone."""
+def count_lines(counts: Mapping[str, int]) -> bytes:
+    """Further counts, such as those of discovery's calls; published beside the cluster's metrics alone."""
     return "".join(
-        f"{PREFIX}.{name.replace(' ', '_')}={count}\n" for name, count in sorted(tally.items())
+        f"{PREFIX}.{name.replace(' ', '_')}={count}\n" for name, count in sorted(counts.items())
     ).encode()
 
 
-def _gauges(gauges: Gauges) -> Iterable[tuple[str, int]]:
+def _gauge_values(gauges: Gauges) -> Iterable[tuple[str, int]]:
     return (
         ("current", gauges.current),
         ("cluster_size", gauges.cluster_size),
@@ -75,9 +82,9 @@
 
 def parse(text: bytes) -> dict[str, int]:
     """The lines of a `/-/metrics` text, by name: for tests and for operators' scripts."""
-    figures = {}
+    metrics = {}
     for line in text.decode().splitlines():
         name, _, value = line.partition("=")
         if name and value:
-            figures[name] = int(value)
-    return figures
+            metrics[name] = int(value)
+    return metrics
--- /dev/null
+++ b/pipitshed/proxy/attempt_runner.py
@@ -0,0 +1,178 @@
+"""Starts attempts at endpoints, and takes in what becomes of them."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import Counter
+from collections.abc import Sequence
+from time import monotonic
+
+from pipitshed.proxy.attempt import Attempt
+from pipitshed.proxy.dispatch_loop import DispatchLoop
+from pipitshed.proxy.endpoint_table import EndpointTable
+from pipitshed.proxy.published_names import member_name
+from pipitshed.proxy.request import RequestContext
+from pipitshed.proxy.request_lifecycle import RequestLifecycle
+from pipitshed.scheduling.actions import StartAttempt
+from pipitshed.scheduling.events import AttemptFinished, AttemptProgressed, Outcome, ProgressKind
+
+
+class AttemptRunner:
+    """Gives each attempt one outcome, and notifies the dispatcher and the request of it."""
+
+    def __init__(
+        self,
+        turns: DispatchLoop,
+        endpoints: EndpointTable,
+        requests: RequestLifecycle,
+        counters: Counter[str],
+        max_attempts: int,
+        loop: asyncio.AbstractEventLoop,
+    ) -> None:
+        self.max_attempts = max_attempts
+        self.sent_counts: Counter[int] = Counter()  # attempts whose last byte was written, by class
+        self._turns = turns
+        self._endpoints = endpoints
+        self._requests = requests
+        self._counters = counters
+        self._loop = loop
+
+    def start(self, action: StartAttempt) -> None:
+        """Begin an attempt, unless its request, its worker or its time has gone meanwhile."""
+        context = self._requests.find(action.job_id)
+        if context is not None and context.detached:
+            self._requests.fail(action.job_id)
+        endpoint = self._endpoints.endpoint(action.worker)
+        now = monotonic()
+        if (
+            context is None
+            or context.answered
+            or endpoint is None
+            or now >= context.deadline_at
+            or len(context.attempts) >= self.max_attempts
+        ):
+            self._supersede(action, context)
+            return
+        attempt = Attempt(context, len(context.attempts), endpoint, now, context.deadline_at)
+        if action.timeout_ms > 0:
+            attempt.deadline_at = min(context.deadline_at, now + action.timeout_ms / 1000)
+        context.attempts.append(attempt)
+        translated = context.translated
+        if translated is None:
+            attempt.body = context.request.body
+        elif endpoint.interface in translated.bodies:
+            attempt.body = translated.bodies[endpoint.interface]
+        else:
+            # The worker came back with another interface in this very turn.
+            self.finished(attempt, Outcome.CONNECT_FAILED)
+            return
+        if action.write_within_ms > 0:
+            attempt.write_deadline_at = now + action.write_within_ms / 1000
+        attempt.timeout_timer = self._loop.call_at(attempt.deadline_at, self.timed_out, attempt)
+        endpoint.client.start(attempt)
+
+    def _supersede(self, action: StartAttempt, context: RequestContext | None) -> None:
+        """Report an attempt that was not begun."""
+        self._counters[f"attempt {member_name(Outcome.SUPERSEDED)}"] += 1
+        self._turns.post(
+            AttemptFinished(
+                action.job_id,
+                len(context.attempts) if context is not None else 0,
+                action.worker,
+                Outcome.SUPERSEDED,
+                0.0,
+                context is None or context.answered,
+            )
+        )
+
+    def may_begin(self, attempt: Attempt) -> bool:
+        """Whether an attempt that waited for its connection may be written now.
+
+        Not where, while it waited, its request ended, its worker began to drain or left, or the time in
+        which a retry is permitted ran out.
+        """
+        context = attempt.context
+        return not (
+            attempt.finished
+            or context.answered
+            or context.detached
+            or self._endpoints.is_leaving(attempt.endpoint.id)
+            or monotonic() >= attempt.write_deadline_at
+        )
+
+    def sent(self, attempt: Attempt) -> None:
+        """The attempt's last byte is written: from now on it may have run."""
+        attempt.fully_sent = True
+        self.sent_counts[attempt.context.request.job_class] += 1
+
+    def timed_out(self, attempt: Attempt) -> None:
+        """The attempt's time is over."""
+        if not attempt.finished:
+            self.stop(attempt, Outcome.TIMEOUT)
+
+    def cancel(self, job_id: int, attempt_index: int) -> None:
+        """Stop an attempt that the dispatcher cancels."""
+        context = self._requests.find(job_id)
+        if context is not None and not context.attempts[attempt_index].finished:
+            self.stop(context.attempts[attempt_index], Outcome.CANCELLED)
+
+    def stop(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Stop an attempt that has not ended.
+
+        Stopped before its last byte was written, or before a worker took it, it has never run, and the
+        outcome says so: a job that must not run twice may then go to any worker.
+        """
+        may_have_run = attempt.endpoint.client.abort(attempt)
+        self.finished(attempt, outcome if may_have_run else Outcome.CONNECT_FAILED)
+
+    def progressed(self, attempt: Attempt, kind: ProgressKind, done_fraction: float) -> None:
+        """The worker has reported a job's start or progress."""
+        if not attempt.finished:
+            context = attempt.context
+            self._turns.post(
+                AttemptProgressed(context.job_id, attempt.index, attempt.endpoint.id, kind, done_fraction)
+            )
+            if not context.answered:
+                context.requester.progressed(kind, done_fraction)
+
+    def finished(
+        self,
+        attempt: Attempt,
+        outcome: Outcome,
+        result: bytes = b"",
+        report: Sequence[float] = (),
+        pushback: float | None = None,
+    ) -> None:
+        """Record the one outcome of an attempt; what is reported after it is ignored.
+
+        Args:
+            attempt: The attempt that has ended.
+            outcome: How it ended.
+            result: The worker's result, or its error message.
+            report: The load that the worker reported with it.
+            pushback: How long (ms) the worker wants the next attempt to wait; negative for no retry.
+        """
+        if attempt.finished:
+            return
+        attempt.outcome = outcome
+        if attempt.timeout_timer is not None:
+            attempt.timeout_timer.cancel()
+        self._counters[f"attempt {member_name(outcome)}"] += 1
+        context, endpoint = attempt.context, attempt.endpoint
+        if outcome is Outcome.ERROR:
+            context.last_error = result
+        if outcome is Outcome.OK and not context.answered:
+            self._requests.succeed(context, endpoint.interface, result)
+        self._turns.post(
+            AttemptFinished(
+                context.job_id,
+                attempt.index,
+                endpoint.id,
+                outcome,
+                (monotonic() - attempt.started_at) * 1000,
+                context.answered,
+                tuple(report),
+                pushback,
+            )
+        )
+        self._requests.forget_finished(context)
--- a/pipitshed/proxy/decision_log.py
+++ b/pipitshed/proxy/decision_log.py
@@ -1,7 +1,7 @@
-"""A trace of what the decisions are told and what they do, one line each, for counting across a fleet.
+"""A log of the dispatcher's events and actions, one line each, for counting across a fleet.
 
 It is off unless `LB_TRACE` names a file (or `-` for the standard error). Timers are left out: they are many
-and say nothing that the events after them do not.
+and add nothing to the events that follow them.
 """
 
 from __future__ import annotations
@@ -19,9 +19,13 @@
 from pipitshed.scheduling.events import EndpointEntry, TimerFired
 
 OMITTED = (SetTimer, TimerFired)
+STANDARD_ERROR_NAME = "-"
+FILE_BUFFER_BYTES = 1 << 16
+EVENT_MARK = "<"
+ACTION_MARK = ">"
 
 
-def _value(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, bytes):
         return value.decode("latin-1")
     if isinstance(value, enum.Enum):
@@ -29,47 +33,54 @@
     if isinstance(value, float):
         return f"{value:.1f}"
     if isinstance(value, EndpointEntry):
-        return f"{_value(value.worker)}:{member_name(value.state)}:{value.zone}:{value.started_at_ms:.0f}"
+        return (
+            f"{_format_value(value.worker)}:{member_name(value.state)}:{value.zone}:{value.started_at_ms:.0f}"
+        )
     if isinstance(value, tuple | list):
-        return ",".join(_value(one) for one in value)
+        return ",".join(_format_value(item) for item in value)
     return str(value)
 
 
-def format_line(now: float, way: str, item: object) -> str:
-    """`now way Kind name=value ...`; fields that are empty or None are left out."""
+def format_line(now_ms: float, mark: str, item: object) -> str:
+    """Format `now mark Kind name=value ...`; fields that are empty or None are left out."""
     published = CLASSES[type(item)]
-    parts = [f"{now:.1f}", way, published.name]
+    parts = [f"{now_ms:.1f}", mark, published.name]
     if dataclasses.is_dataclass(item):
         for field in dataclasses.fields(item):
             value = getattr(item, field.name)
             if value is None or value == ():
                 continue
-            parts.append(f"{published.fields.get(field.name, field.name)}={_value(value)}")
+            parts.append(f"{published.fields.get(field.name, field.name)}={_format_value(value)}")
     return " ".join(parts)
 
 
 class DecisionLog:
-    """Writes the lines of one turn of the loop."""
+    """Writes the lines of each turn of the dispatch loop."""
 
     def __init__(self, out: IO[str]) -> None:
         self._out = out
 
     @classmethod
     def named(cls, name: str) -> DecisionLog:
-        return cls(sys.stderr if name == "-" else open(name, "a", buffering=1 << 16))  # noqa: SIM115
+        """Open the log by the value of `LB_TRACE`."""
+        if name == STANDARD_ERROR_NAME:
+            return cls(sys.stderr)
+        return cls(open(name, "a", buffering=FILE_BUFFER_BYTES))  # noqa: SIM115
 
-    def settings(self, told: object) -> None:
-        """The settings as the configuration gave them, first."""
-        self._out.write(f"settings {msgspec.json.encode(told).decode()}\n")
+    def settings(self, raw: object) -> None:
+        """Write the settings as the configuration gave them; the first line."""
+        self._out.write(f"settings {msgspec.json.encode(raw).decode()}\n")
 
-    def record(self, now: float, events: Iterable[object], actions: Iterable[object]) -> None:
+    def record(self, now_ms: float, events: Iterable[object], actions: Iterable[object]) -> None:
+        """Write one turn's events and actions."""
         write = self._out.write
         for event in events:
             if not isinstance(event, OMITTED):
-                write(format_line(now, "<", event) + "\n")
+                write(format_line(now_ms, EVENT_MARK, event) + "\n")
         for action in actions:
             if not isinstance(action, OMITTED):
-                write(format_line(now, ">", action) + "\n")
+                write(format_line(now_ms, ACTION_MARK, action) + "\n")
 
     def close(self) -> None:
+        """Write out what is buffered."""
         self._out.flush()
--- a/pipitshed/proxy/deduplication.py
+++ b/pipitshed/proxy/deduplication.py
@@ -1,7 +1,7 @@
-"""What has been asked and run under a key, for fronts whose clients ask again by themselves.
+"""Requests by idempotency key, for frontends whose clients repeat requests by themselves.
 
-One key has one running exchange: who asks for the same again joins it. Where the class forbids another
-run within its window, what has ended is answered again as it ended.
+One key has one running request: who submits the same again joins it. Where the class forbids a second run
+within its window, what has ended is answered again as it ended.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from pipitshed.scheduling.events import ProgressKind
 from pipitshed.scheduling.settings import Idempotency
 
-Key = tuple[int, str]
-CACHED_RESULT_BYTES = 16 * 1024 * 1024  # of results; of the oldest beyond it only that they ran is kept
+DeduplicationKey = tuple[int, str]  # job class and idempotency key
+CACHED_RESULT_BYTES = 16 * 1024 * 1024  # of results; of the oldest beyond it only that they ran is known
 
 
 @dataclass(slots=True, eq=False)
 class DeduplicationEntry:
-    """One key's exchange and who waits for it; to the core it is the exchange's client."""
+    """One key's request and who waits for it; to the forwarder it is the request's requester."""
 
     table: DeduplicationTable
-    key: Key | None
+    key: DeduplicationKey | None
     requesters: list[Requester] = field(default_factory=list)
     context: RequestContext | None = None
     result: bytes | None = None
@@ -32,32 +32,37 @@
     last_progress: dict[ProgressKind, float] = field(default_factory=dict)
 
     def succeeded(self, result: bytes) -> None:
+        """Keep the result, and give it to all that wait."""
         self.result = result
-        for client in self._end():
-            client.succeeded(result)
+        for requester in self._end():
+            requester.succeeded(result)
 
     def rejected(self, retry_after: float) -> None:
-        for client in self._end():
-            client.rejected(retry_after)
+        """Reject all that wait."""
+        for requester in self._end():
+            requester.rejected(retry_after)
 
     def failed(self) -> None:
-        for client in self._end():
-            client.failed()
+        """Fail all that wait."""
+        for requester in self._end():
+            requester.failed()
 
     def untranslatable(self, why: TranslationFailure, ran: bool) -> None:
-        for client in self._end():
-            client.untranslatable(why, ran)
+        """Give all that wait the reason."""
+        for requester in self._end():
+            requester.untranslatable(why, ran)
 
     def progressed(self, kind: ProgressKind, share: float) -> None:
+        """Notify all that wait, and keep it for those that join later."""
         self.last_progress[kind] = share
-        for client in self.requesters:
-            client.progressed(kind, share)
+        for requester in self.requesters:
+            requester.progressed(kind, share)
 
     def _end(self) -> list[Requester]:
         self.ended = True
         self.table.finished(self)
-        clients, self.requesters = self.requesters, []
-        return clients
+        requesters, self.requesters = self.requesters, []
+        return requesters
 
 
 class DeduplicationTable:
@@ -66,8 +71,8 @@
     def __init__(self, core: Forwarder, loop: asyncio.AbstractEventLoop) -> None:
         self._core = core
         self._loop = loop
-        self._entries: dict[Key, DeduplicationEntry] = {}
-        self._cached: deque[DeduplicationEntry] = deque()
+        self._entries: dict[DeduplicationKey, DeduplicationEntry] = {}
+        self._cached: deque[DeduplicationEntry] = deque()  # with their results, the oldest first
         self._cached_bytes = 0
 
     def find(self, job_class: int, key: str) -> DeduplicationEntry | None:
@@ -78,79 +83,82 @@
         """Run it, join what runs already, or answer again what has run; the answer may come at once."""
         key = (request.job_class, request.idempotency_key) if request.idempotency_key else None
         entry = self._entries.get(key) if key is not None else None
-        if entry is not None and not entry.ended:
-            entry.requesters.append(client)
-            if entry.context is not None:
-                entry.context.detached = False
-            for kind, share in entry.last_progress.items():
-                client.progressed(kind, share)
-        elif entry is not None:
-            if entry.result is not None:
-                client.succeeded(entry.result)
-            else:
-                client.failed()  # it may have run, and must not run anew
-        else:
+        if entry is None:
             entry = DeduplicationEntry(self, key, [client])
             if key is not None:
                 self._entries[key] = entry
             entry.context = self._core.submit(request, entry)
+        elif not entry.ended:
+            self._join(entry, client)
+        elif entry.result is not None:
+            client.succeeded(entry.result)
+        else:
+            client.failed()  # it may have run, and must not run again
         return entry
 
+    def _join(self, entry: DeduplicationEntry, requester: Requester) -> None:
+        entry.requesters.append(requester)
+        if entry.context is not None:
+            entry.context.detached = False
+        for kind, done_fraction in entry.last_progress.items():
+            requester.progressed(kind, done_fraction)
+
     def withdraw(self, entry: DeduplicationEntry, client: Requester) -> None:
-        """One client has gone. What may have run and must not run anew goes on without any, so that a
-        client that comes back finds its result; all else ends with its last client.
+        """Remove one client that has left.
+
+        What may have run and must not run twice goes on without any, so that a client that comes back finds
+        its result; all else ends with its last client.
         """
-        if client in entry.requesters:
-            entry.requesters.remove(client)
-            if not entry.requesters and entry.context is not None and self._once(entry):
-                self._core.detach(entry.context)
-            elif not entry.requesters and entry.context is not None:
-                self._core.withdraw(entry.context)
-                entry.ended = True
-                self.finished(entry)
-
-    def _once(self, entry: DeduplicationEntry) -> bool:
-        """Whether it must not run anew: it may have run, in a class that forbids a repeat."""
-        exchange = entry.context
-        if exchange is None or entry.key is None or not exchange.may_have_run:
+        if client not in entry.requesters:
+            return
+        entry.requesters.remove(client)
+        if entry.requesters or entry.context is None:
+            return
+        if self._must_not_run_again(entry):
+            self._core.detach(entry.context)
+        else:
+            self._core.withdraw(entry.context)
+            entry.ended = True
+            self.finished(entry)
+
+    def _must_not_run_again(self, entry: DeduplicationEntry) -> bool:
+        """Whether the job may have run, in a class that forbids a second run."""
+        context = entry.context
+        if context is None or entry.key is None or not context.may_have_run:
             return False
-        return (
-            self._core.settings.classes[exchange.request.job_class].idempotency is not Idempotency.IDEMPOTENT
-        )
+        job_class = self._core.settings.classes[context.request.job_class]
+        return job_class.idempotency is not Idempotency.IDEMPOTENT
 
     def finished(self, entry: DeduplicationEntry) -> None:
-        """Keep what must not run anew as long as its class says, and forget the rest."""
+        """Keep an entry that must not run again as long as its class says, and forget any other."""
         if entry.key is None or entry.context is None:
             return
-        if not self._once(entry):
+        if not self._must_not_run_again(entry):
             self._entries.pop(entry.key, None)
             return
-        cls = self._core.settings.classes[entry.context.request.job_class]
-        first = min(attempt.started_at for attempt in entry.context.attempts if attempt.may_have_run)
-        until = (
-            first
-            + (
-                cls.idempotency_window_ms
-                if cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-                else cls.deadline_ms
-            )
-            / 1000
-        )
-        self._loop.call_at(max(until, self._loop.time()), self._forget, entry)
+        self._loop.call_at(max(self._window_end(entry.context), self._loop.time()), self._window_ended, entry)
         if entry.result is not None:
             self._cached.append(entry)
             self._cached_bytes += len(entry.result)
-        # Guards the memory limit: results of up to 64 KiB are kept for a whole window.
+        # Results of up to 64 KiB for a whole window would exceed the memory limit.
         while self._cached_bytes > CACHED_RESULT_BYTES:
-            self._drop(self._cached.popleft())
+            self._drop_result(self._cached.popleft())
+
+    def _window_end(self, context: RequestContext) -> float:
+        """The loop time until which the job must not run again."""
+        job_class = self._core.settings.classes[context.request.job_class]
+        first_run_at = min(attempt.started_at for attempt in context.attempts if attempt.may_have_run)
+        keyed = job_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+        window_ms = job_class.idempotency_window_ms if keyed else job_class.deadline_ms
+        return first_run_at + window_ms / 1000
 
-    def _forget(self, entry: DeduplicationEntry) -> None:
+    def _window_ended(self, entry: DeduplicationEntry) -> None:
         if entry.key is not None and self._entries.get(entry.key) is entry:
             del self._entries[entry.key]
         if entry in self._cached:
             self._cached.remove(entry)
-            self._drop(entry)
+            self._drop_result(entry)
 
-    def _drop(self, entry: DeduplicationEntry) -> None:
+    def _drop_result(self, entry: DeduplicationEntry) -> None:
         self._cached_bytes -= len(entry.result or b"")
         entry.result = None
--- /dev/null
+++ b/pipitshed/proxy/dispatch_loop.py
@@ -0,0 +1,126 @@
+"""Gathers the events that are ready, hands them to the dispatcher in one go, and has its actions executed."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import time
+from collections.abc import Callable
+from time import monotonic
+
+from pipitshed.proxy.decision_log import DecisionLog
+from pipitshed.proxy.endpoint_table import merge_updates
+from pipitshed.scheduling.actions import Action
+from pipitshed.scheduling.dispatcher import Dispatcher
+from pipitshed.scheduling.events import (
+    DiscoveryMoved,
+    EndpointsUpdated,
+    Event,
+    TimerFired,
+    UpdateKind,
+)
+
+TIMER_RETRY_S = 0.001  # after its due time, for a timer that fired early
+
+log = logging.getLogger("pipitshed")
+
+
+class DispatchLoop:
+    """The dispatcher's clock, its queue of events and its timers.
+
+    The clock is Unix time, as workers report their start in it, but advances with the monotonic clock, so
+    that a step of the system's clock moves no deadline. The event loop's own time would not do: uvloop's
+    stands still during a turn and has whole ms only.
+    """
+
+    def __init__(
+        self,
+        dispatcher: Dispatcher,
+        execute: Callable[[Action], None],
+        loop: asyncio.AbstractEventLoop,
+        decision_log: DecisionLog | None = None,
+    ) -> None:
+        self.epoch_s = time.time() - monotonic()
+        self._dispatcher = dispatcher
+        self._execute = execute
+        self._loop = loop
+        self._decision_log = decision_log
+        self._events: list[Event] = []
+        self._turn_scheduled = False
+        self._endpoint_updates: list[EndpointsUpdated] = []  # of this turn, to be merged into one
+        self._first_update_index = 0  # where the first of them stands among the events
+
+    def now_ms(self) -> float:
+        """The time by the dispatcher's clock."""
+        return (self.epoch_s + monotonic()) * 1000
+
+    def post(self, event: Event) -> None:
+        """Have the dispatcher notified, together with all else that is ready by then."""
+        self._events.append(event)
+        if not self._turn_scheduled:
+            self._turn_scheduled = True
+            self._loop.call_soon(self._run_turn)
+
+    def post_endpoint_update(self, update: EndpointsUpdated | DiscoveryMoved) -> None:
+        """Post an update of the endpoint list, merged with the others of its turn.
+
+        A lost zone may come as hundreds of changes in one turn: the dispatcher gets them as one, in the
+        place of the first.
+        """
+        if isinstance(update, DiscoveryMoved) or update.kind is not UpdateKind.DELTA:
+            self._merge_endpoint_updates()
+        else:
+            self._endpoint_updates.append(update)
+            if len(self._endpoint_updates) > 1:
+                return
+            self._first_update_index = len(self._events)
+        self.post(update)
+
+    def _merge_endpoint_updates(self) -> None:
+        """Make the updates so far one event; what comes from now on is another."""
+        if len(self._endpoint_updates) > 1:
+            self._events[self._first_update_index] = merge_updates(self._endpoint_updates)
+        self._endpoint_updates = []
+
+    def _run_turn(self) -> None:
+        """Hand the events to the dispatcher, and execute its actions.
+
+        An exception in one event or action must not stop the others of this turn: a timer that is not set
+        would set no others, and the next step of a job would never come.
+        """
+        self._turn_scheduled = False
+        if self._endpoint_updates:
+            self._merge_endpoint_updates()
+        events, self._events = self._events, []
+        now_ms = (self.epoch_s + monotonic()) * 1000
+        try:
+            actions = self._dispatcher.handle(now_ms, events)
+        except Exception:
+            log.exception("the dispatcher failed on %d events", len(events))
+            actions = self._dispatcher.actions
+        if self._decision_log is not None:
+            self._decision_log.record(now_ms, events, actions)
+        for action in actions:
+            try:
+                self._execute(action)
+            except Exception:
+                log.exception("failed to execute %r", action)
+
+    def set_timer(self, token: int, delay_ms: float) -> None:
+        """Post a `TimerFired` with this token after the delay."""
+        due_at = monotonic() + delay_ms / 1000
+        self._loop.call_at(due_at, self._timer_due, TimerFired(token), due_at)
+
+    def _timer_due(self, event: TimerFired, due_at: float) -> None:
+        # uvloop rounds timers to whole ms and counts from the start of its turn, so that one may fire early.
+        # The dispatcher takes an early timer for an outdated one, and the next poll, or the next step of a
+        # job, would never come.
+        if monotonic() < due_at:
+            self._loop.call_at(due_at + TIMER_RETRY_S, self._timer_due, event, due_at)
+        else:
+            self.post(event)
+
+    def close(self) -> None:
+        """Write out the decision log."""
+        if self._decision_log is not None:
+            self._decision_log.close()
--- a/pipitshed/proxy/published_names.py
+++ b/pipitshed/proxy/published_names.py
@@ -1,7 +1,7 @@
-"""The names that a trace gives events, actions, their fields and values.
+"""The names that the decision log gives events, actions, their fields and values.
 
-Operators' tools count these lines, so the names are part of the program's interface: they stay as they are,
-whatever the code calls the same things. This is the one place where the two meet.
+Operators' tools count these lines, so the names are part of the program's interface: they stay as they are
+when the code's names change. This module alone maps the code's names to them.
 """
 
 from __future__ import annotations
--- a/pipitshed/server/server.py
+++ b/pipitshed/server/server.py
@@ -79,10 +79,11 @@
         self.book = ClassRegistry.first(config.classes, config.settings.classes)
         self._names = list(self.book.names)  # of all class numbers, for the parts that tell them by name
         self.conf_loaded = self.conf_invalid = 0
-        self.core = Forwarder(config.settings, config.seed, loop)
+        decision_log = None
         if config.trace:
-            self.core.decision_log = DecisionLog.named(config.trace)
-            self.core.decision_log.settings((config.raw or {}).get("settings"))
+            decision_log = DecisionLog.named(config.trace)
+            decision_log.settings((config.raw or {}).get("settings"))
+        self.core = Forwarder(config.settings, config.seed, loop, decision_log)
         self.carrier = HttpWorkerClient(self.core, config.fields, loop, self._left)
         zones, kinds = self._zones, self._kinds = NameIndex(config.zones), NameIndex(config.kinds)
         self.translation = self._translation(front) if front.translation is not None else None
@@ -98,7 +99,7 @@
                 loop,
                 update_size_limit(config.memory_mb),
             )
-            self.core.fetch_endpoints = self.discovery.fetch
+            self.core.attach_discovery(self.discovery.fetch)
             self._hurry(config)
             # Guards against a start with no list that is known: the decisions ask once they are told one.
             self.discovery.load_cached(config.known or CatalogUpdate(0, []))
@@ -360,7 +361,7 @@
             listener.close()
         if self.gearman is not None:
             self.gearman.closing = True
-        self.core.answer_deadline_at = self._loop.time() + self._answer_by() - LISTEN_ON
+        self.core.set_answer_deadline(self._loop.time() + self._answer_by() - LISTEN_ON)
 
     def _send_away(self) -> None:
         self.front.draining = True
@@ -391,8 +392,7 @@
         if self.fleet is not None:
             self.fleet.close()
         self.carrier.close()
-        if self.core.decision_log is not None:
-            self.core.decision_log.close()
+        self.core.close()
         if self.translation is not None:
             self.translation.close()
         self._loop.call_later(SETTLE, self._ended.set)
--- a/pipitshed/server/translation.py
+++ b/pipitshed/server/translation.py
@@ -37,9 +37,8 @@
             self.sounder.probe,
             loop.call_later,
         )
-        core.translator = self.translator
-        core.endpoints.on_interfaces = core.interfaces_changed
-        core.endpoints.on_forgotten = self.interfaces.forget
+        core.attach_translator(self.translator)
+        core.endpoints.attach_forgotten_listener(self.interfaces.forget)
         http.classes = classes
         http.on_wrong_interface = self.carrier.on_wrong_interface = self._wrong
         self.carrier.on_drain = self._drains
--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -234,8 +234,7 @@
     def __init__(self, settings: dict[str, Any], forms: str, keepalive: float) -> None:
         self.loop = asyncio.get_running_loop()
         self.core = Forwarder(settings_from(SETTINGS | settings), 1, self.loop)
-        self.core.translator = Translator(read(forms), ["quote", "book"])
-        self.core.endpoints.on_interfaces = self.core.interfaces_changed
+        self.core.attach_translator(Translator(read(forms), ["quote", "book"]))
         self.carrier = GrpcWorkerClient(self.core, ["quote", "book"], self.loop, keepalive)
         self.core.endpoints.update("test", UpdateKind.CACHED, 0, [])
         self._ids = 0
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -37,7 +37,7 @@
     async def run() -> None:
         asked = asyncio.Event()
         core = Forwarder(settings(endpoints_polled=True), 1, HastyLoop())  # type: ignore[arg-type]
-        core.fetch_endpoints = lambda watch: asked.set()
+        core.attach_discovery(lambda watch: asked.set())
         lines = [(entry, Endpoint(entry.worker, None, None)) for entry in entries(3)]  # type: ignore[arg-type]
         core.endpoints.update("test", UpdateKind.CACHED, 1, lines)
         await asyncio.wait_for(asked.wait(), 5)
@@ -66,7 +66,7 @@
                 if isinstance(event, ConnectionLost):
                     lost.set()
 
-            core.post = post  # type: ignore[method-assign]
+            core._turns.post = post  # type: ignore[method-assign]
             carrier = HttpWorkerClient(core, [], loop)
             target = Endpoint(b"p1", carrier, ("127.0.0.1", planner.port))
             exchange = RequestContext(1, Request("a1", 0, 5000.0, 0), Mock(), loop.time() + 5)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -49,7 +49,7 @@
         self.core = Forwarder(
             settings(classes=classes, limits=Limits(may_cancel=False, max_attempts=3)), 1, loop
         )
-        self.core.post = self._heard  # type: ignore[method-assign]
+        self.core._turns.post = self._heard  # type: ignore[method-assign]
         self.carrier = HttpWorkerClient(self.core, [], loop)
         self.ended: asyncio.Queue[AttemptFinished] = asyncio.Queue()
 
@@ -68,7 +68,7 @@
         return self.core.submit(Request(name, 0, 9000.0, 0, body, "k-" + name), Mock())
 
     def send(self, exchange: RequestContext, write_within: float = 0.0) -> None:
-        self.core._carry_out(StartAttempt(exchange.job_id, self.worker, write_within_ms=write_within))
+        self.core._execute(StartAttempt(exchange.job_id, self.worker, write_within_ms=write_within))
 
     async def outcome(self) -> Outcome:
         return (await self.ended.get()).outcome
@@ -124,7 +124,7 @@
             assert [run.headers["x-request-id"] for run in planner.runs] == ["a2"]
             if crossing != "the client goes":
                 rig.core.withdraw(exchange)
-            assert not rig.core._contexts
+            assert not rig.core._requests._contexts
 
     run()
 
@@ -277,7 +277,7 @@
     worker = carrier.worker(link)
     worker.handle(Kind.CAN_DO, [b"plan"])
     exchange = rig.take("a1")
-    rig.core._carry_out(StartAttempt(exchange.job_id, worker.endpoint.id, write_within_ms=1.0))
+    rig.core._execute(StartAttempt(exchange.job_id, worker.endpoint.id, write_within_ms=1.0))
     passed = asyncio.Event()
     asyncio.get_running_loop().call_at(exchange.attempts[0].write_deadline_at + 0.001, passed.set)
     await passed.wait()
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -165,7 +165,7 @@
             callers = [Caller(), Caller()]
             for caller in callers:
                 caller.exchange = world.core.submit(world.request("quote", QUOTE, form_version=None), caller)
-                world.core._send(StartAttempt(caller.exchange.job_id, b"p1"))
+                world.core._attempts.start(StartAttempt(caller.exchange.job_id, b"p1"))
             data = (made(SettingsFrame, 0) if greets else b"") + b"".join(parts)
             for place in range(0, len(data), piece):
                 if connection.over or transport.closed:
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -40,7 +40,7 @@
         )
         self.discovery = module.CatalogClient(("127.0.0.1", 1), listing, self.core.endpoints, loop)
         self.discovery.fetch = Mock()  # type: ignore[method-assign]
-        self.core.fetch_endpoints = self.discovery.fetch
+        self.core.attach_discovery(self.discovery.fetch)
         self.opened()
 
     def opened(self) -> None:
@@ -174,8 +174,7 @@
     """Ready planners, their number and their interfaces, through changes of two sources, drains and plans."""
     rng = random.Random(5)
     sets: list[frozenset[int]] = []
-    table = EndpointTable(lambda news: None)
-    table.on_interfaces = lambda: sets.append(table.interfaces())
+    table = EndpointTable(lambda news: None, on_interfaces_changed=lambda: sets.append(table.interfaces()))
     for _ in range(3000):
         source, worker = rng.choice("ab"), worker_id(rng.randrange(12))
         entry = EndpointEntry(
--- a/tests/test_list_replaced.py
+++ b/tests/test_list_replaced.py
@@ -51,7 +51,7 @@
     clock = Clock()
     table = EndpointTable(lambda news: None, clock)
     forgotten: list[bytes] = []
-    table.on_forgotten = forgotten.append
+    table.attach_forgotten_listener(forgotten.append)
     table.update("test", UpdateKind.SNAPSHOT, 1, [line(number) for number in range(LISTED)])
     for number in range(REPLACED):
         clock.now += DAY / REPLACED
@@ -130,7 +130,7 @@
     async with Planner("p1", act=lambda run: run.say("started")) as planner:
         rig, clock = Rig(), Clock()
         rig.core.endpoints._clock = clock
-        rig.core.endpoints.workers_in_use = lambda: ()  # even then
+        rig.core.endpoints._workers_in_use = lambda: ()  # even then
         rig.lists(planner.port)
         rig.send(rig.take("a1"))
         run = await planner.wait_for(1)
@@ -182,7 +182,7 @@
     """No row says `gone` then: the planner was known for ever, and asked again and again."""
     world, clock = World(), Clock()
     world.table._clock = clock
-    world.table.on_forgotten = world.interfaces.forget
+    world.table.attach_forgotten_listener(world.interfaces.forget)
     world.list(row("p1"), row("p2"))
     world.table.update("test", UpdateKind.SNAPSHOT, 2, [world.listing.row(row("p2"))])
     clock.now += 2 * FORGET_AFTER_S
