--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -24,8 +24,10 @@
     scheduler,
 )
 from pipitshed.config.settings_parser import settings_from
+from pipitshed.proxy.attempt import Attempt
 from pipitshed.proxy.forwarder import Forwarder
-from pipitshed.proxy.request import Attempt, Endpoint, Request
+from pipitshed.proxy.request import Request
+from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.events import EndpointEntry, ProgressKind, UpdateKind
 
 SLOPE = "held"
@@ -66,7 +68,7 @@
     async def run() -> int:
         loop, settings = _CountedLoop(), settings_from(configured["settings"])
         core, carrier = Forwarder(settings, 1, loop), _Carrier()  # type: ignore[arg-type]
-        core.fetch_endpoints = lambda watch: None
+        core.attach_discovery(lambda watch: None)
         core.endpoints.update(
             "capacity",
             UpdateKind.SNAPSHOT,
