--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -32,9 +32,9 @@
 from pipitshed.cluster.peers_file import ClusterConfig
 from pipitshed.cluster.settings import SettingsTarget
 from pipitshed.config.platform import Config, load_platform_config
-from pipitshed.discovery.catalog import parse_address
 from pipitshed.membership.members import Address
 from pipitshed.membership.timing import ProtocolTimings
+from pipitshed.protocols.address import parse_address
 from pipitshed.testbed.virtual_fleet import DATAGRAM_HEADERS, ZONES, Second, worst
 
 SLOPE = "hollow"
--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -15,7 +15,8 @@
 
 import uvloop
 
-from pipitshed.discovery.catalog import SOURCE, CatalogClient, EndpointParser, NameIndex, _Call
+from pipitshed.discovery.catalog import SOURCE, CatalogClient, EndpointParser, NameIndex
+from pipitshed.discovery.catalog.watch import CatalogCall
 from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.scheduling.settings import JobClass, Settings
 from pipitshed.upstream.http import HttpWorkerClient
@@ -68,11 +69,11 @@
         self.carrier = HttpWorkerClient(self.core, [], loop)
         listing = EndpointParser(SOURCE, NameIndex(ZONES), NameIndex(["standard"]), self.carrier)
         self.discovery = CatalogClient(("127.0.0.1", 1), listing, self.core.endpoints, loop)
-        self.call = _Call(self.discovery, True)
+        self.call = CatalogCall(self.discovery, True)
         self.call.data_received(HEAD)
         self.turns: list[float] = []  # s of CPU of each turn that did any of the list's work
         self.core._hand_over = self._timed(self.core._hand_over)  # type: ignore[method-assign]
-        self.discovery._work = self._timed(self.discovery._work)  # type: ignore[method-assign]
+        self.discovery._apply_pending = self._timed(self.discovery._apply_pending)  # type: ignore[method-assign]
 
     def _timed(self, work: Callable[..., None]) -> Callable[..., None]:
         def timed(*given: Any) -> None:
--- a/pipitshed/cli/fleet.py
+++ b/pipitshed/cli/fleet.py
@@ -16,8 +16,8 @@
 from pipitshed.cluster.messages import ClusterMessage, Leave, Show, Shown
 from pipitshed.cluster.peers_file import ClusterConfigError, read
 from pipitshed.cluster.streams import framed
-from pipitshed.discovery.catalog import parse_address
 from pipitshed.membership.members import Address
+from pipitshed.protocols.address import parse_address
 
 WITHIN = 3.0  # s for an answer
 WATCH_EVERY = 1.0  # s
--- a/pipitshed/cli/settings.py
+++ b/pipitshed/cli/settings.py
@@ -24,8 +24,8 @@
     ShowRows,
     Status,
 )
-from pipitshed.discovery.catalog import parse_address
 from pipitshed.membership.members import Address
+from pipitshed.protocols.address import parse_address
 
 IN_FORCE, NO_ANSWER, REFUSED, NOT_EVERYWHERE = 0, 1, 2, 3  # exit codes
 LOOK = 0.1  # s between questions whether a change is in force
--- a/pipitshed/cluster/peers_file.py
+++ b/pipitshed/cluster/peers_file.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from pipitshed.discovery.catalog import parse_address
 from pipitshed.membership.members import NAME_LIMIT, Address
 from pipitshed.membership.timing import ProtocolTimings
+from pipitshed.protocols.address import parse_address
 from pipitshed.protocols.toml import line_at
 
 SECRET_LIMIT = 64  # bytes of the secret, which the checksum takes as its key
--- a/pipitshed/config/platform.py
+++ b/pipitshed/config/platform.py
@@ -13,7 +13,8 @@
 import msgspec
 
 from pipitshed.config.settings_parser import SettingsError, settings_from
-from pipitshed.discovery.catalog import CatalogUpdate, parse_address
+from pipitshed.discovery.catalog import CatalogUpdate
+from pipitshed.protocols.address import parse_address
 from pipitshed.protocols.toml import line_at
 from pipitshed.scheduling.settings import Settings
 
--- /dev/null
+++ b/pipitshed/discovery/catalog/endpoint_parser.py
@@ -0,0 +1,72 @@
+"""Rows of the endpoint table from the entries of a discovery source."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from pipitshed.discovery.catalog.update_parser import CatalogEntry
+from pipitshed.protocols.address import parse_address
+from pipitshed.proxy.endpoint_table import EndpointRow
+from pipitshed.proxy.request import Endpoint, WorkerClient
+from pipitshed.scheduling.events import EndpointEntry, EndpointState
+
+_STATES = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING, "gone": EndpointState.REMOVED}
+_DEFAULT_INTERFACE = 1
+
+
+class NameIndex:
+    """Numbers for names: those of the settings in their order, others behind them as they appear."""
+
+    def __init__(self, names: list[str]) -> None:
+        self._indexes = {name: index for index, name in enumerate(names)}
+
+    def index(self, name: str) -> int:
+        """The number of a name; a new one gets the next number."""
+        return self._indexes.setdefault(name, len(self._indexes))
+
+
+class InterfaceResolver(Protocol):
+    """Says which interface a worker speaks, where workers speak more than one."""
+
+    def choose(self, source: str, entry: CatalogEntry, parser: EndpointParser) -> tuple[int, WorkerClient]:
+        """The worker's interface, 0 while it is being probed, and the client that starts attempts there."""
+
+
+class EndpointParser:
+    """Turns the entries of one source into rows of the endpoint table."""
+
+    def __init__(
+        self,
+        source: str,
+        zones: NameIndex,
+        machine_types: NameIndex,
+        worker_client: WorkerClient,
+        interface_resolver: InterfaceResolver | None = None,
+    ) -> None:
+        self.source = source
+        self.interface_resolver = interface_resolver
+        self._zones = zones
+        self._machine_types = machine_types
+        self._worker_client = worker_client
+
+    def row(self, entry: CatalogEntry) -> EndpointRow:
+        """The table's row for one entry; ValueError if its address can't be parsed."""
+        worker = entry.instance_id.encode()
+        interface, worker_client = _DEFAULT_INTERFACE, self._worker_client
+        if self.interface_resolver is not None:
+            interface, worker_client = self.interface_resolver.choose(self.source, entry, self)
+        # A worker whose interface is not known yet gets no job of any class.
+        job_classes = frozenset[int]() if interface == 0 else None
+        scheduling_entry = EndpointEntry(
+            worker,
+            self._zones.index(entry.zone),
+            entry.cell,
+            self._machine_types.index(entry.machine_type),
+            entry.weight,
+            entry.started_at_ms,
+            _STATES.get(entry.lifecycle, EndpointState.DRAINING),
+            job_classes,
+            interface,
+        )
+        endpoint = Endpoint(worker, worker_client, parse_address(entry.host_port), interface)
+        return scheduling_entry, endpoint
--- a/pipitshed/discovery/worker_interfaces.py
+++ b/pipitshed/discovery/worker_interfaces.py
@@ -9,7 +9,8 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from pipitshed.discovery.catalog import CatalogEntry, EndpointParser, parse_address
+from pipitshed.discovery.catalog import CatalogEntry, EndpointParser
+from pipitshed.protocols.address import parse_address
 from pipitshed.proxy.endpoint_table import EndpointTable
 from pipitshed.proxy.request import WorkerClient
 from pipitshed.scheduling.events import UpdateKind, WorkerId
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -239,7 +239,7 @@
             await told.wait()
         told.clear()
         await told.wait()
-        assert table.failures == 2 and one.calls == 0
+        assert table.failures == 2 and one.active_calls == 0
         one.stop()
 
 
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -13,7 +13,9 @@
 from helpers import settings, worker_id
 from test_list_sizes import HEAD, chunk, news_of, rows
 
-from pipitshed.discovery import catalog as module
+from pipitshed.discovery.catalog import CatalogClient, EndpointParser, NameIndex
+from pipitshed.discovery.catalog.client import ENTRIES_PER_TURN
+from pipitshed.discovery.catalog.watch import CatalogCall
 from pipitshed.proxy.endpoint_table import EndpointTable
 from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.proxy.request import Endpoint
@@ -35,16 +37,14 @@
             return handle(now, events)
 
         self.core._dispatcher.handle = heard  # type: ignore[method-assign]
-        listing = module.EndpointParser(
-            "test", module.NameIndex(["lima-norte"]), module.NameIndex(["standard"]), Mock()
-        )
-        self.discovery = module.CatalogClient(("127.0.0.1", 1), listing, self.core.endpoints, loop)
+        listing = EndpointParser("test", NameIndex(["lima-norte"]), NameIndex(["standard"]), Mock())
+        self.discovery = CatalogClient(("127.0.0.1", 1), listing, self.core.endpoints, loop)
         self.discovery.fetch = Mock()  # type: ignore[method-assign]
         self.core.fetch_endpoints = self.discovery.fetch
         self.opened()
 
     def opened(self) -> None:
-        self.call = module._Call(self.discovery, True)
+        self.call = CatalogCall(self.discovery, True)
         self.call.connection_made(Mock())
         self.call.data_received(HEAD)
 
@@ -145,7 +145,7 @@
         seen.add(rig.core.endpoints.size())
         return bool(rig.told)
 
-    assert await rig.turns(whole) >= 4600 // module.SLICE
+    assert await rig.turns(whole) >= 4600 // ENTRIES_PER_TURN
     assert seen == {0, 4600} and rig.discovery.version == 2
     assert rig.core.endpoints.ready() == 4599
 
--- a/tests/test_list_sizes.py
+++ b/tests/test_list_sizes.py
@@ -8,7 +8,15 @@
 import pytest
 from loopback import Catalog, HttpClient, Planner, Writer, program, story
 
-from pipitshed.discovery import catalog as module
+from pipitshed.discovery.catalog import (
+    CatalogClient,
+    CatalogUpdate,
+    EndpointParser,
+    NameIndex,
+    update_parser,
+    update_size_limit,
+)
+from pipitshed.discovery.catalog.watch import CatalogCall
 from pipitshed.proxy.endpoint_table import EndpointTable
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -96,24 +104,22 @@
             assert catalog.asked == [1, 1]
         told = [line for line in running.log if "WARNING" in line]
         size = len(news_of(2, True, [old.line(), *rows(2500)], indent))
-        assert len(told) == 1 and f"a list of {size} bytes" in told[0] and str(256 * 1024) in told[0], told
+        assert len(told) == 1 and f"an update of {size} bytes" in told[0] and str(256 * 1024) in told[0], told
 
     run()
 
 
 def test_the_bound_follows_the_memory_limit() -> None:
-    bounds = [module.update_size_limit(limit) for limit in (32, 64, 128, 192, 256)]
+    bounds = [update_size_limit(limit) for limit in (32, 64, 128, 192, 256)]
     assert bounds == sorted(set(bounds)) and bounds[3] > 4 * 1_081_000
 
 
-def _watch(told: list[int]) -> tuple[module._Call, Mock]:
+def _watch(told: list[int]) -> tuple[CatalogCall, Mock]:
     """A watch whose news is counted by entries, without a socket."""
     loop = Mock()
     table = EndpointTable(lambda news: told.append(len(getattr(news, "entries", ()))))
-    listing = module.EndpointParser(
-        "test", module.NameIndex(["lima-norte"]), module.NameIndex(["standard"]), Mock()
-    )
-    call = module._Call(module.CatalogClient(("127.0.0.1", 1), listing, table, loop), True)
+    listing = EndpointParser("test", NameIndex(["lima-norte"]), NameIndex(["standard"]), Mock())
+    call = CatalogCall(CatalogClient(("127.0.0.1", 1), listing, table, loop), True)
     call.connection_made(Mock())
     call.data_received(HEAD)
     return call, table  # type: ignore[return-value]
@@ -141,14 +147,14 @@
 ) -> None:
     """Each line that ended like a whole list was a try at all that had come: work grew with the square."""
     tried = 0
-    decode = module._decode
+    decode = update_parser._decode
 
-    def counting(text: bytes) -> module.CatalogUpdate:
+    def counting(text: bytes) -> CatalogUpdate:
         nonlocal tried
         tried += len(text)
         return decode(text)
 
-    monkeypatch.setattr(module, "_decode", counting)
+    monkeypatch.setattr(update_parser, "_decode", counting)
     told: list[int] = []
     call, _ = _watch(told)
     text = _text(form, 400)
@@ -172,11 +178,11 @@
     """The parser named its callback alone: "`on_body` callback error", at each call anew."""
     told: list[int] = []
     call, _ = _watch(told)
-    owner = call._discovery
+    owner = call._client
     for _ in range(2):
         call.data_received(chunk(b'{"generation": 1, "instances": 5}\n'))
-        call = module._Call(owner, True)
+        call = CatalogCall(owner, True)
         call.connection_made(Mock())
         call.data_received(HEAD)
     said = [record.message for record in caplog.records]
-    assert len(said) == 1 and "no list: Expected `array`, got `int`" in said[0], said
+    assert len(said) == 1 and "invalid update: Expected `array`, got `int`" in said[0], said
--- a/tests/test_whole_lists.py
+++ b/tests/test_whole_lists.py
@@ -109,7 +109,7 @@
             assert first.asked == [1, 11, 13, 15] and second.asked == [15]
             assert first.whole == 1 and second.whole == 0
     assert counted(running, "whole lists") == 1
-    assert sum("the whole list, version 10, 2 planners" in line for line in running.log) == 1
+    assert sum("endpoint list snapshot, version 10, 2 workers" in line for line in running.log) == 1
     assert counted(running, "list changes") == 7 and counted(running, "list calls") >= 6
 
 
@@ -193,6 +193,6 @@
         Slow(planner, others=4599) as catalog,
         program(catalog=catalog) as running,
     ):
-        await running.logged("the whole list")
+        await running.logged("endpoint list snapshot")
         await served(running, planner)
         assert len(catalog.asked) == 1
