--- a/pipitshed/discovery/dns_sd.py
+++ b/pipitshed/discovery/dns_sd.py
@@ -1,10 +1,11 @@
-"""DNS-SD records (RFC 6763) in the route table: PTR names the instances, SRV and TXT say what they are."""
+"""Workers from DNS-SD records (RFC 6763): PTR names the instances, SRV, TXT and A describe them."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 import logging
+from dataclasses import dataclass
 
 import dns.asyncquery
 import dns.exception
@@ -21,155 +22,181 @@
 from pipitshed.scheduling.events import UpdateKind
 
 SOURCE = "dns-sd"
-ASK_TIMEOUT = 0.5  # s for one question
-LONGEST = 0.5  # s between refreshes however long the records live: drains are kept from 1.5 s on
-SHORTEST = 0.1  # s, however briefly they live
-REFRESH_PART = 0.8  # of the time to live after which records are asked for again
+QUERY_TIMEOUT_S = 0.5
+MAX_REFRESH_INTERVAL_S = 0.5  # however long records live: no job may reach a draining worker 1.5 s later
+MIN_REFRESH_INTERVAL_S = 0.1  # however briefly records live
+REFRESH_TTL_FRACTION = 0.8  # of the time to live, after which records are queried again
+_MAX_NUMBER = 1e15  # in a TXT record; larger ones are no weight, cell or time
 
 log = logging.getLogger("pipitshed")
 
 
-class _NoAnswerError(Exception):
-    """The server did not answer, or said that it could not."""
+class _QueryFailedError(Exception):
+    """The name server did not answer, or answered with an error."""
 
 
-def _txt(rrset: dns.rrset.RRset) -> dict[str, str]:
-    """The TXT record's pairs; of a repeated name the first counts, and names have no case (RFC 6763)."""
+@dataclass(frozen=True, slots=True)
+class _Instance:
+    """A service instance as its records describe it."""
+
+    entry: CatalogEntry
+    expires_at: float  # loop time
+
+
+def _parse_txt(rrset: dns.rrset.RRset) -> dict[str, str]:
+    """The key/value pairs of a TXT record.
+
+    Keys are case-insensitive, and of a repeated key the first counts (RFC 6763, 6.4).
+    """
     pairs: dict[str, str] = {}
     record = rrset[0]
     assert isinstance(record, dns.rdtypes.ANY.TXT.TXT)
     for text in record.strings:
-        name, _, value = text.decode("utf-8", "replace").partition("=")
-        if name:
-            pairs.setdefault(name.lower(), value)
+        key, _, value = text.decode("utf-8", "replace").partition("=")
+        if key:
+            pairs.setdefault(key.lower(), value)
     return pairs
 
 
-def _float(text: str, default: float) -> float:
+def _parse_float(text: str, default: float) -> float:
     try:
         value = float(text)
     except ValueError:
         return default
-    return value if 0 <= value < 1e15 else default
+    return value if 0 <= value < _MAX_NUMBER else default
+
+
+def _catalog_entry(
+    name: dns.name.Name, host: str, port: int, srv_weight: int, txt: dict[str, str]
+) -> CatalogEntry:
+    return CatalogEntry(
+        instance_id=name.to_text(),
+        host_port=f"{host}:{port}",
+        zone=txt.get("zone", ""),
+        machine_type=txt.get("kind", ""),
+        cell=int(_parse_float(txt.get("cell", ""), 0)),
+        lifecycle=txt.get("state", "ready"),
+        weight=_parse_float(txt.get("weight", ""), float(srv_weight) or 1.0),
+        started_at_ms=_parse_float(txt.get("started", ""), 0.0),
+        interface=int(_parse_float(txt.get("interface", ""), 0)),
+    )
 
 
 class DnsSdClient:
-    """Browses one service at one name server, and asks again as the records' times to live say."""
+    """Browses one service at one name server, as often as its records' times to live require."""
 
     def __init__(
         self,
         server: tuple[str, int],
         service: str,
-        listing: EndpointParser,
+        parser: EndpointParser,
         table: EndpointTable,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        self._server = server
+        self._server_host, self._server_port = server
         self._service = dns.name.from_text(service)
-        self._listing = listing
+        self._parser = parser
         self._table = table
         self._loop = loop
-        self._instances: dict[dns.name.Name, tuple[CatalogEntry, float]] = {}  # and until when it may stand
-        self._told: dict[dns.name.Name, CatalogEntry] = {}
+        self._instances: dict[dns.name.Name, _Instance] = {}
+        self._published: dict[dns.name.Name, CatalogEntry] = {}  # what the endpoint table has
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
+        """Start browsing."""
         self._task = self._loop.create_task(self._run())
 
     def close(self) -> None:
+        """Stop browsing; what the endpoint table has stays."""
         if self._task is not None:
             self._task.cancel()
 
     async def _run(self) -> None:
         while True:
             try:
-                lives = await self._refresh()
-            except Exception as error:  # whatever a record holds, the table is kept fresh
+                ttl_s = await self._refresh()
+            except Exception as error:  # a malformed record must not end the refreshes
                 log.warning("dns-sd: %s: %s", type(error).__name__, error)
-                lives = LONGEST
-            await asyncio.sleep(min(max(REFRESH_PART * lives, SHORTEST), LONGEST))
+                ttl_s = MAX_REFRESH_INTERVAL_S
+            interval_s = max(REFRESH_TTL_FRACTION * ttl_s, MIN_REFRESH_INTERVAL_S)
+            await asyncio.sleep(min(interval_s, MAX_REFRESH_INTERVAL_S))
 
-    async def _ask(self, name: dns.name.Name, kind: dns.rdatatype.RdataType) -> dns.message.Message:
+    async def _query(self, name: dns.name.Name, kind: dns.rdatatype.RdataType) -> dns.message.Message:
         query = dns.message.make_query(name, kind)
         try:
-            answer, _ = await dns.asyncquery.udp_with_fallback(
-                query, self._server[0], ASK_TIMEOUT, self._server[1]
+            response, _ = await dns.asyncquery.udp_with_fallback(
+                query, self._server_host, QUERY_TIMEOUT_S, self._server_port
             )
         except (dns.exception.DNSException, OSError) as error:
-            raise _NoAnswerError(str(error)) from None
-        if answer.rcode() not in (dns.rcode.NOERROR, dns.rcode.NXDOMAIN):
-            raise _NoAnswerError(dns.rcode.to_text(answer.rcode()))
-        return answer
+            raise _QueryFailedError(str(error)) from None
+        if response.rcode() not in (dns.rcode.NOERROR, dns.rcode.NXDOMAIN):
+            raise _QueryFailedError(dns.rcode.to_text(response.rcode()))
+        return response
 
     async def _records(self, name: dns.name.Name, kind: dns.rdatatype.RdataType) -> dns.rrset.RRset | None:
-        """The records of one name; None where there are none, or they say goodbye (a life of 0)."""
-        answer = await self._ask(name, kind)
-        found = answer.get_rrset(dns.message.ANSWER, name, dns.rdataclass.IN, kind)
-        return found if found is not None and found.ttl > 0 else None
+        """The records of a name; None if there are none, or they say goodbye by a time to live of 0."""
+        response = await self._query(name, kind)
+        records = response.get_rrset(dns.message.ANSWER, name, dns.rdataclass.IN, kind)
+        return records if records is not None and records.ttl > 0 else None
 
     async def _refresh(self) -> float:
-        """Browse once; the shortest life of what was found."""
+        """Browse once, and publish what has changed; the shortest time to live (s) of what was found."""
         now = self._loop.time()
         try:
-            browsed = await self._records(self._service, dns.rdatatype.PTR)
-        except _NoAnswerError:
-            # No word is no news: what is known stands until its own life is over.
-            self._instances = {name: held for name, held in self._instances.items() if held[1] > now}
-            self._tell()
-            return SHORTEST
-        lives = [float(browsed.ttl)] if browsed is not None else []
-        names = [record.target for record in browsed] if browsed is not None else []
-        found = await asyncio.gather(*(self._instance(name) for name in names))
+            pointers = await self._records(self._service, dns.rdatatype.PTR)
+        except _QueryFailedError:
+            # No answer says nothing about the instances: each stays until its records expire.
+            self._instances = {
+                name: instance for name, instance in self._instances.items() if instance.expires_at > now
+            }
+            self._publish()
+            return MIN_REFRESH_INTERVAL_S
+        ttls_s = [float(pointers.ttl)] if pointers is not None else []
+        names = [record.target for record in pointers] if pointers is not None else []
+        resolved = await asyncio.gather(*(self._resolve(name) for name in names))
         self._instances = {
-            name: held for name, held in zip(names, found, strict=True) if held is not None and held[1] > now
+            name: instance
+            for name, instance in zip(names, resolved, strict=True)
+            if instance is not None and instance.expires_at > now
         }
-        lives += [held[1] - now for held in self._instances.values()]
-        self._tell()
-        return min(lives, default=LONGEST)
+        ttls_s += [instance.expires_at - now for instance in self._instances.values()]
+        self._publish()
+        return min(ttls_s, default=MAX_REFRESH_INTERVAL_S)
 
-    async def _instance(self, name: dns.name.Name) -> tuple[CatalogEntry, float] | None:
-        """One instance's SRV, TXT and address; what is known of it where the server gives no answer."""
+    async def _resolve(self, name: dns.name.Name) -> _Instance | None:
+        """An instance by its SRV, TXT and A records; the one known so far if a query fails."""
         try:
             srv, txt = await asyncio.gather(
                 self._records(name, dns.rdatatype.SRV), self._records(name, dns.rdatatype.TXT)
             )
             if srv is None:
                 return None
-            record = min(srv, key=lambda one: one.priority)
-            address = await self._records(record.target, dns.rdatatype.A)
-        except _NoAnswerError:
+            service = min(srv, key=lambda record: record.priority)
+            addresses = await self._records(service.target, dns.rdatatype.A)
+        except _QueryFailedError:
             return self._instances.get(name)
-        if address is None:
+        if addresses is None:
             return None
-        pairs = _txt(txt) if txt is not None else {}
-        instance = CatalogEntry(
-            name.to_text(),
-            f"{address[0].to_text()}:{record.port}",
-            pairs.get("zone", ""),
-            pairs.get("kind", ""),
-            int(_float(pairs.get("cell", ""), 0)),
-            pairs.get("state", "ready"),
-            _float(pairs.get("weight", ""), float(record.weight) or 1.0),
-            _float(pairs.get("started", ""), 0.0),
-            int(_float(pairs.get("interface", ""), 0)),
-        )
-        life = min(srv.ttl, address.ttl, txt.ttl if txt is not None else srv.ttl)
-        return instance, self._loop.time() + life
-
-    def _tell(self) -> None:
-        """Fill the route table where anything has changed."""
-        before, told = self._told, {name: held[0] for name, held in self._instances.items()}
-        if told == before:
+        pairs = _parse_txt(txt) if txt is not None else {}
+        entry = _catalog_entry(name, addresses[0].to_text(), service.port, service.weight, pairs)
+        ttl_s = min(srv.ttl, addresses.ttl, txt.ttl if txt is not None else srv.ttl)
+        return _Instance(entry, self._loop.time() + ttl_s)
+
+    def _publish(self) -> None:
+        """Update the endpoint table with the entries that have changed or are gone."""
+        before = self._published
+        current = {name: instance.entry for name, instance in self._instances.items()}
+        if current == before:
             return
-        self._told = told
-        changed = [instance for name, instance in told.items() if instance != before.get(name)]
+        self._published = current
+        changed = [entry for name, entry in current.items() if entry != before.get(name)]
         changed += [
-            msgspec.structs.replace(instance, lifecycle="gone")
-            for name, instance in before.items()
-            if name not in told
+            msgspec.structs.replace(entry, lifecycle="gone")
+            for name, entry in before.items()
+            if name not in current
         ]
-        lines: list[EndpointRow] = []
-        for instance in changed:
+        rows: list[EndpointRow] = []
+        for entry in changed:
             with contextlib.suppress(ValueError):
-                lines.append(self._listing.row(instance))
-        self._table.update(SOURCE, UpdateKind.DELTA, 0, lines)
+                rows.append(self._parser.row(entry))
+        self._table.update(SOURCE, UpdateKind.DELTA, 0, rows)
--- a/pipitshed/discovery/placement_plan.py
+++ b/pipitshed/discovery/placement_plan.py
@@ -1,4 +1,4 @@
-"""Follows a plan's file: read at the start and on SIGHUP, applied whole or turned down, and eased in."""
+"""Follows a placement plan's file: read at the start and on SIGHUP, then applied in steps."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 
 
 class PlacementPlanSource:
-    """The file, and the steps by which the route table's weights come to it."""
+    """The plan's file, and the endpoint table whose weights approach the plan step by step."""
 
     def __init__(
         self,
         path: Path,
         zone: str,
         classes: Sequence[str],
-        cold: float,
+        slow_start_ms: float,
         table: EndpointTable,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         self._path = path
         self._table = table
         self._loop = loop
-        self.follower = Follower(zone, classes, cold)
+        self.follower = Follower(zone, classes, slow_start_ms)
         self._timer: asyncio.TimerHandle | None = None
         self.read()
         self._step()
 
     def read(self) -> None:
-        """Read the file again; one that is no use is logged, and the plan in force stands."""
+        """Read the file again; a plan that can't be used is logged, and the current one stays."""
         try:
             plan = read(self._path.read_bytes())
             self.follower.offer(plan, time.time(), self._table.entries())
@@ -47,24 +47,27 @@
                 "plan %s: it %s; %s",
                 self._path.name,
                 error,
-                "the one in force stands" if self.follower.plan else "the list's weights count",
+                "the current plan stays" if self.follower.plan else "the endpoint list's weights apply",
             )
         else:
-            log.info("plan %s: number %d is followed", self._path.name, plan.number)
+            log.info("plan %s: following plan number %d", self._path.name, plan.number)
 
     def _step(self) -> None:
         self._timer = self._loop.call_later(EVERY, self._step)
         self.apply_weights()
 
     def apply_weights(self) -> None:
-        """Give the route table the weights of now. Guards, after new classes, against a job of a number that
-        no planner has a weight for.
+        """Set the endpoint table's weights to those of the current step.
+
+        Also called when the job classes change: a job of a new class would otherwise find no worker that has
+        a weight for it.
         """
-        held = self.follower.plan
+        plan_before = self.follower.plan
         self._table.set_planned_weights(self.follower.weights(self._table.entries(), time.time()))
-        if held is not None and self.follower.plan is None:
-            log.warning("plan %s: its life is over; the list's weights count", self._path.name)
+        if plan_before is not None and self.follower.plan is None:
+            log.warning("plan %s: it has expired; the endpoint list's weights apply", self._path.name)
 
     def close(self) -> None:
+        """Stop stepping; the weights stay as they are."""
         if self._timer is not None:
             self._timer.cancel()
--- a/pipitshed/discovery/worker_interfaces.py
+++ b/pipitshed/discovery/worker_interfaces.py
@@ -1,6 +1,6 @@
-"""Which interface each planner speaks: told by its row or by settings, else found out once per start.
+"""Which interface each worker speaks: from its entry or the settings, else by one probe per worker start.
 
-No I/O: what finds it out is asked by `sound`, at most `AT_ONCE` planners at a time.
+No I/O here: `probe` does it, for at most `MAX_CONCURRENT_PROBES` workers at a time.
 """
 
 from __future__ import annotations
@@ -9,162 +9,168 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
+import msgspec
+
 from pipitshed.discovery.catalog import CatalogEntry, EndpointParser
 from pipitshed.protocols.address import parse_address
 from pipitshed.proxy.endpoint_table import EndpointTable
 from pipitshed.proxy.request import WorkerClient
 from pipitshed.scheduling.events import UpdateKind, WorkerId
 
-AT_ONCE = 8  # planners asked at the same time: a wide fleet that starts together is not met by a storm
-FIRST_WAIT = 0.25  # s after a planner that could not be asked, doubling
-LONGEST_WAIT = 4.0  # s
-CLEAN = 2.0  # s after a planner's own word of a drain before it is asked whether it takes connections again
+MAX_CONCURRENT_PROBES = 8  # so that many workers that start together do not cause a burst of connections
+FIRST_RETRY_DELAY_S = 0.25  # after a failed probe; doubles with each further one
+MAX_RETRY_DELAY_S = 4.0
+DRAIN_CHECK_DELAY_S = 2.0  # from a worker's own notice of a drain to a probe whether it accepts connections
+
+_UNKNOWN = 0  # no interface: it is being probed
+_DEFAULT_INTERFACE = 1
 
 Address = tuple[str, int]
 
 
 @dataclass(slots=True)
-class _Known:
-    """What is known of one planner."""
+class _KnownWorker:
+    """What is known of one worker since its last start."""
 
-    item: CatalogEntry
+    entry: CatalogEntry
     source: str
-    listing: EndpointParser
-    interface: int = 0  # found out, for this start
-    asking: bool = False
-    failures: int = 0
+    parser: EndpointParser
+    detected: int = _UNKNOWN
+    is_probing: bool = False
+    failed_probes: int = 0
+
+    @property
+    def address(self) -> Address:
+        return parse_address(self.entry.host_port)
+
+    def is_same_start(self, entry: CatalogEntry) -> bool:
+        """Whether an entry is of the process that is known, not of one started later or elsewhere."""
+        return (entry.started_at_ms, entry.host_port) == (self.entry.started_at_ms, self.entry.host_port)
 
 
 class InterfaceRegistry:
-    """The interfaces of all listed planners."""
+    """The interfaces of all listed workers."""
 
     def __init__(
         self,
         table: EndpointTable,
-        carriers: Mapping[int, WorkerClient],
-        told: Mapping[str, int],
+        worker_clients: Mapping[int, WorkerClient],
+        configured: Mapping[str, int],
         default: int,
-        sound: Callable[[WorkerId, Address], None],
-        later: Callable[[float, Callable[[], None]], object],
+        probe: Callable[[WorkerId, Address], None],
+        call_later: Callable[[float, Callable[[], None]], object],
     ) -> None:
         self._table = table
-        self._carriers = carriers
-        self._told = told  # by instance id
-        self._default = default  # 0: to be found out
-        self._sound = sound
-        self._later = later
-        self._known: dict[WorkerId, _Known] = {}
-        self._queue: deque[WorkerId] = deque()
-        self._out = 0
-
-    def choose(self, source: str, item: CatalogEntry, listing: EndpointParser) -> tuple[int, WorkerClient]:
-        """The interface of one row, 0 while it is being found out, and what carries attempts to it."""
-        worker = item.instance_id.encode()
+        self._worker_clients = worker_clients  # by interface
+        self._configured = configured  # by instance id
+        self._default = default  # 0: probe
+        self._probe = probe
+        self._call_later = call_later
+        self._known: dict[WorkerId, _KnownWorker] = {}
+        self._probe_queue: deque[WorkerId] = deque()
+        self._active_probes = 0
+
+    def choose(self, source: str, entry: CatalogEntry, parser: EndpointParser) -> tuple[int, WorkerClient]:
+        """The interface of one worker, 0 while it is being probed, and the client that starts attempts."""
+        worker = entry.instance_id.encode()
         known = self._known.get(worker)
-        if item.lifecycle == "gone":
+        if entry.lifecycle == "gone":
             self._known.pop(worker, None)
-        elif known is None or (item.started_at_ms, item.host_port) != (
-            known.item.started_at_ms,
-            known.item.host_port,
-        ):
-            known = self._known[worker] = _Known(item, source, listing)
+        elif known is None or not known.is_same_start(entry):
+            known = self._known[worker] = _KnownWorker(entry, source, parser)
         else:
-            known.item, known.source, known.listing = item, source, listing
-        interface = self._of(item, known)
-        if interface == 0 and known is not None:
-            self._ask(worker, known)
-        return interface, self._carriers[interface or 1]
-
-    def _of(self, item: CatalogEntry, known: _Known | None) -> int:
-        found = known.interface if known is not None else 0
-        if item.interface in self._carriers:
-            # The row speaks for the planner, unless that has just been seen to be wrong.
-            return found or item.interface
-        return found or self._told.get(item.instance_id, 0) or self._default
+            known.entry, known.source, known.parser = entry, source, parser
+        interface = self._interface(entry, known)
+        if interface == _UNKNOWN and known is not None:
+            self._request_probe(worker, known)
+        return interface, self._worker_clients[interface or _DEFAULT_INTERFACE]
+
+    def _interface(self, entry: CatalogEntry, known: _KnownWorker | None) -> int:
+        # What was detected counts first: it is there only where nothing else said, or the entry was wrong.
+        detected = known.detected if known is not None else _UNKNOWN
+        if entry.interface in self._worker_clients:
+            return detected or entry.interface
+        return detected or self._configured.get(entry.instance_id, 0) or self._default
 
     def forget(self, worker: WorkerId) -> None:
-        """The planner left the list a while ago, where its source did not say so itself."""
+        """Forget a worker that left the list a while ago without an entry that says so."""
         self._known.pop(worker, None)
 
-    # ---- finding out
+    # ---- probes
 
-    def _ask(self, worker: WorkerId, known: _Known) -> None:
-        if not known.asking and known.item.lifecycle != "gone":
-            known.asking = True
-            self._queue.append(worker)
-            self._next()
+    def _request_probe(self, worker: WorkerId, known: _KnownWorker) -> None:
+        if not known.is_probing and known.entry.lifecycle != "gone":
+            known.is_probing = True
+            self._probe_queue.append(worker)
+            self._start_probes()
 
-    def _next(self) -> None:
-        while self._queue and self._out < AT_ONCE:
-            worker = self._queue.popleft()
+    def _start_probes(self) -> None:
+        while self._probe_queue and self._active_probes < MAX_CONCURRENT_PROBES:
+            worker = self._probe_queue.popleft()
             known = self._known.get(worker)
             if known is not None:
-                self._out += 1
-                self._sound(worker, parse_address(known.item.host_port))
+                self._active_probes += 1
+                self._probe(worker, known.address)
 
     def detected(self, worker: WorkerId, address: Address, interface: int) -> None:
-        """The answer for one planner; 0 where it could not be asked, or is about to leave."""
-        self._out -= 1
+        """A probe has ended; `interface` is 0 if it failed, or the worker is about to leave."""
+        self._active_probes -= 1
         known = self._known.get(worker)
-        if known is not None and address == parse_address(known.item.host_port):
-            known.asking = False
-            if interface:
-                known.interface, known.failures = interface, 0
+        if known is not None:
+            has_moved = address != known.address  # since the probe began
+            known.is_probing = False
+            if has_moved:
+                self._request_probe(worker, known)
+            elif interface:
+                known.detected, known.failed_probes = interface, 0
                 self._table.clear_draining(worker)
-                self._refill(known)
+                self._update_row(known)
             else:
-                wait = min(LONGEST_WAIT, FIRST_WAIT * 2.0**known.failures)
-                known.failures += 1
-                self._later(wait, lambda: self._again(worker, known))
-        elif known is not None:
-            known.asking = False
-            self._ask(worker, known)
-        self._next()
+                self._retry_probe(worker, known)
+        self._start_probes()
 
-    def _again(self, worker: WorkerId, known: _Known) -> None:
-        unsure = self._of(known.item, known) == 0 or self._table.is_marked_draining(worker)
-        if self._known.get(worker) is known and unsure:
-            self._ask(worker, known)
+    def _retry_probe(self, worker: WorkerId, known: _KnownWorker) -> None:
+        delay_s = min(MAX_RETRY_DELAY_S, FIRST_RETRY_DELAY_S * 2.0**known.failed_probes)
+        known.failed_probes += 1
+        self._call_later(delay_s, lambda: self._probe_again(worker, known))
 
-    def _refill(self, known: _Known) -> None:
-        self._table.update(known.source, UpdateKind.DELTA, 0, [known.listing.row(known.item)])
+    def _probe_again(self, worker: WorkerId, known: _KnownWorker) -> None:
+        is_needed = self._interface(known.entry, known) == _UNKNOWN or self._table.is_marked_draining(worker)
+        if self._known.get(worker) is known and is_needed:
+            self._request_probe(worker, known)
 
-    # ---- what carriers see
+    def _update_row(self, known: _KnownWorker) -> None:
+        self._table.update(known.source, UpdateKind.DELTA, 0, [known.parser.row(known.entry)])
+
+    # ---- what worker clients observe
 
     def mismatched(self, worker: WorkerId) -> None:
-        """A planner has answered in another interface than the one it was taken for: it gets nothing until it
-        is known which.
+        """A worker has answered in another interface than its entry says.
+
+        It gets no further jobs until a probe has found out which it speaks, unless the settings say so.
         """
         known = self._known.get(worker)
-        if known is None or known.asking:
+        if known is None or known.is_probing:
             return
-        known.interface = 0
-        known.item = CatalogEntry(
-            known.item.instance_id,
-            known.item.host_port,
-            known.item.zone,
-            known.item.machine_type,
-            known.item.cell,
-            known.item.lifecycle,
-            known.item.weight,
-            known.item.started_at_ms,
-            0,
-        )
-        self._ask(worker, known)
-        entry, target = known.listing.row(known.item)
-        if entry.interface:
-            return  # settings say otherwise, and stand
-        self._table.update(known.source, UpdateKind.DELTA, 0, [(entry, target)])
+        known.detected = _UNKNOWN
+        known.entry = msgspec.structs.replace(known.entry, interface=_UNKNOWN)
+        self._request_probe(worker, known)
+        row = known.parser.row(known.entry)
+        scheduling_entry, _ = row
+        if scheduling_entry.interface == _UNKNOWN:
+            self._table.update(known.source, UpdateKind.DELTA, 0, [row])
 
     def drains(self, worker: WorkerId) -> None:
-        """A planner has said itself that it drains. Its source tells of the next start; where none does, a
-        planner that takes connections again without such word is back.
+        """A worker has said itself that it drains.
+
+        Its next start ends that. Where its source does not report starts, a worker that accepts connections
+        again without such a notice is back.
         """
         self._table.mark_draining(worker)
         if self._table.is_marked_draining(worker):
-            self._later(CLEAN, lambda: self._look_again(worker))
+            self._call_later(DRAIN_CHECK_DELAY_S, lambda: self._check_drain(worker))
 
-    def _look_again(self, worker: WorkerId) -> None:
+    def _check_drain(self, worker: WorkerId) -> None:
         known = self._known.get(worker)
         if known is not None and self._table.is_marked_draining(worker):
-            self._ask(worker, known)
+            self._request_probe(worker, known)
--- a/tests/test_interfaces.py
+++ b/tests/test_interfaces.py
@@ -8,7 +8,7 @@
 from loopback import Planner, story
 
 from pipitshed.discovery.catalog import CatalogEntry, EndpointParser, NameIndex
-from pipitshed.discovery.worker_interfaces import AT_ONCE, InterfaceRegistry
+from pipitshed.discovery.worker_interfaces import MAX_CONCURRENT_PROBES, InterfaceRegistry
 from pipitshed.proxy.endpoint_table import EndpointTable
 from pipitshed.scheduling.events import EndpointState, UpdateKind
 from pipitshed.upstream.interface_probe import InterfaceProber
@@ -88,10 +88,10 @@
 def test_a_wide_fleet_is_asked_a_few_at_a_time() -> None:
     world = World()
     world.list(*(row(f"p{number}") for number in range(100)))
-    assert len(world.asked) == AT_ONCE
+    assert len(world.asked) == MAX_CONCURRENT_PROBES
     for place in range(100):
         world.interfaces.detected(*world.asked[place], 1 + place % 2)
-        assert len(world.asked) <= place + 1 + AT_ONCE
+        assert len(world.asked) <= place + 1 + MAX_CONCURRENT_PROBES
     assert len(world.asked) == 100 and world.table.interfaces() == {1, 2}
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -303,11 +303,11 @@
             assert (await ask(30))[1] == 30
             path.write_bytes(made(2, 1000)[:-30])
             running.process.send_signal(1)
-            await running.logged("the one in force stands")
+            await running.logged("the current plan stays")
             assert (await ask(10))[1] == 10
             path.write_bytes(made(2, 1000))
             running.process.send_signal(1)
-            await running.logged("number 2 is followed")
+            await running.logged("following plan number 2")
             await asyncio.sleep(10.5)
             assert (await ask(30))[0] == 30
             config = json.loads(running.config.read_text())
