--- /dev/null
+++ b/pipitshed/frontends/http/connection.py
@@ -0,0 +1,388 @@
+"""One HTTP client's connection: requests come in, responses go out in the same order."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from typing import TYPE_CHECKING, cast
+
+import httptools
+import msgspec
+
+from pipitshed.frontends.http.request_parser import SINGLE_VALUE_HEADERS, MalformedError
+from pipitshed.protocols.buffer import Buffer, TooLongError
+from pipitshed.protocols.http import BODY_LIMIT, HEAD_LIMIT
+from pipitshed.proxy.request import Request, RequestContext, TranslationFailure
+from pipitshed.scheduling.events import ProgressKind
+
+if TYPE_CHECKING:
+    from pipitshed.frontends.http.frontend import HttpFrontend
+
+MAX_PIPELINED_REQUESTS = 8  # waiting behind the one in progress; further ones are answered 503
+MAX_QUEUED_RESPONSES = 256  # waiting, with those 503; a client that sends more is disconnected
+FIRST_REQUEST_TIMEOUT_S = 2.5  # from connecting: connections that only send garbage must end within 3 s
+NEXT_REQUEST_TIMEOUT_S = 10.0  # from a later request's first byte to its end
+MAX_MESSAGE_BYTES = HEAD_LIMIT + 4 * BODY_LIMIT  # of a request with its chunk framing and trailers
+MAX_LINGER_BYTES = 1024 * 1024  # of input discarded after the last response
+WRITE_TIMEOUT_S = 10.0  # for which a client may leave its responses unread
+
+_HEALTH_PATH = b"/_health"
+_IN_BODY = -1  # as the size of a head: the head is complete
+
+_REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    422: "Unprocessable Content",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
+}
+
+_encode_json = msgspec.json.encode
+
+
+def _error_status(error: BaseException | None) -> int:
+    """The status that answers input which can't be parsed."""
+    if isinstance(error, MalformedError):
+        return error.status
+    return 413 if isinstance(error, TooLongError) else 400
+
+
+class HttpConnection(asyncio.Protocol):
+    """One client's connection."""
+
+    def __init__(self, frontend: HttpFrontend) -> None:
+        self._frontend = frontend
+        self._parser = httptools.HttpRequestParser(self)
+        self._buffer = Buffer(BODY_LIMIT)
+        self._transport: asyncio.Transport | None = None
+        self._resource = b""
+        self._headers: dict[bytes, bytes] = {}
+        self._head_bytes = 0  # of an incomplete head; _IN_BODY behind it
+        self._message_bytes = 0  # of an incomplete request
+        self._is_receiving = False
+        self.last_received_at = 0.0  # loop time
+        self._timer: asyncio.TimerHandle | None = None  # until the request must be complete
+        self._open_id = ""  # of the request in progress
+        # What is to be answered next, in order: a request, or the status of a response without one.
+        self._queue: deque[Request | int] = deque()
+        self._request_context: RequestContext | None = None  # the request in progress
+        self._is_last = False  # no further request is read
+        self._is_write_paused = False  # the client does not read: no further request starts
+        self._write_timer: asyncio.TimerHandle | None = None
+
+    @property
+    def is_receiving(self) -> bool:
+        """Whether a request has begun to arrive and is not complete."""
+        return self._is_receiving
+
+    @property
+    def is_idle(self) -> bool:
+        """Whether no response is outstanding and no request has begun to arrive."""
+        return self._request_context is None and not self._queue and not self._is_receiving
+
+    # ---- asyncio.Protocol
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Start the timeout of the first request."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports do not inherit from it
+        self._timer = self._frontend.loop.call_later(FIRST_REQUEST_TIMEOUT_S, self._on_timeout)
+        self._frontend.connected(self)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Withdraw what the client has asked for."""
+        self._frontend.forget(self)
+        self._frontend.closing.pop(self, None)
+        self._cancel_timeout()
+        if self._write_timer is not None:
+            self._write_timer.cancel()
+        self._withdraw()
+
+    def eof_received(self) -> None:
+        """Treat the client as gone at once, even if it has not read all responses yet."""
+        self._withdraw()
+        self.close()
+
+    def pause_writing(self) -> None:
+        """Stop reading while the client does not read, or its responses would fill the memory.
+
+        No request starts meanwhile, as the end of the client would not be noticed.
+        """
+        self._is_write_paused = True
+        if self._transport is not None and not self._transport.is_closing():
+            self._transport.pause_reading()
+            self._write_timer = self._frontend.loop.call_later(WRITE_TIMEOUT_S, self._transport.abort)
+
+    def resume_writing(self) -> None:
+        """Read on, and start what waits."""
+        self._is_write_paused = False
+        if self._write_timer is not None:
+            self._write_timer.cancel()
+        if self._transport is not None and not self._transport.is_closing():
+            self._transport.resume_reading()
+            self._process_queue()
+
+    def data_received(self, data: bytes) -> None:
+        """Parse what has arrived; after the last request, discard it."""
+        if self._is_last:
+            self._message_bytes += len(data)
+            if self._message_bytes > MAX_LINGER_BYTES and self._transport is not None:
+                self._transport.abort()
+            return
+        self.last_received_at = self._frontend.loop.time()
+        if self in self._frontend.unproven:
+            self._frontend.received(self)
+        # The parser itself sets no limit: it would store a head without end.
+        if self._head_bytes >= 0:
+            self._head_bytes += len(data)
+        self._message_bytes += len(data)
+        try:
+            self._parser.feed_data(data)
+            if self._head_bytes > HEAD_LIMIT:
+                raise MalformedError(431, "the head is too long")
+            if self._message_bytes > MAX_MESSAGE_BYTES:
+                raise MalformedError(413, "the framing is too long")
+        except httptools.HttpParserUpgrade:
+            self._reject_input(400)
+        except httptools.HttpParserError as error:
+            # The parser wraps what a callback raises, and keeps it as the context.
+            self._reject_input(_error_status(error.__context__))
+        except (MalformedError, TooLongError) as error:
+            self._reject_input(_error_status(error))
+
+    def _withdraw(self) -> None:
+        """The client has gone: drop what waits, and withdraw the request in progress."""
+        self._is_last = True
+        self._queue.clear()
+        if self._request_context is not None:
+            context, self._request_context = self._request_context, None
+            self._frontend.open_ids.discard(self._open_id)
+            self._frontend.core.withdraw(context)
+
+    # ---- timeouts
+
+    def _cancel_timeout(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+
+    def time_out(self) -> None:
+        """Answer 408 to a request that has stalled, unless other responses are outstanding before it."""
+        if self._request_context is None and not self._queue and not self._is_last:
+            self._cancel_timeout()
+            self._on_timeout()
+
+    def _on_timeout(self) -> None:
+        self._timer = None
+        if self._is_receiving:
+            self._reject_input(408)
+        else:
+            self.drop()
+
+    # ---- httptools callbacks
+
+    def on_message_begin(self) -> None:
+        """A request begins."""
+        self._is_receiving = True
+        self._resource = b""
+        self._headers = {}
+        self._buffer.take_all()
+        if self._timer is None:
+            self._timer = self._frontend.loop.call_later(NEXT_REQUEST_TIMEOUT_S, self._on_timeout)
+
+    def on_url(self, url: bytes) -> None:
+        """A part of the request's target."""
+        self._resource += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """A header, or a trailer, which is ignored."""
+        name = name.lower()
+        if self._head_bytes < 0:
+            return
+        if name in SINGLE_VALUE_HEADERS and name in self._headers:
+            raise MalformedError(400, f"{name.decode()} is repeated")
+        # Whitespace around a value is no part of it (RFC 9110, 5.5); the parser leaves it behind the value.
+        self._headers[name] = value.strip(b" \t")
+
+    def on_headers_complete(self) -> None:
+        """The head is complete."""
+        self._head_bytes = _IN_BODY
+        if self._parser.should_upgrade():
+            raise MalformedError(400, "upgrades are not supported")  # the parser would not read the body
+        length = self._headers.get(b"content-length", b"0")
+        if length.isdigit() and int(length) > BODY_LIMIT:
+            raise MalformedError(413, "the body is too long")
+        if self._headers.get(b"expect", b"").lower() == b"100-continue" and self._transport is not None:
+            self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+
+    def on_body(self, data: bytes) -> None:
+        """A part of the body."""
+        self._buffer.append(data)
+
+    def on_message_complete(self) -> None:
+        """Queue the request, or the status that answers it."""
+        if self._is_last:
+            return  # in the same read as a flood of requests, or as the last request
+        self._head_bytes = self._message_bytes = 0
+        self._is_receiving = False
+        self._cancel_timeout()
+        self._frontend.unproven.pop(self, None)
+        if not self._parser.should_keep_alive():
+            self._is_last = True
+        verb: bytes = self._parser.get_method()
+        body = self._buffer.take_all()
+        if verb == b"GET":
+            self._queue.append(self._health_status())
+        elif verb != b"POST":
+            self._queue.append(405)
+        elif len(self._queue) >= MAX_PIPELINED_REQUESTS:
+            # A status takes less memory than a request. Reading goes on, so that the client's end is noticed.
+            self._queue.append(503)
+            if len(self._queue) >= MAX_QUEUED_RESPONSES:
+                self._end_flood()
+        else:
+            self._queue.append(self._frontend.parser.request(verb, self._resource, self._headers, body))
+            # Not at once: where the client has gone already, its end is read before the next turn, and the
+            # request does not start.
+            self._frontend.loop.call_soon(self._process_queue)
+            return
+        self._process_queue()
+
+    def _health_status(self) -> int:
+        if self._resource.split(b"?")[0] != _HEALTH_PATH:
+            return 404
+        return 200 if self._frontend.ready() else 503
+
+    def _reject_input(self, status: int) -> None:
+        """Answer input that can't be parsed, behind the responses that are outstanding, then close."""
+        if not self._is_last:
+            self._is_last = True
+            self._queue.append(status)
+            self._process_queue()
+
+    def _end_flood(self) -> None:
+        """End the connection of a client that sends without waiting: answer all its requests now."""
+        for index, _ in enumerate(self._queue):
+            self._queue[index] = 503
+        self._is_last = True
+        if self._request_context is not None:
+            context = self._request_context
+            self._frontend.core.withdraw(context)
+            self._write(500 if context.may_have_run else 503)
+
+    # ---- requests and responses
+
+    def _process_queue(self) -> None:
+        """Answer or start what is next in order, until a request is in progress."""
+        while (
+            self._request_context is None
+            and self._queue
+            and not self._is_write_paused
+            and (self._transport is not None and not self._transport.is_closing())
+        ):
+            first = self._queue.popleft()
+            if isinstance(first, int):
+                self._write(first)
+            elif first.id in self._frontend.open_ids:
+                # Workers tell requests apart by the id: two open ones with the same id would be confused.
+                self._write(409)
+            else:
+                self._open_id = first.id
+                self._frontend.open_ids.add(first.id)
+                self._request_context = self._frontend.core.submit(first, self)
+
+    def _write(self, status: int, body: bytes = b"", extra_headers: str = "") -> None:
+        if self._request_context is not None:
+            self._request_context = None
+            self._frontend.open_ids.discard(self._open_id)
+        transport = self._transport
+        if transport is None or transport.is_closing() or self in self._frontend.closing:
+            return
+        self._frontend.used(self)
+        is_final = (self._is_last or self._frontend.draining) and not self._queue
+        close = "Connection: close\r\n" if is_final else ""
+        transport.write(
+            f"HTTP/1.1 {status} {_REASONS.get(status, 'Unknown')}\r\n"
+            f"Content-Length: {len(body)}\r\n{extra_headers}{close}\r\n".encode()
+            + body
+        )
+        if is_final:
+            self.close()
+
+    def succeeded(self, result: bytes) -> None:
+        """Respond with the job's result."""
+        self._write(200, result)
+        self._process_queue()
+
+    def rejected(self, retry_after_ms: float) -> None:
+        """Respond that the job did not run, and when to retry."""
+        self._write(503, b"", f"Retry-After: {retry_after_ms / 1000:.3f}\r\n")
+        self._process_queue()
+
+    def failed(self) -> None:
+        """Respond that the job failed, or may have run."""
+        self._write(500)
+        self._process_queue()
+
+    def untranslatable(self, failure: TranslationFailure, has_run: bool) -> None:
+        """Respond with problem details (RFC 9457).
+
+        422 for a request, which a retry can't mend; 500 for the result of a job that ran.
+        """
+        status = 500 if has_run else 422
+        subject = "result" if has_run else "request"
+        problem = {
+            "type": f"urn:pipitshed:problem:{subject}-not-expressible",
+            "title": f"The {subject} can't be expressed",
+            "status": status,
+            "detail": f"{failure.field}: {failure.reason}",
+            "field": failure.field,
+            "value": failure.value,
+            "reason": failure.reason,
+        }
+        self._write(status, _encode_json(problem), "Content-Type: application/problem+json\r\n")
+        self._process_queue()
+
+    def progressed(self, kind: ProgressKind, share: float) -> None:
+        """Ignore progress: an HTTP client waits for the response alone."""
+
+    # ---- the end
+
+    def close(self) -> None:
+        """End the connection behind the responses that are written.
+
+        Input is discarded for a moment. Closing with unread input would reset the connection, and the client
+        would lose responses that it has not read. After the shutdown no input becomes a request.
+        """
+        transport = self._transport
+        if transport is None or transport.is_closing() or self in self._frontend.closing:
+            return
+        self._frontend.forget(self)
+        self._frontend.closing[self] = None
+        self._is_last = True
+        self._message_bytes = 0
+        if self._is_write_paused:
+            transport.resume_reading()
+        transport.write_eof()
+        self._cancel_timeout()
+        self._timer = self._frontend.loop.call_later(self._frontend.linger, self._end_linger)
+
+    def _end_linger(self) -> None:
+        if self._transport is not None and self._transport.get_write_buffer_size() == 0:
+            self._transport.abort()
+        elif self._transport is not None:
+            # The client is slow to read the last responses.
+            self._timer = self._frontend.loop.call_later(WRITE_TIMEOUT_S, self._transport.abort)
+
+    def drop(self) -> None:
+        """End the connection at once: it is idle, or has sent no complete request."""
+        # Forgotten here and not in connection_lost, which comes a turn later: until then the same connection
+        # would be evicted again for each further one that connects.
+        self._frontend.forget(self)
+        if self._transport is not None:
+            self._transport.close()
--- /dev/null
+++ b/pipitshed/frontends/http/request_parser.py
@@ -0,0 +1,158 @@
+"""A job request from the head and body of an HTTP request."""
+
+from __future__ import annotations
+
+import math
+import re
+import zlib
+from collections.abc import Sequence
+from typing import Protocol
+from urllib.parse import unquote_plus
+
+from pipitshed.proxy.forwarder import Forwarder
+from pipitshed.proxy.request import Request
+
+MAX_ID_CHARS = 256  # of a request's id or its idempotency key
+
+# Headers that must not be repeated: nobody could know which of the two values a worker would use.
+SINGLE_VALUE_HEADERS = frozenset(
+    (
+        b"x-request-id",
+        b"x-class",
+        b"x-tenant",
+        b"x-deadline",
+        b"x-extras",
+        b"x-retry",
+        b"x-cost-hint",
+        b"idempotency-key",
+    )
+)
+
+# The fields that a client's message format may carry in the body, and the headers they stand for.
+_HEADER_OF_FIELD = {
+    "id": b"x-request-id",
+    "class": b"x-class",
+    "tenant": b"x-tenant",
+    "key": b"idempotency-key",
+    "deadline": b"x-deadline",
+}
+
+_NUMBER = re.compile(rb"[+-]?[0-9.]+([eE][+-]?[0-9]+)?")  # narrower than float(), which accepts `1_0`
+_PRINTABLE_ID = re.compile(rb"[!-~]{1,%d}" % MAX_ID_CHARS)
+_AFFINITY_COOKIE = b"sid"
+_UINT64_MASK = 0xFFFF_FFFF_FFFF_FFFF
+
+
+class ClientForms(Protocol):
+    """The message formats that clients use, where messages are translated."""
+
+    def client_form(self, content_type: str) -> int:
+        """The version of the format that a content type names."""
+
+    def envelope(self, form: int, body: bytes) -> dict[str, str]:
+        """The body's id, class, tenant, key and deadline, if any; ValueError if it can't be read."""
+
+
+class MalformedError(ValueError):
+    """A request that can't be accepted; it is answered with `status`."""
+
+    def __init__(self, status: int, text: str) -> None:
+        super().__init__(text)
+        self.status = status
+
+
+def _parse_number(text: bytes, header: str) -> float:
+    try:
+        value = float(text if _NUMBER.fullmatch(text) else b"")
+    except ValueError:
+        raise MalformedError(400, f"{header} is not a number") from None
+    if not math.isfinite(value) or value < 0:
+        raise MalformedError(400, f"{header} is out of range")
+    return value
+
+
+def _affinity_key(cookies: bytes) -> int:
+    """The session that the cookie `sid` names, as a number; 0 without one."""
+    for cookie in cookies.split(b";"):
+        name, _, value = cookie.strip().partition(b"=")
+        if name == _AFFINITY_COOKIE:
+            try:
+                return int(value, 16) & _UINT64_MASK
+            except ValueError:
+                return zlib.crc32(unquote_plus(value.decode("latin-1")).encode())
+    return 0
+
+
+class RequestParser:
+    """Turns a request's head and body into a Request, by the classes and tenants of the settings."""
+
+    def __init__(
+        self,
+        core: Forwarder,
+        classes: Sequence[str],
+        tenants: Sequence[str],
+        forms: ClientForms | None = None,
+    ) -> None:
+        self._core = core
+        self._forms = forms
+        self.apply_settings({name: index for index, name in enumerate(classes)}, tenants)
+
+    def apply_settings(self, classes: dict[str, int], tenants: Sequence[str]) -> None:
+        """Replace the numbers of the classes that are accepted, and the tenants."""
+        self._classes = {name.encode(): number for name, number in classes.items()}
+        self._tenants = {name.encode(): index for index, name in enumerate(tenants)}
+
+    def request(self, verb: bytes, resource: bytes, head: dict[bytes, bytes], body: bytes) -> Request:
+        """The request; MalformedError if it can't be accepted."""
+        form = self._merge_envelope(head, body) if self._forms is not None else None
+        request_id, key = head.get(b"x-request-id", b""), head.get(b"idempotency-key", b"")
+        job_class = self._classes.get(head.get(b"x-class", b""))
+        # The id and the key go to workers as they are: other characters could break the worker's protocol.
+        if not _PRINTABLE_ID.fullmatch(request_id) or (key and not _PRINTABLE_ID.fullmatch(key)):
+            raise MalformedError(400, "no X-Request-Id or Idempotency-Key that can be handed on")
+        if job_class is None:
+            raise MalformedError(400, "no such X-Class")
+        timeout_ms = self._core.settings.classes[job_class].deadline_ms
+        if b"x-deadline" in head:
+            timeout_ms = min(timeout_ms, 1000 * _parse_number(head[b"x-deadline"], "X-Deadline"))
+        extras: dict[bytes, float] = {}
+        for part in head.get(b"x-extras", b"").split(b","):
+            name, _, value = part.strip().partition(b"=")
+            if value:
+                extras[name] = _parse_number(value, "X-Extras")
+        work_hint = head.get(b"x-cost-hint")
+        return Request(
+            request_id.decode("latin-1"),
+            job_class,
+            timeout_ms,
+            # All tenants that the settings do not name share the number behind the others, without a quota.
+            self._tenants.get(head.get(b"x-tenant", b""), len(self._tenants)),
+            body,
+            key.decode("latin-1"),
+            _affinity_key(head.get(b"cookie", b"")),
+            verb.decode("latin-1"),
+            resource.decode("latin-1"),
+            slots=extras.get(b"slots", 1.0) or 1.0,
+            memory=extras.get(b"memory", 0.0),
+            work_hint=_parse_number(work_hint, "X-Cost-Hint") if work_hint else None,
+            is_retry=head.get(b"x-retry", b"") == b"1",
+            tenant_name=head.get(b"x-tenant", b"").decode("latin-1") if form is not None else "",
+            form_version=form,
+        )
+
+    def _merge_envelope(self, head: dict[bytes, bytes], body: bytes) -> int:
+        """Add what the body's envelope says to the headers; the version of the message format.
+
+        A field that stands in both must be the same in both: nobody could know which a worker would use.
+        """
+        assert self._forms is not None
+        form = self._forms.client_form(head.get(b"content-type", b"").decode("latin-1"))
+        try:
+            envelope = self._forms.envelope(form, body)
+        except ValueError as error:
+            raise MalformedError(400, str(error)) from None
+        for field, text in envelope.items():
+            header, value = _HEADER_OF_FIELD[field], text.encode("utf-8")
+            if head.setdefault(header, value) != value:
+                raise MalformedError(400, f"{header.decode()} differs from the body's")
+        return form
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -12,7 +12,8 @@
 
 from loopback import FRONT, Catalog, GearmanPeer, HttpClient, Planner, Reader, Run, Writer, program, story
 
-from pipitshed.frontends.http import FLOOD, PIPELINED, HttpFrontend
+from pipitshed.frontends.http import HttpFrontend
+from pipitshed.frontends.http.connection import MAX_PIPELINED_REQUESTS, MAX_QUEUED_RESPONSES
 from pipitshed.frontends.listener import Listener
 from pipitshed.protocols.gearman import Kind
 
@@ -137,7 +138,7 @@
     async with Planner("p1") as planner, program(planner) as running:
         client = await HttpClient.to(running.port)
         running.process.send_signal(signal.SIGSTOP)  # so that all of it is read at once
-        for number in range(2 * FLOOD):
+        for number in range(2 * MAX_QUEUED_RESPONSES):
             client.ask(f"a{number}", body=b"")
         await client.writer.drain()
         running.process.send_signal(signal.SIGCONT)
@@ -145,8 +146,10 @@
         with contextlib.suppress(asyncio.IncompleteReadError):
             while True:
                 statuses.append((await client.answer())[0])
-        assert set(statuses) <= {200, 503, 500} and len(statuses) >= FLOOD
-        taken = {f"a{number}" for number in range(PIPELINED + 1)}  # none of those behind the end in one read
+        assert set(statuses) <= {200, 503, 500} and len(statuses) >= MAX_QUEUED_RESPONSES
+        taken = {
+            f"a{number}" for number in range(MAX_PIPELINED_REQUESTS + 1)
+        }  # none of those behind the end in one read
         assert {run.headers["x-request-id"] for run in planner.runs} <= taken
         usual = await HttpClient.to(running.port)
         usual.ask("b1")
