--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -153,7 +153,7 @@
             "listed": table.size(),
             "decisions": len(side.core._dispatcher.workers) - planners,
             "route_table": max(len(table._endpoints), len(table._leaving) + planners) - planners,
-            "pool": len(side.carrier._idle),
+            "pool": len(side.carrier.pool._idle),
             "bytes": held,
         }
 
--- a/pipitshed/discovery/worker_interfaces.py
+++ b/pipitshed/discovery/worker_interfaces.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from pipitshed.discovery.catalog import CatalogEntry, EndpointParser
-from pipitshed.protocols.address import parse_address
+from pipitshed.protocols.address import Address, parse_address
 from pipitshed.proxy.endpoint_table import EndpointTable
 from pipitshed.proxy.request import WorkerClient
 from pipitshed.scheduling.events import UpdateKind, WorkerId
@@ -25,8 +25,6 @@
 _UNKNOWN = 0  # no interface: it is being probed
 _DEFAULT_INTERFACE = 1
 
-Address = tuple[str, int]
-
 
 @dataclass(slots=True)
 class _KnownWorker:
--- a/pipitshed/upstream/grpc.py
+++ b/pipitshed/upstream/grpc.py
@@ -13,11 +13,12 @@
 from hpack import NeverIndexedHeaderTuple
 
 from pipitshed import __version__
+from pipitshed.protocols.address import Address
 from pipitshed.protocols.grpc import timeout_text
 from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.proxy.request import Attempt, Endpoint
 from pipitshed.upstream.grpc_connection import Connection, Header, Stream
-from pipitshed.upstream.http import IDLE_SPARE, Address
+from pipitshed.upstream.http.pool import IDLE_MARGIN_FRACTION
 
 _FIXED: list[Header] = [
     (b":method", b"POST"),
@@ -72,7 +73,7 @@
         self.on_drain: Callable[[Endpoint], None] = lambda target: core.endpoints.mark_draining(target.id)
         limits = core.settings.limits
         self.connect_timeout = limits.connect_timeout_ms / 1000
-        self.idle_for = limits.idle_timeout_ms / 1000 * (1 - IDLE_SPARE)
+        self.idle_for = limits.idle_timeout_ms / 1000 * (1 - IDLE_MARGIN_FRACTION)
         self.probes = 0
         self._connections: dict[Address, Connection] = {}  # those that take new streams
         self._all: set[Connection] = set()
--- /dev/null
+++ b/pipitshed/upstream/http/client.py
@@ -0,0 +1,161 @@
+"""The client of workers that speak HTTP: starts attempts and load probes, and counts its connections."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from collections.abc import Callable, Coroutine, Sequence
+
+from pipitshed.protocols.address import Address
+from pipitshed.proxy.forwarder import Forwarder
+from pipitshed.proxy.request import Attempt, Endpoint
+from pipitshed.scheduling.events import Outcome
+from pipitshed.scheduling.settings import Idempotency, Limits
+from pipitshed.upstream.http.connection import HttpWorkerConnection, request_bytes
+from pipitshed.upstream.http.pool import IdlePool
+
+PROBE_TIMEOUT_S = 0.5
+MIN_CONNECT_TIMEOUT_S = 0.001
+_LOAD_REQUEST = b"GET /_load HTTP/1.1\r\nHost: service.internal\r\n\r\n"
+
+
+class HttpWorkerClient:
+    """Starts attempts on idle or new connections, and reports one outcome for each to the forwarder."""
+
+    def __init__(
+        self,
+        core: Forwarder,
+        report_fields: Sequence[str],
+        loop: asyncio.AbstractEventLoop,
+        max_connections: Callable[[], float] = lambda: math.inf,
+    ) -> None:
+        self.core = core
+        self.loop = loop
+        self.report_fields = report_fields  # of load reports, in the settings' order
+        self.classes: Sequence[str] = ()  # names of the job classes, where messages are translated
+        self.on_wrong_interface: Callable[[Endpoint], None] = lambda _: None
+        self.pool = IdlePool(core.settings.limits.idle_timeout_ms, loop)
+        self._max_connections = max_connections
+        self._connecting_count = 0
+        self._open_connections: set[HttpWorkerConnection] = set()
+        self._connect_timeout_s = core.settings.limits.connect_timeout_ms / 1000
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def apply_settings(self, limits: Limits, report_fields: Sequence[str]) -> None:
+        """Use other limits and report fields from now on."""
+        self.report_fields = report_fields
+        self._connect_timeout_s = limits.connect_timeout_ms / 1000
+        self.pool.set_idle_timeout(limits.idle_timeout_ms)
+
+    def start(self, attempt: Attempt) -> None:
+        """Start an attempt on an idle connection, or on a new one if the limit permits."""
+        connection = self.pool.take(attempt.endpoint.address)
+        if connection is not None:
+            self._write_attempt(connection, attempt)
+        elif self.connections >= self._max_connections() and not self.close_oldest_idle():
+            self.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
+        else:
+            self.core.counters["connections"] += 1
+            self._spawn(self._connect_for_attempt(attempt))
+
+    def abort(self, attempt: Attempt) -> bool:
+        """Stop an attempt for good; whether it may have run, as its last byte has been sent."""
+        connection = attempt.transport_state
+        if not isinstance(connection, HttpWorkerConnection):
+            return False  # still connecting; the connection becomes idle once it is up
+        is_sent = connection.is_sent
+        connection.close()
+        return is_sent
+
+    def probe(self, endpoint: Endpoint) -> None:
+        """Ask a worker for its load."""
+        self._spawn(self._probe(endpoint))
+
+    def idempotency(self, attempt: Attempt) -> Idempotency:
+        """The idempotency of an attempt's class."""
+        return self.core.settings.classes[attempt.context.request.job_class].idempotency
+
+    # ---- connections
+
+    @property
+    def connections(self) -> int:
+        """How many connections are up or being established."""
+        return self._connecting_count + len(self._open_connections)
+
+    def connected(self, connection: HttpWorkerConnection) -> None:
+        """A connection is up."""
+        self._open_connections.add(connection)
+
+    def lost(self, connection: HttpWorkerConnection) -> None:
+        """A connection is closed."""
+        self._open_connections.discard(connection)
+        self.pool.discard(connection)
+
+    def close_oldest_idle(self) -> bool:
+        """Close the connection that is idle for longest; False if there is none.
+
+        With one idle connection to each of many workers, no descriptor would be left for new ones.
+        """
+        return self.pool.close_oldest()
+
+    def close_idle_connections(self, endpoint: Endpoint) -> None:
+        """Close the idle connections to one worker."""
+        self.pool.close_address(endpoint.address)
+
+    def close(self) -> None:
+        """Close all idle connections."""
+        self.pool.close_all()
+
+    def _spawn(self, work: Coroutine[None, None, None]) -> None:
+        task = self.loop.create_task(work)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def _connect(self, address: Address, timeout_s: float) -> HttpWorkerConnection | None:
+        host, port = address
+        self._connecting_count += 1
+        try:
+            async with asyncio.timeout(timeout_s):
+                _, connection = await self.loop.create_connection(
+                    lambda: HttpWorkerConnection(self, address), host, port
+                )
+        except (OSError, ValueError):  # a TimeoutError is an OSError; a malformed host is a ValueError
+            return None
+        finally:
+            self._connecting_count -= 1
+        return connection if connection.is_open else None  # it may have been reset since
+
+    def _write_attempt(self, connection: HttpWorkerConnection, attempt: Attempt) -> None:
+        connection.attempt, attempt.transport_state = attempt, connection
+        connection.idle_endpoint = None
+        connection.write(request_bytes(attempt, attempt.deadline_at - self.loop.time(), self.classes))
+
+    async def _connect_for_attempt(self, attempt: Attempt) -> None:
+        timeout_s = min(self._connect_timeout_s, attempt.deadline_at - self.loop.time())
+        connection = await self._connect(attempt.endpoint.address, max(MIN_CONNECT_TIMEOUT_S, timeout_s))
+        if connection is None:
+            self.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
+        elif self.core.may_begin(attempt):
+            self._write_attempt(connection, attempt)
+        else:
+            # Aborted meanwhile, or too late to be written. Nothing was sent, so the next attempt may use the
+            # connection.
+            self.pool.put(connection)
+            self.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
+
+    async def _probe(self, endpoint: Endpoint) -> None:
+        started_at = self.loop.time()
+        connection = self.pool.take(endpoint.address) or await self._connect(
+            endpoint.address, PROBE_TIMEOUT_S
+        )
+        if connection is None:
+            duration_ms = (self.loop.time() - started_at) * 1000
+            self.core.probe_finished(endpoint, Outcome.CONNECT_FAILED, duration_ms)
+            return
+        connection.probed_endpoint, connection.probe_started_at = endpoint, started_at
+        connection.write(_LOAD_REQUEST)
+        await asyncio.sleep(PROBE_TIMEOUT_S)
+        if connection.probed_endpoint is endpoint and connection.probe_started_at == started_at:
+            duration_ms = (self.loop.time() - started_at) * 1000
+            self.core.probe_finished(endpoint, Outcome.TIMEOUT, duration_ms)
+            connection.close()
--- /dev/null
+++ b/pipitshed/upstream/http/connection.py
@@ -0,0 +1,277 @@
+"""One connection to a worker that speaks HTTP.
+
+A worker answers an attempt with status 200 and one JSON object a line: the job's progress, then its outcome.
+Other statuses say that the job failed or, with `X-Not-Run`, that it did not run.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Sequence
+from typing import TYPE_CHECKING, cast
+
+import msgspec
+
+from pipitshed.protocols.address import Address
+from pipitshed.protocols.http import BODY_LIMIT, BadAnswerError, Reader
+from pipitshed.proxy.request import Attempt, Endpoint
+from pipitshed.scheduling.events import Outcome, ProgressKind
+from pipitshed.scheduling.settings import Idempotency
+from pipitshed.upstream.http.load_report import ordered_report, parse_load_report
+
+if TYPE_CHECKING:
+    from pipitshed.upstream.http.client import HttpWorkerClient
+
+ANSWER_END_TIMEOUT_S = 0.5  # from an attempt's outcome to the end of the answer that brought it
+SECOND_ANSWER_WINDOW_S = 0.05  # after an answer, in which a second one to the same request may still arrive
+MAX_LINE_BYTES = 4 * BODY_LIMIT  # JSON's escapes may make a result longer than its limit
+HTTP2_SETTINGS_PREFIX = b"\0\0"  # of a frame of less than 256 bytes; no HTTP/1.1 answer begins like this
+
+_STATUS_OK = 200
+_NOT_RUN_STATUSES = (503, 504)
+
+
+class _AnswerLine(msgspec.Struct):
+    """One line of a worker's answer."""
+
+    id: str = ""
+    state: str = ""
+    share: float = 0.0
+    result: str = ""
+    load: dict[str, float] = {}
+
+
+_decode_line = msgspec.json.Decoder(_AnswerLine).decode
+_OUTCOMES = {
+    "done": Outcome.OK,
+    "failed": Outcome.ERROR,
+    "returned": Outcome.REJECTED,
+    "lost": Outcome.RESET,
+}
+
+
+def _header_text(text: str) -> str:
+    """A text without what can't stand in a header's value, above all line ends."""
+    return "".join(char for char in text if " " <= char <= "~")
+
+
+def request_bytes(attempt: Attempt, remaining_s: float, classes: Sequence[str] = ()) -> bytes:
+    """The request of an attempt that has `remaining_s` seconds.
+
+    Where messages are translated, it names class and tenant, as requests of every interface do there.
+    """
+    request = attempt.context.request
+    names = ""
+    if attempt.context.translated is not None:
+        names = f"X-Class: {classes[request.job_class]}\r\n"
+        if request.tenant_name:
+            names += f"X-Tenant: {request.tenant_name}\r\n"
+    key = f"Idempotency-Key: {_header_text(request.idempotency_key)}\r\n" if request.idempotency_key else ""
+    return (
+        f"{request.method} {request.target} HTTP/1.1\r\nHost: service.internal\r\n"
+        f"X-Request-Id: {_header_text(request.id)}\r\n{key}{names}"
+        f"X-Deadline: {max(0.001, remaining_s):.3f}\r\n"
+        f"Content-Length: {len(attempt.body)}\r\n\r\n"
+    ).encode("latin-1") + attempt.body
+
+
+class HttpWorkerConnection(asyncio.Protocol):
+    """One connection to a worker; it carries one attempt or probe at a time."""
+
+    def __init__(self, client: HttpWorkerClient, address: Address) -> None:
+        self.address = address
+        self.attempt: Attempt | None = None
+        self.probed_endpoint: Endpoint | None = None
+        self.probe_started_at = 0.0  # loop time
+        self.idle_timer: asyncio.TimerHandle | None = None
+        # Loop time. Stored here, as uvloop's timer does not know it where it is due at once.
+        self.idle_deadline = 0.0
+        self.idle_endpoint: Endpoint | None = None  # for which the scheduler counts an idle connection
+        self._client = client
+        self._reader = Reader(self, MAX_LINE_BYTES)
+        self._transport: asyncio.Transport | None = None
+        self._has_unsent_bytes = False
+        self._is_sent_reported = True
+        self._is_outcome_reported = False
+        self._status = 0
+        self._answer_end_timer: asyncio.TimerHandle | None = None
+        self._second_answer_until = 0.0  # loop time
+
+    # ---- output
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Count the connection."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports do not inherit from it
+        # With this limit the transport pauses the protocol while any byte is unsent, so that is known.
+        self._transport.set_write_buffer_limits(high=0)
+        self._client.connected(self)
+
+    def pause_writing(self) -> None:
+        """The kernel has not accepted all bytes."""
+        self._has_unsent_bytes = True
+
+    def resume_writing(self) -> None:
+        """The kernel has accepted all bytes."""
+        self._has_unsent_bytes = False
+        self._report_sent()
+
+    def write(self, data: bytes) -> None:
+        """Send the request of an attempt or a probe."""
+        assert self._transport is not None
+        self._is_outcome_reported, self._has_unsent_bytes = False, False
+        self._is_sent_reported = self.attempt is None
+        self._transport.write(data)
+        if self._transport.is_closing():
+            self._has_unsent_bytes = True  # the worker had closed the connection: not all was sent
+        self._report_sent()
+
+    def _report_sent(self) -> None:
+        if (
+            not self._is_sent_reported
+            and not self._has_unsent_bytes
+            and self.attempt is not None
+            and not self._is_outcome_reported
+        ):
+            self._is_sent_reported = True
+            self._client.core.attempt_sent(self.attempt)
+
+    @property
+    def is_open(self) -> bool:
+        """Whether the connection is up and not closing."""
+        return self._transport is not None and not self._transport.is_closing()
+
+    @property
+    def is_sent(self) -> bool:
+        """Whether the last byte has been sent, as far as this side knows."""
+        return not self._has_unsent_bytes
+
+    def close(self) -> None:
+        """Close at once, without reporting an outcome."""
+        self._is_outcome_reported = True
+        self._cancel_timers()
+        if self._transport is not None:
+            self._transport.abort()
+
+    def _cancel_timers(self) -> None:
+        for timer in (self.idle_timer, self._answer_end_timer):
+            if timer is not None:
+                timer.cancel()
+
+    # ---- input
+
+    def data_received(self, data: bytes) -> None:
+        """Parse what has arrived."""
+        if self.attempt is None and self.probed_endpoint is None:
+            self.close()  # input without a request could be taken for the answer to the next one
+            return
+        try:
+            self._reader.feed(data)
+        except BadAnswerError:
+            if self.attempt is not None and data.startswith(HTTP2_SETTINGS_PREFIX):
+                self._client.on_wrong_interface(self.attempt.endpoint)
+            self._finish(Outcome.RESET)
+            self.close()
+            return
+        if self.attempt is None and self.probed_endpoint is None:
+            # A second answer has begun behind the first: its rest must not meet the next request.
+            if self._reader.begun:
+                self.close()
+        elif self._is_outcome_reported and self._answer_end_timer is None:
+            # The attempt's own timer ends with its outcome. Without this one, an answer that never ends would
+            # hold the connection for ever.
+            self._answer_end_timer = self._client.loop.call_later(ANSWER_END_TIMEOUT_S, self.close)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Report the outcome, if none has been so far."""
+        self._finish(Outcome.CONNECT_FAILED if self._has_unsent_bytes else Outcome.RESET)
+        self._cancel_timers()
+        if self.idle_endpoint is not None:
+            self._client.core.connection_lost(self.idle_endpoint)
+        self._client.lost(self)
+
+    # ---- what the HTTP reader reports
+
+    def head_came(self, status: int) -> None:
+        """The answer's head is complete."""
+        self._status = status
+
+    def body_came(self) -> None:
+        """More of the body stands in the reader's buffer."""
+        if self._status != _STATUS_OK or self.attempt is None:
+            return
+        while (text := self._reader.buffer.line()) is not None:
+            if text:
+                self._handle_line(text)
+
+    def answer_ended(self, keep_alive: bool) -> None:
+        """Report the outcome, and make the connection idle if it can be used again."""
+        if self.attempt is None and self.probed_endpoint is None:
+            self.close()  # a second answer, while the connection is idle already
+            return
+        headers = self._reader.headers
+        report = parse_load_report(headers.get(b"x-load", b""), self._client.report_fields)
+        if self._status == _STATUS_OK and self.attempt is not None:
+            rest = self._reader.buffer.take_all().strip()
+            if rest:
+                self._handle_line(rest)
+            self._finish(Outcome.RESET)  # counts if no line has brought an outcome
+        elif self._status in _NOT_RUN_STATUSES and headers.get(b"x-not-run", b"").strip() == b"1":
+            self._finish(Outcome.RESET if self._may_be_second_answer() else Outcome.REJECTED, b"", report)
+        elif self.probed_endpoint is not None and self._status == _STATUS_OK:
+            body = parse_load_report(self._reader.buffer.take_all(), self._client.report_fields)
+            self._finish(Outcome.OK, b"", body or report)
+        else:
+            self._finish(Outcome.ERROR, b"", report)
+        self.attempt = self.probed_endpoint = None
+        if self._answer_end_timer is not None:
+            self._answer_end_timer.cancel()
+            self._answer_end_timer = None
+        # Where the answer came before the whole request was sent, the request's rest is still to be sent.
+        if keep_alive and self.is_open and not self._has_unsent_bytes:
+            self._second_answer_until = self._client.loop.time() + SECOND_ANSWER_WINDOW_S
+            self._client.pool.put(self)
+        else:
+            self.close()
+
+    def _handle_line(self, text: bytes) -> None:
+        attempt = self.attempt
+        if attempt is None or self._is_outcome_reported:
+            return
+        try:
+            line = _decode_line(text)
+        except msgspec.DecodeError:
+            raise BadAnswerError("a line is not JSON") from None
+        if line.id != attempt.context.request.id:
+            raise BadAnswerError("a line is for another request")  # whose result must not reach this client
+        if line.state == "started":
+            self._client.core.attempt_progressed(attempt, ProgressKind.STARTED)
+        elif line.state == "running":
+            self._client.core.attempt_progressed(attempt, ProgressKind.PROGRESS, line.share)
+        elif line.state in _OUTCOMES:
+            report = ordered_report(line.load, self._client.report_fields)
+            self._finish(_OUTCOMES[line.state], line.result.encode(), report)
+
+    def _may_be_second_answer(self) -> bool:
+        """Whether "not run" may be meant for the request before this one: the answer names no request.
+
+        A job that is not idempotent must not be repeated on such a word.
+        """
+        return (
+            self.attempt is not None
+            and self._client.loop.time() < self._second_answer_until
+            and self._client.idempotency(self.attempt) is not Idempotency.IDEMPOTENT
+        )
+
+    def _finish(self, outcome: Outcome, result: bytes = b"", report: Sequence[float] = ()) -> None:
+        """Report the one outcome of what this connection carries."""
+        if self._is_outcome_reported:
+            return
+        self._is_outcome_reported = True
+        core = self._client.core
+        if self.attempt is not None:
+            if outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED):
+                self.idle_endpoint = self.attempt.endpoint
+            core.attempt_finished(self.attempt, outcome, result, report)
+        elif self.probed_endpoint is not None:
+            duration_ms = (self._client.loop.time() - self.probe_started_at) * 1000
+            core.probe_finished(self.probed_endpoint, outcome, duration_ms, report)
--- /dev/null
+++ b/pipitshed/upstream/http/load_report.py
@@ -0,0 +1,33 @@
+"""The load reports of workers: named numbers, in the order that the settings give."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+import msgspec
+
+
+def parse_load_report(text: bytes, fields: Sequence[str]) -> tuple[float, ...]:
+    """The values of a report, `TEXT a=1, b=2` or JSON, for these fields; none if it can't be parsed."""
+    values: dict[str, float] = {}
+    body = text.strip().removeprefix(b"TEXT").removeprefix(b"JSON").strip()
+    try:
+        if body.startswith(b"{"):
+            values = msgspec.json.decode(body, type=dict[str, float])
+        else:
+            for part in body.decode("latin-1").split(","):
+                name, _, value = part.partition("=")
+                if value:
+                    values[name.strip()] = float(value)
+    except (ValueError, msgspec.DecodeError):
+        return ()
+    return ordered_report(values, fields)
+
+
+def ordered_report(values: dict[str, float], fields: Sequence[str]) -> tuple[float, ...]:
+    """The values in the order of the fields; none if one is missing.
+
+    A missing field must not count as 0: depending on the field, that would say that the worker is full, or
+    that it is idle.
+    """
+    return tuple(values[name] for name in fields) if all(name in values for name in fields) else ()
--- a/tests/test_list_replaced.py
+++ b/tests/test_list_replaced.py
@@ -151,10 +151,10 @@
             rig.lists(planner.port)
             rig.send(rig.take(f"a{number}"))
             assert await rig.outcome() is Outcome.OK
-            connection = next(iter(rig.carrier._up))
-        while connection in rig.carrier._up:  # the planner's end closes it
+            connection = next(iter(rig.carrier._open_connections))
+        while connection in rig.carrier._open_connections:  # the planner's end closes it
             await asyncio.sleep(0)
-    assert not rig.carrier._idle and not rig.carrier._resting and not rig.carrier._up
+    assert not rig.carrier.pool._idle and not rig.carrier.pool._by_age and not rig.carrier._open_connections
 
 
 @story
