--- a/pipitshed/cluster/messages.py
+++ b/pipitshed/cluster/messages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from pipitshed.membership.messages import Ack, IndirectPing, Nack, Ping, RepairMessage
-from pipitshed.replication.acting import AppliedQuery, AppliedReport
+from pipitshed.replication.commit_tracking import AppliedQuery, AppliedReport
 
 
 class Show(msgspec.Struct, frozen=True, array_like=True, tag=16):
--- a/pipitshed/cluster/node.py
+++ b/pipitshed/cluster/node.py
@@ -18,7 +18,13 @@
 from pipitshed.cluster.peers_file import ClusterConfig
 from pipitshed.cluster.settings import ReplicatedSettings, Reply, SettingsTarget
 from pipitshed.cluster.streams import Streams
-from pipitshed.membership.effects import Instruction, MemberStateChanged, RowsChanged, SendMessage, Superseded
+from pipitshed.membership.instructions import (
+    Instruction,
+    MemberStateChanged,
+    RowsChanged,
+    SendMessage,
+    Superseded,
+)
 from pipitshed.membership.members import Address, MemberRecord, MemberState
 from pipitshed.membership.messages import RepairMessage
 from pipitshed.membership.protocol import Membership
--- a/pipitshed/cluster/settings.py
+++ b/pipitshed/cluster/settings.py
@@ -31,9 +31,9 @@
 from pipitshed.cluster.row_store import StoredRows
 from pipitshed.config.row_overlay import Overlay, RowRejectedError, check, file_value, overlay
 from pipitshed.membership.members import Address, MemberRecord, MemberState
-from pipitshed.replication.acting import AppliedQuery, AppliedReport, AppliedState, Confirmations
+from pipitshed.replication.commit_tracking import AppliedQuery, AppliedReport, AppliedState, Confirmations
 from pipitshed.replication.row import Row
-from pipitshed.replication.rows import RowError, RowTable
+from pipitshed.replication.row_table import RowError, RowTable
 
 if TYPE_CHECKING:
     from pipitshed.cluster.event_log import EventLog
--- a/pipitshed/membership/members.py
+++ b/pipitshed/membership/members.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from pipitshed.replication.digests import hashed
+from pipitshed.replication.merkle_tree import hashed
 
 NAME_LIMIT = 64  # bytes of a name or a zone
 _encoder = msgspec.msgpack.Encoder()
--- a/pipitshed/membership/protocol.py
+++ b/pipitshed/membership/protocol.py
@@ -12,8 +12,13 @@
 
 import msgspec
 
-from pipitshed.membership.areas import RegionMap
-from pipitshed.membership.effects import Instruction, MemberStateChanged, RowsChanged, SendMessage, Superseded
+from pipitshed.membership.instructions import (
+    Instruction,
+    MemberStateChanged,
+    RowsChanged,
+    SendMessage,
+    Superseded,
+)
 from pipitshed.membership.members import Address, MemberRecord, MemberState, precedence
 from pipitshed.membership.messages import (
     GOSSIP_LIMIT_BYTES,
@@ -26,13 +31,14 @@
     RepairMessage,
 )
 from pipitshed.membership.probes import Probe, Suspicion
+from pipitshed.membership.regions import RegionMap
 from pipitshed.membership.timing import LocalHealth, ProtocolTimings, suspicion_timeout_s
 from pipitshed.membership.view import MembershipView
-from pipitshed.replication.carrier import AROUND, Replicator, message_size
+from pipitshed.replication.anti_entropy import OutgoingMessage
 from pipitshed.replication.messages import Compare, Items, unpack
-from pipitshed.replication.repair import OutgoingMessage
+from pipitshed.replication.replicator import AROUND, Replicator, message_size
 from pipitshed.replication.row import Row
-from pipitshed.replication.rows import ApplyResult, RowTable
+from pipitshed.replication.row_table import ApplyResult, RowTable
 
 ANYWAY = 0.1  # of the times for repair, part at which a range is compared whatever the digests are
 ALONE = 0.3  # of the time between repairs, where nobody is known yet: as a seed may be asked by very many
--- a/pipitshed/membership/view.py
+++ b/pipitshed/membership/view.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 
 from pipitshed.membership.members import MemberRecord, precedence
-from pipitshed.replication.digests import MerkleTree
+from pipitshed.replication.merkle_tree import MerkleTree
 
 MAX_MEMBERS = 4096  # names held at the most, whatever strangers say
 
--- a/pipitshed/replication/repair.py
+++ b/pipitshed/replication/anti_entropy.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from pipitshed.replication.budget import BandwidthBudget
-from pipitshed.replication.digests import DEPTH, MARK, ROOT, WAYS, MerkleTree, depth, sound
+from pipitshed.replication.bandwidth_budget import BandwidthBudget
+from pipitshed.replication.merkle_tree import DEPTH, MARK, ROOT, WAYS, MerkleTree, depth, sound
 from pipitshed.replication.messages import ROOM, Compare, Items, Range, Rows, pack
 
 Address = tuple[str, int]
--- a/pipitshed/replication/acting.py
+++ b/pipitshed/replication/commit_tracking.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from pipitshed.replication.row import Row
-from pipitshed.replication.rows import RowTable
+from pipitshed.replication.row_table import RowTable
 
 RATE = 4500.0  # bytes a second in which all members together tell one writer
 FRAME = 24  # bytes around a message: the edge's head, and a cluster's name of usual length
--- a/pipitshed/replication/carrier.py
+++ b/pipitshed/replication/replicator.py
@@ -8,9 +8,7 @@
 
 import msgspec
 
-from pipitshed.replication.budget import BandwidthBudget
-from pipitshed.replication.messages import ROOM, Compare, Items, Rows
-from pipitshed.replication.repair import (
+from pipitshed.replication.anti_entropy import (
     ANSWERS,
     PULLED,
     Address,
@@ -19,7 +17,9 @@
     OutgoingMessage,
     sampled,
 )
-from pipitshed.replication.rumours import GossipQueue, transmission_limit
+from pipitshed.replication.bandwidth_budget import BandwidthBudget
+from pipitshed.replication.gossip_queue import GossipQueue, transmission_limit
+from pipitshed.replication.messages import ROOM, Compare, Items, Rows
 
 AROUND = 50  # bytes around a message: the headers of IP and UDP, and the edge's frame
 FRAME = AROUND + 20  # and what holds the items
--- a/pipitshed/replication/row.py
+++ b/pipitshed/replication/row.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from pipitshed.replication.digests import hashed
+from pipitshed.replication.merkle_tree import hashed
 
 FORM = 1  # of the rows that this program writes and reads
 KEY_LIMIT = 128  # bytes
--- a/pipitshed/replication/rows.py
+++ b/pipitshed/replication/row_table.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from pipitshed.replication.digests import MerkleTree
+from pipitshed.replication.merkle_tree import MerkleTree
 from pipitshed.replication.row import FORM, KEY_LIMIT, WRITER_LIMIT, Row, precedence
 
 __all__ = ["FORM", "ApplyResult", "Row", "RowError", "RowTable"]
--- a/pipitshed/testbed/virtual_view.py
+++ b/pipitshed/testbed/virtual_view.py
@@ -10,14 +10,20 @@
 from heapq import heappop, heappush
 from itertools import count
 
-from pipitshed.membership.effects import Instruction, MemberStateChanged, RowsChanged, SendMessage, Superseded
+from pipitshed.membership.instructions import (
+    Instruction,
+    MemberStateChanged,
+    RowsChanged,
+    SendMessage,
+    Superseded,
+)
 from pipitshed.membership.members import Address, MemberRecord, MemberState
 from pipitshed.membership.messages import Message
 from pipitshed.membership.protocol import Membership
 from pipitshed.membership.timing import ProtocolTimings
-from pipitshed.replication.carrier import message_size
+from pipitshed.replication.replicator import message_size
 from pipitshed.replication.row import Row
-from pipitshed.replication.rows import RowTable
+from pipitshed.replication.row_table import RowTable
 
 ZONES = ("one", "two", "three")
 ENVELOPE = 22  # bytes that `peers.codec` puts around a message of a cluster with the usual name
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -25,8 +25,8 @@
 from pipitshed.membership.members import MemberRecord, MemberState
 from pipitshed.membership.messages import GOSSIP_LIMIT_BYTES, Ack, Ping, RepairMessage
 from pipitshed.membership.timing import ProtocolTimings
+from pipitshed.replication.gossip_queue import GossipQueue
 from pipitshed.replication.messages import Rows, pack
-from pipitshed.replication.rumours import GossipQueue
 
 FAST = ProtocolTimings(period=0.05, ack_within=0.02, sync=0.3, sync_with_gone=0.5, tombstones=30.0)
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -12,14 +12,14 @@
 from pipitshed.cluster.codec import DATAGRAM_LIMIT, Codec
 from pipitshed.membership.members import Address
 from pipitshed.membership.messages import Ping, RepairMessage
-from pipitshed.replication.budget import BURST, RATE, BandwidthBudget
-from pipitshed.replication.carrier import message_size
-from pipitshed.replication.digests import DEPTH, ROOT, WAYS, MerkleTree, depth
+from pipitshed.replication.anti_entropy import AntiEntropy, OutgoingMessage
+from pipitshed.replication.bandwidth_budget import BURST, RATE, BandwidthBudget
+from pipitshed.replication.gossip_queue import GossipQueue, transmission_limit
+from pipitshed.replication.merkle_tree import DEPTH, ROOT, WAYS, MerkleTree, depth
 from pipitshed.replication.messages import UNPACKED, Compare, Items, Rows, pack, unpack
-from pipitshed.replication.repair import AntiEntropy, OutgoingMessage
+from pipitshed.replication.replicator import message_size
 from pipitshed.replication.row import FORM, Row, precedence
-from pipitshed.replication.rows import ApplyResult, RowError, RowTable
-from pipitshed.replication.rumours import GossipQueue, transmission_limit
+from pipitshed.replication.row_table import ApplyResult, RowError, RowTable
 from pipitshed.testbed import virtual_view
 from pipitshed.testbed.virtual_view import ENVELOPE, Network, Node
 
--- a/tests/test_settings_fleet.py
+++ b/tests/test_settings_fleet.py
@@ -26,7 +26,7 @@
 from pipitshed.cluster.messages import AskForce, ClusterMessage, Put, PutDone
 from pipitshed.cluster.node import ClusterNode
 from pipitshed.config.platform import Config, load_front, load_platform_config, with_settings
-from pipitshed.replication.acting import AppliedReport
+from pipitshed.replication.commit_tracking import AppliedReport
 from pipitshed.server.server import Scheduler
 
 SHARE, DEADLINE = "tenant/andes-retail/share", "class/quote/deadline"
--- a/tests/test_settings_rows.py
+++ b/tests/test_settings_rows.py
@@ -18,7 +18,7 @@
 from pipitshed.cluster.row_store import StoredRows
 from pipitshed.config.row_overlay import Overlay, RowRejectedError, check, file_value, overlay
 from pipitshed.config.settings_parser import settings_from
-from pipitshed.replication.acting import (
+from pipitshed.replication.commit_tracking import (
     ASK_AFTER,
     ASK_AGAIN,
     RATE,
@@ -30,7 +30,7 @@
     Confirmations,
 )
 from pipitshed.replication.row import Row, precedence
-from pipitshed.replication.rows import RowTable
+from pipitshed.replication.row_table import RowTable
 
 SHARE, GOAL = "tenant/andes-retail/share", "class/quote/goalTime"
 
