--- a/pipitshed/cluster/node.py
+++ b/pipitshed/cluster/node.py
@@ -237,7 +237,7 @@
         def agrees(word: MemberRecord) -> bool | None:
             if word.name == membership.self_record.name:
                 return True
-            return None if word.is_departed else membership.replicator.agree(word.name)
+            return None if word.is_departed else membership.replicator.agrees_with(word.name)
 
         rows = [
             Row(
--- a/pipitshed/cluster/settings.py
+++ b/pipitshed/cluster/settings.py
@@ -155,7 +155,7 @@
             self._kept(rows, digest, None)
             return
         newest = {row.key: row for row in rows}
-        acted = self._confirmations.state.acted
+        acted = self._confirmations.state.applied
         stood = tuple(row for key, row in acted.items() if newest.get(key) != row)
         writing = self._loop.run_in_executor(None, rowsfile.write, self._path, StoredRows(rows, stood))
         writing.add_done_callback(partial(self._kept, rows, digest))
@@ -168,12 +168,12 @@
         if error is not None and str(error) != self._unsaved:
             log.error("rows are acted on, but not kept for the next start: %s", error)
         self._unsaved = str(error) if error is not None else ""
-        self._act(rows, digest, self._confirmations.state.acted)
+        self._act(rows, digest, self._confirmations.state.applied)
         if self._changed:
             self._take_up()
 
     def _act(self, rows: tuple[Row, ...], digest: bytes, stood: Mapping[str, Row]) -> None:
-        before = self._confirmations.state.acted
+        before = self._confirmations.state.applied
         laid = self._lay(self._tuned.raw(), rows, digest, stood)
         if laid.acted != before:
             self._tuned.retune(laid.raw["settings"])
@@ -184,10 +184,10 @@
     def over(self, raw: dict[str, Any]) -> dict[str, Any]:
         """The settings of a file that is read anew, with the rows over them."""
         state = self._confirmations.state
-        if not state.held:
+        if not state.rows:
             settings: dict[str, Any] = raw["settings"]
             return settings
-        laid = self._lay(raw, tuple(state.held.values()), state.digest, state.acted, anew=True)
+        laid = self._lay(raw, tuple(state.rows.values()), state.digest, state.applied, anew=True)
         return laid.raw["settings"]  # type: ignore[no-any-return]
 
     def _lay(
@@ -203,13 +203,13 @@
         changed = [
             row
             for row in rows
-            if row != before.held.get(row.key) or laid.refused.get(row.key) != before.refused.get(row.key)
+            if row != before.rows.get(row.key) or laid.refused.get(row.key) != before.rejected.get(row.key)
         ]
         now = self._loop.time()
         if changed:
             self._since = now
         state = AppliedState(digest, {row.key: row for row in rows}, laid.acted, laid.refused)
-        self._confirmations.acts(now, state, changed, len(self._living()))
+        self._confirmations.record_applied(now, state, changed, len(self._living()))
         acted = [laid.acted[row.key] for row in changed if row.key in laid.acted]
         self._events.write(
             "acting",
@@ -226,10 +226,10 @@
     def hear(self, message: Settings, source: Address) -> None:
         """Take a message."""
         if isinstance(message, AppliedReport):
-            self._confirmations.heard(message, self._living())
+            self._confirmations.receive_report(message, self._living())
             return
         if isinstance(message, AppliedQuery):
-            self._send(message.sender, self._confirmations.asked(message))
+            self._send(message.sender, self._confirmations.answer_query(message))
             return
         reply = self._carrier.reply(source)
         if reply is None:
@@ -274,7 +274,7 @@
         raw, state = self._tuned.raw(), self._confirmations.state
 
         def shown(row: Row) -> ShownRow:
-            file, acted = file_value(raw, row.key), state.acted.get(row.key)
+            file, acted = file_value(raw, row.key), state.applied.get(row.key)
             value = file if acted is None or acted.deleted else float(acted.body)
             return ShownRow(
                 row.key,
@@ -285,7 +285,7 @@
                 row.number,
                 row.writer,
                 row.deleted,
-                state.refused.get(row.key, ""),
+                state.rejected.get(row.key, ""),
             )
 
         return ShownRows(self._me.name, tuple(shown(row) for row in sorted(rows, key=lambda row: row.key)))
@@ -300,10 +300,10 @@
         if row is None or (row.term, row.number) != (message.term, message.number):
             other = f"{row.term}.{row.number} of {row.writer}" if row is not None else "no row"
             return Force(False, (), (), gone, other)
-        standing = self._confirmations.standing(self._loop.time(), row, living)
+        standing = self._confirmations.status(self._loop.time(), row, living)
         self._arm()
         # Guards one that has just started against speaking for a fleet of which it knows a part.
-        agrees = self._carrier.membership.replicator.agree
+        agrees = self._carrier.membership.replicator.agrees_with
         if not self.table.caught_up or (len(living) > 1 and not any(agrees(name) for name in living)):
             missing = dict(standing.missing) | {self._me.name: ""}
             return Force(False, standing.appliers, tuple(missing.items()), gone)
@@ -327,11 +327,11 @@
         return Status(
             self._me.name,
             state.digest.hex(),
-            len(state.held),
+            len(state.rows),
             round(self._loop.time() - self._since, 3),
             self.table.caught_up,
             self._unsaved,
-            tuple(sorted(state.refused.items())),
+            tuple(sorted(state.rejected.items())),
             members,
         )
 
@@ -340,7 +340,7 @@
         told = {f"rows_{name.replace('-', '_')}": count for name, count in self.table.counts.items()}
         return told | {
             "rows": len(self.table),
-            "rows_refused": len(self._confirmations.state.refused),
+            "rows_refused": len(self._confirmations.state.rejected),
             "rows_unsaved": int(bool(self._unsaved)),
         }
 
@@ -353,7 +353,7 @@
 
     def _arm(self) -> None:
         """Wake when something is to be told or asked; an earlier wake stands."""
-        due = self._confirmations.due()
+        due = self._confirmations.next_due_at()
         if self._closed or due == math.inf or (self._timer is not None and self._due <= due):
             return
         if self._timer is not None:
@@ -363,7 +363,7 @@
 
     def _step(self) -> None:
         self._timer = None
-        for name, message in self._confirmations.tick(self._loop.time(), self._living()):
+        for name, message in self._confirmations.handle_timeouts(self._loop.time(), self._living()):
             self._send(name, message)
         self._arm()
 
--- a/pipitshed/config/row_overlay.py
+++ b/pipitshed/config/row_overlay.py
@@ -113,7 +113,7 @@
     raw: dict[str, Any], places: dict[str, dict[str, list[int]]], row: Row, fixed: Container[str]
 ) -> tuple[str, int, str, float]:
     if not row.readable:
-        raise RowRejectedError(f"it is of a newer program (form {row.form})")
+        raise RowRejectedError(f"it is of a newer program (form {row.format_version})")
     kind, name, field = _parts(row.key)
     if kind == "class" and name in fixed:
         raise RowRejectedError(f"Gearman's functions keep the limits that {name!r} had at the start")
--- a/pipitshed/membership/protocol.py
+++ b/pipitshed/membership/protocol.py
@@ -530,7 +530,7 @@
 
     def _out(self, now: float) -> list[Instruction]:
         self.replicator.settle(now)
-        due = self.replicator.repair.due()
+        due = self.replicator.anti_entropy.due()
         if due is not None and due < self._repair_due:
             self._repair_due = due
             self._at(due, "repair")
--- a/pipitshed/replication/commit_tracking.py
+++ b/pipitshed/replication/commit_tracking.py
@@ -35,11 +35,11 @@
 
     sender: str
     instance_id: int
-    at: int  # counts what the sender has acted on so far: of two messages the later one holds
+    sequence: int  # counts what the sender has acted on so far: of two messages the later one holds
     digest: bytes
     rows: tuple[int, ...] = ()
-    refused: tuple[tuple[int, str], ...] = ()  # rows by their content, and reasons
-    more: bool = False
+    rejected: tuple[tuple[int, str], ...] = ()  # rows by their content, and reasons
+    has_more_rejections: bool = False
 
 
 class AppliedQuery(msgspec.Struct, frozen=True, array_like=True, tag=33):
@@ -54,9 +54,9 @@
     """What one scheduler acts on."""
 
     digest: bytes = b""  # of the table that it was made from
-    held: Mapping[str, Row] = field(default_factory=dict)  # what that held, by key
-    acted: Mapping[str, Row] = field(default_factory=dict)  # by key; deleted rows count
-    refused: Mapping[str, str] = field(default_factory=dict)  # why, by key
+    rows: Mapping[str, Row] = field(default_factory=dict)  # what that held, by key
+    applied: Mapping[str, Row] = field(default_factory=dict)  # by key; deleted rows count
+    rejected: Mapping[str, str] = field(default_factory=dict)  # why, by key
 
 
 @dataclass(slots=True)
@@ -108,7 +108,7 @@
 
     # ---- as a member
 
-    def acts(self, now: float, state: AppliedState, changed: Iterable[Row], fleet: int) -> None:
+    def record_applied(self, now: float, state: AppliedState, changed: Iterable[Row], fleet: int) -> None:
         """This scheduler acts on (or refuses) these rows from now on; it tells their writers, each at a time
         drawn so that all members together keep to the rate.
         """
@@ -127,13 +127,13 @@
         mine = AppliedReport(self._me, self._life, self._at, self.state.digest, (2**63,))
         return fleet * (FRAME + len(_encoder.encode(mine))) / RATE
 
-    def asked(self, message: AppliedQuery) -> AppliedReport:
+    def answer_query(self, message: AppliedQuery) -> AppliedReport:
         """The answer to a question."""
         return self._told(message.keys[:ASKED_MOST])
 
     def _told(self, keys: Iterable[str]) -> AppliedReport:
         chosen = tuple(keys)
-        acted, refused = self.state.acted, self.state.refused
+        acted, refused = self.state.applied, self.state.rejected
         first = sorted(refused, key=lambda key: key not in chosen)
         return AppliedReport(
             self._me,
@@ -142,7 +142,7 @@
             self.state.digest,
             tuple(acted[key].content_hash for key in chosen if key in acted),
             tuple(
-                (self.state.held[key].content_hash, refused[key][:REASON_LIMIT])
+                (self.state.rows[key].content_hash, refused[key][:REASON_LIMIT])
                 for key in first[:REFUSED_MOST]
             ),
             len(refused) > REFUSED_MOST,
@@ -161,17 +161,17 @@
         watch.until = now + INTEREST
         self._ask_at = min(self._ask_at, now + ASK_EVERY)
 
-    def heard(self, message: AppliedReport, living: LiveInstances) -> None:
+    def receive_report(self, message: AppliedReport, living: LiveInstances) -> None:
         """A member has told what it acts on. One that is not known in this life says nothing of it."""
         life, at = self._heard.get(message.sender, (0, 0))
         if living.get(message.sender) != message.instance_id or (
-            life == message.instance_id and message.at < at
+            life == message.instance_id and message.sequence < at
         ):
             return
-        self._heard[message.sender] = message.instance_id, message.at
+        self._heard[message.sender] = message.instance_id, message.sequence
         # Guards against a digest that covers rows which the sender refuses and has no room to name.
-        all_of_it = message.digest == self._table.digest() and not message.more
-        refused, rows = dict(message.refused), set(message.rows)
+        all_of_it = message.digest == self._table.digest() and not message.has_more_rejections
+        refused, rows = dict(message.rejected), set(message.rows)
         for key, watch in self._watches.items():
             if watch.content in rows or (
                 all_of_it and watch.content not in refused and self._table.get(key) == watch.row
@@ -182,7 +182,7 @@
                 watch.refused[message.sender] = message.instance_id, refused[watch.content]
                 watch.lives.pop(message.sender, None)
 
-    def standing(self, now: float, row: Row, living: LiveInstances) -> CommitStatus:
+    def status(self, now: float, row: Row, living: LiveInstances) -> CommitStatus:
         """Who acts on a row now."""
         held = self._table.get(row.key)
         if held != row:
@@ -195,12 +195,12 @@
 
     def _missing(self, watch: _Watch, living: LiveInstances) -> dict[str, str]:
         """Those who don't act on a row, and why where they said so."""
-        mine = self.state.acted.get(watch.row.key)
+        mine = self.state.applied.get(watch.row.key)
         missing: dict[str, str] = {}
         for name, life in living.items():
             if name == self._me:
                 if mine is None or mine.content_hash != watch.content:
-                    missing[name] = self.state.refused.get(watch.row.key, "")
+                    missing[name] = self.state.rejected.get(watch.row.key, "")
             elif watch.lives.get(name) != life:
                 told = watch.refused.get(name)
                 missing[name] = told[1] if told is not None and told[0] == life else ""
@@ -208,11 +208,11 @@
 
     # ---- time
 
-    def due(self) -> float:
+    def next_due_at(self) -> float:
         """When `tick` has something to do."""
         return min([self._ask_at, *(when for when, _ in self._owed.values())])
 
-    def tick(self, now: float, living: LiveInstances) -> list[Said]:
+    def handle_timeouts(self, now: float, living: LiveInstances) -> list[Said]:
         """What is to be said now."""
         said: list[Said] = []
         for writer, (when, keys) in list(self._owed.items()):
--- a/pipitshed/replication/replicator.py
+++ b/pipitshed/replication/replicator.py
@@ -57,7 +57,7 @@
         """`seeds`: whom this one joins by; where there are none, it is the first."""
         self.tables = tables
         self.budget = BandwidthBudget(len(tables), now)
-        self.repair = AntiEntropy(tables, self.budget, rng, FRAME)
+        self.anti_entropy = AntiEntropy(tables, self.budget, rng, FRAME)
         self.queues: list[GossipQueue[Any]] = [GossipQueue() for _ in tables]
         self.peer_digests: dict[str, tuple[bytes, ...]] = {}  # the digests that each peer told last, by name
         self._rng = rng
@@ -91,7 +91,7 @@
                 table.caught_up = True
                 self._agreeing[place] += 1
                 self._differ[place].pop(address, None)
-                self.repair.agreed(place, address)
+                self.anti_entropy.agreed(place, address)
                 continue
             self._agreeing[place] = 0
             if address in self._seeds:
@@ -105,7 +105,7 @@
         """When a peer last told another digest than is held here; long ago where it told the same since."""
         return self._differ[place].get(address, float("-inf"))
 
-    def agree(self, name: str) -> bool | None:
+    def agrees_with(self, name: str) -> bool | None:
         """Whether a peer told the digest of the first table that is held here; None where it told none."""
         told = self.peer_digests.get(name)
         return None if not told else told[0] == self.tables[0].tree.digest()
@@ -179,12 +179,12 @@
         out: list[OutgoingMessage] = []
         for place, keys in enumerate(self._pushing):
             if keys:
-                _, packed = self.repair.packed(self.tables[place], keys, ROOM)
+                _, packed = self.anti_entropy.packed(self.tables[place], keys, ROOM)
                 message = Rows(place, packed, fresh=True)
                 out += [
                     OutgoingMessage(peer, message)
                     for peer in peers
-                    if self.repair.room(now, place, message, ANSWERS)
+                    if self.anti_entropy.room(now, place, message, ANSWERS)
                 ]
                 keys.clear()
         return out
@@ -206,35 +206,37 @@
             self._changed[place] = table.change_count, now
         behind = self._is_behind(now, place)
         # As many at a time as have something to ask: more would ask for a little each.
-        most = 2 + min(MOST_EXCHANGES, self.repair.lacks(place) // PULLED) if behind else 1
-        if now < self._next[place] or self.repair.leads(place) >= most:
+        most = 2 + min(MOST_EXCHANGES, self.anti_entropy.lacks(place) // PULLED) if behind else 1
+        if now < self._next[place] or self.anti_entropy.leads(place) >= most:
             return []
         if not (in_any_case or behind or now - self._changed[place][1] >= QUIET):
             return []
         differ = self._differ[place]
         for address in [address for address, when in differ.items() if now - when > LATELY]:
             del differ[address]
-        able = [address for address in differ if self.repair.may(now, place, address)]
+        able = [address for address in differ if self.anti_entropy.may(now, place, address)]
         if not able and behind and others is not None:
-            able = [address for address in others() if self.repair.may(now, place, address)]
+            able = [address for address in others() if self.anti_entropy.may(now, place, address)]
         if not able:
             return []
         self._next[place] = now + (BEHIND if behind else BETWEEN)
-        return self.repair.begin(now, place, self._rng.choice(able))
+        return self.anti_entropy.begin(now, place, self._rng.choice(able))
 
     def _is_behind(self, now: float, place: int) -> bool:
-        if self.repair.lacks(place) >= MUCH:
+        if self.anti_entropy.lacks(place) >= MUCH:
             self._behind[place] = now + QUIET
         return now < self._behind[place] or not self.tables[place].caught_up
 
     def ask(self, now: float, place: int, address: Address) -> list[OutgoingMessage]:
         """Begin an exchange with this one, though it was silent or in vain before."""
-        return self.repair.begin(now, place, address) if self.repair.free(place, address) else []
+        return self.anti_entropy.begin(now, place, address) if self.anti_entropy.free(place, address) else []
 
     def look(self, now: float, address: Address) -> list[OutgoingMessage]:
         """Compare a range of one table, both drawn at random, whatever the digests are."""
         place = self._rng.randrange(len(self.tables))
-        return self.repair.look(now, place, address) if self.repair.may(now, place, address) else []
+        return (
+            self.anti_entropy.look(now, place, address) if self.anti_entropy.may(now, place, address) else []
+        )
 
     def answer(
         self, now: float, address: Address, part: Compare | Items, others: Callable[[], list[Address]]
@@ -247,9 +249,9 @@
         ):
             return []
         if isinstance(part, Compare):
-            out = self.repair.compared(now, address, part)
+            out = self.anti_entropy.compared(now, address, part)
             return out if part.answer else out + self.consider(now, part.table, False, others)
-        return self.repair.asked(now, address, part)
+        return self.anti_entropy.asked(now, address, part)
 
     def taken(
         self,
@@ -264,16 +266,16 @@
         much = gained >= MUCH or (gained > 0 and sampled(part))
         if much:
             self._behind[part.table] = now + QUIET
-        out = self.repair.told(now, address, part, gained, newer)
+        out = self.anti_entropy.told(now, address, part, gained, newer)
         return out + (self.consider(now, part.table, False, others) if much else [])
 
     def handle_timeouts(self, now: float) -> list[OutgoingMessage]:
         """What has come due of the exchanges."""
-        return self.repair.tick(now)
+        return self.anti_entropy.tick(now)
 
     def settle(self, now: float) -> None:
         """Take up how exchanges ended."""
-        done, self.repair.done = self.repair.done, []
+        done, self.anti_entropy.done = self.anti_entropy.done, []
         for one in done:
             if one.whole:
                 self.tables[one.table].caught_up = True
--- a/pipitshed/replication/row.py
+++ b/pipitshed/replication/row.py
@@ -6,7 +6,7 @@
 
 from pipitshed.replication.merkle_tree import hashed
 
-FORM = 1  # of the rows that this program writes and reads
+FORMAT_VERSION = 1  # of the rows that this program writes and reads
 KEY_LIMIT = 128  # bytes
 WRITER_LIMIT = 64  # bytes
 _encoder = msgspec.msgpack.Encoder()
@@ -23,12 +23,12 @@
     writer: str
     body: bytes
     deleted: bool = False
-    form: int = FORM
+    format_version: int = FORMAT_VERSION
 
     @property
     def readable(self) -> bool:
         """Whether this program knows what the body means."""
-        return self.form <= FORM
+        return self.format_version <= FORMAT_VERSION
 
     @property
     def size(self) -> int:
@@ -47,7 +47,7 @@
             and 0 < len(self.writer.encode()) <= WRITER_LIMIT
             and 0 < self.term < 2**32
             and 0 < self.number < 2**62
-            and 0 < self.form < 2**16
+            and 0 < self.format_version < 2**16
         )
 
 
--- a/pipitshed/replication/row_table.py
+++ b/pipitshed/replication/row_table.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterator
 
 from pipitshed.replication.merkle_tree import MerkleTree
-from pipitshed.replication.row import FORM, KEY_LIMIT, WRITER_LIMIT, Row, precedence
+from pipitshed.replication.row import FORMAT_VERSION, KEY_LIMIT, WRITER_LIMIT, Row, precedence
 
-__all__ = ["FORM", "ApplyResult", "Row", "RowError", "RowTable"]
+__all__ = ["FORMAT_VERSION", "ApplyResult", "Row", "RowError", "RowTable"]
 
 
 class ApplyResult(enum.Enum):
@@ -41,7 +41,7 @@
     ) -> None:
         """`most_bytes` of all rows as they are sent, `row_limit` bytes of one."""
         self.name = name
-        self.most_rows, self.most_bytes, self.row_limit = most_rows, most_bytes, row_limit
+        self.max_rows, self.max_bytes, self.max_row_bytes = most_rows, most_bytes, row_limit
         self.change_count = 0  # counts changes
         self.counts: Counter[str] = Counter()  # rows taken, by `Taken`, and `conflicts` and `writers`
         self.caught_up = False  # whether it was compared with a peer since the start, or there is none
@@ -84,7 +84,9 @@
             if held.writer != writer:
                 raise RowError(f"{key}: {held.writer} writes it; another has to take it over")
             if not held.readable:
-                raise RowError(f"{key}: of a newer program (form {held.form}); it has to be taken over")
+                raise RowError(
+                    f"{key}: of a newer program (form {held.format_version}); it has to be taken over"
+                )
         row = Row(key, term + take_over, number + 1, writer, body, deleted)
         told = self.apply(row)
         if told is not ApplyResult.NEW:
@@ -93,9 +95,9 @@
 
     def _why(self, told: ApplyResult, row: Row) -> str:
         return {
-            ApplyResult.TOO_LONG: f"{row.size} bytes, {self.row_limit} at most",
-            ApplyResult.TOO_MANY: f"no room: {len(self)} rows and deleted ones of {self.most_rows}, "
-            f"{self._bytes} bytes of {self.most_bytes}",
+            ApplyResult.TOO_LONG: f"{row.size} bytes, {self.max_row_bytes} at most",
+            ApplyResult.TOO_MANY: f"no room: {len(self)} rows and deleted ones of {self.max_rows}, "
+            f"{self._bytes} bytes of {self.max_bytes}",
             ApplyResult.UNSOUND: f"its key has 1 to {KEY_LIMIT} bytes, its writer 1 to {WRITER_LIMIT}",
         }[told]
 
@@ -122,11 +124,11 @@
             if precedence(row) < precedence(held):
                 return ApplyResult.CONFLICT if version == ours else ApplyResult.OLD
         size = row.size
-        if size > self.row_limit:
+        if size > self.max_row_bytes:
             return ApplyResult.TOO_LONG
         more = size - (held.size if held is not None else 0)
-        if (held is None and len(self) >= self.most_rows) or (
-            more > 0 and self._bytes + more > self.most_bytes
+        if (held is None and len(self) >= self.max_rows) or (
+            more > 0 and self._bytes + more > self.max_bytes
         ):
             return ApplyResult.TOO_MANY
         self._rows[row.key] = row
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -18,7 +18,7 @@
 from pipitshed.replication.merkle_tree import DEPTH, ROOT, WAYS, MerkleTree, depth
 from pipitshed.replication.messages import UNPACKED, Compare, Items, Rows, pack, unpack
 from pipitshed.replication.replicator import message_size
-from pipitshed.replication.row import FORM, Row, precedence
+from pipitshed.replication.row import FORMAT_VERSION, Row, precedence
 from pipitshed.replication.row_table import ApplyResult, RowError, RowTable
 from pipitshed.testbed import virtual_view
 from pipitshed.testbed.virtual_view import ENVELOPE, Network, Node
@@ -205,7 +205,7 @@
 
 
 def test_what_is_beyond_the_bounds_is_refused_and_counted() -> None:
-    one = table(most_rows=3, most_bytes=400, row_limit=100)
+    one = table(max_rows=3, max_bytes=400, max_row_bytes=100)
     for key in "abc":
         one.put(key, b"1", "w")
     for body, key, why in (
@@ -222,14 +222,14 @@
     assert one.apply(Row("a", 1, 1, "w", b"1")) is ApplyResult.OLD
     for key in "bc":
         one.put(key, b"x" * 60, "w")
-    one = table(most_bytes=100)
+    one = table(max_bytes=100)
     one.put("a", b"x" * 60, "w")
     assert one.apply(Row("b", 1, 1, "w", b"x" * 60)) is ApplyResult.TOO_MANY
 
 
 def test_a_row_of_a_newer_program_is_carried_unread() -> None:
     network = joined(5)
-    newer = Row("quota/red", 1, 7, "n9", b"\xff\x00 who knows", form=FORM + 1)
+    newer = Row("quota/red", 1, 7, "n9", b"\xff\x00 who knows", format_version=FORMAT_VERSION + 1)
     node = nodes(network)[3]
     assert node.tables[0].apply(newer) is ApplyResult.NEW
     network._carry_out(node, node.membership.disseminate(network.now, "settings", [newer]))
@@ -333,7 +333,7 @@
 def test_a_peer_that_tells_rows_for_ever_is_bounded_in_rows_and_in_what_it_makes_others_send() -> None:
     network = joined(8, size=6)
     for node in nodes(network):
-        node.tables[0].most_rows = 200
+        node.tables[0].max_rows = 200
     victim, liar = nodes(network)[1], Liar(network, nodes(network)[5])
     begun = int(network.now) + 1
     for step in range(200):
@@ -392,7 +392,7 @@
         network.put(nodes(network)[number % 5], (f"quota/t{number}", b"1"))
         network.run(1.0)
     until(network, lambda: same(network), WITHIN)
-    assert sleeper.membership.replicator.repair._strikes == {}
+    assert sleeper.membership.replicator.anti_entropy._strikes == {}
 
 
 def test_sides_that_were_apart_hold_the_same_rows_soon_after_they_meet() -> None:
--- a/tests/test_settings_rows.py
+++ b/tests/test_settings_rows.py
@@ -146,7 +146,7 @@
 BODIES = st.binary(max_size=40) | st.floats().map(lambda x: repr(x).encode())
 
 
-@given(st.lists(st.builds(row, KEYS, BODIES, form=st.sampled_from([1, 1, 1, 2])), max_size=6))
+@given(st.lists(st.builds(row, KEYS, BODIES, format_version=st.sampled_from([1, 1, 1, 2])), max_size=6))
 def test_whatever_rows_come_what_is_laid_is_a_file_that_can_be_used(rows: list[Row]) -> None:
     laid = overlay(raw(), rows)
     settings_from(laid.raw["settings"])
@@ -162,7 +162,9 @@
 ) -> None:
     path = tmp_path / "rows"
     assert rowsfile.read(path) == StoredRows() and not caplog.text
-    kept = StoredRows((row(), row(GOAL, b"\xff\x00", form=2), row("x", b"", deleted=True)), (row(number=4),))
+    kept = StoredRows(
+        (row(), row(GOAL, b"\xff\x00", format_version=2), row("x", b"", deleted=True)), (row(number=4),)
+    )
     rowsfile.write(path, kept)
     assert rowsfile.read(path) == kept
     whole = path.read_bytes()
@@ -218,21 +220,21 @@
         before = self.one.state
         acted = {one.key: one for one in self.table if one.key not in refused}
         for key in refused:
-            if key in before.acted and before.acted[key] != self.table.get(key):
-                acted[key] = before.acted[key]
+            if key in before.applied and before.applied[key] != self.table.get(key):
+                acted[key] = before.applied[key]
         told = {key: "no such tenant" for key in refused}
         changed = [
             one
             for one in self.table
-            if acted.get(one.key) != before.acted.get(one.key)
-            or told.get(one.key) != before.refused.get(one.key)
+            if acted.get(one.key) != before.applied.get(one.key)
+            or told.get(one.key) != before.rejected.get(one.key)
         ]
         held = {one.key: one for one in self.table}
-        self.one.acts(now, AppliedState(self.table.digest(), held, acted, told), changed, fleet)
+        self.one.record_applied(now, AppliedState(self.table.digest(), held, acted, told), changed, fleet)
 
     def acts_on(self, one: Row) -> bool:
         """Or on one that took its place since."""
-        acted = self.one.state.acted.get(one.key)
+        acted = self.one.state.applied.get(one.key)
         return acted is not None and precedence(acted) >= precedence(one)
 
 
@@ -248,36 +250,36 @@
 
 def test_a_row_is_in_force_once_all_have_said_so_in_their_present_life() -> None:
     writer, member, one, living = pair()
-    assert writer.one.standing(0.0, one, living).missing == (("m", ""),)
-    assert writer.one.standing(0.0, one, {"w": 1}).in_force  # alone
+    assert writer.one.status(0.0, one, living).missing == (("m", ""),)
+    assert writer.one.status(0.0, one, {"w": 1}).in_force  # alone
     member.act(0.0, 2)
-    [(to, told)] = member.one.tick(1.0, living)
+    [(to, told)] = member.one.handle_timeouts(1.0, living)
     assert to == "w" and isinstance(told, AppliedReport)
-    writer.one.heard(told, living)
-    assert writer.one.standing(0.0, one, living).in_force
-    assert writer.one.standing(0.0, one, living | {"m": 8}).missing == (("m", ""),)  # started anew
-    assert writer.one.standing(0.0, one, living | {"n": 1}).missing == (("n", ""),)  # has joined
+    writer.one.receive_report(told, living)
+    assert writer.one.status(0.0, one, living).in_force
+    assert writer.one.status(0.0, one, living | {"m": 8}).missing == (("m", ""),)  # started anew
+    assert writer.one.status(0.0, one, living | {"n": 1}).missing == (("n", ""),)  # has joined
     lower = Member("m", life=3)  # lives are drawn: a later one may be the lower
     lower.table.apply(one)
     lower.act(0.0, 2)
-    writer.one.heard(lower.one.asked(AppliedQuery("w", (SHARE,))), living | {"m": 3})
-    assert writer.one.standing(0.0, one, living | {"m": 3}).in_force
+    writer.one.receive_report(lower.one.answer_query(AppliedQuery("w", (SHARE,))), living | {"m": 3})
+    assert writer.one.status(0.0, one, living | {"m": 3}).in_force
     writer.table.put(SHARE, b"2", "w")
-    assert writer.one.standing(0.0, one, living).superseded is not None
+    assert writer.one.status(0.0, one, living).superseded is not None
 
 
 def test_a_word_of_a_life_before_or_overtaken_by_a_later_one_counts_for_nothing() -> None:
     writer, member, one, living = pair()
     member.act(0.0, 2)
-    early = member.one.asked(AppliedQuery("w", (SHARE,)))
-    writer.one.heard(early, living | {"m": 8})
-    assert not writer.one.standing(0.0, one, living).in_force
+    early = member.one.answer_query(AppliedQuery("w", (SHARE,)))
+    writer.one.receive_report(early, living | {"m": 8})
+    assert not writer.one.status(0.0, one, living).in_force
     member.act(0.0, 2, SHARE)  # a new file there has no such tenant
-    [(_, late)] = member.one.tick(1.0, living)
+    [(_, late)] = member.one.handle_timeouts(1.0, living)
     assert isinstance(late, AppliedReport)
-    writer.one.heard(late, living)
-    writer.one.heard(early, living)
-    assert writer.one.standing(0.0, one, living).missing == (("m", "no such tenant"),)
+    writer.one.receive_report(late, living)
+    writer.one.receive_report(early, living)
+    assert writer.one.status(0.0, one, living).missing == (("m", "no such tenant"),)
 
 
 def test_a_digest_speaks_for_no_row_that_is_refused_named_or_not() -> None:
@@ -288,14 +290,14 @@
         writer.one.watch(0.0, other)
         member.table.apply(other)
     member.act(0.0, 2, *(other.key for other in others))
-    writer.one.heard(member.one.asked(AppliedQuery("w", ())), living)
-    assert not any(writer.one.standing(0.0, row_, living).in_force for row_ in (one, *others))
-    writer.one.heard(member.one.asked(AppliedQuery("w", (SHARE, others[7].key))), living)
-    assert writer.one.standing(0.0, one, living).in_force
-    assert writer.one.standing(0.0, others[7], living).missing == (("m", "no such tenant"),)
+    writer.one.receive_report(member.one.answer_query(AppliedQuery("w", ())), living)
+    assert not any(writer.one.status(0.0, row_, living).in_force for row_ in (one, *others))
+    writer.one.receive_report(member.one.answer_query(AppliedQuery("w", (SHARE, others[7].key))), living)
+    assert writer.one.status(0.0, one, living).in_force
+    assert writer.one.status(0.0, others[7], living).missing == (("m", "no such tenant"),)
     member.act(0.0, 2)  # now it knows them all, and one digest says so
-    writer.one.heard(member.one.asked(AppliedQuery("w", ())), living)
-    assert all(writer.one.standing(0.0, other, living).in_force for other in others)
+    writer.one.receive_report(member.one.answer_query(AppliedQuery("w", ())), living)
+    assert all(writer.one.status(0.0, other, living).in_force for other in others)
 
 
 def test_a_refusal_of_an_older_row_says_nothing_of_a_newer_one() -> None:
@@ -304,26 +306,26 @@
     newer = writer.table.put(SHARE, b"2", "w")
     writer.act(0.0, 2)
     writer.one.watch(0.0, newer)
-    writer.one.heard(member.one.asked(AppliedQuery("w", (SHARE,))), living)
-    assert writer.one.standing(0.0, newer, living).missing == (("m", ""),)  # it has not told of this one
+    writer.one.receive_report(member.one.answer_query(AppliedQuery("w", (SHARE,))), living)
+    assert writer.one.status(0.0, newer, living).missing == (("m", ""),)  # it has not told of this one
 
 
 def test_one_that_says_nothing_is_asked_again_and_again_while_anyone_waits() -> None:
     writer, _, one, living = pair()
     asked = []
     now = 0.0
-    while now < 30.0 and (due := writer.one.due()) < 30.0:
+    while now < 30.0 and (due := writer.one.next_due_at()) < 30.0:
         now = due
         asked += [
             now
-            for to, message in writer.one.tick(now, living)
+            for to, message in writer.one.handle_timeouts(now, living)
             if isinstance(message, AppliedQuery) and to == "m" and message.keys == (SHARE,)
         ]
     assert asked[0] >= ASK_AFTER and 8 <= len(asked) <= 10 / ASK_AGAIN
     assert all(later - earlier >= ASK_AGAIN for earlier, later in zip(asked, asked[1:], strict=False))
-    assert writer.one.due() == float("inf")  # nobody waits any more
-    writer.one.standing(40.0, one, living)
-    assert writer.one.due() < 41.0
+    assert writer.one.next_due_at() == float("inf")  # nobody waits any more
+    writer.one.status(40.0, one, living)
+    assert writer.one.next_due_at() < 41.0
 
 
 def test_six_hundred_that_act_on_twenty_rows_at_once_do_not_swamp_their_writer() -> None:
@@ -341,27 +343,27 @@
         member.act(0.0, count)
     seconds = [0] * 30
     for member in members:
-        due = member.one.due()
-        for _, message in member.one.tick(due, living):
+        due = member.one.next_due_at()
+        for _, message in member.one.handle_timeouts(due, living):
             assert isinstance(message, AppliedReport) and len(message.rows) <= TOLD_MOST
             seconds[int(due)] += len(codec.encode(message))
-            writer.one.heard(message, living)
+            writer.one.receive_report(message, living)
     assert max(seconds) < 1.3 * RATE, seconds
-    assert all(writer.one.standing(20.0, one, living).in_force for one in rows)
+    assert all(writer.one.status(20.0, one, living).in_force for one in rows)
 
 
 def test_what_is_kept_is_bounded_and_who_has_gone_is_forgotten() -> None:
     writer, member, one, living = pair()
     for place in range(WATCHED + 50):
         writer.one.watch(0.0, writer.table.put(f"tenant/t{place}/share", b"1", "w"))
-    writer.one.heard(AppliedReport("m", 7, 1, b""), living)
-    writer.one.tick(5.0, living)
+    writer.one.receive_report(AppliedReport("m", 7, 1, b""), living)
+    writer.one.handle_timeouts(5.0, living)
     assert len(writer.one._watches) == WATCHED and set(writer.one._asked) == {"m"} == set(writer.one._heard)
-    writer.one.tick(8.0, {"w": 1})
+    writer.one.handle_timeouts(8.0, {"w": 1})
     assert not writer.one._asked and not writer.one._heard
     member.act(0.0, 2)
-    assert member.one.tick(9.0, {"m": 7}) == []  # the writer has gone: nobody is owed anything
-    assert member.one.due() == float("inf")
+    assert member.one.handle_timeouts(9.0, {"m": 7}) == []  # the writer has gone: nobody is owed anything
+    assert member.one.next_due_at() == float("inf")
 
 
 def test_whatever_is_lost_doubled_or_late_in_force_is_said_of_what_all_act_on() -> None:
@@ -394,20 +396,20 @@
         elif what < 0.503:
             members[name] = Member(name, seed, rng.randrange(2**32))  # it lost everything
         elif what < 0.65:
-            post += [(to, (message, name)) for to, message in member.one.tick(now, living)]
+            post += [(to, (message, name)) for to, message in member.one.handle_timeouts(now, living)]
         elif post:
             place = rng.randrange(len(post))
             to, (message, sender) = post[place] if rng.random() < 0.2 else post.pop(place)
             if rng.random() < 0.2:
                 continue  # lost
             if isinstance(message, AppliedReport):
-                members[to].one.heard(message, living)
+                members[to].one.receive_report(message, living)
             else:
-                post.append((sender, (members[to].one.asked(message), to)))
+                post.append((sender, (members[to].one.answer_query(message), to)))
         living = {name: member.life for name, member in members.items()}
         for asked in members.values():
             for one in list(asked.table):
-                if asked.one.standing(now, one, living).in_force:
+                if asked.one.status(now, one, living).in_force:
                     said += 1
                     assert all(other.acts_on(one) for other in members.values())
     return said
