--- a/pipitshed/membership/__init__.py
+++ b/pipitshed/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which schedulers live: SWIM with Lifeguard and full exchanges. No I/O; clock and dice are passed in."""
+"""Membership of schedulers: SWIM with Lifeguard and anti-entropy, with no I/O."""
--- a/pipitshed/membership/instructions.py
+++ b/pipitshed/membership/instructions.py
@@ -1,4 +1,4 @@
-"""What a scheduler's protocol wants done, and what it tells."""
+"""What the protocol instructs its user to do, and the changes that it announces."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberStateChanged:
-    """A member's state has changed in this view, from what was held before (None: it was unknown)."""
+    """A member's state has changed in this view; `previous_state` is None for one that was unknown."""
 
     record: MemberRecord
     previous_state: MemberState | None
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """Another process holds this one's name, and came later."""
+    """Another process has this member's name, and started later."""
 
     by: MemberRecord
 
 
 @dataclass(frozen=True, slots=True)
 class RowsChanged:
-    """These rows of a table are new here: told by a peer, or put here."""
+    """These rows of a table are new here: sent by a peer, or written here."""
 
     table: str
     rows: tuple[Row, ...]
--- a/pipitshed/membership/members.py
+++ b/pipitshed/membership/members.py
@@ -1,4 +1,4 @@
-"""Members, what is said of them, and which of two words is the newer."""
+"""Member records, and the order in which one record replaces another."""
 
 from __future__ import annotations
 
@@ -6,89 +6,107 @@
 
 import msgspec
 
-from pipitshed.replication.merkle_tree import hashed
+from pipitshed.replication.merkle_tree import hash64
 
-NAME_LIMIT = 64  # bytes of a name or a zone
+NAME_LIMIT = 64  # bytes of a name, a zone or a region
+_MAX_BYTES_PER_CHAR = 4  # of UTF-8
 _encoder = msgspec.msgpack.Encoder()
 Address = tuple[str, int]
 
 
 class MemberState(enum.IntEnum):
-    """What is held of a member, in the order in which one beats another at the same incarnation."""
+    """The states of a member; at the same incarnation the greater one takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
-    DEAD = 2  # it did not answer, and did not refute
-    LEFT = 3  # it said so itself
+    DEAD = 2  # it did not answer, and did not refute the suspicion
+    LEFT = 3  # it announced this itself
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What is said of one member. `life` is drawn at a process's start: it tells two holders of a name apart.
-    `said_by` is who first said it.
-    """
+    """The state of one member, as a member has reported it."""
 
     name: str
     host: str
     port: int
     zone: str
     incarnation: int  # Unix ms at the process's start, raised by each refutation
-    instance_id: int
+    instance_id: int  # drawn at the process's start: it tells two processes with one name apart
     state: MemberState = MemberState.ALIVE
-    reported_by: str = ""
-    region: str = ""  # its zone's part before the first "/" where it is empty
+    reported_by: str = ""  # the member that reported it first
+    region: str = ""  # where empty, the part of the zone before the first "/"
 
     @property
     def address(self) -> Address:
-        """Where its peer address is."""
+        """The address for messages of peers."""
         return self.host, self.port
 
     @property
     def is_departed(self) -> bool:
-        """Whether nothing more is expected of it."""
+        """Whether the member is dead or has left."""
         return self.state >= MemberState.DEAD
 
     @property
     def size(self) -> int:
-        """Bytes that it takes in a message."""
+        """Encoded size in bytes."""
         return len(_encoder.encode(self))
 
     @property
     def key(self) -> str:
-        """Of whom it is: a newer word takes its place."""
+        """The member's name: a newer record of the same name replaces this one."""
         return self.name
 
     @property
     def effective_region(self) -> str:
-        """The region that it stands in."""
+        """The region that the member is in."""
         return self.region or self.zone.partition("/")[0]
 
     @property
     def content_hash(self) -> int:
-        """A hash of what two views must hold alike of one that lives; 0, so nothing, of one that is gone.
-        That it is suspected is no part of it, as suspicions come and go by themselves; the refutation that
-        ends one, or a death, is.
+        """A hash of what two views must agree on: 0, so nothing, for a departed member.
+
+        A suspicion is no part of it, as it ends by itself; the refutation that ends one, or a death, is.
         """
         if self.is_departed:
             return 0
-        return hashed(
+        return hash64(
             f"{self.name}\0{self.host}\0{self.port}\0{self.zone}\0{self.region}\0{self.instance_id}\0"
             f"{self.incarnation}".encode()
         )
 
     def is_valid(self) -> bool:
-        """Whether it has the form of a word; what strangers send is held against it."""
+        """Whether all fields are within their bounds; records from peers are checked by it."""
         texts = (self.name, self.zone, self.host, self.reported_by, self.region)
         return (
             bool(self.name and self.host)
-            and all(len(text) <= NAME_LIMIT // 4 or len(text.encode()) <= NAME_LIMIT for text in texts)
+            and all(
+                len(text) <= NAME_LIMIT // _MAX_BYTES_PER_CHAR or len(text.encode()) <= NAME_LIMIT
+                for text in texts
+            )
             and 0 < self.port < 65536
             and 0 <= self.incarnation < 2**62
             and 0 <= self.instance_id < 2**32
         )
 
+    def with_state(self, state: MemberState, reported_by: str) -> MemberRecord:
+        """Return this record with another state, as reported by a member."""
+        return MemberRecord(
+            self.name,
+            self.host,
+            self.port,
+            self.zone,
+            self.incarnation,
+            self.instance_id,
+            state,
+            reported_by,
+            self.region,
+        )
+
+
+def precedence(record: MemberRecord) -> tuple[int, int, int]:
+    """Return a sort key under which the record that replaces another is greater.
 
-def precedence(word: MemberRecord) -> tuple[int, int, int]:
-    """What is newer has the higher rank: a total order, so that joining views is the same in any order. The
-    incarnation first, then the state; of two lives that claim one incarnation the higher life stands.
+    The order is total, so that merged views do not depend on the order of arrival: by the incarnation, then
+    by the instance, then by the state.
     """
-    return word.incarnation, word.instance_id, int(word.state)
+    return record.incarnation, record.instance_id, int(record.state)
--- a/pipitshed/membership/messages.py
+++ b/pipitshed/membership/messages.py
@@ -1,4 +1,4 @@
-"""What schedulers say to each other about the fleet. The edge frames, bounds and checks them."""
+"""Messages of the membership protocol. The transport frames, bounds and authenticates them."""
 
 from __future__ import annotations
 
@@ -8,37 +8,33 @@
 from pipitshed.replication.messages import Compare, Items, Rows
 from pipitshed.replication.row import Row
 
-GOSSIP_LIMIT_BYTES = 700  # bytes of rumours on one datagram, so that it stays under a network's usual 1,400
+GOSSIP_LIMIT_BYTES = 700  # of gossip in one datagram, which stays under the usual 1,400 bytes
 FreshRows = tuple[tuple[Row, ...], ...]  # by table
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Are you there? `target` is who is meant: one that hears it under another name doesn't answer. `digests`
-    are of the sender's view and then of its tables; empty for one that it has not caught up with.
-    """
+    """A probe. A member whose name is not `target` doesn't answer."""
 
     number: int
     sender: MemberRecord
     target: str
     gossip: tuple[MemberRecord, ...] = ()
-    digests: tuple[bytes, ...] = ()
+    digests: tuple[bytes, ...] = ()  # of the view and then the tables; empty for one that has not caught up
     rows: FreshRows = ()
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """I am here; also passed on by a helper, for the one that it helped. `digests` as in
-    a ping.
-    """
+    """The answer to a ping; also forwarded to the member that asked for an indirect ping."""
 
     number: int
     sender: MemberRecord
     gossip: tuple[MemberRecord, ...] = ()
-    digests: tuple[bytes, ...] = ()
+    digests: tuple[bytes, ...] = ()  # of the view and then the tables; empty for one that has not caught up
     rows: FreshRows = ()
 
 
 class IndirectPing(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Probe this one in my place."""
+    """A request to probe this target in the sender's place."""
 
     number: int
     sender: MemberRecord
@@ -47,7 +43,7 @@
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """I was asked to help, probed, and have heard nothing so far: the asker's own link is well."""
+    """No ack to an indirect ping so far. It shows its requester that the requester's own link works."""
 
     number: int
     sender: MemberRecord
@@ -55,7 +51,7 @@
 
 
 class RepairMessage(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """A part of a repair. Its sender is told where the other may not know it yet."""
+    """A message of anti-entropy, with its sender's record where the receiver may not know it yet."""
 
     part: Compare | Items | Rows
     sender: MemberRecord | None = None
--- /dev/null
+++ b/pipitshed/membership/suspicion.py
@@ -0,0 +1,172 @@
+"""Member records: applying what others report, suspicions and their timeouts, and refutation."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass, field
+
+from pipitshed.membership.instructions import MemberStateChanged, Superseded
+from pipitshed.membership.local_state import VIEW_INDEX, LocalState, Outbox
+from pipitshed.membership.members import MemberRecord, MemberState, precedence
+from pipitshed.membership.timers import Timer
+from pipitshed.membership.timing import suspicion_timeout_s
+
+
+@dataclass(slots=True)
+class Suspicion:
+    """A member that is suspected, since when, and which members have reported it."""
+
+    record: MemberRecord
+    since: float
+    reporters: set[str] = field(default_factory=set)
+
+
+class MemberRecords:
+    """Applies member records to the view, and decides how long a suspicion lasts."""
+
+    def __init__(self, local: LocalState, outbox: Outbox) -> None:
+        self._local = local
+        self._outbox = outbox
+        self._suspicions: dict[str, Suspicion] = {}
+        self._next_check_at = math.inf
+
+    @property
+    def has_suspicions(self) -> bool:
+        """Whether any member is suspected."""
+        return bool(self._suspicions)
+
+    def apply(self, now: float, record: MemberRecord, fetched_with: int = 0) -> None:
+        """Apply a record: refute it where it is wrong about this member, and pass it on where it is new.
+
+        Args:
+            now: The time.
+            record: The record.
+            fetched_with: For a record that anti-entropy brought, how many came in the same answer.
+        """
+        if record.name == self._local.self_record.name:
+            self._apply_to_self(now, record)
+            return
+        current = self._local.view.get(record.name)
+        if (
+            current is not None
+            and record.state is MemberState.SUSPECT
+            and precedence(record) == precedence(current)
+        ):
+            self._confirm_suspicion(record)
+            return
+        if not self._local.view.apply(now, record):
+            return
+        self._queue(now, record, fetched_with)
+        if record.state is MemberState.SUSPECT:
+            suspicion = self._suspicions[record.name] = Suspicion(record, now, {record.reported_by})
+            self._check_by(self._ends_at(suspicion))
+        else:
+            self._suspicions.pop(record.name, None)
+        if current is None or (current.state, current.instance_id) != (record.state, record.instance_id):
+            previous_state = current.state if current is not None else None
+            self._outbox.add(MemberStateChanged(record, previous_state))
+
+    def _queue(self, now: float, record: MemberRecord, fetched_with: int) -> None:
+        local = self._local
+        if fetched_with:
+            local.replicator.queue_fetched(now, VIEW_INDEX, record, len(local.view), fetched_with)
+        else:
+            local.replicator.queue_item(VIEW_INDEX, record)
+
+    # ---- records of this member
+
+    def _apply_to_self(self, now: float, record: MemberRecord) -> None:
+        local = self._local
+        if record.instance_id != local.self_record.instance_id:
+            self._apply_other_instance(now, record)
+            return
+        if local.is_silent or record.state is MemberState.ALIVE:
+            return
+        if record.incarnation >= local.self_record.incarnation:
+            local.health.record_failure()
+            self._refute(now, record)
+
+    def _apply_other_instance(self, now: float, record: MemberRecord) -> None:
+        local = self._local
+        if precedence(record) <= precedence(local.self_record) or local.superseded:
+            return
+        if record.is_departed or record.address == local.self_record.address:
+            # An earlier instance of this member, whose clock was ahead: no other process has this name.
+            self._refute(now, record)
+        else:
+            local.superseded = True
+            self._outbox.add(Superseded(record))
+
+    def _refute(self, now: float, record: MemberRecord) -> None:
+        """Announce that this member is alive, by a record that takes precedence over the wrong one."""
+        own = self._local.self_record
+        refutation = MemberRecord(
+            own.name,
+            own.host,
+            own.port,
+            own.zone,
+            record.incarnation + 1,
+            own.instance_id,
+            reported_by=own.name,
+            region=own.region,
+        )
+        self.announce_self(now, refutation)
+
+    def announce_self(self, now: float, record: MemberRecord) -> None:
+        """Replace this member's own record, and pass it on."""
+        self._local.self_record = record
+        self._local.view.apply(now, record)
+        self._local.replicator.queue_item(VIEW_INDEX, record)
+
+    # ---- suspicions
+
+    def suspect(self, now: float, target: MemberRecord) -> None:
+        """Suspect a member that did not answer a probe, unless it is a new instance by now."""
+        current = self._local.view.get(target.name)
+        if current is not None and not current.is_departed and current.instance_id == target.instance_id:
+            own_name = self._local.self_record.name
+            self.apply(now, current.with_state(MemberState.SUSPECT, own_name))
+
+    def postpone_suspicions(self, delay_s: float) -> None:
+        """Let all suspicions last longer by this time."""
+        for suspicion in self._suspicions.values():
+            suspicion.since += delay_s
+
+    def _confirm_suspicion(self, record: MemberRecord) -> None:
+        """Shorten a suspicion that another member reports too, and pass on that member's report."""
+        suspicion = self._suspicions.get(record.name)
+        if suspicion is not None and record.reported_by not in suspicion.reporters:
+            suspicion.reporters.add(record.reported_by)
+            self._local.replicator.queue_item(VIEW_INDEX, record)
+            self._check_by(self._ends_at(suspicion))
+
+    def _ends_at(self, suspicion: Suspicion) -> float:
+        confirmations = len(suspicion.reporters) - 1
+        return suspicion.since + suspicion_timeout_s(
+            self._local.timings, self._local.view.live_count, confirmations
+        )
+
+    def _check_by(self, when: float) -> None:
+        """Check the suspicions by this time.
+
+        One timer serves all suspicions: with one for each, and each set again for all the others, the
+        number of timers would double with every check.
+        """
+        if when < self._next_check_at:
+            self._next_check_at = when
+            self._local.timers.set(when, Timer.SUSPICION)
+
+    def check_suspicions(self, now: float) -> None:
+        """Declare those members dead whose suspicion has lasted its time."""
+        if now < self._next_check_at:
+            return  # a timer that was replaced by an earlier one
+        self._next_check_at = math.inf
+        for name, suspicion in list(self._suspicions.items()):
+            if now < self._ends_at(suspicion):
+                continue
+            del self._suspicions[name]
+            current = self._local.view.get(name)
+            if current is not None and current.state is MemberState.SUSPECT:
+                self.apply(now, current.with_state(MemberState.DEAD, self._local.self_record.name))
+        if self._suspicions:
+            self._check_by(min(self._ends_at(suspicion) for suspicion in self._suspicions.values()))
--- a/pipitshed/membership/timing.py
+++ b/pipitshed/membership/timing.py
@@ -1,4 +1,4 @@
-"""Time scales, and how they stretch: local health and suspicion, as Lifeguard has them."""
+"""Timings of the protocol, and how they adapt: local health and suspicion timeouts, as in Lifeguard."""
 
 from __future__ import annotations
 
@@ -6,21 +6,26 @@
 
 import msgspec
 
+MAX_HEALTH_SCORE = 8
+MAX_TIMING_S = 86_400
+MAX_HELPERS = 16
+MIN_TOMBSTONE_SYNCS = 4  # a shorter tombstone would let the old record of a departed member return
+
 
 class ProtocolTimings(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
-    """Time scales of the view, in seconds; all schedulers of a fleet should have the same."""
+    """Timings of the protocol, in seconds; all schedulers of a cluster should have the same."""
 
     period: float = 0.2  # between probes
-    ack_within: float = 0.1  # for the answer to a probe, before others are asked to probe
-    helpers: int = 3  # asked to probe in one's place
-    suspect_for: float = 4.0  # periods, times log10 of the fleet: the shortest that a suspicion lasts
-    suspect_longest: float = 4.0  # times that, with no confirmation
-    sync: float = 3.0  # between looks for one that told another digest, to repair with
-    sync_with_gone: float = 10.0  # between attempts to reach one that is held dead
-    tombstones: float = 120.0  # a member that is gone is held so long
+    ack_within: float = 0.1  # for the ack of a probe, before other members are asked for indirect pings
+    helpers: int = 3  # members that are asked for an indirect ping
+    suspect_for: float = 4.0  # periods, times log10 of the cluster's size: the shortest suspicion
+    suspect_longest: float = 4.0  # times the shortest: a suspicion without a confirmation
+    sync: float = 3.0  # between exchanges with a peer whose digest differs
+    sync_with_gone: float = 10.0  # between attempts to reach a member that is considered dead
+    tombstones: float = 120.0  # how long the record of a departed member is kept
 
     def fault(self) -> tuple[str, str] | None:
-        """The first field that can't be, and why."""
+        """Return the first invalid field, and why it is invalid; None where all are valid."""
         for name in (
             "period",
             "ack_within",
@@ -31,52 +36,58 @@
             "tombstones",
         ):
             value = getattr(self, name)
-            if not 0 < value < 86_400:
+            if not 0 < value < MAX_TIMING_S:
                 return name.replace("_", "-"), f"{value} is not between 0 and 86400"
         if self.ack_within >= self.period:
             return "ack-within", f"{self.ack_within} leaves others no time in a period of {self.period}"
-        if not 0 <= self.helpers <= 16:
+        if not 0 <= self.helpers <= MAX_HELPERS:
             return "helpers", f"{self.helpers} is not between 0 and 16"
         if self.suspect_longest < 1:
             return "suspect-longest", f"{self.suspect_longest} is under 1"
-        if self.tombstones < 4 * self.sync_with_gone:
+        if self.tombstones < MIN_TOMBSTONE_SYNCS * self.sync_with_gone:
             return "tombstones", f"{self.tombstones} is under four times sync-with-gone: old words return"
         return None
 
 
-MAX_HEALTH_SCORE = 8  # how far a scheduler may doubt itself
-
-
 class LocalHealth:
-    """How far this scheduler doubts itself before others: 0 is well. It stretches probes' times by 1 + score,
-    so that one whose loop is slow suspects nobody for its own lateness.
+    """A score of this member's own health: 0 is healthy.
+
+    Timeouts of probes are multiplied by 1 + score, so that a member whose event loop is slow suspects nobody
+    for its own delays.
     """
 
     def __init__(self) -> None:
         self.score = 0
 
     def record_success(self) -> None:
-        """A probe was answered in time."""
+        """Lower the score: a probe was answered in time."""
         self.score = max(0, self.score - 1)
 
-    def record_failure(self, by: int = 1) -> None:
-        """A probe went unanswered, help that is owed did not come, or a suspicion of oneself was heard."""
-        self.score = min(MAX_HEALTH_SCORE, self.score + by)
+    def record_failure(self, amount: int = 1) -> None:
+        """Raise the score: a probe or a helper did not answer, or another member suspected this one."""
+        self.score = min(MAX_HEALTH_SCORE, self.score + amount)
 
     @property
     def timeout_multiplier(self) -> int:
-        """What times are stretched by."""
+        """The factor by which timeouts are longer."""
         return self.score + 1
 
 
-def suspicion_timeout_s(scales: ProtocolTimings, fleet: int, confirmations: int) -> float:
-    """How long (s) a suspicion lasts: the longest with no confirmation, the shortest once as many as are
-    asked to help have confirmed it, each by its own probe (Lifeguard, section 4.2).
+def suspicion_timeout_s(timings: ProtocolTimings, live_count: int, confirmations: int) -> float:
+    """Return how long a suspicion lasts (Lifeguard, section 4.2).
+
+    It is the longest without a confirmation, and the shortest once as many members have confirmed it, each
+    by its own probe, as are asked for an indirect ping.
+
+    Args:
+        timings: The protocol's timings.
+        live_count: Number of members that are alive or suspected.
+        confirmations: Number of members that have confirmed the suspicion.
     """
-    shortest = scales.suspect_for * max(1.0, math.log10(max(1, fleet))) * scales.period
-    longest = scales.suspect_longest * shortest
-    wanted = min(scales.helpers, max(0, fleet - 2))
-    if wanted < 1:
+    shortest = timings.suspect_for * max(1.0, math.log10(max(1, live_count))) * timings.period
+    longest = timings.suspect_longest * shortest
+    expected = min(timings.helpers, max(0, live_count - 2))
+    if expected < 1:
         return shortest
-    part = math.log(confirmations + 1) / math.log(wanted + 1)
-    return max(shortest, longest - (longest - shortest) * part)
+    confirmed_fraction = math.log(confirmations + 1) / math.log(expected + 1)
+    return max(shortest, longest - (longest - shortest) * confirmed_fraction)
--- a/pipitshed/membership/view.py
+++ b/pipitshed/membership/view.py
@@ -1,4 +1,4 @@
-"""One scheduler's view: the newest word on each member, bounded, with tombstones that end."""
+"""One member's view: the newest record of each member, bounded, with tombstones that expire."""
 
 from __future__ import annotations
 
@@ -7,78 +7,80 @@
 from pipitshed.membership.members import MemberRecord, precedence
 from pipitshed.replication.merkle_tree import MerkleTree
 
-MAX_MEMBERS = 4096  # names held at the most, whatever strangers say
+MAX_MEMBERS = 4096  # names in the view, however many peers send
 
 
 class MembershipView:
-    """The newest word on each member. `number` counts its changes."""
-
-    def __init__(self, tombstones_for: float, most: int = MAX_MEMBERS) -> None:
-        self._words: dict[str, MemberRecord] = {}
-        self._since: dict[str, float] = {}  # s, when the state was taken
-        self._gone: set[str] = set()
-        self._tombstones_for = tombstones_for
-        self._most = most
+    """The newest record of each member. `change_count` counts its changes."""
+
+    def __init__(self, tombstone_lifetime_s: float, max_members: int = MAX_MEMBERS) -> None:
+        self._records: dict[str, MemberRecord] = {}
+        self._state_since: dict[str, float] = {}
+        self._departed: set[str] = set()
+        self._tombstone_lifetime_s = tombstone_lifetime_s
+        self._max_members = max_members
         self.change_count = 0
-        self.caught_up = True  # whoever joins knows at least of itself, and says no more than it knows
+        self.caught_up = True  # a member that joins knows at least itself, and claims no more than it knows
         self.tree = MerkleTree()
-        self.rejected_count = 0  # words of names beyond the bound
+        self.rejected_count = 0  # records of names beyond the bound
 
     def __iter__(self) -> Iterator[MemberRecord]:
-        return iter(self._words.values())
+        return iter(self._records.values())
 
     def __contains__(self, name: object) -> bool:
-        return name in self._words
+        return name in self._records
 
     def __len__(self) -> int:
-        return len(self._words)
+        return len(self._records)
 
     def get(self, name: str) -> MemberRecord | None:
-        """The word held on a member."""
-        return self._words.get(name)
+        """Return the record of a member."""
+        return self._records.get(name)
 
     def since(self, name: str) -> float:
-        """When its state was taken (s)."""
-        return self._since[name]
-
-    def apply(self, now: float, word: MemberRecord) -> bool:
-        """Take a word where it is newer; whether it was."""
-        held = self._words.get(word.name)
-        if held is None:
-            if len(self._words) >= self._most:
+        """Return the time at which a member's state changed last."""
+        return self._state_since[name]
+
+    def apply(self, now: float, record: MemberRecord) -> bool:
+        """Store a record if it is newer; return whether it was."""
+        current = self._records.get(record.name)
+        if current is None:
+            if len(self._records) >= self._max_members:
                 self.rejected_count += 1
                 return False
-        elif precedence(word) <= precedence(held):
+        elif precedence(record) <= precedence(current):
             return False
-        if held is None or (held.state, held.instance_id) != (word.state, word.instance_id):
-            self._since[word.name] = now
-        self._words[word.name] = word
-        self.tree.put(word.name, word.content_hash)
-        (self._gone.add if word.is_departed else self._gone.discard)(word.name)
+        if current is None or (current.state, current.instance_id) != (record.state, record.instance_id):
+            self._state_since[record.name] = now
+        self._records[record.name] = record
+        self.tree.put(record.name, record.content_hash)
+        (self._departed.add if record.is_departed else self._departed.discard)(record.name)
         self.change_count += 1
         return True
 
     def forget_departed(self, now: float) -> list[str]:
-        """Forget those that have been gone for the time of a tombstone, and tell their names. Guards against
-        a view that grows with each name that ever was.
+        """Remove the members whose tombstones have expired, and return their names.
+
+        Otherwise the view would grow with each name that ever was.
         """
-        buried = [name for name in self._gone if now - self._since[name] >= self._tombstones_for]
-        for name in buried:
-            del self._words[name], self._since[name]
+        lifetime_s = self._tombstone_lifetime_s
+        expired = [name for name in self._departed if now - self._state_since[name] >= lifetime_s]
+        for name in expired:
+            del self._records[name], self._state_since[name]
             self.tree.drop(name)
-            self._gone.discard(name)
+            self._departed.discard(name)
             self.change_count += 1
-        return buried
+        return expired
 
     @property
     def live_count(self) -> int:
-        """How many are alive or suspected."""
-        return len(self._words) - len(self._gone)
+        """How many members are alive or suspected."""
+        return len(self._records) - len(self._departed)
 
     def live_members(self) -> list[MemberRecord]:
-        """Members that are alive or suspected, by name."""
-        return sorted((word for word in self if not word.is_departed), key=lambda word: word.name)
+        """Return the members that are alive or suspected, by name."""
+        return sorted((record for record in self if not record.is_departed), key=lambda record: record.name)
 
     def digest(self) -> str:
-        """A hash of who lives, at which address and incarnation: equal where two schedulers agree."""
+        """Return a hash of the live members with addresses and incarnations: equal where two views agree."""
         return self.tree.digest().hex()
--- a/pipitshed/replication/__init__.py
+++ b/pipitshed/replication/__init__.py
@@ -1,3 +1,4 @@
-"""Small versioned rows that reach every scheduler: tables, digests, rumours, repair, a budget of bytes. No
-I/O; time and dice are passed in. Who the peers are, and how a message reaches them, is the user's.
+"""Replication of small versioned rows to every scheduler: digests, gossip, anti-entropy and a byte budget.
+
+No I/O; time and random draws are passed in. The user knows the peers, and carries the messages.
 """
--- a/pipitshed/replication/commit_tracking.py
+++ b/pipitshed/replication/commit_tracking.py
@@ -1,5 +1,7 @@
-"""Who acts on which rows: members tell a row's writer once they act on it, and the writer asks those that did
-not. A row is in force only where every living member has said so of this very row, in its present life.
+"""Which member has applied which row.
+
+Members report to a row's writer once they have applied it, and the writer queries those that have not
+reported. A row is in force only once every live member, in its present instance, has confirmed this very row.
 """
 
 from __future__ import annotations
@@ -13,37 +15,38 @@
 from pipitshed.replication.row import Row
 from pipitshed.replication.row_table import RowTable
 
-RATE = 4500.0  # bytes a second in which all members together tell one writer
-FRAME = 24  # bytes around a message: the edge's head, and a cluster's name of usual length
-ASKED_MOST = 8  # rows that one message asks for
-TOLD_MOST = 2  # rows that one tells of unasked; the digest tells of all
-REFUSED_MOST, REASON_LIMIT = 4, 80  # refusals in one message, and characters of a reason
-ASK_AFTER = 0.4  # s beyond the time in which all should have told, from which the others are asked
-ASK_AGAIN = 1.0  # s between two questions to one member
-ASK_EVERY = 0.25  # s
-ASKED_AT_ONCE = int(RATE * ASK_EVERY / 160)  # a question and its answer are 80 bytes each, about
-WATCHED = 256  # rows whose confirmations are kept
-INTEREST = 10.0  # s for which they are asked for after someone wanted to know
+REPORT_RATE_BYTES_PER_S = 4500.0  # of all members' reports to one writer
+FRAME_BYTES = 24  # around a message: the transport's header, and a cluster's name of usual length
+MAX_QUERY_KEYS = 8  # in one query
+MAX_REPORTED_ROWS = 2  # in one unrequested report; with more, the digest speaks for all of them
+MAX_REPORTED_REJECTIONS = 4  # in one report
+MAX_REASON_CHARS = 80
+QUERY_DELAY_S = 0.4  # beyond the time in which all members should have reported
+QUERY_RETRY_S = 1.0  # between two queries to one member
+QUERY_INTERVAL_S = 0.25
+QUERY_ROUND_TRIP_BYTES = 160  # a query and its answer
+MAX_QUERIES_AT_ONCE = int(REPORT_RATE_BYTES_PER_S * QUERY_INTERVAL_S / QUERY_ROUND_TRIP_BYTES)
+MAX_WATCHED_ROWS = 256
+WATCH_S = 10.0  # how long members are queried after the last request for a row's status
+_SAMPLE_HASH = 2**63  # a content hash of the usual encoded length
 
 _encoder = msgspec.msgpack.Encoder()
 
 
 class AppliedReport(msgspec.Struct, frozen=True, array_like=True, tag=32):
-    """I act on all rows of the table with this digest, and on these by their content, but not on what I
-    refuse. `more`: not all that is refused stands here.
-    """
+    """The sender has applied all rows of the table with this digest, and these, but not the rejected ones."""
 
     sender: str
     instance_id: int
-    sequence: int  # counts what the sender has acted on so far: of two messages the later one holds
+    sequence: int  # counts the sender's changes: of two reports the later one is valid
     digest: bytes
-    rows: tuple[int, ...] = ()
-    rejected: tuple[tuple[int, str], ...] = ()  # rows by their content, and reasons
-    has_more_rejections: bool = False
+    rows: tuple[int, ...] = ()  # content hashes
+    rejected: tuple[tuple[int, str], ...] = ()  # content hashes and reasons
+    has_more_rejections: bool = False  # whether not all rejected rows are listed
 
 
 class AppliedQuery(msgspec.Struct, frozen=True, array_like=True, tag=33):
-    """Do you act on the rows of these keys?"""
+    """Which of the rows with these keys have you applied?"""
 
     sender: str
     keys: tuple[str, ...]
@@ -51,196 +54,217 @@
 
 @dataclass(frozen=True, slots=True)
 class AppliedState:
-    """What one scheduler acts on."""
+    """What one member has applied."""
 
     digest: bytes = b""  # of the table that it was made from
-    rows: Mapping[str, Row] = field(default_factory=dict)  # what that held, by key
+    rows: Mapping[str, Row] = field(default_factory=dict)  # the rows of that table, by key
     applied: Mapping[str, Row] = field(default_factory=dict)  # by key; deleted rows count
-    rejected: Mapping[str, str] = field(default_factory=dict)  # why, by key
+    rejected: Mapping[str, str] = field(default_factory=dict)  # reasons, by key
 
 
 @dataclass(slots=True)
 class _Watch:
-    """What is known of one row's confirmations."""
+    """The confirmations of one row."""
 
     row: Row
-    content: int
+    content_hash: int
     since: float
-    until: float  # interest
-    lives: dict[str, int] = field(default_factory=dict)  # who acts on it, in which life
-    refused: dict[str, tuple[int, str]] = field(default_factory=dict)  # life and reason
+    until: float
+    confirmed: dict[str, int] = field(default_factory=dict)  # instance ids, by member
+    rejected: dict[str, tuple[int, str]] = field(default_factory=dict)  # instance id and reason, by member
 
 
 @dataclass(frozen=True, slots=True)
 class CommitStatus:
-    """Who acts on a row, and who does not."""
+    """Which members have applied a row, and which have not."""
 
     appliers: tuple[str, ...]
-    missing: tuple[tuple[str, str], ...]  # name, and the reason of one that refuses
-    superseded: Row | None = None  # what is held in its place
+    missing: tuple[tuple[str, str], ...]  # name, and the reason of one that rejects the row
+    superseded: Row | None = None  # the row that is in the table instead
 
     @property
     def in_force(self) -> bool:
-        """Whether every living member acts on it."""
+        """Whether every live member has applied the row."""
         return not self.missing and self.superseded is None
 
 
-LiveInstances = Mapping[str, int]  # members that live, and in which life
-Said = tuple[str, AppliedReport | AppliedQuery]  # to whom, by name
+LiveInstances = Mapping[str, int]  # instance ids of live members, by name
+OutgoingReport = tuple[str, AppliedReport | AppliedQuery]  # the receiver's name, and the message
 
 
 class Confirmations:
-    """One scheduler's part: what it owes the writers, and what it knows as one. Times are seconds of any
-    clock that only goes forward.
+    """One member's part: the reports that it sends to writers, and those that it receives as a writer.
+
+    Times are seconds of any monotonic clock.
     """
 
-    def __init__(self, me: str, life: int, table: RowTable, rng: random.Random) -> None:
+    def __init__(self, name: str, instance_id: int, table: RowTable, rng: random.Random) -> None:
         self.state = AppliedState()
-        self._me, self._life = me, life
+        self._name, self._instance_id = name, instance_id
         self._table = table
         self._rng = rng
-        self._owed: dict[str, tuple[float, dict[str, None]]] = {}  # by writer: when, and keys
+        # Reports to be sent, by writer: when, and the keys of the rows.
+        self._pending_reports: dict[str, tuple[float, dict[str, None]]] = {}
         self._watches: dict[str, _Watch] = {}  # by key
-        self._asked: dict[str, float] = {}
-        self._heard: dict[str, tuple[int, int]] = {}  # life and `at` of each one's last message
-        self._at = 0
-        self._ask_at = float("inf")
+        self._queried_at: dict[str, float] = {}  # by member
+        self._last_reports: dict[str, tuple[int, int]] = {}  # instance id and sequence, by member
+        self._sequence = 0
+        self._next_query_at = float("inf")
 
     # ---- as a member
 
-    def record_applied(self, now: float, state: AppliedState, changed: Iterable[Row], fleet: int) -> None:
-        """This scheduler acts on (or refuses) these rows from now on; it tells their writers, each at a time
-        drawn so that all members together keep to the rate.
+    def record_applied(
+        self, now: float, state: AppliedState, changed: Iterable[Row], cluster_size: int
+    ) -> None:
+        """Note that this member has applied or rejected rows, and schedule the reports to their writers.
+
+        Each report is sent at a random time, so that all members together stay within the report rate.
         """
         self.state = state
-        self._at += 1
+        self._sequence += 1
         for row in changed:
-            if row.writer == self._me:
+            if row.writer == self._name:
                 continue
-            if row.writer not in self._owed:
-                delay = self._rng.random() * self._lasts(fleet)
-                self._owed[row.writer] = now + delay, {}
-            self._owed[row.writer][1][row.key] = None
-
-    def _lasts(self, fleet: int) -> float:
-        """How long (s) all members tell of one row, if their words are as long as this one's."""
-        mine = AppliedReport(self._me, self._life, self._at, self.state.digest, (2**63,))
-        return fleet * (FRAME + len(_encoder.encode(mine))) / RATE
+            if row.writer not in self._pending_reports:
+                delay_s = self._rng.random() * self._reporting_time_s(cluster_size)
+                self._pending_reports[row.writer] = now + delay_s, {}
+            self._pending_reports[row.writer][1][row.key] = None
+
+    def _reporting_time_s(self, cluster_size: int) -> float:
+        """Return how long all members take to report one row, if their reports are as long as this one's."""
+        report = AppliedReport(
+            self._name, self._instance_id, self._sequence, self.state.digest, (_SAMPLE_HASH,)
+        )
+        report_bytes = FRAME_BYTES + len(_encoder.encode(report))
+        return cluster_size * report_bytes / REPORT_RATE_BYTES_PER_S
 
     def answer_query(self, message: AppliedQuery) -> AppliedReport:
-        """The answer to a question."""
-        return self._told(message.keys[:ASKED_MOST])
+        """Return the answer to a query."""
+        return self._report(message.keys[:MAX_QUERY_KEYS])
 
-    def _told(self, keys: Iterable[str]) -> AppliedReport:
-        chosen = tuple(keys)
-        acted, refused = self.state.applied, self.state.rejected
-        first = sorted(refused, key=lambda key: key not in chosen)
+    def _report(self, keys: Iterable[str]) -> AppliedReport:
+        reported = tuple(keys)
+        applied, rejected = self.state.applied, self.state.rejected
+        rejected_keys = sorted(rejected, key=lambda key: key not in reported)[:MAX_REPORTED_REJECTIONS]
         return AppliedReport(
-            self._me,
-            self._life,
-            self._at,
+            self._name,
+            self._instance_id,
+            self._sequence,
             self.state.digest,
-            tuple(acted[key].content_hash for key in chosen if key in acted),
+            tuple(applied[key].content_hash for key in reported if key in applied),
             tuple(
-                (self.state.rows[key].content_hash, refused[key][:REASON_LIMIT])
-                for key in first[:REFUSED_MOST]
+                (self.state.rows[key].content_hash, rejected[key][:MAX_REASON_CHARS]) for key in rejected_keys
             ),
-            len(refused) > REFUSED_MOST,
+            len(rejected) > MAX_REPORTED_REJECTIONS,
         )
 
-    # ---- as a writer, or whoever is asked
+    # ---- as a writer, or as the member that was asked for a row's status
 
     def watch(self, now: float, row: Row) -> None:
-        """Keep who acts on this row; ask those who don't say so."""
+        """Track which members have applied this row, and query those that don't report it."""
         watch = self._watches.get(row.key)
-        if watch is None or watch.content != row.content_hash:
+        if watch is None or watch.content_hash != row.content_hash:
             self._watches.pop(row.key, None)
-            if len(self._watches) >= WATCHED:
+            if len(self._watches) >= MAX_WATCHED_ROWS:
                 del self._watches[next(iter(self._watches))]
             watch = self._watches[row.key] = _Watch(row, row.content_hash, now, now)
-        watch.until = now + INTEREST
-        self._ask_at = min(self._ask_at, now + ASK_EVERY)
-
-    def receive_report(self, message: AppliedReport, living: LiveInstances) -> None:
-        """A member has told what it acts on. One that is not known in this life says nothing of it."""
-        life, at = self._heard.get(message.sender, (0, 0))
-        if living.get(message.sender) != message.instance_id or (
-            life == message.instance_id and message.sequence < at
+        watch.until = now + WATCH_S
+        self._next_query_at = min(self._next_query_at, now + QUERY_INTERVAL_S)
+
+    def receive_report(self, message: AppliedReport, live_instances: LiveInstances) -> None:
+        """Take up a member's report, unless it is of another instance or overtaken by a later one."""
+        instance_id, sequence = self._last_reports.get(message.sender, (0, 0))
+        if live_instances.get(message.sender) != message.instance_id or (
+            instance_id == message.instance_id and message.sequence < sequence
         ):
             return
-        self._heard[message.sender] = message.instance_id, message.sequence
-        # Guards against a digest that covers rows which the sender refuses and has no room to name.
-        all_of_it = message.digest == self._table.digest() and not message.has_more_rejections
-        refused, rows = dict(message.rejected), set(message.rows)
+        self._last_reports[message.sender] = message.instance_id, message.sequence
+        # A digest also covers rows that the sender rejects: it counts only where all of these are listed.
+        has_applied_table = message.digest == self._table.digest() and not message.has_more_rejections
+        rejected, applied = dict(message.rejected), set(message.rows)
         for key, watch in self._watches.items():
-            if watch.content in rows or (
-                all_of_it and watch.content not in refused and self._table.get(key) == watch.row
+            if watch.content_hash in applied or (
+                has_applied_table and watch.content_hash not in rejected and self._table.get(key) == watch.row
             ):
-                watch.lives[message.sender] = message.instance_id
-                watch.refused.pop(message.sender, None)
-            elif watch.content in refused:
-                watch.refused[message.sender] = message.instance_id, refused[watch.content]
-                watch.lives.pop(message.sender, None)
-
-    def status(self, now: float, row: Row, living: LiveInstances) -> CommitStatus:
-        """Who acts on a row now."""
-        held = self._table.get(row.key)
-        if held != row:
-            return CommitStatus((), (), held if held is not None else row)
+                watch.confirmed[message.sender] = message.instance_id
+                watch.rejected.pop(message.sender, None)
+            elif watch.content_hash in rejected:
+                watch.rejected[message.sender] = message.instance_id, rejected[watch.content_hash]
+                watch.confirmed.pop(message.sender, None)
+
+    def status(self, now: float, row: Row, live_instances: LiveInstances) -> CommitStatus:
+        """Return which members have applied a row, and keep watching it."""
+        current = self._table.get(row.key)
+        if current != row:
+            return CommitStatus((), (), current if current is not None else row)
         self.watch(now, row)
-        watch = self._watches[row.key]
-        missing = self._missing(watch, living)
-        acting = [name for name in living if name not in missing]
-        return CommitStatus(tuple(sorted(acting)), tuple(sorted(missing.items())))
-
-    def _missing(self, watch: _Watch, living: LiveInstances) -> dict[str, str]:
-        """Those who don't act on a row, and why where they said so."""
-        mine = self.state.applied.get(watch.row.key)
+        missing = self._missing(self._watches[row.key], live_instances)
+        appliers = [name for name in live_instances if name not in missing]
+        return CommitStatus(tuple(sorted(appliers)), tuple(sorted(missing.items())))
+
+    def _missing(self, watch: _Watch, live_instances: LiveInstances) -> dict[str, str]:
+        """Return the members that have not applied a row, with the reason where they reject it."""
         missing: dict[str, str] = {}
-        for name, life in living.items():
-            if name == self._me:
-                if mine is None or mine.content_hash != watch.content:
+        for name, instance_id in live_instances.items():
+            if name == self._name:
+                own = self.state.applied.get(watch.row.key)
+                if own is None or own.content_hash != watch.content_hash:
                     missing[name] = self.state.rejected.get(watch.row.key, "")
-            elif watch.lives.get(name) != life:
-                told = watch.refused.get(name)
-                missing[name] = told[1] if told is not None and told[0] == life else ""
+            elif watch.confirmed.get(name) != instance_id:
+                rejecting_instance, reason = watch.rejected.get(name, (None, ""))
+                missing[name] = reason if rejecting_instance == instance_id else ""
         return missing
 
     # ---- time
 
     def next_due_at(self) -> float:
-        """When `tick` has something to do."""
-        return min([self._ask_at, *(when for when, _ in self._owed.values())])
+        """Return when `handle_timeouts` has something to do."""
+        return min([self._next_query_at, *(when for when, _ in self._pending_reports.values())])
 
-    def handle_timeouts(self, now: float, living: LiveInstances) -> list[Said]:
-        """What is to be said now."""
-        said: list[Said] = []
-        for writer, (when, keys) in list(self._owed.items()):
+    def handle_timeouts(self, now: float, live_instances: LiveInstances) -> list[OutgoingReport]:
+        """Return the reports and queries that are due."""
+        outgoing: list[OutgoingReport] = []
+        for writer, (when, keys) in list(self._pending_reports.items()):
             if when <= now:
-                del self._owed[writer]
-                if writer in living:
-                    said.append((writer, self._told(keys if len(keys) <= TOLD_MOST else ())))
-        if self._ask_at <= now:
-            said += self._questions(now, living)
-        return said
-
-    def _questions(self, now: float, living: LiveInstances) -> list[Said]:
-        """Ask those who have not told of rows that someone waits for, so many at a time."""
-        wait = self._lasts(len(living)) + ASK_AFTER
-        wanted = [watch for watch in self._watches.values() if watch.until > now]
-        self._ask_at = now + ASK_EVERY if wanted else float("inf")
-        self._asked = {name: when for name, when in self._asked.items() if name in living}
-        self._heard = {name: told for name, told in self._heard.items() if name in living}
-        open_: dict[str, list[str]] = {}
-        for watch in wanted:
-            if now - watch.since >= wait:
-                for name, why in self._missing(watch, living).items():
-                    if name != self._me and not why:
-                        open_.setdefault(name, []).append(watch.row.key)
-        late = sorted((self._asked.get(name, 0.0), name) for name in open_)
-        said: list[Said] = []
-        for when, name in late[:ASKED_AT_ONCE]:
-            if now - when >= ASK_AGAIN or name not in self._asked:
-                self._asked[name] = now
-                said.append((name, AppliedQuery(self._me, tuple(open_[name][:ASKED_MOST]))))
-        return said
+                del self._pending_reports[writer]
+                if writer in live_instances:
+                    outgoing.append((writer, self._report(keys if len(keys) <= MAX_REPORTED_ROWS else ())))
+        if self._next_query_at <= now:
+            outgoing += self._queries(now, live_instances)
+        return outgoing
+
+    def _queries(self, now: float, live_instances: LiveInstances) -> list[OutgoingReport]:
+        """Query members that have not reported rows which someone waits for, a few at a time."""
+        watches = [watch for watch in self._watches.values() if watch.until > now]
+        self._next_query_at = now + QUERY_INTERVAL_S if watches else float("inf")
+        self._forget_departed(live_instances)
+        unreported_keys = self._unreported_keys(now, watches, live_instances)
+        longest_ago = sorted((self._queried_at.get(name, 0.0), name) for name in unreported_keys)
+        outgoing: list[OutgoingReport] = []
+        for queried_at, name in longest_ago[:MAX_QUERIES_AT_ONCE]:
+            if now - queried_at >= QUERY_RETRY_S or name not in self._queried_at:
+                self._queried_at[name] = now
+                outgoing.append(
+                    (name, AppliedQuery(self._name, tuple(unreported_keys[name][:MAX_QUERY_KEYS])))
+                )
+        return outgoing
+
+    def _forget_departed(self, live_instances: LiveInstances) -> None:
+        self._queried_at = {name: when for name, when in self._queried_at.items() if name in live_instances}
+        self._last_reports = {
+            name: report for name, report in self._last_reports.items() if name in live_instances
+        }
+
+    def _unreported_keys(
+        self, now: float, watches: Iterable[_Watch], live_instances: LiveInstances
+    ) -> dict[str, list[str]]:
+        """Return the keys of overdue rows by the member that has neither applied nor rejected them."""
+        overdue_s = self._reporting_time_s(len(live_instances)) + QUERY_DELAY_S
+        unreported: dict[str, list[str]] = {}
+        for watch in watches:
+            if now - watch.since < overdue_s:
+                continue
+            for name, reason in self._missing(watch, live_instances).items():
+                if name != self._name and not reason:
+                    unreported.setdefault(name, []).append(watch.row.key)
+        return unreported
--- a/pipitshed/replication/gossip_queue.py
+++ b/pipitshed/replication/gossip_queue.py
@@ -1,4 +1,4 @@
-"""Items that are passed on with probes: each a bounded number of times, the least told and newest first."""
+"""Items that are passed on with probes: each a bounded number of times, the least sent and newest first."""
 
 from __future__ import annotations
 
@@ -6,85 +6,96 @@
 from collections.abc import Collection
 from typing import Generic, Protocol, TypeVar
 
-TELLINGS = 4  # times log10 of the fleet that an item is passed on
-MAX_QUEUED_ITEMS = 512  # items that wait to be passed on
+TRANSMISSION_FACTOR = 4  # times log10 of the cluster's size: how often an item is passed on
+MAX_QUEUED_ITEMS = 512
 
 
 class GossipItem(Protocol):
-    """What can be told: a member's word, a row."""
+    """An item that can be passed on: a member record, or a row."""
 
     @property
     def key(self) -> str:
-        """Of whom, or of what, it is: a newer one takes its place."""
+        """The subject of the item: a newer item with the same key replaces it."""
 
     @property
     def size(self) -> int:
-        """Bytes that it takes in a message."""
+        """Encoded size in bytes."""
 
 
 T = TypeVar("T", bound=GossipItem)
 
 
 class GossipQueue(Generic[T]):
-    """What one table still has to tell, by how often it has been. One item a key: a newer one takes the place
-    of the older.
-    """
+    """The items that one table still has to pass on, by how often each was sent. One item a key."""
 
     def __init__(self) -> None:
-        self._levels: list[dict[str, T]] = [{}]
-        self._level: dict[str, int] = {}  # how often the item of a key has been told
+        self._items_by_send_count: list[dict[str, T]] = [{}]
+        self._send_counts: dict[str, int] = {}  # by key
 
     def __len__(self) -> int:
-        return len(self._level)
+        return len(self._send_counts)
 
-    def add(self, item: T, told: int = 0) -> None:
-        """Tell this from now on; `told` puts it behind what was told less, and ends it sooner. Where too many
-        wait, one of the most told goes.
+    def add(self, item: T, send_count: int = 0) -> None:
+        """Pass this item on from now on.
+
+        A `send_count` above 0 puts it behind items that were sent less often, and ends it sooner. Where the
+        queue is full, one of the most sent items is dropped.
         """
         self._drop(item.key)
-        if len(self._level) >= MAX_QUEUED_ITEMS:
-            self._drop(next(iter(next(level for level in reversed(self._levels) if level))))
-        self._put(item, told)
+        if len(self._send_counts) >= MAX_QUEUED_ITEMS:
+            most_sent = next(items for items in reversed(self._items_by_send_count) if items)
+            self._drop(next(iter(most_sent)))
+        self._put(item, send_count)
 
-    def _put(self, item: T, level: int) -> None:
-        while level >= len(self._levels):
-            self._levels.append({})
-        self._levels[level][item.key] = item
-        self._level[item.key] = level
+    def _put(self, item: T, send_count: int) -> None:
+        while send_count >= len(self._items_by_send_count):
+            self._items_by_send_count.append({})
+        self._items_by_send_count[send_count][item.key] = item
+        self._send_counts[item.key] = send_count
 
     def _drop(self, key: str) -> None:
-        if (level := self._level.pop(key, None)) is not None:
-            del self._levels[level][key]
+        send_count = self._send_counts.pop(key, None)
+        if send_count is not None:
+            del self._items_by_send_count[send_count][key]
 
     def clear(self) -> None:
-        """Nothing is to be told any more."""
-        self._levels, self._level = [{}], {}
+        """Drop all items."""
+        self._items_by_send_count, self._send_counts = [{}], {}
+
+    def take(self, max_bytes: int, cluster_size: int, exclude: Collection[T] = ()) -> tuple[T, ...]:
+        """Return items for one message and count them as sent.
 
-    def take(self, room: int, fleet: int, but: Collection[T] = ()) -> tuple[T, ...]:
-        """Items, none of `but`, for one message that has `room` bytes for them, the least told first, the
-        newest of these first: where all can't be told in time, an old one is left to repair.
+        The least sent come first, and the newest of these: where not all can be sent in time, an old one is
+        left to anti-entropy.
+
+        Args:
+            max_bytes: Space in the message.
+            cluster_size: Number of members, which limits how often an item is sent.
+            exclude: Items that the receiver is known to have.
         """
-        if not self._level:
+        if not self._send_counts:
             return ()
-        chosen: list[tuple[int, T]] = []
-        for times, level in enumerate(self._levels):
-            for item in reversed(level.values()):
-                if item in but:
-                    continue
-                room -= item.size
-                if room < 0:
-                    break
-                chosen.append((times, item))
-            if room < 0:
-                break
-        most = transmission_limit(fleet)
-        for times, item in reversed(chosen):
+        chosen = self._choose(max_bytes, exclude)
+        limit = transmission_limit(cluster_size)
+        for send_count, item in reversed(chosen):
             self._drop(item.key)
-            if times + 1 < most:
-                self._put(item, times + 1)
+            if send_count + 1 < limit:
+                self._put(item, send_count + 1)
         return tuple(item for _, item in chosen)
 
+    def _choose(self, max_bytes: int, exclude: Collection[T]) -> list[tuple[int, T]]:
+        chosen: list[tuple[int, T]] = []
+        for send_count, items in enumerate(self._items_by_send_count):
+            for item in reversed(items.values()):
+                if item in exclude:
+                    continue
+                max_bytes -= item.size
+                if max_bytes < 0:
+                    return chosen
+                chosen.append((send_count, item))
+        return chosen
+
 
-def transmission_limit(fleet: int) -> int:
-    """How often an item is passed on by each in a fleet of this size."""
-    return TELLINGS * math.ceil(math.log10(fleet + 1) + 0.001)
+def transmission_limit(cluster_size: int) -> int:
+    """Return how often each member of a cluster of this size passes an item on."""
+    return TRANSMISSION_FACTOR * math.ceil(math.log10(cluster_size + 1) + 0.001)
--- a/pipitshed/replication/merkle_tree.py
+++ b/pipitshed/replication/merkle_tree.py
@@ -1,4 +1,8 @@
-"""Digests of ranges: a prefix tree over the hashes of keys, kept with each change (a Merkle tree of sums)."""
+"""Digests of ranges of keys: a prefix tree over the hashes of keys, updated with each change.
+
+A node of the tree is named by a number: the root is 1, and the children of a node are 16 times its number
+and the 15 numbers after that. Each node has the number of items in its range and the sum of their hashes.
+"""
 
 from __future__ import annotations
 
@@ -7,95 +11,113 @@
 from bisect import bisect_left, insort
 from collections.abc import Iterator
 
-WAYS = 16
-DEPTH = 3  # levels below the root: 4,096 ranges at the most; what lies in one of them is told item by item
-ROOT = 1  # a range's number; its parts are 16 times that, and up
-_BITS = 64
-_MASK = (1 << _BITS) - 1
-_HALF = (1 << _BITS // 2) - 1
-MARK = 2  # bytes by which an item is told
+FANOUT = 16  # children of a node
+MAX_DEPTH = 3  # levels below the root, so at most 4,096 leaves; the items of a leaf are compared one by one
+ROOT = 1  # the root's node number
+ITEM_MARK_BYTES = 2  # length of the mark by which one item of a range is compared
+_BITS_PER_LEVEL = 4
+_HASH_BITS = 64
+_HASH_MASK = (1 << _HASH_BITS) - 1
+_NODE_SUM_MASK = (1 << _HASH_BITS // 2) - 1
 
 
-def hashed(data: bytes) -> int:
-    """64 bits that stand for these bytes."""
+def hash64(data: bytes) -> int:
+    """Return a 64-bit hash of these bytes."""
     return int.from_bytes(hashlib.blake2b(data, digest_size=8).digest(), "big")
 
 
-def sound(node: int) -> bool:
-    """Whether it is the number of a range; what strangers send is held against it."""
-    return 0 < node < WAYS ** (DEPTH + 1) * 2 and (node.bit_length() - 1) % 4 == 0
+def is_valid_node(node: int) -> bool:
+    """Whether this is the number of a node; numbers from peers are checked by it."""
+    return 0 < node < FANOUT ** (MAX_DEPTH + 1) * 2 and (node.bit_length() - 1) % _BITS_PER_LEVEL == 0
+
+
+def node_depth(node: int) -> int:
+    """Return how many levels a node lies below the root."""
+    return (node.bit_length() - 1) // _BITS_PER_LEVEL
 
 
-def depth(node: int) -> int:
-    """How many levels a range lies below the root."""
-    return (node.bit_length() - 1) // 4
+def children(node: int) -> range:
+    """Return the numbers of a node's children."""
+    return range(node * FANOUT, node * FANOUT + FANOUT)
 
 
 class MerkleTree:
-    """What is held in each range: how many items, and the sum of their hashes. A change costs the depth. A
-    sum, not an exclusive or, so that an item that is counted twice does not vanish.
+    """The digests of a table's ranges.
+
+    A node has a sum of hashes and not their exclusive or, so that an item counted twice does not vanish.
     """
 
     def __init__(self) -> None:
-        self._items: dict[str, tuple[int, int]] = {}  # by key: its place (the key's hash), its content's hash
-        self._places: list[tuple[int, str]] = []  # in order
-        self._nodes: dict[int, tuple[int, int]] = {}  # the sum, and how many
+        self._items: dict[str, tuple[int, int]] = {}  # by key: the hash of the key, the hash of its content
+        self._sorted_keys: list[tuple[int, str]] = []  # (hash of the key, key), in order
+        self._nodes: dict[int, tuple[int, int]] = {}  # by node: sum of content hashes, number of items
 
     def __len__(self) -> int:
         return len(self._items)
 
-    def put(self, key: str, content: int) -> None:
-        """Hold this hash for a key. 0 keeps the key in its range, and out of the digests."""
-        held = self._items.get(key)
-        place = held[0] if held is not None else hashed(key.encode())
-        if held is None:
-            insort(self._places, (place, key))
-        self._items[key] = place, content
-        self._add(place, content - (held[1] if held is not None else 0), held is None)
+    def put(self, key: str, content_hash: int) -> None:
+        """Set a key's content hash; with 0 the key stays in its range but changes no digest."""
+        previous = self._items.get(key)
+        key_hash = previous[0] if previous is not None else hash64(key.encode())
+        if previous is None:
+            insort(self._sorted_keys, (key_hash, key))
+        self._items[key] = key_hash, content_hash
+        previous_content_hash = previous[1] if previous is not None else 0
+        self._add(key_hash, content_hash - previous_content_hash, previous is None)
 
     def drop(self, key: str) -> None:
-        """Hold a key no more."""
-        place, content = self._items.pop(key)
-        del self._places[bisect_left(self._places, (place, key))]
-        self._add(place, -content, -1)
-
-    def _add(self, place: int, content: int, items: int) -> None:
-        for level in range(DEPTH + 1):
-            node = (1 << 4 * level) | place >> (_BITS - 4 * level)
+        """Remove a key."""
+        key_hash, content_hash = self._items.pop(key)
+        del self._sorted_keys[bisect_left(self._sorted_keys, (key_hash, key))]
+        self._add(key_hash, -content_hash, -1)
+
+    def _add(self, key_hash: int, hash_change: int, count_change: int) -> None:
+        """Update the nodes on the path from the root to a key's leaf."""
+        for level in range(MAX_DEPTH + 1):
+            prefix_bits = _BITS_PER_LEVEL * level
+            node = (1 << prefix_bits) | key_hash >> (_HASH_BITS - prefix_bits)
             total, count = self._nodes.get(node, (0, 0))
-            if count + items:
-                self._nodes[node] = (total + content) & _MASK, count + items
+            if count + count_change:
+                self._nodes[node] = (total + hash_change) & _HASH_MASK, count + count_change
             else:
                 del self._nodes[node]
 
     def digest(self) -> bytes:
-        """8 bytes for all: equal where two hold the same."""
+        """Return 8 bytes for the whole tree, equal where two trees have the same items."""
         return self._nodes.get(ROOT, (0, 0))[0].to_bytes(8, "big")
 
     def node(self, node: int) -> tuple[int, int]:
-        """The sum of a range, half of its bits, and how many items it has."""
-        total, items = self._nodes.get(node, (0, 0))
-        return total & _HALF, items
+        """Return half of the bits of a node's sum, and its number of items."""
+        total, count = self._nodes.get(node, (0, 0))
+        return total & _NODE_SUM_MASK, count
+
+    def item_count(self, node: int) -> int:
+        """Return the number of items in a node's range."""
+        return self._nodes.get(node, (0, 0))[1]
 
-    def sample(self, rng: random.Random, most: int) -> list[str]:
-        """Some keys."""
-        return [key for _, key in rng.sample(self._places, min(most, len(self._places)))]
+    def sample(self, rng: random.Random, max_count: int) -> list[str]:
+        """Return keys drawn at random."""
+        drawn = rng.sample(self._sorted_keys, min(max_count, len(self._sorted_keys)))
+        return [key for _, key in drawn]
 
     def keys(self, node: int) -> Iterator[str]:
-        """The keys in a range, in order of their places."""
-        shift = _BITS - 4 * depth(node)
-        first = (node << shift) & _MASK
-        for place in range(bisect_left(self._places, (first, "")), len(self._places)):
-            where, key = self._places[place]
-            if where >= first + (1 << shift):
+        """Iterate over the keys in a node's range, in the order of their hashes."""
+        shift = _HASH_BITS - _BITS_PER_LEVEL * node_depth(node)
+        first = (node << shift) & _HASH_MASK
+        for index in range(bisect_left(self._sorted_keys, (first, "")), len(self._sorted_keys)):
+            key_hash, key = self._sorted_keys[index]
+            if key_hash >= first + (1 << shift):
                 return
             yield key
 
     def marks(self, node: int, salt: int) -> Iterator[tuple[int, str]]:
-        """16 bits for each item of a range that is in the digests, and its key. A salt draws them, so that
-        two contents with one mark differ under the next.
+        """Iterate over (mark, key) of each item in a node's range that counts in the digests.
+
+        A mark has 16 bits. It depends on the salt, so that two contents with the same mark under one salt
+        differ under the next.
         """
         for key in self.keys(node):
-            place, content = self._items[key]
-            if content:
-                yield ((place ^ content) * (salt | 1) & _MASK) >> (_BITS - 8 * MARK), key
+            key_hash, content_hash = self._items[key]
+            if content_hash:
+                mixed = (key_hash ^ content_hash) * (salt | 1) & _HASH_MASK
+                yield mixed >> (_HASH_BITS - 8 * ITEM_MARK_BYTES), key
--- a/pipitshed/replication/messages.py
+++ b/pipitshed/replication/messages.py
@@ -1,32 +1,37 @@
-"""What a repair says. The edge frames, bounds and checks it; each fits a datagram."""
+"""Messages of anti-entropy. Each fits a datagram; the transport frames, bounds and authenticates them."""
 
 from __future__ import annotations
 
 import zlib
-from collections.abc import Sequence
+from collections.abc import Iterable, Sequence
 from typing import Any, TypeVar
 
 import msgspec
 
-UNPACKED = 16_384  # bytes that a packed part may have
-ROOM = 1200  # bytes of one message, so that it fits a datagram of 1,400 with the frame and a sender's word
-Range = tuple[int, int, int]  # number, sum of the hashes, how many items
+from pipitshed.replication.merkle_tree import ITEM_MARK_BYTES
+
+UNPACKED_LIMIT_BYTES = 16_384  # of one packed part
+MESSAGE_LIMIT_BYTES = 1200  # fits a datagram of 1,400 bytes with the frame and the sender's member record
+MAX_RANGES = 72  # in one message
+MAX_MARKS = 256  # in one message
+Range = tuple[int, int, int]  # node number, sum of the hashes, number of items
 T = TypeVar("T")
 _encoder = msgspec.msgpack.Encoder()
 
 
 class Compare(msgspec.Struct, frozen=True, array_like=True, tag=20):
-    """What the sender holds in these ranges. In an answer stand those that differ, or their parts where they
-    are big.
+    """The sender's digests of these ranges.
+
+    The answer to it has those of them that differ, or their children where both sides have many items.
     """
 
-    table: int  # its place among the tables
+    table: int  # index among the tables
     ranges: tuple[Range, ...]
-    answer: bool  # wanted
+    wants_answer: bool
 
 
 class Items(msgspec.Struct, frozen=True, array_like=True, tag=21):
-    """All that the sender holds in these ranges, by marks under a salt: tell it what it lacks."""
+    """Marks of all items that the sender has in these ranges: a request for those that it lacks."""
 
     table: int
     ranges: tuple[int, ...]
@@ -35,28 +40,52 @@
 
 
 class Rows(msgspec.Struct, frozen=True, array_like=True, tag=22):
-    """Items that the other lacked, in answer to `Items` for its ranges; or `fresh`, told before it asks."""
+    """Items that the receiver lacks: an answer to `Items` for its ranges, or pushed unrequested (`fresh`)."""
 
     table: int
     packed: bytes
     ranges: tuple[int, ...] = ()
-    salt: int = 0  # as in the question
-    wants: bytes = b""  # marks of what the sender lacks
-    whole: bool = True  # whether this is all that was to be told of them
+    salt: int = 0  # as in the request
+    wanted_marks: bytes = b""  # marks of what the sender lacks itself
+    complete: bool = True  # whether these are all items that the ranges call for
     fresh: bool = False
 
+    @property
+    def is_sample(self) -> bool:
+        """Whether these are a few rows for a peer that has almost none, to begin with."""
+        return not self.ranges and not self.complete
+
 
 def pack(items: Sequence[Any]) -> bytes:
-    """Items as they are told: much of them is alike, and deflated they take a third to a half."""
+    """Encode and deflate items: they are much alike, and deflating leaves a third to a half of the bytes."""
     deflate = zlib.compressobj(1, wbits=-zlib.MAX_WBITS)
     return deflate.compress(_encoder.encode(items)) + deflate.flush()
 
 
-def unpack(packed: bytes, form: msgspec.msgpack.Decoder[tuple[T, ...]]) -> tuple[T, ...]:
-    """What was packed, or nothing where it is damaged, or more than fits a datagram in good faith."""
+def unpack(packed: bytes, decoder: msgspec.msgpack.Decoder[tuple[T, ...]]) -> tuple[T, ...]:
+    """Return the items that were packed; none where they are damaged or inflate beyond the limit."""
     inflate = zlib.decompressobj(-zlib.MAX_WBITS)
     try:
-        data = inflate.decompress(packed, UNPACKED)
-        return form.decode(data) if inflate.eof else ()
+        data = inflate.decompress(packed, UNPACKED_LIMIT_BYTES)
+        return decoder.decode(data) if inflate.eof else ()
     except (zlib.error, msgspec.MsgspecError):
         return ()
+
+
+def decode_marks(marks: bytes) -> set[int]:
+    """Return the marks of a message."""
+    end = min(len(marks), 2 * MAX_MARKS * ITEM_MARK_BYTES)
+    return {
+        int.from_bytes(marks[start : start + ITEM_MARK_BYTES], "big")
+        for start in range(0, end, ITEM_MARK_BYTES)
+    }
+
+
+def encode_marks(marks: Iterable[int]) -> bytes:
+    """Join marks for a message."""
+    return b"".join(mark.to_bytes(ITEM_MARK_BYTES, "big") for mark in marks)
+
+
+def message_size(message: msgspec.Struct) -> int:
+    """Return the encoded size in bytes, without what the transport adds."""
+    return len(_encoder.encode(message))
--- /dev/null
+++ b/pipitshed/replication/peer_responder.py
@@ -0,0 +1,122 @@
+"""Answering peers in anti-entropy. Each message is answered by itself: no state of an exchange is stored."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Sequence
+
+from pipitshed.replication.merkle_tree import ITEM_MARK_BYTES, ROOT, is_valid_node
+from pipitshed.replication.message_pacing import Address, ComparableTable, MessagePacer, OutgoingMessage
+from pipitshed.replication.messages import (
+    MAX_RANGES,
+    MESSAGE_LIMIT_BYTES,
+    Compare,
+    Items,
+    Range,
+    Rows,
+    decode_marks,
+    encode_marks,
+    pack,
+)
+from pipitshed.replication.range_comparison import comparison_answer
+
+SAMPLE_ROWS = 5  # that a peer which has none is sent to begin with
+MIN_ANSWER_BYTES = 900  # an answer with less is not worth its headers
+MAX_DEFERRED_REQUESTS = 3  # that wait for the budget; more are not answered
+DEFERRED_RETRY_S = 0.05  # until a deferred request is tried again
+NODE_BYTES = 4  # estimated size of a node number in a message
+
+
+class PeerResponder:
+    """Answers the requests of peers for all tables."""
+
+    def __init__(self, tables: Sequence[ComparableTable], pacer: MessagePacer, rng: random.Random) -> None:
+        self._tables = tables
+        self._pacer = pacer
+        self._rng = rng
+        self._deferred: dict[tuple[int, Address], Items] = {}  # requests that the budget had no bytes for
+        self._retry_at = float("inf")
+
+    def next_due_at(self) -> float | None:
+        """Return when `handle_timeouts` has something to do."""
+        return self._retry_at if self._deferred else None
+
+    def handle_timeouts(self, now: float) -> list[OutgoingMessage]:
+        """Answer requests that waited for the budget."""
+        outgoing: list[OutgoingMessage] = []
+        if self._deferred and now >= self._retry_at:
+            deferred, self._deferred = self._deferred, {}
+            for (_, peer), request in deferred.items():
+                outgoing += self.answer_items(now, peer, request)
+        return outgoing
+
+    def answer_comparison(
+        self, now: float, peer: Address, request: Compare, differing: Sequence[Range]
+    ) -> list[OutgoingMessage]:
+        """Answer a peer's digests, of which these differ."""
+        tree = self._tables[request.table].tree
+        peer_is_empty = any(node == ROOT and count <= 1 for node, _, count in differing)
+        answer: Compare | Rows
+        if peer_is_empty and len(tree) > SAMPLE_ROWS:
+            # A whole cluster may join by one seed: it sends a few rows, and the rest comes from other peers.
+            table = self._tables[request.table]
+            sample = [table.get(key) for key in tree.sample(self._rng, SAMPLE_ROWS)]
+            answer = Rows(request.table, pack(sample), complete=False)
+        else:
+            answer = comparison_answer(request.table, tree, differing)
+        return self._admitted(now, peer, answer)
+
+    def answer_items(self, now: float, peer: Address, request: Items) -> list[OutgoingMessage]:
+        """Answer a peer that sent the marks of its items with the rows that it lacks."""
+        table = self._tables[request.table]
+        peer_marks = decode_marks(request.marks)
+        nodes = tuple(node for node in request.ranges[:MAX_RANGES] if is_valid_node(node))
+        own_marks = [pair for node in nodes for pair in table.tree.marks(node, request.salt)]
+        available = self._pacer.payload_bytes(now, request.table, MIN_ANSWER_BYTES)
+        space = min(MESSAGE_LIMIT_BYTES, available) - NODE_BYTES * len(nodes)
+        if space <= 0:
+            self._defer(now, peer, request)
+            return []
+        unknown_marks = sorted(peer_marks - {mark for mark, _ in own_marks})
+        wanted_marks = encode_marks(unknown_marks[: space // 4 // ITEM_MARK_BYTES])
+        missing_keys = [key for mark, key in own_marks if mark not in peer_marks]
+        count, packed = self._pacer.pack_rows(table, missing_keys, space - len(wanted_marks))
+        complete = count == len(missing_keys)
+        answer = Rows(request.table, packed, nodes, request.salt, wanted_marks, complete)
+        return self._admitted(now, peer, answer)
+
+    def _defer(self, now: float, peer: Address, request: Items) -> None:
+        if len(self._deferred) < MAX_DEFERRED_REQUESTS:
+            self._deferred[request.table, peer] = request
+            self._retry_at = now + DEFERRED_RETRY_S
+
+    def _admitted(self, now: float, peer: Address, answer: Compare | Rows) -> list[OutgoingMessage]:
+        return [OutgoingMessage(peer, answer)] if self._pacer.admit(now, answer.table, answer) else []
+
+    def send_wanted(
+        self, now: float, peer: Address, message: Rows, newer_keys: Sequence[str]
+    ) -> list[OutgoingMessage]:
+        """Send a peer the rows whose marks it wants, and those of which it has an older version."""
+        table, outgoing = self._tables[message.table], []
+        min_bytes = MIN_ANSWER_BYTES + self._pacer.overhead_bytes
+        keys = sorted(self._wanted_keys(table, message) | set(newer_keys))
+        while keys:
+            available = self._pacer.payload_bytes(now, message.table, min_bytes)
+            count, packed = self._pacer.pack_rows(table, keys, min(MESSAGE_LIMIT_BYTES, available))
+            answer = Rows(message.table, packed)
+            if not count or not self._pacer.admit(now, message.table, answer):
+                break  # a later exchange finds the rest again
+            outgoing.append(OutgoingMessage(peer, answer))
+            del keys[:count]
+        return outgoing
+
+    @staticmethod
+    def _wanted_keys(table: ComparableTable, message: Rows) -> set[str]:
+        wanted_marks = decode_marks(message.wanted_marks)
+        return {
+            key
+            for node in message.ranges[:MAX_RANGES]
+            if wanted_marks and is_valid_node(node)
+            for mark, key in table.tree.marks(node, message.salt)
+            if mark in wanted_marks
+        }
--- a/pipitshed/replication/replicator.py
+++ b/pipitshed/replication/replicator.py
@@ -1,4 +1,4 @@
-"""Several tables on one carrier: what is told with the next probe, whom to compare with, how much may go."""
+"""Replication of several tables: gossip with messages, pushes of fresh rows, and exchanges with peers."""
 
 from __future__ import annotations
 
@@ -6,70 +6,67 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-import msgspec
-
-from pipitshed.replication.anti_entropy import (
-    ANSWERS,
-    PULLED,
+from pipitshed.replication.anti_entropy import ANSWER_RESERVE_BYTES, AntiEntropy
+from pipitshed.replication.bandwidth_budget import BandwidthBudget
+from pipitshed.replication.gossip_queue import GossipQueue, transmission_limit
+from pipitshed.replication.message_pacing import (
+    MAX_REQUESTED_ITEMS,
     Address,
-    AntiEntropy,
     ComparableTable,
     OutgoingMessage,
-    sampled,
 )
-from pipitshed.replication.bandwidth_budget import BandwidthBudget
-from pipitshed.replication.gossip_queue import GossipQueue, transmission_limit
-from pipitshed.replication.messages import ROOM, Compare, Items, Rows
-
-AROUND = 50  # bytes around a message: the headers of IP and UDP, and the edge's frame
-FRAME = AROUND + 20  # and what holds the items
-FEW = 8  # rumours that wait, up to which what came by repair is told as well
-SINGLE = 3  # items in one answer, up to which they are told on
-AGAIN = 4  # times that this is told
-MANY = 24  # rumours that wait, from which on they get less room
-LITTLE = 60  # bytes
-ENOUGH = 8  # peers one after the other that told the digest held here: what waits is known
-LATELY = 2.0  # s that a digest which a peer told counts
-QUIET = 1.0  # s without a change here, after which another digest is no longer news under way
-BETWEEN = 0.5  # s between beginnings of exchanges
-BEHIND = 0.1  # s between them while much is lacking here
-MUCH = 8  # items that one answer brought, where much is lacking
-MOST_EXCHANGES = 6  # beside two, while much is lacking
-MOST_LATELY = 64  # peers that lately told another digest
-ALONE = 3.0  # s after which a table is held to be caught up where no seed knows more
+from pipitshed.replication.messages import MESSAGE_LIMIT_BYTES, Compare, Items, Rows
+
+HEADER_BYTES = 50  # around a message: the headers of IP and UDP, and the transport's frame
+OVERHEAD_BYTES = HEADER_BYTES + 20  # and the structure that holds the items
+MAX_QUEUE_TO_PASS_ON_FETCHED = 8  # queued items from which on fetched ones are not passed on
+MAX_FETCHED_TO_PASS_ON = 3  # items in one answer, up to which they are passed on
+FETCHED_TRANSMISSIONS = 4  # how often a fetched item is passed on
+LONG_QUEUE_ITEMS = 24  # queued items from which on a message has less space for them
+MIN_LONG_QUEUE_BYTES = 60
+AGREEING_PEERS_TO_CLEAR_QUEUE = 8  # in a row with the digest of this member: they know what is queued
+DIFFERENCE_LIFETIME_S = 2.0  # how long another digest that a peer sent counts
+SETTLE_S = 1.0  # without a change here, after which another digest is not just news in transit
+EXCHANGE_INTERVAL_S = 0.5  # between the starts of exchanges
+CATCH_UP_EXCHANGE_INTERVAL_S = 0.1  # the same while this member is far behind
+FAR_BEHIND_ITEMS = 8  # items missing, or gained from one answer, from which on this member is far behind
+BASE_CATCH_UP_EXCHANGES = 2  # at a time while far behind
+MAX_EXTRA_EXCHANGES = 6  # beyond these, by the number of missing items
+MAX_DIFFERING_PEERS = 64
+BOOTSTRAP_S = 3.0  # after which a table counts as caught up where no seed has caught up either
+
+PeerSampler = Callable[[], list[Address]]  # returns a few live peers, drawn at random
 
 
 class ReplicatedTable(ComparableTable, Protocol):
-    """A table that is carried."""
+    """A table that is replicated."""
 
-    change_count: int  # counts its changes
-    caught_up: bool  # whether it was compared with a peer that was, or there is none
+    change_count: int
+    caught_up: bool  # whether it was compared with a peer that had caught up, or there is none
 
 
 class Replicator:
-    """One scheduler's tables. Times are seconds of any clock that goes forward; peers have a name and an
-    address.
-    """
+    """The tables of one member. Times are seconds of any monotonic clock."""
 
     def __init__(
         self, tables: Sequence[ReplicatedTable], rng: random.Random, now: float, seeds: Sequence[Address]
     ) -> None:
-        """`seeds`: whom this one joins by; where there are none, it is the first."""
+        """Create a replicator; a member without `seeds` is the first, so its tables have caught up."""
         self.tables = tables
         self.budget = BandwidthBudget(len(tables), now)
-        self.anti_entropy = AntiEntropy(tables, self.budget, rng, FRAME)
+        self.anti_entropy = AntiEntropy(tables, self.budget, rng, OVERHEAD_BYTES)
         self.queues: list[GossipQueue[Any]] = [GossipQueue() for _ in tables]
-        self.peer_digests: dict[str, tuple[bytes, ...]] = {}  # the digests that each peer told last, by name
+        self.peer_digests: dict[str, tuple[bytes, ...]] = {}  # the last digests of each peer, by name
         self._rng = rng
-        self._began = now
+        self._started_at = now
         self._seeds = frozenset(seeds)
-        self._unknowing: list[set[Address]] = [set() for _ in tables]  # seeds that have not caught up either
-        self._differ: list[dict[Address, float]] = [{} for _ in tables]  # when one told another digest
-        self._changed = [(-1, now)] * len(tables)  # at which number the table was, since when
-        self._next = [now] * len(tables)  # when an exchange may begin
-        self._behind = [float("-inf")] * len(tables)  # until when much is held to be lacking
-        self._pushing: list[list[str]] = [[] for _ in tables]  # keys of what is fresh
-        self._agreeing = [0] * len(tables)  # peers one after the other that told the digest held here
+        self._seeds_behind: list[set[Address]] = [set() for _ in tables]  # that have not caught up either
+        self._differed_at: list[dict[Address, float]] = [{} for _ in tables]  # peers with another digest
+        self._last_change = [(-1, now)] * len(tables)  # change count, and when it was first seen
+        self._next_exchange_at = [now] * len(tables)
+        self._far_behind_until = [float("-inf")] * len(tables)
+        self._fresh_keys: list[list[str]] = [[] for _ in tables]  # to be pushed
+        self._agreeing_peers = [0] * len(tables)  # in a row with the digest of this member
         if not seeds:
             for table in tables:
                 table.caught_up = True
@@ -77,223 +74,285 @@
     # ---- digests
 
     def digests(self) -> tuple[bytes, ...]:
-        """What is told of the tables; empty for one not caught up, as nobody may take it for whole."""
+        """Return the digests of the tables; empty for one that has not caught up, as it is incomplete."""
         return tuple(table.tree.digest() if table.caught_up else b"" for table in self.tables)
 
     def receive_digests(
         self, now: float, name: str, address: Address, digests: tuple[bytes, ...]
     ) -> list[OutgoingMessage]:
-        """A peer told its digests."""
+        """Handle the digests of a peer."""
         self.peer_digests[name] = digests
-        out: list[OutgoingMessage] = []
-        for place, (table, digest) in enumerate(zip(self.tables, digests, strict=False)):
+        outgoing: list[OutgoingMessage] = []
+        for index, (table, digest) in enumerate(zip(self.tables, digests, strict=False)):
             if digest == table.tree.digest():
-                table.caught_up = True
-                self._agreeing[place] += 1
-                self._differ[place].pop(address, None)
-                self.anti_entropy.agreed(place, address)
+                self._record_agreement(index, address)
                 continue
-            self._agreeing[place] = 0
+            self._agreeing_peers[index] = 0
             if address in self._seeds:
-                (self._unknowing[place].discard if digest else self._unknowing[place].add)(address)
-            if digest and (address in self._differ[place] or len(self._differ[place]) < MOST_LATELY):
-                self._differ[place][address] = now
-                out += self.consider(now, place)
-        return out
-
-    def differed(self, place: int, address: Address) -> float:
-        """When a peer last told another digest than is held here; long ago where it told the same since."""
-        return self._differ[place].get(address, float("-inf"))
+                (self._seeds_behind[index].discard if digest else self._seeds_behind[index].add)(address)
+            differed_at = self._differed_at[index]
+            if digest and (address in differed_at or len(differed_at) < MAX_DIFFERING_PEERS):
+                differed_at[address] = now
+                outgoing += self.start_exchange_if_due(now, index)
+        return outgoing
+
+    def _record_agreement(self, index: int, address: Address) -> None:
+        self.tables[index].caught_up = True
+        self._agreeing_peers[index] += 1
+        self._differed_at[index].pop(address, None)
+        self.anti_entropy.backoff.reset(index, address)
+
+    def last_differed_at(self, index: int, address: Address) -> float:
+        """Return when a peer last sent another digest; minus infinity where it has agreed since."""
+        return self._differed_at[index].get(address, float("-inf"))
 
     def agrees_with(self, name: str) -> bool | None:
-        """Whether a peer told the digest of the first table that is held here; None where it told none."""
-        told = self.peer_digests.get(name)
-        return None if not told else told[0] == self.tables[0].tree.digest()
+        """Whether a peer sent the digest that the first table has here; None where it sent none."""
+        digests = self.peer_digests.get(name)
+        return None if not digests else digests[0] == self.tables[0].tree.digest()
 
-    # ---- rumours
+    # ---- gossip
 
-    def queue_item(self, place: int, item: Any) -> None:
-        """Pass this on from now on."""
-        self.queues[place].add(item)
-        self._agreeing[place] = 0
+    def queue_item(self, index: int, item: Any) -> None:
+        """Pass an item on from now on."""
+        self.queues[index].add(item)
+        self._agreeing_peers[index] = 0
 
-    def queue_repaired(self, now: float, place: int, item: Any, fleet: int, among: int) -> None:
-        """Pass on what came by repair `among` so many, a few times and while few wait. Where much is lacking
-        here, others know it, or will repair as well.
+    def queue_fetched(
+        self, now: float, index: int, item: Any, cluster_size: int, answer_item_count: int
+    ) -> None:
+        """Pass on an item that anti-entropy brought, a few times and while few are queued.
+
+        Where many are missing here, other members know them, or fetch them as well.
+
+        Args:
+            now: The time.
+            index: The table.
+            item: The item.
+            cluster_size: Number of members.
+            answer_item_count: How many items came with it.
         """
-        if among <= SINGLE and len(self.queues[place]) < FEW and not self._is_behind(now, place):
-            self.queues[place].add(item, max(0, transmission_limit(fleet) - AGAIN))
+        if (
+            answer_item_count <= MAX_FETCHED_TO_PASS_ON
+            and len(self.queues[index]) < MAX_QUEUE_TO_PASS_ON_FETCHED
+            and not self._is_far_behind(now, index)
+        ):
+            send_count = max(0, transmission_limit(cluster_size) - FETCHED_TRANSMISSIONS)
+            self.queues[index].add(item, send_count)
 
-    def take(
+    def select_gossip(
         self,
         now: float,
-        room: int,
-        to: str,
-        fleet: int,
-        places: int,
-        all_of: int = -1,
-        but: Sequence[Sequence[Any]] = (),
+        max_bytes: int,
+        receiver: str,
+        cluster_size: int,
+        table_count: int,
+        always_index: int = -1,
+        exclude: Sequence[Sequence[Any]] = (),
     ) -> tuple[list[Any], int]:
-        """What goes with a message that has `room` bytes for it, of the first `places` tables, and its size.
-        Nothing of a table whose digest the receiver told last; but of `all_of` in any case.
-        And nothing of what the receiver has just told itself, `but`.
+        """Choose the items that go with a message.
+
+        Args:
+            now: The time.
+            max_bytes: Space in the message.
+            receiver: Name of the receiver. A table whose digest it has sent last is left out.
+            cluster_size: Number of members.
+            table_count: Only the first tables, so many, are considered.
+            always_index: A table that is never left out; -1 for none.
+            exclude: Items that the receiver has just sent, by table.
+
+        Returns:
+            The items by table, and their size in bytes.
         """
-        told = self.peer_digests.get(to, ())
         chosen: list[Any] = [()] * len(self.tables)
-        for place, queue in enumerate(self.queues):
-            if len(queue) and self._agreeing[place] >= ENOUGH and place != all_of:
+        waiting = self._tables_to_send(receiver, table_count, always_index)
+        spent_bytes = 0
+        # The shortest queue comes first and leaves space to the others: equal parts where all are long.
+        for turn, index in enumerate(sorted(waiting, key=lambda index: len(self.queues[index]))):
+            queue = self.queues[index]
+            share = (max_bytes - spent_bytes) // (len(waiting) - turn)
+            share = min(share, self.budget.available_bytes(now, index, OVERHEAD_BYTES))
+            # Of a very long queue most items would reach members that know them: left to anti-entropy.
+            share = min(share, max(MIN_LONG_QUEUE_BYTES, max_bytes * LONG_QUEUE_ITEMS // len(queue)))
+            chosen[index] = queue.take(share, cluster_size, exclude[index] if index < len(exclude) else ())
+            used_bytes = sum(item.size for item in chosen[index])
+            self.budget.spend(now, index, used_bytes)
+            spent_bytes += used_bytes
+        return chosen, spent_bytes
+
+    def _tables_to_send(self, receiver: str, table_count: int, always_index: int) -> list[int]:
+        """Return the tables of which items are queued that the receiver may lack."""
+        for index, queue in enumerate(self.queues):
+            if (
+                len(queue)
+                and self._agreeing_peers[index] >= AGREEING_PEERS_TO_CLEAR_QUEUE
+                and index != always_index
+            ):
                 queue.clear()
-        waiting = [
-            place
-            for place, queue in enumerate(self.queues[:places])
+        known = self.peer_digests.get(receiver, ())
+        return [
+            index
+            for index, queue in enumerate(self.queues[:table_count])
             if len(queue)
-            and (place == all_of or place >= len(told) or told[place] != self.tables[place].tree.digest())
+            and (
+                index == always_index
+                or index >= len(known)
+                or known[index] != self.tables[index].tree.digest()
+            )
         ]
-        spent = 0
-        # Who has little to say goes first, and leaves the rest to others: equal parts where all have much.
-        for turn, place in enumerate(sorted(waiting, key=lambda place: len(self.queues[place]))):
-            queue = self.queues[place]
-            part = min((room - spent) // (len(waiting) - turn), self.budget.room(now, place, FRAME))
-            # Where very many wait most would be told to those that know them, so they are left to repair.
-            part = min(part, max(LITTLE, room * MANY // len(queue)))
-            chosen[place] = queue.take(part, fleet, but[place] if place < len(but) else ())
-            used = sum(item.size for item in chosen[place])
-            self.budget.spend(now, place, used)
-            spent += used
-        return chosen, spent
-
-    def fresh(self, now: float, place: int, items: Sequence[Any]) -> None:
-        """Told by a peer as fresh, or put here: pass them on, at once by `push` and with probes."""
+
+    def queue_fresh(self, now: float, index: int, items: Sequence[Any]) -> None:
+        """Pass on items that are new in the cluster, by push at once and with probes."""
         for item in items:
-            self.queue_item(place, item)
-        if not self._is_behind(now, place):
-            self._pushing[place] += [item.key for item in items]
+            self.queue_item(index, item)
+        if not self._is_far_behind(now, index):
+            self._fresh_keys[index] += [item.key for item in items]
 
     @property
-    def pushes(self) -> bool:
+    def has_pushes(self) -> bool:
         """Whether there is something to push."""
-        return any(self._pushing)
+        return any(self._fresh_keys)
 
-    def push(self, now: float, peers: Sequence[Address]) -> list[OutgoingMessage]:
-        """Tell these peers what is fresh, where the budget has room; where not, probes carry it."""
-        out: list[OutgoingMessage] = []
-        for place, keys in enumerate(self._pushing):
+    def push_fresh(self, now: float, peers: Sequence[Address]) -> list[OutgoingMessage]:
+        """Push fresh items to these peers as far as the budget allows; the rest goes with probes."""
+        outgoing: list[OutgoingMessage] = []
+        pacer = self.anti_entropy.pacer
+        for index, keys in enumerate(self._fresh_keys):
             if keys:
-                _, packed = self.anti_entropy.packed(self.tables[place], keys, ROOM)
-                message = Rows(place, packed, fresh=True)
-                out += [
+                _, packed = pacer.pack_rows(self.tables[index], keys, MESSAGE_LIMIT_BYTES)
+                message = Rows(index, packed, fresh=True)
+                outgoing += [
                     OutgoingMessage(peer, message)
                     for peer in peers
-                    if self.anti_entropy.room(now, place, message, ANSWERS)
+                    if pacer.admit(now, index, message, ANSWER_RESERVE_BYTES)
                 ]
                 keys.clear()
-        return out
+        return outgoing
 
-    # ---- repair
+    # ---- anti-entropy
 
-    def consider(
-        self,
-        now: float,
-        place: int,
-        in_any_case: bool = False,
-        others: Callable[[], list[Address]] | None = None,
+    def start_exchange_if_due(
+        self, now: float, index: int, force: bool = False, sample_peers: PeerSampler | None = None
     ) -> list[OutgoingMessage]:
-        """Begin an exchange with one that lately told another digest, where that is no longer news under way,
-        or in any case. While much is lacking, with several, and with `others` where none is known.
+        """Start an exchange with a peer that has recently sent another digest.
+
+        Unless `force` is set, a recent change here is waited out: the difference may be news in transit.
+        While this member is far behind, several exchanges run at a time, with sampled peers where no other
+        peer is known to differ.
         """
-        table = self.tables[place]
-        if self._changed[place][0] != table.change_count:
-            self._changed[place] = table.change_count, now
-        behind = self._is_behind(now, place)
-        # As many at a time as have something to ask: more would ask for a little each.
-        most = 2 + min(MOST_EXCHANGES, self.anti_entropy.lacks(place) // PULLED) if behind else 1
-        if now < self._next[place] or self.anti_entropy.leads(place) >= most:
+        table = self.tables[index]
+        if self._last_change[index][0] != table.change_count:
+            self._last_change[index] = table.change_count, now
+        far_behind = self._is_far_behind(now, index)
+        max_exchanges = self._catch_up_exchanges(index) if far_behind else 1
+        if now < self._next_exchange_at[index] or self.anti_entropy.exchange_count(index) >= max_exchanges:
+            return []
+        if not (force or far_behind or now - self._last_change[index][1] >= SETTLE_S):
             return []
-        if not (in_any_case or behind or now - self._changed[place][1] >= QUIET):
+        peers = self._differing_peers(now, index)
+        if not peers and far_behind and sample_peers is not None:
+            peers = [peer for peer in sample_peers() if self.anti_entropy.may_start(now, index, peer)]
+        if not peers:
             return []
-        differ = self._differ[place]
-        for address in [address for address, when in differ.items() if now - when > LATELY]:
-            del differ[address]
-        able = [address for address in differ if self.anti_entropy.may(now, place, address)]
-        if not able and behind and others is not None:
-            able = [address for address in others() if self.anti_entropy.may(now, place, address)]
-        if not able:
+        interval_s = CATCH_UP_EXCHANGE_INTERVAL_S if far_behind else EXCHANGE_INTERVAL_S
+        self._next_exchange_at[index] = now + interval_s
+        return self.anti_entropy.start(now, index, self._rng.choice(peers))
+
+    def _catch_up_exchanges(self, index: int) -> int:
+        """Return how many exchanges have something to request; more would request a little each."""
+        extra = self.anti_entropy.missing_count(index) // MAX_REQUESTED_ITEMS
+        return BASE_CATCH_UP_EXCHANGES + min(MAX_EXTRA_EXCHANGES, extra)
+
+    def _differing_peers(self, now: float, index: int) -> list[Address]:
+        """Return peers with another digest with which an exchange may start."""
+        differed_at = self._differed_at[index]
+        for peer in [peer for peer, when in differed_at.items() if now - when > DIFFERENCE_LIFETIME_S]:
+            del differed_at[peer]
+        return [peer for peer in differed_at if self.anti_entropy.may_start(now, index, peer)]
+
+    def _is_far_behind(self, now: float, index: int) -> bool:
+        if self.anti_entropy.missing_count(index) >= FAR_BEHIND_ITEMS:
+            self._far_behind_until[index] = now + SETTLE_S
+        return now < self._far_behind_until[index] or not self.tables[index].caught_up
+
+    def start_exchange(self, now: float, index: int, address: Address) -> list[OutgoingMessage]:
+        """Start an exchange with this peer even if earlier ones have failed."""
+        if not self.anti_entropy.is_idle(index, address):
             return []
-        self._next[place] = now + (BEHIND if behind else BETWEEN)
-        return self.anti_entropy.begin(now, place, self._rng.choice(able))
-
-    def _is_behind(self, now: float, place: int) -> bool:
-        if self.anti_entropy.lacks(place) >= MUCH:
-            self._behind[place] = now + QUIET
-        return now < self._behind[place] or not self.tables[place].caught_up
-
-    def ask(self, now: float, place: int, address: Address) -> list[OutgoingMessage]:
-        """Begin an exchange with this one, though it was silent or in vain before."""
-        return self.anti_entropy.begin(now, place, address) if self.anti_entropy.free(place, address) else []
-
-    def look(self, now: float, address: Address) -> list[OutgoingMessage]:
-        """Compare a range of one table, both drawn at random, whatever the digests are."""
-        place = self._rng.randrange(len(self.tables))
-        return (
-            self.anti_entropy.look(now, place, address) if self.anti_entropy.may(now, place, address) else []
-        )
-
-    def answer(
-        self, now: float, address: Address, part: Compare | Items, others: Callable[[], list[Address]]
+        return self.anti_entropy.start(now, index, address)
+
+    def compare_random_range(self, now: float, address: Address) -> list[OutgoingMessage]:
+        """Compare a random range of a random table with a peer, whatever the digests are."""
+        index = self._rng.randrange(len(self.tables))
+        if not self.anti_entropy.may_start(now, index, address):
+            return []
+        return self.anti_entropy.compare_random_range(now, index, address)
+
+    def answer_peer(
+        self, now: float, address: Address, message: Compare | Items, sample_peers: PeerSampler
     ) -> list[OutgoingMessage]:
-        """What a peer asks, or answers to a comparison. A table that has not caught up answers nobody: what
-        it lacks would be taken for what there is not.
+        """Handle a peer's request, or its answer to a comparison.
+
+        A table that has not caught up answers nobody: its missing rows would be taken for rows that do not
+        exist.
         """
-        if not 0 <= part.table < len(self.tables) or (
-            not self.tables[part.table].caught_up and (isinstance(part, Items) or part.answer)
-        ):
+        if not 0 <= message.table < len(self.tables):
             return []
-        if isinstance(part, Compare):
-            out = self.anti_entropy.compared(now, address, part)
-            return out if part.answer else out + self.consider(now, part.table, False, others)
-        return self.anti_entropy.asked(now, address, part)
-
-    def taken(
+        is_request = isinstance(message, Items) or message.wants_answer
+        if is_request and not self.tables[message.table].caught_up:
+            return []
+        if isinstance(message, Items):
+            return self.anti_entropy.responder.answer_items(now, address, message)
+        outgoing = self.anti_entropy.receive_comparison(now, address, message)
+        if is_request:
+            return outgoing
+        return outgoing + self.start_exchange_if_due(now, message.table, sample_peers=sample_peers)
+
+    def receive_rows(
         self,
         now: float,
         address: Address,
-        part: Rows,
-        gained: int,
-        newer: Sequence[str],
-        others: Callable[[], list[Address]],
+        message: Rows,
+        gained_count: int,
+        newer_keys: Sequence[str],
+        sample_peers: PeerSampler,
     ) -> list[OutgoingMessage]:
-        """A peer's items were taken: so many were new, and of the keys `newer` newer ones are held here."""
-        much = gained >= MUCH or (gained > 0 and sampled(part))
-        if much:
-            self._behind[part.table] = now + QUIET
-        out = self.anti_entropy.told(now, address, part, gained, newer)
-        return out + (self.consider(now, part.table, False, others) if much else [])
+        """Handle a peer's rows that were applied.
+
+        Args:
+            now: The time.
+            address: The sender.
+            message: Its message.
+            gained_count: How many of the rows were new here.
+            newer_keys: Keys of which this member has a newer row.
+            sample_peers: Returns a few live peers.
+        """
+        far_behind = gained_count >= FAR_BEHIND_ITEMS or (gained_count > 0 and message.is_sample)
+        if far_behind:
+            self._far_behind_until[message.table] = now + SETTLE_S
+        outgoing = self.anti_entropy.receive_rows(now, address, message, gained_count, newer_keys)
+        if far_behind:
+            outgoing += self.start_exchange_if_due(now, message.table, sample_peers=sample_peers)
+        return outgoing
 
     def handle_timeouts(self, now: float) -> list[OutgoingMessage]:
-        """What has come due of the exchanges."""
-        return self.anti_entropy.tick(now)
-
-    def settle(self, now: float) -> None:
-        """Take up how exchanges ended."""
-        done, self.anti_entropy.done = self.anti_entropy.done, []
-        for one in done:
-            if one.whole:
-                self.tables[one.table].caught_up = True
-        if now - self._began >= ALONE:
-            for place, table in enumerate(self.tables):
-                # No seed has caught up, and nobody heard: the whole fleet has begun anew. With a seed that is
-                # silent it may be this part of it alone, and what is in force stands on the other side.
-                if (
-                    not table.caught_up
-                    and self._unknowing[place] == self._seeds
-                    and not any(len(told) > place and told[place] for told in self.peer_digests.values())
-                ):
-                    table.caught_up = True
-
-
-def message_size(message: msgspec.Struct) -> int:
-    """Bytes of a message, without what the edge puts around it."""
-    return len(_encoder.encode(message))
-
-
-_encoder = msgspec.msgpack.Encoder()
+        """Return what has come due of the exchanges."""
+        return self.anti_entropy.handle_timeouts(now)
+
+    def apply_completed_exchanges(self, now: float) -> None:
+        """Mark tables as caught up for which an exchange was complete, or no seed has caught up."""
+        completed, self.anti_entropy.completed = self.anti_entropy.completed, []
+        for result in completed:
+            if result.complete:
+                self.tables[result.table].caught_up = True
+        if now - self._started_at < BOOTSTRAP_S:
+            return
+        for index, table in enumerate(self.tables):
+            # No seed has caught up, and no peer: the whole cluster has just started. With a silent seed it
+            # may be this part of it alone, while the rows in force are on the other side of a partition.
+            if (
+                not table.caught_up
+                and self._seeds_behind[index] == self._seeds
+                and not any(len(digests) > index and digests[index] for digests in self.peer_digests.values())
+            ):
+                table.caught_up = True
--- a/pipitshed/replication/row.py
+++ b/pipitshed/replication/row.py
@@ -1,20 +1,22 @@
-"""One small versioned row, and which of two is the newer."""
+"""One small versioned row, and the order in which one row replaces another."""
 
 from __future__ import annotations
 
 import msgspec
 
-from pipitshed.replication.merkle_tree import hashed
+from pipitshed.replication.merkle_tree import hash64
 
 FORMAT_VERSION = 1  # of the rows that this program writes and reads
-KEY_LIMIT = 128  # bytes
-WRITER_LIMIT = 64  # bytes
+KEY_LIMIT_BYTES = 128
+WRITER_LIMIT_BYTES = 64
 _encoder = msgspec.msgpack.Encoder()
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
-    """One row. Its version is (term, number): its one writer raises the number, a take-over by another writer
-    raises the term. A form above `FORM` is from a newer program: kept and passed on unread.
+    """One row, with the version (term, number).
+
+    The row's only writer raises the number; a take-over by another writer raises the term. A format version
+    above `FORMAT_VERSION` comes from a newer program: such a row is stored and passed on unread.
     """
 
     key: str
@@ -27,24 +29,24 @@
 
     @property
     def readable(self) -> bool:
-        """Whether this program knows what the body means."""
+        """Whether this program can read the body."""
         return self.format_version <= FORMAT_VERSION
 
     @property
     def size(self) -> int:
-        """Bytes that it takes in a message."""
+        """Encoded size in bytes."""
         return len(_encoder.encode(self))
 
     @property
     def content_hash(self) -> int:
-        """A hash of all of it."""
-        return hashed(_encoder.encode(self))
+        """A 64-bit hash of all fields."""
+        return hash64(_encoder.encode(self))
 
     def is_valid(self) -> bool:
-        """Whether it has the form of a row; what strangers send is held against it."""
+        """Whether all fields are within their bounds; rows from peers are checked by it."""
         return (
-            0 < len(self.key.encode()) <= KEY_LIMIT
-            and 0 < len(self.writer.encode()) <= WRITER_LIMIT
+            0 < len(self.key.encode()) <= KEY_LIMIT_BYTES
+            and 0 < len(self.writer.encode()) <= WRITER_LIMIT_BYTES
             and 0 < self.term < 2**32
             and 0 < self.number < 2**62
             and 0 < self.format_version < 2**16
@@ -52,7 +54,8 @@
 
 
 def precedence(row: Row) -> tuple[int, int, bool, int]:
-    """What is newer has the higher rank. A total order: of two contents under one number the same one stands
-    everywhere.
+    """Return a sort key under which the row that replaces another is greater.
+
+    The order is total: of two contents under one version every member ends with the same one.
     """
     return row.term, row.number, row.deleted, row.content_hash
--- /dev/null
+++ b/pipitshed/replication/row_fetch.py
@@ -0,0 +1,61 @@
+"""Choosing the ranges from which a request fetches what is missing here."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Collection
+
+from pipitshed.replication.exchange import Exchange
+from pipitshed.replication.merkle_tree import MerkleTree
+from pipitshed.replication.message_pacing import MAX_REQUESTED_ITEMS
+from pipitshed.replication.messages import MAX_MARKS, Items, encode_marks
+
+
+def fetch_request(
+    exchange: Exchange, tree: MerkleTree, busy_nodes: Collection[int], rng: random.Random
+) -> Items | None:
+    """Return a request for ranges that differ, as many as one answer may hold; None where there is none.
+
+    Args:
+        exchange: The exchange; ranges that agree by now are removed from it.
+        tree: The digests of the table here.
+        busy_nodes: Ranges that other exchanges are fetching.
+        rng: Draws the first range and the salt.
+    """
+    _remove_equal_ranges(exchange, tree)
+    nodes = list(exchange.nodes_to_fetch)
+    start = rng.randrange(len(nodes)) if nodes else 0
+    chosen = _choose_ranges(exchange, tree, busy_nodes, nodes[start:] + nodes[:start])
+    if not chosen:
+        return None
+    salt = rng.randrange(2**32)
+    marks = [mark for node in chosen for mark, _ in tree.marks(node, salt)]
+    return Items(exchange.table, tuple(chosen), salt, encode_marks(marks[: 2 * MAX_MARKS]))
+
+
+def _remove_equal_ranges(exchange: Exchange, tree: MerkleTree) -> None:
+    equal = [node for node, (total, _) in exchange.nodes_to_fetch.items() if tree.node(node)[0] == total]
+    for node in equal:
+        del exchange.nodes_to_fetch[node]
+
+
+def _choose_ranges(
+    exchange: Exchange, tree: MerkleTree, busy_nodes: Collection[int], nodes: list[int]
+) -> list[int]:
+    chosen: list[int] = []
+    mark_count, expected_count = 0, 0
+    for node in nodes:
+        if node in busy_nodes:
+            continue
+        own_count = tree.item_count(node)
+        missing_count = max(1, exchange.nodes_to_fetch[node][1] - own_count)
+        if chosen and (
+            len(chosen) >= exchange.max_fetch_ranges
+            or mark_count + own_count > MAX_MARKS
+            or expected_count + missing_count > MAX_REQUESTED_ITEMS
+        ):
+            break
+        chosen.append(node)
+        mark_count += own_count
+        expected_count += missing_count
+    return chosen
--- a/pipitshed/replication/row_table.py
+++ b/pipitshed/replication/row_table.py
@@ -1,5 +1,6 @@
-"""Small versioned rows, and a table of them. Whoever was told the same rows holds the same table, in whatever
-order they came.
+"""A table of small versioned rows.
+
+Two tables that were given the same rows hold the same content, whatever the order in which the rows arrived.
 """
 
 from __future__ import annotations
@@ -9,41 +10,49 @@
 from collections.abc import Iterator
 
 from pipitshed.replication.merkle_tree import MerkleTree
-from pipitshed.replication.row import FORMAT_VERSION, KEY_LIMIT, WRITER_LIMIT, Row, precedence
+from pipitshed.replication.row import FORMAT_VERSION, KEY_LIMIT_BYTES, WRITER_LIMIT_BYTES, Row, precedence
 
 __all__ = ["FORMAT_VERSION", "ApplyResult", "Row", "RowError", "RowTable"]
 
 
 class ApplyResult(enum.Enum):
-    """What became of a row that was told."""
+    """What became of a row that was offered to a table."""
 
-    NEW = "new"  # it stands now
-    OLD = "old"  # a newer one is held
-    SAME = "same"  # it is held already
-    CONFLICT = "conflict"  # another content is held under its number, and outranks it
+    NEW = "new"  # it replaced the older row, or added a key
+    OLD = "old"  # the table has a newer one
+    SAME = "same"  # the table has this very row
+    CONFLICT = "conflict"  # the table has another content under the same version, which takes precedence
     TOO_LONG = "too-long"
     TOO_MANY = "too-many"
     UNSOUND = "unsound"
 
 
 class RowError(ValueError):
-    """A row can't be put; the text says why in one line."""
+    """A row can't be written; the text says why in one line."""
 
 
 class RowTable:
-    """The newest of each row. A deleted row stays for good as an empty one, its tombstone, within the bound
-    on rows: nobody who was away, however long, brings it back. Where the bound is reached, new keys are
-    refused.
+    """The newest row of each key.
+
+    A deleted row stays for good as an empty one, its tombstone, within the bound on rows: no peer that was
+    away, however long, brings the deleted row back. Once the bound is reached, new keys are rejected.
     """
 
     def __init__(
-        self, name: str, most_rows: int = 4096, most_bytes: int = 1 << 20, row_limit: int = 600
+        self, name: str, max_rows: int = 4096, max_bytes: int = 1 << 20, max_row_bytes: int = 600
     ) -> None:
-        """`most_bytes` of all rows as they are sent, `row_limit` bytes of one."""
+        """Create an empty table.
+
+        Args:
+            name: The table's name, the same on all members.
+            max_rows: Bound on the number of rows, tombstones included.
+            max_bytes: Bound on the encoded size of all rows together.
+            max_row_bytes: Bound on the encoded size of one row.
+        """
         self.name = name
-        self.max_rows, self.max_bytes, self.max_row_bytes = most_rows, most_bytes, row_limit
-        self.change_count = 0  # counts changes
-        self.counts: Counter[str] = Counter()  # rows taken, by `Taken`, and `conflicts` and `writers`
+        self.max_rows, self.max_bytes, self.max_row_bytes = max_rows, max_bytes, max_row_bytes
+        self.change_count = 0
+        self.counts: Counter[str] = Counter()  # rows offered, by `ApplyResult`; also `conflicts`, `writers`
         self.caught_up = False  # whether it was compared with a peer since the start, or there is none
         self.tree = MerkleTree()
         self._rows: dict[str, Row] = {}
@@ -56,83 +65,96 @@
         return len(self._rows)
 
     def get(self, key: str) -> Row | None:
-        """The row of a key; its tombstone where it was deleted."""
+        """Return the row of a key; its tombstone where it was deleted."""
         return self._rows.get(key)
 
     def digest(self) -> bytes:
-        """8 bytes, equal where two tables hold the same."""
+        """Return 8 bytes that are equal where two tables have the same content."""
         return self.tree.digest()
 
     def put(self, key: str, body: bytes, writer: str, take_over: bool = False) -> Row:
-        """Write a row; RowError where it can't be. Its number comes from the row held, never from a clock."""
+        """Write a row; its number follows that of the current row, never a clock.
+
+        Raises:
+            RowError: The row can't be written.
+        """
         return self._write(key, body, writer, take_over, False)
 
     def delete(self, key: str, writer: str, take_over: bool = False) -> Row:
-        """Delete a row; RowError where there is none, or it is another writer's."""
-        held = self._rows.get(key)
-        if held is None or held.deleted:
+        """Replace a row by its tombstone.
+
+        Raises:
+            RowError: There is no such row, or another writer has it.
+        """
+        current = self._rows.get(key)
+        if current is None or current.deleted:
             raise RowError(f"{key}: there is no such row")
         return self._write(key, b"", writer, take_over, True)
 
     def _write(self, key: str, body: bytes, writer: str, take_over: bool, deleted: bool) -> Row:
         if not self.caught_up:
-            # Guards against a writer that starts anew, and would put an old number under a new content.
+            # A writer that has just started could put an old number under a new content.
             raise RowError("not compared with a peer since the start: what is in force is not known here yet")
-        held = self._rows.get(key)
-        term, number = (held.term, held.number) if held is not None else (1, 0)
-        if held is not None and not take_over:
-            if held.writer != writer:
-                raise RowError(f"{key}: {held.writer} writes it; another has to take it over")
-            if not held.readable:
-                raise RowError(
-                    f"{key}: of a newer program (form {held.format_version}); it has to be taken over"
-                )
+        current = self._rows.get(key)
+        term, number = (current.term, current.number) if current is not None else (1, 0)
+        if current is not None and not take_over:
+            self._check_writer(current, writer)
         row = Row(key, term + take_over, number + 1, writer, body, deleted)
-        told = self.apply(row)
-        if told is not ApplyResult.NEW:
-            raise RowError(f"{key}: {self._why(told, row)}")
+        result = self.apply(row)
+        if result is not ApplyResult.NEW:
+            raise RowError(f"{key}: {self._rejection_reason(result, row)}")
         return row
 
-    def _why(self, told: ApplyResult, row: Row) -> str:
+    @staticmethod
+    def _check_writer(current: Row, writer: str) -> None:
+        if current.writer != writer:
+            raise RowError(f"{current.key}: {current.writer} writes it; another has to take it over")
+        if not current.readable:
+            raise RowError(
+                f"{current.key}: of a newer program (form {current.format_version}); it has to be taken over"
+            )
+
+    def _rejection_reason(self, result: ApplyResult, row: Row) -> str:
         return {
             ApplyResult.TOO_LONG: f"{row.size} bytes, {self.max_row_bytes} at most",
             ApplyResult.TOO_MANY: f"no room: {len(self)} rows and deleted ones of {self.max_rows}, "
             f"{self._bytes} bytes of {self.max_bytes}",
-            ApplyResult.UNSOUND: f"its key has 1 to {KEY_LIMIT} bytes, its writer 1 to {WRITER_LIMIT}",
-        }[told]
+            ApplyResult.UNSOUND: f"its key has 1 to {KEY_LIMIT_BYTES} bytes, "
+            f"its writer 1 to {WRITER_LIMIT_BYTES}",
+        }[result]
 
     def apply(self, row: Row) -> ApplyResult:
-        """Take a row where it is newer than what is held."""
-        told = self._take(row)
-        self.counts[told.value] += 1
-        return told
-
-    def _take(self, row: Row) -> ApplyResult:
-        held = self._rows.get(row.key)
-        if held == row:
+        """Store a row if it is newer than the current one of its key, and count the result."""
+        result = self._apply(row)
+        self.counts[result.value] += 1
+        return result
+
+    def _apply(self, row: Row) -> ApplyResult:
+        current = self._rows.get(row.key)
+        if current == row:
             return ApplyResult.SAME
         if not row.is_valid():
             return ApplyResult.UNSOUND
-        if held is not None:
-            version, ours = (row.term, row.number), (held.term, held.number)
-            if version == ours:
+        if current is not None:
+            version, current_version = (row.term, row.number), (current.term, current.number)
+            if version == current_version:
                 self.counts["conflicts"] += 1
-            if row.term == held.term and row.writer != held.writer:
-                # One writer a row in each term: who breaks this is counted, and ranked like any other, as
-                # whoever came first would otherwise stand here and not there.
+            if row.term == current.term and row.writer != current.writer:
+                # A row has one writer in each term. A violation is counted and ranked like any other row: if
+                # the first to arrive won, members would end with different rows.
                 self.counts["writers"] += 1
-            if precedence(row) < precedence(held):
-                return ApplyResult.CONFLICT if version == ours else ApplyResult.OLD
+            if precedence(row) < precedence(current):
+                return ApplyResult.CONFLICT if version == current_version else ApplyResult.OLD
         size = row.size
         if size > self.max_row_bytes:
             return ApplyResult.TOO_LONG
-        more = size - (held.size if held is not None else 0)
-        if (held is None and len(self) >= self.max_rows) or (
-            more > 0 and self._bytes + more > self.max_bytes
+        added_bytes = size - (current.size if current is not None else 0)
+        if (current is None and len(self) >= self.max_rows) or (
+            added_bytes > 0 and self._bytes + added_bytes > self.max_bytes
         ):
             return ApplyResult.TOO_MANY
         self._rows[row.key] = row
-        self._bytes += more
+        self._bytes += added_bytes
         self.change_count += 1
         self.tree.put(row.key, row.content_hash)
         return ApplyResult.NEW
--- a/pipitshed/testbed/virtual_view.py
+++ b/pipitshed/testbed/virtual_view.py
@@ -21,7 +21,7 @@
 from pipitshed.membership.messages import Message
 from pipitshed.membership.protocol import Membership
 from pipitshed.membership.timing import ProtocolTimings
-from pipitshed.replication.replicator import message_size
+from pipitshed.replication.messages import message_size
 from pipitshed.replication.row import Row
 from pipitshed.replication.row_table import RowTable
 
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from pipitshed.membership import protocol
+from pipitshed.membership import suspicion
 from pipitshed.membership.members import MemberRecord, MemberState
 from pipitshed.membership.messages import RepairMessage
 from pipitshed.membership.protocol import Membership
@@ -95,7 +95,7 @@
     me.handle_message(
         0.0, RepairMessage(Rows(0, pack([word(number) for number in range(2, 40)])), word(1)), word(1).address
     )
-    monkeypatch.setattr(protocol, "suspicion_timeout_s", counted)
+    monkeypatch.setattr(suspicion, "suspicion_timeout_s", counted)
     for number in range(2, 2 + suspects):
         told = Rows(0, pack([word(number, MemberState.SUSPECT)]))
         me.handle_message(number * 0.3, RepairMessage(told, word(1)), word(1).address)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -199,7 +199,7 @@
     network.start(6, [0, 1])
     assert network.settle(WITHIN) is not None
     for node in network.nodes.values():
-        node.membership._take(network.now, rumour)
+        node.membership.records.apply(network.now, rumour)
     assert network.agreed()
 
 
@@ -240,7 +240,7 @@
 
 
 def test_tombstones_end_and_the_view_is_bounded() -> None:
-    view = MembershipView(10.0, most=5)
+    view = MembershipView(10.0, max_members=5)
     for number in range(9):
         view.apply(float(number), MemberRecord(f"n{number}", "h", 1, "z", 1, 1, MemberState.DEAD))
     assert len(view) == 5 and view.rejected_count == 4
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -12,12 +12,20 @@
 from pipitshed.cluster.codec import DATAGRAM_LIMIT, Codec
 from pipitshed.membership.members import Address
 from pipitshed.membership.messages import Ping, RepairMessage
-from pipitshed.replication.anti_entropy import AntiEntropy, OutgoingMessage
-from pipitshed.replication.bandwidth_budget import BURST, RATE, BandwidthBudget
+from pipitshed.replication.anti_entropy import AntiEntropy
+from pipitshed.replication.bandwidth_budget import BURST_BYTES, RATE_BYTES_PER_S, BandwidthBudget
 from pipitshed.replication.gossip_queue import GossipQueue, transmission_limit
-from pipitshed.replication.merkle_tree import DEPTH, ROOT, WAYS, MerkleTree, depth
-from pipitshed.replication.messages import UNPACKED, Compare, Items, Rows, pack, unpack
-from pipitshed.replication.replicator import message_size
+from pipitshed.replication.merkle_tree import FANOUT, MAX_DEPTH, ROOT, MerkleTree, node_depth
+from pipitshed.replication.message_pacing import OutgoingMessage
+from pipitshed.replication.messages import (
+    UNPACKED_LIMIT_BYTES,
+    Compare,
+    Items,
+    Rows,
+    message_size,
+    pack,
+    unpack,
+)
 from pipitshed.replication.row import FORMAT_VERSION, Row, precedence
 from pipitshed.replication.row_table import ApplyResult, RowError, RowTable
 from pipitshed.testbed import virtual_view
@@ -164,28 +172,30 @@
                 for out in answers(ends[1], message, peer)
                 for answer in answers(
                     ends[0],
-                    msgspec.structs.replace(out, packed=pack(()), whole=False)
+                    msgspec.structs.replace(out, packed=pack(()), complete=False)
                     if cut_short and isinstance(out, Rows) and out.ranges
                     else out,
                     me,
                     leads=True,
                 )
             ]
-        return ends[0].done.pop().whole
+        return ends[0].completed.pop().complete
 
     def answers(end: AntiEntropy, message: object, held: RowTable, leads: bool = False) -> list[object]:
         if isinstance(message, Rows):
             new = [row for row in unpack(message.packed, ROWS) if held.apply(row) is ApplyResult.NEW]
-            out = end.told(0.0, THERE, message, len(new), [])
+            out = end.receive_rows(0.0, THERE, message, len(new), [])
         else:
-            out = (end.compared if isinstance(message, Compare) else end.asked)(0.0, THERE, message)  # type: ignore[operator]
+            out = (end.receive_comparison if isinstance(message, Compare) else end.responder.answer_items)(
+                0.0, THERE, message
+            )  # type: ignore[operator]
         return list(out) if leads else [one.message for one in out]
 
     for number in range(300):
         me.apply(peer.get(f"quota/t{number}"))  # type: ignore[arg-type]
-    assert not play(ends[0].look(0.0, 0, THERE))
-    assert not play(ends[0].begin(0.0, 0, THERE), cut_short=True)
-    assert play(ends[0].begin(0.0, 0, THERE)) and me.digest() == peer.digest()
+    assert not play(ends[0].compare_random_range(0.0, 0, THERE))
+    assert not play(ends[0].start(0.0, 0, THERE), cut_short=True)
+    assert play(ends[0].start(0.0, 0, THERE)) and me.digest() == peer.digest()
 
 
 def test_two_contents_under_one_number_have_one_winner_everywhere() -> None:
@@ -259,9 +269,9 @@
     anew = MerkleTree()
     for key, content in held.items():
         anew.put(key, content)
-    assert changed._nodes == anew._nodes and changed._places == anew._places
-    assert sorted(key for part in range(WAYS) for key in changed.keys(WAYS + part)) == sorted(held)
-    assert depth(ROOT) == 0 and depth(ROOT * WAYS**DEPTH) == DEPTH
+    assert changed._nodes == anew._nodes and changed._sorted_keys == anew._sorted_keys
+    assert sorted(key for part in range(FANOUT) for key in changed.keys(FANOUT + part)) == sorted(held)
+    assert node_depth(ROOT) == 0 and node_depth(ROOT * FANOUT**MAX_DEPTH) == MAX_DEPTH
 
 
 def test_digests_that_collide_are_found_by_looking_at_the_items() -> None:
@@ -385,14 +395,14 @@
     network = joined(10)
     network.timers_first = True
     sleeper = nodes(network)[6]
-    asked = sleeper.membership.replicator.ask(network.now, 1, nodes(network)[3].address)
-    sleeper.membership._send(network.now, asked)
+    asked = sleeper.membership.replicator.start_exchange(network.now, 1, nodes(network)[3].address)
+    sleeper.membership.outbox.send_admitted(asked)
     network.stop(sleeper, 20.0)
     for number in range(20):
         network.put(nodes(network)[number % 5], (f"quota/t{number}", b"1"))
         network.run(1.0)
     until(network, lambda: same(network), WITHIN)
-    assert sleeper.membership.replicator.anti_entropy._strikes == {}
+    assert sleeper.membership.replicator.anti_entropy.backoff._failures == {}
 
 
 def test_sides_that_were_apart_hold_the_same_rows_soon_after_they_meet() -> None:
@@ -420,16 +430,16 @@
         budget.charge(now, 20)
         sent[2] += 20
         for place in (0, 1):  # the one that wants all always comes first
-            if room := budget.room(now, place, 300):
+            if room := budget.available_bytes(now, place, 300):
                 size = room if place == 0 else min(room, 400)
                 budget.spend(now, place, size)
                 sent[place] += size
         windows.append(sum(sent))
     assert max(windows[at + 100] - windows[at] for at in range(1900)) < A_SECOND
-    assert sum(sent) > 0.8 * 20 * RATE  # and nothing is left unused
+    assert sum(sent) > 0.8 * 20 * RATE_BYTES_PER_S  # and nothing is left unused
     assert 0.7 < sent[0] / sent[1] < 1.4
     budget = BandwidthBudget(2, 0.0)
-    assert budget.room(0.0, 0) == int(BURST)  # where nobody else waits, all of it
+    assert budget.available_bytes(0.0, 0) == int(BURST_BYTES)  # where nobody else waits, all of it
 
 
 def test_rumours_come_the_least_told_first_then_the_newest_and_end() -> None:
@@ -440,7 +450,7 @@
     assert [row.key for row in rumours.take(2 * size, 5)] == ["k3", "k2"]
     rumours.add(Row("k4", 1, 1, "w", b""))
     assert [row.key for row in rumours.take(3 * size, 5)] == ["k4", "k1", "k0"]
-    assert rumours.take(size, 5, but=[Row("k2", 1, 1, "w", b"")])[0].key != "k2"
+    assert rumours.take(size, 5, exclude=[Row("k2", 1, 1, "w", b"")])[0].key != "k2"
     told = sum(len(rumours.take(10 * size, 5)) for _ in range(20))
     assert told == 5 * transmission_limit(5) - 6 and len(rumours) == 0
 
@@ -560,4 +570,4 @@
     assert unpack(pack(told), ROWS) == told
     assert unpack(pack(told)[:cut], ROWS) in ((), told)
     assert isinstance(unpack(junk, ROWS), tuple)
-    assert unpack(pack([Row("k", 1, 1, "w", bytes(2 * UNPACKED))]), ROWS) == ()
+    assert unpack(pack([Row("k", 1, 1, "w", bytes(2 * UNPACKED_LIMIT_BYTES))]), ROWS) == ()
--- a/tests/test_settings_rows.py
+++ b/tests/test_settings_rows.py
@@ -19,11 +19,11 @@
 from pipitshed.config.row_overlay import Overlay, RowRejectedError, check, file_value, overlay
 from pipitshed.config.settings_parser import settings_from
 from pipitshed.replication.commit_tracking import (
-    ASK_AFTER,
-    ASK_AGAIN,
-    RATE,
-    TOLD_MOST,
-    WATCHED,
+    MAX_REPORTED_ROWS,
+    MAX_WATCHED_ROWS,
+    QUERY_DELAY_S,
+    QUERY_RETRY_S,
+    REPORT_RATE_BYTES_PER_S,
     AppliedQuery,
     AppliedReport,
     AppliedState,
@@ -76,7 +76,7 @@
         ({"key": "zone/lima-norte/share"}, "a key is"),
         ({"key": "tenant/share"}, "a key is"),
         ({"key": ""}, "a key is"),
-        ({"form": 2}, "form 2"),
+        ({"format_version": 2}, "form 2"),
         *(
             ({"body": body}, "a JSON number")
             for body in (
@@ -321,8 +321,8 @@
             for to, message in writer.one.handle_timeouts(now, living)
             if isinstance(message, AppliedQuery) and to == "m" and message.keys == (SHARE,)
         ]
-    assert asked[0] >= ASK_AFTER and 8 <= len(asked) <= 10 / ASK_AGAIN
-    assert all(later - earlier >= ASK_AGAIN for earlier, later in zip(asked, asked[1:], strict=False))
+    assert asked[0] >= QUERY_DELAY_S and 8 <= len(asked) <= 10 / QUERY_RETRY_S
+    assert all(later - earlier >= QUERY_RETRY_S for earlier, later in zip(asked, asked[1:], strict=False))
     assert writer.one.next_due_at() == float("inf")  # nobody waits any more
     writer.one.status(40.0, one, living)
     assert writer.one.next_due_at() < 41.0
@@ -345,22 +345,24 @@
     for member in members:
         due = member.one.next_due_at()
         for _, message in member.one.handle_timeouts(due, living):
-            assert isinstance(message, AppliedReport) and len(message.rows) <= TOLD_MOST
+            assert isinstance(message, AppliedReport) and len(message.rows) <= MAX_REPORTED_ROWS
             seconds[int(due)] += len(codec.encode(message))
             writer.one.receive_report(message, living)
-    assert max(seconds) < 1.3 * RATE, seconds
+    assert max(seconds) < 1.3 * REPORT_RATE_BYTES_PER_S, seconds
     assert all(writer.one.status(20.0, one, living).in_force for one in rows)
 
 
 def test_what_is_kept_is_bounded_and_who_has_gone_is_forgotten() -> None:
     writer, member, one, living = pair()
-    for place in range(WATCHED + 50):
+    for place in range(MAX_WATCHED_ROWS + 50):
         writer.one.watch(0.0, writer.table.put(f"tenant/t{place}/share", b"1", "w"))
     writer.one.receive_report(AppliedReport("m", 7, 1, b""), living)
     writer.one.handle_timeouts(5.0, living)
-    assert len(writer.one._watches) == WATCHED and set(writer.one._asked) == {"m"} == set(writer.one._heard)
+    assert len(writer.one._watches) == MAX_WATCHED_ROWS and set(writer.one._queried_at) == {"m"} == set(
+        writer.one._last_reports
+    )
     writer.one.handle_timeouts(8.0, {"w": 1})
-    assert not writer.one._asked and not writer.one._heard
+    assert not writer.one._queried_at and not writer.one._last_reports
     member.act(0.0, 2)
     assert member.one.handle_timeouts(9.0, {"m": 7}) == []  # the writer has gone: nobody is owed anything
     assert member.one.next_due_at() == float("inf")
