--- a/pipitshed/cluster/node.py
+++ b/pipitshed/cluster/node.py
@@ -18,7 +18,13 @@
 from pipitshed.cluster.peers_file import ClusterConfig
 from pipitshed.cluster.settings import ReplicatedSettings, Reply, SettingsTarget
 from pipitshed.cluster.streams import Streams
-from pipitshed.membership.effects import Instruction, MemberStateChanged, RowsChanged, SendMessage, Superseded
+from pipitshed.membership.instructions import (
+    Instruction,
+    MemberStateChanged,
+    RowsChanged,
+    SendMessage,
+    Superseded,
+)
 from pipitshed.membership.members import Address, MemberRecord, MemberState
 from pipitshed.membership.messages import RepairMessage
 from pipitshed.membership.protocol import Membership
@@ -231,7 +237,7 @@
         def agrees(word: MemberRecord) -> bool | None:
             if word.name == membership.self_record.name:
                 return True
-            return None if word.is_departed else membership.replicator.agree(word.name)
+            return None if word.is_departed else membership.replicator.agrees_with(word.name)
 
         rows = [
             Row(
