--- a/pipitshed/cli/commands.py
+++ b/pipitshed/cli/commands.py
@@ -10,14 +10,9 @@
 import click
 
 from pipitshed import __version__
-from pipitshed.config.platform import (
-    Config,
-    ConfigError,
-    FrontConfig,
-    FrontFile,
-    load_front,
-    load_platform_config,
-)
+from pipitshed.config.errors import ConfigError
+from pipitshed.config.front import FrontConfig, FrontFile, load_front
+from pipitshed.config.platform import Config, load_platform_config
 from pipitshed.server.server import serve as run_scheduler
 
 if TYPE_CHECKING:
--- a/pipitshed/cluster/settings.py
+++ b/pipitshed/cluster/settings.py
@@ -29,7 +29,8 @@
     Status,
 )
 from pipitshed.cluster.row_store import StoredRows
-from pipitshed.config.row_overlay import Overlay, RowRejectedError, check, file_value, overlay
+from pipitshed.config.errors import RowRejectedError
+from pipitshed.config.row_overlay import Overlay, check, file_value, overlay
 from pipitshed.membership.members import Address, MemberRecord, MemberState
 from pipitshed.replication.acting import AppliedQuery, AppliedReport, AppliedState, Confirmations
 from pipitshed.replication.row import Row
@@ -175,7 +176,7 @@
     def _act(self, rows: tuple[Row, ...], digest: bytes, stood: Mapping[str, Row]) -> None:
         before = self._confirmations.state.acted
         laid = self._lay(self._tuned.raw(), rows, digest, stood)
-        if laid.acted != before:
+        if laid.applied != before:
             self._tuned.retune(laid.raw["settings"])
         for row, reply in self._replies:
             reply(PutDone(self._me.name, "", row.term, row.number))
@@ -203,19 +204,19 @@
         changed = [
             row
             for row in rows
-            if row != before.held.get(row.key) or laid.refused.get(row.key) != before.refused.get(row.key)
+            if row != before.held.get(row.key) or laid.rejected.get(row.key) != before.refused.get(row.key)
         ]
         now = self._loop.time()
         if changed:
             self._since = now
-        state = AppliedState(digest, {row.key: row for row in rows}, laid.acted, laid.refused)
+        state = AppliedState(digest, {row.key: row for row in rows}, laid.applied, laid.rejected)
         self._confirmations.acts(now, state, changed, len(self._living()))
-        acted = [laid.acted[row.key] for row in changed if row.key in laid.acted]
+        acted = [laid.applied[row.key] for row in changed if row.key in laid.applied]
         self._events.write(
             "acting",
             digest=digest.hex(),
             rows=[[row.key, row.term, row.number] for row in acted],
-            refused=[[row.key, laid.refused[row.key]] for row in changed if row.key in laid.refused],
+            refused=[[row.key, laid.rejected[row.key]] for row in changed if row.key in laid.rejected],
         )
         _log(raw, laid, rows if anew else changed)
         self._arm()
@@ -376,7 +377,7 @@
 
 def _log(raw: dict[str, Any], laid: Overlay, rows: Sequence[Row]) -> None:
     """Say which rows stand over what the file says, and which are refused."""
-    acted = [row for row in rows if row.key not in laid.refused]
+    acted = [row for row in rows if row.key not in laid.rejected]
     for row in acted[:LOGGED]:
         told = "deleted" if row.deleted else f"{row.body.decode()} stands"
         log.info(
@@ -390,16 +391,16 @@
         )
     if len(acted) > LOGGED:
         log.info("settings by row: and %d more: `pipitshed settings show`", len(acted) - LOGGED)
-    refused = [row for row in rows if row.key in laid.refused]
+    refused = [row for row in rows if row.key in laid.rejected]
     for row in refused[:LOGGED]:
-        old = laid.acted.get(row.key)
+        old = laid.applied.get(row.key)
         log.error(
             "settings by row: %s (%s, %d.%d) is refused: %s; %s",
             row.key,
             row.writer,
             row.term,
             row.number,
-            laid.refused[row.key],
+            laid.rejected[row.key],
             f"{old.term}.{old.number} stands" if old is not None else "the file's value stands",
         )
     if len(refused) > LOGGED:
--- a/pipitshed/config/class_registry.py
+++ b/pipitshed/config/class_registry.py
@@ -1,10 +1,11 @@
-"""The classes in force, numbered for good: a file may add, change and drop them, and a job keeps its number.
+"""Numbers for the job classes, which stay as they are while files add, change and drop classes.
 
-A class is numbered by its name and its definition. A class that a file brings anew, or changes, gets the next
-number; one that it drops keeps its number, so that jobs under way keep the class that they were taken with,
-and is still taken at the door for a grace, as clients hear of the change no sooner than of new classes. A
-number that no job can have any more is given anew to its name where the limits alone have changed, as
-settings by row may change them many times a day.
+A class is numbered by its name and its definition, so that a job in progress keeps the class that it was
+accepted with. A class that a file adds or changes gets the next number. One that it drops keeps its number,
+and is accepted for a grace period: clients learn of the change no sooner than of new classes.
+
+Settings rows may change the limits of a class many times a day. A number that no job can have any more is
+therefore given again to its name where nothing but the limits has changed.
 """
 
 from __future__ import annotations
@@ -14,17 +15,14 @@
 
 from pipitshed.scheduling.settings import JobClass
 
-NUMBER_REUSE_DELAY_S = (
-    60.0  # s beyond its deadline and window for which a number that the door no longer gives is left alone
-)
-DROPPED_CLASS_GRACE_S = (
-    1.2  # s for which a class that a file dropped is still taken: new ones come into use so late
-)
+NUMBER_REUSE_DELAY_S = 60.0  # beyond the deadline and the window of the class
+DROPPED_CLASS_GRACE_S = 1.2  # how long a class that a file dropped is still accepted
+MS_PER_S = 1000
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class ClassChanges:
-    """What a file changed, by name."""
+    """The names of the classes that a file changed."""
 
     added: tuple[str, ...] = ()
     changed: tuple[str, ...] = ()
@@ -32,98 +30,137 @@
 
     def __str__(self) -> str:
         parts = [
-            f"{what} {', '.join(names)}"
-            for what, names in (("added", self.added), ("changed", self.changed), ("dropped", self.dropped))
+            f"{label} {', '.join(names)}"
+            for label, names in (("added", self.added), ("changed", self.changed), ("dropped", self.dropped))
             if names
         ]
         return "; ".join(parts) or "classes as they were"
 
 
+@dataclass(frozen=True, slots=True)
+class LeavingClass:
+    """A class that a file dropped; it is accepted until the loop's time `until`."""
+
+    number: int
+    until: float
+
+
 @dataclass(frozen=True)
 class ClassRegistry:
-    """All classes ever in force since the start, by number, and the numbers that the door gives names."""
+    """All classes in force since the start, by number.
+
+    Attributes:
+        classes: The definitions by number.
+        names: The names by number.
+        accepted: The numbers of the classes of the file in force, by name.
+        leaving: The classes that a file dropped, by name.
+        unused_since: Numbers that no new job gets, with the time from which on that is so.
+    """
 
     classes: tuple[JobClass, ...]
     names: tuple[str, ...]
-    accepted: dict[str, int]  # the classes of the file in force
-    leaving: dict[str, tuple[int, float]] = field(default_factory=dict)  # dropped: number, taken until
-    unused_since: dict[int, float] = field(
-        default_factory=dict
-    )  # numbers that the door gives no more: since when
+    accepted: dict[str, int]
+    leaving: dict[str, LeavingClass] = field(default_factory=dict)
+    unused_since: dict[int, float] = field(default_factory=dict)
 
     @classmethod
     def first(cls, names: Sequence[str], classes: Sequence[JobClass]) -> ClassRegistry:
-        return cls(tuple(classes), tuple(names), {name: place for place, name in enumerate(names)})
+        """The registry at the start."""
+        return cls(tuple(classes), tuple(names), {name: number for number, name in enumerate(names)})
 
     def number(self, name: str, now: float) -> int | None:
-        """The number of the class by this name for a job taken at `now`; None where there is none."""
-        place = self.accepted.get(name)
-        if place is not None:
-            return place
+        """The number for a job of this class accepted at `now`; None where there is no such class."""
+        number = self.accepted.get(name)
+        if number is not None:
+            return number
         leaving = self.leaving.get(name)
-        return leaving[0] if leaving is not None and now < leaving[1] else None
+        return leaving.number if leaving is not None and now < leaving.until else None
 
     def accepted_at(self, now: float) -> dict[str, int]:
-        """Every name that the door takes at `now`, with its number."""
-        return {name: place for name, (place, until) in self.leaving.items() if now < until} | self.accepted
+        """The numbers of all classes accepted at `now`, by name."""
+        in_grace = {name: leaving.number for name, leaving in self.leaving.items() if now < leaving.until}
+        return in_grace | self.accepted
 
     def updated(
         self,
         names: Sequence[str],
         classes: Sequence[JobClass],
         now: float,
-        grace: float = DROPPED_CLASS_GRACE_S,
+        grace_s: float = DROPPED_CLASS_GRACE_S,
     ) -> tuple[ClassRegistry, ClassChanges]:
-        """The book after a file with these classes, read at `now`."""
-        every, called = list(self.classes), list(self.names)
-        door: dict[str, int] = {}
-        added, changed = [], []
+        """The registry after a file with these classes was read at `now`, and what the file changed."""
+        all_classes, all_names = list(self.classes), list(self.names)
+        numbers: list[int] = []
         for name, job_class in zip(names, classes, strict=True):
-            before = self.number(name, now)
-            same = next(
-                (place for place in range(len(every)) if called[place] == name and every[place] == job_class),
-                None,
-            )
-            if same is None:
-                same = self._rested(name, job_class, now)
-                if same is None:
-                    same = len(every)
-                    every.append(job_class)
-                    called.append(name)
-                every[same] = job_class
-            door[name] = same
-            if before is None:
-                added.append(name)
-            elif before != same:
-                changed.append(name)
-        leaving = {name: entry for name, entry in self.leaving.items() if name not in door and now < entry[1]}
-        dropped = [name for name in self.accepted if name not in door]
-        for name in dropped:
-            leaving[name] = (self.accepted[name], now + grace)
-        given = {*door.values(), *(place for place, _ in leaving.values())}
-        idle = {place: self.unused_since.get(place, now) for place in range(len(every)) if place not in given}
-        return (
-            ClassRegistry(tuple(every), tuple(called), door, leaving, idle),
-            ClassChanges(tuple(added), tuple(changed), tuple(dropped)),
-        )
-
-    def _rested(self, name: str, job_class: JobClass, now: float) -> int | None:
+            number = self._number_for(name, job_class, now, all_classes, all_names)
+            if number == len(all_classes):
+                all_classes.append(job_class)
+                all_names.append(name)
+            all_classes[number] = job_class
+            numbers.append(number)
+        accepted = dict(zip(names, numbers, strict=True))
+        leaving = self._leaving(accepted, now, grace_s)
+        used = {*accepted.values(), *(entry.number for entry in leaving.values())}
+        unused_since = {
+            number: self.unused_since.get(number, now)
+            for number in range(len(all_classes))
+            if number not in used
+        }
+        registry = ClassRegistry(tuple(all_classes), tuple(all_names), accepted, leaving, unused_since)
+        return registry, self._changes(names, numbers, now)
+
+    def _number_for(
+        self, name: str, job_class: JobClass, now: float, classes: list[JobClass], names: list[str]
+    ) -> int:
+        """The number of this class, one that can be reused for it, or the next one."""
+        for number, known in enumerate(classes):
+            if names[number] == name and known == job_class:
+                return number
+        reusable = self._reusable_number(name, job_class, now)
+        return len(classes) if reusable is None else reusable
+
+    def _reusable_number(self, name: str, job_class: JobClass, now: float) -> int | None:
         """A number of this name that no job can have any more, whose class differs in its limits alone."""
-        for place, since in self.unused_since.items():
-            held = self.classes[place]
+        for number, since in self.unused_since.items():
+            known = self.classes[number]
+            job_lifetime_s = (known.deadline_ms + known.idempotency_window_ms) / MS_PER_S
             if (
-                self.names[place] == name
-                and now - since
-                > (held.deadline_ms + held.idempotency_window_ms) / 1000 + NUMBER_REUSE_DELAY_S
-                and replace(
-                    held,
-                    latency_objective_ms=job_class.latency_objective_ms,
-                    deadline_ms=job_class.deadline_ms,
-                    priority_weight=job_class.priority_weight,
-                    late_weight=job_class.late_weight,
-                    latency_objective_per_work=job_class.latency_objective_per_work,
-                )
-                == job_class
+                self.names[number] == name
+                and now - since > job_lifetime_s + NUMBER_REUSE_DELAY_S
+                and _with_limits_of(known, job_class) == job_class
             ):
-                return place
+                return number
         return None
+
+    def _leaving(self, accepted: dict[str, int], now: float, grace_s: float) -> dict[str, LeavingClass]:
+        """The classes in their grace period once these are accepted."""
+        leaving = {
+            name: entry for name, entry in self.leaving.items() if name not in accepted and now < entry.until
+        }
+        for name, number in self.accepted.items():
+            if name not in accepted:
+                leaving[name] = LeavingClass(number, now + grace_s)
+        return leaving
+
+    def _changes(self, names: Sequence[str], numbers: Sequence[int], now: float) -> ClassChanges:
+        added, changed = [], []
+        for name, number in zip(names, numbers, strict=True):
+            number_before = self.number(name, now)
+            if number_before is None:
+                added.append(name)
+            elif number_before != number:
+                changed.append(name)
+        dropped = tuple(name for name in self.accepted if name not in names)
+        return ClassChanges(tuple(added), tuple(changed), dropped)
+
+
+def _with_limits_of(job_class: JobClass, source: JobClass) -> JobClass:
+    """The class with those values of another that settings rows may change."""
+    return replace(
+        job_class,
+        latency_objective_ms=source.latency_objective_ms,
+        deadline_ms=source.deadline_ms,
+        priority_weight=source.priority_weight,
+        late_weight=source.late_weight,
+        latency_objective_per_work=source.latency_objective_per_work,
+    )
--- a/pipitshed/config/row_overlay.py
+++ b/pipitshed/config/row_overlay.py
@@ -1,8 +1,8 @@
-"""Settings by row: which values of a settings file a row may change, the check of a row, and how rows lie
-over a file. No I/O.
+"""Lays settings rows over a settings file: which values a row may change, and the check of a row. No I/O.
 
 A key is `tenant/NAME/FIELD` or `class/NAME/FIELD`, with the names and fields of the file in force; a body is
-a JSON number. What running a job twice would do is no figure to be tuned, and no row can change it.
+a JSON number. The idempotency of a class decides whether a job may run twice: it is no limit to be adjusted,
+and no row can change it.
 """
 
 from __future__ import annotations
@@ -12,121 +12,164 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pipitshed.config.settings_parser import SettingsError, check_entry
+from pipitshed.config.errors import InvalidFieldError, RowRejectedError
+from pipitshed.config.settings_parser import check_entry
 from pipitshed.replication.row import Row
 
-VALUE_LIMIT = 32  # bytes of a value
-_NUMBER = re.compile(rb"-?(0|[1-9][0-9]*)(\.[0-9]+)?([eE][+-]?[0-9]+)?")
-_LISTS = {"tenant": "tenants", "class": "services"}
-FIELDS = {
+VALUE_LIMIT_BYTES = 32
+FIELDS_BY_KIND = {
     "tenant": ("share", "allowancePerS"),
     "class": ("deadline", "goalTime", "gain", "lateWorth", "aimStretch"),
 }
+_JSON_NUMBER = re.compile(rb"-?(0|[1-9][0-9]*)(\.[0-9]+)?([eE][+-]?[0-9]+)?")
+_LIST_BY_KIND = {"tenant": "tenants", "class": "services"}
 
-
-class RowRejectedError(ValueError):
-    """A row can't be acted on; the text says why."""
+IndexesByName = dict[str, list[int]]  # where each name stands in a list of the file
 
 
 @dataclass(frozen=True, slots=True)
 class Overlay:
-    """Rows laid over a file."""
+    """The outcome of laying rows over a file.
+
+    Attributes:
+        raw: The file as it would read with the values of the rows in it.
+        applied: The applied row by key, deleted rows too. It may be older than a row that was rejected.
+        rejected: The reason by key of a rejected row.
+    """
 
-    raw: dict[str, Any]  # the file as it would read with the rows' values in it
-    acted: dict[str, Row]  # what is acted on, by key, deleted rows too; it may be older than the one refused
-    refused: dict[str, str]  # why, by key
+    raw: dict[str, Any]
+    applied: dict[str, Row]
+    rejected: dict[str, str]
+
+
+@dataclass(frozen=True, slots=True)
+class _RowKey:
+    """The parts of a row's key."""
+
+    kind: str
+    name: str
+    field: str
+
+
+@dataclass(frozen=True, slots=True)
+class _Change:
+    """A checked row: the value it gives to a field of one entry of a list of the file."""
+
+    kind: str
+    index: int
+    field: str
+    value: float
 
 
 def overlay(
     raw: dict[str, Any],
     rows: Iterable[Row],
-    stood: Mapping[str, Row] | None = None,
+    previously_applied: Mapping[str, Row] | None = None,
     fixed: Container[str] = (),
 ) -> Overlay:
-    """These rows laid over a file as it was read, which is not changed. Where one is refused, the row that
-    was acted on before (`stood`, by key) stands; where there was none, the file's value does. Classes that
-    are `fixed` can't be changed here.
+    """Lay rows over a file as it was read, which is not changed.
+
+    Where a row is rejected, the row that was applied for its key before stays applied; where there was none,
+    the file's value holds.
+
+    Args:
+        raw: The file.
+        rows: The rows, one for a key.
+        previously_applied: The rows applied before, by key.
+        fixed: Names of classes that no row can change here.
     """
-    places = {kind: _places(raw, kind) for kind in _LISTS}
-    values: dict[tuple[str, int], dict[str, float]] = {}
-    acted: dict[str, Row] = {}
-    refused: dict[str, str] = {}
+    indexes = {kind: _indexes_by_name(raw, kind) for kind in _LIST_BY_KIND}
+    previous_rows = previously_applied or {}
+    changes: list[_Change] = []
+    applied: dict[str, Row] = {}
+    rejected: dict[str, str] = {}
     for row in rows:
-        for one in (row, (stood or {}).get(row.key)):
-            if one is None:
-                break
-            if one.deleted:
-                acted[one.key] = one
+        for candidate in (row, previous_rows.get(row.key)):
+            if candidate is None:
                 break
             try:
-                kind, place, field, value = _checked(raw, places, one, fixed)
+                if not candidate.deleted:
+                    changes.append(_check(raw, indexes, candidate, fixed))
             except RowRejectedError as error:
-                refused.setdefault(one.key, str(error))
+                rejected.setdefault(row.key, error.reason)
                 continue
-            values.setdefault((kind, place), {})[field] = value
-            acted[one.key] = one
+            applied[row.key] = candidate
             break
-    told = dict(raw["settings"])
-    for name in _LISTS.values():
-        if name in told:
-            told[name] = list(told[name])
-    for (kind, place), changed in values.items():
-        told[_LISTS[kind]][place] = told[_LISTS[kind]][place] | changed
-    return Overlay(raw | {"settings": told}, acted, refused)
+    return Overlay(raw | {"settings": _changed_settings(raw["settings"], changes)}, applied, rejected)
 
 
 def check(raw: dict[str, Any], row: Row, fixed: Container[str] = ()) -> float:
-    """The value that a row asks for, where the file in force lets it; RefusedRowError else."""
-    return _checked(raw, {kind: _places(raw, kind) for kind in _LISTS}, row, fixed)[3]
+    """Return the value of a row that the file in force permits.
+
+    Raises:
+        RowRejectedError: The row cannot be applied.
+    """
+    indexes = {kind: _indexes_by_name(raw, kind) for kind in _LIST_BY_KIND}
+    return _check(raw, indexes, row, fixed).value
 
 
 def file_value(raw: dict[str, Any], key: str) -> float | None:
-    """What the file itself says at a key; None where it says nothing there."""
+    """The value that the file itself has at a key; None where it has none."""
     try:
-        kind, name, field = _parts(key)
+        parts = _parse_key(key)
     except RowRejectedError:
         return None
-    found = _places(raw, kind).get(name, [])
-    value = raw["settings"][_LISTS[kind]][found[0]].get(field) if found else None
+    indexes = _indexes_by_name(raw, parts.kind).get(parts.name, [])
+    if not indexes:
+        return None
+    value = raw["settings"][_LIST_BY_KIND[parts.kind]][indexes[0]].get(parts.field)
     return float(value) if isinstance(value, int | float) else None
 
 
-def _parts(key: str) -> tuple[str, str, str]:
+def _parse_key(key: str) -> _RowKey:
     kind, _, rest = key.partition("/")
     name, _, field = rest.rpartition("/")
-    if kind not in FIELDS or not name:
-        raise RowRejectedError(f"a key is tenant/NAME/FIELD or class/NAME/FIELD, not {key!r}")
-    if field not in FIELDS[kind]:
-        raise RowRejectedError(f"{field!r} can't be changed by row, only {', '.join(FIELDS[kind])}")
-    return kind, name, field
+    if kind not in FIELDS_BY_KIND or not name:
+        raise RowRejectedError(key, f"a key is tenant/NAME/FIELD or class/NAME/FIELD, not {key!r}")
+    fields = FIELDS_BY_KIND[kind]
+    if field not in fields:
+        raise RowRejectedError(key, f"{field!r} can't be changed by row, only {', '.join(fields)}")
+    return _RowKey(kind, name, field)
 
 
-def _places(raw: dict[str, Any], kind: str) -> dict[str, list[int]]:
-    """Where each name stands in the file's list."""
-    places: dict[str, list[int]] = {}
-    for place, one in enumerate(raw["settings"].get(_LISTS[kind], [])):
-        places.setdefault(one.get("name", ""), []).append(place)
-    return places
+def _indexes_by_name(raw: dict[str, Any], kind: str) -> IndexesByName:
+    indexes: IndexesByName = {}
+    for index, entry in enumerate(raw["settings"].get(_LIST_BY_KIND[kind], [])):
+        indexes.setdefault(entry.get("name", ""), []).append(index)
+    return indexes
 
 
-def _checked(
-    raw: dict[str, Any], places: dict[str, dict[str, list[int]]], row: Row, fixed: Container[str]
-) -> tuple[str, int, str, float]:
+def _check(
+    raw: dict[str, Any], indexes_by_kind: dict[str, IndexesByName], row: Row, fixed: Container[str]
+) -> _Change:
     if not row.readable:
-        raise RowRejectedError(f"it is of a newer program (form {row.form})")
-    kind, name, field = _parts(row.key)
-    if kind == "class" and name in fixed:
-        raise RowRejectedError(f"Gearman's functions keep the limits that {name!r} had at the start")
-    found = places[kind].get(name, [])
-    if len(found) != 1:
-        raise RowRejectedError(
-            f"the settings in force have {'no' if not found else 'more than one'} {kind} {name!r}"
-        )
-    if len(row.body) > VALUE_LIMIT or not _NUMBER.fullmatch(row.body):
-        raise RowRejectedError(f"a value is a JSON number of {VALUE_LIMIT} bytes at most")
-    value, entry = float(row.body), raw["settings"][_LISTS[kind]][found[0]]
+        raise RowRejectedError(row.key, f"it is of a newer program (form {row.form})")
+    key = _parse_key(row.key)
+    if key.kind == "class" and key.name in fixed:
+        reason = f"Gearman's functions keep the limits that {key.name!r} had at the start"
+        raise RowRejectedError(row.key, reason)
+    indexes = indexes_by_kind[key.kind].get(key.name, [])
+    if len(indexes) != 1:
+        count = "no" if not indexes else "more than one"
+        raise RowRejectedError(row.key, f"the settings in force have {count} {key.kind} {key.name!r}")
+    if len(row.body) > VALUE_LIMIT_BYTES or not _JSON_NUMBER.fullmatch(row.body):
+        raise RowRejectedError(row.key, f"a value is a JSON number of {VALUE_LIMIT_BYTES} bytes at most")
+    value = float(row.body)
+    entry = raw["settings"][_LIST_BY_KIND[key.kind]][indexes[0]]
     try:
-        check_entry(kind, entry | {field: value})  # the check that a file's value goes through
-    except SettingsError as error:
-        raise RowRejectedError(field + str(error).partition(f".{field}")[2]) from None
-    return kind, found[0], field, value
+        check_entry(key.kind, entry | {key.field: value})  # the check that a file's value goes through
+    except InvalidFieldError as error:
+        raise RowRejectedError(row.key, key.field + error.detail) from None
+    return _Change(key.kind, indexes[0], key.field, value)
+
+
+def _changed_settings(settings: dict[str, Any], changes: Iterable[_Change]) -> dict[str, Any]:
+    """A copy of the settings with these changes; what is not changed is shared."""
+    changed = dict(settings)
+    for name in _LIST_BY_KIND.values():
+        if name in changed:
+            changed[name] = list(changed[name])
+    for change in changes:
+        entries = changed[_LIST_BY_KIND[change.kind]]
+        entries[change.index] = entries[change.index] | {change.field: change.value}
+    return changed
--- a/pipitshed/config/settings_parser.py
+++ b/pipitshed/config/settings_parser.py
@@ -1,6 +1,7 @@
-"""The start settings, as scheduler and simulator are told them, to Settings.
+"""Parses the start settings of the platform's protocol into `Settings`.
 
-It translates names and checks form; it decides nothing. Impossible values raise SettingsError.
+This is the one place where the names of the protocol become the names of the code. It checks the form and the
+range of values; it makes no decision. An impossible value raises `InvalidFieldError`.
 """
 
 from __future__ import annotations
@@ -8,32 +9,29 @@
 import math
 from typing import Any
 
+from pipitshed.config.errors import InvalidFieldError
 from pipitshed.scheduling import settings
 
-
-class SettingsError(ValueError):
-    """The settings do not have their form."""
-
-
-_EFFECTS = {
+_IDEMPOTENCY_BY_WORD = {
     "retryable": settings.Idempotency.IDEMPOTENT,
     "dedup": settings.Idempotency.IDEMPOTENT_WITH_KEY,
     "fragile": settings.Idempotency.NON_IDEMPOTENT,
 }
-_GROUPS = {
+_DEDUPLICATION_SCOPE_BY_WORD = {
     "all": settings.DeduplicationScope.ALL,
     "zone": settings.DeduplicationScope.ZONE,
     "cell": settings.DeduplicationScope.CELL,
 }
-_WEIGHTS = {
+_WEIGHT_KIND_BY_WORD = {
     "off": settings.WeightKind.NONE,
     "nominal": settings.WeightKind.NOMINAL,
     "rough": settings.WeightKind.ROUGH,
     "live": settings.WeightKind.LIVE,
 }
-_DISCOVERY = {"pushed": False, "on_request": True}
-_SOURCES = {"inline": True, "on_probe": True, "off": False}
-_FIELDS = {
+_ENDPOINTS_POLLED_BY_WORD = {"pushed": False, "on_request": True}
+_REPORTS_ENABLED_BY_WORD = {"inline": True, "on_probe": True, "off": False}
+_WEIGHT_BY_WORK_BY_WORD = {"request": False, "work": True}
+_REPORT_FIELD_BY_PROTOCOL_NAME = {
     "concurrent": "inflight",
     "depth": "queue",
     "load_share": "util",
@@ -43,151 +41,211 @@
     "x0": "free_slots",
     "x1": "free_memory",
 }
+_NO_WORKER_KIND = -1  # the protocol's number for a class that any kind of worker serves
+_LOWEST_PRIORITY = -math.inf
 
 
-class _Table:
-    """A JSON object read key by key; what it refuses, it refuses by the key's full name."""
+class _TableReader:
+    """Reads a JSON object key by key; an error names the key in full."""
 
     def __init__(self, value: Any, name: str) -> None:
         if not isinstance(value, dict):
-            raise SettingsError(f"settings: {name or 'the whole'} is not an object")
+            raise InvalidFieldError(name or "the whole", value, "is not an object")
         self.value = value
         self.name = name
 
-    def _full(self, key: str) -> str:
+    def full_name(self, key: str) -> str:
+        """The name of a key, with the names of the tables around it."""
         return f"{self.name}.{key}" if self.name else key
 
-    def table(self, key: str) -> _Table:
-        return _Table(self.value.get(key, {}), self._full(key))
+    def table(self, key: str) -> _TableReader:
+        """The table at this key; an empty one where the key is missing."""
+        return _TableReader(self.value.get(key, {}), self.full_name(key))
 
     def items(self, key: str) -> list[Any]:
-        got = self.value.get(key, [])
-        if not isinstance(got, list):
-            raise SettingsError(f"settings: {self._full(key)} is not a list")
-        return got
-
-    def tables(self, key: str) -> list[_Table]:
-        return [_Table(item, f"{self._full(key)}[{i}]") for i, item in enumerate(self.items(key))]
-
-    def number(self, key: str, default: float | None, low: float = 0.0, high: float = math.inf) -> float:
-        got = self.value.get(key, default)
-        if isinstance(got, bool) or not isinstance(got, int | float) or not math.isfinite(got):
-            raise SettingsError(f"settings: {self._full(key)} is not a number")
-        if not low <= got <= high:
-            raise SettingsError(f"settings: {self._full(key)} = {got} is out of range")
-        return float(got)
-
-    def whole(self, key: str, default: int | None, low: int = 0) -> int:
-        got = self.number(key, default, low)
-        if got != int(got):
-            raise SettingsError(f"settings: {self._full(key)} = {got} is not a whole number")
-        return int(got)
+        """The list at this key; an empty one where the key is missing."""
+        value = self.value.get(key, [])
+        if not isinstance(value, list):
+            raise InvalidFieldError(self.full_name(key), value, "is not a list")
+        return value
+
+    def tables(self, key: str) -> list[_TableReader]:
+        """The list of tables at this key."""
+        name = self.full_name(key)
+        return [_TableReader(item, f"{name}[{index}]") for index, item in enumerate(self.items(key))]
+
+    def number(
+        self, key: str, default: float | None, minimum: float = 0.0, maximum: float = math.inf
+    ) -> float:
+        """The finite number at this key, within these bounds."""
+        value = self.value.get(key, default)
+        if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
+            raise InvalidFieldError(self.full_name(key), value, "is not a number")
+        if not minimum <= value <= maximum:
+            raise InvalidFieldError(self.full_name(key), value, "is out of range", show_value=True)
+        return float(value)
+
+    def integer(self, key: str, default: int | None, minimum: int = 0) -> int:
+        """The whole number at this key."""
+        value = self.number(key, default, minimum)
+        if value != int(value):
+            raise InvalidFieldError(self.full_name(key), value, "is not a whole number", show_value=True)
+        return int(value)
 
     def flag(self, key: str, default: bool = False) -> bool:
-        got = self.value.get(key, default)
-        if not isinstance(got, bool):
-            raise SettingsError(f"settings: {self._full(key)} is not true or false")
-        return got
+        """The true or false at this key."""
+        value = self.value.get(key, default)
+        if not isinstance(value, bool):
+            raise InvalidFieldError(self.full_name(key), value, "is not true or false")
+        return value
 
     def word(self, key: str, words: dict[str, Any], default: str) -> Any:
-        got = self.value.get(key, default)
-        if not isinstance(got, str) or got not in words:
-            raise SettingsError(f"settings: {self._full(key)} = {got!r} is not one of {', '.join(words)}")
-        return words[got]
+        """What the word at this key stands for."""
+        value = self.value.get(key, default)
+        if not isinstance(value, str) or value not in words:
+            reason = f"is not one of {', '.join(words)}"
+            raise InvalidFieldError(self.full_name(key), value, reason, show_value=True)
+        return words[value]
+
+
+def settings_from(value: Any) -> settings.Settings:
+    """Parse the start settings.
 
+    Unknown keys are skipped.
 
-def _class(table: _Table, place: int, family: _Table) -> settings.JobClass:
-    def of_family(key: str, default: float, low: float) -> float:
-        values = family.items(key)
-        if place >= len(values):
+    Raises:
+        InvalidFieldError: A value is impossible.
+    """
+    root = _TableReader(value, "")
+    families = root.table("familyInfo")
+    permissions = root.table("permissions")
+    charges = root.table("charges")
+    rules = root.table("rules")
+    stats = root.table("stats")
+    classes = _job_classes(root, families)
+    zones = root.items("areas")
+    own_zone = _own_zone(root, len(zones))
+    report_fields = _report_fields(stats)
+    return settings.Settings(
+        classes=classes,
+        tenants=tuple(_tenant(table) for table in root.tables("tenants")),
+        costs=_costs(charges),
+        limits=_limits(permissions),
+        guarantees=_guarantees(rules),
+        weight_kind=root.word("weights", _WEIGHT_KIND_BY_WORD, "off"),
+        own_zone=own_zone,
+        zone_count=max(1, len(zones)),
+        scheduler_count=root.integer("siblings", 1, 1),
+        tick_ms=root.number("tick", 1.0),
+        endpoints_polled=root.word("discovery", _ENDPOINTS_POLLED_BY_WORD, "pushed"),
+        workers_report_start=families.flag("tellsStart"),
+        progress_interval_ms=families.number("progress", 0.0),
+        report_fields=report_fields,
+        weight_by_work=root.word("worthBy", _WEIGHT_BY_WORK_BY_WORD, "request"),
+    )
+
+
+def check_entry(kind: str, value: Any) -> None:
+    """Check one entry alone, a `class` or a `tenant`, as `settings_from` does.
+
+    Raises:
+        InvalidFieldError: A value of the entry is impossible.
+    """
+    if kind == "class":
+        _job_class(_TableReader(value, kind), 0, _TableReader({}, "familyInfo"))
+    else:
+        _tenant(_TableReader(value, kind))
+
+
+def _job_classes(root: _TableReader, families: _TableReader) -> tuple[settings.JobClass, ...]:
+    tables = root.tables("services")
+    classes = tuple(_job_class(table, index, families) for index, table in enumerate(tables))
+    if not classes:
+        raise InvalidFieldError("services", [], "is empty or missing")
+    return classes
+
+
+def _job_class(table: _TableReader, index: int, families: _TableReader) -> settings.JobClass:
+    """Parse one class; part of it stands in lists of `familyInfo`, at the class's place."""
+
+    def family_number(key: str, default: float, minimum: float) -> float:
+        values = families.items(key)
+        if index >= len(values):
             return default
-        return _Table({key: values[place]}, f"{family.name}[{place}]").number(key, None, low)
+        return _TableReader({key: values[index]}, f"{families.name}[{index}]").number(key, None, minimum)
 
-    kind = int(of_family("classKind", -1, -1))
-    deadline = table.number("deadline", None)
-    if deadline <= 0:
-        raise SettingsError(f"settings: {table.name}.deadline = {deadline} is not a positive number")
+    kind = int(family_number("classKind", _NO_WORKER_KIND, _NO_WORKER_KIND))
+    deadline_ms = table.number("deadline", None)
+    if deadline_ms <= 0:
+        name = table.full_name("deadline")
+        raise InvalidFieldError(name, deadline_ms, "is not a positive number", show_value=True)
     return settings.JobClass(
         latency_objective_ms=table.number("goalTime", None),
-        deadline_ms=deadline,
+        deadline_ms=deadline_ms,
         priority_weight=table.number("gain", 1.0),
         late_weight=table.number("lateWorth", 0.0),
-        latency_objective_per_work=table.number("aimStretch", of_family("classStretch", 0.0, 0.0)),
-        idempotency=table.word("repeat", _EFFECTS, "fragile"),
-        deduplication_scope=table.word("keyScope", _GROUPS, "cell"),
+        latency_objective_per_work=table.number("aimStretch", family_number("classStretch", 0.0, 0.0)),
+        idempotency=table.word("repeat", _IDEMPOTENCY_BY_WORD, "fragile"),
+        deduplication_scope=table.word("keyScope", _DEDUPLICATION_SCOPE_BY_WORD, "cell"),
         idempotency_window_ms=table.number("window", 0.0),
         stream=table.flag("stream"),
         worker_kind=None if kind < 0 else kind,
-        priority=int(of_family("classPriority", 0, -math.inf)),
+        priority=int(family_number("classPriority", 0, _LOWEST_PRIORITY)),
     )
 
 
-def _tenant(table: _Table) -> settings.Tenant:
+def _tenant(table: _TableReader) -> settings.Tenant:
     return settings.Tenant(table.number("share", 1.0), table.number("allowancePerS", 0.0))
 
 
-def check_entry(kind: str, value: Any) -> None:
-    """Check one entry alone, a `class` or a `tenant`, as `settings_from` does; SettingsError where it can't
-    be.
-    """
-    if kind == "class":
-        _class(_Table(value, kind), 0, _Table({}, "familyInfo"))
-    else:
-        _tenant(_Table(value, kind))
+def _costs(table: _TableReader) -> settings.Costs:
+    return settings.Costs(
+        cross_zone_cost=table.number("crossZone", 0.0),
+        wasted_work_cost=table.number("waste", 0.0),
+        probe_cost=table.number("probe", 0.0),
+        connection_cost=table.number("connection", 0.0),
+        handshake_cost=table.number("handshake", 0.0),
+        late_failure_cost=table.number("lateFail", 0.0),
+    )
 
 
-def settings_from(value: Any) -> settings.Settings:
-    """The start settings; unknown keys are skipped, impossible values refused by the key's name."""
-    top = _Table(value, "")
-    family, allowed, charged, rules, stats = (
-        top.table(key) for key in ("familyInfo", "permissions", "charges", "rules", "stats")
+def _limits(table: _TableReader) -> settings.Limits:
+    return settings.Limits(
+        may_cancel=table.flag("cancel"),
+        may_probe=table.flag("probes"),
+        parallel_attempts=table.flag("parallelTries"),
+        clients_honour_retry_after=table.flag("retryAfter"),
+        max_attempts=table.integer("maxAttempts", 1, 1),
+        max_retry_after_ms=table.number("maxRetryAfter", 0.0),
+        connect_timeout_ms=table.number("connectTimeout", 250.0),
+        idle_timeout_ms=table.number("idleClose", 15000.0),
     )
-    classes = tuple(_class(table, i, family) for i, table in enumerate(top.tables("services")))
-    if not classes:
-        raise SettingsError("settings: services is empty or missing")
-    zones = top.items("areas")
-    locality = top.whole("locality", 0)
-    if locality >= max(1, len(zones)):
-        raise SettingsError(f"settings: locality = {locality} is not one of the areas")
-    fields = stats.items("fields") if stats.word("source", _SOURCES, "off") else []
-    return settings.Settings(
-        classes=classes,
-        tenants=tuple(_tenant(table) for table in top.tables("tenants")),
-        costs=settings.Costs(
-            cross_zone_cost=charged.number("crossZone", 0.0),
-            wasted_work_cost=charged.number("waste", 0.0),
-            probe_cost=charged.number("probe", 0.0),
-            connection_cost=charged.number("connection", 0.0),
-            handshake_cost=charged.number("handshake", 0.0),
-            late_failure_cost=charged.number("lateFail", 0.0),
-        ),
-        limits=settings.Limits(
-            may_cancel=allowed.flag("cancel"),
-            may_probe=allowed.flag("probes"),
-            parallel_attempts=allowed.flag("parallelTries"),
-            clients_honour_retry_after=allowed.flag("retryAfter"),
-            max_attempts=allowed.whole("maxAttempts", 1, 1),
-            max_retry_after_ms=allowed.number("maxRetryAfter", 0.0),
-            connect_timeout_ms=allowed.number("connectTimeout", 250.0),
-            idle_timeout_ms=allowed.number("idleClose", 15000.0),
-        ),
-        guarantees=settings.Guarantees(
-            answer_slack_ms=rules.number("answerSlack", 0.0),
-            drain_grace_ms=rules.number("drainGrace", 0.0),
-            slow_start_ms=rules.number("cold", 0.0),
-            initial_capacity_fraction=rules.number("coldFrom", 1.0, 0.0, 1.0),
-            overload_multiple=rules.number("tipMultiple", 1.0),
-            overload_window_ms=rules.number("overloadFor", 1000.0),
-            poll_deadline_ms=rules.number("askWithin", 10000.0),
-        ),
-        weight_kind=top.word("weights", _WEIGHTS, "off"),
-        own_zone=locality,
-        zone_count=max(1, len(zones)),
-        scheduler_count=top.whole("siblings", 1, 1),
-        tick_ms=top.number("tick", 1.0),
-        endpoints_polled=top.word("discovery", _DISCOVERY, "pushed"),
-        workers_report_start=family.flag("tellsStart"),
-        progress_interval_ms=family.number("progress", 0.0),
-        report_fields=tuple(_FIELDS.get(name, "") if isinstance(name, str) else "" for name in fields),
-        weight_by_work=top.word("worthBy", {"request": False, "work": True}, "request"),
+
+
+def _guarantees(table: _TableReader) -> settings.Guarantees:
+    return settings.Guarantees(
+        answer_slack_ms=table.number("answerSlack", 0.0),
+        drain_grace_ms=table.number("drainGrace", 0.0),
+        slow_start_ms=table.number("cold", 0.0),
+        initial_capacity_fraction=table.number("coldFrom", 1.0, 0.0, 1.0),
+        overload_multiple=table.number("tipMultiple", 1.0),
+        overload_window_ms=table.number("overloadFor", 1000.0),
+        poll_deadline_ms=table.number("askWithin", 10000.0),
+    )
+
+
+def _own_zone(root: _TableReader, zone_count: int) -> int:
+    own_zone = root.integer("locality", 0)
+    if own_zone >= max(1, zone_count):
+        raise InvalidFieldError("locality", own_zone, "is not one of the areas", show_value=True)
+    return own_zone
+
+
+def _report_fields(table: _TableReader) -> tuple[str, ...]:
+    """The fields of the workers' reports in order; empty names for those that the decisions do not read."""
+    if not table.word("source", _REPORTS_ENABLED_BY_WORD, "off"):
+        return ()
+    return tuple(
+        _REPORT_FIELD_BY_PROTOCOL_NAME.get(name, "") if isinstance(name, str) else ""
+        for name in table.items("fields")
     )
--- a/pipitshed/server/server.py
+++ b/pipitshed/server/server.py
@@ -16,7 +16,9 @@
 from pipitshed.admin.metrics import Gauges, by_class, count_lines, render
 from pipitshed.config.class_registry import DROPPED_CLASS_GRACE_S, ClassChanges, ClassRegistry
 from pipitshed.config.completeness import missing_key
-from pipitshed.config.platform import Config, ConfigError, FrontConfig, load_platform_config, with_settings
+from pipitshed.config.errors import ConfigError
+from pipitshed.config.front import FrontConfig
+from pipitshed.config.platform import Config, load_platform_config, with_settings
 from pipitshed.discovery.catalog import SOURCE as DISCOVERY
 from pipitshed.discovery.catalog import (
     CatalogClient,
@@ -186,7 +188,9 @@
     ) -> GearmanFrontend:
         functions = {}
         translator = self.translation.translator if self.translation is not None else None
-        for name, (class_name, tenant, patience, form) in front.functions.items():
+        for name, function in front.functions.items():
+            class_name, tenant = function.job_class, function.tenant
+            patience, form = function.client_timeout_ms, function.form_version
             number = config.classes.index(class_name)
             known = config.tenants.index(tenant) if tenant in config.tenants else len(config.tenants)
             if translator is not None and form is None:
@@ -235,7 +239,11 @@
 
         zone = config.zones[config.settings.own_zone] if config.zones else ""
         # Gearman's functions and workers know the classes by the numbers of the start.
-        fixed = frozenset(name for name, *_ in front.functions.values()) if front.listen else frozenset()
+        fixed = (
+            frozenset(function.job_class for function in front.functions.values())
+            if front.listen
+            else frozenset()
+        )
         tuned = SettingsTarget(
             lambda: self.config.raw or {},
             lambda settings: self._retune(with_settings(self.config, settings)),
@@ -326,7 +334,7 @@
         taken = self.book.accepted_at(now)
         self.front.parser.apply_settings(taken, self.config.tenants)
         # Guards against a timer that fires a little early, as uvloop's may: the grace is then not over yet.
-        if pending := [until for _, until in self.book.leaving.values() if until > now]:
+        if pending := [entry.until for entry in self.book.leaving.values() if entry.until > now]:
             self._loop.call_later(min(pending) - now + 0.001, self._door)
         else:
             log.info("classes taken now: %s", ", ".join(taken))
--- a/pipitshed/server/translation.py
+++ b/pipitshed/server/translation.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Sequence
 
-from pipitshed.config.platform import Translation
+from pipitshed.config.front import Translation
 from pipitshed.discovery.worker_interfaces import InterfaceRegistry
 from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.proxy.request import Endpoint
@@ -27,7 +27,7 @@
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         self.translator = Translator(asked.file, classes)
-        self.carrier = GrpcWorkerClient(core, classes, loop, asked.keepalive)
+        self.carrier = GrpcWorkerClient(core, classes, loop, asked.keepalive_s)
         self.sounder = InterfaceProber(loop, self._sounded)
         self.interfaces = InterfaceRegistry(
             core.endpoints,
--- a/pipitshed/simulator/wire.py
+++ b/pipitshed/simulator/wire.py
@@ -14,7 +14,8 @@
 
 import msgspec
 
-from pipitshed.config.settings_parser import SettingsError, settings_from
+from pipitshed.config.errors import SettingsError
+from pipitshed.config.settings_parser import settings_from
 from pipitshed.scheduling import actions, events
 from pipitshed.scheduling.settings import Settings
 
--- a/tests/equivalence/names.py
+++ b/tests/equivalence/names.py
@@ -162,9 +162,9 @@
         made = settings_from(settings)
         if not self._on_sockets:
             return made
-        from pipitshed.config.platform import _on_sockets
+        from pipitshed.config.platform import settings_for_sockets
 
-        return _on_sockets(made)
+        return settings_for_sockets(made)
 
     def retune(self, settings: Fields) -> None:
         """New settings under way."""
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -12,7 +12,8 @@
 
 from pipitshed.config.class_registry import ClassRegistry
 from pipitshed.config.completeness import missing_key
-from pipitshed.config.platform import load_front, load_platform_config
+from pipitshed.config.front import load_front
+from pipitshed.config.platform import load_platform_config
 from pipitshed.scheduling.actions import StartAttempt
 from pipitshed.scheduling.dispatcher import Dispatcher
 from pipitshed.scheduling.events import EndpointEntry, EndpointsUpdated, JobSubmitted, UpdateKind
--- a/tests/test_settings_fleet.py
+++ b/tests/test_settings_fleet.py
@@ -25,7 +25,8 @@
 from pipitshed.cluster.codec import Codec
 from pipitshed.cluster.messages import AskForce, ClusterMessage, Put, PutDone
 from pipitshed.cluster.node import ClusterNode
-from pipitshed.config.platform import Config, load_front, load_platform_config, with_settings
+from pipitshed.config.front import load_front
+from pipitshed.config.platform import Config, load_platform_config, with_settings
 from pipitshed.replication.acting import AppliedReport
 from pipitshed.server.server import Scheduler
 
--- a/tests/test_settings_rows.py
+++ b/tests/test_settings_rows.py
@@ -16,7 +16,8 @@
 from pipitshed.cluster import row_store as rowsfile
 from pipitshed.cluster.codec import Codec
 from pipitshed.cluster.row_store import StoredRows
-from pipitshed.config.row_overlay import Overlay, RowRejectedError, check, file_value, overlay
+from pipitshed.config.errors import RowRejectedError
+from pipitshed.config.row_overlay import Overlay, check, file_value, overlay
 from pipitshed.config.settings_parser import settings_from
 from pipitshed.replication.acting import (
     ASK_AFTER,
@@ -55,8 +56,8 @@
         row("tenant/andes-retail/allowancePerS", b"", deleted=True),
     ]
     laid = overlay(file, rows)
-    assert file == before and not laid.refused
-    assert laid.acted == {one.key: one for one in rows}
+    assert file == before and not laid.rejected
+    assert laid.applied == {one.key: one for one in rows}
     assert laid.raw["settings"]["tenants"] == [before["settings"]["tenants"][0] | {"share": 0.4}]
     settings = settings_from(laid.raw["settings"])
     assert (settings.classes[0].latency_objective_ms, settings.classes[1].priority_weight) == (1500.0, 20.0)
@@ -112,32 +113,32 @@
     with pytest.raises(RowRejectedError, match=why):
         check(raw(), bad)
     laid = overlay(raw(), [bad, row(GOAL, b"1500")])
-    assert laid.refused == {bad.key: pytest.approx(laid.refused[bad.key])} and why in laid.refused[bad.key]
-    assert set(laid.acted) == {GOAL}
+    assert laid.rejected == {bad.key: pytest.approx(laid.rejected[bad.key])} and why in laid.rejected[bad.key]
+    assert set(laid.applied) == {GOAL}
     if bad.key == SHARE:  # where one was acted on before, it stands
         old = row(body=b"0.25")
         laid = overlay(raw(), [row(number=2, **changed)], {SHARE: old})
-        assert laid.acted == {SHARE: old} and SHARE in laid.refused
+        assert laid.applied == {SHARE: old} and SHARE in laid.rejected
         assert laid.raw["settings"]["tenants"][0]["share"] == 0.25
 
 
 def test_a_row_whose_key_a_new_file_lacks_is_refused_and_acted_on_again_where_it_comes_back() -> None:
     only = raw(services=SETTINGS["services"][1:])
-    stood = overlay(raw(), [row(GOAL, b"1500")]).acted
+    stood = overlay(raw(), [row(GOAL, b"1500")]).applied
     laid = overlay(only, [row(GOAL, b"1500")], stood)
     assert laid == Overlay(laid.raw, {}, {GOAL: "the settings in force have no class 'quote'"})
     assert laid.raw["settings"]["services"] == only["settings"]["services"]
-    assert overlay(raw(), [row(GOAL, b"1500")], laid.acted).acted == stood
+    assert overlay(raw(), [row(GOAL, b"1500")], laid.applied).applied == stood
 
 
 def test_a_class_of_gearmans_functions_is_refused_and_no_other() -> None:
     laid = overlay(raw(), [row(GOAL, b"1500"), row("class/book/goalTime", b"1500"), row()], fixed={"book"})
-    assert set(laid.acted) == {GOAL, SHARE} and "Gearman's" in laid.refused["class/book/goalTime"]
+    assert set(laid.applied) == {GOAL, SHARE} and "Gearman's" in laid.rejected["class/book/goalTime"]
 
 
 def test_a_name_that_stands_twice_or_holds_a_slash_is_no_riddle() -> None:
     twice = raw(tenants=SETTINGS["tenants"] * 2)
-    assert "more than one tenant" in overlay(twice, [row()]).refused[SHARE]
+    assert "more than one tenant" in overlay(twice, [row()]).rejected[SHARE]
     slash = raw(tenants=[{"name": "a/b", "share": 1.0, "allowancePerS": 5.0}])
     assert overlay(slash, [row("tenant/a/b/share", b"0.5")]).raw["settings"]["tenants"][0]["share"] == 0.5
 
@@ -150,8 +151,8 @@
 def test_whatever_rows_come_what_is_laid_is_a_file_that_can_be_used(rows: list[Row]) -> None:
     laid = overlay(raw(), rows)
     settings_from(laid.raw["settings"])
-    assert set(laid.acted) <= {SHARE, GOAL}
-    assert {one.key for one in rows} == set(laid.acted) | set(laid.refused)
+    assert set(laid.applied) <= {SHARE, GOAL}
+    assert {one.key for one in rows} == set(laid.applied) | set(laid.rejected)
 
 
 # ---- the file that keeps them
