--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -28,8 +28,8 @@
 from benchmarks.capacity.serving import Catalog, Listed, Planners, Scheduler, configuration, scheduler
 from pipitshed.cluster import node as edge
 from pipitshed.cluster.codec import Codec
+from pipitshed.cluster.config_file import ClusterConfig
 from pipitshed.cluster.messages import ClusterMessage
-from pipitshed.cluster.peers_file import ClusterConfig
 from pipitshed.cluster.settings import SettingsTarget
 from pipitshed.config.platform import Config, load_platform_config
 from pipitshed.discovery.catalog import parse_address
--- a/pipitshed/cli/commands.py
+++ b/pipitshed/cli/commands.py
@@ -16,7 +16,7 @@
 from pipitshed.server.server import serve as run_scheduler
 
 if TYPE_CHECKING:
-    from pipitshed.cluster.peers_file import ClusterConfig
+    from pipitshed.cluster.config_file import ClusterConfig
 
 front_option = click.option(
     "--front",
@@ -37,7 +37,7 @@
     """What the fleet's file asks for; nothing of the fleet is loaded where none is named."""
     if path is None:
         return None
-    from pipitshed.cluster.peers_file import ClusterConfigError, read
+    from pipitshed.cluster.config_file import ClusterConfigError, read
 
     try:
         peers = read(path)
@@ -163,7 +163,7 @@
 
         kinds[which] = Fleet
     elif which == "peers":
-        from pipitshed.cluster.peers_file import ClusterFile
+        from pipitshed.cluster.config_file import ClusterFile
 
         kinds[which] = ClusterFile
     made = {"$schema": "https://json-schema.org/draft/2020-12/schema"} | msgspec.json.schema(kinds[which])
--- a/pipitshed/cli/fleet.py
+++ b/pipitshed/cli/fleet.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from pipitshed.cluster.codec import FRAME_LIMIT, LENGTH, Codec, MessageRejectedError
+from pipitshed.cluster.config_file import ClusterConfigError, read
 from pipitshed.cluster.messages import ClusterMessage, Leave, Show, Shown
-from pipitshed.cluster.peers_file import ClusterConfigError, read
 from pipitshed.cluster.streams import framed
 from pipitshed.discovery.catalog import parse_address
 from pipitshed.membership.members import Address
--- a/pipitshed/cluster/codec.py
+++ b/pipitshed/cluster/codec.py
@@ -1,7 +1,8 @@
-"""Messages as bytes: a version, a checksum over all that follows, the cluster's name and MessagePack."""
+"""Encodes messages: a version, a checksum of all that follows, the name of the cluster, and MessagePack."""
 
 from __future__ import annotations
 
+import enum
 import hashlib
 import struct
 
@@ -10,21 +11,39 @@
 from pipitshed.cluster.messages import ClusterMessage
 
 VERSION = 2
-DATAGRAM_LIMIT = 1400  # bytes; what is longer goes over a stream
+DATAGRAM_LIMIT = 1400  # bytes; a longer message goes over a stream
 FRAME_LIMIT = 1 << 20  # bytes of one message on a stream: some 10,000 members
-CHECKSUM = 8  # bytes
+CHECKSUM_BYTES = 8
 LENGTH = struct.Struct("<I")  # before each message on a stream
-_HEAD = struct.Struct(f"<2sB{CHECKSUM}s")
-_MARK = b"PF"
+_MAGIC = b"PF"
+_VERSION_OFFSET = len(_MAGIC)
+_CHECKSUM_OFFSET = _VERSION_OFFSET + 1
+_HEADER = struct.Struct(f"<{len(_MAGIC)}sB{CHECKSUM_BYTES}s")
+
+
+class RejectionReason(enum.Enum):
+    """Why bytes are no message of this cluster; the values are words of the counters."""
+
+    UNKNOWN_FORMAT = "strange"
+    VERSION = "version"
+    CHECKSUM = "checksum"
+    MALFORMED = "malformed"
+    OTHER_CLUSTER = "cluster"
 
 
 class MessageRejectedError(ValueError):
-    """Bytes that are no message of this cluster; the text is the reason in one word, to be counted by."""
+    """Bytes that are no message of this cluster; the text is the word of the reason."""
+
+    def __init__(self, reason: RejectionReason) -> None:
+        super().__init__(reason.value)
+        self.reason = reason
 
 
 class Codec:
-    """Writes and reads the messages of one cluster. With a secret the checksum is keyed, so that nobody
-    without it can forge a message; without one it guards against damage alone.
+    """Encodes and decodes the messages of one cluster.
+
+    With a secret the checksum is keyed, so that nobody without it can forge a message. Without one the
+    checksum only detects damage.
     """
 
     def __init__(self, cluster: str, secret: bytes = b"") -> None:
@@ -36,24 +55,28 @@
     def encode(self, message: ClusterMessage) -> bytes:
         """The bytes of one message."""
         body = self._encoder.encode((self._cluster, message))
-        return _HEAD.pack(_MARK, VERSION, self._sum(body)) + body
+        return _HEADER.pack(_MAGIC, VERSION, self._checksum(body)) + body
 
     def decode(self, data: bytes) -> ClusterMessage:
-        """The message in these bytes; RefusedError where they are none of this cluster's."""
-        if len(data) <= _HEAD.size or data[:2] != _MARK:
-            raise MessageRejectedError("strange")
-        if data[2] != VERSION:
-            raise MessageRejectedError("version")
-        body = data[_HEAD.size :]
-        if data[3 : _HEAD.size] != self._sum(body):
-            raise MessageRejectedError("checksum")
+        """The message in these bytes.
+
+        Raises:
+            MessageRejectedError: The bytes are no message of this cluster.
+        """
+        if len(data) <= _HEADER.size or data[:_VERSION_OFFSET] != _MAGIC:
+            raise MessageRejectedError(RejectionReason.UNKNOWN_FORMAT)
+        if data[_VERSION_OFFSET] != VERSION:
+            raise MessageRejectedError(RejectionReason.VERSION)
+        body = data[_HEADER.size :]
+        if data[_CHECKSUM_OFFSET : _HEADER.size] != self._checksum(body):
+            raise MessageRejectedError(RejectionReason.CHECKSUM)
         try:
             cluster, message = self._decoder.decode(body)
         except msgspec.MsgspecError:
-            raise MessageRejectedError("malformed") from None
+            raise MessageRejectedError(RejectionReason.MALFORMED) from None
         if cluster != self._cluster:
-            raise MessageRejectedError("cluster")
+            raise MessageRejectedError(RejectionReason.OTHER_CLUSTER)
         return message
 
-    def _sum(self, body: bytes) -> bytes:
-        return hashlib.blake2b(body, digest_size=CHECKSUM, key=self._secret).digest()
+    def _checksum(self, body: bytes) -> bytes:
+        return hashlib.blake2b(body, digest_size=CHECKSUM_BYTES, key=self._secret).digest()
--- a/pipitshed/cluster/datagrams.py
+++ b/pipitshed/cluster/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between schedulers, and a bound on what strangers may cost."""
+"""The datagram socket between schedulers, with a rate limit on what is read from it."""
 
 from __future__ import annotations
 
@@ -6,86 +6,94 @@
 from collections.abc import Callable
 from typing import cast
 
+from pipitshed.cluster import counters
 from pipitshed.cluster.codec import DATAGRAM_LIMIT, Codec, MessageRejectedError
 from pipitshed.cluster.messages import ClusterMessage
 from pipitshed.membership.members import Address
 
-STRANGERS = 200.0  # datagrams a second that are read from addresses of no known member, in all
-STRANGERS_AT_ONCE = 400.0
-MEMBERS = 4000.0  # and from those of known members
-MEMBERS_AT_ONCE = 8000.0
+UNKNOWN_SENDERS_PER_S = 200.0  # datagrams read from addresses of no known member, all together
+UNKNOWN_SENDERS_BURST = 400.0
+MEMBERS_PER_S = 4000.0  # datagrams read from known members, all together
+MEMBERS_BURST = 8000.0
 
 
 class RateLimiter:
-    """So many a second, and so many at once."""
-
-    __slots__ = ("_rate", "_most", "_left", "_at")
-
-    def __init__(self, rate: float, most: float) -> None:
-        self._rate, self._most = rate, most
-        self._left, self._at = most, 0.0
-
-    def take(self, now: float) -> bool:
-        """One, if there is one left. `now` in seconds of any clock that goes forward."""
-        self._left = min(self._most, self._left + (now - self._at) * self._rate)
-        self._at = now
-        if self._left < 1.0:
+    """A token bucket: so many events a second, and so many at once."""
+
+    __slots__ = ("_rate_per_s", "_burst", "_tokens", "_updated_at")
+
+    def __init__(self, rate_per_s: float, burst: float) -> None:
+        self._rate_per_s = rate_per_s
+        self._burst = burst
+        self._tokens = burst
+        self._updated_at = 0.0
+
+    def try_acquire(self, now: float) -> bool:
+        """Use up one token, if there is one; `now` is in seconds of any monotonic clock."""
+        refill = (now - self._updated_at) * self._rate_per_s
+        self._tokens = min(self._burst, self._tokens + refill)
+        self._updated_at = now
+        if self._tokens < 1.0:
             return False
-        self._left -= 1.0
+        self._tokens -= 1.0
         return True
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """The socket for probes."""
+    """The datagram socket of one scheduler."""
 
     def __init__(
         self,
         codec: Codec,
         loop: asyncio.AbstractEventLoop,
-        hear: Callable[[ClusterMessage, Address], None],
-        known: Callable[[Address], bool],
+        on_message: Callable[[ClusterMessage, Address], None],
+        is_member: Callable[[Address], bool],
         count: Callable[[str], None],
     ) -> None:
         self._codec = codec
         self._loop = loop
-        self._hear = hear
-        self._known = known
+        self._on_message = on_message
+        self._is_member = is_member
         self._count = count
         self._transport: asyncio.DatagramTransport | None = None
-        self._strangers = RateLimiter(STRANGERS, STRANGERS_AT_ONCE)
-        self._members = RateLimiter(MEMBERS, MEMBERS_AT_ONCE)
+        self._unknown_sender_limiter = RateLimiter(UNKNOWN_SENDERS_PER_S, UNKNOWN_SENDERS_BURST)
+        self._member_limiter = RateLimiter(MEMBERS_PER_S, MEMBERS_BURST)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop once the socket is open."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
+        """Called by the event loop with each datagram."""
         address = (addr[0], addr[1])
-        allowance = self._members if self._known(address) else self._strangers
-        # Guards the loop against a flood: what is over is dropped unread, and members keep a part for them.
-        if not allowance.take(self._loop.time()):
-            self._count("dropped_flood")
+        limiter = self._member_limiter if self._is_member(address) else self._unknown_sender_limiter
+        # A flood would keep the loop from all other work, so the excess is dropped before it is decoded.
+        # Members have a limit of their own: a flood from other addresses costs them no datagram.
+        if not limiter.try_acquire(self._loop.time()):
+            self._count(counters.DROPPED_RATE_LIMIT)
             return
         if len(data) > DATAGRAM_LIMIT:
-            self._count("dropped_size")
+            self._count(counters.DROPPED_SIZE_LIMIT)
             return
         try:
             message = self._codec.decode(data)
         except MessageRejectedError as error:
-            self._count(f"dropped_{error}")
+            self._count(counters.dropped(error))
             return
-        self._count("datagrams_in")
-        self._hear(message, address)
+        self._count(counters.DATAGRAMS_IN)
+        self._on_message(message, address)
 
-    def error_received(self, exc: Exception) -> None:
-        self._count("datagram_errors")  # nobody listens there, which the probe's silence says as well
+    def error_received(self, _error: Exception) -> None:
+        """Called by the event loop, for example where nobody listens at an address; probes detect that."""
+        self._count(counters.DATAGRAM_ERRORS)
 
-    def send(self, to: Address, data: bytes) -> None:
+    def send(self, address: Address, data: bytes) -> None:
         """Send one datagram; it may be lost."""
         if self._transport is not None and not self._transport.is_closing():
-            self._count("datagrams_out")
-            self._transport.sendto(data, to)
+            self._count(counters.DATAGRAMS_OUT)
+            self._transport.sendto(data, address)
 
     def close(self) -> None:
-        """End it."""
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
--- a/pipitshed/cluster/messages.py
+++ b/pipitshed/cluster/messages.py
@@ -1,4 +1,8 @@
-"""What operators ask a scheduler about its fleet, beside what schedulers say to each other."""
+"""Messages between operators and a scheduler, and the union of all messages of a cluster.
+
+The tag of a message and the order of its fields are the wire format. `fleet show --json` and `settings show
+--json` print the fields of `Shown`, `MemberRow` and `ShownRow` by their names.
+"""
 
 from __future__ import annotations
 
@@ -9,14 +13,14 @@
 
 
 class Show(msgspec.Struct, frozen=True, array_like=True, tag=16):
-    """Tell your view."""
+    """Request for the membership view; answered by `Shown`."""
 
 
 class Leave(msgspec.Struct, frozen=True, array_like=True, tag=17):
-    """Leave the fleet in good order, and serve on."""
+    """Request to leave the fleet in good order, and to go on serving; answered by `Shown`."""
 
 
-class Row(msgspec.Struct, frozen=True, array_like=True):
+class MemberRow(msgspec.Struct, frozen=True, array_like=True):
     """One member as a view holds it."""
 
     name: str
@@ -24,38 +28,35 @@
     address: str
     state: str
     incarnation: int
-    for_s: float  # it has been held so for this long
-    said_by: str
-    agrees: bool | None  # whether its last answer told the same view; None where it has told none
+    for_s: float  # how long it has been in this state
+    said_by: str  # the member that reported this state
+    agrees: bool | None  # whether its last answer had the same view; None where it has sent none
 
 
 class Shown(msgspec.Struct, frozen=True, array_like=True, tag=18):
-    """A scheduler's view, in answer to `Show` and `Leave`."""
+    """A scheduler's membership view, in answer to `Show` and `Leave`."""
 
     name: str
-    number: int  # counts the view's changes
-    digest: str  # of who lives, and where
-    health: int  # how far it doubts itself; 0 is well
-    displaced: bool  # another process holds its name
+    number: int  # the number of changes of the view
+    digest: str  # of the live members and their addresses
+    health: int  # the local health score; 0 is healthy
+    displaced: bool  # another process has its name
     leaving: bool
-    members: tuple[Row, ...]
-    counts: dict[str, int]  # of messages, and of what was dropped and why
-
-
-# ---- settings by row
+    members: tuple[MemberRow, ...]
+    counts: dict[str, int]  # counters by name, see `counters`
 
 
 class Put(msgspec.Struct, frozen=True, array_like=True, tag=34):
-    """Write this row, or delete it where there is no body."""
+    """Request to write a settings row, or to delete it where there is no body; answered by `PutDone`."""
 
     key: str
     body: bytes | None
-    over: tuple[int, int]  # term and number of the row that it takes the place of; (0, 0) for none
-    take_over: bool = False
+    over: tuple[int, int]  # term and number of the row that it replaces; (0, 0) for none
+    take_over: bool = False  # replace a row that another scheduler writes
 
 
 class PutDone(msgspec.Struct, frozen=True, array_like=True, tag=35):
-    """The row is written and acted on here, or it is not and `why` says so."""
+    """The row is written and applied here; or it is not, and `why` is the reason."""
 
     name: str
     why: str
@@ -64,34 +65,34 @@
 
 
 class ShowRows(msgspec.Struct, frozen=True, array_like=True, tag=36):
-    """Tell the row of this key, or all of them."""
+    """Request for the row of this key, or for all rows; answered by `ShownRows`."""
 
     key: str = ""
 
 
 class ShownRow(msgspec.Struct, frozen=True, array_like=True):
-    """One row as a scheduler holds it."""
+    """One settings row as a scheduler holds it."""
 
     key: str
-    value: float | None  # in force here
-    file: float | None  # what the settings file says
-    asked: str  # the row's own value, which is not in force where it is refused
+    value: float | None  # applied here
+    file: float | None  # the settings file's value
+    asked: str  # the row's own value, which is not applied where the row is rejected
     term: int
     number: int
     writer: str
     deleted: bool
-    refused: str  # why; empty where it is acted on
+    refused: str  # the reason why it is rejected; empty where it is applied
 
 
 class ShownRows(msgspec.Struct, frozen=True, array_like=True, tag=37):
-    """A scheduler's rows."""
+    """A scheduler's settings rows, in answer to `ShowRows`."""
 
     name: str
     rows: tuple[ShownRow, ...]
 
 
 class AskForce(msgspec.Struct, frozen=True, array_like=True, tag=38):
-    """Is this row in force everywhere?"""
+    """Question whether this row is applied by all live members; answered by `Force`."""
 
     key: str
     term: int
@@ -99,28 +100,28 @@
 
 
 class Force(msgspec.Struct, frozen=True, array_like=True, tag=39):
-    """Who acts on a row, as far as the scheduler asked knows."""
+    """Which members apply a row, as far as the answering scheduler knows."""
 
     in_force: bool
     acting: tuple[str, ...]
-    missing: tuple[tuple[str, str], ...]  # and why, where one refuses it
-    out_of_touch: tuple[str, ...]
-    superseded: str = ""  # by which row
+    missing: tuple[tuple[str, str], ...]  # name, and the reason where the member rejects the row
+    out_of_touch: tuple[str, ...]  # members that have failed
+    superseded: str = ""  # the row that has replaced it
 
 
 class AskStatus(msgspec.Struct, frozen=True, array_like=True, tag=40):
-    """What do you act on, and whom do you know?"""
+    """Request for the applied rows and the known members; answered by `Status`."""
 
 
 class Status(msgspec.Struct, frozen=True, array_like=True, tag=41):
-    """What a scheduler acts on."""
+    """What a scheduler applies, in answer to `AskStatus`."""
 
     name: str
-    digest: str  # of the rows that it acts on
-    rows: int
-    for_s: float  # it has acted on them for this long
+    digest: str  # of the applied rows
+    rows: int  # how many rows are applied or rejected
+    for_s: float  # how long it has applied them
     caught_up: bool
-    unsaved: str  # why the rows could not be kept; empty where they were
+    unsaved: str  # why the rows could not be stored; empty where they were
     refused: tuple[tuple[str, str], ...]  # key and reason
     members: tuple[tuple[str, str, str], ...]  # name, peer address, state
 
--- a/pipitshed/cluster/node.py
+++ b/pipitshed/cluster/node.py
@@ -12,10 +12,10 @@
 from collections import Counter
 
 from pipitshed.cluster.codec import DATAGRAM_LIMIT, Codec
+from pipitshed.cluster.config_file import ClusterConfig
 from pipitshed.cluster.datagrams import Datagrams
 from pipitshed.cluster.event_log import EventLog
-from pipitshed.cluster.messages import Answer, ClusterMessage, Leave, Row, Settings, Show, Shown
-from pipitshed.cluster.peers_file import ClusterConfig
+from pipitshed.cluster.messages import Answer, ClusterMessage, Leave, MemberRow, Settings, Show, Shown
 from pipitshed.cluster.settings import ReplicatedSettings, Reply, SettingsTarget
 from pipitshed.cluster.streams import Streams
 from pipitshed.membership.effects import Instruction, MemberStateChanged, RowsChanged, SendMessage, Superseded
@@ -63,7 +63,7 @@
         )
         self.membership = Membership(
             me,
-            peers.scales,
+            peers.timings,
             peers.seeds,
             random.Random(secrets.randbits(64)),
             loop.time(),
@@ -192,7 +192,7 @@
 
     def reply(self, source: Address) -> Reply | None:
         """What answers the stream that is being heard, now or later; None where it is none."""
-        answer = self._streams.later(source)
+        answer = self._streams.deferred_answer(source)
         return None if answer is None else lambda message: answer(self._codec.encode(message))
 
     def spread(self, row: SettingsRow) -> None:
@@ -234,7 +234,7 @@
             return None if word.is_departed else membership.replicator.agree(word.name)
 
         rows = [
-            Row(
+            MemberRow(
                 word.name,
                 word.zone,
                 f"{word.host}:{word.port}",
--- a/pipitshed/cluster/row_store.py
+++ b/pipitshed/cluster/row_store.py
@@ -1,4 +1,4 @@
-"""The file that keeps rows over a restart: written whole, and read only where it is whole."""
+"""The file that stores settings rows over a restart: replaced as a whole, and read only if undamaged."""
 
 from __future__ import annotations
 
@@ -11,22 +11,25 @@
 
 from pipitshed.replication.row import Row
 
-MARK = b"pipitshed rows 1 "  # before the checksum; another version is left aside
-_SUM = 32  # hexadecimal digits
+MARK = b"pipitshed rows 1 "  # before the checksum; a file of another version is moved aside
+CHECKSUM_BYTES = 16
+DAMAGED_SUFFIX = ".damaged"
+PARTIAL_SUFFIX = ".part"
 
 log = logging.getLogger("pipitshed.fleet")
 
 
 class StoredRows(msgspec.Struct, array_like=True):
-    """What the file holds."""
+    """The content of the file."""
 
     rows: tuple[Row, ...] = ()
-    stood: tuple[Row, ...] = ()  # acted on in place of a row that was refused
+    previously_applied: tuple[Row, ...] = ()  # still applied where a newer row was rejected
 
 
 def read(path: Path) -> StoredRows:
-    """What the last write left. A file that is damaged is logged and moved aside, so that the next write does
-    not take it away; nothing is read from it.
+    """Read what the last write stored; nothing where there is no file.
+
+    A damaged file is logged and moved aside, so that the next write does not replace it.
     """
     try:
         data = path.read_bytes()
@@ -35,36 +38,54 @@
     except OSError as error:
         log.error("rows are not read: %s: %s", path, error.strerror)
         return StoredRows()
-    head, _, body = data.partition(b"\n")
     try:
-        if head != MARK + _sum(body):
-            raise ValueError("it is not whole, or of another version")
-        return msgspec.json.decode(body, type=StoredRows)
+        return _decode(data)
     except ValueError as error:
-        aside = path.with_name(path.name + ".damaged")
-        log.error("rows are not read: %s: %s; it is left aside as %s", path, error, aside.name)
-        try:
-            os.replace(path, aside)
-        except OSError as failed:
-            log.error("%s can't be moved aside: %s", path, failed.strerror)
+        _move_aside(path, error)
         return StoredRows()
 
 
-def write(path: Path, kept: StoredRows) -> None:
-    """Put this in the place of what is there, whole or not at all; OSError where it can't be."""
-    body = msgspec.json.encode(kept)
-    part = path.with_name(path.name + ".part")
-    with part.open("wb") as out:
-        out.write(MARK + _sum(body) + b"\n" + body)
-        out.flush()
-        os.fsync(out.fileno())
-    os.replace(part, path)
-    folder = os.open(path.parent, os.O_RDONLY)
+def write(path: Path, stored: StoredRows) -> None:
+    """Replace the file, as a whole or not at all.
+
+    Raises:
+        OSError: The file cannot be written.
+    """
+    body = msgspec.json.encode(stored)
+    partial = path.with_name(path.name + PARTIAL_SUFFIX)
+    with partial.open("wb") as file:
+        file.write(MARK + _checksum(body) + b"\n" + body)
+        file.flush()
+        os.fsync(file.fileno())
+    os.replace(partial, path)
+    _sync_folder(path.parent)
+
+
+def _decode(data: bytes) -> StoredRows:
+    head, _, body = data.partition(b"\n")
+    if head != MARK + _checksum(body):
+        raise ValueError("it is not whole, or of another version")
+    return msgspec.json.decode(body, type=StoredRows)
+
+
+def _move_aside(path: Path, reason: ValueError) -> None:
+    aside = path.with_name(path.name + DAMAGED_SUFFIX)
+    log.error("rows are not read: %s: %s; it is left aside as %s", path, reason, aside.name)
+    try:
+        os.replace(path, aside)
+    except OSError as error:
+        log.error("%s can't be moved aside: %s", path, error.strerror)
+
+
+def _sync_folder(path: Path) -> None:
+    """Make the new name of a file durable: without this it may be lost when the machine stops."""
+    descriptor = os.open(path, os.O_RDONLY)
     try:
-        os.fsync(folder)  # so that the name too is there after the machine has stopped
+        os.fsync(descriptor)
     finally:
-        os.close(folder)
+        os.close(descriptor)
 
 
-def _sum(body: bytes) -> bytes:
-    return hashlib.blake2b(body, digest_size=_SUM // 2).hexdigest().encode()
+def _checksum(body: bytes) -> bytes:
+    """The checksum in hexadecimal digits."""
+    return hashlib.blake2b(body, digest_size=CHECKSUM_BYTES).hexdigest().encode()
--- a/pipitshed/cluster/settings.py
+++ b/pipitshed/cluster/settings.py
@@ -37,8 +37,8 @@
 from pipitshed.replication.rows import RowError, RowTable
 
 if TYPE_CHECKING:
+    from pipitshed.cluster.config_file import ClusterConfig
     from pipitshed.cluster.event_log import EventLog
-    from pipitshed.cluster.peers_file import ClusterConfig
     from pipitshed.membership.protocol import Membership
 
 NAME = "settings"
@@ -114,7 +114,9 @@
         for row in kept.rows:
             self.table.apply(row)
         if kept.rows:
-            self._act(tuple(self.table), self.table.digest(), {row.key: row for row in kept.stood})
+            self._act(
+                tuple(self.table), self.table.digest(), {row.key: row for row in kept.previously_applied}
+            )
         self._loop.call_later(ALONE, self._alone)
 
     def _alone(self) -> None:
--- a/pipitshed/cluster/streams.py
+++ b/pipitshed/cluster/streams.py
@@ -1,4 +1,4 @@
-"""Streams by which operators ask a scheduler: one message, and one in answer."""
+"""Streams on which operators send a scheduler one request each and read its answer."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 from collections.abc import Callable
 from typing import cast
 
+from pipitshed.cluster import counters
 from pipitshed.cluster.codec import FRAME_LIMIT, LENGTH, Codec, MessageRejectedError
 from pipitshed.cluster.messages import ClusterMessage
 from pipitshed.membership.members import Address
 from pipitshed.protocols.buffer import Buffer, TooLongError
 
-WITHIN = 2.0  # s in which a stream's message and its answer are there
-MOST = 32  # streams open to this scheduler; what comes beyond is closed
+STREAM_TIMEOUT_S = 2.0  # from the start of a stream to the end of the answer
+MAX_STREAMS = 32  # open at once; further ones are closed
 
 
 def framed(data: bytes) -> bytes:
@@ -21,35 +22,40 @@
 
 
 class _Stream(asyncio.Protocol):
-    """One stream. It reads whole messages, and ends by itself when its time is over."""
+    """One stream; it reads whole messages, and is closed after its timeout."""
 
     def __init__(self, streams: Streams) -> None:
         self._streams = streams
         self._buffer = Buffer(FRAME_LIMIT + LENGTH.size)
-        self._due: asyncio.TimerHandle | None = None
+        self._timeout: asyncio.TimerHandle | None = None
         self.transport: asyncio.Transport | None = None
         self.address: Address = ("", 0)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's are none by inheritance
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports inherit from no base class
         self.address = transport.get_extra_info("peername")[:2]
-        self._due = self._streams.loop.call_later(WITHIN, self.abort)
+        self._timeout = self._streams.loop.call_later(STREAM_TIMEOUT_S, self.abort)
         self._streams.opened(self)
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        if self._due is not None:
-            self._due.cancel()
+    def connection_lost(self, _error: Exception | None) -> None:
+        if self._timeout is not None:
+            self._timeout.cancel()
         self._streams.closed(self)
 
     def data_received(self, data: bytes) -> None:
         try:
             self._buffer.append(data)
-            self._read()
-        except (TooLongError, MessageRejectedError) as error:
-            self._streams.count("dropped_size" if isinstance(error, TooLongError) else f"dropped_{error}")
-            self.abort()
+            self._read_messages()
+        except TooLongError:
+            self._drop(counters.DROPPED_SIZE_LIMIT)
+        except MessageRejectedError as error:
+            self._drop(counters.dropped(error))
 
-    def _read(self) -> None:
+    def _drop(self, counter: str) -> None:
+        self._streams.count(counter)
+        self.abort()
+
+    def _read_messages(self) -> None:
         while len(self._buffer) >= LENGTH.size:
             (length,) = LENGTH.unpack(self._buffer.peek(LENGTH.size))
             if length > FRAME_LIMIT:
@@ -57,78 +63,79 @@
             if len(self._buffer) < LENGTH.size + length:
                 return
             self._buffer.take(LENGTH.size)
-            self._streams.heard(self, self._streams.codec.decode(self._buffer.take(length)))
+            message = self._streams.codec.decode(self._buffer.take(length))
+            self._streams.message_received(self, message)
 
     def answer(self, data: bytes) -> None:
-        """Write the last message, and close behind it."""
+        """Write the answer, and close the stream behind it."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(framed(data))
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the stream at once."""
         if self.transport is not None:
             self.transport.abort()
 
 
 class Streams:
-    """All streams of one scheduler, bounded in number, size and time."""
+    """All streams of one scheduler, limited in number, size and time."""
 
     def __init__(
         self,
         codec: Codec,
         loop: asyncio.AbstractEventLoop,
-        hear: Callable[[ClusterMessage, Address], None],
+        on_message: Callable[[ClusterMessage, Address], None],
         count: Callable[[str], None],
     ) -> None:
         self.codec = codec
         self.loop = loop
         self.count = count
-        self._hear = hear
+        self._on_message = on_message
         self._open: set[_Stream] = set()
-        self._answering: dict[Address, _Stream] = {}
+        self._being_handled: dict[Address, _Stream] = {}
 
     def incoming(self) -> asyncio.Protocol:
-        """A stream that another opens."""
+        """The protocol of a stream that an operator opens."""
         return _Stream(self)
 
     def opened(self, stream: _Stream) -> None:
-        """A stream that another opened stands."""
-        if len(self._open) >= MOST:
-            # Guards against strangers that open streams and say nothing: the oldest gives way only by its
-            # time, so that a flood can't end the exchanges that are under way.
-            self.count("dropped_streams")
+        """A stream was opened."""
+        if len(self._open) >= MAX_STREAMS:
+            # The new stream is closed, not the oldest: a flood of silent streams must not end requests that
+            # are being answered.
+            self.count(counters.DROPPED_STREAM_LIMIT)
             stream.abort()
             return
         self._open.add(stream)
 
     def closed(self, stream: _Stream) -> None:
-        """A stream is gone."""
+        """A stream was closed."""
         self._open.discard(stream)
 
-    def heard(self, stream: _Stream, message: ClusterMessage) -> None:
-        """A whole message on a stream; what is told to its address while it is heard goes back on it."""
-        self.count("streamed_in")
-        self._answering[stream.address] = stream
+    def message_received(self, stream: _Stream, message: ClusterMessage) -> None:
+        """Handle a whole message; an answer to its address while it is handled goes back on the stream."""
+        self.count(counters.STREAM_MESSAGES_IN)
+        self._being_handled[stream.address] = stream
         try:
-            self._hear(message, stream.address)
+            self._on_message(message, stream.address)
         finally:
-            del self._answering[stream.address]
+            del self._being_handled[stream.address]
 
-    def answer(self, to: Address, data: bytes) -> bool:
-        """Answer on the stream that is being heard; False where `to` is none."""
-        stream = self._answering.get(to)
+    def answer(self, address: Address, data: bytes) -> bool:
+        """Answer the message that is being handled; False where it is not from this address."""
+        stream = self._being_handled.get(address)
         if stream is None:
             return False
         stream.answer(data)
         return True
 
-    def later(self, to: Address) -> Callable[[bytes], None] | None:
-        """What answers the stream that is being heard, once the answer is known; None where `to` is none."""
-        stream = self._answering.get(to)
+    def deferred_answer(self, address: Address) -> Callable[[bytes], None] | None:
+        """A function that answers the message being handled later; None where it is not from this address."""
+        stream = self._being_handled.get(address)
         return stream.answer if stream is not None else None
 
     def close(self) -> None:
-        """End all of them."""
+        """Close all streams."""
         for stream in list(self._open):
             stream.abort()
--- a/pipitshed/server/server.py
+++ b/pipitshed/server/server.py
@@ -37,8 +37,8 @@
 from pipitshed.upstream.http import HttpWorkerClient
 
 if TYPE_CHECKING:
+    from pipitshed.cluster.config_file import ClusterConfig
     from pipitshed.cluster.node import ClusterNode
-    from pipitshed.cluster.peers_file import ClusterConfig
     from pipitshed.discovery.dns_sd import DnsSdClient
     from pipitshed.discovery.placement_plan import PlacementPlanSource
     from pipitshed.server.translation import TranslationParts
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -18,10 +18,10 @@
 from pipitshed.cli.commands import main
 from pipitshed.cluster import streams
 from pipitshed.cluster.codec import DATAGRAM_LIMIT, FRAME_LIMIT, LENGTH, Codec, MessageRejectedError
+from pipitshed.cluster.config_file import ClusterConfig, ClusterConfigError, read
 from pipitshed.cluster.datagrams import RateLimiter
 from pipitshed.cluster.messages import Show, Shown
 from pipitshed.cluster.node import ClusterNode
-from pipitshed.cluster.peers_file import ClusterConfig, ClusterConfigError, read
 from pipitshed.membership.members import MemberRecord, MemberState
 from pipitshed.membership.messages import GOSSIP_LIMIT_BYTES, Ack, Ping, RepairMessage
 from pipitshed.membership.timing import ProtocolTimings
@@ -116,8 +116,8 @@
 
 def test_an_allowance_is_so_many_a_second() -> None:
     allowance = RateLimiter(10.0, 20.0)
-    assert sum(allowance.take(5.0) for _ in range(100)) == 20
-    assert sum(allowance.take(5.0 + place / 100) for place in range(100)) in (9, 10)
+    assert sum(allowance.try_acquire(5.0) for _ in range(100)) == 20
+    assert sum(allowance.try_acquire(5.0 + place / 100) for place in range(100)) in (9, 10)
 
 
 GOOD = 'name = "s1"\nlisten = "127.0.0.1:7946"\nseeds = ["127.0.0.1:7947"]\n'
@@ -255,16 +255,16 @@
 
 
 def test_streams_that_say_nothing_or_too_much_are_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(streams, "WITHIN", 0.3)
+    monkeypatch.setattr(streams, "STREAM_TIMEOUT_S", 0.3)
     story(_strange_streams)()
 
 
 async def _strange_streams() -> None:
     [fleet] = await joined(1)
-    open_ = [await asyncio.open_connection(*fleet.address) for _ in range(streams.MOST + 8)]
+    open_ = [await asyncio.open_connection(*fleet.address) for _ in range(streams.MAX_STREAMS + 8)]
     await until(lambda: fleet.counts["dropped_streams"] == 8)
     ends = await asyncio.gather(*(reader.read() for reader, _ in open_), return_exceptions=True)
-    assert len(ends) == streams.MOST + 8  # all came to an end, by their time at the latest
+    assert len(ends) == streams.MAX_STREAMS + 8  # all came to an end, by their time at the latest
     reader, writer = await asyncio.open_connection(*fleet.address)
     writer.write(LENGTH.pack(FRAME_LIMIT + 1))
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
