--- a/pipitshed/cluster/node.py
+++ b/pipitshed/cluster/node.py
@@ -1,4 +1,4 @@
-"""This scheduler's part in the fleet: the protocol of `membership`, on sockets and on the loop's clock."""
+"""A scheduler's node in its cluster: the membership protocol on sockets and on the event loop's clock."""
 
 from __future__ import annotations
 
@@ -7,109 +7,174 @@
 import math
 import random
 import secrets
-import socket
 import time
 from collections import Counter
 
+from pipitshed.cluster import counters, peer_sockets
 from pipitshed.cluster.codec import DATAGRAM_LIMIT, Codec
 from pipitshed.cluster.config_file import ClusterConfig
 from pipitshed.cluster.datagrams import Datagrams
 from pipitshed.cluster.event_log import EventLog
-from pipitshed.cluster.messages import Answer, ClusterMessage, Leave, MemberRow, Settings, Show, Shown
+from pipitshed.cluster.messages import Answer, ClusterMessage, Leave, Settings, Show, Shown
 from pipitshed.cluster.settings import ReplicatedSettings, Reply, SettingsTarget
 from pipitshed.cluster.streams import Streams
+from pipitshed.cluster.view_report import view_metrics, view_report
 from pipitshed.membership.effects import Instruction, MemberStateChanged, RowsChanged, SendMessage, Superseded
 from pipitshed.membership.members import Address, MemberRecord, MemberState
 from pipitshed.membership.messages import RepairMessage
 from pipitshed.membership.protocol import Membership
-from pipitshed.replication.row import Row as SettingsRow
+from pipitshed.replication.row import Row
+
+MS_PER_S = 1000
+INSTANCE_ID_BITS = 32
+RNG_SEED_BITS = 64
 
 log = logging.getLogger("pipitshed.fleet")
 
 
 class ClusterNode:
-    """One scheduler among its peers. Nothing here decides about a request: where no peer answers, the
-    scheduler serves on.
+    """One scheduler among its peers.
+
+    It takes no part in the handling of requests: where no peer answers, the scheduler goes on serving.
     """
 
     def __init__(
         self,
-        peers: ClusterConfig,
+        config: ClusterConfig,
         zone: str,
         loop: asyncio.AbstractEventLoop,
-        tuned: SettingsTarget | None = None,
+        target: SettingsTarget | None = None,
     ) -> None:
-        """Bind the peer address; OSError where it is taken. Settings by row change what is `tuned`."""
+        """Bind the peer address; settings rows change the settings of `target`.
+
+        Raises:
+            OSError: The address is taken.
+        """
         self._loop = loop
-        self._peers = peers
-        self._codec = Codec(peers.cluster, peers.secret)
+        self._config = config
+        self._codec = Codec(config.cluster, config.secret)
         self.counts: Counter[str] = Counter()
-        self._socket, self._datagram_socket = _bind(peers.listen)
-        self.address: Address = self._socket.getsockname()[:2]
-        self._log = EventLog.to(peers.event_log)
-        host, port = peers.advertise or self.address
-        me = MemberRecord(
-            peers.name,
-            host,
-            port,
-            peers.zone or zone,
-            int(time.time() * 1000),
-            secrets.randbits(32),
-            reported_by=peers.name,
-            region=peers.region,
-        )
-        self.settings = (
-            ReplicatedSettings(peers, me, tuned, self, loop, self._log) if tuned is not None else None
-        )
+        self._sockets = peer_sockets.bind(config.listen)
+        self.address: Address = self._sockets.address
+        self._events = EventLog.to(config.event_log)
+        self_record = self._self_record(zone)
+        self.settings: ReplicatedSettings | None = None
+        if target is not None:
+            self.settings = ReplicatedSettings(config, self_record, target, self, loop, self._events)
         self.membership = Membership(
-            me,
-            peers.timings,
-            peers.seeds,
-            random.Random(secrets.randbits(64)),
+            self_record,
+            config.timings,
+            config.seeds,
+            random.Random(secrets.randbits(RNG_SEED_BITS)),
             loop.time(),
             (self.settings.table,) if self.settings is not None else (),
         )
-        self._addresses: tuple[int, frozenset[Address]] = (-1, frozenset())
-        self._streams = Streams(self._codec, loop, self._heard, self.count)
-        self._datagrams = Datagrams(self._codec, loop, self._heard, self._known, self.count)
+        self._member_addresses: frozenset[Address] = frozenset()
+        self._member_addresses_version = -1  # the number of changes of the view that they were made from
+        self._streams = Streams(self._codec, loop, self._handle_message, self.count)
+        self._datagrams = Datagrams(self._codec, loop, self._handle_message, self._is_member, self.count)
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._due = math.inf  # loop time of that timer; uvloop's has none where it is due at once
-        self._told = ""  # the digest that the event log has last
+        self._timer_due_at = math.inf  # uvloop's handle has no time where it is due at once
+        self._logged_digest = ""
         self._closed = False
         if self.settings is not None:
             self.settings.begin()
 
     async def start(self) -> None:
-        """Join: listen, and exchange all with a seed."""
-        await self._loop.create_datagram_endpoint(lambda: self._datagrams, sock=self._datagram_socket)
-        self._server = await self._loop.create_server(self._streams.incoming, sock=self._socket)
-        me = self.membership.self_record
-        self._log.write(
+        """Listen, and join the cluster by a full exchange with a seed."""
+        sockets = self._sockets
+        await self._loop.create_datagram_endpoint(lambda: self._datagrams, sock=sockets.datagram)
+        self._server = await self._loop.create_server(self._streams.incoming, sock=sockets.stream)
+        record = self.membership.self_record
+        self._events.write(
             "started",
-            name=me.name,
-            address=f"{me.host}:{me.port}",
-            zone=me.zone,
-            incarnation=me.incarnation,
-            life=me.instance_id,
+            name=record.name,
+            address=f"{record.host}:{record.port}",
+            zone=record.zone,
+            incarnation=record.incarnation,
+            life=record.instance_id,
         )
-        log.info("peer address on %s:%d, as %s in cluster %s", *self.address, me.name, self._peers.cluster)
-        self._step()
+        cluster = self._config.cluster
+        log.info("peer address on %s:%d, as %s in cluster %s", *self.address, record.name, cluster)
+        self._handle_timer()
+
+    def count(self, counter: str) -> None:
+        """Increment a counter of `fleet show` and `/-/metrics`."""
+        self.counts[counter] += 1
+
+    def send(self, address: Address, message: ClusterMessage) -> None:
+        """Send a datagram whatever is left of the bandwidth budget, which it is charged to."""
+        data = self._codec.encode(message)
+        self.membership.replicator.budget.charge(self._loop.time(), len(data))
+        self._datagrams.send(address, data)
+
+    def reply(self, source: Address) -> Reply | None:
+        """A function that answers the message being handled, now or later; None where it was a datagram."""
+        answer = self._streams.deferred_answer(source)
+        return None if answer is None else lambda message: answer(self._codec.encode(message))
+
+    def disseminate(self, row: Row) -> None:
+        """Send a row that was written here to the other members."""
+        assert self.settings is not None
+        table_name = self.settings.table.name
+        self._execute(self.membership.disseminate(self._loop.time(), table_name, (row,)))
+        self._schedule()
+
+    def shown(self) -> Shown:
+        """The view, as `fleet show` prints it."""
+        return view_report(self.membership, self._loop.time(), self.counts)
 
-    # ---- in
+    def lines(self) -> bytes:
+        """The figures for `/-/metrics`."""
+        settings_metrics = self.settings.metrics() if self.settings is not None else {}
+        return view_metrics(self.membership, self.counts, settings_metrics)
+
+    def leave(self) -> None:
+        """Announce that this scheduler leaves, and go on doing so until the node is closed."""
+        if not self.membership.leaving:
+            log.info("leaving the fleet in good order")
+            self._events.write("leaving")
+            self._execute(self.membership.leave(self._loop.time()))
+            self._schedule()
+
+    def close(self) -> None:
+        """Close the sockets and the event log."""
+        self._closed = True
+        if self.settings is not None:
+            self.settings.close()
+        if self._timer is not None:
+            self._timer.cancel()
+        self._datagrams.close()
+        self._streams.close()
+        if self._server is not None:
+            self._server.close()
+        self._events.write("ended", **self.counts)
+        self._events.close()
 
-    def count(self, what: str) -> None:
-        """Count it, for `fleet show` and `/-/metrics`."""
-        self.counts[what] += 1
+    def _self_record(self, zone: str) -> MemberRecord:
+        """This scheduler's member record; `zone` counts where the file names none."""
+        config = self._config
+        host, port = config.advertise or self.address
+        return MemberRecord(
+            config.name,
+            host,
+            port,
+            config.zone or zone,
+            int(time.time() * MS_PER_S),
+            secrets.randbits(INSTANCE_ID_BITS),
+            reported_by=config.name,
+            region=config.region,
+        )
 
-    def _known(self, address: Address) -> bool:
-        number, addresses = self._addresses
-        if number != self.membership.view.change_count:
-            addresses = frozenset(word.address for word in self.membership.view)
-            self._addresses = self.membership.view.change_count, addresses
-        return address in addresses
+    def _is_member(self, address: Address) -> bool:
+        view = self.membership.view
+        if self._member_addresses_version != view.change_count:
+            self._member_addresses = frozenset(member.address for member in view)
+            self._member_addresses_version = view.change_count
+        return address in self._member_addresses
 
-    def _heard(self, message: ClusterMessage, source: Address) -> None:
+    def _handle_message(self, message: ClusterMessage, source: Address) -> None:
         if self._closed:
             return
         if isinstance(message, Show):
@@ -119,197 +184,90 @@
             self._streams.answer(source, self._codec.encode(self.shown()))
         elif isinstance(message, Settings):
             if self.settings is not None:
-                self.settings.hear(message, source)
+                self.settings.handle_message(message, source)
         elif not isinstance(message, Answer):
-            self._carry_out(self.membership.handle_message(self._loop.time(), message, source))
-            self._arm()
+            self._execute(self.membership.handle_message(self._loop.time(), message, source))
+            self._schedule()
 
-    def _step(self) -> None:
+    def _handle_timer(self) -> None:
         self._timer = None
-        self._carry_out(self.membership.handle_timeouts(self._loop.time()))
-        self._arm()
+        self._execute(self.membership.handle_timeouts(self._loop.time()))
+        self._schedule()
 
-    def _arm(self) -> None:
-        """Wake when the protocol has something to do; an earlier wake stands."""
-        due = self.membership.next_due_at()
-        if self._closed or (self._timer is not None and self._due <= due):
+    def _schedule(self) -> None:
+        """Wake up when the protocol has something to do; an earlier wake-up stays."""
+        due_at = self.membership.next_due_at()
+        if self._closed or (self._timer is not None and self._timer_due_at <= due_at):
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._due = due
-        self._timer = self._loop.call_at(due, self._step)
+        self._timer_due_at = due_at
+        self._timer = self._loop.call_at(due_at, self._handle_timer)
 
-    # ---- out
-
-    def _carry_out(self, effects: list[Instruction]) -> None:
-        for effect in effects:
-            if isinstance(effect, SendMessage):
-                self._tell(effect)
-            elif isinstance(effect, MemberStateChanged):
-                self._news(effect)
-            elif isinstance(effect, RowsChanged):
+    def _execute(self, instructions: list[Instruction]) -> None:
+        """Carry out what the membership protocol asks for."""
+        for instruction in instructions:
+            if isinstance(instruction, SendMessage):
+                self._send_message(instruction)
+            elif isinstance(instruction, MemberStateChanged):
+                self._log_state_change(instruction)
+            elif isinstance(instruction, RowsChanged):
                 assert self.settings is not None  # it has the only table
-                self.settings.news(effect.rows)
-            elif isinstance(effect, Superseded):
-                log.error(
-                    "another process holds the name %s: %s:%d, started later; this one is out of the view",
-                    effect.by.name,
-                    effect.by.host,
-                    effect.by.port,
-                )
-                self._log.write(
-                    "displaced", by=f"{effect.by.host}:{effect.by.port}", life=effect.by.instance_id
-                )
-        view = self.membership.view
-        if effects and (digest := view.digest()) != self._told:
-            self._told = digest
-            self._log.write(
-                "view",
-                number=view.change_count,
-                digest=digest,
-                health=self.membership.health.score,
-                living=[[word.name, word.instance_id] for word in view.live_members()],
-            )
+                self.settings.rows_received(instruction.rows)
+            elif isinstance(instruction, Superseded):
+                self._log_superseded(instruction.by)
+        if instructions:
+            self._log_view()
 
-    def _tell(self, tell: SendMessage) -> None:
-        data = self._codec.encode(tell.message)
-        if isinstance(tell.message, RepairMessage):
-            self.counts["repair_bytes_out"] += len(data)
-        if self._streams.answer(tell.to, data):
+    def _send_message(self, instruction: SendMessage) -> None:
+        """Send a message on the stream that it answers, or else as a datagram."""
+        data = self._codec.encode(instruction.message)
+        if isinstance(instruction.message, RepairMessage):
+            self.counts[counters.REPAIR_BYTES_OUT] += len(data)
+        if self._streams.answer(instruction.to, data):
             return
         if len(data) > DATAGRAM_LIMIT:
-            self.count("dropped_long")
+            self.count(counters.DROPPED_TOO_LONG)
         else:
-            self._datagrams.send(tell.to, data)
-
-    # ---- for settings by row
-
-    def send(self, to: Address, message: ClusterMessage) -> None:
-        """Send a datagram; it goes whatever the budget has left, and counts."""
-        data = self._codec.encode(message)
-        self.membership.replicator.budget.charge(self._loop.time(), len(data))
-        self._datagrams.send(to, data)
-
-    def reply(self, source: Address) -> Reply | None:
-        """What answers the stream that is being heard, now or later; None where it is none."""
-        answer = self._streams.deferred_answer(source)
-        return None if answer is None else lambda message: answer(self._codec.encode(message))
+            self._datagrams.send(instruction.to, data)
 
-    def spread(self, row: SettingsRow) -> None:
-        """Tell the others of a row that was written here."""
-        assert self.settings is not None
-        self._carry_out(self.membership.disseminate(self._loop.time(), self.settings.table.name, (row,)))
-        self._arm()
-
-    def _news(self, news: MemberStateChanged) -> None:
-        word = news.record
-        before = news.previous_state.name.lower() if news.previous_state is not None else "unknown"
-        state = word.state.name.lower()
-        if (
-            word.state is not MemberState.SUSPECT
-            and news.previous_state is not MemberState.SUSPECT
-            or word.is_departed
-        ):
-            log.info("%s is %s (%s before), says %s", word.name, state, before, word.reported_by)
-        self._log.write(
+    def _log_state_change(self, change: MemberStateChanged) -> None:
+        member, previous_state = change.record, change.previous_state
+        state = member.state.name.lower()
+        previous = previous_state.name.lower() if previous_state is not None else "unknown"
+        is_suspicion = MemberState.SUSPECT in (member.state, previous_state)
+        if not is_suspicion or member.is_departed:
+            log.info("%s is %s (%s before), says %s", member.name, state, previous, member.reported_by)
+        self._events.write(
             "member",
-            name=word.name,
+            name=member.name,
             state=state,
-            before=before,
-            life=word.instance_id,
-            incarnation=word.incarnation,
-            said_by=word.reported_by,
+            before=previous,
+            life=member.instance_id,
+            incarnation=member.incarnation,
+            said_by=member.reported_by,
         )
 
-    # ---- what operators ask
-
-    def shown(self) -> Shown:
-        """The view, as `fleet show` prints it."""
-        membership, now = self.membership, self._loop.time()
-        view, digest = membership.view, membership.view.digest()
-
-        def agrees(word: MemberRecord) -> bool | None:
-            if word.name == membership.self_record.name:
-                return True
-            return None if word.is_departed else membership.replicator.agree(word.name)
-
-        rows = [
-            MemberRow(
-                word.name,
-                word.zone,
-                f"{word.host}:{word.port}",
-                word.state.name.lower(),
-                word.incarnation,
-                round(now - view.since(word.name), 3),
-                word.reported_by,
-                agrees(word),
-            )
-            for word in sorted(view, key=lambda word: word.name)
-        ]
-        return Shown(
-            membership.self_record.name,
-            view.change_count,
-            digest,
-            membership.health.score,
-            membership.superseded,
-            membership.leaving,
-            tuple(rows),
-            dict(self.counts),
+    def _log_superseded(self, other: MemberRecord) -> None:
+        log.error(
+            "another process holds the name %s: %s:%d, started later; this one is out of the view",
+            other.name,
+            other.host,
+            other.port,
         )
+        self._events.write("displaced", by=f"{other.host}:{other.port}", life=other.instance_id)
 
-    def lines(self) -> bytes:
-        """The fleet's figures, for `/-/metrics`."""
+    def _log_view(self) -> None:
+        """Write the view to the event log where it has changed."""
         view = self.membership.view
-        counts = Counter(word.state for word in view)
-        told = {f"fleet.{state.name.lower()}": counts[state] for state in MemberState}
-        told |= {"fleet.view_number": view.change_count, "fleet.health": self.membership.health.score}
-        told |= {f"fleet.{name}": count for name, count in sorted(self.counts.items())}
-        if self.settings is not None:
-            told |= {f"fleet.{name}": count for name, count in sorted(self.settings.figures().items())}
-        return "".join(f"scheduler.{name}={value}\n" for name, value in told.items()).encode()
-
-    def leave(self) -> None:
-        """Say that this scheduler goes, and go on saying so until it is closed."""
-        if not self.membership.leaving:
-            log.info("leaving the fleet in good order")
-            self._log.write("leaving")
-            self._carry_out(self.membership.leave(self._loop.time()))
-            self._arm()
-
-    def close(self) -> None:
-        """End all of it."""
-        self._closed = True
-        if self.settings is not None:
-            self.settings.close()
-        if self._timer is not None:
-            self._timer.cancel()
-        self._datagrams.close()
-        self._streams.close()
-        if self._server is not None:
-            self._server.close()
-        self._log.write("ended", **self.counts)
-        self._log.close()
-
-
-def _bind(address: Address) -> tuple[socket.socket, socket.socket]:
-    """The two sockets of the peer address, for streams and datagrams, at the same port; OSError where it is
-    taken. Port 0 asks for one that is free for both.
-    """
-    for last in [False] * 8 + [True]:
-        stream = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        datagram = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        try:
-            stream.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            stream.bind(address)
-            stream.listen(128)  # so that a second process that asks for the port is told here
-            datagram.bind((address[0], stream.getsockname()[1]))
-        except OSError:
-            stream.close()
-            datagram.close()
-            if last or address[1]:
-                raise
-            continue
-        stream.setblocking(False)
-        datagram.setblocking(False)
-        return stream, datagram
-    raise AssertionError("unreachable")
+        digest = view.digest()
+        if digest == self._logged_digest:
+            return
+        self._logged_digest = digest
+        self._events.write(
+            "view",
+            number=view.change_count,
+            digest=digest,
+            health=self.membership.health.score,
+            living=[[member.name, member.instance_id] for member in view.live_members()],
+        )
--- /dev/null
+++ b/pipitshed/cluster/settings_commands.py
@@ -0,0 +1,157 @@
+"""The operators' requests about settings rows: write one, show them, and ask whether they are applied."""
+
+from __future__ import annotations
+
+import ipaddress
+from typing import TYPE_CHECKING, Any
+
+from pipitshed.cluster.messages import (
+    AskForce,
+    AskStatus,
+    Force,
+    Put,
+    PutDone,
+    ShownRow,
+    ShownRows,
+    ShowRows,
+    Status,
+)
+from pipitshed.config.errors import RowRejectedError
+from pipitshed.config.row_overlay import check, file_value
+from pipitshed.membership.members import Address, MemberState
+from pipitshed.replication.acting import AppliedState, CommitStatus, LiveInstances
+from pipitshed.replication.row import Row
+from pipitshed.replication.rows import RowError
+
+if TYPE_CHECKING:
+    from pipitshed.cluster.settings import ReplicatedSettings, Reply
+
+MAX_SHOWN_VALUE_BYTES = 64
+FOR_S_DIGITS = 3
+NO_ROW_VERSION = (0, 0)
+
+
+class SettingsCommands:
+    """Answers the operators' requests about the settings of one scheduler."""
+
+    def __init__(self, settings: ReplicatedSettings) -> None:
+        self._settings = settings
+        self._table = settings.table
+        self._confirmations = settings.confirmations
+
+    def handle(self, message: Put | ShowRows | AskForce | AskStatus, source: Address, reply: Reply) -> None:
+        """Answer one request, a `Put` only once its row is stored and applied."""
+        if isinstance(message, Put):
+            self.put(message, source, reply)
+        elif isinstance(message, ShowRows):
+            reply(self.show(message.key))
+        elif isinstance(message, AskForce):
+            reply(self.commit_status(message))
+        else:
+            reply(self.status())
+
+    def put(self, message: Put, source: Address, reply: Reply) -> None:
+        """Write or delete a row, or answer why it cannot be."""
+        try:
+            row = self._write(message, source)
+        except (RowError, RowRejectedError) as error:
+            reply(PutDone(self._settings.name, str(error)))
+            return
+        self._settings.row_written(row, reply)
+
+    def show(self, key: str) -> ShownRows:
+        """The row of this key, or all rows where it is empty."""
+        row = self._table.get(key)
+        rows = tuple(self._table) if not key else (row,) if row is not None else ()
+        file, state = self._settings.target.file(), self._confirmations.state
+        shown = tuple(_shown(row, file, state) for row in sorted(rows, key=lambda row: row.key))
+        return ShownRows(self._settings.name, shown)
+
+    def commit_status(self, message: AskForce) -> Force:
+        """Whether all live members apply a row.
+
+        Only a row that is still in the table can be applied by all: each live member must have confirmed
+        this very row, in its present instance.
+        """
+        view = self._settings.transport.membership.view
+        failed = tuple(sorted(member.name for member in view if member.state is MemberState.DEAD))
+        row = self._table.get(message.key)
+        if row is None or (row.term, row.number) != (message.term, message.number):
+            successor = f"{row.term}.{row.number} of {row.writer}" if row is not None else "no row"
+            return Force(False, (), (), failed, successor)
+        live = self._settings.live_instances()
+        standing = self._confirmations.standing(self._settings.loop.time(), row, live)
+        self._settings.schedule()
+        if not self._knows_cluster(live):
+            missing = dict(standing.missing) | {self._settings.name: ""}
+            return Force(False, standing.appliers, tuple(missing.items()), failed)
+        if standing.in_force:
+            self._log_committed(row, standing, live, failed)
+        return Force(standing.in_force, standing.appliers, standing.missing, failed)
+
+    def status(self) -> Status:
+        """What this scheduler applies, and the members that it knows."""
+        settings, state = self._settings, self._confirmations.state
+        view = settings.transport.membership.view
+        members = tuple(
+            (member.name, f"{member.host}:{member.port}", member.state.name.lower())
+            for member in sorted(view, key=lambda member: member.name)
+        )
+        return Status(
+            name=settings.name,
+            digest=state.digest.hex(),
+            rows=len(state.held),
+            for_s=round(settings.loop.time() - settings.applied_since, FOR_S_DIGITS),
+            caught_up=self._table.caught_up,
+            unsaved=settings.store_error,
+            refused=tuple(sorted(state.refused.items())),
+            members=members,
+        )
+
+    def _write(self, message: Put, source: Address) -> Row:
+        if not self._settings.has_secret and not ipaddress.ip_address(source[0]).is_loopback:
+            raise RowError("without a secret-file settings are taken from this machine alone")
+        membership = self._settings.transport.membership
+        if membership.superseded or membership.leaving:
+            raise RowError("this scheduler is no longer in the fleet")
+        current = self._table.get(message.key)
+        version = (current.term, current.number) if current is not None else NO_ROW_VERSION
+        if message.over != version:
+            raise RowError(f"{message.key} has changed meanwhile: look at it, and put it again")
+        name, target = self._settings.name, self._settings.target
+        if message.body is None:
+            return self._table.delete(message.key, name, message.take_over)
+        check(target.file(), Row(message.key, 1, 1, name, message.body), target.fixed_classes)
+        return self._table.put(message.key, message.body, name, message.take_over)
+
+    def _knows_cluster(self, live: LiveInstances) -> bool:
+        """Whether this scheduler can speak for the cluster: one that has just started knows a part of it."""
+        agrees = self._settings.transport.membership.replicator.agree
+        return self._table.caught_up and (len(live) <= 1 or any(agrees(name) for name in live))
+
+    def _log_committed(
+        self, row: Row, standing: CommitStatus, live: LiveInstances, failed: tuple[str, ...]
+    ) -> None:
+        self._settings.events.write(
+            "in_force",
+            key=row.key,
+            term=row.term,
+            number=row.number,
+            acting=[[name, live[name]] for name in standing.appliers],
+            gone=failed,
+        )
+
+
+def _shown(row: Row, file: dict[str, Any], state: AppliedState) -> ShownRow:
+    file_number, applied = file_value(file, row.key), state.acted.get(row.key)
+    return ShownRow(
+        key=row.key,
+        value=file_number if applied is None or applied.deleted else float(applied.body),
+        file=file_number,
+        asked=row.body[:MAX_SHOWN_VALUE_BYTES].decode("utf-8", "replace"),
+        term=row.term,
+        number=row.number,
+        writer=row.writer,
+        deleted=row.deleted,
+        refused=state.refused.get(row.key, ""),
+    )
--- /dev/null
+++ b/pipitshed/cluster/view_report.py
@@ -0,0 +1,62 @@
+"""The membership view as operators see it: for `fleet show`, and as figures for `/-/metrics`."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Mapping
+
+from pipitshed.cluster.messages import MemberRow, Shown
+from pipitshed.membership.members import MemberRecord, MemberState
+from pipitshed.membership.protocol import Membership
+
+FOR_S_DIGITS = 3
+
+
+def view_report(membership: Membership, now: float, counts: Mapping[str, int]) -> Shown:
+    """The view of this scheduler at `now`, with its counters."""
+    view = membership.view
+    return Shown(
+        name=membership.self_record.name,
+        number=view.change_count,
+        digest=view.digest(),
+        health=membership.health.score,
+        displaced=membership.superseded,
+        leaving=membership.leaving,
+        members=tuple(
+            _member_row(membership, member, now) for member in sorted(view, key=lambda member: member.name)
+        ),
+        counts=dict(counts),
+    )
+
+
+def view_metrics(
+    membership: Membership, counts: Mapping[str, int], settings_metrics: Mapping[str, int]
+) -> bytes:
+    """The figures of the view, the node and its settings as lines for `/-/metrics`."""
+    view = membership.view
+    members_by_state = Counter(member.state for member in view)
+    figures = {state.name.lower(): members_by_state[state] for state in MemberState}
+    figures |= {"view_number": view.change_count, "health": membership.health.score}
+    figures |= dict(sorted(counts.items()))
+    figures |= dict(sorted(settings_metrics.items()))
+    return "".join(f"scheduler.fleet.{name}={value}\n" for name, value in figures.items()).encode()
+
+
+def _member_row(membership: Membership, member: MemberRecord, now: float) -> MemberRow:
+    return MemberRow(
+        name=member.name,
+        zone=member.zone,
+        address=f"{member.host}:{member.port}",
+        state=member.state.name.lower(),
+        incarnation=member.incarnation,
+        for_s=round(now - membership.view.since(member.name), FOR_S_DIGITS),
+        said_by=member.reported_by,
+        agrees=_agrees(membership, member),
+    )
+
+
+def _agrees(membership: Membership, member: MemberRecord) -> bool | None:
+    """Whether the member's last answer had the same view; None where it has departed or sent none."""
+    if member.name == membership.self_record.name:
+        return True
+    return None if member.is_departed else membership.replicator.agree(member.name)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -201,9 +201,9 @@
         fleet.membership.next_due_at = lambda: 0.0  # type: ignore[method-assign]
         fleet.membership.handle_timeouts = lambda now: steps.append(now) or []  # type: ignore[method-assign, func-returns-value]
         fleet._timer = None
-        fleet._arm()
+        fleet._schedule()
         fleet.leave()
-        fleet._arm()
+        fleet._schedule()
         await until(lambda: bool(steps))
         fleet.close()
 
--- a/tests/test_settings_fleet.py
+++ b/tests/test_settings_fleet.py
@@ -182,7 +182,7 @@
         async with nodes(folder, {}, secret=secret) as [node]:
             answers: asyncio.Queue[ClusterMessage] = asyncio.Queue()
             node.fleet.reply = Mock(return_value=answers.put_nowait)  # type: ignore[method-assign]
-            node.fleet._heard(Put(SHARE, b"0.4", (0, 0)), (source, 9))
+            node.fleet._handle_message(Put(SHARE, b"0.4", (0, 0)), (source, 9))
             answer = await answers.get()
             assert isinstance(answer, PutDone) and (answer.why == "") is allowed is (node.share == 0.4)
             assert allowed or "secret-file" in answer.why
@@ -204,7 +204,7 @@
 
         async def put(key: str, body: bytes, over: tuple[int, int]) -> str:
             answers.clear()
-            rows.hear(Put(key, body, over), ("127.0.0.1", 9))
+            rows.handle_message(Put(key, body, over), ("127.0.0.1", 9))
             await until(lambda: bool(answers))
             return str(answers[0].why)
 
@@ -215,11 +215,11 @@
         assert "a value is" in await put(SHARE, b"1" * 5000, (1, 2))
         rows.table.caught_up = False
         assert "compared with a peer" in await put(SHARE, b"0.6", (1, 2))
-        rows._alone()
+        rows.accept_changes_alone()
         assert await put(SHARE, b"0.6", (1, 2)) == ""
         node.fleet.leave()
         assert "no longer in the fleet" in await put(SHARE, b"0.7", (1, 3))
-        rows.hear(AskForce(SHARE, 1, 2), ("127.0.0.1", 9))
+        rows.handle_message(AskForce(SHARE, 1, 2), ("127.0.0.1", 9))
         assert answers[-1].superseded == "1.3 of s0" and not answers[-1].in_force
 
 
@@ -240,7 +240,7 @@
             assert rows is not None
             for place in range(20):
                 row = rows.table.put(f"tenant/t{place}/share", b"0.5", "s0")
-                one.fleet.spread(row)
+                one.fleet.disseminate(row)
             await until(lambda: len(two.fleet.settings.table) == 20)  # type: ignore[union-attr]
             assert one.share == two.share == 1.0 and not (folder / "rows-0").exists()
             held.set()
@@ -276,17 +276,19 @@
         assert row is not None
         me = two.fleet.membership.self_record
         for name, life in ((me.name, me.instance_id + 1), ("nobody", me.instance_id)):
-            rows.hear(
+            rows.handle_message(
                 AppliedReport(name, life, 9, rows.table.digest(), (row.content_hash,)), two.fleet.address
             )
-            assert not rows._force(AskForce(SHARE, 1, 1)).in_force
-        rows.hear(AppliedReport(me.name, me.instance_id, 9, b"", (row.content_hash,)), two.fleet.address)
-        await until(lambda: rows._force(AskForce(SHARE, 1, 1)).in_force)
+            assert not rows.commands.commit_status(AskForce(SHARE, 1, 1)).in_force
+        rows.handle_message(
+            AppliedReport(me.name, me.instance_id, 9, b"", (row.content_hash,)), two.fleet.address
+        )
+        await until(lambda: rows.commands.commit_status(AskForce(SHARE, 1, 1)).in_force)
         one.fleet.membership.replicator.peer_digests.clear()  # as after a start
-        assert rows._force(AskForce(SHARE, 1, 1)).missing == (("s0", ""),)
-        await until(lambda: rows._force(AskForce(SHARE, 1, 1)).in_force)
+        assert rows.commands.commit_status(AskForce(SHARE, 1, 1)).missing == (("s0", ""),)
+        await until(lambda: rows.commands.commit_status(AskForce(SHARE, 1, 1)).in_force)
         rows.table.caught_up = False
-        assert not rows._force(AskForce(SHARE, 1, 1)).in_force
+        assert not rows.commands.commit_status(AskForce(SHARE, 1, 1)).in_force
 
 
 def test_a_class_that_gearmans_functions_have_is_not_changed_by_row(tmp_path: Path) -> None:
@@ -296,7 +298,7 @@
         scheduler = Scheduler(made, load_front(front, made), asyncio.get_running_loop(), peers("s0"))
         rows, answers = scheduler.fleet.settings, list[Any]()  # type: ignore[union-attr]
         scheduler.fleet.reply = Mock(return_value=answers.append)  # type: ignore[method-assign, union-attr]
-        rows.hear(Put(DEADLINE, b"300", (0, 0)), ("127.0.0.1", 9))  # type: ignore[union-attr]
+        rows.handle_message(Put(DEADLINE, b"300", (0, 0)), ("127.0.0.1", 9))  # type: ignore[union-attr]
         assert "Gearman's functions" in answers[0].why
         scheduler.fleet.close()  # type: ignore[union-attr]
         for listener in scheduler.listeners:
