--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -12,7 +12,8 @@
 
 from pipitshed.config.class_registry import ClassRegistry
 from pipitshed.config.completeness import missing_key
-from pipitshed.config.platform import load_front, load_platform_config
+from pipitshed.config.front import load_front
+from pipitshed.config.platform import load_platform_config
 from pipitshed.scheduling.actions import StartAttempt
 from pipitshed.scheduling.dispatcher import Dispatcher
 from pipitshed.scheduling.events import EndpointEntry, EndpointsUpdated, JobSubmitted, UpdateKind
@@ -235,7 +236,7 @@
         scheduler._retune(load_platform_config({"LB_CONFIG": str(path)}))
         settings = scheduler.core.settings
         assert settings.own_zone == 0 and [cls.worker_kind for cls in settings.classes] == [None, 2]
-        assert list(scheduler.carrier.fields) == ["x1", "x0"]
+        assert list(scheduler.carrier.report_fields) == ["x1", "x0"]
         assert settings.report_fields == ("free_memory", "free_slots")
         for listener in scheduler.listeners:
             listener.close()
