--- /dev/null
+++ b/pipitshed/server/assembly.py
@@ -0,0 +1,328 @@
+"""Builds the scheduler's parts from its configuration.
+
+Each optional part has a function of its own. Those that only an option asks for are imported there: the start
+and the memory of a scheduler without them stay as they are.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING, Any, Protocol
+
+from pipitshed.admin.frontend import AdminFrontend
+from pipitshed.config.platform import Config, FrontConfig
+from pipitshed.discovery.catalog import SOURCE as CATALOG_SOURCE
+from pipitshed.discovery.catalog import (
+    CatalogClient,
+    CatalogUpdate,
+    EndpointParser,
+    NameIndex,
+    update_size_limit,
+)
+from pipitshed.frontends.gearman import GearmanFrontend, GearmanFunction
+from pipitshed.frontends.http import HttpFrontend, RequestParser
+from pipitshed.frontends.listener import Listener
+from pipitshed.protocols.http import BODY_LIMIT
+from pipitshed.proxy.decision_log import DecisionLog
+from pipitshed.proxy.forwarder import Forwarder
+from pipitshed.scheduling.settings import Settings
+from pipitshed.server.descriptors import DescriptorBudget
+from pipitshed.upstream.gearman import GearmanWorkerClient, WorkerLocation
+from pipitshed.upstream.http import HttpWorkerClient
+
+if TYPE_CHECKING:
+    from pipitshed.cluster.node import ClusterNode
+    from pipitshed.cluster.peers_file import ClusterConfig
+    from pipitshed.discovery.dns_sd import DnsSdClient
+    from pipitshed.discovery.placement_plan import PlacementPlanSource
+    from pipitshed.server.translation import TranslationParts
+
+INSTANCE_ID_MASK = 0xFFFFFFFF  # the part of the seed that names this process to Gearman's clients
+
+
+class ServerCallbacks(Protocol):
+    """What the parts call of the server that runs them."""
+
+    def ready(self) -> bool:
+        """Whether this process is ready to serve."""
+        ...
+
+    def metrics(self) -> bytes:
+        """The text of `/-/metrics`."""
+        ...
+
+    def drain(self) -> None:
+        """Begin to end."""
+
+
+@dataclass(frozen=True, slots=True)
+class Names:
+    """Names of the configuration by their numbers; reloads add to them, so that a number keeps its name."""
+
+    zones: NameIndex
+    kinds: NameIndex
+    classes: list[str]  # of all class numbers
+
+
+@dataclass(slots=True)
+class Parts:
+    """The parts of one scheduler; None where the configuration doesn't ask for one."""
+
+    names: Names
+    descriptors: DescriptorBudget
+    forwarder: Forwarder
+    http_workers: HttpWorkerClient
+    translation: TranslationParts | None
+    discovery: CatalogClient | None
+    dns_sd: DnsSdClient | None
+    placement_plan: PlacementPlanSource | None
+    http_frontend: HttpFrontend
+    gearman_frontend: GearmanFrontend | None = None
+    admin_frontend: AdminFrontend | None = None
+    admin_listener: Listener | None = None
+    cluster_node: ClusterNode | None = None
+    listeners: list[Listener] = field(default_factory=list)  # for clients
+
+    def close(self) -> None:
+        """Close all parts; no request waits for its answer any more."""
+        if self.discovery is not None:
+            self.discovery.stop()
+        if self.dns_sd is not None:
+            self.dns_sd.close()
+        if self.placement_plan is not None:
+            self.placement_plan.close()
+        if self.gearman_frontend is not None:
+            self.gearman_frontend.close()
+        if self.cluster_node is not None:
+            self.cluster_node.close()
+        self.http_workers.close()
+        self.forwarder.close()
+        if self.translation is not None:
+            self.translation.close()
+
+
+def assemble(
+    config: Config,
+    front: FrontConfig,
+    class_names: list[str],
+    server: ServerCallbacks,
+    loop: asyncio.AbstractEventLoop,
+) -> Parts:
+    """Build all parts but the cluster node, and listen; discovery begins with the list that is cached."""
+    names = Names(NameIndex(config.zones), NameIndex(config.kinds), class_names)
+    descriptors = DescriptorBudget(config.sockets)
+    forwarder = Forwarder(config.settings, config.seed, loop, open_decision_log(config))
+    http_workers = HttpWorkerClient(forwarder, config.fields, loop, descriptors.left_for_workers)
+    translation = build_translation(front, forwarder, http_workers, class_names, loop)
+
+    def parser(source: str) -> EndpointParser:
+        interfaces = translation.interfaces if translation is not None else None
+        return EndpointParser(source, names.zones, names.kinds, http_workers, interfaces)
+
+    discovery = build_discovery(config, parser, forwarder, loop)
+    dns_sd = build_dns_sd(front, parser, forwarder, loop)
+    placement_plan = build_placement_plan(config, front, forwarder, class_names, loop)
+    translator = translation.translator if translation is not None else None
+    http_frontend = HttpFrontend(
+        forwarder,
+        RequestParser(forwarder, config.classes, config.tenants, translator),
+        descriptors.http_client_count,
+        loop,
+        server.ready,
+    )
+    parts = Parts(
+        names,
+        descriptors,
+        forwarder,
+        http_workers,
+        translation,
+        discovery,
+        dns_sd,
+        placement_plan,
+        http_frontend,
+    )
+    add_client_listeners(parts, config, front, server, loop)
+    descriptors.attach_frontends(http_frontend, parts.gearman_frontend)
+    add_admin(parts, config, server, loop)
+    return parts
+
+
+def open_decision_log(config: Config) -> DecisionLog | None:
+    """The log of the dispatcher's events and actions, begun with the settings."""
+    if not config.trace:
+        return None
+    decision_log = DecisionLog.named(config.trace)
+    decision_log.settings((config.raw or {}).get("settings"))
+    return decision_log
+
+
+def build_translation(
+    front: FrontConfig,
+    forwarder: Forwarder,
+    http_workers: HttpWorkerClient,
+    class_names: list[str],
+    loop: asyncio.AbstractEventLoop,
+) -> TranslationParts | None:
+    """The translation of messages between forms, and the client of workers with the second interface."""
+    if front.translation is None:
+        return None
+    from pipitshed.server.translation import TranslationParts
+
+    return TranslationParts(forwarder, http_workers, front.translation, class_names, loop)
+
+
+def build_discovery(
+    config: Config,
+    parser: Callable[[str], EndpointParser],
+    forwarder: Forwarder,
+    loop: asyncio.AbstractEventLoop,
+) -> CatalogClient | None:
+    """The client of the platform's discovery, with the list that the configuration has cached."""
+    if config.discovery is None:
+        return None
+    discovery = CatalogClient(
+        config.discovery,
+        parser(CATALOG_SOURCE),
+        forwarder.endpoints,
+        loop,
+        update_size_limit(config.memory_mb),
+    )
+    forwarder.attach_discovery(discovery.fetch)
+    apply_discovery_timeouts(discovery, config.settings)
+    # Also where no list is cached: the dispatcher polls only once it has received one.
+    discovery.load_cached(config.known or CatalogUpdate(0, []))
+    return discovery
+
+
+def apply_discovery_timeouts(discovery: CatalogClient, settings: Settings) -> None:
+    """Have calls that hang given up early where the list is pushed."""
+    if settings.endpoints_pushed:
+        discovery.set_timeouts(settings.guarantees.drain_grace_ms / 1000)
+
+
+def build_dns_sd(
+    front: FrontConfig,
+    parser: Callable[[str], EndpointParser],
+    forwarder: Forwarder,
+    loop: asyncio.AbstractEventLoop,
+) -> DnsSdClient | None:
+    """The client of DNS service discovery, started."""
+    if front.dns_server is None:
+        return None
+    from pipitshed.discovery.dns_sd import SOURCE, DnsSdClient
+
+    dns_sd = DnsSdClient(front.dns_server, front.dns_service, parser(SOURCE), forwarder.endpoints, loop)
+    dns_sd.start()
+    return dns_sd
+
+
+def build_placement_plan(
+    config: Config,
+    front: FrontConfig,
+    forwarder: Forwarder,
+    class_names: list[str],
+    loop: asyncio.AbstractEventLoop,
+) -> PlacementPlanSource | None:
+    """The source of weights from a placement plan's file."""
+    if front.plan is None:
+        return None
+    from pipitshed.discovery.placement_plan import PlacementPlanSource
+
+    slow_start_ms = config.settings.guarantees.slow_start_ms
+    return PlacementPlanSource(
+        front.plan, own_zone_name(config), class_names, slow_start_ms, forwarder.endpoints, loop
+    )
+
+
+def own_zone_name(config: Config) -> str:
+    """The name of this scheduler's zone; empty where the configuration names none."""
+    return config.zones[config.settings.own_zone] if config.zones else ""
+
+
+def add_client_listeners(
+    parts: Parts,
+    config: Config,
+    front: FrontConfig,
+    server: ServerCallbacks,
+    loop: asyncio.AbstractEventLoop,
+) -> None:
+    """Listen for HTTP clients, and for Gearman's clients and workers where addresses are given."""
+    http = parts.http_frontend
+
+    def accept_http_client() -> asyncio.Protocol:
+        # Where descriptors run short, an idle connection to a worker is closed; no client is rejected for
+        # want of one, as it may displace another client itself.
+        if parts.http_workers.connections >= parts.descriptors.left_for_workers():
+            parts.http_workers.close_oldest_idle()
+        return http.connection()
+
+    parts.listeners.append(Listener(config.listen, accept_http_client, loop, http.has_room, config.passed))
+    if front.listen:
+        gearman = parts.gearman_frontend = build_gearman_frontend(parts, config, front, server, loop)
+        for address in front.listen:
+            parts.listeners.append(Listener(address, gearman.connection, loop, gearman.has_room))
+
+
+def build_gearman_frontend(
+    parts: Parts,
+    config: Config,
+    front: FrontConfig,
+    server: ServerCallbacks,
+    loop: asyncio.AbstractEventLoop,
+) -> GearmanFrontend:
+    """The frontend of Gearman's clients, with the client of its workers."""
+    functions = gearman_functions(parts, config, front)
+    zones, kinds = parts.names.zones, parts.names.kinds
+    zone = zones.index(front.workers.zone) if front.workers.zone else config.settings.own_zone
+    location = WorkerLocation(zone, front.workers.cell, kinds.index(front.workers.kind), front.workers.weight)
+    workers = GearmanWorkerClient(
+        parts.forwarder,
+        {name: function.job_class for name, function in functions.items()},
+        location,
+        BODY_LIMIT,
+        loop,
+    )
+    label = f"{config.name or 'pipitshed'}-{config.seed & INSTANCE_ID_MASK:08x}"
+    peer_count = parts.descriptors.gearman_peer_count
+    return GearmanFrontend(parts.forwarder, workers, functions, loop, label, peer_count, server.drain)
+
+
+def gearman_functions(parts: Parts, config: Config, front: FrontConfig) -> dict[str, GearmanFunction]:
+    """Gearman's functions by name: each is a class, a tenant, a timeout and a message form."""
+    translator = parts.translation.translator if parts.translation is not None else None
+    functions = {}
+    for name, (class_name, tenant, client_timeout_ms, form) in front.functions.items():
+        job_class = config.classes.index(class_name)
+        tenant_number = config.tenants.index(tenant) if tenant in config.tenants else len(config.tenants)
+        if translator is not None and form is None:
+            form = translator.clients.gearman
+        timeout_ms = min(client_timeout_ms, config.settings.classes[job_class].deadline_ms)
+        functions[name] = GearmanFunction(job_class, tenant_number, timeout_ms, tenant, form)
+    return functions
+
+
+def add_admin(parts: Parts, config: Config, server: ServerCallbacks, loop: asyncio.AbstractEventLoop) -> None:
+    """Listen at the admin address, where there is one."""
+    if config.mgmt is not None:
+        parts.admin_frontend = AdminFrontend(server.ready, server.metrics, loop)
+        parts.admin_listener = Listener(config.mgmt, parts.admin_frontend.connection, loop)
+
+
+def build_cluster_node(
+    peers: ClusterConfig,
+    config: Config,
+    front: FrontConfig,
+    raw_config: Callable[[], dict[str, Any]],
+    apply_row_settings: Callable[[dict[str, Any]], object],
+    loop: asyncio.AbstractEventLoop,
+) -> ClusterNode:
+    """The node among the schedulers that a peers file names; settings by row are applied by the callbacks."""
+    from pipitshed.cluster.node import ClusterNode
+    from pipitshed.cluster.settings import SettingsTarget
+
+    # Gearman's functions and workers know the classes by the numbers of the start.
+    fixed = frozenset(name for name, *_ in front.functions.values()) if front.listen else frozenset()
+    target = SettingsTarget(raw_config, apply_row_settings, fixed)
+    return ClusterNode(peers, own_zone_name(config), loop, target)
--- /dev/null
+++ b/pipitshed/server/reload.py
@@ -0,0 +1,122 @@
+"""New settings under way: read again at SIGHUP, or changed by the cluster's rows."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from dataclasses import replace
+from typing import Any
+
+from pipitshed.config.class_registry import DROPPED_CLASS_GRACE_S, ClassChanges, ClassRegistry
+from pipitshed.config.completeness import missing_key
+from pipitshed.config.platform import Config, ConfigError, load_platform_config, with_settings
+from pipitshed.discovery.catalog import update_size_limit
+from pipitshed.scheduling.settings import JobClass
+from pipitshed.server.assembly import Parts, apply_discovery_timeouts
+
+TIMER_MARGIN_S = 0.001  # after the end of a class's grace, for a timer that may fire early
+
+log = logging.getLogger("pipitshed")
+
+
+class SettingsReloader:
+    """Holds the configuration that is applied, and applies others to the parts."""
+
+    def __init__(
+        self, config: Config, classes: ClassRegistry, parts: Parts, loop: asyncio.AbstractEventLoop
+    ) -> None:
+        self.config = config
+        self.classes = classes
+        self.loaded_count = 0  # files applied at SIGHUP
+        self.invalid_count = 0  # files rejected at SIGHUP
+        self._parts = parts
+        self._loop = loop
+
+    def raw_config(self) -> dict[str, Any]:
+        """The file that is applied, as it was read."""
+        return self.config.raw or {}
+
+    def reload(self) -> None:
+        """Read the configuration again: apply its settings, and follow discovery to the address it names.
+
+        Requests, attempts and the endpoint table stay as they are, and so does each request's class.
+        """
+        if self._parts.placement_plan is not None:
+            self._parts.placement_plan.read()
+        # A file that is half written or wrong must not end the program: the old one stays applied.
+        try:
+            config = load_platform_config()
+            if (missing := missing_key(self.config.raw, config.raw)) is not None:
+                raise ConfigError(f"the file lacks {missing}")
+        except ConfigError as error:
+            self.invalid_count += 1
+            log.error("the configuration stays as it was: %s", error)
+            return
+        self.loaded_count += 1
+        config = self._with_rows(config)
+        changes = self.apply(config)
+        log.info("settings read anew: %s; at most %d attempts", changes, config.settings.limits.max_attempts)
+        self._follow_discovery(config)
+
+    def _with_rows(self, config: Config) -> Config:
+        """The configuration with the cluster's rows over the file's settings."""
+        node = self._parts.cluster_node
+        if node is not None and node.settings is not None and config.raw is not None:
+            config = with_settings(config, node.settings.over(config.raw))
+        return config
+
+    def _follow_discovery(self, config: Config) -> None:
+        discovery = self._parts.discovery
+        if discovery is None or config.discovery is None:
+            log.warning("the configuration is read again; discovery can't be followed from or to nowhere")
+            return
+        apply_discovery_timeouts(discovery, config.settings)
+        discovery.size_limit = update_size_limit(config.memory_mb)
+        discovery.follow(config.discovery)
+        log.info("the configuration is read again; discovery is at %s:%d", *config.discovery)
+
+    def apply_row_settings(self, settings: dict[str, Any]) -> ClassChanges:
+        """Apply the settings of the file with the cluster's rows over them."""
+        return self.apply(with_settings(self.config, settings))
+
+    def apply(self, config: Config) -> ClassChanges:
+        """Apply the settings of a complete file, or of one with rows over it."""
+        now = self._loop.time()
+        parts, names = self._parts, self._parts.names
+        settings = config.settings
+        # The file may list zones, kinds and report fields in another order than at the start: listed workers
+        # keep the numbers that zones and kinds had first, and reports come by the new order.
+        own_zone = names.zones.index(config.zones[settings.own_zone]) if config.zones else settings.own_zone
+        classes = [self._with_first_kind_number(job_class, config) for job_class in settings.classes]
+        self.classes, changes = self.classes.updated(config.classes, classes, now)
+        has_new_numbers = len(self.classes.names) > len(names.classes)
+        names.classes[:] = self.classes.names
+        if parts.placement_plan is not None and has_new_numbers:
+            parts.placement_plan.apply_weights()
+        settings = replace(settings, classes=self.classes.classes, own_zone=own_zone)
+        parts.forwarder.apply_settings(settings)
+        parts.http_workers.apply_settings(settings.limits, config.fields)
+        parts.http_frontend.parser.apply_settings(self.classes.accepted_at(now), config.tenants)
+        if self.classes.leaving:
+            self._loop.call_later(DROPPED_CLASS_GRACE_S, self._drop_expired_classes)
+        self.config = config
+        parts.descriptors.descriptor_count = config.sockets
+        return changes
+
+    def _with_first_kind_number(self, job_class: JobClass, config: Config) -> JobClass:
+        """The class with its worker kind by the number that the kind's name had first."""
+        kind = job_class.worker_kind
+        if kind is None or kind >= len(config.kinds):
+            return job_class
+        return replace(job_class, worker_kind=self._parts.names.kinds.index(config.kinds[kind]))
+
+    def _drop_expired_classes(self) -> None:
+        """Accept classes that a file dropped no more, once their grace is over."""
+        now = self._loop.time()
+        accepted = self.classes.accepted_at(now)
+        self._parts.http_frontend.parser.apply_settings(accepted, self.config.tenants)
+        # uvloop's timers may fire a little early: the grace is then not over yet.
+        if pending := [until for _, until in self.classes.leaving.values() if until > now]:
+            self._loop.call_later(min(pending) - now + TIMER_MARGIN_S, self._drop_expired_classes)
+        else:
+            log.info("classes taken now: %s", ", ".join(accepted))
--- a/pipitshed/server/translation.py
+++ b/pipitshed/server/translation.py
@@ -1,4 +1,4 @@
-"""The parts that translation adds to a scheduler, put together; imported only where it is asked for."""
+"""The parts that translation adds to a scheduler; imported only where it is configured."""
 
 from __future__ import annotations
 
@@ -9,49 +9,54 @@
 from pipitshed.discovery.worker_interfaces import InterfaceRegistry
 from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.proxy.worker_client import Endpoint
+from pipitshed.scheduling.events import WorkerId
 from pipitshed.translation.translator import Translator
 from pipitshed.upstream.grpc import GrpcWorkerClient
 from pipitshed.upstream.http import HttpWorkerClient
 from pipitshed.upstream.interface_probe import InterfaceProber
 
+HTTP_INTERFACE = 1
+GRPC_INTERFACE = 2
+
 
 class TranslationParts:
-    """The translator before the core, interface 2 behind it, and what knows which planner speaks which."""
+    """The translator, the client of workers with the gRPC interface, and the registry of who speaks which."""
 
     def __init__(
         self,
-        core: Forwarder,
-        http: HttpWorkerClient,
-        asked: Translation,
-        classes: Sequence[str],
+        forwarder: Forwarder,
+        http_workers: HttpWorkerClient,
+        config: Translation,
+        class_names: Sequence[str],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        self.translator = Translator(asked.file, classes)
-        self.carrier = GrpcWorkerClient(core, classes, loop, asked.keepalive)
-        self.sounder = InterfaceProber(loop, self._sounded)
+        self.translator = Translator(config.file, class_names)
+        self.grpc_workers = GrpcWorkerClient(forwarder, class_names, loop, config.keepalive)
+        self.prober = InterfaceProber(loop, self._detected)
         self.interfaces = InterfaceRegistry(
-            core.endpoints,
-            {1: http, 2: self.carrier},
-            asked.planners,
-            asked.interface,
-            self.sounder.probe,
+            forwarder.endpoints,
+            {HTTP_INTERFACE: http_workers, GRPC_INTERFACE: self.grpc_workers},
+            config.planners,
+            config.interface,
+            self.prober.probe,
             loop.call_later,
         )
-        core.attach_translator(self.translator)
-        core.endpoints.attach_forgotten_listener(self.interfaces.forget)
-        http.classes = classes
-        http.on_wrong_interface = self.carrier.on_wrong_interface = self._wrong
-        self.carrier.on_drain = self._drains
+        forwarder.attach_translator(self.translator)
+        forwarder.endpoints.attach_forgotten_listener(self.interfaces.forget)
+        http_workers.classes = class_names
+        http_workers.on_wrong_interface = self.grpc_workers.on_wrong_interface = self._mismatched
+        self.grpc_workers.on_drain = self._drains
 
-    def _sounded(self, worker: bytes, address: tuple[str, int], interface: int) -> None:
+    def _detected(self, worker: WorkerId, address: tuple[str, int], interface: int) -> None:
         self.interfaces.detected(worker, address, interface)
 
-    def _wrong(self, target: Endpoint) -> None:
-        self.interfaces.mismatched(target.id)
+    def _mismatched(self, endpoint: Endpoint) -> None:
+        self.interfaces.mismatched(endpoint.id)
 
-    def _drains(self, target: Endpoint) -> None:
-        self.interfaces.drains(target.id)
+    def _drains(self, endpoint: Endpoint) -> None:
+        self.interfaces.drains(endpoint.id)
 
     def close(self) -> None:
-        self.sounder.close()
-        self.carrier.close()
+        """Stop probing, and close the connections to workers."""
+        self.prober.close()
+        self.grpc_workers.close()
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -232,12 +232,12 @@
         config = load_platform_config({"LB_CONFIG": str(path)})
         scheduler = Scheduler(config, load_front(None, config), asyncio.get_running_loop())
         path.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": turned}))
-        scheduler._retune(load_platform_config({"LB_CONFIG": str(path)}))
-        settings = scheduler.core.settings
+        scheduler.reloader.apply(load_platform_config({"LB_CONFIG": str(path)}))
+        settings = scheduler.parts.forwarder.settings
         assert settings.own_zone == 0 and [cls.worker_kind for cls in settings.classes] == [None, 2]
-        assert list(scheduler.carrier.fields) == ["x1", "x0"]
+        assert list(scheduler.parts.http_workers.fields) == ["x1", "x0"]
         assert settings.report_fields == ("free_memory", "free_slots")
-        for listener in scheduler.listeners:
+        for listener in scheduler.parts.listeners:
             listener.close()
 
     asyncio.run(check())
--- a/tests/test_settings_fleet.py
+++ b/tests/test_settings_fleet.py
@@ -293,12 +293,12 @@
         made, front = config(tmp_path), tmp_path / "front.toml"
         front.write_text(FRONT)
         scheduler = Scheduler(made, load_front(front, made), asyncio.get_running_loop(), peers("s0"))
-        rows, answers = scheduler.fleet.settings, list[Any]()  # type: ignore[union-attr]
-        scheduler.fleet.reply = Mock(return_value=answers.append)  # type: ignore[method-assign, union-attr]
+        rows, answers = scheduler.parts.cluster_node.settings, list[Any]()  # type: ignore[union-attr]
+        scheduler.parts.cluster_node.reply = Mock(return_value=answers.append)  # type: ignore[method-assign, union-attr]
         rows.hear(Put(DEADLINE, b"300", (0, 0)), ("127.0.0.1", 9))  # type: ignore[union-attr]
         assert "Gearman's functions" in answers[0].why
-        scheduler.fleet.close()  # type: ignore[union-attr]
-        for listener in scheduler.listeners:
+        scheduler.parts.cluster_node.close()  # type: ignore[union-attr]
+        for listener in scheduler.parts.listeners:
             listener.close()
 
     asyncio.run(check())
