--- a/pipitshed/membership/dissemination.py
+++ b/pipitshed/membership/dissemination.py
@@ -105,14 +105,11 @@
         self._outbox.send_admitted(self._local.replicator.push_fresh(now, targets))
         self._pushes_local_rows = False
 
-    def set_push_timer(self, now: float) -> None:
-        """Set a timer for rows that are to be pushed."""
+    def finish_step(self, now: float) -> None:
+        """Set a timer for rows that are to be pushed, and announce to the user which rows have changed."""
         if self._local.replicator.has_pushes and not self._push_timer_set:
             self._push_timer_set = True
             self._local.timers.set(now + PUSH_DELAY_S, Timer.PUSH)
-
-    def announce_changed_rows(self) -> None:
-        """Tell the user of the protocol which rows have changed."""
         for table, rows in zip(self._local.tables, self._changed_rows, strict=True):
             if rows:
                 self._outbox.add(RowsChanged(table.name, tuple(rows)))
--- a/pipitshed/membership/protocol.py
+++ b/pipitshed/membership/protocol.py
@@ -69,8 +69,11 @@
         self._synchronizer = Synchronizer(self._local, self.outbox, self.records, self._disseminator, seeds)
         self.view.apply(now, self_record)
         self.replicator.queue_item(VIEW_INDEX, self_record)
+        self._set_first_timers(now)
+
+    def _set_first_timers(self, now: float) -> None:
         # The first probe is drawn from a whole period, as many members may start at once.
-        self._timers.set(now + rng.random() * timings.period, Timer.PROBE)
+        self._timers.set(now + self._local.rng.random() * self.timings.period, Timer.PROBE)
         self._timers.set(now, Timer.SYNC)
         self._synchronizer.set_reconnect_timer(now)
 
@@ -202,6 +205,5 @@
         """Set the timers that are due, and return all instructions."""
         self.replicator.apply_completed_exchanges(now)
         self._synchronizer.set_exchange_timer()
-        self._disseminator.set_push_timer(now)
-        self._disseminator.announce_changed_rows()
+        self._disseminator.finish_step(now)
         return self.outbox.drain()
--- a/pipitshed/membership/suspicion.py
+++ b/pipitshed/membership/suspicion.py
@@ -43,10 +43,11 @@
             record: The record.
             fetched_with: For a record that anti-entropy brought, how many came in the same answer.
         """
-        if record.name == self._local.self_record.name:
+        local = self._local
+        if record.name == local.self_record.name:
             self._apply_to_self(now, record)
             return
-        current = self._local.view.get(record.name)
+        current = local.view.get(record.name)
         if (
             current is not None
             and record.state is MemberState.SUSPECT
@@ -54,7 +55,7 @@
         ):
             self._confirm_suspicion(record)
             return
-        if not self._local.view.apply(now, record):
+        if not local.view.apply(now, record):
             return
         self._queue(now, record, fetched_with)
         if record.state is MemberState.SUSPECT:
--- a/pipitshed/replication/anti_entropy.py
+++ b/pipitshed/replication/anti_entropy.py
@@ -139,11 +139,11 @@
 
     def next_due_at(self) -> float | None:
         """Return when `handle_timeouts` has something to do."""
-        due_at = min((exchange.due_at for exchange in self._exchanges.values()), default=None)
         retry_at = self.responder.next_due_at()
-        if due_at is None or retry_at is None:
-            return retry_at if due_at is None else due_at
-        return min(due_at, retry_at)
+        if not self._exchanges:
+            return retry_at
+        due_at = min(exchange.due_at for exchange in self._exchanges.values())
+        return due_at if retry_at is None else min(due_at, retry_at)
 
     def handle_timeouts(self, now: float) -> list[OutgoingMessage]:
         """Retry requests that had no answer, and messages that the budget had no bytes for."""
--- a/pipitshed/replication/replicator.py
+++ b/pipitshed/replication/replicator.py
@@ -85,7 +85,10 @@
         outgoing: list[OutgoingMessage] = []
         for index, (table, digest) in enumerate(zip(self.tables, digests, strict=False)):
             if digest == table.tree.digest():
-                self._record_agreement(index, address)
+                table.caught_up = True
+                self._agreeing_peers[index] += 1
+                self._differed_at[index].pop(address, None)
+                self.anti_entropy.backoff.reset(index, address)
                 continue
             self._agreeing_peers[index] = 0
             if address in self._seeds:
@@ -96,12 +99,6 @@
                 outgoing += self.start_exchange_if_due(now, index)
         return outgoing
 
-    def _record_agreement(self, index: int, address: Address) -> None:
-        self.tables[index].caught_up = True
-        self._agreeing_peers[index] += 1
-        self._differed_at[index].pop(address, None)
-        self.anti_entropy.backoff.reset(index, address)
-
     def last_differed_at(self, index: int, address: Address) -> float:
         """Return when a peer last sent another digest; minus infinity where it has agreed since."""
         return self._differed_at[index].get(address, float("-inf"))
