--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -186,9 +186,9 @@
             new = [row for row in unpack(message.packed, ROWS) if held.apply(row) is ApplyResult.NEW]
             out = end.receive_rows(0.0, THERE, message, len(new), [])
         else:
-            out = (end.receive_comparison if isinstance(message, Compare) else end.responder.answer_items)(
-                0.0, THERE, message
-            )  # type: ignore[operator]
+            is_comparison = isinstance(message, Compare)
+            handle = end.receive_comparison if is_comparison else end.responder.answer_items
+            out = handle(0.0, THERE, message)  # type: ignore[operator]
         return list(out) if leads else [one.message for one in out]
 
     for number in range(300):
--- a/tests/test_settings_rows.py
+++ b/tests/test_settings_rows.py
@@ -372,46 +372,79 @@
     assert sum(played(seed) for seed in range(60)) > 10_000
 
 
-def played(seed: int) -> int:
-    """How often `in force` was said by five schedulers that all may write, with restarts; each time it is
-    held against the truth."""
-    rng = random.Random(seed)
-    members = {name: Member(name, seed) for name in "abcde"}
-    post: list[tuple[str, Any]] = []
-    living = dict.fromkeys(members, 1)
-    now, said = 0.0, 0
-    for _ in range(1000):
-        now += rng.uniform(0.0, 0.2)
-        name = rng.choice("abcde")
-        member = members[name]
-        what = rng.random()
-        if what < 0.005:
-            key = rng.choice([SHARE, GOAL])
-            member.one.watch(now, member.table.put(key, b"%d" % rng.randrange(9), name, take_over=True))
-            member.act(now, 5)
-        elif what < 0.3:
-            for one in rng.choice(list(members.values())).table:
-                member.table.apply(one)
-        elif what < 0.5:
-            new = [one.key for one in member.table if not member.acts_on(one)]
-            member.act(now, 5, *(key for key in new if rng.random() < 0.05))
-        elif what < 0.503:
-            members[name] = Member(name, seed, rng.randrange(2**32))  # it lost everything
-        elif what < 0.65:
-            post += [(to, (message, name)) for to, message in member.one.handle_timeouts(now, living)]
-        elif post:
-            place = rng.randrange(len(post))
-            to, (message, sender) = post[place] if rng.random() < 0.2 else post.pop(place)
-            if rng.random() < 0.2:
-                continue  # lost
-            if isinstance(message, AppliedReport):
-                members[to].one.receive_report(message, living)
-            else:
-                post.append((sender, (members[to].one.answer_query(message), to)))
-        living = {name: member.life for name, member in members.items()}
-        for asked in members.values():
+class Schedulers:
+    """Five schedulers that all may write, and their messages, some of which are lost or doubled."""
+
+    def __init__(self, seed: int) -> None:
+        self.seed = seed
+        self.rng = random.Random(seed)
+        self.members = {name: Member(name, seed) for name in "abcde"}
+        self.in_flight: list[tuple[str, tuple[Any, str]]] = []  # the receiver; the message and its sender
+        self.live_instances = dict.fromkeys(self.members, 1)
+        self.now = 0.0
+
+    def step(self) -> bool:
+        """Let one of them do something; whether anything may have changed."""
+        self.now += self.rng.uniform(0.0, 0.2)
+        name = self.rng.choice("abcde")
+        drawn = self.rng.random()
+        if drawn < 0.005:
+            self.write(name)
+        elif drawn < 0.3:
+            self.copy_rows(name)
+        elif drawn < 0.5:
+            self.apply_rows(name)
+        elif drawn < 0.503:
+            self.members[name] = Member(name, self.seed, self.rng.randrange(2**32))  # it lost everything
+        elif drawn < 0.65:
+            outgoing = self.members[name].one.handle_timeouts(self.now, self.live_instances)
+            self.in_flight += [(receiver, (message, name)) for receiver, message in outgoing]
+        elif self.in_flight and not self.deliver():
+            return False
+        self.live_instances = {name: member.life for name, member in self.members.items()}
+        return True
+
+    def write(self, name: str) -> None:
+        member, key = self.members[name], self.rng.choice([SHARE, GOAL])
+        row = member.table.put(key, b"%d" % self.rng.randrange(9), name, take_over=True)
+        member.one.watch(self.now, row)
+        member.act(self.now, 5)
+
+    def copy_rows(self, name: str) -> None:
+        for one in self.rng.choice(list(self.members.values())).table:
+            self.members[name].table.apply(one)
+
+    def apply_rows(self, name: str) -> None:
+        member = self.members[name]
+        new = [one.key for one in member.table if not member.acts_on(one)]
+        member.act(self.now, 5, *(key for key in new if self.rng.random() < 0.05))
+
+    def deliver(self) -> bool:
+        """Deliver one message; whether it was not lost."""
+        place = self.rng.randrange(len(self.in_flight))
+        is_doubled = self.rng.random() < 0.2
+        receiver, (message, sender) = self.in_flight[place] if is_doubled else self.in_flight.pop(place)
+        if self.rng.random() < 0.2:
+            return False
+        if isinstance(message, AppliedReport):
+            self.members[receiver].one.receive_report(message, self.live_instances)
+        else:
+            answer = self.members[receiver].one.answer_query(message)
+            self.in_flight.append((sender, (answer, receiver)))
+        return True
+
+    def check(self) -> int:
+        """How often `in force` is said now; each time it is compared with the truth."""
+        said = 0
+        for asked in self.members.values():
             for one in list(asked.table):
-                if asked.one.status(now, one, living).in_force:
+                if asked.one.status(self.now, one, self.live_instances).in_force:
                     said += 1
-                    assert all(other.acts_on(one) for other in members.values())
-    return said
+                    assert all(other.acts_on(one) for other in self.members.values())
+        return said
+
+
+def played(seed: int) -> int:
+    """How often `in force` was said in 1,000 steps with restarts."""
+    schedulers = Schedulers(seed)
+    return sum(schedulers.check() for _ in range(1000) if schedulers.step())
