--- a/benchmarks/capacity/letter.py
+++ b/benchmarks/capacity/letter.py
@@ -846,7 +846,7 @@
         ONE_BYTES.at(SCHEDULERS),
         "bytes",
         ONE_SETTLED.at(SCHEDULERS),
-        ("tests/test_membership.py::test_a_death_is_found_and_held_by_all",),
+        ("tests/membership/test_membership.py::test_a_death_is_found_and_held_by_all",),
     ),
     Failure(
         "a planner restarted or replaced",
@@ -882,7 +882,7 @@
         ZONE_BYTES.at(SCHEDULERS),
         "bytes",
         ZONE_SETTLED.at(SCHEDULERS),
-        ("tests/test_membership.py::test_half_the_fleet_killed_at_once",),
+        ("tests/membership/test_membership.py::test_half_the_fleet_killed_at_once",),
     ),
     Failure(
         "regions cut off for an hour",
@@ -892,9 +892,9 @@
         "bytes",
         BACK_SETTLED.at(SCHEDULERS),
         (
-            "tests/test_membership.py::"
+            "tests/membership/test_membership.py::"
             "test_two_halves_apart_for_a_minute_with_joins_and_deaths_settle_once_whole",
-            "tests/test_replication.py::test_sides_that_were_apart_hold_the_same_rows_soon_after_they_meet",
+            "tests/replication/test_replication.py::test_sides_that_were_apart_hold_the_same_rows_soon_after_they_meet",
             "tests/test_fleet_rig.py::test_halves_apart_with_a_join_and_a_death_in_each_are_one_again",
         ),
     ),
