--- a/pipitshed/membership/dissemination.py
+++ b/pipitshed/membership/dissemination.py
@@ -35,7 +35,7 @@
     ) -> Gossip:
         """Choose the records and rows for one message.
 
-        A record that is held against the receiver goes first, so that it can refute at once (Lifeguard's
+        A record that accuses the receiver goes first, so that it can refute at once (Lifeguard's
         buddy system). Suspicions are in no digest: while there are any, records also go to members with the
         same view.
         """
--- a/pipitshed/replication/anti_entropy.py
+++ b/pipitshed/replication/anti_entropy.py
@@ -188,7 +188,7 @@
             gained_count: How many of the rows were new here.
             newer_keys: Keys of which this member has a newer row.
         """
-        outgoing = self.responder.send_wanted(now, peer, message, newer_keys)
+        outgoing = self.responder.send_requested(now, peer, message, newer_keys)
         exchange = self._exchanges.get((message.table, peer))
         if exchange is not None and message.is_sample:
             del self._exchanges[message.table, peer]
--- a/pipitshed/replication/messages.py
+++ b/pipitshed/replication/messages.py
@@ -46,7 +46,7 @@
     packed: bytes
     ranges: tuple[int, ...] = ()
     salt: int = 0  # as in the request
-    wanted_marks: bytes = b""  # marks of what the sender lacks itself
+    requested_marks: bytes = b""  # marks of what the sender lacks itself
     complete: bool = True  # whether these are all items that the ranges call for
     fresh: bool = False
 
--- a/pipitshed/replication/peer_responder.py
+++ b/pipitshed/replication/peer_responder.py
@@ -78,11 +78,11 @@
             self._defer(now, peer, request)
             return []
         unknown_marks = sorted(peer_marks - {mark for mark, _ in own_marks})
-        wanted_marks = encode_marks(unknown_marks[: space // 4 // ITEM_MARK_BYTES])
+        requested_marks = encode_marks(unknown_marks[: space // 4 // ITEM_MARK_BYTES])
         missing_keys = [key for mark, key in own_marks if mark not in peer_marks]
-        count, packed = self._pacer.pack_rows(table, missing_keys, space - len(wanted_marks))
+        count, packed = self._pacer.pack_rows(table, missing_keys, space - len(requested_marks))
         complete = count == len(missing_keys)
-        answer = Rows(request.table, packed, nodes, request.salt, wanted_marks, complete)
+        answer = Rows(request.table, packed, nodes, request.salt, requested_marks, complete)
         return self._admitted(now, peer, answer)
 
     def _defer(self, now: float, peer: Address, request: Items) -> None:
@@ -93,13 +93,13 @@
     def _admitted(self, now: float, peer: Address, answer: Compare | Rows) -> list[OutgoingMessage]:
         return [OutgoingMessage(peer, answer)] if self._pacer.admit(now, answer.table, answer) else []
 
-    def send_wanted(
+    def send_requested(
         self, now: float, peer: Address, message: Rows, newer_keys: Sequence[str]
     ) -> list[OutgoingMessage]:
-        """Send a peer the rows whose marks it wants, and those of which it has an older version."""
+        """Send a peer the rows whose marks it has requested, and those of which it has an older version."""
         table, outgoing = self._tables[message.table], []
         min_bytes = MIN_ANSWER_BYTES + self._pacer.overhead_bytes
-        keys = sorted(self._wanted_keys(table, message) | set(newer_keys))
+        keys = sorted(self._requested_keys(table, message) | set(newer_keys))
         while keys:
             available = self._pacer.payload_bytes(now, message.table, min_bytes)
             count, packed = self._pacer.pack_rows(table, keys, min(MESSAGE_LIMIT_BYTES, available))
@@ -111,12 +111,12 @@
         return outgoing
 
     @staticmethod
-    def _wanted_keys(table: ComparableTable, message: Rows) -> set[str]:
-        wanted_marks = decode_marks(message.wanted_marks)
+    def _requested_keys(table: ComparableTable, message: Rows) -> set[str]:
+        requested_marks = decode_marks(message.requested_marks)
         return {
             key
             for node in message.ranges[:MAX_RANGES]
-            if wanted_marks and is_valid_node(node)
+            if requested_marks and is_valid_node(node)
             for mark, key in table.tree.marks(node, message.salt)
-            if mark in wanted_marks
+            if mark in requested_marks
         }
