--- a/pipitshed/replication/anti_entropy.py
+++ b/pipitshed/replication/anti_entropy.py
@@ -139,11 +139,11 @@
 
     def next_due_at(self) -> float | None:
         """Return when `handle_timeouts` has something to do."""
-        due_at = min((exchange.due_at for exchange in self._exchanges.values()), default=None)
         retry_at = self.responder.next_due_at()
-        if due_at is None or retry_at is None:
-            return retry_at if due_at is None else due_at
-        return min(due_at, retry_at)
+        if not self._exchanges:
+            return retry_at
+        due_at = min(exchange.due_at for exchange in self._exchanges.values())
+        return due_at if retry_at is None else min(due_at, retry_at)
 
     def handle_timeouts(self, now: float) -> list[OutgoingMessage]:
         """Retry requests that had no answer, and messages that the budget had no bytes for."""
@@ -188,7 +188,7 @@
             gained_count: How many of the rows were new here.
             newer_keys: Keys of which this member has a newer row.
         """
-        outgoing = self.responder.send_wanted(now, peer, message, newer_keys)
+        outgoing = self.responder.send_requested(now, peer, message, newer_keys)
         exchange = self._exchanges.get((message.table, peer))
         if exchange is not None and message.is_sample:
             del self._exchanges[message.table, peer]
