--- /dev/null
+++ b/pipitshed/upstream/grpc/client.py
@@ -0,0 +1,138 @@
+"""The client of gRPC workers: one HTTP/2 connection to each, on which every attempt is a stream."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Coroutine, Sequence
+from typing import Any
+
+from hpack import NeverIndexedHeaderTuple
+
+from pipitshed import __version__
+from pipitshed.protocols.address import Address
+from pipitshed.protocols.grpc import timeout_text
+from pipitshed.proxy.forwarder import Forwarder
+from pipitshed.proxy.request import Attempt, Endpoint
+from pipitshed.upstream.grpc.connection import GrpcConnection
+from pipitshed.upstream.grpc.stream import GrpcStream
+from pipitshed.upstream.http.pool import IDLE_MARGIN_FRACTION
+
+Header = tuple[bytes, bytes]
+
+_FIXED_HEADERS: list[Header] = [
+    (b":method", b"POST"),
+    (b":scheme", b"http"),
+    (b":path", b"/pipitshed.planner.v2.Planner/Run"),
+    (b":authority", b"service.internal"),
+    (b"te", b"trailers"),
+    (b"content-type", b"application/grpc+proto"),
+    (b"user-agent", f"pipitshed/{__version__}".encode()),
+]
+
+
+class GrpcWorkerClient:
+    """Opens a connection to a worker when there is an attempt or a probe for it."""
+
+    def __init__(
+        self, core: Forwarder, classes: Sequence[str], loop: asyncio.AbstractEventLoop, keepalive_s: float
+    ) -> None:
+        self.core = core
+        self.loop = loop
+        self.keepalive_s = keepalive_s  # silence, with attempts outstanding, after which a PING is sent
+        self.on_wrong_interface: Callable[[Endpoint], None] = lambda _: None
+        self.on_drain: Callable[[Endpoint], None] = lambda endpoint: core.endpoints.mark_draining(endpoint.id)
+        limits = core.settings.limits
+        self.idle_timeout_s = limits.idle_timeout_ms / 1000 * (1 - IDLE_MARGIN_FRACTION)
+        self.probe_count = 0
+        self._classes = classes
+        self._connect_timeout_s = limits.connect_timeout_ms / 1000
+        self._connections: dict[Address, GrpcConnection] = {}  # those that open new streams
+        self._all: set[GrpcConnection] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def start(self, attempt: Attempt) -> None:
+        """Start an attempt on the worker's connection."""
+        self._connection(attempt.endpoint).add(attempt)
+
+    def abort(self, attempt: Attempt) -> bool:
+        """Stop an attempt for good; whether it may have run."""
+        state = attempt.transport_state
+        if isinstance(state, GrpcStream):
+            return state.connection.cancel(state)
+        if isinstance(state, GrpcConnection):
+            state.forget(attempt)
+        return False
+
+    def probe(self, endpoint: Endpoint) -> None:
+        """Ask whether a worker is there; this interface reports no load."""
+        self._connection(endpoint).probe()
+
+    def close_idle_connections(self, endpoint: Endpoint) -> None:
+        """Close the connection to a worker, if it carries no attempt."""
+        connection = self._connections.get(endpoint.address)
+        if connection is not None and not connection.streams and not connection.queue:
+            connection.close()
+
+    def close(self) -> None:
+        """Close all connections; no attempt is outstanding."""
+        for connection in list(self._all):
+            connection.close()
+
+    def lost(self, connection: GrpcConnection) -> None:
+        """A connection opens no new streams any more, or has ended."""
+        address = connection.endpoint.address
+        if self._connections.get(address) is connection:
+            del self._connections[address]
+        if connection.has_ended:
+            self._all.discard(connection)
+
+    def metadata(self, attempt: Attempt, remaining_s: float) -> list[Header]:
+        """The headers of an attempt that has `remaining_s` seconds.
+
+        Those that differ with each attempt are never indexed, so that the header encoder does not cache them.
+        """
+        request = attempt.context.request
+        headers = [
+            *_FIXED_HEADERS,
+            (b"x-class", self._classes[request.job_class].encode()),
+            NeverIndexedHeaderTuple(b"grpc-timeout", timeout_text(remaining_s)),
+            NeverIndexedHeaderTuple(b"x-request-id", request.id.encode("latin-1")),
+        ]
+        if request.tenant_name:
+            headers.append((b"x-tenant", request.tenant_name.encode("latin-1")))
+        if request.idempotency_key:
+            key = request.idempotency_key.encode("latin-1")
+            headers.append(NeverIndexedHeaderTuple(b"idempotency-key", key))
+        if request.slots != 1.0:
+            headers.append((b"x-slots", b"%.15g" % request.slots))
+        if request.memory:
+            headers.append((b"x-memory", b"%.15g" % request.memory))
+        return headers
+
+    def _connection(self, endpoint: Endpoint) -> GrpcConnection:
+        """The connection that opens new streams; it may not be up yet."""
+        connection = self._connections.get(endpoint.address)
+        if connection is None:
+            self.core.counters["connections"] += 1
+            connection = self._connections[endpoint.address] = GrpcConnection(self, endpoint)
+            self._all.add(connection)
+            self._spawn(self._connect(connection))
+        return connection
+
+    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+        task = self.loop.create_task(work)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def _connect(self, connection: GrpcConnection) -> None:
+        """Connect, and abort where the worker's SETTINGS do not arrive in time."""
+        host, port = connection.endpoint.address
+        try:
+            async with asyncio.timeout(self._connect_timeout_s):
+                await self.loop.create_connection(lambda: connection, host, port)
+        except (OSError, ValueError):  # a TimeoutError is an OSError; a malformed host is a ValueError
+            connection.abort()
+            return
+        await asyncio.sleep(self._connect_timeout_s)
+        if not connection.is_ready:
+            connection.abort()
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -27,7 +27,7 @@
 from pipitshed.protocols.grpc import MESSAGE_LIMIT, frame
 from pipitshed.proxy.request import Endpoint
 from pipitshed.scheduling.actions import StartAttempt
-from pipitshed.upstream.grpc_connection import UNREAD_LIMIT, Connection
+from pipitshed.upstream.grpc.connection import MAX_UNREAD_BYTES, GrpcConnection
 from pipitshed.worker_api import planner_pb2 as pb
 
 CASES = int(os.environ.get("PIPITSHED_FUZZ", "300"))
@@ -156,10 +156,10 @@
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: faults.append(context))
         async with bench() as world:
-            connection = Connection(world.carrier, Endpoint(b"p1", world.carrier, ("127.0.0.1", 1), 2))
+            connection = GrpcConnection(world.carrier, Endpoint(b"p1", world.carrier, ("127.0.0.1", 1), 2))
             world.carrier._connections["127.0.0.1", 1] = connection
             world.carrier._all.add(connection)
-            world.core.endpoints._endpoints[b"p1"] = connection.target
+            world.core.endpoints._endpoints[b"p1"] = connection.endpoint
             transport = Transport()
             connection.connection_made(transport)  # type: ignore[arg-type]
             callers = [Caller(), Caller()]
@@ -168,14 +168,14 @@
                 world.core._send(StartAttempt(caller.exchange.job_id, b"p1"))
             data = (made(SettingsFrame, 0) if greets else b"") + b"".join(parts)
             for place in range(0, len(data), piece):
-                if connection.over or transport.closed:
+                if connection.has_ended or transport.closed:
                     break
                 connection.data_received(data[place : place + piece])
                 if place // piece == drop:
                     world.leave(callers[0])
             await asyncio.sleep(0)
             assert len(connection._http2.incoming_buffer._data) < 2**14 + 64
-            assert transport.written < UNREAD_LIMIT
+            assert transport.written < MAX_UNREAD_BYTES
             connection.connection_lost(None)
             await asyncio.sleep(0)
             for caller in callers:
--- a/tests/test_run_as_shipped.py
+++ b/tests/test_run_as_shipped.py
@@ -40,8 +40,12 @@
     "discovery.worker_interfaces",
     "server.translation",
     "upstream.grpc",
-    "upstream.grpc_connection",
-    "upstream.grpc_outcomes",
+    "upstream.grpc.client",
+    "upstream.grpc.connection",
+    "upstream.grpc.control_frames",
+    "upstream.grpc.keepalive",
+    "upstream.grpc.outcomes",
+    "upstream.grpc.stream",
     "upstream.interface_probe",
 }
 THREADS = 1
