--- a/pipitshed/discovery/catalog/watch.py
+++ b/pipitshed/discovery/catalog/watch.py
@@ -145,7 +145,7 @@
         """Whether an update has begun that must be complete soon."""
         return bool(self._assembler) or self._oversized is not None or len(self._reader.buffer) > 0
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         """The server has ended the call, or the network has."""
         self.fail()
 
@@ -176,7 +176,7 @@
         if self._oversized is not None and (not self._is_watch or len(buffer) > READ_SIZE_BYTES):
             self._oversized.skipped_bytes += len(buffer.take_all())
 
-    def answer_ended(self, keep_alive: bool) -> None:
+    def answer_ended(self, _keep_alive: bool) -> None:
         """The response is complete: the list of a fetch, or the unexpected end of a watch."""
         text = self._assembler.join(self._reader.buffer.take_all())
         is_complete = self._ended or (
--- /dev/null
+++ b/pipitshed/frontends/gearman/connection.py
@@ -0,0 +1,177 @@
+"""One Gearman connection: of a client, a worker or an administrator, as what it sends shows."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, cast
+
+from pipitshed.frontends.gearman.job import GearmanJob
+from pipitshed.protocols.buffer import Buffer, TooLongError
+from pipitshed.protocols.gearman import HEAD, PACKET_LIMIT, Kind, PacketError, pack, requests
+from pipitshed.protocols.http import BODY_LIMIT
+from pipitshed.upstream.gearman import WORKER_KINDS, GearmanWorker
+
+if TYPE_CHECKING:
+    from pipitshed.frontends.gearman.frontend import GearmanFrontend
+
+LINGER_S = 0.5  # for which input is discarded after the last packet
+MAX_UNREAD_BYTES = 1024 * 1024  # that a peer may leave unread before its connection is closed
+MAX_OPEN_JOBS = 4096  # of all connections
+_READ_SIZE_BYTES = 256 * 1024
+
+
+@dataclass(frozen=True, slots=True)
+class _Submission:
+    """What the kind of a submission says of the job."""
+
+    priority: int
+    is_background: bool
+
+
+_SUBMISSIONS = {
+    Kind.SUBMIT_JOB: _Submission(0, is_background=False),
+    Kind.SUBMIT_JOB_BG: _Submission(0, is_background=True),
+    Kind.SUBMIT_JOB_HIGH: _Submission(1, is_background=False),
+    Kind.SUBMIT_JOB_HIGH_BG: _Submission(1, is_background=True),
+    Kind.SUBMIT_JOB_LOW: _Submission(-1, is_background=False),
+    Kind.SUBMIT_JOB_LOW_BG: _Submission(-1, is_background=True),
+}
+
+
+class GearmanConnection(asyncio.Protocol):
+    """One connection."""
+
+    def __init__(self, frontend: GearmanFrontend) -> None:
+        self.wants_exceptions = False
+        self.worker: GearmanWorker | None = None
+        self._frontend = frontend
+        # One read, and a packet that had begun before it.
+        self._buffer = Buffer(HEAD.size + PACKET_LIMIT + _READ_SIZE_BYTES)
+        self._transport: asyncio.Transport | None = None
+        self._jobs: dict[GearmanJob, None] = {}  # whose results the client waits for
+        self._is_closing = False
+
+    # ---- asyncio.Protocol
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Count the connection."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports do not inherit from it
+        self._transport.set_write_buffer_limits(high=MAX_UNREAD_BYTES)
+        self._frontend.connections[self] = None
+
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Withdraw the client's jobs, and end the worker's attempts."""
+        self._transport = None
+        self._frontend.connections.pop(self, None)
+        self._withdraw_jobs()
+        if self.worker is not None:
+            self.worker.lost()
+
+    def eof_received(self) -> None:
+        """Treat the peer as gone at once, even if it has not read everything yet."""
+        self._withdraw_jobs()
+
+    def pause_writing(self) -> None:
+        """Close a peer that does not read, before what it is sent fills the memory."""
+        self.abort()
+
+    def data_received(self, data: bytes) -> None:
+        """Handle the packets and text commands that are complete."""
+        if self._is_closing:
+            return
+        try:
+            self._buffer.append(data)
+            for request in requests(self._buffer):
+                if self._transport is None or self._transport.is_closing():
+                    return
+                if isinstance(request, bytes):
+                    self.write(self._frontend.command(request.decode("latin-1")))
+                else:
+                    self._handle_packet(*request)
+        except (PacketError, TooLongError) as error:
+            # Where the next packet begins is not known behind one that can't be parsed.
+            self.write(pack(Kind.ERROR, b"ERR_BAD_PACKET", str(error).encode()))
+            self.close()
+
+    # ---- packets
+
+    def _handle_packet(self, kind: Kind, arguments: list[bytes]) -> None:
+        if kind in _SUBMISSIONS:
+            self._submit(_SUBMISSIONS[kind], *arguments)
+        elif kind is Kind.ECHO_REQ:
+            self.write(pack(Kind.ECHO_RES, arguments[0]))
+        elif kind is Kind.OPTION_REQ:
+            if arguments[0] == b"exceptions":
+                self.wants_exceptions = True
+                self.write(pack(Kind.OPTION_RES, arguments[0]))
+            else:
+                self._write_error(b"ERR_UNKNOWN_OPTION", b"the server has no such option")
+        elif kind is Kind.GET_STATUS:
+            self.write(self._frontend.status(arguments[0]))
+        elif kind is Kind.GET_STATUS_UNIQUE:
+            self.write(self._frontend.status_unique(arguments[0]))
+        elif kind in WORKER_KINDS:
+            if self.worker is None:
+                self.worker = self._frontend.worker_client.worker(self)
+            self.worker.handle(kind, arguments)
+
+    def _submit(self, submission: _Submission, name: bytes, unique_id: bytes, body: bytes) -> None:
+        frontend = self._frontend
+        function = frontend.functions.get(name.decode("latin-1"))
+        if function is None:
+            self._write_error(b"ERR_UNKNOWN_FUNCTION", b"no class for this function")
+        elif len(body) > BODY_LIMIT:
+            self._write_error(b"ERR_TOO_LARGE", b"a job holds at most 65536 bytes")
+        elif frontend.closing:
+            self._write_error(b"ERR_CLOSING", b"the scheduler is about to end")
+        elif len(frontend.jobs) >= MAX_OPEN_JOBS:
+            self._write_error(b"ERR_QUEUE_FULL", b"too many jobs are open")
+        else:
+            connection = None if submission.is_background else self
+            job = GearmanJob(frontend, frontend.new_handle(), unique_id, connection)
+            if connection is not None:
+                self._jobs[job] = None
+            self.write(pack(Kind.JOB_CREATED, job.handle))
+            frontend.jobs[job.handle] = job
+            # Not at once: where the client has gone already, its end is read before the next turn, and the
+            # job does not start.
+            frontend.loop.call_soon(frontend.submit, job, function, name, body, submission.priority)
+
+    def _write_error(self, code: bytes, text: bytes) -> None:
+        self.write(pack(Kind.ERROR, code, text))
+
+    # ---- output and the end
+
+    def write(self, data: bytes) -> None:
+        """Send packets, unless the connection is closing."""
+        if self._transport is not None and not self._transport.is_closing() and not self._is_closing:
+            self._transport.write(data)
+
+    def ended(self, job: GearmanJob) -> None:
+        """A job of this client has ended."""
+        self._jobs.pop(job, None)
+
+    def _withdraw_jobs(self) -> None:
+        jobs, self._jobs = list(self._jobs), {}
+        for job in jobs:
+            self._frontend.withdraw(job)
+
+    def close(self) -> None:
+        """Close behind what is written.
+
+        Input is discarded for a moment: closing with unread input would reset the connection, and the peer
+        would lose what it has not read, such as the error.
+        """
+        if self._transport is not None and not self._transport.is_closing() and not self._is_closing:
+            self._is_closing = True
+            self._transport.write_eof()
+            self._withdraw_jobs()
+            if self.worker is not None:
+                self.worker.lost()
+            self._frontend.loop.call_later(LINGER_S, self.abort)
+
+    def abort(self) -> None:
+        """Close at once."""
+        if self._transport is not None:
+            self._transport.abort()
--- /dev/null
+++ b/pipitshed/frontends/gearman/frontend.py
@@ -0,0 +1,142 @@
+"""All Gearman connections, and the open jobs by their handles."""
+
+from __future__ import annotations
+
+import asyncio
+import hashlib
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+
+from pipitshed.frontends.gearman.connection import GearmanConnection
+from pipitshed.frontends.gearman.job import GearmanJob
+from pipitshed.frontends.gearman.text_commands import run_command
+from pipitshed.protocols.gearman import Kind, pack
+from pipitshed.proxy.deduplication import DeduplicationTable
+from pipitshed.proxy.forwarder import Forwarder
+from pipitshed.proxy.request import Request
+from pipitshed.upstream.gearman import GearmanWorkerClient
+
+_UNIQUE_ID_IS_DATA = b"-"  # as a unique id: the job's data stands for it
+
+
+@dataclass(frozen=True, slots=True)
+class GearmanFunction:
+    """What the settings say of a Gearman function."""
+
+    job_class: int
+    tenant: int
+    timeout_ms: float
+    tenant_name: str = ""
+    form: int | None = None  # version of the message format that its clients use
+
+
+class GearmanFrontend:
+    """Accepts Gearman connections within a limit, and submits their jobs."""
+
+    def __init__(
+        self,
+        core: Forwarder,
+        worker_client: GearmanWorkerClient,
+        functions: Mapping[str, GearmanFunction],
+        loop: asyncio.AbstractEventLoop,
+        label: str,
+        max_connections: int,
+        shutdown: Callable[[], None],
+    ) -> None:
+        self.core = core
+        self.worker_client = worker_client
+        self.functions = functions
+        self.loop = loop
+        self.shutdown = shutdown
+        self.connections: dict[GearmanConnection, None] = {}
+        self.jobs: dict[bytes, GearmanJob] = {}
+        self.closing = False  # no further jobs are accepted
+        self._deduplication = DeduplicationTable(core, loop)
+        self._max_connections = max_connections
+        self._label = label.encode("latin-1", "replace")  # so that handles differ between starts
+        self._handle_count = 0
+
+    # ---- connections
+
+    def connection(self) -> GearmanConnection:
+        """A new connection."""
+        return GearmanConnection(self)
+
+    def has_room(self, pending: int) -> bool:
+        """Whether another connection is accepted, besides `pending` ones that are accepted and not up yet."""
+        return len(self.connections) + pending < self._max_connections
+
+    def close(self) -> None:
+        """Close all connections; no job is open."""
+        for connection in list(self.connections):
+            connection.close()
+
+    # ---- jobs
+
+    @property
+    def busy(self) -> bool:
+        """Whether any job is open."""
+        return bool(self.jobs)
+
+    def new_handle(self) -> bytes:
+        """A handle that no other job has."""
+        self._handle_count += 1
+        return b"H:%s:%d" % (self._label, self._handle_count)
+
+    def submit(
+        self, job: GearmanJob, function: GearmanFunction, name: bytes, body: bytes, priority: int
+    ) -> None:
+        """Submit a job whose client is still there; its unique id is the idempotency key."""
+        if job.handle not in self.jobs:
+            return
+        unique_id = job.unique_id
+        if unique_id == _UNIQUE_ID_IS_DATA:
+            unique_id = hashlib.sha256(name + b"\0" + body).hexdigest().encode()
+        handle = job.handle.decode("latin-1")
+        request = Request(
+            handle,
+            function.job_class,
+            function.timeout_ms,
+            function.tenant,
+            body,
+            unique_id.decode("latin-1") or handle,
+            function=name.decode("latin-1"),
+            priority=priority,
+            tenant_name=function.tenant_name,
+            form_version=function.form,
+        )
+        job.entry = self._deduplication.submit(request, job)
+
+    def ended(self, job: GearmanJob) -> None:
+        """A job has ended."""
+        self.jobs.pop(job.handle, None)
+
+    def withdraw(self, job: GearmanJob) -> None:
+        """The client that waited for a job has gone."""
+        self.jobs.pop(job.handle, None)
+        if job.entry is not None:
+            self._deduplication.withdraw(job.entry, job)
+
+    # ---- what clients and administrators ask
+
+    def status(self, handle: bytes) -> bytes:
+        """Whether a job is open, whether it is running, and the percentage that is done."""
+        job = self.jobs.get(handle)
+        if job is None:
+            return pack(Kind.STATUS_RES, handle, b"0", b"0", b"0", b"0")
+        percent = b"%d" % round(job.share * 100)
+        return pack(Kind.STATUS_RES, handle, b"1", b"1" if job.is_started else b"0", percent, b"100")
+
+    def status_unique(self, unique_id: bytes) -> bytes:
+        """The same for all jobs with a unique id, and how many clients wait for them."""
+        jobs = [job for job in self.jobs.values() if job.unique_id == unique_id]
+        if not jobs:
+            return pack(Kind.STATUS_RES_UNIQUE, unique_id, b"0", b"0", b"0", b"0", b"0")
+        percent = b"%d" % round(max(job.share for job in jobs) * 100)
+        waiting = b"%d" % sum(job.connection is not None for job in jobs)
+        running = b"1" if any(job.is_started for job in jobs) else b"0"
+        return pack(Kind.STATUS_RES_UNIQUE, unique_id, b"1", running, percent, b"100", waiting)
+
+    def command(self, line: str) -> bytes:
+        """Run an administrator's text command; the response to it."""
+        return run_command(self, line)
--- /dev/null
+++ b/pipitshed/frontends/gearman/job.py
@@ -0,0 +1,80 @@
+"""A Gearman client's job: what the client is sent about it."""
+
+from __future__ import annotations
+
+import logging
+from typing import TYPE_CHECKING
+
+from pipitshed.protocols.gearman import Kind, pack
+from pipitshed.proxy.deduplication import DeduplicationEntry
+from pipitshed.proxy.request import TranslationFailure
+from pipitshed.scheduling.events import ProgressKind
+
+if TYPE_CHECKING:
+    from pipitshed.frontends.gearman.connection import GearmanConnection
+    from pipitshed.frontends.gearman.frontend import GearmanFrontend
+
+log = logging.getLogger("pipitshed")
+
+
+class GearmanJob:
+    """One job handle. Several handles may share one request, by their unique id."""
+
+    __slots__ = ("frontend", "handle", "unique_id", "connection", "entry", "is_started", "share")
+
+    def __init__(
+        self,
+        frontend: GearmanFrontend,
+        handle: bytes,
+        unique_id: bytes,
+        connection: GearmanConnection | None,
+    ) -> None:
+        self.frontend, self.handle, self.unique_id = frontend, handle, unique_id
+        self.connection = connection  # None for a background job
+        self.entry: DeduplicationEntry | None = None
+        self.is_started = False
+        self.share = 0.0  # of the job that is done
+
+    def succeeded(self, result: bytes) -> None:
+        """Send the result."""
+        self._end(pack(Kind.WORK_COMPLETE, self.handle, result), is_done=True)
+
+    def rejected(self, retry_after_ms: float) -> None:
+        """Send a failure, and before it a warning that says when a retry is best: the job did not run."""
+        text = b"retry-after %.3f" % (retry_after_ms / 1000)
+        self._end(pack(Kind.WORK_WARNING, self.handle, text), pack(Kind.WORK_FAIL, self.handle))
+
+    def failed(self) -> None:
+        """Send a failure, and before it the worker's error if the client has asked for exceptions."""
+        context = self.entry.context if self.entry is not None else None
+        packets = [pack(Kind.WORK_FAIL, self.handle)]
+        if (
+            context is not None
+            and context.last_error
+            and self.connection
+            and self.connection.wants_exceptions
+        ):
+            packets.insert(0, pack(Kind.WORK_EXCEPTION, self.handle, context.last_error))
+        self._end(*packets)
+
+    def untranslatable(self, _failure: TranslationFailure, _has_run: bool) -> None:
+        """Send a failure; the reason is the request's last error."""
+        self.failed()
+
+    def progressed(self, kind: ProgressKind, share: float) -> None:
+        """Send the share that is done."""
+        self.is_started = True
+        if kind is ProgressKind.PROGRESS:
+            self.share = share
+            if self.connection is not None:
+                percent = b"%d" % round(share * 100)
+                self.connection.write(pack(Kind.WORK_STATUS, self.handle, percent, b"100"))
+
+    def _end(self, *packets: bytes, is_done: bool = False) -> None:
+        self.frontend.ended(self)
+        if self.connection is not None:
+            self.connection.write(b"".join(packets))
+            self.connection.ended(self)
+        elif not is_done:
+            # No client waits for a background job: only the log can say that it failed.
+            log.warning("background job %s was not done", self.handle.decode("latin-1"))
--- a/pipitshed/frontends/http/connection.py
+++ b/pipitshed/frontends/http/connection.py
@@ -94,7 +94,7 @@
         self._timer = self._frontend.loop.call_later(FIRST_REQUEST_TIMEOUT_S, self._on_timeout)
         self._frontend.connected(self)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         """Withdraw what the client has asked for."""
         self._frontend.forget(self)
         self._frontend.closing.pop(self, None)
@@ -348,7 +348,7 @@
         self._write(status, _encode_json(problem), "Content-Type: application/problem+json\r\n")
         self._process_queue()
 
-    def progressed(self, kind: ProgressKind, share: float) -> None:
+    def progressed(self, _kind: ProgressKind, _share: float) -> None:
         """Ignore progress: an HTTP client waits for the response alone."""
 
     # ---- the end
--- a/pipitshed/upstream/grpc/connection.py
+++ b/pipitshed/upstream/grpc/connection.py
@@ -94,7 +94,7 @@
         self._is_write_paused = False
         self._unflushed.clear()
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         """End all attempts; a worker that closed before its SETTINGS speaks the other interface."""
         if not self.is_ready and not self.has_ended:
             self.client.on_wrong_interface(self.endpoint)
@@ -300,7 +300,7 @@
             outcome = Outcome.CONNECT_FAILED  # the worker had not received the whole request: it did not run
         stream.finish(outcome, is_closed=True)
 
-    def _on_settings(self, event: h2.events.RemoteSettingsChanged) -> None:
+    def _on_settings(self, _event: h2.events.RemoteSettingsChanged) -> None:
         self._count_control_frame()
         self.is_ready = True
         for stream in list(self.streams.values()):
@@ -330,7 +330,7 @@
             self.client.on_drain(self.endpoint)
         self._continue()
 
-    def _on_ping(self, event: h2.events.PingReceived) -> None:
+    def _on_ping(self, _event: h2.events.PingReceived) -> None:
         self._count_control_frame()
 
     def _on_ping_ack(self, event: h2.events.PingAckReceived) -> None:
--- a/pipitshed/upstream/http/connection.py
+++ b/pipitshed/upstream/http/connection.py
@@ -181,7 +181,7 @@
             # hold the connection for ever.
             self._answer_end_timer = self._client.loop.call_later(ANSWER_END_TIMEOUT_S, self.close)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         """Report the outcome, if none has been so far."""
         self._finish(Outcome.CONNECT_FAILED if self._has_unsent_bytes else Outcome.RESET)
         self._cancel_timers()
