--- /dev/null
+++ b/tests/catalog_updates.py
@@ -0,0 +1,51 @@
+"""Updates of the endpoint list as the catalog sends them, and a catalog with many workers."""
+
+from __future__ import annotations
+
+import json
+
+from loopback import Catalog, Planner, Writer
+
+HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+
+def chunk(data: bytes) -> bytes:
+    return b"%x\r\n%s\r\n" % (len(data), data)
+
+
+def rows(count: int, lifecycle: str = "draining") -> list[dict[str, object]]:
+    """Planners that nothing is sent to, with names as long as real ones."""
+    return [
+        {
+            "instanceId": f"s-{number:08x}",
+            "hostPort": f"10.{number >> 8}.{number & 255}.7:5000",
+            "zone": "lima-norte",
+            "machineType": "standard",
+            "cell": number // 12,
+            "lifecycle": lifecycle,
+            "weight": 1.0,
+            "startedAtMs": 0,
+        }
+        for number in range(count)
+    ]
+
+
+class Wide(Catalog):
+    """A list of so many planners beside the real ones, indented where asked for."""
+
+    def __init__(self, *planners: Planner, others: int, indent: int | None = None) -> None:
+        super().__init__(*planners)
+        self.others, self.indent = rows(others), indent
+
+    def tell(self, writer: Writer, reset: bool, instances: list[dict[str, object]]) -> None:
+        self.generation += 1
+        told = instances + self.others if reset else instances
+        writer.write(chunk(news_of(self.generation, reset, told, self.indent)))
+
+
+def news_of(
+    version: int, reset: bool, instances: list[dict[str, object]], indent: int | None = None
+) -> bytes:
+    """A piece of news as a watch brings it."""
+    text = json.dumps({"generation": version, "reset": reset, "instances": instances}, indent=indent)
+    return text.encode() + b"\n"
--- a/tests/test_list_sizes.py
+++ b/tests/discovery/test_catalog_size_limit.py
@@ -6,7 +6,8 @@
 from unittest.mock import Mock
 
 import pytest
-from loopback import Catalog, HttpClient, Planner, Writer, program, story
+from catalog_updates import HEAD, Wide, chunk, news_of, rows
+from loopback import HttpClient, Planner, program, story
 
 from pipitshed.discovery.catalog import (
     CatalogClient,
@@ -19,42 +20,6 @@
 from pipitshed.discovery.catalog.watch import CatalogCall
 from pipitshed.proxy.endpoint_table import EndpointTable
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-
-
-def chunk(data: bytes) -> bytes:
-    return b"%x\r\n%s\r\n" % (len(data), data)
-
-
-def rows(count: int, lifecycle: str = "draining") -> list[dict[str, object]]:
-    """Planners that nothing is sent to, with names as long as real ones."""
-    return [
-        {
-            "instanceId": f"s-{number:08x}",
-            "hostPort": f"10.{number >> 8}.{number & 255}.7:5000",
-            "zone": "lima-norte",
-            "machineType": "standard",
-            "cell": number // 12,
-            "lifecycle": lifecycle,
-            "weight": 1.0,
-            "startedAtMs": 0,
-        }
-        for number in range(count)
-    ]
-
-
-class Wide(Catalog):
-    """A list of so many planners beside the real ones, indented where asked for."""
-
-    def __init__(self, *planners: Planner, others: int, indent: int | None = None) -> None:
-        super().__init__(*planners)
-        self.others, self.indent = rows(others), indent
-
-    def tell(self, writer: Writer, reset: bool, instances: list[dict[str, object]]) -> None:
-        self.generation += 1
-        told = instances + self.others if reset else instances
-        writer.write(chunk(news_of(self.generation, reset, told, self.indent)))
-
 
 @story
 async def test_4600_planners_in_an_indented_list_are_taken_and_the_first_job_is_served() -> None:
@@ -125,14 +90,6 @@
     return call, table  # type: ignore[return-value]
 
 
-def news_of(
-    version: int, reset: bool, instances: list[dict[str, object]], indent: int | None = None
-) -> bytes:
-    """A piece of news as a watch brings it."""
-    text = json.dumps({"generation": version, "reset": reset, "instances": instances}, indent=indent)
-    return text.encode() + b"\n"
-
-
 def _text(form: str, count: int) -> bytes:
     if form != "row by row":
         return news_of(7, True, rows(count, "ready"), 2 if form == "indented" else None)
--- a/tests/test_whole_lists.py
+++ b/tests/discovery/test_catalog_snapshots.py
@@ -5,8 +5,8 @@
 import asyncio
 import re
 
+from catalog_updates import Wide, chunk, news_of
 from loopback import Catalog, HttpClient, Planner, Program, Reader, Writer, figures, program, story
-from test_list_sizes import Wide, chunk, news_of
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
--- a/tests/test_interfaces.py
+++ b/tests/discovery/test_worker_interfaces.py
@@ -1,50 +1,16 @@
 """Which interface a planner speaks: told, found out once per start, found wrong, and held while it drains."""
 
 import asyncio
-from collections.abc import Callable
-from typing import Any
 
 from grpc_peer import GrpcPlanner
+from interface_world import World, row
 from loopback import Planner, story
 
-from pipitshed.discovery.catalog import CatalogEntry, EndpointParser, NameIndex
-from pipitshed.discovery.worker_interfaces import MAX_CONCURRENT_PROBES, InterfaceRegistry
-from pipitshed.proxy.endpoint_table import EndpointTable
-from pipitshed.scheduling.events import EndpointState, UpdateKind
+from pipitshed.discovery.worker_interfaces import MAX_CONCURRENT_PROBES
+from pipitshed.scheduling.events import EndpointState
 from pipitshed.upstream.interface_probe import InterfaceProber
 
 
-class World:
-    """The module without I/O: what it asks is kept, and answered by hand."""
-
-    def __init__(self, told: dict[str, int] | None = None, default: int = 0) -> None:
-        self.news: list[Any] = []
-        self.asked: list[tuple[bytes, tuple[str, int]]] = []
-        self.later: list[tuple[float, Callable[[], None]]] = []
-        self.table = EndpointTable(self.news.append)
-        self.interfaces = InterfaceRegistry(
-            self.table,
-            {1: "http", 2: "grpc"},
-            told or {},
-            default,  # type: ignore[dict-item]
-            lambda worker, address: self.asked.append((worker, address)),
-            lambda wait, what: self.later.append((wait, what)),
-        )
-        self.listing = EndpointParser("test", NameIndex(["z"]), NameIndex([]), "http", self.interfaces)  # type: ignore[arg-type]
-
-    def list(self, *rows: CatalogEntry) -> None:
-        self.table.update("test", UpdateKind.DELTA, 1, [self.listing.row(row) for row in rows])
-
-    def entry(self, name: str) -> Any:
-        return next(
-            entry for news in reversed(self.news) for entry in news.entries if entry.worker == name.encode()
-        )
-
-
-def row(name: str = "p1", started: float = 1.0, **more: Any) -> CatalogEntry:
-    return CatalogEntry(name, "127.0.0.1:7", "z", started_at_ms=started, **more)
-
-
 def test_the_row_then_settings_then_the_default_tell() -> None:
     world = World({"p2": 2, "p3": 2}, default=1)
     world.list(row("p1"), row("p2"), row("p3", interface=1))
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -10,8 +10,8 @@
 from unittest.mock import Mock
 
 import pytest
+from catalog_updates import HEAD, chunk, news_of, rows
 from helpers import settings, worker_id
-from test_list_sizes import HEAD, chunk, news_of, rows
 
 from pipitshed.discovery.catalog import CatalogClient, EndpointParser, NameIndex
 from pipitshed.discovery.catalog.client import ENTRIES_PER_TURN
--- a/tests/test_list_replaced.py
+++ b/tests/test_list_replaced.py
@@ -7,11 +7,11 @@
 from unittest.mock import Mock
 
 import pytest
+from attempt_rig import Rig, late_connections
 from grpc_peer import GrpcPlanner, bench
 from helpers import entries
+from interface_world import World, row
 from loopback import SETTINGS, Planner, Run, story
-from test_crossings import Rig, late_connections
-from test_interfaces import World, row
 
 from pipitshed.proxy.endpoint_table import FORGET_AFTER_S, EndpointTable
 from pipitshed.proxy.request import Endpoint
--- a/tests/test_old_clients.py
+++ b/tests/test_old_clients.py
@@ -8,7 +8,7 @@
 from click.testing import CliRunner
 from grpc_peer import Call, GrpcPlanner
 from loopback import FRONT, GearmanPeer, HttpClient, Planner, Run, program, story
-from test_dns_sd import SERVICE, NameServer
+from name_server import SERVICE, NameServer
 
 from pipitshed.cli.commands import main
 from pipitshed.protocols.gearman import Kind
