--- a/pipitshed/scheduling/weighted_pools.py
+++ b/pipitshed/scheduling/weighted_pools.py
@@ -1,7 +1,7 @@
-"""Weighted sampling from members that come, go and change their weights one by one.
+"""Weighted random sampling from members that are added, removed and change their weights one by one.
 
-A change, and a draw, touch a few blocks of fixed size, O(log n) of them. Nothing here knows what a member is,
-or why it has a weight: the rules say that.
+A change and a draw each touch O(log n) blocks of fixed size. What a member is, and why it has a weight, is up
+to the caller.
 """
 
 from __future__ import annotations
@@ -13,27 +13,28 @@
 from itertools import accumulate
 from typing import Any, Generic, TypeVar
 
-BLOCK = 32  # weights to a block, blocks to a block of blocks
-REBUILT = 4  # where more than one place in so many has changed, a pool is made anew, or dropped if unused
+BLOCK_SIZE = 32  # weights in a block, and blocks in a block of the level above
+REBUILD_DIVISOR = 4  # with changes at more than one place in so many, rebuilding a pool is cheaper
 
 Member = TypeVar("Member", bound=Hashable)
 Weights = tuple[float, ...]
 
 
 class Sums:
-    """Weights by place, in blocks with their cumulated sums, whose totals are summed in blocks in turn. Sums
-    are made from the weights as they stand, so that no rounding is left behind by those that were there.
+    """Weights by place, in blocks with cumulative sums; the totals of blocks are summed in blocks in turn.
+
+    A changed block is summed again from its weights, so that rounding errors do not add up.
     """
 
     __slots__ = ("_weights", "_sums", "_stale")
 
     def __init__(self, weights: list[float]) -> None:
-        self._weights = [weights]  # of the places, then of the blocks of each level
+        self._weights = [weights]  # by level: of the places, then of the blocks below
         self._sums: list[list[list[float]]] = [[]]
-        self._stale = set(range(-(-len(weights) // BLOCK)))
+        self._stale = set(range(-(-len(weights) // BLOCK_SIZE)))
 
     def set(self, place: int, weight: float) -> None:
-        """The weight at a place, or at the place behind the last."""
+        """Set the weight at a place; the place after the last one is added."""
         weights = self._weights[0]
         if place == len(weights):
             weights.append(weight)
@@ -41,164 +42,169 @@
             return
         else:
             weights[place] = weight
-        self._stale.add(place // BLOCK)
+        self._stale.add(place // BLOCK_SIZE)
 
     def total(self) -> float:
-        """The sum of all weights; brings the sums up to date, in the blocks that have changed."""
+        """The sum of all weights; updates the sums of the blocks that have changed."""
         stale, level = self._stale, 0
         while stale:
             weights, sums = self._weights[level], self._sums[level]
-            if level + 1 == len(self._sums) and len(weights) > BLOCK:
+            if level + 1 == len(self._sums) and len(weights) > BLOCK_SIZE:
                 self._weights.append([])
                 self._sums.append([])
-                stale = set(range(-(-len(weights) // BLOCK)))
+                stale = set(range(-(-len(weights) // BLOCK_SIZE)))
             above = self._weights[level + 1] if level + 1 < len(self._weights) else []
             for block in sorted(stale):
-                made = list(accumulate(weights[block * BLOCK : (block + 1) * BLOCK]))
-                sums[block : block + 1] = [made]
-                above[block : block + 1] = [made[-1]]
+                cumulative = list(accumulate(weights[block * BLOCK_SIZE : (block + 1) * BLOCK_SIZE]))
+                sums[block : block + 1] = [cumulative]
+                above[block : block + 1] = [cumulative[-1]]
             level += 1
-            stale = {block // BLOCK for block in stale} if level < len(self._sums) else set()
+            stale = {block // BLOCK_SIZE for block in stale} if level < len(self._sums) else set()
         self._stale.clear()
         top = self._sums[-1]
         return top[0][-1] if top else 0.0
 
-    def at(self, part: float) -> int:
-        """The place at which this part (0 to 1) of the total falls, once that was asked for; never one whose
-        weight is 0.
+    def place_at(self, fraction: float) -> int:
+        """The place at which this fraction (0 to 1) of the total falls; never one whose weight is 0.
+
+        The sums are those of the last call of `total`.
         """
-        place, rest = 0, part * self._sums[-1][0][-1]
+        place, rest = 0, fraction * self._sums[-1][0][-1]
         for sums in reversed(self._sums):
             block = sums[place]
-            inner = bisect_right(block, rest)
-            if inner == len(block):
-                inner = bisect_left(block, block[-1])  # rounding led beyond the last weight that counts
-            if inner:
-                rest -= block[inner - 1]
-            place = place * BLOCK + inner
+            index = bisect_right(block, rest)
+            if index == len(block):
+                index = bisect_left(block, block[-1])  # rounding led beyond the last weight that is not 0
+            if index:
+                rest -= block[index - 1]
+            place = place * BLOCK_SIZE + index
         return place
 
 
 class Pool(Generic[Member]):
-    """The members of a tag, drawn by the first of their weights of which any is not 0."""
+    """The members with a tag, drawn by the first kind of weight of which any member has one."""
 
-    __slots__ = ("total", "changed", "used", "_members", "_weigh", "_sums", "_drawn")
+    __slots__ = ("total", "changed", "used", "_members", "_weigh", "_sums", "_active_sums")
 
     def __init__(self, members: list[Member | None], weigh: Callable[[Member | None], Weights]) -> None:
-        self._members = members  # by place, shared with all pools of the tag
+        self._members = members  # by place, shared with all pools of the tag; None at a free place
         self._weigh = weigh
         self.changed: set[int] = set()  # places to be weighed again before the next draw
-        self.used = True  # since this was last cleared
+        self.used = True  # since unused pools were last dropped
         self._sums = [Sums(list(weights)) for weights in zip(*map(weigh, members), strict=True)]
         self.settle()
 
     def settle(self) -> None:
-        """Take in what has changed, and bring the sums up to date."""
+        """Weigh the members at changed places again, and update the sums."""
         members, weigh = self._members, self._weigh
         for place in sorted(self.changed):
             for sums, weight in zip(self._sums, weigh(members[place]), strict=True):
                 sums.set(place, weight)
         self.changed.clear()
         for sums in self._sums:
-            self._drawn, self.total = sums, sums.total()  # a total of 0: there is nothing to draw
+            self._active_sums, self.total = sums, sums.total()  # a total of 0: there is nothing to draw
             if self.total > 0:
                 break
 
     def draw(self, rng: random.Random) -> Member:
         """A member of a settled pool whose total is not 0, in proportion to its weight."""
-        drawn = self._members[self._drawn.at(rng.random())]
-        assert drawn is not None  # a free place has no weight
-        return drawn
+        member = self._members[self._active_sums.place_at(rng.random())]
+        assert member is not None  # a free place has no weight
+        return member
 
 
-class Tagged(Generic[Member]):
-    """The members with one tag, each at a place of its own while it is one, and their pools by key."""
+class TagGroup(Generic[Member]):
+    """The members with one tag, each at a place of its own, and their pools by key."""
 
-    __slots__ = ("members", "places", "free", "pools", "changes")
+    __slots__ = ("members", "places", "free", "pools", "change_count")
 
     def __init__(self) -> None:
         self.members: list[Member | None] = []
         self.places: dict[Member, int] = {}
         self.free: list[int] = []
         self.pools: dict[Hashable, Pool[Member]] = {}
-        self.changes = 0  # since unused pools were last dropped
+        self.change_count = 0  # since unused pools were last dropped
 
     def add(self, member: Member) -> None:
+        """Give a new member a place."""
         place = self.places[member] = self.free.pop() if self.free else len(self.members)
         self.members[place : place + 1] = [member]
         self.change(place)
 
     def remove(self, member: Member) -> None:
+        """Free a member's place."""
         place = self.places.pop(member)
         self.members[place] = None
         self.free.append(place)
         self.change(place)
 
     def change(self, place: int) -> None:
-        """Have a place weighed again in the pools in use."""
+        """Have a place weighed again in all pools; now and then drop the pools that were not used since."""
         for pool in self.pools.values():
             pool.changed.add(place)
-        self.changes += 1
-        if self.much(self.changes):
-            self.changes = 0
+        self.change_count += 1
+        if self.is_rebuild_cheaper(self.change_count):
+            self.change_count = 0
             self.pools = {key: pool for key, pool in self.pools.items() if pool.used}
             for pool in self.pools.values():
                 pool.used = False
 
-    def much(self, places: int) -> bool:
-        """Whether it costs more to weigh so many places again than to make a pool anew."""
-        return places * REBUILT > len(self.members)
+    def is_rebuild_cheaper(self, place_count: int) -> bool:
+        """Whether making a pool anew costs less than weighing so many places again."""
+        return place_count * REBUILD_DIVISOR > len(self.members)
 
 
 class Pools(Generic[Member]):
-    """The pools of all members: one for each tag that members have and each key by which `weigh` tells a
-    member's weights, None where it is out. A pool is made on first use, and takes in at its next use what has
-    changed since; one that is not used is dropped in time, so that a change touches those in use alone.
+    """The pools of all members: one for each tag that members have and each key of their weights.
+
+    `weigh` gives a member's weights for a key, `weight_count` of them, or None where it is not to be drawn.
+    A pool is made on first use and updated at its next use after a change. Unused pools are dropped, so that
+    the cost of a change depends on the pools in use alone.
     """
 
-    def __init__(self, weigh: Callable[[Member, Any], Weights | None], ways: int) -> None:
+    def __init__(self, weigh: Callable[[Member, Any], Weights | None], weight_count: int) -> None:
         self._weigh = weigh
-        self._out = (0.0,) * ways
+        self._no_weights = (0.0,) * weight_count
         self._tags: dict[Member, tuple[Hashable, ...]] = {}
-        self._tagged: dict[Hashable, Tagged[Member]] = {}
+        self._groups: dict[Hashable, TagGroup[Member]] = {}
 
     def add(self, member: Member, tags: tuple[Hashable, ...]) -> None:
-        """A member that there was not; its tags stay as they are."""
+        """Add a new member; its tags do not change."""
         self._tags[member] = tags
         for tag in tags:
-            self._tagged.setdefault(tag, Tagged()).add(member)
+            self._groups.setdefault(tag, TagGroup()).add(member)
 
     def change(self, member: Member) -> None:
         """Have the member weighed again."""
         for tag in self._tags[member]:
-            tagged = self._tagged[tag]
-            tagged.change(tagged.places[member])
+            group = self._groups[tag]
+            group.change(group.places[member])
 
     def remove(self, member: Member) -> None:
-        """The member is none any more."""
+        """Remove a member."""
         for tag in self._tags.pop(member):
-            tagged = self._tagged[tag]
-            tagged.remove(member)
-            if not tagged.places:
-                del self._tagged[tag]
+            group = self._groups[tag]
+            group.remove(member)
+            if not group.places:
+                del self._groups[tag]
 
     def clear(self) -> None:
         """Have all members weighed again."""
-        for tagged in self._tagged.values():
-            tagged.pools.clear()
+        for group in self._groups.values():
+            group.pools.clear()
 
     def get(self, tag: Hashable, key: Hashable) -> Pool[Member] | None:
-        """The pool to draw from until the next change; None where there is nothing to draw."""
-        tagged = self._tagged.get(tag)
-        if tagged is None:
+        """The pool to draw from until the next change; None where no member has a weight."""
+        group = self._groups.get(tag)
+        if group is None:
             return None
-        pool = tagged.pools.get(key)
-        if pool is None or (pool.changed and tagged.much(len(pool.changed))):
-            pool = tagged.pools[key] = Pool(tagged.members, partial(self._weighed, key))
+        pool = group.pools.get(key)
+        if pool is None or (pool.changed and group.is_rebuild_cheaper(len(pool.changed))):
+            pool = group.pools[key] = Pool(group.members, partial(self._weighed, key))
         elif pool.changed:
             pool.settle()
         pool.used = True
         return pool if pool.total > 0 else None
 
     def _weighed(self, key: Hashable, member: Member | None) -> Weights:
-        return (self._weigh(member, key) if member is not None else None) or self._out
+        return (self._weigh(member, key) if member is not None else None) or self._no_weights
--- a/tests/test_decisions_forget.py
+++ b/tests/test_decisions_forget.py
@@ -69,7 +69,7 @@
         scheduler.now += FORGET_AFTER_MS
         scheduler.replace()
     assert len(tables.workers) <= 202 and len(tables.departed_at_ms) <= 2
-    assert all(len(tagged.members) <= 200 + 433 + 3 for tagged in tables.pools._tagged.values())
+    assert all(len(tagged.members) <= 200 + 433 + 3 for tagged in tables.pools._groups.values())
     gc.collect()
     assert sum(isinstance(one, Worker) for one in gc.get_objects()) - before <= 2
 
--- a/tests/test_decisions_scale.py
+++ b/tests/test_decisions_scale.py
@@ -104,7 +104,7 @@
     for _ in range(120):
         scheduler.jobs = 0  # the next job is again of class 1
         scheduler.replace()
-    assert {key[0] for key in scheduler.dispatcher.endpoints.pools._tagged[None].pools} == {1, 2}
+    assert {key[0] for key in scheduler.dispatcher.endpoints.pools._groups[None].pools} == {1, 2}
 
 
 class Part:
@@ -133,7 +133,7 @@
     weights: dict[int, object] = {}
     known: set[int] = set()
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(pools, "BLOCK", block)
+        patch.setattr(pools, "BLOCK_SIZE", block)
         made = Pools[int](lambda member, key: weights[member], 3)
         for member, told, drawn in steps:
             if told == "remove":
@@ -160,13 +160,13 @@
 @given(st.lists(st.sampled_from((0.0, 0.0, 0.1, 0.3, 0.7, 1e-9, 7.7)), min_size=1, max_size=40))
 def test_rounding_draws_none_without_weight(weights: list[float]) -> None:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(pools, "BLOCK", 2)
+        patch.setattr(pools, "BLOCK_SIZE", 2)
         sums = Sums(list(weights))
         total = sums.total()
         edges = [edge / total for edge in accumulate(weights) if total]
         for edge in edges:
             for part in (edge, math.nextafter(edge, 0), math.nextafter(edge, 1)):
-                assert weights[sums.at(min(part, math.nextafter(1, 0)))] > 0
+                assert weights[sums.place_at(min(part, math.nextafter(1, 0)))] > 0
 
 
 def test_draws_follow_the_weights() -> None:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -295,6 +295,19 @@
         assert may_attempt(bench, bench.dispatcher.jobs[1]) is parallel
 
 
+@pytest.mark.parametrize("window_ms", [2000.0, 200.0])
+def test_a_keyed_job_that_may_have_run_gets_no_attempt_after_its_window(window_ms: float) -> None:
+    config = settings(Idempotency.IDEMPOTENT_WITH_KEY, zone_count=1)
+    cls = replace(config.classes[0], idempotency_window_ms=window_ms)
+    bench = Bench(replace(config, classes=(cls,)), entries(9))
+    [send] = sends_of(bench.feed(JobSubmitted(1, 4000.0)))
+    bench.now += 300.0
+    bench.finish(send, 0, Outcome.RESET)
+    bench.run(bench.now + 1000.0)
+    assert len(sends_of(bench.log)) == (2 if window_ms > 300.0 else 1)
+    assert any(isinstance(action, FailRequest) for action in bench.log) == (window_ms < 300.0)
+
+
 def test_an_unsafe_job_that_may_have_run_is_failed_not_refused() -> None:
     bench = Bench(settings(Idempotency.NON_IDEMPOTENT, zone_count=1), entries(9))
     [send] = sends_of(bench.feed(JobSubmitted(1, 4000.0)))
