--- a/benchmarks/capacity/letter.py
+++ b/benchmarks/capacity/letter.py
@@ -827,7 +827,7 @@
 
 ZONE_TESTS = (
     "tests/test_list_changes.py::test_a_lost_zone_in_one_read_is_one_change_to_the_decisions",
-    "tests/test_decisions_scale.py::test_a_change_touches_at_most_twice_the_rows_at_4600_planners",
+    "tests/scheduling/test_decisions_scale.py::test_a_change_touches_at_most_twice_the_rows_at_4600_planners",
 )
 FAILURES = (
     Failure(
@@ -837,7 +837,9 @@
         CHANGE.at(PLANNERS),
         "us",
         given(STALLED_PROGRESS_INTERVALS * PROGRESS_MS),
-        ("tests/test_mechanism.py::test_a_started_job_whose_worker_falls_silent_is_drawn_again",),
+        (
+            "tests/scheduling/test_dispatcher_rules.py::test_a_started_job_whose_worker_falls_silent_is_drawn_again",
+        ),
     ),
     Failure(
         "a scheduler's machine",
@@ -855,7 +857,9 @@
         times(CHANGE.at(PLANNERS), 3),
         "us",
         NONE,
-        ("tests/test_cold_ramp.py::test_beyond_their_budget_of_n_only_chance_comes_to_cold_planners",),
+        (
+            "tests/scheduling/test_slow_start.py::test_beyond_their_budget_of_n_only_chance_comes_to_cold_planners",
+        ),
     ),
     Failure(
         "a rack or switch (40 planners, assumed)",
--- a/pipitshed/simulator/adapter.py
+++ b/pipitshed/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: hosts many instances of the rules on standard input and output."""
+"""The simulator's adapter: many dispatchers in one process, driven over standard input and output."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from pipitshed.simulator import wire
 
 
-def _read(stream: BinaryIO, size: int) -> bytes:
+def _read_exactly(stream: BinaryIO, size: int) -> bytes:
     data = stream.read(size)
     if 0 < size != len(data):
         raise wire.WireError(f"the input ends inside a frame ({len(data)} of {size} bytes)")
     return data
 
 
-def _decide(dispatcher: Dispatcher, instance: int, now: float, events: list[Event]) -> list[bytes]:
-    """One instance's share of a batch; whatever the rules raise is reported as `broken`."""
+def _handle(dispatcher: Dispatcher, instance: int, now_ms: float, events: list[Event]) -> list[bytes]:
+    """The encoded actions of one instance; an exception from the dispatcher is reported as `broken`."""
     try:
-        return [wire.encode_action(instance, action) for action in dispatcher.handle(now, events)]
+        return [wire.encode_action(instance, action) for action in dispatcher.handle(now_ms, events)]
     except Exception as error:
         return [wire.encode_broken(instance, f"{type(error).__name__}: {error}")]
 
@@ -28,29 +28,37 @@
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends."""
     dispatchers: dict[int, Dispatcher] = {}
-    while head := source.read(wire.HEADER.size):
-        if len(head) < wire.HEADER.size:
+    while header := source.read(wire.HEADER.size):
+        if len(header) < wire.HEADER.size:
             raise wire.WireError("the input ends inside a frame header")
-        count, length, now = wire.HEADER.unpack(head)
-        shares: dict[int, list[Event]] = {}
+        count, length, now_ms = wire.HEADER.unpack(header)
+        events_by_instance = _events_by_instance(dispatchers, count, _read_exactly(source, length))
         records: list[bytes] = []
-        for instance, event in wire.decode_batch(count, _read(source, length)):
-            if isinstance(event, wire.Born):
-                dispatchers[instance] = Dispatcher(event.settings, event.seed)
-                shares[instance] = []
-            elif isinstance(event, wire.Halted):
-                dispatchers.pop(instance, None)
-                shares.pop(instance, None)
-            elif instance in dispatchers:
-                shares.setdefault(instance, []).append(event)
-            else:
-                raise wire.WireError(f"an event for instance {instance}, which is not running")
-        for instance, events in shares.items():
-            records += _decide(dispatchers[instance], instance, now, events)
+        for instance, events in events_by_instance.items():
+            records += _handle(dispatchers[instance], instance, now_ms, events)
         sink.write(wire.encode_reply(records))
         sink.flush()
 
 
+def _events_by_instance(
+    dispatchers: dict[int, Dispatcher], count: int, batch: bytes
+) -> dict[int, list[Event]]:
+    """The events of a batch by instance; instances that it starts and stops are added and removed."""
+    events_by_instance: dict[int, list[Event]] = {}
+    for instance, event in wire.decode_batch(count, batch):
+        if isinstance(event, wire.Born):
+            dispatchers[instance] = Dispatcher(event.settings, event.seed)
+            events_by_instance[instance] = []
+        elif isinstance(event, wire.Halted):
+            dispatchers.pop(instance, None)
+            events_by_instance.pop(instance, None)
+        elif instance in dispatchers:
+            events_by_instance.setdefault(instance, []).append(event)
+        else:
+            raise wire.WireError(f"an event for instance {instance}, which is not running")
+    return events_by_instance
+
+
 def main() -> int:
     """Run the adapter; malformed input ends it with a message and a non-zero exit."""
     try:
--- a/tests/test_drill.py
+++ b/tests/simulator/test_adapter.py
@@ -10,8 +10,7 @@
 
 from pipitshed.scheduling import actions, events
 from pipitshed.scheduling.dispatcher import Dispatcher
-from pipitshed.simulator import adapter as drill
-from pipitshed.simulator import wire
+from pipitshed.simulator import adapter, wire
 
 INFO = json.dumps(
     {
@@ -72,7 +71,7 @@
 
 def serve(*frames: bytes) -> bytes:
     sink = io.BytesIO()
-    drill.serve(io.BytesIO(b"".join(frames)), sink)
+    adapter.serve(io.BytesIO(b"".join(frames)), sink)
     return sink.getvalue()
 
 
