--- a/pipitshed/scheduling/capacity_estimate.py
+++ b/pipitshed/scheduling/capacity_estimate.py
@@ -137,7 +137,7 @@
 
     def record_speed(self, job: Job, attempt: Attempt, done_fraction: float, now_ms: float) -> None:
         """Learn how fast a worker works, where the job came with a hint of its work."""
-        if not job.work or not attempt.started:
+        if not job.work or not attempt.started or done_fraction <= MIN_DONE_FRACTION:
             return
         sample = (now_ms - attempt.started_at_ms) / (job.work * done_fraction)
         worker = attempt.worker
--- a/pipitshed/scheduling/dispatcher.py
+++ b/pipitshed/scheduling/dispatcher.py
@@ -24,7 +24,6 @@
 from pipitshed.scheduling.admission import AdmissionControl
 from pipitshed.scheduling.attempt_watchdog import StartOverdueAction
 from pipitshed.scheduling.capacity_estimate import (
-    MIN_DONE_FRACTION,
     LoadEstimate,
     ServiceStatistics,
     missed_objective,
@@ -51,9 +50,6 @@
 from pipitshed.scheduling.worker_selection import WorkerSelector
 from pipitshed.scheduling.worker_state import Worker
 
-LAST_ATTEMPT_BEFORE_DEADLINE_TICKS = 3
-DEADLINE_TIMER_TICKS = 2  # before the deadline, so that the answer leaves in time
-
 
 class Dispatcher:
     """One dispatcher: events in, actions out."""
@@ -157,7 +153,7 @@
             self._give_up(job, reason)
             return
         self.waiting[job.id] = job
-        self._set_timer(job.id, job.deadline_ms - DEADLINE_TIMER_TICKS * self.settings.tick_ms)
+        self._set_timer(job.id, retry_policy.final_answer_due_ms(job, self.settings.tick_ms))
         self._advance(job)
 
     def _on_job_withdrawn(self, event: JobWithdrawn) -> None:
@@ -172,7 +168,7 @@
         in_flight = job.attempts_in_flight()
         if in_flight:
             self._watch(job, in_flight)
-        elif self.now_ms >= job.deadline_ms - LAST_ATTEMPT_BEFORE_DEADLINE_TICKS * self.settings.tick_ms:
+        elif self.now_ms >= retry_policy.last_attempt_ms(job, self.settings.tick_ms):
             self._give_up(job, AnswerReason.DEADLINE)
         elif self.now_ms >= job.resume_at_ms:
             self._try_attempt(job)
@@ -321,8 +317,7 @@
             self._advance(job)
         elif event.kind == ProgressKind.PROGRESS:
             attempt.last_progress_at_ms = self.now_ms
-            if event.done_fraction > MIN_DONE_FRACTION:
-                self._record_speed(job, attempt, event.done_fraction)
+            self._record_speed(job, attempt, event.done_fraction)
 
     def _record_speed(self, job: Job, attempt: Attempt, done_fraction: float) -> None:
         if self.settings.workers_report_start:
--- a/pipitshed/scheduling/retry_policy.py
+++ b/pipitshed/scheduling/retry_policy.py
@@ -19,6 +19,8 @@
 ALLOWED_FAILURE_PROBABILITY = 0.1  # of jobs of the class of least priority weight; other classes' is smaller
 BACKOFF_OBJECTIVE_FRACTION = 0.02  # first mean pause, as a part of the latency objective; it doubles
 MAX_BACKOFF_OBJECTIVE_FRACTION = 0.25  # longest mean pause, as a part of the latency objective
+LAST_ATTEMPT_TICKS = 3  # before the deadline: later an attempt could not end in time
+FINAL_ANSWER_TICKS = 2  # before the deadline: the final answer must leave by then
 CLOSE_BEFORE_WINDOW_END_TICKS = 2  # a repeat leaves so many ticks before the idempotency window ends
 NOT_EXECUTED_OUTCOMES = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.SUPERSEDED))
 
@@ -80,6 +82,16 @@
     return max(tick_ms, _last_repeat_ms(first, job.job_class, tick_ms) - now_ms)
 
 
+def last_attempt_ms(job: Job, tick_ms: float) -> float:
+    """When the job is given up if it has no attempt in flight."""
+    return job.deadline_ms - LAST_ATTEMPT_TICKS * tick_ms
+
+
+def final_answer_due_ms(job: Job, tick_ms: float) -> float:
+    """When the job is looked at for the last time before its deadline."""
+    return job.deadline_ms - FINAL_ANSWER_TICKS * tick_ms
+
+
 def allowed_failure_probability(priority_weight: float, min_priority_weight: float) -> float:
     """The probability that all of a job's attempts may fail, p in the paper's Equation 2."""
     return ALLOWED_FAILURE_PROBABILITY * min(
