--- a/tests/upstream/test_attempt_races.py
+++ b/tests/upstream/test_attempt_races.py
@@ -56,7 +56,7 @@
             assert [run.headers["x-request-id"] for run in planner.runs] == ["a2"]
             if crossing != "the client goes":
                 rig.core.withdraw(exchange)
-            assert not rig.core._contexts
+            assert not rig.core._requests._contexts
 
     run()
 
