--- a/pipitshed/frontends/listener.py
+++ b/pipitshed/frontends/listener.py
@@ -1,4 +1,4 @@
-"""The sockets on which clients arrive."""
+"""The sockets on which clients connect."""
 
 from __future__ import annotations
 
@@ -7,27 +7,38 @@
 import socket
 from collections.abc import Callable
 
-ACCEPT_PAUSE = 0.05  # s after a failed accept
-AT_ONCE = 16  # connections accepted in one turn of the loop, so that those before are up and make room
+ACCEPT_PAUSE_S = 0.05  # after a failed accept
+ACCEPTS_PER_TURN = 16  # so that those accepted before are up, and counted, before more are
+BACKLOG_COUNT = 1024  # connections that the system queues
+
+
+def _always_room(_pending_count: int) -> bool:
+    return True
 
 
 class Listener:
-    """Accepts connections, whatever becomes of a single accept."""
+    """Accepts connections; the failure of one accept doesn't end it."""
 
     def __init__(
         self,
         address: tuple[str, int],
         factory: Callable[[], asyncio.Protocol],
         loop: asyncio.AbstractEventLoop,
-        room: Callable[[int], bool] = lambda pending: True,
+        room: Callable[[int], bool] = _always_room,
         passed: int | None = None,
     ) -> None:
-        """Bind to `address`, or take the listening socket that the descriptor `passed` holds. `room` tells
-        whether one more is taken beside so many that are accepted and not up yet.
+        """Listen.
+
+        Args:
+            address: Where to bind.
+            factory: Makes the protocol of each connection.
+            loop: The event loop.
+            room: Whether one more connection is accepted beside so many that are not up yet.
+            passed: The descriptor of a listening socket to use in place of `address`.
         """
         if passed is not None:
-            # Held by the platform and shared with another process: what stands in its queue is taken by
-            # whichever accepts first, and closing here ends only this process's hold of it.
+            # The platform has it open, and shares it with another process: what is queued is accepted by
+            # whichever is first, and closing it here leaves it open there.
             self._socket = socket.socket(fileno=passed)
             self.passed = True
         else:
@@ -37,56 +48,60 @@
             self._socket.bind(address)
             self.passed = False
         self._socket.setblocking(False)
-        self._socket.listen(1024)
+        self._socket.listen(BACKLOG_COUNT)
         self.address: tuple[str, int] = self._socket.getsockname()[:2]
         self._factory = factory
-        self._room = room
+        self._has_room = room
         self._loop = loop
-        self._tasks: set[asyncio.Task[object]] = set()
+        self._pending: set[asyncio.Task[object]] = set()  # accepted and not up yet
         self._open = True
-        loop.add_reader(self._socket, self._accept)
+        loop.add_reader(self._socket, self._readable)
 
-    def _accept(self) -> None:
-        # Guards the descriptors against a backlog taken in one turn, before any of it is counted.
-        self._take(AT_ONCE)
+    def _readable(self) -> None:
+        # A long queue accepted in one turn, before any of it is counted, would exhaust the descriptors.
+        self._accept_up_to(ACCEPTS_PER_TURN)
 
-    def _take(self, most: float) -> None:
-        while self._open and most > 0:
-            if most <= AT_ONCE and self._tasks and not self._room(len(self._tasks)):
+    def _accept_up_to(self, limit: float) -> None:
+        while self._open and limit > 0:
+            if limit <= ACCEPTS_PER_TURN and self._pending and not self._has_room(len(self._pending)):
                 return  # those under way may make room first: the queue waits for the next turn
-            most -= 1
+            limit -= 1
             try:
                 accepted, _ = self._socket.accept()
             except (BlockingIOError, InterruptedError):
                 return
             except ConnectionError:
-                continue  # the client has gone again
+                continue  # the client has closed it again
             except OSError:
-                # Guards against the loss of the listener when descriptors run out: it waits for some.
+                # Descriptors have run out: it waits for some.
                 self._loop.remove_reader(self._socket)
-                self._loop.call_later(ACCEPT_PAUSE, self._resume)
+                self._loop.call_later(ACCEPT_PAUSE_S, self._resume)
                 return
-            if not self._room(len(self._tasks)):
-                accepted.close()
-                continue
-            accepted.setblocking(False)
-            task = self._loop.create_task(self._loop.connect_accepted_socket(self._factory, accepted))
-            self._tasks.add(task)
-            task.add_done_callback(self._accepted)
+            self._connect(accepted)
+
+    def _connect(self, accepted: socket.socket) -> None:
+        """Have the protocol started on a connection, or close it where there is no room."""
+        if not self._has_room(len(self._pending)):
+            accepted.close()
+            return
+        accepted.setblocking(False)
+        task = self._loop.create_task(self._loop.connect_accepted_socket(self._factory, accepted))
+        self._pending.add(task)
+        task.add_done_callback(self._connected)
 
-    def _accepted(self, task: asyncio.Task[object]) -> None:
-        self._tasks.discard(task)
+    def _connected(self, task: asyncio.Task[object]) -> None:
+        self._pending.discard(task)
         if not task.cancelled():
-            task.exception()  # the client had gone; nothing was taken from it
+            task.exception()  # the client has closed it; no request was read from it
 
     def _resume(self) -> None:
         if self._open:
-            self._loop.add_reader(self._socket, self._accept)
+            self._loop.add_reader(self._socket, self._readable)
 
     def close(self) -> None:
-        """Take in what stands in the queue, then listen no more."""
+        """Accept what is queued, then listen no more."""
         if self._open:
-            self._take(math.inf)
+            self._accept_up_to(math.inf)
             self._open = False
             self._loop.remove_reader(self._socket)
             self._socket.close()
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -245,7 +245,7 @@
         listener = Listener(("127.0.0.1", 0), Held, asyncio.get_running_loop(), room)
         crowd = [socket.create_connection(listener.address) for _ in range(200)]
         await asyncio.wait_for(served.wait(), 5)
-        while listener._tasks:
+        while listener._pending:
             await asyncio.sleep(0)
         assert most == 20
         for sock in crowd:
