--- a/benchmarks/capacity/letter.py
+++ b/benchmarks/capacity/letter.py
@@ -826,7 +826,7 @@
 
 
 ZONE_TESTS = (
-    "tests/test_list_changes.py::test_a_lost_zone_in_one_read_is_one_change_to_the_decisions",
+    "tests/proxy/test_endpoint_updates.py::test_a_lost_zone_in_one_read_is_one_change_to_the_decisions",
     "tests/test_decisions_scale.py::test_a_change_touches_at_most_twice_the_rows_at_4600_planners",
 )
 FAILURES = (
--- a/tests/test_list_replaced.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -10,7 +10,7 @@
 from grpc_peer import GrpcPlanner, bench
 from helpers import entries
 from loopback import SETTINGS, Planner, Run, story
-from test_crossings import Rig, late_connections
+from test_attempt_runner import Rig, late_connections
 from test_interfaces import World, row
 
 from pipitshed.proxy.endpoint_table import FORGET_AFTER_S, EndpointTable
