--- a/benchmarks/capacity/letter.py
+++ b/benchmarks/capacity/letter.py
@@ -895,7 +895,7 @@
             "tests/test_membership.py::"
             "test_two_halves_apart_for_a_minute_with_joins_and_deaths_settle_once_whole",
             "tests/test_replication.py::test_sides_that_were_apart_hold_the_same_rows_soon_after_they_meet",
-            "tests/test_fleet_rig.py::test_halves_apart_with_a_join_and_a_death_in_each_are_one_again",
+            "tests/cluster/test_fleet_rig.py::test_halves_apart_with_a_join_and_a_death_in_each_are_one_again",
         ),
     ),
     Failure(
@@ -905,7 +905,9 @@
         JOIN_BYTES.at(SCHEDULERS),
         "bytes",
         JOIN_SETTLED.at(SCHEDULERS),
-        ("tests/test_fleet_rig.py::test_half_the_fleet_killed_at_once_and_started_anew_without_disks",),
+        (
+            "tests/cluster/test_fleet_rig.py::test_half_the_fleet_killed_at_once_and_started_anew_without_disks",
+        ),
     ),
     Failure(
         "all restarted, a tenth at a time",
@@ -914,7 +916,7 @@
         WAVE_SECOND.at(SCHEDULERS),
         "bytes",
         WAVE_SETTLED.at(SCHEDULERS),
-        ("tests/test_fleet_rig.py::test_all_restarted_one_after_the_other",),
+        ("tests/cluster/test_fleet_rig.py::test_all_restarted_one_after_the_other",),
     ),
     Failure(
         "all restarted, their lists",
--- a/tests/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -5,7 +5,7 @@
 
 import pytest
 from click.testing import CliRunner, Result
-from loopback import FRONT, SETTINGS
+from loopback import FRONT, ROOT, SETTINGS
 
 from pipitshed import __version__
 from pipitshed.cli.commands import main
@@ -86,6 +86,6 @@
         "areas": ["aswan"],
         "shapes": [],
     }
-    shipped = (Path(__file__).parent.parent / "deploy" / "front.toml").read_text()
+    shipped = (ROOT / "deploy" / "front.toml").read_text()
     config = {"listen": "127.0.0.1:0", "settings": others}
     assert call(tmp_path, "check", config=config, front=shipped).exit_code == 0
--- a/tests/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -13,7 +13,7 @@
 from click.testing import CliRunner
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from loopback import SETTINGS, story
+from loopback import ROOT, SETTINGS, story
 
 from pipitshed.cli.commands import main
 from pipitshed.cluster import streams
@@ -157,7 +157,7 @@
 
 
 def test_the_shipped_file_and_the_schema_agree(tmp_path: Path) -> None:
-    shipped = Path(__file__).parent.parent / "deploy" / "fleet.toml"
+    shipped = ROOT / "deploy" / "fleet.toml"
     assert read(shipped).cluster == "pipitshed"
     schema = json.loads(CliRunner().invoke(main, ["schema", "peers"]).output)
     assert {"name", "listen", "seeds", "scales"} <= set(schema["$defs"]["ClusterFile"]["properties"])
