--- a/benchmarks/capacity/letter.py
+++ b/benchmarks/capacity/letter.py
@@ -898,7 +898,7 @@
         (
             "tests/membership/test_membership.py::"
             "test_two_halves_apart_for_a_minute_with_joins_and_deaths_settle_once_whole",
-            "tests/test_replication.py::test_sides_that_were_apart_hold_the_same_rows_soon_after_they_meet",
+            "tests/replication/test_replication.py::test_sides_that_were_apart_hold_the_same_rows_soon_after_they_meet",
             "tests/cluster/test_fleet_rig.py::test_halves_apart_with_a_join_and_a_death_in_each_are_one_again",
         ),
     ),
