--- a/pipitshed/frontends/listener.py
+++ b/pipitshed/frontends/listener.py
@@ -24,7 +24,7 @@
         address: tuple[str, int],
         factory: Callable[[], asyncio.Protocol],
         loop: asyncio.AbstractEventLoop,
-        room: Callable[[int], bool] = _always_room,
+        has_room: Callable[[int], bool] = _always_room,
         passed: int | None = None,
     ) -> None:
         """Listen.
@@ -33,7 +33,7 @@
             address: Where to bind.
             factory: Makes the protocol of each connection.
             loop: The event loop.
-            room: Whether one more connection is accepted beside so many that are not up yet.
+            has_room: Whether one more connection is accepted beside so many that are not up yet.
             passed: The descriptor of a listening socket to use in place of `address`.
         """
         if passed is not None:
@@ -51,7 +51,7 @@
         self._socket.listen(BACKLOG_COUNT)
         self.address: tuple[str, int] = self._socket.getsockname()[:2]
         self._factory = factory
-        self._has_room = room
+        self._has_room = has_room
         self._loop = loop
         self._pending: set[asyncio.Task[object]] = set()  # accepted and not up yet
         self._open = True
--- a/pipitshed/proxy/deduplication.py
+++ b/pipitshed/proxy/deduplication.py
@@ -68,8 +68,8 @@
 class DeduplicationTable:
     """The entries of all keys that run, or have run within their class's window."""
 
-    def __init__(self, core: Forwarder, loop: asyncio.AbstractEventLoop) -> None:
-        self._core = core
+    def __init__(self, forwarder: Forwarder, loop: asyncio.AbstractEventLoop) -> None:
+        self._forwarder = forwarder
         self._loop = loop
         self._entries: dict[DeduplicationKey, DeduplicationEntry] = {}
         self._cached: deque[DeduplicationEntry] = deque()  # with their results, the oldest first
@@ -87,7 +87,7 @@
             entry = DeduplicationEntry(self, key, [client])
             if key is not None:
                 self._entries[key] = entry
-            entry.context = self._core.submit(request, entry)
+            entry.context = self._forwarder.submit(request, entry)
         elif not entry.ended:
             self._join(entry, client)
         elif entry.result is not None:
@@ -115,9 +115,9 @@
         if entry.requesters or entry.context is None:
             return
         if self._must_not_run_again(entry):
-            self._core.detach(entry.context)
+            self._forwarder.detach(entry.context)
         else:
-            self._core.withdraw(entry.context)
+            self._forwarder.withdraw(entry.context)
             entry.ended = True
             self.finished(entry)
 
@@ -126,7 +126,7 @@
         context = entry.context
         if context is None or entry.key is None or not context.may_have_run:
             return False
-        job_class = self._core.settings.classes[context.request.job_class]
+        job_class = self._forwarder.settings.classes[context.request.job_class]
         return job_class.idempotency is not Idempotency.IDEMPOTENT
 
     def finished(self, entry: DeduplicationEntry) -> None:
@@ -146,7 +146,7 @@
 
     def _window_end(self, context: RequestContext) -> float:
         """The loop time until which the job must not run again."""
-        job_class = self._core.settings.classes[context.request.job_class]
+        job_class = self._forwarder.settings.classes[context.request.job_class]
         first_run_at = min(attempt.started_at for attempt in context.attempts if attempt.may_have_run)
         keyed = job_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         window_ms = job_class.idempotency_window_ms if keyed else job_class.deadline_ms
