--- a/pipitshed/membership/members.py
+++ b/pipitshed/membership/members.py
@@ -9,7 +9,7 @@
 from pipitshed.replication.merkle_tree import hash64
 
 NAME_LIMIT = 64  # bytes of a name, a zone or a region
-_MAX_BYTES_PER_CHAR = 4  # of UTF-8
+_ALWAYS_VALID_CHARS = NAME_LIMIT // 4  # a character takes at most 4 bytes of UTF-8
 _encoder = msgspec.msgpack.Encoder()
 Address = tuple[str, int]
 
@@ -79,10 +79,7 @@
         texts = (self.name, self.zone, self.host, self.reported_by, self.region)
         return (
             bool(self.name and self.host)
-            and all(
-                len(text) <= NAME_LIMIT // _MAX_BYTES_PER_CHAR or len(text.encode()) <= NAME_LIMIT
-                for text in texts
-            )
+            and all(len(text) <= _ALWAYS_VALID_CHARS or len(text.encode()) <= NAME_LIMIT for text in texts)
             and 0 < self.port < 65536
             and 0 <= self.incarnation < 2**62
             and 0 <= self.instance_id < 2**32
