--- a/pipitshed/frontends/listener.py
+++ b/pipitshed/frontends/listener.py
@@ -1,4 +1,4 @@
-"""The sockets on which clients arrive."""
+"""The sockets on which clients connect."""
 
 from __future__ import annotations
 
@@ -7,27 +7,35 @@
 import socket
 from collections.abc import Callable
 
-ACCEPT_PAUSE = 0.05  # s after a failed accept
-AT_ONCE = 16  # connections accepted in one turn of the loop, so that those before are up and make room
+from pipitshed.protocols.address import Address
+
+ACCEPT_PAUSE_S = 0.05  # after a failed accept
+MAX_ACCEPTS_PER_TURN = 16  # so that connections are up, and counted, before many more are accepted
+BACKLOG = 1024
 
 
 class Listener:
-    """Accepts connections, whatever becomes of a single accept."""
+    """Accepts connections, and goes on whatever becomes of a single accept."""
 
     def __init__(
         self,
-        address: tuple[str, int],
+        address: Address,
         factory: Callable[[], asyncio.Protocol],
         loop: asyncio.AbstractEventLoop,
-        room: Callable[[int], bool] = lambda pending: True,
+        has_room: Callable[[int], bool] = lambda _: True,
         passed: int | None = None,
     ) -> None:
-        """Bind to `address`, or take the listening socket that the descriptor `passed` holds. `room` tells
-        whether one more is taken beside so many that are accepted and not up yet.
+        """Listen at an address, or on a socket that another process has opened.
+
+        Args:
+            address: Host and port, used where no socket is passed.
+            factory: Makes the protocol of each connection.
+            loop: The event loop.
+            has_room: Whether another connection is accepted, besides this many that are not up yet.
+            passed: The descriptor of a listening socket. The platform holds it, and another process may
+                accept from it as well; closing it here ends only this process's use of it.
         """
         if passed is not None:
-            # Held by the platform and shared with another process: what stands in its queue is taken by
-            # whichever accepts first, and closing here ends only this process's hold of it.
             self._socket = socket.socket(fileno=passed)
             self.passed = True
         else:
@@ -37,24 +45,25 @@
             self._socket.bind(address)
             self.passed = False
         self._socket.setblocking(False)
-        self._socket.listen(1024)
-        self.address: tuple[str, int] = self._socket.getsockname()[:2]
+        self._socket.listen(BACKLOG)
+        self.address: Address = self._socket.getsockname()[:2]
         self._factory = factory
-        self._room = room
+        self._has_room = has_room
         self._loop = loop
-        self._tasks: set[asyncio.Task[object]] = set()
-        self._open = True
+        self._tasks: set[asyncio.Task[object]] = set()  # one for each connection that is not up yet
+        self._is_open = True
         loop.add_reader(self._socket, self._accept)
 
     def _accept(self) -> None:
-        # Guards the descriptors against a backlog taken in one turn, before any of it is counted.
-        self._take(AT_ONCE)
+        # A whole backlog accepted in one turn, before any of it is counted, could use up the descriptors.
+        self._accept_up_to(MAX_ACCEPTS_PER_TURN)
 
-    def _take(self, most: float) -> None:
-        while self._open and most > 0:
-            if most <= AT_ONCE and self._tasks and not self._room(len(self._tasks)):
-                return  # those under way may make room first: the queue waits for the next turn
-            most -= 1
+    def _accept_up_to(self, remaining: float) -> None:
+        while self._is_open and remaining > 0:
+            is_limited = remaining <= MAX_ACCEPTS_PER_TURN
+            if is_limited and self._tasks and not self._has_room(len(self._tasks)):
+                return  # other connections may be evicted once those are up: the backlog waits
+            remaining -= 1
             try:
                 accepted, _ = self._socket.accept()
             except (BlockingIOError, InterruptedError):
@@ -62,31 +71,32 @@
             except ConnectionError:
                 continue  # the client has gone again
             except OSError:
-                # Guards against the loss of the listener when descriptors run out: it waits for some.
+                # No descriptors are left, for instance. The socket stays readable, so without a pause the
+                # loop would do nothing but try again.
                 self._loop.remove_reader(self._socket)
-                self._loop.call_later(ACCEPT_PAUSE, self._resume)
+                self._loop.call_later(ACCEPT_PAUSE_S, self._resume)
                 return
-            if not self._room(len(self._tasks)):
+            if not self._has_room(len(self._tasks)):
                 accepted.close()
                 continue
             accepted.setblocking(False)
             task = self._loop.create_task(self._loop.connect_accepted_socket(self._factory, accepted))
             self._tasks.add(task)
-            task.add_done_callback(self._accepted)
+            task.add_done_callback(self._on_connected)
 
-    def _accepted(self, task: asyncio.Task[object]) -> None:
+    def _on_connected(self, task: asyncio.Task[object]) -> None:
         self._tasks.discard(task)
         if not task.cancelled():
-            task.exception()  # the client had gone; nothing was taken from it
+            task.exception()  # the client had gone; retrieved, or asyncio would log it
 
     def _resume(self) -> None:
-        if self._open:
+        if self._is_open:
             self._loop.add_reader(self._socket, self._accept)
 
     def close(self) -> None:
-        """Take in what stands in the queue, then listen no more."""
-        if self._open:
-            self._take(math.inf)
-            self._open = False
+        """Accept the whole backlog, then stop listening."""
+        if self._is_open:
+            self._accept_up_to(math.inf)
+            self._is_open = False
             self._loop.remove_reader(self._socket)
             self._socket.close()
--- a/pipitshed/upstream/gearman.py
+++ b/pipitshed/upstream/gearman.py
@@ -1,4 +1,4 @@
-"""Attempts to Gearman workers: a worker's connection is an endpoint as long as it stands."""
+"""Attempts to Gearman workers: a worker's connection is an endpoint for as long as it is up."""
 
 from __future__ import annotations
 
@@ -13,11 +13,16 @@
 from pipitshed.scheduling.events import EndpointEntry, EndpointState, Outcome, ProgressKind, UpdateKind
 
 SOURCE = "gearman workers"
-_GRABS = {
+MAX_PROGRESS_COUNT = 1e18
+
+# The response to each kind of request for a job.
+_ASSIGNMENTS = {
     Kind.GRAB_JOB: Kind.JOB_ASSIGN,
     Kind.GRAB_JOB_UNIQ: Kind.JOB_ASSIGN_UNIQ,
     Kind.GRAB_JOB_ALL: Kind.JOB_ASSIGN_ALL,
 }
+
+# The packets that only workers send.
 WORKER_KINDS = frozenset(
     (
         Kind.CAN_DO,
@@ -27,7 +32,7 @@
         Kind.SET_CLIENT_ID,
         Kind.PRE_SLEEP,
         Kind.ALL_YOURS,
-        *_GRABS,
+        *_ASSIGNMENTS,
         Kind.WORK_STATUS,
         Kind.WORK_COMPLETE,
         Kind.WORK_FAIL,
@@ -41,14 +46,16 @@
 class WorkerConnection(Protocol):
     """A worker's connection."""
 
-    def write(self, data: bytes) -> None: ...
+    def write(self, data: bytes) -> None:
+        """Send packets."""
 
-    def abort(self) -> None: ...
+    def abort(self) -> None:
+        """Close at once."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerLocation:
-    """Where workers stand, for the decisions: all at one place, as the front file says."""
+    """Where Gearman workers are, and their weight: the same for all, as the front file says."""
 
     zone: int = 0
     cell: int = 0
@@ -57,28 +64,28 @@
 
 
 class GearmanWorker:
-    """One worker's connection: what it can do, the attempts that wait for it, and the one it runs."""
+    """One worker: its abilities, the attempts that wait for it, and those that it runs."""
 
-    def __init__(self, carrier: GearmanWorkerClient, link: WorkerConnection, number: int) -> None:
-        self.client = carrier
-        self.connection = link
+    def __init__(self, client: GearmanWorkerClient, connection: WorkerConnection, number: int) -> None:
+        self.client = client
+        self.connection = connection
         self.name = "-"
-        self.endpoint = Endpoint(f"gearman-{number}".encode(), carrier, self)
-        self.abilities: dict[str, float] = {}  # function: seconds it may take, 0 for no limit
+        self.endpoint = Endpoint(f"gearman-{number}".encode(), client, self)
+        self.abilities: dict[str, float] = {}  # function: its timeout (s), 0 for none
         self.waiting: list[Attempt] = []
-        self.running: dict[bytes, Attempt] = {}
-        self.data: dict[bytes, bytes] = {}  # WORK_DATA so far
-        self.asleep = False
-        self.listed = False
-        self.gone = False
+        self.running: dict[bytes, Attempt] = {}  # by handle
+        self.is_listed = False
+        self.is_removed = False
+        self._partial_results: dict[bytes, bytes] = {}  # WORK_DATA so far, by handle
+        self._is_asleep = False
 
     def handle(self, kind: Kind, arguments: list[bytes]) -> None:
-        """One packet of a worker's."""
+        """Handle one packet; PacketError if it is malformed."""
         if kind in (Kind.CAN_DO, Kind.CAN_DO_TIMEOUT):
-            seconds = arguments[1] if kind is Kind.CAN_DO_TIMEOUT else b"0"
-            if not seconds.isdigit():
+            timeout_s = arguments[1] if kind is Kind.CAN_DO_TIMEOUT else b"0"
+            if not timeout_s.isdigit():
                 raise PacketError("CAN_DO_TIMEOUT needs whole seconds")
-            self.abilities[_text(arguments[0])] = float(seconds)
+            self.abilities[_text(arguments[0])] = float(timeout_s)
             self.client.list_worker(self)
         elif kind is Kind.CANT_DO:
             self.abilities.pop(_text(arguments[0]), None)
@@ -89,79 +96,86 @@
         elif kind is Kind.SET_CLIENT_ID:
             self.name = _text(arguments[0]) or "-"
         elif kind is Kind.PRE_SLEEP:
-            self.asleep = True
-            self._wake()
-        elif kind in _GRABS:
-            self._grab(_GRABS[kind])
+            self._is_asleep = True
+            self._wake_up()
+        elif kind in _ASSIGNMENTS:
+            self._assign_job(_ASSIGNMENTS[kind])
         elif kind is not Kind.ALL_YOURS:
-            self._work(kind, arguments)
+            self._handle_work(kind, arguments)
 
     def add(self, attempt: Attempt) -> None:
-        """An attempt waits for this worker from now on."""
+        """Queue an attempt until the worker asks for a job."""
         self.waiting.append(attempt)
-        self._wake()
+        self._wake_up()
 
-    def _wake(self) -> None:
-        if self.asleep and self.waiting:
-            self.asleep = False
+    def _wake_up(self) -> None:
+        if self._is_asleep and self.waiting:
+            self._is_asleep = False
             self.connection.write(pack(Kind.NOOP))
 
-    def _grab(self, answer: Kind) -> None:
-        self.asleep = False
-        for attempt in [attempt for attempt in self.waiting if not self.client.core.may_begin(attempt)]:
+    def _assign_job(self, assignment: Kind) -> None:
+        """Send the waiting attempt of the highest priority, the oldest among equals."""
+        core = self.client.core
+        self._is_asleep = False
+        for attempt in [attempt for attempt in self.waiting if not core.may_begin(attempt)]:
             self.waiting.remove(attempt)
-            self.client.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
+            core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
         if not self.waiting:
             self.connection.write(pack(Kind.NO_JOB))
             return
-        attempt = max(self.waiting, key=lambda one: one.context.request.priority)  # of equals the first
+        attempt = max(self.waiting, key=lambda one: one.context.request.priority)
         self.waiting.remove(attempt)
-        core, request = self.client.core, attempt.context.request
+        request = attempt.context.request
         function = self.client.function(attempt, self) or ""
-        handle = self.client.handle()
-        unique = (request.idempotency_key or request.id).encode("latin-1", "replace")
-        extra = {Kind.JOB_ASSIGN: (), Kind.JOB_ASSIGN_UNIQ: (unique,), Kind.JOB_ASSIGN_ALL: (unique, b"")}
+        handle = self.client.new_handle()
+        unique_id = (request.idempotency_key or request.id).encode("latin-1", "replace")
+        extra_arguments = {
+            Kind.JOB_ASSIGN: (),
+            Kind.JOB_ASSIGN_UNIQ: (unique_id,),
+            Kind.JOB_ASSIGN_ALL: (unique_id, b""),
+        }[assignment]
         self.running[handle], attempt.transport_state = attempt, handle
-        self.connection.write(pack(answer, handle, function.encode("latin-1"), *extra[answer], attempt.body))
+        name = function.encode("latin-1")
+        self.connection.write(pack(assignment, handle, name, *extra_arguments, attempt.body))
         core.attempt_sent(attempt)
-        if limit := self.abilities.get(function, 0.0):
-            self.client.loop.call_later(limit, core.attempt_timed_out, attempt)
+        if timeout_s := self.abilities.get(function, 0.0):
+            self.client.loop.call_later(timeout_s, core.attempt_timed_out, attempt)
         core.attempt_progressed(attempt, ProgressKind.STARTED)
 
-    def _work(self, kind: Kind, arguments: list[bytes]) -> None:
-        """News of a job, or its end. What comes for a job that is over here is passed over."""
+    def _handle_work(self, kind: Kind, arguments: list[bytes]) -> None:
+        """Handle progress, a part of a result, or the end of a job; ignore jobs that are over."""
         handle = arguments[0]
         attempt = self.running.get(handle)
         if attempt is None:
             return
         core = self.client.core
         if kind is Kind.WORK_STATUS:
-            done, whole = (_count(argument) for argument in arguments[1:])
-            core.attempt_progressed(attempt, ProgressKind.PROGRESS, min(1.0, done / whole) if whole else 0.0)
+            done, total = (_count(argument) for argument in arguments[1:])
+            share = min(1.0, done / total) if total else 0.0
+            core.attempt_progressed(attempt, ProgressKind.PROGRESS, share)
             return
         if kind is Kind.WORK_DATA:
-            held = self.data.get(handle, b"") + arguments[1]
-            if len(held) > self.client.body_limit:
+            result = self._partial_results.get(handle, b"") + arguments[1]
+            if len(result) > self.client.body_limit:
                 raise PacketError("the result is too long")
-            self.data[handle] = held
+            self._partial_results[handle] = result
             return
         if kind is Kind.WORK_WARNING:
             return
-        # A job's end; after WORK_EXCEPTION a WORK_FAIL may follow, which finds the job over.
+        # After WORK_EXCEPTION a WORK_FAIL may follow: the job is over by then, and it is ignored.
         del self.running[handle]
-        data = self.data.pop(handle, b"")
+        result = self._partial_results.pop(handle, b"")
         if kind is Kind.WORK_COMPLETE:
-            core.attempt_finished(attempt, Outcome.OK, data + arguments[1])
+            core.attempt_finished(attempt, Outcome.OK, result + arguments[1])
         else:
-            core.attempt_finished(
-                attempt, Outcome.ERROR, arguments[1] if kind is Kind.WORK_EXCEPTION else b""
-            )
+            error = arguments[1] if kind is Kind.WORK_EXCEPTION else b""
+            core.attempt_finished(attempt, Outcome.ERROR, error)
 
     def lost(self) -> None:
-        """The connection has ended: what was assigned may have run, what waited never has."""
-        if self.gone:
+        """The connection is closed: assigned attempts may have run, waiting ones have not."""
+        if self.is_removed:
             return
-        self.gone = True
+        self.is_removed = True
         self.abilities.clear()
         self.client.list_worker(self)
         running, waiting = list(self.running.values()), self.waiting
@@ -181,81 +195,99 @@
         value = float(data)
     except ValueError:
         raise PacketError("WORK_STATUS needs numbers") from None
-    if not 0 <= value < 1e18:
+    if not 0 <= value < MAX_PROGRESS_COUNT:
         raise PacketError("WORK_STATUS needs numbers")
     return value
 
 
 class GearmanWorkerClient:
-    """All workers' connections, and the functions by which they know the classes."""
+    """All Gearman workers, and the functions by which they name the job classes."""
 
     def __init__(
         self,
         core: Forwarder,
         classes: Mapping[str, int],
-        place: WorkerLocation,
+        location: WorkerLocation,
         body_limit: int,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         self.core = core
         self.loop = loop
-        self.classes = classes  # function: class
-        self.place = place
-        self.body_limit = body_limit
+        self.body_limit = body_limit  # bytes of a result
         self.workers: dict[GearmanWorker, None] = {}
-        self._numbers = 0
-        self._handles = 0
+        self._classes = classes  # by function
+        self._location = location
+        self._worker_count = 0
+        self._handle_count = 0
+
+    # ---- workers
 
-    def worker(self, link: WorkerConnection) -> GearmanWorker:
-        """A connection has spoken as a worker."""
-        self._numbers += 1
-        worker = GearmanWorker(self, link, self._numbers)
+    def worker(self, connection: WorkerConnection) -> GearmanWorker:
+        """The worker of a connection that has sent its first worker packet."""
+        self._worker_count += 1
+        worker = GearmanWorker(self, connection, self._worker_count)
         self.workers[worker] = None
         return worker
 
-    def handle(self) -> bytes:
-        """A new job handle; those given to workers are none of those given to clients."""
-        self._handles += 1
-        return b"H:pipitshed:attempt:%d" % self._handles
+    def new_handle(self) -> bytes:
+        """A handle for a worker's job; none of the handles for clients looks like it."""
+        self._handle_count += 1
+        return b"H:pipitshed:attempt:%d" % self._handle_count
 
     def function(self, attempt: Attempt, worker: GearmanWorker) -> str | None:
-        """The name by which this worker knows the attempt's work; None where it can't do it."""
+        """The name by which a worker knows an attempt's work; None if it can't do that."""
         request = attempt.context.request
         if request.function:
             return request.function if request.function in worker.abilities else None
         return next(
-            (function for function in worker.abilities if self.classes.get(function) == request.job_class),
+            (function for function in worker.abilities if self._classes.get(function) == request.job_class),
             None,
         )
 
     def list_worker(self, worker: GearmanWorker) -> None:
-        """Tell the route table what a worker can do now. One that can do nothing more is draining until
-        its connection ends; attempts that wait for what it no longer does never ran.
+        """Update the endpoint table with what a worker can do now.
+
+        A worker without any ability is draining until its connection ends. Attempts that wait for an ability
+        that it no longer has are rejected.
         """
-        can = frozenset(self.classes[name] for name in worker.abilities if name in self.classes)
-        state = (
-            EndpointState.REMOVED if worker.gone else EndpointState.READY if can else EndpointState.DRAINING
-        )
-        if worker.gone:
+        job_classes = frozenset(self._classes[name] for name in worker.abilities if name in self._classes)
+        if worker.is_removed:
             self.workers.pop(worker, None)
-        if can or worker.listed:
-            worker.listed = True
-            place = self.place
-            entry = EndpointEntry(
-                worker.endpoint.id, place.zone, place.cell, place.kind, place.weight, 0.0, state, can
-            )
-            self.core.endpoints.update(SOURCE, UpdateKind.DELTA, 0, [(entry, worker.endpoint)])
-        if not worker.gone:
+        if job_classes or worker.is_listed:
+            worker.is_listed = True
+            self._update_endpoint(worker, job_classes)
+        if not worker.is_removed:
             for attempt in [attempt for attempt in worker.waiting if self.function(attempt, worker) is None]:
                 worker.waiting.remove(attempt)
                 self.core.attempt_finished(attempt, Outcome.REJECTED)
 
-    # ---- what the core asks
+    def _update_endpoint(self, worker: GearmanWorker, job_classes: frozenset[int]) -> None:
+        if worker.is_removed:
+            state = EndpointState.REMOVED
+        elif job_classes:
+            state = EndpointState.READY
+        else:
+            state = EndpointState.DRAINING
+        location = self._location
+        entry = EndpointEntry(
+            worker.endpoint.id,
+            location.zone,
+            location.cell,
+            location.kind,
+            location.weight,
+            0.0,
+            state,
+            job_classes,
+        )
+        self.core.endpoints.update(SOURCE, UpdateKind.DELTA, 0, [(entry, worker.endpoint)])
+
+    # ---- attempts
 
     def start(self, attempt: Attempt) -> None:
+        """Queue an attempt for its worker."""
         worker: GearmanWorker = attempt.endpoint.address
         attempt.fully_sent = False
-        if worker.gone:
+        if worker.is_removed:
             self.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
         elif self.function(attempt, worker) is None:
             self.core.attempt_finished(attempt, Outcome.REJECTED)
@@ -263,8 +295,10 @@
             worker.add(attempt)
 
     def abort(self, attempt: Attempt) -> bool:
-        """An attempt that waits leaves the queue. An assigned one can't be called off in this protocol: its
-        worker's connection is closed, as a planner's is, so that no second attempt runs beside it.
+        """Stop an attempt for good; whether it may have run.
+
+        The protocol has no way to cancel an assigned job. The worker's connection is closed instead, so that
+        no second attempt runs beside the first.
         """
         worker: GearmanWorker = attempt.endpoint.address
         if attempt in worker.waiting:
@@ -275,9 +309,11 @@
             return True
         return False
 
-    def probe(self, target: Endpoint) -> None:
-        worker: GearmanWorker = target.address
-        self.core.probe_finished(target, Outcome.CONNECT_FAILED if worker.gone else Outcome.OK, 0.0)
+    def probe(self, endpoint: Endpoint) -> None:
+        """Report whether a worker's connection is up."""
+        worker: GearmanWorker = endpoint.address
+        outcome = Outcome.CONNECT_FAILED if worker.is_removed else Outcome.OK
+        self.core.probe_finished(endpoint, outcome, 0.0)
 
-    def close_idle_connections(self, target: Endpoint) -> None:
-        """A worker's one connection is its own to close."""
+    def close_idle_connections(self, endpoint: Endpoint) -> None:
+        """Do nothing: only the worker itself closes its connection."""
--- a/pipitshed/upstream/interface_probe.py
+++ b/pipitshed/upstream/interface_probe.py
@@ -1,7 +1,7 @@
-"""Finds out which interface a planner speaks, on a connection of its own and without a request.
+"""Finds out which interface a worker speaks, on a connection of its own and without a request.
 
-HTTP/2's preface is sent. A planner of interface 2 answers with its SETTINGS; to one of interface 1 it is a
-request line that it can't read, so that it answers with an error or closes.
+It sends HTTP/2's preface. A worker of interface 2 answers with its SETTINGS. For a worker of interface 1 the
+preface is a malformed request line, so it answers with an error or closes.
 """
 
 from __future__ import annotations
@@ -13,88 +13,97 @@
 import h2.events
 import h2.exceptions
 
+from pipitshed.protocols.address import Address
 from pipitshed.protocols.grpc import Http2
 from pipitshed.scheduling.events import WorkerId
 
-CONNECT_TIMEOUT = 1.0  # s
-ANSWER_TIMEOUT = 1.0  # s
-SETTLED = 0.05  # s behind the SETTINGS in which a planner that leaves says so
+CONNECT_TIMEOUT_S = 1.0
+RESPONSE_TIMEOUT_S = 1.0
+GOAWAY_WINDOW_S = 0.05  # behind the SETTINGS, in which a worker that is about to stop sends GOAWAY
 
-Address = tuple[str, int]
+_UNKNOWN, _HTTP, _GRPC = 0, 1, 2  # interfaces
 
 
-class _Sounding(asyncio.Protocol):
-    """One planner's answer to the preface: 2, 1, or 0 where it has none."""
+class _Probe(asyncio.Protocol):
+    """One worker's response to the preface; the result is its interface, or 0 where that is not known."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.answer: asyncio.Future[int] = loop.create_future()
+        self.result: asyncio.Future[int] = loop.create_future()
+        self.transport: asyncio.Transport | None = None
         self._loop = loop
         self._http2 = Http2()
-        self._settled: asyncio.TimerHandle | None = None
-        self.transport: asyncio.Transport | None = None
+        self._goaway_timer: asyncio.TimerHandle | None = None  # set by the worker's SETTINGS
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
+        """Send the preface."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports do not inherit from it
         self._http2.initiate_connection()
         self.transport.write(self._http2.data_to_send())
 
     def data_received(self, data: bytes) -> None:
-        if self.answer.done():
+        """Look for SETTINGS, for a GOAWAY, and for what is no HTTP/2."""
+        if self.result.done():
             return
         try:
             events = self._http2.receive_data(data)
         except h2.exceptions.ProtocolError:
-            self._set(1)
+            self._set_result(_HTTP)
             return
         if any(isinstance(event, h2.events.ConnectionTerminated) for event in events):
-            self._set(0)
-        elif self._settled is None and any(
+            self._set_result(_UNKNOWN)
+        elif self._goaway_timer is None and any(
             isinstance(event, h2.events.RemoteSettingsChanged) for event in events
         ):
-            self._settled = self._loop.call_later(SETTLED, self._set, 2)
+            self._goaway_timer = self._loop.call_later(GOAWAY_WINDOW_S, self._set_result, _GRPC)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        # A close without a word is what the platform's planners do with what they can't read; one with
-        # SETTINGS before it was about to leave.
-        self._set(1 if self._settled is None and not isinstance(exc, ConnectionError) else 0)
-        if self._settled is not None:
-            self._settled.cancel()
+        """Take a clean close for interface 1, unless SETTINGS came before it.
+
+        The platform's workers close on input that they can't parse. One that closes behind its SETTINGS was
+        about to stop.
+        """
+        is_clean_close = self._goaway_timer is None and not isinstance(exc, ConnectionError)
+        self._set_result(_HTTP if is_clean_close else _UNKNOWN)
+        if self._goaway_timer is not None:
+            self._goaway_timer.cancel()
 
-    def _set(self, interface: int) -> None:
-        if not self.answer.done():
-            self.answer.set_result(interface)
+    def _set_result(self, interface: int) -> None:
+        if not self.result.done():
+            self.result.set_result(interface)
 
 
 class InterfaceProber:
-    """Asks planners, each on a task of its own."""
+    """Probes workers, each in a task of its own."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, sounded: Callable[[WorkerId, Address, int], None]
+        self, loop: asyncio.AbstractEventLoop, on_detected: Callable[[WorkerId, Address, int], None]
     ) -> None:
         self._loop = loop
-        self._on_detected = sounded
+        self._on_detected = on_detected
         self._tasks: set[asyncio.Task[None]] = set()
 
     def probe(self, worker: WorkerId, address: Address) -> None:
+        """Start a probe; its result goes to `on_detected`, as 0 where it failed."""
         task = self._loop.create_task(self._run(worker, address))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _run(self, worker: WorkerId, address: Address) -> None:
-        sounding = _Sounding(self._loop)
-        interface = 0
+        probe = _Probe(self._loop)
+        interface = _UNKNOWN
         try:
-            async with asyncio.timeout(CONNECT_TIMEOUT):
-                await self._loop.create_connection(lambda: sounding, *address)
-            async with asyncio.timeout(ANSWER_TIMEOUT):
-                interface = await sounding.answer
-        except (OSError, ValueError):  # it could not be asked (or can't be a name), or says nothing
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                await self._loop.create_connection(lambda: probe, *address)
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+                interface = await probe.result
+        except (OSError, ValueError):  # a TimeoutError is an OSError; a malformed host is a ValueError
             pass
         finally:
-            if sounding.transport is not None:
-                sounding.transport.abort()
+            if probe.transport is not None:
+                probe.transport.abort()
         self._on_detected(worker, address, interface)
 
     def close(self) -> None:
+        """Cancel all probes."""
         for task in self._tasks:
             task.cancel()
