--- a/pipitshed/cluster/messages.py
+++ b/pipitshed/cluster/messages.py
@@ -126,6 +126,6 @@
     members: tuple[tuple[str, str, str], ...]  # name, peer address, state
 
 
-Settings = Put | ShowRows | AskForce | AskStatus | AppliedReport | AppliedQuery
+SettingsMessage = Put | ShowRows | AskForce | AskStatus | AppliedReport | AppliedQuery
 Answer = Shown | PutDone | ShownRows | Force | Status
-ClusterMessage = Ping | Ack | IndirectPing | Nack | RepairMessage | Show | Leave | Settings | Answer
+ClusterMessage = Ping | Ack | IndirectPing | Nack | RepairMessage | Show | Leave | SettingsMessage | Answer
--- a/pipitshed/cluster/node.py
+++ b/pipitshed/cluster/node.py
@@ -15,7 +15,7 @@
 from pipitshed.cluster.config_file import ClusterConfig
 from pipitshed.cluster.datagrams import Datagrams
 from pipitshed.cluster.event_log import EventLog
-from pipitshed.cluster.messages import Answer, ClusterMessage, Leave, Settings, Show, Shown
+from pipitshed.cluster.messages import Answer, ClusterMessage, Leave, SettingsMessage, Show, Shown
 from pipitshed.cluster.settings import ReplicatedSettings, Reply, SettingsTarget
 from pipitshed.cluster.streams import Streams
 from pipitshed.cluster.view_report import view_metrics, view_report
@@ -188,7 +188,7 @@
         elif isinstance(message, Leave):
             self.leave()
             self._streams.answer(source, self._codec.encode(self.shown()))
-        elif isinstance(message, Settings):
+        elif isinstance(message, SettingsMessage):
             if self.settings is not None:
                 self.settings.handle_message(message, source)
         elif not isinstance(message, Answer):
@@ -256,7 +256,8 @@
 
     def _log_superseded(self, other: MemberRecord) -> None:
         log.error(
-            "another process holds the name %s: %s:%d, started later; this one is out of the view",
+            "another process holds the name %s: %s:%d, started later by its clock; "
+            "this one is out of the view until its next start",
             other.name,
             other.host,
             other.port,
--- a/pipitshed/cluster/settings.py
+++ b/pipitshed/cluster/settings.py
@@ -17,7 +17,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from pipitshed.cluster import counters, row_store
-from pipitshed.cluster.messages import ClusterMessage, PutDone, Settings
+from pipitshed.cluster.messages import ClusterMessage, PutDone, SettingsMessage
 from pipitshed.cluster.row_store import StoredRows
 from pipitshed.cluster.settings_commands import SettingsCommands
 from pipitshed.cluster.settings_log import log_overlay
@@ -147,7 +147,7 @@
             self._live_instances_version = view.change_count
         return self._live_instances
 
-    def handle_message(self, message: Settings, source: Address) -> None:
+    def handle_message(self, message: SettingsMessage, source: Address) -> None:
         """Handle a message of another member or of an operator."""
         if isinstance(message, AppliedReport):
             self.confirmations.receive_report(message, self.live_instances())
@@ -175,14 +175,17 @@
         self.transport.disseminate(row)
         self._schedule_batch()
 
-    def over(self, raw: dict[str, Any]) -> dict[str, Any]:
-        """The settings of a file that was read again, with the rows laid over them."""
+    def reapply_over(self, raw: dict[str, Any]) -> dict[str, Any]:
+        """The settings of a file that was read again, with the rows laid over them.
+
+        The rows are recorded as applied, and confirmed to their writers: the caller applies what it gets.
+        """
         state = self.confirmations.state
         if not state.rows:
             settings: dict[str, Any] = raw["settings"]
             return settings
         rows = tuple(state.rows.values())
-        laid = self._lay_over(raw, rows, state.digest, state.applied, file_is_new=True)
+        laid = self._lay_over_and_record(raw, rows, state.digest, state.applied, file_is_new=True)
         return laid.raw["settings"]  # type: ignore[no-any-return]
 
     def metrics(self) -> dict[str, int]:
@@ -252,14 +255,14 @@
 
     def _apply(self, rows: tuple[Row, ...], digest: bytes, previously_applied: Mapping[str, Row]) -> None:
         applied_before = self.confirmations.state.applied
-        laid = self._lay_over(self.target.file(), rows, digest, previously_applied)
+        laid = self._lay_over_and_record(self.target.file(), rows, digest, previously_applied)
         if laid.applied != applied_before:
             self.target.apply(laid.raw["settings"])
         for pending in self._pending_replies:
             pending.reply(PutDone(self.name, "", pending.row.term, pending.row.number))
         self._pending_replies.clear()
 
-    def _lay_over(
+    def _lay_over_and_record(
         self,
         raw: dict[str, Any],
         rows: tuple[Row, ...],
--- a/pipitshed/membership/local_state.py
+++ b/pipitshed/membership/local_state.py
@@ -33,7 +33,9 @@
     rng: random.Random
     probe_numbers: Iterator[int]
     timers: TimerQueue
-    superseded: bool = False  # another process has this member's name, and started later
+    superseded: bool = (
+        False  # another process holds the name, by its record's clock; final until the next start
+    )
     leaving: bool = False
 
     @property
--- a/pipitshed/membership/timing.py
+++ b/pipitshed/membership/timing.py
@@ -13,7 +13,10 @@
 
 
 class ProtocolTimings(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
-    """Timings of the protocol, in seconds; all schedulers of a cluster should have the same."""
+    """Timings of the protocol, in seconds unless said otherwise.
+
+    All schedulers of a cluster should have the same. The names are the keys of the operators' file.
+    """
 
     period: float = 0.2  # between probes
     ack_within: float = 0.1  # for the ack of a probe, before other members are asked for indirect pings
@@ -22,7 +25,9 @@
     suspect_longest: float = 4.0  # times the shortest: a suspicion without a confirmation
     sync: float = 3.0  # between exchanges with a peer whose digest differs
     sync_with_gone: float = 10.0  # between attempts to reach a member that is considered dead
-    tombstones: float = 120.0  # how long the record of a departed member is kept
+    tombstones: float = (
+        120.0  # a departed member's record is kept; after it only seeds join two sides of a partition
+    )
 
     def fault(self) -> tuple[str, str] | None:
         """Return the first invalid field, and why it is invalid; None where all are valid."""
@@ -45,7 +50,7 @@
         if self.suspect_longest < 1:
             return "suspect-longest", f"{self.suspect_longest} is under 1"
         if self.tombstones < MIN_TOMBSTONE_SYNCS * self.sync_with_gone:
-            return "tombstones", f"{self.tombstones} is under four times sync-with-gone: old words return"
+            return "tombstones", f"{self.tombstones} is under four times sync-with-gone: old records return"
         return None
 
 
--- a/pipitshed/scheduling/dispatcher.py
+++ b/pipitshed/scheduling/dispatcher.py
@@ -271,7 +271,7 @@
         if action is StartOverdueAction.ADD_ATTEMPT:
             self._try_attempt(job)
         elif action is StartOverdueAction.REPLACE_ATTEMPTS:
-            job.promised_attempt_count = len(job.attempts) + 1
+            job.min_allowed_attempts = len(job.attempts) + 1
             for attempt in in_flight:
                 self._cancel(job, attempt)
 
@@ -282,7 +282,7 @@
         if self.now_ms < due_ms:
             self._wake(job, due_ms)
             return
-        job.promised_attempt_count = len(job.attempts) + 1
+        job.min_allowed_attempts = len(job.attempts) + 1
         for attempt in started:
             if not attempt.cancelled:
                 self._record_no_capacity(attempt.worker)
--- a/pipitshed/scheduling/endpoint_list.py
+++ b/pipitshed/scheduling/endpoint_list.py
@@ -11,7 +11,7 @@
 from pipitshed.scheduling.worker_state import Worker
 
 LIVE_WEIGHT_SMOOTHING = 0.1  # weight of a new live weight, which follows the worker's load and lags behind it
-FORGET_AFTER_MS = 60_000.0  # after which a departed worker is forgotten; no ejection lasts so long
+FORGET_AFTER_MS = 60_000.0  # a departed worker is kept; only an ejection that it asked for may last longer
 WEIGHT_COUNT = 3  # the weights of a worker: planned, listed, even
 
 PoolKey = tuple[int, frozenset[int] | None]  # a job's class and the interfaces that can express it
--- a/pipitshed/scheduling/job_state.py
+++ b/pipitshed/scheduling/job_state.py
@@ -59,7 +59,7 @@
         "no_capacity_count",
         "reset_count",
         "error_count",
-        "promised_attempt_count",
+        "min_allowed_attempts",
         "allowed_failure_probability",
     )
 
@@ -81,7 +81,7 @@
         self.no_capacity_count = 0  # attempts that found no capacity
         self.reset_count = 0  # attempts whose connection broke
         self.error_count = 0  # attempts that ended in an error
-        self.promised_attempt_count = 0  # allowed whatever the estimate says: an attempt was replaced
+        self.min_allowed_attempts = 0  # in all, guaranteed by a replaced attempt
         self.allowed_failure_probability = 1.0
 
     def attempts_in_flight(self) -> list[Attempt]:
--- a/pipitshed/scheduling/outlier_ejection.py
+++ b/pipitshed/scheduling/outlier_ejection.py
@@ -11,7 +11,7 @@
 from pipitshed.scheduling.capacity_estimate import SPEED_MAX_AGE_MS
 from pipitshed.scheduling.worker_state import Worker
 
-EJECTION_MS = 300.0  # mean length of the first ejection; it doubles with each repeat
+EJECTION_MS = 300.0  # mean length of the first ejection for no capacity; the first for an error is twice that
 MAX_EJECTION_DOUBLINGS = 5  # keeps ejections short enough that jobs try the worker again within seconds
 SLOW_SPEED_RATIO = 2.0  # times the mean time for a unit of work from which a worker counts as slow
 GOLDEN_RATIO_FRACTION = 0.6180339887  # times the job's id, modulo 1: evenly spread without a random draw
@@ -31,7 +31,10 @@
 
 
 def eject_for_no_capacity(worker: Worker, now_ms: float, rng: random.Random) -> None:
-    """Eject a worker that rejected a job, or did not start it in time."""
+    """Eject a worker that rejected a job, or did not start it in time.
+
+    The newest such attempt decides, so this may also end a longer ejection sooner.
+    """
     worker.ejected_until_ms = now_ms + EJECTION_MS * 2**worker.consecutive_rejections * rng.uniform(0.5, 1.5)
     worker.consecutive_rejections = min(worker.consecutive_rejections + 1, MAX_EJECTION_DOUBLINGS)
 
@@ -53,7 +56,7 @@
 
 
 def readmit(worker: Worker) -> None:
-    """End the ejection: the worker had capacity, or its process is a new one."""
+    """End the ejection, for whatever cause: the worker had capacity, or its process is a new one."""
     worker.consecutive_rejections = 0
     worker.ejected_until_ms = 0.0
 
--- a/pipitshed/scheduling/retry_policy.py
+++ b/pipitshed/scheduling/retry_policy.py
@@ -125,10 +125,11 @@
     else:
         by_estimate = allowed_attempts(job, limits.max_attempts, window, now_ms)
         allowed = max(by_estimate, 1 + job.error_count) + job.reset_count
-    if len(job.attempts) >= max(job.promised_attempt_count, allowed):
+    if len(job.attempts) >= max(job.min_allowed_attempts, allowed):
         return AnswerReason.ATTEMPTS_EXHAUSTED
     if not options.may_attempt:
-        return AnswerReason.NOT_REPEATABLE
+        exhausted = len(job.attempts) >= limits.max_attempts
+        return AnswerReason.ATTEMPTS_EXHAUSTED if exhausted else AnswerReason.NOT_REPEATABLE
     if (
         job.attempts
         and not only_we_can_repeat
--- a/pipitshed/server/reload.py
+++ b/pipitshed/server/reload.py
@@ -63,7 +63,7 @@
         """The configuration with the cluster's rows over the file's settings."""
         node = self._parts.cluster_node
         if node is not None and node.settings is not None and config.raw is not None:
-            config = with_settings(config, node.settings.over(config.raw))
+            config = with_settings(config, node.settings.reapply_over(config.raw))
         return config
 
     def _follow_discovery(self, config: Config) -> None:
--- a/tests/cluster/test_settings_fleet.py
+++ b/tests/cluster/test_settings_fleet.py
@@ -48,7 +48,7 @@
     def read(self, config: Config) -> None:
         """A file that is read anew."""
         assert self.fleet.settings is not None and config.raw is not None
-        self.config = with_settings(config, self.fleet.settings.over(config.raw))
+        self.config = with_settings(config, self.fleet.settings.reapply_over(config.raw))
 
     def retune(self, settings: dict[str, Any]) -> None:
         self.config = with_settings(self.config, settings)
