--- a/pipitshed/server/assembly.py
+++ b/pipitshed/server/assembly.py
@@ -22,15 +22,12 @@
     NameIndex,
     update_size_limit,
 )
-from pipitshed.frontends.gearman import GearmanFrontend, GearmanFunction
 from pipitshed.frontends.http import HttpFrontend, RequestParser
 from pipitshed.frontends.listener import Listener
-from pipitshed.protocols.http import BODY_LIMIT
 from pipitshed.proxy.decision_log import DecisionLog
 from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.scheduling.settings import Settings
 from pipitshed.server.descriptors import DescriptorBudget
-from pipitshed.upstream.gearman import GearmanWorkerClient, WorkerLocation
 from pipitshed.upstream.http import HttpWorkerClient
 
 if TYPE_CHECKING:
@@ -38,6 +35,7 @@
     from pipitshed.cluster.node import ClusterNode
     from pipitshed.discovery.dns_sd import DnsSdClient
     from pipitshed.discovery.placement_plan import PlacementPlanSource
+    from pipitshed.frontends.gearman import GearmanFrontend, GearmanFunction
     from pipitshed.server.translation import TranslationParts
 
 INSTANCE_ID_MASK = 0xFFFFFFFF  # the part of the seed that names this process to Gearman's clients
@@ -274,6 +272,10 @@
     loop: asyncio.AbstractEventLoop,
 ) -> GearmanFrontend:
     """The frontend of Gearman's clients, with the client of its workers."""
+    from pipitshed.frontends.gearman import GearmanFrontend
+    from pipitshed.protocols.http import BODY_LIMIT
+    from pipitshed.upstream.gearman import GearmanWorkerClient, WorkerLocation
+
     functions = gearman_functions(parts, config, front)
     zones, kinds = parts.names.zones, parts.names.kinds
     zone = zones.index(front.workers.zone) if front.workers.zone else config.settings.own_zone
@@ -292,6 +294,8 @@
 
 def gearman_functions(parts: Parts, config: Config, front: FrontConfig) -> dict[str, GearmanFunction]:
     """Gearman's functions by name: each is a class, a tenant, a timeout and a message form."""
+    from pipitshed.frontends.gearman import GearmanFunction
+
     translator = parts.translation.translator if parts.translation is not None else None
     functions = {}
     for name, function in front.functions.items():
--- a/pipitshed/server/descriptors.py
+++ b/pipitshed/server/descriptors.py
@@ -2,9 +2,13 @@
 
 from __future__ import annotations
 
-from pipitshed.frontends.gearman import GearmanFrontend
+from typing import TYPE_CHECKING
+
 from pipitshed.frontends.http import HttpFrontend
 
+if TYPE_CHECKING:
+    from pipitshed.frontends.gearman import GearmanFrontend
+
 HTTP_CLIENTS_FRACTION = 0.4  # of the descriptors, for the connections of HTTP clients
 GEARMAN_FRACTION = 0.2  # and for Gearman's; the rest is for attempts
 RESERVE_DIVISOR = 12  # one in so many is for neither clients nor attempts: discovery, the admin address
