--- a/pipitshed/proxy/attempt.py
+++ b/pipitshed/proxy/attempt.py
@@ -9,10 +9,7 @@
 
 from pipitshed.proxy.request import RequestContext
 from pipitshed.proxy.worker_client import Endpoint
-from pipitshed.scheduling.events import Outcome
-
-# Outcomes that prove that the job never ran.
-NOT_EXECUTED_OUTCOMES = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.SUPERSEDED))
+from pipitshed.scheduling.events import NOT_EXECUTED_OUTCOMES, Outcome
 
 
 @dataclass(slots=True, eq=False)
--- a/pipitshed/scheduling/dispatcher.py
+++ b/pipitshed/scheduling/dispatcher.py
@@ -31,6 +31,7 @@
 )
 from pipitshed.scheduling.endpoint_list import EndpointList
 from pipitshed.scheduling.events import (
+    NOT_EXECUTED_OUTCOMES,
     AttemptFinished,
     AttemptProgressed,
     ConnectionLost,
@@ -358,7 +359,7 @@
         worker = attempt.worker
         attempt.in_flight = False
         worker.in_flight_count -= 1
-        attempt.not_executed = event.outcome in retry_policy.NOT_EXECUTED_OUTCOMES
+        attempt.not_executed = event.outcome in NOT_EXECUTED_OUTCOMES
         job.served = job.served or event.outcome is Outcome.OK
         self.load.record_report(worker, event.load_report)
         if attempt.started:
--- a/pipitshed/scheduling/events.py
+++ b/pipitshed/scheduling/events.py
@@ -41,6 +41,10 @@
     SUPERSEDED = 8
 
 
+NOT_EXECUTED_OUTCOMES = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.SUPERSEDED))
+"""The outcomes that prove that the job never ran there."""
+
+
 class ProgressKind(enum.IntEnum):
     """News of an attempt that is still out."""
 
--- a/pipitshed/scheduling/retry_policy.py
+++ b/pipitshed/scheduling/retry_policy.py
@@ -11,7 +11,6 @@
 
 from pipitshed.scheduling.actions import AnswerReason, FailRequest, RejectRequest
 from pipitshed.scheduling.capacity_estimate import BUSY_PROBABILITY
-from pipitshed.scheduling.events import Outcome
 from pipitshed.scheduling.job_state import Attempt, Job, Scope
 from pipitshed.scheduling.recent_counts import AttemptWindow
 from pipitshed.scheduling.settings import DeduplicationScope, Idempotency, JobClass, Limits, Settings
@@ -22,7 +21,6 @@
 LAST_ATTEMPT_TICKS = 3  # before the deadline: later an attempt could not end in time
 FINAL_ANSWER_TICKS = 2  # before the deadline: the final answer must leave by then
 CLOSE_BEFORE_WINDOW_END_TICKS = 2  # a repeat leaves so many ticks before the idempotency window ends
-NOT_EXECUTED_OUTCOMES = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.SUPERSEDED))
 
 
 @dataclass(frozen=True, slots=True)
