--- a/pipitshed/simulator/adapter.py
+++ b/pipitshed/simulator/adapter.py
@@ -46,10 +46,10 @@
     """The events of a batch by instance; instances that it starts and stops are added and removed."""
     events_by_instance: dict[int, list[Event]] = {}
     for instance, event in wire.decode_batch(count, batch):
-        if isinstance(event, wire.Born):
+        if isinstance(event, wire.InstanceStarted):
             dispatchers[instance] = Dispatcher(event.settings, event.seed)
             events_by_instance[instance] = []
-        elif isinstance(event, wire.Halted):
+        elif isinstance(event, wire.InstanceStopped):
             dispatchers.pop(instance, None)
             events_by_instance.pop(instance, None)
         elif instance in dispatchers:
--- a/pipitshed/simulator/wire.py
+++ b/pipitshed/simulator/wire.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Born:
+class InstanceStarted:
     """An instance begins, with its seed and its settings."""
 
     seed: int
@@ -39,11 +39,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Halted:
+class InstanceStopped:
     """An instance is dead; all it knew is void."""
 
 
-WireEvent = Born | Halted | events.Event
+WireEvent = InstanceStarted | InstanceStopped | events.Event
 
 # Fixed parts of the records, after the code byte and the instance number.
 _HEAD = struct.Struct("<BI")
@@ -104,9 +104,9 @@
         return tuple(_number(value, "a load report") for value in values)
 
 
-def _born(read: _Reader) -> Born:
+def _born(read: _Reader) -> InstanceStarted:
     seed, length = read.fields(_BORN)
-    return Born(seed, settings_from_json(read.raw(length)))
+    return InstanceStarted(seed, settings_from_json(read.raw(length)))
 
 
 def _mail(read: _Reader) -> events.PeerMessageReceived:
@@ -180,7 +180,7 @@
 
 _EVENTS: dict[int, Callable[[_Reader], WireEvent]] = {
     1: lambda read: events.TimerFired(read.fields(_TOKEN)[0]),
-    2: lambda read: Halted(),
+    2: lambda read: InstanceStopped(),
     3: _born,
     4: _mail,
     5: _note,
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -90,7 +90,7 @@
         events.ProbeFinished(WORKER, 3.0, events.Outcome.OK, (4.0, 0.5)),
         events.PeerMessageReceived(7, b"hi"),
         events.ResponseStarted(9, 1, WORKER, 4.0),
-        wire.Halted(),
+        wire.InstanceStopped(),
     ]
 
 
