--- a/pipitshed/scheduling/dispatcher.py
+++ b/pipitshed/scheduling/dispatcher.py
@@ -391,7 +391,7 @@
         service_time_ms = self.now_ms - attempt.started_at_ms if attempt.started else elapsed_ms
         self.statistics.record_served(job, service_time_ms, self.settings.weight_by_work)
         self._record_speed(job, attempt, 1.0)
-        outlier_ejection.forgive_error(attempt.worker)
+        outlier_ejection.decrement_error_count(attempt.worker)
         if not attempt.capacity_recorded:
             late = missed_objective(job, service_time_ms)
             self._record_capacity(attempt.worker, late and not self.settings.workers_report_start)
--- a/pipitshed/scheduling/endpoint_list.py
+++ b/pipitshed/scheduling/endpoint_list.py
@@ -71,7 +71,7 @@
             self.departed_at_ms.pop(worker.id, None)
         if entry.started_at_ms > worker.started_at_ms:
             worker.started_at_ms = entry.started_at_ms
-            outlier_ejection.readmit(worker)  # the ejection was that of the process before
+            outlier_ejection.end_all_ejections(worker)  # the ejection was that of the process before
 
     def _remove_all_except(self, listed: set[WorkerId], now_ms: float) -> None:
         """Count the workers that a snapshot lacks as departed."""
--- a/pipitshed/scheduling/outlier_ejection.py
+++ b/pipitshed/scheduling/outlier_ejection.py
@@ -61,12 +61,12 @@
     worker.ejected_until_ms = 0.0
 
 
-def readmit(worker: Worker) -> None:
+def end_all_ejections(worker: Worker) -> None:
     """End the ejection, for whatever cause: the worker's process is a new one."""
     end_capacity_ejection(worker)
     worker.error_ejected_until_ms = 0.0
 
 
-def forgive_error(worker: Worker) -> None:
+def decrement_error_count(worker: Worker) -> None:
     """Let a served job make up for one error; a worker that fails every second job stays known for it."""
     worker.error_count = max(0, worker.error_count - 1)
