--- a/pipitshed/scheduling/endpoint_list.py
+++ b/pipitshed/scheduling/endpoint_list.py
@@ -64,7 +64,7 @@
         worker.interface = entry.interface
         worker.planned_weights = entry.planned_weights
         if before != worker.selection_fields():
-            self._reweigh(worker)
+            self._update_weights(worker)
         if entry.state is EndpointState.REMOVED:
             self.departed_at_ms.setdefault(worker.id, now_ms)
         else:
@@ -80,7 +80,7 @@
                 self.departed_at_ms.setdefault(worker.id, now_ms)
                 if worker.ready:
                     worker.ready = False
-                    self._reweigh(worker)
+                    self._update_weights(worker)
 
     def _forget_departed(self, now_ms: float) -> None:
         """Forget workers that departed long ago, except those with own attempts in flight or still ejected.
@@ -100,7 +100,7 @@
                 del self.workers[worker_id]
                 self.pools.remove(worker)
 
-    def _reweigh(self, worker: Worker) -> None:
+    def _update_weights(self, worker: Worker) -> None:
         """Have a worker's changed fields count in the draws."""
         if worker.ready and worker.planned_weights:
             self.planned_workers.add(worker.id)
--- a/pipitshed/scheduling/weighted_pools.py
+++ b/pipitshed/scheduling/weighted_pools.py
@@ -20,7 +20,7 @@
 Weights = tuple[float, ...]
 
 
-class Sums:
+class PrefixSums:
     """Weights by place, in blocks with cumulative sums; the totals of blocks are summed in blocks in turn.
 
     A changed block is summed again from its weights, so that rounding errors do not add up.
@@ -33,16 +33,16 @@
         self._sums: list[list[list[float]]] = [[]]
         self._stale = set(range(-(-len(weights) // BLOCK_SIZE)))
 
-    def set(self, place: int, weight: float) -> None:
+    def set(self, index: int, weight: float) -> None:
         """Set the weight at a place; the place after the last one is added."""
         weights = self._weights[0]
-        if place == len(weights):
+        if index == len(weights):
             weights.append(weight)
-        elif weights[place] == weight:
+        elif weights[index] == weight:
             return
         else:
-            weights[place] = weight
-        self._stale.add(place // BLOCK_SIZE)
+            weights[index] = weight
+        self._stale.add(index // BLOCK_SIZE)
 
     def total(self) -> float:
         """The sum of all weights; updates the sums of the blocks that have changed."""
@@ -64,42 +64,48 @@
         top = self._sums[-1]
         return top[0][-1] if top else 0.0
 
-    def place_at(self, fraction: float) -> int:
+    def index_at(self, fraction: float) -> int:
         """The place at which this fraction (0 to 1) of the total falls; never one whose weight is 0.
 
         The sums are those of the last call of `total`.
         """
-        place, rest = 0, fraction * self._sums[-1][0][-1]
+        index, remaining = 0, fraction * self._sums[-1][0][-1]
         for sums in reversed(self._sums):
-            block = sums[place]
-            index = bisect_right(block, rest)
-            if index == len(block):
-                index = bisect_left(block, block[-1])  # rounding led beyond the last weight that is not 0
-            if index:
-                rest -= block[index - 1]
-            place = place * BLOCK_SIZE + index
-        return place
+            block = sums[index]
+            offset_in_block = bisect_right(block, remaining)
+            if offset_in_block == len(block):
+                offset_in_block = bisect_left(
+                    block, block[-1]
+                )  # rounding led beyond the last weight that is not 0
+            if offset_in_block:
+                remaining -= block[offset_in_block - 1]
+            index = index * BLOCK_SIZE + offset_in_block
+        return index
 
 
 class Pool(Generic[Member]):
     """The members with a tag, drawn by the first kind of weight of which any member has one."""
 
-    __slots__ = ("total", "changed", "used", "_members", "_weigh", "_sums", "_active_sums")
+    __slots__ = ("total", "changed", "used", "_members", "_member_weights", "_sums", "_active_sums")
 
-    def __init__(self, members: list[Member | None], weigh: Callable[[Member | None], Weights]) -> None:
+    def __init__(
+        self, members: list[Member | None], member_weights: Callable[[Member | None], Weights]
+    ) -> None:
         self._members = members  # by place, shared with all pools of the tag; None at a free place
-        self._weigh = weigh
+        self._member_weights = member_weights
         self.changed: set[int] = set()  # places to be weighed again before the next draw
         self.used = True  # since unused pools were last dropped
-        self._sums = [Sums(list(weights)) for weights in zip(*map(weigh, members), strict=True)]
-        self.settle()
+        self._sums = [
+            PrefixSums(list(weights)) for weights in zip(*map(member_weights, members), strict=True)
+        ]
+        self.refresh()
 
-    def settle(self) -> None:
+    def refresh(self) -> None:
         """Weigh the members at changed places again, and update the sums."""
-        members, weigh = self._members, self._weigh
-        for place in sorted(self.changed):
-            for sums, weight in zip(self._sums, weigh(members[place]), strict=True):
-                sums.set(place, weight)
+        members, member_weights = self._members, self._member_weights
+        for index in sorted(self.changed):
+            for sums, weight in zip(self._sums, member_weights(members[index]), strict=True):
+                sums.set(index, weight)
         self.changed.clear()
         for sums in self._sums:
             self._active_sums, self.total = sums, sums.total()  # a total of 0: there is nothing to draw
@@ -108,7 +114,7 @@
 
     def draw(self, rng: random.Random) -> Member:
         """A member of a settled pool whose total is not 0, in proportion to its weight."""
-        member = self._members[self._active_sums.place_at(rng.random())]
+        member = self._members[self._active_sums.index_at(rng.random())]
         assert member is not None  # a free place has no weight
         return member
 
@@ -116,32 +122,32 @@
 class TagGroup(Generic[Member]):
     """The members with one tag, each at a place of its own, and their pools by key."""
 
-    __slots__ = ("members", "places", "free", "pools", "change_count")
+    __slots__ = ("members", "indexes", "free_indexes", "pools", "change_count")
 
     def __init__(self) -> None:
         self.members: list[Member | None] = []
-        self.places: dict[Member, int] = {}
-        self.free: list[int] = []
+        self.indexes: dict[Member, int] = {}
+        self.free_indexes: list[int] = []
         self.pools: dict[Hashable, Pool[Member]] = {}
         self.change_count = 0  # since unused pools were last dropped
 
     def add(self, member: Member) -> None:
         """Give a new member a place."""
-        place = self.places[member] = self.free.pop() if self.free else len(self.members)
-        self.members[place : place + 1] = [member]
-        self.change(place)
+        index = self.indexes[member] = self.free_indexes.pop() if self.free_indexes else len(self.members)
+        self.members[index : index + 1] = [member]
+        self.change(index)
 
     def remove(self, member: Member) -> None:
         """Free a member's place."""
-        place = self.places.pop(member)
-        self.members[place] = None
-        self.free.append(place)
-        self.change(place)
+        index = self.indexes.pop(member)
+        self.members[index] = None
+        self.free_indexes.append(index)
+        self.change(index)
 
-    def change(self, place: int) -> None:
+    def change(self, index: int) -> None:
         """Have a place weighed again in all pools; now and then drop the pools that were not used since."""
         for pool in self.pools.values():
-            pool.changed.add(place)
+            pool.changed.add(index)
         self.change_count += 1
         if self.is_rebuild_cheaper(self.change_count):
             self.change_count = 0
@@ -149,9 +155,9 @@
             for pool in self.pools.values():
                 pool.used = False
 
-    def is_rebuild_cheaper(self, place_count: int) -> bool:
+    def is_rebuild_cheaper(self, index_count: int) -> bool:
         """Whether making a pool anew costs less than weighing so many places again."""
-        return place_count * REBUILD_DIVISOR > len(self.members)
+        return index_count * REBUILD_DIVISOR > len(self.members)
 
 
 class Pools(Generic[Member]):
@@ -162,8 +168,8 @@
     the cost of a change depends on the pools in use alone.
     """
 
-    def __init__(self, weigh: Callable[[Member, Any], Weights | None], weight_count: int) -> None:
-        self._weigh = weigh
+    def __init__(self, member_weights: Callable[[Member, Any], Weights | None], weight_count: int) -> None:
+        self._member_weights = member_weights
         self._no_weights = (0.0,) * weight_count
         self._tags: dict[Member, tuple[Hashable, ...]] = {}
         self._groups: dict[Hashable, TagGroup[Member]] = {}
@@ -178,14 +184,14 @@
         """Have the member weighed again."""
         for tag in self._tags[member]:
             group = self._groups[tag]
-            group.change(group.places[member])
+            group.change(group.indexes[member])
 
     def remove(self, member: Member) -> None:
         """Remove a member."""
         for tag in self._tags.pop(member):
             group = self._groups[tag]
             group.remove(member)
-            if not group.places:
+            if not group.indexes:
                 del self._groups[tag]
 
     def clear(self) -> None:
@@ -200,11 +206,11 @@
             return None
         pool = group.pools.get(key)
         if pool is None or (pool.changed and group.is_rebuild_cheaper(len(pool.changed))):
-            pool = group.pools[key] = Pool(group.members, partial(self._weighed, key))
+            pool = group.pools[key] = Pool(group.members, partial(self._weights_or_zeros, key))
         elif pool.changed:
-            pool.settle()
+            pool.refresh()
         pool.used = True
         return pool if pool.total > 0 else None
 
-    def _weighed(self, key: Hashable, member: Member | None) -> Weights:
-        return (self._weigh(member, key) if member is not None else None) or self._no_weights
+    def _weights_or_zeros(self, key: Hashable, member: Member | None) -> Weights:
+        return (self._member_weights(member, key) if member is not None else None) or self._no_weights
--- a/tests/scheduling/test_decisions_scale.py
+++ b/tests/scheduling/test_decisions_scale.py
@@ -17,7 +17,7 @@
 from pipitshed.scheduling.dispatcher import Dispatcher
 from pipitshed.scheduling.events import JobSubmitted, UpdateKind
 from pipitshed.scheduling.settings import JobClass, Settings, Tenant
-from pipitshed.scheduling.weighted_pools import Pools, Sums
+from pipitshed.scheduling.weighted_pools import Pools, PrefixSums
 
 
 @pytest.fixture
@@ -29,14 +29,14 @@
         rows["summed"] += len(weights)
         return accumulate(weights)
 
-    weigh = Pools._weighed
+    weigh = Pools._weights_or_zeros
 
     def weighed(self, key, member):  # type: ignore[no-untyped-def]
         rows["weighed"] += 1
         return weigh(self, key, member)
 
     monkeypatch.setattr(pools, "accumulate", summed)
-    monkeypatch.setattr(Pools, "_weighed", weighed)
+    monkeypatch.setattr(Pools, "_weights_or_zeros", weighed)
     return rows
 
 
@@ -161,12 +161,12 @@
 def test_rounding_draws_none_without_weight(weights: list[float]) -> None:
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(pools, "BLOCK_SIZE", 2)
-        sums = Sums(list(weights))
+        sums = PrefixSums(list(weights))
         total = sums.total()
         edges = [edge / total for edge in accumulate(weights) if total]
         for edge in edges:
             for part in (edge, math.nextafter(edge, 0), math.nextafter(edge, 1)):
-                assert weights[sums.place_at(min(part, math.nextafter(1, 0)))] > 0
+                assert weights[sums.index_at(min(part, math.nextafter(1, 0)))] > 0
 
 
 def test_draws_follow_the_weights() -> None:
