--- a/pipitshed/scheduling/admission.py
+++ b/pipitshed/scheduling/admission.py
@@ -100,11 +100,13 @@
         tenants = self._settings.tenants
         if tenant >= len(tenants) or not tenants[tenant].quota_per_s:
             return False
-        own = self.tenant_counts[tenant].add(now_ms)
-        every = self.all_tenants_count.add(now_ms)
+        own_count = self.tenant_counts[tenant].add(now_ms)
+        all_tenants = self.all_tenants_count.add(now_ms)
         quota = tenants[tenant]
-        allowed = quota.quota_per_s / 1000 * TENANT_TRAFFIC_TIME_CONSTANT_MS * self._load.own_load_fraction()
-        even_share = UNEVEN_TRAFFIC_FACTOR * quota.quota_share / self._quota_share_sum * every
-        if not self._load.total_slots and own <= even_share:
+        allowed_count = (
+            quota.quota_per_s / 1000 * TENANT_TRAFFIC_TIME_CONSTANT_MS * self._load.own_load_fraction()
+        )
+        even_share_count = UNEVEN_TRAFFIC_FACTOR * quota.quota_share / self._quota_share_sum * all_tenants
+        if not self._load.total_slots and own_count <= even_share_count:
             return False
-        return own > max(1.0, allowed) and self._rng.random() > allowed / own
+        return own_count > max(1.0, allowed_count) and self._rng.random() > allowed_count / own_count
--- a/pipitshed/scheduling/dispatcher.py
+++ b/pipitshed/scheduling/dispatcher.py
@@ -168,13 +168,13 @@
             return
         in_flight = job.attempts_in_flight()
         if in_flight:
-            self._watch(job, in_flight)
+            self._check_attempts(job, in_flight)
         elif self.now_ms >= retry_policy.last_attempt_ms(job, self.settings.tick_ms):
             self._give_up(job, AnswerReason.DEADLINE)
         elif self.now_ms >= job.resume_at_ms:
             self._try_attempt(job)
         else:
-            self._wake(job, job.resume_at_ms)
+            self._wake_at(job, job.resume_at_ms)
 
     def _try_attempt(self, job: Job) -> None:
         """Dispatch the job to a drawn worker, if it gets a further attempt; else give it up in time."""
@@ -187,7 +187,7 @@
             return
         worker = self.selector.select(job, options.scope, self.now_ms)
         if worker is None:
-            self._pause(job)
+            self._back_off(job)
         else:
             self._dispatch(job, worker)
 
@@ -205,7 +205,7 @@
         self.actions.append(StartAttempt(job.id, worker.id, write_within_ms=write_within_ms))
         if self.settings.workers_report_start:
             worker.unstarted_count += 1
-            self._wake(job, now_ms + self._start_timeout_ms(job))
+            self._wake_at(job, now_ms + self._start_timeout_ms(job))
             return
         # No start will be reported, so it counts as running from now on. Where reports tell the own part of
         # the load, what own jobs take shows a lack of capacity at once; elsewhere only late answers do.
@@ -215,9 +215,9 @@
             self.window.add(now_ms, self.load.is_crowded(worker))
         worker.reserved_slots += job.slots
 
-    def _pause(self, job: Job) -> None:
+    def _back_off(self, job: Job) -> None:
         job.resume_at_ms = self.now_ms + retry_policy.backoff_ms(job, self.rng)
-        self._wake(job, job.resume_at_ms)
+        self._wake_at(job, job.resume_at_ms)
 
     def _give_up(self, job: Job, reason: AnswerReason) -> None:
         self.actions.append(retry_policy.final_answer(job, reason, self.settings, self.now_ms, self.rng))
@@ -245,7 +245,7 @@
     def _start_timeout_ms(self, job: Job) -> float:
         return attempt_watchdog.start_timeout_ms(job, self.settings, self.window, self.now_ms)
 
-    def _watch(self, job: Job, in_flight: list[Attempt]) -> None:
+    def _check_attempts(self, job: Job, in_flight: list[Attempt]) -> None:
         """See to attempts that do not start, or have stalled."""
         if not self.settings.workers_report_start:
             return
@@ -254,11 +254,11 @@
             for attempt in in_flight:
                 if not attempt.started:
                     self._cancel(job, attempt)
-            self._watch_progress(job, started)
+            self._check_progress(job, started)
             return
         due_ms = max(attempt.dispatched_at_ms for attempt in in_flight) + self._start_timeout_ms(job)
         if self.now_ms < due_ms:
-            self._wake(job, due_ms)
+            self._wake_at(job, due_ms)
         else:
             self._handle_start_overdue(job, in_flight)
 
@@ -276,12 +276,12 @@
             for attempt in in_flight:
                 self._cancel(job, attempt)
 
-    def _watch_progress(self, job: Job, started: list[Attempt]) -> None:
+    def _check_progress(self, job: Job, started: list[Attempt]) -> None:
         due_ms = attempt_watchdog.stall_due_ms(started, self.settings)
         if not attempt_watchdog.may_replace_stalled(job, self.settings, due_ms):
             return
         if self.now_ms < due_ms:
-            self._wake(job, due_ms)
+            self._wake_at(job, due_ms)
             return
         job.min_allowed_attempts = len(job.attempts) + 1
         for attempt in started:
@@ -303,10 +303,10 @@
         outlier_ejection.end_capacity_ejection(worker)
 
     def _on_attempt_progressed(self, event: AttemptProgressed) -> None:
-        found = self._find_attempt(event.job_id, event.attempt_index)
-        if found is None:
+        job_and_attempt = self._find_attempt(event.job_id, event.attempt_index)
+        if job_and_attempt is None:
             return
-        job, attempt = found
+        job, attempt = job_and_attempt
         if event.kind == ProgressKind.STARTED and not attempt.started:
             attempt.started = True
             attempt.started_at_ms = attempt.last_progress_at_ms = self.now_ms
@@ -336,10 +336,10 @@
     # ---- finished attempts
 
     def _on_attempt_finished(self, event: AttemptFinished) -> None:
-        found = self._find_attempt(event.job_id, event.attempt_index)
-        if found is None or not found[1].in_flight:
+        job_and_attempt = self._find_attempt(event.job_id, event.attempt_index)
+        if job_and_attempt is None or not job_and_attempt[1].in_flight:
             return
-        job, attempt = found
+        job, attempt = job_and_attempt
         self._release(job, attempt, event)
         self._record_outcome(job, attempt, event)
         if event.answered and not job.finished:
@@ -349,7 +349,7 @@
                 self.jobs.pop(job.id, None)
         elif not job.attempts_in_flight():
             self.waiting[job.id] = job
-            self._pause(job)
+            self._back_off(job)
             if event.pushback_ms is not None:
                 self._apply_pushback(job, attempt.worker, event.pushback_ms)
             self._advance(job)
@@ -410,7 +410,7 @@
         self._timers[self._last_token] = job_id
         self.actions.append(SetTimer(self._last_token, max(0.0, at_ms - self.now_ms)))
 
-    def _wake(self, job: Job, at_ms: float) -> None:
+    def _wake_at(self, job: Job, at_ms: float) -> None:
         """Look at the job again at this time, unless an earlier timer does so first."""
         if at_ms < job.wake_at_ms:
             job.wake_at_ms = at_ms
--- a/pipitshed/scheduling/retry_policy.py
+++ b/pipitshed/scheduling/retry_policy.py
@@ -48,7 +48,7 @@
         return _ATTEMPT_ANYWHERE if may_attempt else _NO_ATTEMPT
     if job_class.idempotency is Idempotency.NON_IDEMPOTENT:
         return _MAY_HAVE_RUN
-    in_window = now_ms < _last_repeat_ms(first, job_class, tick_ms)
+    in_window = now_ms < _repeat_until_ms(first, job_class, tick_ms)
     covers_all = job_class.deduplication_scope is DeduplicationScope.ALL
     return RetryOptions(may_attempt and in_window, _scope(first, job_class), covers_all and in_window)
 
@@ -62,7 +62,7 @@
     return "cell", first.worker.cell
 
 
-def _last_repeat_ms(first: Attempt, job_class: JobClass, tick_ms: float) -> float:
+def _repeat_until_ms(first: Attempt, job_class: JobClass, tick_ms: float) -> float:
     window_end_ms = first.dispatched_at_ms + job_class.idempotency_window_ms
     return window_end_ms - CLOSE_BEFORE_WINDOW_END_TICKS * tick_ms
 
@@ -77,7 +77,7 @@
     first = job.first_possible_execution()
     if first is None or first.dispatched_at_ms == now_ms:
         return 0.0
-    return max(tick_ms, _last_repeat_ms(first, job.job_class, tick_ms) - now_ms)
+    return max(tick_ms, _repeat_until_ms(first, job.job_class, tick_ms) - now_ms)
 
 
 def last_attempt_ms(job: Job, tick_ms: float) -> float:
@@ -117,8 +117,10 @@
     """Why the job gets no further attempt now; None where it gets one."""
     # Nobody else can repeat a job that broke off and can't be rejected: its client must not repeat it.
     # It gets all the attempts there are.
-    only_we_can_repeat = bool(job.reset_count) and not options.rejectable and not job.attempts_in_flight()
-    if only_we_can_repeat:
+    only_scheduler_may_repeat = (
+        bool(job.reset_count) and not options.rejectable and not job.attempts_in_flight()
+    )
+    if only_scheduler_may_repeat:
         allowed = limits.max_attempts
     else:
         by_estimate = allowed_attempts(job, limits.max_attempts, window, now_ms)
@@ -130,7 +132,7 @@
         return AnswerReason.ATTEMPTS_EXHAUSTED if exhausted else AnswerReason.NOT_REPEATABLE
     if (
         job.attempts
-        and not only_we_can_repeat
+        and not only_scheduler_may_repeat
         and now_ms > job.submitted_at_ms + job.job_class.latency_objective_ms
         and (window.no_capacity_probability(now_ms) or 0.0) > BUSY_PROBABILITY
     ):
--- a/pipitshed/scheduling/worker_selection.py
+++ b/pipitshed/scheduling/worker_selection.py
@@ -63,23 +63,23 @@
         slow_start_ms = self.settings.guarantees.slow_start_ms
         tried = {attempt.worker.id: attempt.in_flight for attempt in job.attempts}
         unconnected: Worker | None = None
-        doubtful: Worker | None = None
+        fallback: Worker | None = None
         for draw in range(MAX_DRAWS):
             worker = (local_pool if local_pool and draw < local_draws else pool).draw(self._rng)
             if slow_start.is_warming_up(worker, slow_start_ms, now_ms) and (
                 draw or tried or not self._accepts_in_slow_start(worker, job, now_ms)
             ):
                 continue
-            if worker.id not in tried and not self._is_in_doubt(worker, job, now_ms):
+            if worker.id not in tried and not self._is_passed_over(worker, job, now_ms):
                 if self._has_connection(worker, now_ms):
                     return worker
                 unconnected = unconnected or worker
             elif not tried.get(worker.id) and (
-                doubtful is None
-                or self._last_resort_rank(worker, now_ms) < self._last_resort_rank(doubtful, now_ms)
+                fallback is None
+                or self._fallback_rank(worker, now_ms) < self._fallback_rank(fallback, now_ms)
             ):
-                doubtful = worker
-        return unconnected or doubtful
+                fallback = worker
+        return unconnected or fallback
 
     def _local_pool(
         self, scope: Scope, key: PoolKey, pool: Pool[Worker], now_ms: float
@@ -110,7 +110,7 @@
             self._rng,
         )
 
-    def _is_in_doubt(self, worker: Worker, job: Job, now_ms: float) -> bool:
+    def _is_passed_over(self, worker: Worker, job: Job, now_ms: float) -> bool:
         """Whether the worker is passed over in this draw."""
         if is_ejected(worker, now_ms):
             return True
@@ -133,7 +133,7 @@
             and now_ms - worker.idle_connection_at_ms < self.settings.limits.idle_timeout_ms
         )
 
-    def _last_resort_rank(self, worker: Worker, now_ms: float) -> tuple[bool, float]:
+    def _fallback_rank(self, worker: Worker, now_ms: float) -> tuple[bool, float]:
         """The order in which workers in doubt are taken: least load first, but those that fail jobs last.
 
         A worker that fails jobs ends them at once, so that it always has the least load.
