--- a/pipitshed/simulator/adapter.py
+++ b/pipitshed/simulator/adapter.py
@@ -22,7 +22,7 @@
     try:
         return [wire.encode_action(instance, action) for action in dispatcher.handle(now_ms, events)]
     except Exception as error:
-        return [wire.encode_broken(instance, f"{type(error).__name__}: {error}")]
+        return [wire.encode_exception(instance, f"{type(error).__name__}: {error}")]
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
--- a/pipitshed/simulator/wire.py
+++ b/pipitshed/simulator/wire.py
@@ -46,56 +46,56 @@
 WireEvent = InstanceStarted | InstanceStopped | events.Event
 
 # Fixed parts of the records, after the code byte and the instance number.
-_HEAD = struct.Struct("<BI")
+_RECORD_HEADER = struct.Struct("<BI")
 _TOKEN = struct.Struct("<Q")
-_BORN = struct.Struct("<QI")
-_MAIL = struct.Struct("<HH")
-_NOTE = struct.Struct("<Qf6sBH")
-_PROBED = struct.Struct("<6sdBB")
-_LIST = struct.Struct("<BQI")
-_ENTRY = struct.Struct("<HdB6sfBH")
-_SUBMIT = struct.Struct("<QdHfdQBHf")
-_FINISHED = struct.Struct("<QH6sBdBBB")
-_FIRST = struct.Struct("<QH6sd")
+_INSTANCE_STARTED = struct.Struct("<QI")
+_PEER_MESSAGE = struct.Struct("<HH")
+_ATTEMPT_PROGRESSED = struct.Struct("<Qf6sBH")
+_PROBE_FINISHED = struct.Struct("<6sdBB")
+_ENDPOINTS_UPDATED = struct.Struct("<BQI")
+_ENDPOINT_ENTRY = struct.Struct("<HdB6sfBH")
+_JOB_SUBMITTED = struct.Struct("<QdHfdQBHf")
+_ATTEMPT_FINISHED = struct.Struct("<QH6sBdBBB")
+_RESPONSE_STARTED = struct.Struct("<QH6sd")
 
-_HINT_VALID, _REPEAT = 1, 2
+_HINT_VALID, _IS_RETRY = 1, 2
 
 
-def _number(value: float, what: str) -> float:
+def _number(value: float, field: str) -> float:
     if not math.isfinite(value):
-        raise WireError(f"{what} is not a finite number")
+        raise WireError(f"{field} is not a finite number")
     return value
 
 
-def _enum(kind: Callable[[int], _E], value: int, what: str) -> _E:
+def _enum(enum_type: Callable[[int], _E], value: int, field: str) -> _E:
     try:
-        return kind(value)
+        return enum_type(value)
     except ValueError:
-        raise WireError(f"unknown {what} {value}") from None
+        raise WireError(f"unknown {field} {value}") from None
 
 
 class _Reader:
     """Cuts one frame's body into fields."""
 
-    __slots__ = ("data", "at")
+    __slots__ = ("data", "offset")
 
     def __init__(self, data: bytes) -> None:
         self.data = data
-        self.at = 0
+        self.offset = 0
 
-    def fields(self, form: struct.Struct) -> tuple[Any, ...]:
+    def fields(self, record_format: struct.Struct) -> tuple[Any, ...]:
         try:
-            got = form.unpack_from(self.data, self.at)
+            values = record_format.unpack_from(self.data, self.offset)
         except struct.error:
             raise WireError("a record ends before its last field") from None
-        self.at += form.size
-        return got
+        self.offset += record_format.size
+        return values
 
     def raw(self, count: int) -> bytes:
-        if self.at + count > len(self.data):
+        if self.offset + count > len(self.data):
             raise WireError("a record ends before its last field")
-        self.at += count
-        return self.data[self.at - count : self.at]
+        self.offset += count
+        return self.data[self.offset - count : self.offset]
 
     def report(self, count: int) -> tuple[float, ...]:
         if not count:
@@ -104,136 +104,150 @@
         return tuple(_number(value, "a load report") for value in values)
 
 
-def _born(read: _Reader) -> InstanceStarted:
-    seed, length = read.fields(_BORN)
-    return InstanceStarted(seed, settings_from_json(read.raw(length)))
+def _instance_started(reader: _Reader) -> InstanceStarted:
+    seed, length = reader.fields(_INSTANCE_STARTED)
+    return InstanceStarted(seed, settings_from_json(reader.raw(length)))
 
 
-def _mail(read: _Reader) -> events.PeerMessageReceived:
-    sender, length = read.fields(_MAIL)
-    return events.PeerMessageReceived(sender, read.raw(length))
+def _peer_message(reader: _Reader) -> events.PeerMessageReceived:
+    sender, length = reader.fields(_PEER_MESSAGE)
+    return events.PeerMessageReceived(sender, reader.raw(length))
 
 
-def _note(read: _Reader) -> events.AttemptProgressed:
-    job, done, worker, kind, attempt = read.fields(_NOTE)
-    return events.AttemptProgressed(job, attempt, worker, kind, _number(done, "progress"))
+def _attempt_progressed(reader: _Reader) -> events.AttemptProgressed:
+    job_id, done_fraction, worker, progress_kind, attempt_index = reader.fields(_ATTEMPT_PROGRESSED)
+    return events.AttemptProgressed(
+        job_id, attempt_index, worker, progress_kind, _number(done_fraction, "progress")
+    )
 
 
-def _probed(read: _Reader) -> events.ProbeFinished:
-    worker, elapsed, outcome, count = read.fields(_PROBED)
+def _probe_finished(reader: _Reader) -> events.ProbeFinished:
+    worker, elapsed_ms, outcome, count = reader.fields(_PROBE_FINISHED)
     return events.ProbeFinished(
-        worker, _number(elapsed, "elapsed"), _enum(events.Outcome, outcome, "outcome"), read.report(count)
+        worker,
+        _number(elapsed_ms, "elapsed"),
+        _enum(events.Outcome, outcome, "outcome"),
+        reader.report(count),
     )
 
 
-def _list_news(read: _Reader) -> events.EndpointsUpdated:
-    kind, version, count = read.fields(_LIST)
-    body = read.raw(_ENTRY.size * count)
+def _endpoints_updated(reader: _Reader) -> events.EndpointsUpdated:
+    update_kind, version, count = reader.fields(_ENDPOINTS_UPDATED)
+    body = reader.raw(_ENDPOINT_ENTRY.size * count)
     entries = []
-    for cell, started, machine, worker, weight, state, zone in _ENTRY.iter_unpack(body):
+    for cell, started_at_ms, worker_kind, worker, weight, state, zone in _ENDPOINT_ENTRY.iter_unpack(body):
         entries.append(
             events.EndpointEntry(
                 worker,
                 zone,
                 cell,
-                machine,
+                worker_kind,
                 _number(weight, "units"),
-                _number(started, "startedAt"),
+                _number(started_at_ms, "startedAt"),
                 _enum(events.EndpointState, state, "worker state"),
             )
         )
-    return events.EndpointsUpdated(_enum(events.UpdateKind, kind, "list mode"), version, tuple(entries))
+    return events.EndpointsUpdated(
+        _enum(events.UpdateKind, update_kind, "list mode"), version, tuple(entries)
+    )
 
 
-def _submitted(read: _Reader) -> events.JobSubmitted:
-    job, left, job_class, memory, hint, key, bits, tenant, slots = read.fields(_SUBMIT)
+def _job_submitted(reader: _Reader) -> events.JobSubmitted:
+    job_id, remaining_ms, job_class, memory, work_hint, key, flags, tenant, slots = reader.fields(
+        _JOB_SUBMITTED
+    )
     return events.JobSubmitted(
-        job,
-        _number(left, "patienceLeft"),
+        job_id,
+        _number(remaining_ms, "patienceLeft"),
         job_class,
         tenant,
         _number(slots, "slots") or 1.0,
         _number(memory, "ramUnits"),
-        _number(hint, "workHint") if bits & _HINT_VALID else None,
+        _number(work_hint, "workHint") if flags & _HINT_VALID else None,
         key,
-        bool(bits & _REPEAT),
+        bool(flags & _IS_RETRY),
     )
 
 
-def _finished(read: _Reader) -> events.AttemptFinished:
-    job, attempt, worker, outcome, elapsed, settled, _note_of_family, count = read.fields(_FINISHED)
+def _attempt_finished(reader: _Reader) -> events.AttemptFinished:
+    job_id, attempt_index, worker, outcome, elapsed_ms, answered, _unused, count = reader.fields(
+        _ATTEMPT_FINISHED
+    )
     return events.AttemptFinished(
-        job,
-        attempt,
+        job_id,
+        attempt_index,
         worker,
         _enum(events.Outcome, outcome, "outcome"),
-        _number(elapsed, "elapsed"),
-        bool(settled),
-        read.report(count),
+        _number(elapsed_ms, "elapsed"),
+        bool(answered),
+        reader.report(count),
     )
 
 
-def _first_byte(read: _Reader) -> events.ResponseStarted:
-    job, attempt, worker, elapsed = read.fields(_FIRST)
-    return events.ResponseStarted(job, attempt, worker, _number(elapsed, "elapsed"))
+def _response_started(reader: _Reader) -> events.ResponseStarted:
+    job_id, attempt_index, worker, elapsed_ms = reader.fields(_RESPONSE_STARTED)
+    return events.ResponseStarted(job_id, attempt_index, worker, _number(elapsed_ms, "elapsed"))
 
 
 _EVENTS: dict[int, Callable[[_Reader], WireEvent]] = {
-    1: lambda read: events.TimerFired(read.fields(_TOKEN)[0]),
-    2: lambda read: InstanceStopped(),
-    3: _born,
-    4: _mail,
-    5: _note,
-    6: _probed,
-    7: lambda read: events.JobWithdrawn(read.fields(_TOKEN)[0]),
-    8: _list_news,
-    9: _submitted,
-    10: _finished,
-    11: _first_byte,
+    1: lambda reader: events.TimerFired(reader.fields(_TOKEN)[0]),
+    2: lambda reader: InstanceStopped(),
+    3: _instance_started,
+    4: _peer_message,
+    5: _attempt_progressed,
+    6: _probe_finished,
+    7: lambda reader: events.JobWithdrawn(reader.fields(_TOKEN)[0]),
+    8: _endpoints_updated,
+    9: _job_submitted,
+    10: _attempt_finished,
+    11: _response_started,
 }
 
 
 def decode_batch(count: int, body: bytes) -> list[tuple[int, WireEvent]]:
     """The (instance, event) pairs of one frame, in order."""
-    read = _Reader(body)
+    reader = _Reader(body)
     events = []
     for _ in range(count):
-        code, instance = read.fields(_HEAD)
+        code, instance = reader.fields(_RECORD_HEADER)
         decode = _EVENTS.get(code)
         if decode is None:
             raise WireError(f"unknown event code {code}")
-        events.append((instance, decode(read)))
-    if read.at != len(body):
-        raise WireError(f"{len(body) - read.at} bytes left over after the last record")
+        events.append((instance, decode(reader)))
+    if reader.offset != len(body):
+        raise WireError(f"{len(body) - reader.offset} bytes left over after the last record")
     return events
 
 
 # ---- actions
 
-_SEND = struct.Struct("<BIQ6sd")
-_REFUSE = struct.Struct("<BIQd")
-_FAIL = struct.Struct("<BIQ")
-_CANCEL = struct.Struct("<BIQH")
-_WORKER = struct.Struct("<BI6s")
-_WATCH = struct.Struct("<BIB")
-_TELL = struct.Struct("<BIHH")
+_START_ATTEMPT = struct.Struct("<BIQ6sd")
+_ID_AND_DELAY = struct.Struct("<BIQd")
+_FAIL_REQUEST = struct.Struct("<BIQ")
+_CANCEL_ATTEMPT = struct.Struct("<BIQH")
+_WORKER_ID = struct.Struct("<BI6s")
+_WATCH_ENDPOINTS = struct.Struct("<BIB")
+_SEND_PEER_MESSAGE = struct.Struct("<BIHH")
 _TEXT = struct.Struct("<BIH")
-_EVERY_PEER = 0xFFFF
+_ALL_PEERS = 0xFFFF
 
 _ACTIONS: dict[type, Callable[[int, Any], bytes]] = {
-    actions.StartAttempt: lambda i, a: _SEND.pack(65, i, a.job_id, a.worker, a.timeout_ms),
-    actions.RejectRequest: lambda i, a: _REFUSE.pack(66, i, a.job_id, a.retry_after_ms),
-    actions.FailRequest: lambda i, a: _FAIL.pack(67, i, a.job_id),
-    actions.CancelAttempt: lambda i, a: _CANCEL.pack(68, i, a.job_id, a.attempt_index),
-    actions.SetTimer: lambda i, a: _REFUSE.pack(69, i, a.token, min(max(a.delay_ms, 0.0), _MAX_DELAY_MS)),
-    actions.ProbeWorker: lambda i, a: _WORKER.pack(70, i, a.worker),
-    actions.CloseIdleConnections: lambda i, a: _WORKER.pack(71, i, a.worker),
+    actions.StartAttempt: lambda i, a: _START_ATTEMPT.pack(65, i, a.job_id, a.worker, a.timeout_ms),
+    actions.RejectRequest: lambda i, a: _ID_AND_DELAY.pack(66, i, a.job_id, a.retry_after_ms),
+    actions.FailRequest: lambda i, a: _FAIL_REQUEST.pack(67, i, a.job_id),
+    actions.CancelAttempt: lambda i, a: _CANCEL_ATTEMPT.pack(68, i, a.job_id, a.attempt_index),
+    actions.SetTimer: lambda i, a: _ID_AND_DELAY.pack(
+        69, i, a.token, min(max(a.delay_ms, 0.0), _MAX_DELAY_MS)
+    ),
+    actions.ProbeWorker: lambda i, a: _WORKER_ID.pack(70, i, a.worker),
+    actions.CloseIdleConnections: lambda i, a: _WORKER_ID.pack(71, i, a.worker),
     actions.SendPeerMessage: lambda i, a: (
-        _TELL.pack(72, i, _EVERY_PEER if a.recipient is None else a.recipient, len(a.data)) + a.data
+        _SEND_PEER_MESSAGE.pack(72, i, _ALL_PEERS if a.recipient is None else a.recipient, len(a.data))
+        + a.data
     ),
     actions.LogLine: lambda i, a: encode_text(73, i, a.text),
-    actions.WatchEndpoints: lambda i, a: _WATCH.pack(75, i, a.enabled),
-    actions.FetchEndpoints: lambda i, a: _HEAD.pack(76, i),
+    actions.WatchEndpoints: lambda i, a: _WATCH_ENDPOINTS.pack(75, i, a.enabled),
+    actions.FetchEndpoints: lambda i, a: _RECORD_HEADER.pack(76, i),
 }
 
 
@@ -243,7 +257,7 @@
     return _TEXT.pack(code, instance, len(data)) + data
 
 
-def encode_broken(instance: int, text: str) -> bytes:
+def encode_exception(instance: int, text: str) -> bytes:
     """The record that says the decision code has failed."""
     return encode_text(74, instance, text)
 
