--- a/benchmarks/capacity/letter.py
+++ b/benchmarks/capacity/letter.py
@@ -838,7 +838,7 @@
         "us",
         given(STALLED_PROGRESS_INTERVALS * PROGRESS_MS),
         (
-            "tests/scheduling/test_dispatcher_rules.py::test_a_started_job_whose_worker_falls_silent_is_drawn_again",
+            "tests/scheduling/test_dispatcher_rules.py::test_a_started_job_whose_worker_stops_reporting_is_retried",
         ),
     ),
     Failure(
--- a/tests/scheduling/test_dispatcher_rules.py
+++ b/tests/scheduling/test_dispatcher_rules.py
@@ -48,12 +48,12 @@
 )
 
 FIELDS = ("free_slots", "queue")
-NEAR = Limits(
+SHORT_CONNECT_TIMEOUT = Limits(
     may_cancel=True, parallel_attempts=True, max_attempts=4, connect_timeout_ms=30.0
 )  # connections come up soon
 
 
-def serve(bench: Bench, jobs: int, outcome: Outcome = Outcome.OK, first: int = 1) -> list[StartAttempt]:
+def serve_jobs(bench: Bench, jobs: int, outcome: Outcome = Outcome.OK, first: int = 1) -> list[StartAttempt]:
     """Submit jobs one by one, ending each first attempt the same way."""
     sends = []
     for job in range(first, first + jobs):
@@ -63,30 +63,30 @@
     return sends
 
 
-def test_picks_follow_the_listed_capacity() -> None:
+def test_draws_follow_the_listed_weights() -> None:
     workers = tuple(
         replace(entry, weight=1.0 + (place % 2) * 3, zone=0) for place, entry in enumerate(entries(8))
     )
     bench = Bench(settings(weight_kind=WeightKind.ROUGH, zone_count=1), workers)
-    counts = Counter(send.worker for send in serve(bench, 4000))
+    counts = Counter(send.worker for send in serve_jobs(bench, 4000))
     heavy = sum(counts[worker_id(n)] for n in (2, 4, 6, 8))
     assert heavy / 4000 == pytest.approx(0.8, abs=0.03)
 
 
-def test_without_weights_picks_are_even() -> None:
+def test_without_weights_draws_are_even() -> None:
     bench = Bench(
         settings(zone_count=1),
         tuple(replace(entry, weight=float(place)) for place, entry in enumerate(entries(5))),
     )
-    counts = Counter(send.worker for send in serve(bench, 2000))
+    counts = Counter(send.worker for send in serve_jobs(bench, 2000))
     assert min(counts.values()) > 300
 
 
-def test_only_workers_of_the_class_kind_are_picked() -> None:
+def test_only_workers_of_the_class_kind_are_drawn() -> None:
     cls = JobClass(300.0, 5000.0, idempotency=Idempotency.IDEMPOTENT, worker_kind=1)
     workers = tuple(replace(entry, worker_kind=place % 2) for place, entry in enumerate(entries(8)))
     bench = Bench(settings(classes=(cls,)), workers)
-    assert {send.worker for send in serve(bench, 200)} <= {worker_id(n) for n in (2, 4, 6, 8)}
+    assert {send.worker for send in serve_jobs(bench, 200)} <= {worker_id(n) for n in (2, 4, 6, 8)}
 
 
 def test_a_class_that_no_worker_runs_is_answered_in_time() -> None:
@@ -100,7 +100,7 @@
 
 def test_the_own_zone_is_preferred() -> None:
     bench = Bench(settings(own_zone=1), entries(9))
-    assert {send.worker[3] % 2 for send in serve(bench, 200)} == {1}
+    assert {send.worker[3] % 2 for send in serve_jobs(bench, 200)} == {1}
 
 
 def no_capacity_probability(bench: Bench) -> float | None:
@@ -123,7 +123,7 @@
     return attempt_watchdog.start_timeout_ms(job, dispatcher.settings, dispatcher.window, dispatcher.now_ms)
 
 
-def test_an_empty_window_gives_one_attempt_and_one_more_for_each_refusal_met() -> None:
+def test_an_empty_window_allows_one_attempt_and_one_more_for_each_rejection() -> None:
     bench = Bench(settings(zone_count=1), entries(9))
     [send] = sends_of(bench.feed(JobSubmitted(1, 4000.0)))
     bench.finish(send, 0, Outcome.REJECTED)
@@ -131,9 +131,9 @@
     assert len(again) == 1 and again[0].worker != send.worker
 
 
-def test_f_of_zero_gives_one_attempt_and_high_f_more() -> None:
+def test_allowed_attempts_grow_with_the_no_capacity_probability() -> None:
     bench = Bench(settings(zone_count=1), entries(9))
-    serve(bench, WINDOW_ATTEMPT_COUNT)
+    serve_jobs(bench, WINDOW_ATTEMPT_COUNT)
     job = bench.dispatcher.jobs
     bench.feed(JobSubmitted(500, 4000.0))
     assert allowed_attempts(bench, job[500]) == 1
@@ -144,15 +144,15 @@
 
 def test_old_attempts_leave_the_window() -> None:
     bench = Bench(settings(zone_count=1), entries(9))
-    serve(bench, WINDOW_ATTEMPT_COUNT)
+    serve_jobs(bench, WINDOW_ATTEMPT_COUNT)
     assert no_capacity_probability(bench) == 0.0
     bench.now += 60_000.0
     bench.feed()
     assert no_capacity_probability(bench) is None
 
 
-def test_pauses_grow_with_the_failures() -> None:
-    gaps: list[list[float]] = [[], [], []]
+def test_pauses_grow_with_each_rejection() -> None:
+    pauses_ms: list[list[float]] = [[], [], []]
     for seed in range(60):
         bench = Bench(settings(zone_count=1), entries(9), seed)
         bench.feed(JobSubmitted(1, 4000.0))
@@ -161,27 +161,27 @@
             bench.finish(send, attempt, Outcome.REJECTED)
             while len(bench.sends) < attempt + 2:
                 bench.run(bench.now + 5.0)
-            gaps[attempt].append(bench.sends[-1][0] - last)
-    means = [sum(row) / len(row) for row in gaps]
+            pauses_ms[attempt].append(bench.sends[-1][0] - last)
+    means = [sum(row) / len(row) for row in pauses_ms]
     assert means[1] > 1.4 * means[0] and means[2] > 1.1 * means[1]
-    assert len(set(gaps[0])) > 2  # random, not a step
+    assert len(set(pauses_ms[0])) > 2  # random, not a step
 
 
-def test_near_full_load_new_jobs_are_refused_but_some_are_tried() -> None:
+def test_near_saturation_new_jobs_are_rejected_but_some_are_dispatched() -> None:
     bench = Bench(settings(zone_count=1), entries(9))
-    fill(bench, WINDOW_ATTEMPT_COUNT, full=True)
+    fill_window(bench, WINDOW_ATTEMPT_COUNT, rejected_by_worker=True)
     assert no_capacity_probability(bench) == 1.0 > SATURATION_THRESHOLD
-    tried = 0
+    dispatched = 0
     for job in range(1, 1001):
         for send in sends_of(bench.feed(JobSubmitted(job, 4000.0))):
-            tried += 1
+            dispatched += 1
             bench.finish(send, 0, Outcome.REJECTED)  # as a full fleet does
-    assert 20 <= tried <= 90
-    assert sum(isinstance(action, RejectRequest) for action in bench.log) == 1000 - tried
+    assert 20 <= dispatched <= 90
+    assert sum(isinstance(action, RejectRequest) for action in bench.log) == 1000 - dispatched
 
 
-def test_a_job_that_does_not_start_gets_a_copy_and_the_loser_is_cancelled() -> None:
-    bench = Bench(settings(zone_count=1, workers_report_start=True, limits=NEAR), entries(9))
+def test_a_job_that_does_not_start_gets_a_second_attempt_and_the_slower_is_cancelled() -> None:
+    bench = Bench(settings(zone_count=1, workers_report_start=True, limits=SHORT_CONNECT_TIMEOUT), entries(9))
     [first] = sends_of(bench.feed(JobSubmitted(1, 4000.0)))
     [second] = sends_of(bench.run(bench.now + 60.0))
     assert second.worker != first.worker
@@ -190,7 +190,7 @@
 
 
 def test_without_parallel_attempts_a_late_start_is_cancelled_before_the_next() -> None:
-    limits = replace(NEAR, parallel_attempts=False)
+    limits = replace(SHORT_CONNECT_TIMEOUT, parallel_attempts=False)
     bench = Bench(settings(zone_count=1, workers_report_start=True, limits=limits), entries(9))
     [first] = sends_of(bench.feed(JobSubmitted(1, 4000.0)))
     actions = bench.run(bench.now + 60.0)
@@ -200,7 +200,7 @@
     assert bench.checker.faults == []
 
 
-def test_a_handshake_across_zones_is_not_counted_as_lack_of_room() -> None:
+def test_a_handshake_across_zones_is_not_counted_as_lack_of_capacity() -> None:
     """The failure met: starts told 78 ms after the send, behind three round trips for a new connection, were
     awaited for 70; each call-off closed the connection, so the next attempt needed one again, and a fleet
     with room refused six jobs in ten. A full fleet keeps nobody waiting so."""
@@ -214,48 +214,48 @@
         bench.finish(send, 0, Outcome.OK)
     assert no_capacity_probability(bench) == 0.0
     bench.feed(JobSubmitted(WINDOW_ATTEMPT_COUNT + 1, 4000.0))
-    fill(bench, WINDOW_ATTEMPT_COUNT)
+    fill_window(bench, WINDOW_ATTEMPT_COUNT)
     assert start_timeout_ms(bench, bench.dispatcher.jobs[WINDOW_ATTEMPT_COUNT + 1]) == pytest.approx(30.0)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.ERROR])
 @pytest.mark.parametrize(
-    "effect", [Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT_WITH_KEY, Idempotency.NON_IDEMPOTENT]
+    "idempotency", [Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT_WITH_KEY, Idempotency.NON_IDEMPOTENT]
 )
-def test_a_job_that_broke_off_or_failed_is_drawn_again_where_its_class_allows(
-    effect: Idempotency, outcome: Outcome
+def test_a_job_is_retried_after_a_reset_or_an_error_where_its_class_allows(
+    idempotency: Idempotency, outcome: Outcome
 ) -> None:
     """The failures met: 51 requests on connections that had gone stale, and a planner that failed one job in
     ten of a day, each given up in a fleet with room."""
     bench = Bench(
-        settings(effect, DeduplicationScope.ZONE, zone_count=2, workers_report_start=True), entries(9)
+        settings(idempotency, DeduplicationScope.ZONE, zone_count=2, workers_report_start=True), entries(9)
     )
-    fill(bench, 0)
+    fill_window(bench, 0)
     first, *_ = sends_of(bench.feed(JobSubmitted(1, 5000.0)))
     bench.finish(first, 0, outcome)
     again = sends_of(bench.run(bench.now + 100.0))
-    assert len(again) == (0 if effect is Idempotency.NON_IDEMPOTENT else 1)
+    assert len(again) == (0 if idempotency is Idempotency.NON_IDEMPOTENT else 1)
     assert all(send.worker != first.worker for send in again)
     assert any(isinstance(action, FailRequest) for action in bench.log) == (
-        effect is Idempotency.NON_IDEMPOTENT
+        idempotency is Idempotency.NON_IDEMPOTENT
     )
 
 
 @pytest.mark.parametrize("outcome", [Outcome.CONNECT_FAILED, Outcome.REJECTED, Outcome.SUPERSEDED])
 @pytest.mark.parametrize(
-    "effect", [Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT_WITH_KEY, Idempotency.NON_IDEMPOTENT]
+    "idempotency", [Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT_WITH_KEY, Idempotency.NON_IDEMPOTENT]
 )
 @pytest.mark.parametrize(
     "change",
     [{"state": EndpointState.REMOVED}, {"state": EndpointState.DRAINING}, {"job_classes": frozenset()}],
 )
-def test_a_job_whose_worker_left_before_it_ran_is_drawn_again(
-    change: dict[str, Any], effect: Idempotency, outcome: Outcome
+def test_a_job_whose_worker_left_before_it_ran_is_retried(
+    change: dict[str, Any], idempotency: Idempotency, outcome: Outcome
 ) -> None:
     """Guards against a rejection beside free workers: with f at zero a job has one attempt, and one that a
     departing worker never took used it up."""
-    bench = Bench(settings(effect, zone_count=1), entries(2))
-    serve(bench, WINDOW_ATTEMPT_COUNT)
+    bench = Bench(settings(idempotency, zone_count=1), entries(2))
+    serve_jobs(bench, WINDOW_ATTEMPT_COUNT)
     [send] = sends_of(bench.feed(JobSubmitted(100, 4000.0)))
     [entry] = [entry for entry in entries(2) if entry.worker == send.worker]
     bench.feed(EndpointsUpdated(UpdateKind.DELTA, 2, (replace(entry, **change),)))
@@ -266,7 +266,7 @@
     assert not sends_of(bench.run(bench.now + 500.0)) and not bench.checker.faults
 
 
-def test_a_keyed_job_that_broke_off_is_not_given_up_for_lack_of_room() -> None:
+def test_a_keyed_job_whose_connection_broke_is_not_given_up_for_lack_of_capacity() -> None:
     """The failure met: reset, turned away once, then failed, as f near 0 allowed two attempts in all; its
     client must not ask again, so it was lost. One that never ran is refused as before."""
     limits = Limits(may_cancel=True, max_attempts=4)
@@ -280,7 +280,7 @@
             ),
             entries(9),
         )
-        fill(bench, 0)
+        fill_window(bench, 0)
         [send] = sends_of(bench.feed(JobSubmitted(1, 2500.0)))
         bench.finish(send, 0, first)
         for attempt in range(1, 4):
@@ -291,13 +291,15 @@
 
 
 @pytest.mark.parametrize(
-    "effect", [Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT_WITH_KEY, Idempotency.NON_IDEMPOTENT]
+    "idempotency", [Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT_WITH_KEY, Idempotency.NON_IDEMPOTENT]
 )
-def test_a_started_job_whose_worker_falls_silent_is_drawn_again(effect: Idempotency) -> None:
+def test_a_started_job_whose_worker_stops_reporting_is_retried(idempotency: Idempotency) -> None:
     """The failure met: a machine that is cut off closes nothing; its jobs waited for their deadline."""
     limits = Limits(may_cancel=True, max_attempts=4)
     bench = Bench(
-        settings(effect, zone_count=1, workers_report_start=True, progress_interval_ms=1000.0, limits=limits),
+        settings(
+            idempotency, zone_count=1, workers_report_start=True, progress_interval_ms=1000.0, limits=limits
+        ),
         entries(9),
     )
     [first] = sends_of(bench.feed(JobSubmitted(1, 5000.0)))
@@ -306,14 +308,14 @@
     bench.feed(AttemptProgressed(1, 0, first.worker, ProgressKind.PROGRESS, 0.01))
     assert CancelAttempt(1, 0) not in bench.run(bench.now + 1700.0)
     again = CancelAttempt(1, 0) in bench.run(bench.now + 100.0)
-    assert again == (effect is not Idempotency.NON_IDEMPOTENT)
+    assert again == (idempotency is not Idempotency.NON_IDEMPOTENT)
     if again:
         bench.finish(first, 0, Outcome.CANCELLED)
         [second] = sends_of(bench.run(bench.now + 100.0))
         assert second.worker != first.worker
 
 
-def test_no_second_attempt_beside_one_that_is_out_where_copies_are_not_allowed() -> None:
+def test_no_second_attempt_while_one_is_in_flight_where_parallel_attempts_are_not_allowed() -> None:
     for parallel in (False, True):
         limits = Limits(may_cancel=True, max_attempts=4, parallel_attempts=parallel)
         bench = Bench(settings(zone_count=1, limits=limits), entries(9))
@@ -334,7 +336,7 @@
     assert any(isinstance(action, FailRequest) for action in bench.log) == (window_ms < 300.0)
 
 
-def test_an_unsafe_job_that_may_have_run_is_failed_not_refused() -> None:
+def test_a_non_idempotent_job_that_may_have_run_is_failed_not_rejected() -> None:
     bench = Bench(settings(Idempotency.NON_IDEMPOTENT, zone_count=1), entries(9))
     [send] = sends_of(bench.feed(JobSubmitted(1, 4000.0)))
     actions = bench.finish(send, 0, Outcome.RESET)
@@ -354,15 +356,15 @@
         assert bench.checker.faults == []
 
 
-def test_nothing_is_sent_to_a_drained_worker_or_one_missing_from_a_full_list() -> None:
+def test_no_attempt_goes_to_a_draining_worker_or_one_missing_from_a_snapshot() -> None:
     bench = Bench(settings(zone_count=1), entries(3))
     bench.feed(EndpointsUpdated(UpdateKind.DELTA, 2, (replace(entries(3)[0], state=EndpointState.DRAINING),)))
     bench.feed(EndpointsUpdated(UpdateKind.SNAPSHOT, 3, entries(3)[:2]))
-    assert {send.worker for send in serve(bench, 100)} <= {worker_id(1), worker_id(2)}
+    assert {send.worker for send in serve_jobs(bench, 100)} <= {worker_id(1), worker_id(2)}
 
 
-@pytest.mark.parametrize("siblings", [1, 20])
-def test_cold_workers_get_their_part_from_all_siblings_together(siblings: int) -> None:
+@pytest.mark.parametrize("scheduler_count", [1, 20])
+def test_workers_in_slow_start_get_their_part_from_all_schedulers_together(scheduler_count: int) -> None:
     rules = Guarantees(
         slow_start_ms=10_000.0,
         initial_capacity_fraction=0.2,
@@ -373,9 +375,9 @@
         replace(entry, started_at_ms=990.0 if place == 0 else 0.0) for place, entry in enumerate(entries(10))
     )
     cold = total = 0
-    for seed in range(siblings):
+    for seed in range(scheduler_count):
         bench = Bench(settings(zone_count=1, guarantees=rules), workers, seed)
-        for send in serve(bench, 2000 // siblings):
+        for send in serve_jobs(bench, 2000 // scheduler_count):
             cold += send.worker == worker_id(1)
             total += 1
     assert total == 2000
@@ -383,29 +385,29 @@
 
 
 def test_an_idle_connection_is_preferred_where_handshakes_cost() -> None:
-    def used(price: float) -> int:
-        bench = Bench(settings(zone_count=1, costs=Costs(handshake_cost=price)), entries(60))
-        return len({send.worker for send in serve(bench, 60)})
+    def distinct_workers(cost: float) -> int:
+        bench = Bench(settings(zone_count=1, costs=Costs(handshake_cost=cost)), entries(60))
+        return len({send.worker for send in serve_jobs(bench, 60)})
 
-    assert used(0.12) < used(0.0) / 2
+    assert distinct_workers(0.12) < distinct_workers(0.0) / 2
 
 
-def test_a_worker_whose_kept_connection_has_closed_is_no_longer_preferred() -> None:
-    def used(closes: bool) -> int:
+def test_a_worker_whose_connection_has_closed_is_no_longer_preferred() -> None:
+    def distinct_workers(connections_close: bool) -> int:
         bench = Bench(settings(zone_count=1, costs=Costs(handshake_cost=0.12)), entries(4))
         workers = set()
         for job in range(1, 31):
-            [send] = serve(bench, 1, first=job)
+            [send] = serve_jobs(bench, 1, first=job)
             workers.add(send.worker)
-            if closes:
+            if connections_close:
                 bench.feed(ConnectionLost(send.worker))
         return len(workers)
 
-    assert used(closes=False) == 1 and used(closes=True) == 4
+    assert distinct_workers(connections_close=False) == 1 and distinct_workers(connections_close=True) == 4
 
 
-def test_the_start_bound_grows_where_workers_turn_away() -> None:
-    bench = Bench(settings(zone_count=1, workers_report_start=True, limits=NEAR), entries(9))
+def test_the_start_timeout_grows_where_workers_reject_jobs() -> None:
+    bench = Bench(settings(zone_count=1, workers_report_start=True, limits=SHORT_CONNECT_TIMEOUT), entries(9))
     bench.feed(JobSubmitted(1, 4000.0))
     job = bench.dispatcher.jobs[1]
     short = start_timeout_ms(bench, job)
@@ -414,9 +416,9 @@
     assert start_timeout_ms(bench, job) > 4 * short
 
 
-def test_a_busy_fleet_gets_no_attempt_that_comes_too_late() -> None:
+def test_no_retry_after_the_latency_objective_while_the_workers_are_busy() -> None:
     bench = Bench(settings(zone_count=1), entries(9))
-    fill(bench, 18)
+    fill_window(bench, 18)
     [send] = sends_of(bench.feed(JobSubmitted(1, 4000.0)))
     bench.now += 400.0
     bench.finish(send, 0, Outcome.REJECTED)
@@ -424,17 +426,17 @@
     assert sends_of(actions) == [] and any(isinstance(action, RejectRequest) for action in actions)
 
 
-def test_a_watch_is_kept_where_the_list_must_be_asked() -> None:
+def test_a_polled_endpoint_list_is_polled_again_with_backoff() -> None:
     bench = Bench(settings(endpoints_polled=True), entries(3))
     assert bench.run(bench.now + 1000.0) == [WatchEndpoints(True)]
-    waits = []
+    delays_ms = []
     for _ in range(4):
-        asked = bench.now
+        polled_at_ms = bench.now
         bench.feed(EndpointsUpdated(UpdateKind.FETCH_FAILED))
         while not any(isinstance(action, WatchEndpoints) for action in bench.run(bench.now + 50.0)):
-            assert bench.now < asked + 40_000.0
-        waits.append(bench.now - asked)
-    assert max(waits[2:]) > max(waits[:1])
+            assert bench.now < polled_at_ms + 40_000.0
+        delays_ms.append(bench.now - polled_at_ms)
+    assert max(delays_ms[2:]) > max(delays_ms[:1])
 
 
 def test_stale_and_unknown_events_are_ignored() -> None:
@@ -452,92 +454,96 @@
     assert all(isinstance(action, SetTimer) for action in bench.run(bench.now + 6000.0))
 
 
-def fill(bench: Bench, failed: int, full: bool = False) -> None:
+def fill_window(bench: Bench, no_capacity_count: int, rejected_by_worker: bool = False) -> None:
     """A full window in which so many of the attempts found no room."""
     for place in range(WINDOW_ATTEMPT_COUNT):
-        bench.dispatcher.window.add(bench.now, place < failed, full and place < failed)
+        bench.dispatcher.window.add(
+            bench.now, place < no_capacity_count, rejected_by_worker and place < no_capacity_count
+        )
 
 
-def test_the_excess_of_a_flooding_tenant_is_refused_first() -> None:
+def test_jobs_over_the_quota_of_a_tenant_are_rejected_first() -> None:
     tenants = (Tenant(0.5, 50.0), Tenant(0.5, 50.0))
     for seed in range(4):
         bench = Bench(settings(zone_count=1, tenants=tenants), entries(9), seed)
-        fill(bench, 20)
-        refused = [0, 0]
+        fill_window(bench, 20)
+        rejected = [0, 0]
         for job in range(1, 801):
             tenant = int(job % 10 == 0)  # nine in ten jobs are the first tenant's
             actions = bench.feed(JobSubmitted(job, 4000.0, tenant=tenant))
-            refused[tenant] += any(isinstance(action, RejectRequest) for action in actions)
+            rejected[tenant] += any(isinstance(action, RejectRequest) for action in actions)
             bench.now += 1.0
-            fill(bench, 20)
-        assert refused[0] > 350 and refused[1] == 0
+            fill_window(bench, 20)
+        assert rejected[0] > 350 and rejected[1] == 0
 
 
-def test_a_tenant_is_over_its_share_by_the_part_that_is_the_dispatchers_own() -> None:
+def test_a_tenants_quota_counts_by_this_dispatchers_part_of_the_load() -> None:
     """The failure met: in a busy fleet both tenants were over their allowances alike, none of them unevenly,
     and all was late; and of a dispatcher with most of the traffic, a fourth of the allowance was counted as
     its own. What reports say that others' jobs hold tells the part."""
-    refused = []
-    for others in (0.0, 9.0):
+    rejected = []
+    for other_slots in (0.0, 9.0):
         bench = Bench(
             settings(zone_count=1, tenants=(Tenant(1.0, 100.0),), scheduler_count=4, report_fields=FIELDS),
             entries(9),
         )
         for job in range(1, 101):
             [send] = sends_of(bench.feed(JobSubmitted(job, 4000.0)))
-            bench.finish(send, 0, Outcome.OK, load_report=(9.0 - others * (job > 9), 0.0))
-        fill(bench, 20)
+            bench.finish(send, 0, Outcome.OK, load_report=(9.0 - other_slots * (job > 9), 0.0))
+        fill_window(bench, 20)
         before = len(bench.log)
         for job in range(1001, 1201):
             bench.feed(JobSubmitted(job, 4000.0))
-            fill(bench, 20)
+            fill_window(bench, 20)
             bench.now += 8.0
-        refused.append(sum(isinstance(action, RejectRequest) for action in bench.log[before:]))
-    assert refused[0] < 40 < 120 < refused[1]
+        rejected.append(sum(isinstance(action, RejectRequest) for action in bench.log[before:]))
+    assert rejected[0] < 40 < 120 < rejected[1]
 
 
-def test_without_a_told_part_a_busy_dispatcher_does_not_refuse_all_tenants_alike() -> None:
+def test_without_load_reports_a_busy_dispatcher_does_not_reject_all_tenants() -> None:
     """The failure met: one of forty with more than a fortieth of the traffic took all of its tenants to be
     over their shares, and refused twice as much while planners joined."""
     tenants = (Tenant(0.5, 10.0), Tenant(0.5, 10.0))
     bench = Bench(settings(zone_count=1, tenants=tenants, scheduler_count=40), entries(9))
     for job in range(1, 200):
-        fill(bench, 20)
-        told = bench.feed(JobSubmitted(job, 4000.0, tenant=job % 2))
+        fill_window(bench, 20)
+        actions = bench.feed(JobSubmitted(job, 4000.0, tenant=job % 2))
         assert job < 20 or not any(
-            isinstance(one, RejectRequest) for one in told
+            isinstance(one, RejectRequest) for one in actions
         )  # a few say nothing of parts
 
 
-def test_a_tenant_that_is_told_no_allowance_is_never_over_it() -> None:
+def test_a_tenant_without_a_quota_is_never_over_it() -> None:
     bench = Bench(settings(zone_count=1, tenants=(Tenant(0.5), Tenant(0.5))), entries(9))
     for job in range(1, 200):  # all of the first one's: twice its share
-        fill(bench, 20)
+        fill_window(bench, 20)
         assert not any(isinstance(one, RejectRequest) for one in bench.feed(JobSubmitted(job, 4000.0)))
 
 
-def loaded(bench: Bench, zone: int, jobs: float) -> None:
+def reserve_slots_in_zone(bench: Bench, zone: int, jobs: float) -> None:
     """Own jobs that stay out on each worker of a zone."""
     for worker in bench.dispatcher.workers.values():
         worker.reserved_slots += jobs * (worker.zone == zone)
 
 
-def test_first_tries_spill_from_a_full_zone_and_the_dearer_a_crossing_the_less() -> None:
-    def away(price: float, held: float, failed: int) -> int:
-        bench = Bench(settings(own_zone=1, costs=Costs(cross_zone_cost=price)), entries(8))
-        loaded(bench, 1, held)
+def test_first_attempts_leave_a_full_zone_the_less_the_higher_the_cross_zone_cost() -> None:
+    def cross_zone_count(cost: float, slots_in_use: float, no_capacity_count: int) -> int:
+        bench = Bench(settings(own_zone=1, costs=Costs(cross_zone_cost=cost)), entries(8))
+        reserve_slots_in_zone(bench, 1, slots_in_use)
         sends = []
         for job in range(1, 201):
-            fill(bench, failed)
-            sends += serve(bench, 1, first=job)
+            fill_window(bench, no_capacity_count)
+            sends += serve_jobs(bench, 1, first=job)
         return sum(send.worker[3] % 2 == 0 for send in sends)
 
-    assert away(0.1, 0, 0) == 0
-    assert 0 < away(0.1, 0.15, 0) < away(0.02, 0.15, 0) / 2
-    assert away(0.1, 0, 12) == 0 < away(0.02, 0, 12)  # where draws find no room, cheap crossings come first
+    assert cross_zone_count(0.1, 0, 0) == 0
+    assert 0 < cross_zone_count(0.1, 0.15, 0) < cross_zone_count(0.02, 0.15, 0) / 2
+    assert (
+        cross_zone_count(0.1, 0, 12) == 0 < cross_zone_count(0.02, 0, 12)
+    )  # where draws find no room, cheap crossings come first
 
 
-def test_a_zone_with_more_traffic_than_room_does_not_keep_it() -> None:
+def test_a_zone_with_more_traffic_than_capacity_sends_jobs_to_other_zones() -> None:
     """The failure met: nine in ten jobs stayed in a zone that got three fifths of the traffic; 30 jobs waited
     at one worker there while others were idle, as nothing but a refusal counted as a lack of room."""
     config = settings(own_zone=1, zone_count=3, costs=Costs(cross_zone_cost=0.01, handshake_cost=0.02))
@@ -548,14 +554,14 @@
     assert max(counts.values()) <= 5 and len(counts) >= 11
 
 
-def test_where_no_starts_are_told_draws_go_by_what_own_jobs_leave() -> None:
+def test_without_start_reports_draws_follow_the_slots_that_own_jobs_leave_free() -> None:
     bench = Bench(settings(zone_count=1), entries(6))
     bench.dispatcher.workers[worker_id(1)].reserved_slots = 2.0
-    counts = Counter(send.worker for send in serve(bench, 600))
+    counts = Counter(send.worker for send in serve_jobs(bench, 600))
     assert counts[worker_id(1)] < 10 and min(counts[worker_id(n)] for n in range(2, 7)) > 70
 
 
-def test_where_no_starts_are_told_own_jobs_are_given_back_at_each_outcome() -> None:
+def test_without_start_reports_own_slots_are_released_at_each_outcome() -> None:
     bench = Bench(settings(zone_count=1), entries(6))
     for job, outcome in enumerate((Outcome.OK, Outcome.REJECTED, Outcome.ERROR, Outcome.TIMEOUT), 1):
         [send] = sends_of(bench.feed(JobSubmitted(job, 300.0, slots=2.0)))
@@ -564,26 +570,26 @@
         assert bench.dispatcher.workers[send.worker].reserved_slots == 0.0
 
 
-def test_queues_that_nobody_refuses_for_count_in_f() -> None:
+def test_long_queues_without_rejections_count_as_no_capacity() -> None:
     """The failure met: deep queues turn nothing away; f stood at 0 while seven in ten answers came late."""
     config = settings(zone_count=1, report_fields=FIELDS)
-    for held, f in ((0, 0.0), (4, 1.0)):
+    for slots_in_use, f in ((0, 0.0), (4, 1.0)):
         bench = Bench(config, entries(9))
-        serve_reported(bench, 5)
-        loaded(bench, 0, held)
-        loaded(bench, 1, held)
-        serve_reported(bench, WINDOW_ATTEMPT_COUNT, first=100)
+        serve_with_reports(bench, 5)
+        reserve_slots_in_zone(bench, 0, slots_in_use)
+        reserve_slots_in_zone(bench, 1, slots_in_use)
+        serve_with_reports(bench, WINDOW_ATTEMPT_COUNT, first=100)
         assert no_capacity_probability(bench) == pytest.approx(f, abs=0.1)  # from 0.9 on few are still tried
 
 
-def serve_reported(bench: Bench, jobs: int, first: int = 1) -> None:
+def serve_with_reports(bench: Bench, jobs: int, first: int = 1) -> None:
     for job in range(first, first + jobs):
         for send in sends_of(bench.feed(JobSubmitted(job, 4000.0))):
             bench.finish(send, 0, Outcome.OK, load_report=(4.0, 0.0))
 
 
-@pytest.mark.parametrize(("took", "f"), [(200.0, 0.0), (700.0, 1.0)])
-def test_without_starts_and_reports_late_answers_count_in_f(took: float, f: float) -> None:
+@pytest.mark.parametrize(("elapsed_ms", "f"), [(200.0, 0.0), (700.0, 1.0)])
+def test_without_starts_and_reports_late_answers_count_as_no_capacity(elapsed_ms: float, f: float) -> None:
     cls = JobClass(
         latency_objective_ms=300.0,
         deadline_ms=5000.0,
@@ -593,29 +599,29 @@
     bench = Bench(settings(zone_count=1, classes=(cls,)), entries(9))
     for job in range(1, WINDOW_ATTEMPT_COUNT + 1):
         for send in sends_of(bench.feed(JobSubmitted(job, 4000.0, work=100.0))):
-            bench.now += took
-            bench.feed(AttemptFinished(job, 0, send.worker, Outcome.OK, took, True))
+            bench.now += elapsed_ms
+            bench.feed(AttemptFinished(job, 0, send.worker, Outcome.OK, elapsed_ms, True))
     assert no_capacity_probability(bench) == f
 
 
-def test_a_worker_that_turned_a_job_away_is_passed_over_where_no_starts_are_told() -> None:
+def test_without_start_reports_a_worker_that_rejected_a_job_is_passed_over() -> None:
     bench = Bench(settings(zone_count=1, report_fields=FIELDS), entries(6))
-    serve_reported(bench, 5)
+    serve_with_reports(bench, 5)
     [send] = sends_of(bench.feed(JobSubmitted(50, 4000.0)))
     bench.finish(send, 0, Outcome.REJECTED)
     assert bench.dispatcher.window.rejected_fraction() > 0
-    assert send.worker not in {one.worker for one in serve(bench, 20, first=60)}
+    assert send.worker not in {one.worker for one in serve_jobs(bench, 20, first=60)}
 
 
-def test_a_zone_with_few_workers_keeps_no_more_than_its_part() -> None:
+def test_a_zone_with_few_workers_gets_no_more_than_its_part() -> None:
     # Two zones, one worker in five here: with all of the own traffic it would bear two and a half shares.
     workers = tuple(replace(entry, zone=0 if place else 1) for place, entry in enumerate(entries(5)))
     bench = Bench(settings(own_zone=1, costs=Costs(cross_zone_cost=0.1)), workers)
-    counts = Counter(send.worker for send in serve(bench, 1000))
+    counts = Counter(send.worker for send in serve_jobs(bench, 1000))
     assert 350 < counts[worker_id(1)] < 600
 
 
-def test_a_slow_worker_keeps_a_trickle() -> None:
+def test_a_slow_worker_still_gets_a_few_jobs() -> None:
     bench = Bench(settings(zone_count=1, workers_report_start=True), entries(4))
     counts: Counter[bytes] = Counter()
     for job in range(1, 401):
@@ -627,7 +633,7 @@
     assert 0 < counts[worker_id(1)] < 50
 
 
-def test_heavy_jobs_go_to_cold_workers_more_rarely() -> None:
+def test_jobs_of_much_work_go_to_workers_in_slow_start_less_often() -> None:
     rules = Guarantees(slow_start_ms=1e9, initial_capacity_fraction=0.5)
     workers = tuple(
         replace(entry, started_at_ms=990.0 if place == 0 else 0.0) for place, entry in enumerate(entries(5))
@@ -646,7 +652,7 @@
     assert cold(4.0) < cold(1.0) / 2
 
 
-def test_what_is_worth_little_for_its_work_is_refused_first() -> None:
+def test_jobs_of_low_value_for_their_work_are_rejected_first() -> None:
     classes = (
         JobClass(300.0, 5000.0, priority_weight=1.0, idempotency=Idempotency.IDEMPOTENT),
         JobClass(300.0, 5000.0, priority_weight=9.0, idempotency=Idempotency.IDEMPOTENT),
@@ -655,34 +661,34 @@
     statistics = bench.dispatcher.statistics
     statistics.mean_service_time_ms, statistics.mean_slot_time_ms = [100.0, 100.0], 100.0
     statistics.mean_value = 0.05
-    refused = [0, 0]
+    rejected = [0, 0]
     for job in range(1, 401):
-        fill(bench, 25)
+        fill_window(bench, 25)
         actions = bench.feed(JobSubmitted(job, 4000.0, job_class=job % 2))
-        refused[job % 2] += any(isinstance(action, RejectRequest) for action in actions)
-    assert 50 < refused[0] < 190 and refused[1] == 0
+        rejected[job % 2] += any(isinstance(action, RejectRequest) for action in actions)
+    assert 50 < rejected[0] < 190 and rejected[1] == 0
 
 
-def test_where_worth_goes_by_work_a_long_job_is_worth_no_less() -> None:
+def test_where_weights_count_by_work_a_long_job_has_no_lower_value() -> None:
     classes = (
         JobClass(300.0, 5000.0, idempotency=Idempotency.IDEMPOTENT),
         JobClass(300.0, 5000.0, idempotency=Idempotency.IDEMPOTENT),
     )
-    refused = {}
+    rejected = {}
     for by_work in (False, True):
         bench = Bench(settings(zone_count=1, classes=classes, weight_by_work=by_work), entries(9))
         statistics = bench.dispatcher.statistics
         statistics.mean_service_time_ms, statistics.mean_slot_time_ms = [100.0, 900.0], 100.0
         statistics.mean_value = 1.0 if by_work else 0.01
-        refused[by_work] = 0
+        rejected[by_work] = 0
         for job in range(1, 201):
-            fill(bench, 25)
+            fill_window(bench, 25)
             actions = bench.feed(JobSubmitted(job, 4000.0, job_class=1))
-            refused[by_work] += any(isinstance(action, RejectRequest) for action in actions)
-    assert refused[False] > 50 and refused[True] == 0
+            rejected[by_work] += any(isinstance(action, RejectRequest) for action in actions)
+    assert rejected[False] > 50 and rejected[True] == 0
 
 
-def test_where_no_progress_is_told_silence_after_a_start_says_nothing() -> None:
+def test_without_progress_reports_a_started_attempt_is_not_replaced() -> None:
     limits = Limits(may_cancel=True, max_attempts=4)
     bench = Bench(
         settings(zone_count=1, workers_report_start=True, progress_interval_ms=0.0, limits=limits), entries(9)
@@ -693,7 +699,7 @@
     assert CancelAttempt(1, 0) not in bench.log
 
 
-def test_where_starts_are_told_late_answers_say_nothing_of_room() -> None:
+def test_with_start_reports_late_answers_do_not_count_as_no_capacity() -> None:
     bench = Bench(settings(zone_count=1, workers_report_start=True), entries(9))
     for job in range(1, WINDOW_ATTEMPT_COUNT + 1):  # the word of each start was lost
         [send] = sends_of(bench.feed(JobSubmitted(job, 4000.0)))
@@ -703,8 +709,8 @@
     )
 
 
-def test_a_started_stream_is_left_to_the_client() -> None:
-    bench = Bench(settings(zone_count=1, workers_report_start=True, limits=NEAR), entries(9))
+def test_an_attempt_whose_response_has_started_is_not_replaced() -> None:
+    bench = Bench(settings(zone_count=1, workers_report_start=True, limits=SHORT_CONNECT_TIMEOUT), entries(9))
     [first] = sends_of(bench.feed(JobSubmitted(1, 500.0)))
     [second] = sends_of(bench.run(bench.now + 60.0))
     assert bench.feed(ResponseStarted(1, 1, second.worker, 5.0)) == [CancelAttempt(1, 0)]
@@ -714,58 +720,58 @@
     assert bench.dispatcher.jobs == {}
 
 
-def test_a_worker_that_fails_jobs_fast_draws_no_more_than_its_share_and_its_jobs_go_elsewhere() -> None:
+def test_a_worker_that_fails_jobs_fast_gets_less_than_its_share_and_its_jobs_are_retried() -> None:
     """Guards against a worker that starts every job and fails it at once: its connection came free at
     once, so draws that prefer kept connections sent it twice its share, and each of its jobs was lost."""
     workers = tuple(replace(entry, zone=0) for entry in entries(6))
     bench = Bench(
         settings(zone_count=1, workers_report_start=True, costs=Costs(handshake_cost=0.12)), workers
     )
-    sick = worker_id(2)
+    failing_worker = worker_id(2)
     sent: Counter[WorkerIdType] = Counter()
     tries: Counter[int] = Counter()
     busy: list[tuple[float, StartAttempt, int]] = []
 
-    def carry(actions: list[object]) -> None:
+    def perform(actions: list[object]) -> None:
         for send in [action for action in actions if isinstance(action, StartAttempt)]:
             attempt, tries[send.job_id] = tries[send.job_id], tries[send.job_id] + 1
             sent[send.worker] += 1
-            carry(bench.feed(AttemptProgressed(send.job_id, attempt, send.worker, ProgressKind.STARTED)))
-            if send.worker == sick:
-                carry(bench.finish(send, attempt, Outcome.ERROR, answered=False))
+            perform(bench.feed(AttemptProgressed(send.job_id, attempt, send.worker, ProgressKind.STARTED)))
+            if send.worker == failing_worker:
+                perform(bench.finish(send, attempt, Outcome.ERROR, answered=False))
             else:
                 busy.append((bench.now + 250.0, send, attempt))
 
     for job in range(1, 601):
-        carry(bench.feed(JobSubmitted(job, 4000.0)))
+        perform(bench.feed(JobSubmitted(job, 4000.0)))
         for _ in range(4):
-            carry(bench.run(bench.now + 5.0))
+            perform(bench.run(bench.now + 5.0))
             for item in [item for item in busy if item[0] <= bench.now]:
                 busy.remove(item)
-                carry(bench.finish(item[1], item[2], Outcome.OK))
+                perform(bench.finish(item[1], item[2], Outcome.OK))
     lost = sum(isinstance(action, RejectRequest | FailRequest) for action in bench.log)
-    assert sent[sick] < 0.5 * sum(sent.values()) / len(workers)
+    assert sent[failing_worker] < 0.5 * sum(sent.values()) / len(workers)
     assert lost < 6
     assert bench.checker.faults == []
 
 
-def ejected_for_an_error(bench: Bench) -> tuple[StartAttempt, StartAttempt]:
+def eject_for_error_at_only_worker(bench: Bench) -> tuple[StartAttempt, StartAttempt]:
     """Two jobs at the only worker, the first of which has failed there; both sends."""
     first, second = [sends_of(bench.feed(JobSubmitted(job, 4000.0)))[0] for job in (3, 4)]
     bench.finish(first, 0, Outcome.ERROR, answered=True)
     return first, second
 
 
-@pytest.mark.parametrize("effect", [Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT])
-def test_an_ejection_for_an_error_is_not_ended_by_a_start_or_a_rejection(effect: Idempotency) -> None:
+@pytest.mark.parametrize("idempotency", [Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT])
+def test_an_ejection_for_an_error_is_not_ended_by_a_start_or_a_rejection(idempotency: Idempotency) -> None:
     """Guards against jobs sent back too soon to a worker that fails them: another job's start there ended the
     ejection, and another job's rejection replaced it by a shorter one."""
-    started = Bench(settings(effect, zone_count=1, workers_report_start=True), entries(1))
-    rejected = Bench(settings(effect, zone_count=1, workers_report_start=True), entries(1))
+    started = Bench(settings(idempotency, zone_count=1, workers_report_start=True), entries(1))
+    rejected = Bench(settings(idempotency, zone_count=1, workers_report_start=True), entries(1))
     [worker], [other] = [list(bench.dispatcher.workers.values()) for bench in (started, rejected)]
-    _, second = ejected_for_an_error(started)
+    _, second = eject_for_error_at_only_worker(started)
     started.feed(AttemptProgressed(4, 0, second.worker, ProgressKind.STARTED))
-    _, second = ejected_for_an_error(rejected)
+    _, second = eject_for_error_at_only_worker(rejected)
     rejected.finish(second, 0, Outcome.REJECTED)
     longest_for_a_rejection_ms = 1.5 * outlier_ejection.EJECTION_MS
     for bench, one in ((started, worker), (rejected, other)):
@@ -774,31 +780,36 @@
     assert not outlier_ejection.is_ejected(worker, started.now)  # another process has not failed any
 
 
-def test_a_worker_that_fails_jobs_fast_is_the_last_resort_where_all_others_hold_jobs() -> None:
+def test_a_worker_that_fails_jobs_fast_is_drawn_last_where_all_others_have_jobs() -> None:
     """The failure met: with all draws doubted, the least held was taken, which is the one that ends each job
     at once by an error; it drew 14 of 127 jobs in a fleet of ten, and each was lost."""
     cls = JobClass(300.0, 5000.0, idempotency=Idempotency.NON_IDEMPOTENT)
-    bench, sick = Bench(settings(zone_count=1, classes=(cls,)), entries(9)), worker_id(4)
+    bench, failing_worker = Bench(settings(zone_count=1, classes=(cls,)), entries(9)), worker_id(4)
     for worker in bench.dispatcher.workers.values():
-        worker.reserved_slots = 0.0 if worker.id == sick else 3.0
+        worker.reserved_slots = 0.0 if worker.id == failing_worker else 3.0
     drawn = Counter[WorkerIdType]()
     for job in range(1, 101):
         for send in sends_of(bench.feed(JobSubmitted(job, 4000.0))):
             drawn[send.worker] += 1
-            failed = send.worker == sick and drawn[sick] % 2
+            failed = send.worker == failing_worker and drawn[failing_worker] % 2
             bench.finish(send, 0, Outcome.ERROR if failed else Outcome.OK)
         bench.now += 10.0
-    assert drawn[sick] < 2 * 100 / 9  # it fails every other job
+    assert drawn[failing_worker] < 2 * 100 / 9  # it fails every other job
 
 
-def test_an_error_grants_an_attempt_only_where_equation_2_grants_none() -> None:
+def test_an_error_allows_an_attempt_only_where_equation_2_allows_none() -> None:
     """The failure met: on top of what f allows, such attempts filled a fleet of forty short of a zone."""
     limits = Limits(may_cancel=True, max_attempts=5)
-    for missed, attempts in ((0, 1 + 1), (9, 2)):  # with 9 of 30, log(0.1) / log(0.3) is 2 attempts
+    for no_capacity_attempts, attempts in (
+        (0, 1 + 1),
+        (9, 2),
+    ):  # with 9 of 30, log(0.1) / log(0.3) is 2 attempts
         bench = Bench(settings(zone_count=1, workers_report_start=True, limits=limits), entries(9))
-        fill(bench, missed)
+        fill_window(bench, no_capacity_attempts)
         sends = sends_of(bench.feed(JobSubmitted(1, 5000.0)))
-        for outcome in (Outcome.REJECTED, Outcome.ERROR) if missed else (Outcome.ERROR, Outcome.REJECTED):
+        for outcome in (
+            (Outcome.REJECTED, Outcome.ERROR) if no_capacity_attempts else (Outcome.ERROR, Outcome.REJECTED)
+        ):
             if sends:
                 bench.finish(sends[0], len(bench.sends) - 1, outcome)
                 sends = sends_of(bench.run(bench.now + 200.0))
