--- a/pipitshed/scheduling/__init__.py
+++ b/pipitshed/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduling decisions: typed events in, typed actions out; no clock, no sockets."""
+"""Scheduling decisions: typed events in, typed actions out, without a clock or sockets."""
--- a/pipitshed/scheduling/actions.py
+++ b/pipitshed/scheduling/actions.py
@@ -1,6 +1,6 @@
-"""The actions that a dispatcher asks for.
+"""The actions that a dispatcher returns for its caller to carry out.
 
-Times are milliseconds.
+Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 
 
 class AnswerReason(enum.Enum):
-    """Why a job is given up."""
+    """Why a job is rejected or failed without a result."""
 
     SATURATED = "new jobs are shed near saturation"
     LOW_VALUE = "new jobs of little value for their work are shed first"
     OVER_QUOTA = "the tenant sends more than its quota, and the workers are busy"
     DEADLINE = "no time is left before the deadline"
-    ATTEMPTS_EXHAUSTED = "all attempts are used up"
-    NOT_REPEATABLE = "it may have run, and its idempotency permits no further attempt"
-    OBJECTIVE_MISSED = "it is late already, and the workers are busy"
-    WORKER_PUSHBACK = "its worker said not to retry, or not before the deadline"
+    ATTEMPTS_EXHAUSTED = "all allowed attempts have been made"
+    NOT_REPEATABLE = "the job may have run, and its idempotency permits no further attempt"
+    OBJECTIVE_MISSED = "the latency objective is missed, and the workers are busy"
+    WORKER_PUSHBACK = "the worker asked for no retry, or for none before the deadline"
 
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
     """Start an attempt of a job.
 
-    A timeout of 0 lasts as long as the client waits. A repeat is written within `write_within_ms` or not at
-    all; with 0 it may be written at any time.
+    With a `timeout_ms` of 0 the attempt lasts as long as the client waits. A retry is written to its
+    connection within `write_within_ms` or not at all; with 0 there is no such limit.
     """
 
     job_id: int
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: rejected, and the client may repeat the request without harm."""
+    """Final answer: the request is rejected, and the client may safely send it again."""
 
     job_id: int
     retry_after_ms: float = 0.0
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: failed, and the request may have run."""
+    """Final answer: the request failed, and it may have run."""
 
     job_id: int
     reason: AnswerReason | None = field(default=None, compare=False)
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Cancel one attempt."""
+    """Cancel one attempt of a job; attempts are counted from 0."""
 
     job_id: int
     attempt_index: int
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerFired after a delay."""
+    """Request a TimerFired event with this token after a delay."""
 
     token: int
     delay_ms: float
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeWorker:
-    """Ask a worker how it is."""
+    """Send a worker a probe request; a ProbeFinished event carries the result."""
 
     worker: WorkerId
 
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """Send bytes to one other dispatcher, or to all (None)."""
+    """Send bytes to one other dispatcher, or to all of them where `recipient` is None."""
 
     recipient: int | None
     data: bytes
@@ -95,19 +95,19 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Subscribe to changes of the worker list, or end that."""
+    """Subscribe to changes of the endpoint list, or end the subscription."""
 
     enabled: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Ask once for the whole worker list."""
+    """Fetch the complete endpoint list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line for the operators."""
+    """Write a line to the operators' log."""
 
     text: str
 
--- a/pipitshed/scheduling/events.py
+++ b/pipitshed/scheduling/events.py
@@ -1,6 +1,6 @@
-"""The events that a dispatcher takes.
+"""The events that a dispatcher handles.
 
-Times are milliseconds. Workers and jobs are named by opaque ids.
+Times are in milliseconds. Workers and jobs are identified by opaque ids.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class EndpointState(enum.IntEnum):
-    """What the list says of a worker."""
+    """The state of a worker in the endpoint list."""
 
     REMOVED = 0
     READY = 1
@@ -20,7 +20,7 @@
 
 
 class UpdateKind(enum.IntEnum):
-    """How a piece of list news is to be read."""
+    """What the entries of an update are: the complete list, changes to it, or none."""
 
     SNAPSHOT = 0
     DELTA = 1
@@ -29,7 +29,7 @@
 
 
 class Outcome(enum.IntEnum):
-    """How an attempt, or a probe, ended."""
+    """How an attempt or a probe ended."""
 
     OK = 1
     ERROR = 2
@@ -42,11 +42,11 @@
 
 
 NOT_EXECUTED_OUTCOMES = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.SUPERSEDED))
-"""The outcomes that prove that the job never ran there."""
+"""The outcomes that prove that the worker never ran the job."""
 
 
 class ProgressKind(enum.IntEnum):
-    """News of an attempt that is still out."""
+    """What a worker reports about an attempt in flight."""
 
     STARTED = 1
     PROGRESS = 2
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One line of the worker list."""
+    """One worker in an update of the endpoint list."""
 
     worker: WorkerId
     zone: int = 0
@@ -63,14 +63,14 @@
     weight: float = 1.0
     started_at_ms: float = 0.0
     state: EndpointState = EndpointState.READY
-    job_classes: frozenset[int] | None = None  # the classes it runs; None for all
-    interface: int = 1  # what it speaks
-    planned_weights: tuple[float, ...] | None = None  # by class, a plan's weights in place of the list's
+    job_classes: frozenset[int] | None = None  # the classes that the worker runs; None for all
+    interface: int = 1  # version of the worker's interface
+    planned_weights: tuple[float, ...] | None = None  # by class, from a placement plan; they replace `weight`
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointsUpdated:
-    """News of the worker list."""
+    """An update of the endpoint list, or a failed fetch of it."""
 
     kind: UpdateKind
     version: int = 0
@@ -79,19 +79,19 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryMoved:
-    """The worker list is served elsewhere from now on; a watch at the old place tells no more."""
+    """Discovery has a new address; a subscription at the old address delivers no more updates."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLost:
-    """A connection that an attempt's OK, ERROR or FULL had left free has closed."""
+    """An idle connection, left open by an attempt that ended OK, ERROR or REJECTED, has closed."""
 
     worker: WorkerId
 
 
 @dataclass(frozen=True, slots=True)
 class JobSubmitted:
-    """A client's job has come in."""
+    """A client has submitted a job; `remaining_ms` is the time until its deadline."""
 
     job_id: int
     remaining_ms: float
@@ -102,12 +102,12 @@
     work: float | None = None
     affinity_key: int = 0
     is_retry: bool = False
-    compatible_interfaces: frozenset[int] | None = None  # the interfaces that can express it; None for all
+    compatible_interfaces: frozenset[int] | None = None  # interfaces that can carry the job; None for all
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """A streamed answer has begun; the attempt now belongs to the client."""
+    """A streamed response to the client has begun; the job gets no other attempt from now on."""
 
     job_id: int
     attempt_index: int
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptProgressed:
-    """News of an attempt that is still out; `done` is the share done, for progress."""
+    """A worker reports the start or the progress of an attempt; `kind` is a ProgressKind."""
 
     job_id: int
     attempt_index: int
@@ -138,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptFinished:
-    """The end of an attempt; `settled` when the job itself is over."""
+    """An attempt has ended; `answered` is set where the client has its final answer as well."""
 
     job_id: int
     attempt_index: int
@@ -147,26 +147,26 @@
     elapsed_ms: float
     answered: bool
     load_report: tuple[float, ...] = ()
-    pushback_ms: float | None = None  # the worker asks to wait so long; negative: not to try again
+    pushback_ms: float | None = None  # requested wait before a retry; negative: no retry
 
 
 @dataclass(frozen=True, slots=True)
 class JobWithdrawn:
-    """The client has gone; nothing more is owed to it."""
+    """The client no longer waits for the job, which gets no final answer."""
 
     job_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set with this token has come due."""
+    """The delay of the SetTimer action with this token has passed."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessageReceived:
-    """Bytes from another dispatcher."""
+    """Bytes that another dispatcher sent with SendPeerMessage."""
 
     sender: int
     data: bytes
--- a/pipitshed/scheduling/settings.py
+++ b/pipitshed/scheduling/settings.py
@@ -1,6 +1,6 @@
-"""What a dispatcher is told at its start and by new settings.
+"""The settings of a dispatcher, given at its start and replaced by a reload.
 
-Times are milliseconds. Classes, tenants, zones and kinds are named by their place in the settings.
+Times are in milliseconds. Classes, tenants, zones and worker kinds are identified by their index.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Idempotency(enum.Enum):
-    """What running a job twice would do."""
+    """Whether a job may be run twice: always, only under one idempotency key, or never."""
 
     IDEMPOTENT = "safe"
     IDEMPOTENT_WITH_KEY = "keyed"
@@ -19,7 +19,7 @@
 
 
 class DeduplicationScope(enum.Enum):
-    """The workers among which repeats of a keyed job are dropped."""
+    """The workers among which a retry of a job with an idempotency key is recognised as a duplicate."""
 
     ALL = "all"
     ZONE = "zone"
@@ -27,7 +27,7 @@
 
 
 class WeightKind(enum.Enum):
-    """The meaning of a listed worker's weight."""
+    """What the weights in the endpoint list stand for."""
 
     NONE = "none"
     NOMINAL = "nominal"
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobClass:
-    """One class of jobs; `kind` is the only kind of worker that runs it, or None."""
+    """A class of jobs; `worker_kind` is the only kind of worker that runs it, or None for all kinds."""
 
     latency_objective_ms: float
     deadline_ms: float
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant's share and its allowance in jobs a second over all dispatchers (0: unlimited)."""
+    """A tenant's relative share of the traffic, and its quota in jobs/s over all dispatchers (0: none)."""
 
     quota_share: float = 1.0
     quota_per_s: float = 0.0
@@ -62,19 +62,19 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantNumbers:
-    """The numbers by which the dispatcher knows tenants."""
+    """The number of each tenant, which is its index in the settings."""
 
     by_name: Mapping[str, int]
-    unknown: int  # of all tenants that the settings don't name: they have no quota
+    unknown: int  # the number of all tenants that the settings do not list; they have no quota
 
     def number(self, name: str) -> int:
-        """The number of the tenant of this name."""
+        """The number of the tenant with this name, or `unknown`."""
         return self.by_name.get(name, self.unknown)
 
 
 @dataclass(frozen=True, slots=True)
 class Costs:
-    """What is taken off the result, in parts of the worth asked for."""
+    """What each event costs, as a fraction of the value of a request."""
 
     cross_zone_cost: float = 0.0
     wasted_work_cost: float = 0.0
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment permits."""
+    """What the deployment permits the dispatcher to do, and the limits of attempts and connections."""
 
     may_cancel: bool = False
     may_probe: bool = False
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Guarantees:
-    """The figures of the four rules."""
+    """The times and factors of the guarantees on deadlines, draining, slow start and polling."""
 
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a dispatcher is told at its start."""
+    """All settings of a dispatcher."""
 
     classes: tuple[JobClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -126,9 +126,7 @@
     scheduler_count: int = 1
     tick_ms: float = 1.0
     endpoints_polled: bool = False
-    endpoints_pushed: bool = (
-        False  # asked for on sockets alone, of an agent whose news counts as told at once
-    )
+    endpoints_pushed: bool = False  # set on sockets only: updates come over an open watch, without delay
     workers_report_start: bool = False
     progress_interval_ms: float = 0.0
     report_fields: tuple[str, ...] = ()
