--- a/pipitshed/scheduling/admission.py
+++ b/pipitshed/scheduling/admission.py
@@ -1,4 +1,4 @@
-"""Admission: new jobs are shed near saturation, first those over quota or of little value for their work."""
+"""Admission control: near saturation new jobs are shed, first those over quota or of low value per work."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from pipitshed.scheduling.recent_counts import AttemptWindow, DecayingCount
 from pipitshed.scheduling.settings import Settings
 
-SATURATION_THRESHOLD = 0.9  # above which new jobs are shed
-LOW_VALUE_THRESHOLD = 0.7  # from which some jobs of low value are shed
-LOW_RELATIVE_VALUE = 0.75  # of the mean job's value for its work, below which a job's value is low
-REJECTION_WEIGHT = 0.35  # of rejected attempts in the saturation: they held no place in a queue meanwhile
-PROBE_FRACTION = 0.05  # of the jobs above the threshold that are admitted, so that the estimate can recover
-UNEVEN_TRAFFIC_FACTOR = 1.25  # of a tenant's share of the own traffic, up to which it may be chance
-TENANT_TRAFFIC_TIME_CONSTANT_MS = 2000.0  # of the decaying count of a tenant's own traffic
+SATURATION_THRESHOLD = 0.9  # saturation above which new jobs are shed
+LOW_VALUE_THRESHOLD = 0.7  # saturation from which some jobs of low value are shed
+LOW_RELATIVE_VALUE = 0.75  # a job's value is low below this multiple of the mean job's value per work
+REJECTION_WEIGHT = 0.35  # extra weight of rejected attempts in the saturation: they took no place in a queue
+PROBE_FRACTION = 0.05  # of jobs above the threshold, admitted so that the estimate can recover
+UNEVEN_TRAFFIC_FACTOR = 1.25  # traffic of a tenant up to its quota share times this may be uneven by chance
+TENANT_TRAFFIC_TIME_CONSTANT_MS = 2000.0  # of the decaying counts of tenants' jobs
 
 
 class AdmissionControl:
-    """Decides on new jobs."""
+    """Decides whether a new job is admitted or shed."""
 
     __slots__ = (
         "tenant_counts",
@@ -47,12 +47,12 @@
         self._load = load
         self._statistics = statistics
         self._rng = rng
-        self.tenant_counts: list[DecayingCount] = []  # own recent jobs of each tenant
-        self.all_tenants_count = DecayingCount(TENANT_TRAFFIC_TIME_CONSTANT_MS)  # of those with a quota
+        self.tenant_counts: list[DecayingCount] = []  # by tenant index
+        self.all_tenants_count = DecayingCount(TENANT_TRAFFIC_TIME_CONSTANT_MS)  # of tenants with a quota
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Decide by these settings from now on; a tenant keeps its count, which stands at its number."""
+        """Apply new settings; each tenant keeps its count, which is stored at the tenant's index."""
         self._settings = settings
         new_counts = (DecayingCount(TENANT_TRAFFIC_TIME_CONSTANT_MS) for _ in settings.tenants)
         self.tenant_counts = [*self.tenant_counts, *new_counts][: len(settings.tenants)]
@@ -60,9 +60,9 @@
         self._min_priority_weight = min(cls.priority_weight for cls in settings.classes) or 1.0
 
     def rejection_reason(self, job: Job, tenant: int, now_ms: float) -> AnswerReason | None:
-        """Why a new job is shed; None where it is admitted.
+        """The reason for which a new job is shed; None where it is admitted.
 
-        An admitted job is given the failure probability that its class, and its tenant's quota, allow.
+        Sets the job's allowed failure probability, which depends on its class and its tenant's quota.
         """
         over_quota = self._is_over_quota(tenant, now_ms)
         job.allowed_failure_probability = (
@@ -78,7 +78,7 @@
         threshold = BUSY_PROBABILITY if over_quota else SATURATION_THRESHOLD
         low_value = self._relative_value(job) < LOW_RELATIVE_VALUE
         if low_value:
-            # Sheds the more of these the closer the load is to saturation.
+            # The closer the load is to saturation, the more of the low-value jobs are shed.
             threshold = min(threshold, self._rng.uniform(LOW_VALUE_THRESHOLD, SATURATION_THRESHOLD))
         saturation = probability + REJECTION_WEIGHT * self._window.rejected_fraction()
         if saturation <= threshold or self._rng.random() < PROBE_FRACTION:
@@ -91,11 +91,11 @@
         return self._statistics.relative_value(job, self._settings.weight_by_work)
 
     def _is_over_quota(self, tenant: int, now_ms: float) -> bool:
-        """Whether this job is among the excess of a tenant that sends more than its quota.
+        """Whether this job counts as excess of a tenant that sends more than its quota.
 
-        The bound is this dispatcher's part of the quota. Where no report tells the part, an equal one says
-        little of uneven traffic: then a tenant is over its quota only if its part of the own traffic is also
-        larger than its share.
+        The limit is this dispatcher's part of the quota. Without load reports that part is taken as equal for
+        all dispatchers, which is wrong for uneven traffic. Then a tenant is over its quota only if its part
+        of this dispatcher's traffic is also larger than its quota share.
         """
         tenants = self._settings.tenants
         if tenant >= len(tenants) or not tenants[tenant].quota_per_s:
--- a/pipitshed/scheduling/attempt_watchdog.py
+++ b/pipitshed/scheduling/attempt_watchdog.py
@@ -1,4 +1,4 @@
-"""The attempt watchdog: attempts that do not start in time, and attempts that have stalled."""
+"""The attempt watchdog: detects attempts that do not start in time and attempts that have stalled."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from pipitshed.scheduling.retry_policy import allowed_attempts
 from pipitshed.scheduling.settings import Idempotency, Limits, Settings
 
-START_TIMEOUT_OBJECTIVE_FRACTION = 0.1  # time to start in, as a part of the latency objective
-START_TIMEOUT_HANDSHAKE_FACTOR = 3.0  # longer where handshakes are costly: a cancel closes a connection
-START_TIMEOUT_REJECTION_FACTOR = 6.0  # longer where workers reject jobs: their queues are short
+START_TIMEOUT_OBJECTIVE_FRACTION = 0.1  # start timeout as a fraction of the latency objective
+START_TIMEOUT_HANDSHAKE_FACTOR = 3.0  # per unit of handshake cost: a cancel closes a connection
+START_TIMEOUT_REJECTION_FACTOR = 6.0  # per rejected fraction: workers that reject jobs have short queues
 MIN_START_TIMEOUT_TICKS = 3
-STALLED_PROGRESS_INTERVALS = 1.75  # without progress, from which an attempt has stalled; reports may be late
+STALLED_PROGRESS_INTERVALS = 1.75  # without a report: the attempt has stalled, as reports may be late
 
 
 class StartOverdueAction(enum.Enum):
-    """What is done about a job none of whose attempts has started in time."""
+    """What to do with a job none of whose attempts has started in time."""
 
     ADD_ATTEMPT = enum.auto()
     REPLACE_ATTEMPTS = enum.auto()
@@ -25,11 +25,11 @@
 
 
 def start_timeout_ms(job: Job, settings: Settings, window: AttemptWindow, now_ms: float) -> float:
-    """How long an attempt may take to start. It doubles with each attempt, as the pauses do.
+    """How long an attempt may take to start; the timeout doubles with each attempt, as the pauses do.
 
-    It is longer where workers reject jobs: a job that was accepted has a short queue before it, and copies of
-    it would fill a busy fleet with work done twice. While there is capacity it is no shorter than the timeout
-    of a connection, since handshakes that count as lack of capacity would make a fleet look full.
+    The timeout is longer where workers reject jobs: an accepted job has a short queue before it, and further
+    attempts of it would fill busy workers with duplicate work. While there is capacity the timeout is no
+    shorter than the connect timeout: handshakes that count as lack of capacity make idle workers look full.
     """
     objective_fraction = (
         START_TIMEOUT_OBJECTIVE_FRACTION
@@ -50,7 +50,7 @@
 ) -> StartOverdueAction:
     """What to do when the start timeout of all attempts in flight has passed."""
     if limits.parallel_attempts:
-        return StartOverdueAction.ADD_ATTEMPT  # the places in the workers' queues are kept
+        return StartOverdueAction.ADD_ATTEMPT  # earlier attempts keep their places in the workers' queues
     allowed = allowed_attempts(job, limits.max_attempts, window, now_ms) + job.departed_worker_count
     if job.job_class.idempotency is not Idempotency.NON_IDEMPOTENT and len(job.attempts) < allowed:
         return StartOverdueAction.REPLACE_ATTEMPTS
@@ -58,15 +58,15 @@
 
 
 def stall_due_ms(started: list[Attempt], settings: Settings) -> float:
-    """When these attempts have stalled, unless one of them reports progress before."""
+    """The time at which these attempts count as stalled, unless one of them reports progress before."""
     last_progress_at_ms = max(attempt.last_progress_at_ms for attempt in started)
     return last_progress_at_ms + STALLED_PROGRESS_INTERVALS * settings.progress_interval_ms
 
 
 def may_replace_stalled(job: Job, settings: Settings, due_ms: float) -> bool:
-    """Whether stalled attempts are cancelled and the job is drawn again, as its class permits.
+    """Whether the job's class permits cancelling its stalled attempts and retrying it.
 
-    A machine that vanished closes no connection: without this its jobs wait there until their deadline.
+    A machine that was cut off closes no connection; without this check its jobs wait until their deadline.
     """
     limits, job_class = settings.limits, job.job_class
     if not settings.progress_interval_ms or not limits.may_cancel:
--- a/pipitshed/scheduling/recent_counts.py
+++ b/pipitshed/scheduling/recent_counts.py
@@ -1,4 +1,4 @@
-"""Counts of recent happenings: a window of attempts, and a count that decays with time."""
+"""Counts of recent events: a window of attempts, and a count that decays exponentially with time."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class AttemptWindow:
-    """The most recent attempts that are not too old, and how many of them found no capacity."""
+    """The last `size` attempts that are no older than `max_age_ms`, and how many found no capacity."""
 
     __slots__ = ("size", "max_age_ms", "entries", "no_capacity_count", "rejected_count")
 
@@ -19,7 +19,7 @@
         self.rejected_count = 0
 
     def add(self, now_ms: float, no_capacity: bool, rejected: bool = False) -> None:
-        """Record one attempt; `rejected` where the worker itself turned it down."""
+        """Record one attempt; `rejected` is set where the worker itself rejected it."""
         if len(self.entries) == self.size:
             self._drop_oldest()
         self.entries.append((now_ms, no_capacity, rejected))
@@ -29,14 +29,14 @@
     def no_capacity_probability(self, now_ms: float) -> float | None:
         """The probability that a drawn worker has no capacity, f in the paper's Equation 1.
 
-        It is the share of the attempts in the window, and None while there are too few that are not too old.
+        It is the fraction of the window's attempts that found none; None while the window is not full.
         """
         while self.entries and self.entries[0][0] < now_ms - self.max_age_ms:
             self._drop_oldest()
         return self.no_capacity_count / self.size if len(self.entries) == self.size else None
 
     def rejected_fraction(self) -> float:
-        """The share of the window's attempts that workers themselves rejected."""
+        """The fraction of the window's attempts that workers themselves rejected."""
         return self.rejected_count / self.size
 
     def _drop_oldest(self) -> None:
@@ -46,7 +46,7 @@
 
 
 class DecayingCount:
-    """A count that decays exponentially: to 1/e of itself after `time_constant_ms`."""
+    """A count that decays exponentially, to 1/e of its value after `time_constant_ms`."""
 
     __slots__ = ("time_constant_ms", "count", "updated_at_ms")
 
@@ -56,7 +56,7 @@
         self.updated_at_ms = 0.0
 
     def add(self, now_ms: float) -> float:
-        """Count one more, and return the count as of now."""
+        """Add one to the count as it has decayed by now, and return the result."""
         self.count = self.count * math.exp((self.updated_at_ms - now_ms) / self.time_constant_ms) + 1
         self.updated_at_ms = now_ms
         return self.count
