--- a/pipitshed/scheduling/poll_schedule.py
+++ b/pipitshed/scheduling/poll_schedule.py
@@ -1,4 +1,4 @@
-"""The poll schedule: when discovery is asked for the endpoint list again."""
+"""The poll schedule: when discovery is called again for the endpoint list."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from pipitshed.scheduling.events import UpdateKind
 from pipitshed.scheduling.settings import Settings
 
-FIRST_POLL_DEADLINE_FRACTION = 0.05  # first wait, as a part of the time within which the list must be asked
+FIRST_POLL_DEADLINE_FRACTION = 0.05  # first delay as a fraction of the time by which the list must be polled
 MAX_POLL_BACKOFF_MS = 2000.0  # leaves time for two more calls before an update counts as late
 MAX_BACKOFF_DOUBLINGS = 4
-PUSHED_DRAIN_GRACE_FRACTION = 0.25  # longest wait for a list that is pushed, as a part of the drain grace
-MIN_POLL_DELAY_MS = 20.0  # from a failed call to the next
-MOVED_DEADLINE_FRACTION = 0.01  # spread of the first call after discovery has moved
+PUSHED_DRAIN_GRACE_FRACTION = 0.25  # longest delay for a pushed list, as a fraction of the drain grace period
+MIN_POLL_DELAY_MS = 20.0  # between a failed call and the next
+MOVED_DEADLINE_FRACTION = 0.01  # random delay of the first call after discovery has moved
 
 
 class PollSchedule:
-    """When the next call to discovery is due, and how many have failed in a row."""
+    """The time of the next call to discovery, and the number of consecutive failed calls."""
 
     __slots__ = ("failure_count", "due_at_ms", "polled_at_ms")
 
@@ -29,7 +29,7 @@
     def delay_after_update(
         self, kind: UpdateKind, settings: Settings, now_ms: float, rng: random.Random
     ) -> float | None:
-        """How long to wait for the next call after an update; None where none is to be made."""
+        """The delay in ms until the next call after an update; None where no call is to be made."""
         if kind is UpdateKind.FETCH_FAILED:
             self.failure_count += 1
         if settings.endpoints_polled and kind in (UpdateKind.FETCH_FAILED, UpdateKind.CACHED):
@@ -39,10 +39,10 @@
         return None
 
     def delay_after_move(self, settings: Settings, rng: random.Random) -> float | None:
-        """How long to wait for the first call at discovery's new address.
+        """The delay until the first call at discovery's new address; None where the list is not polled.
 
-        The back-off from failures at the old address is void. The short wait is spread, as all schedulers may
-        be notified at once.
+        The back-off from failures at the old address is reset. The short delay is random, because all
+        schedulers may be notified at the same time.
         """
         self.failure_count = 0
         if not settings.endpoints_polled:
@@ -50,11 +50,11 @@
         return MOVED_DEADLINE_FRACTION * settings.guarantees.poll_deadline_ms * rng.random()
 
     def schedule(self, at_ms: float) -> None:
-        """Have a call made at this time, unless one is due sooner."""
+        """Schedule a call at this time, unless an earlier one is scheduled."""
         self.due_at_ms = min(self.due_at_ms, at_ms)
 
     def start_due_call(self, now_ms: float) -> bool:
-        """Whether a call is due now; it counts as made then."""
+        """Whether a call is due now; a due call is recorded as made."""
         if now_ms < self.due_at_ms:
             return False
         self.due_at_ms = math.inf
@@ -62,10 +62,10 @@
         return True
 
     def _backoff_ms(self, kind: UpdateKind, settings: Settings, now_ms: float, rng: random.Random) -> float:
-        """The wait before the next call.
+        """The delay until the next call, in ms.
 
-        Discovery serves all schedulers in turn and rejects calls while its queue is full, so failed calls
-        back off. The wait counts from the call, as one that took long to fail has waited already.
+        Discovery serves all schedulers from one queue and rejects calls while it is full, so failed calls
+        back off. The delay counts from the start of the call, so that a slow failure adds no further wait.
         """
         if settings.endpoints_pushed:
             longest = max(
--- a/pipitshed/scheduling/retry_policy.py
+++ b/pipitshed/scheduling/retry_policy.py
@@ -1,6 +1,6 @@
-"""The retry policy: how many attempts a job gets, where to, until when, and its answer when it gets none.
+"""The retry policy: how many attempts a job gets, where, until when, and its final answer without one.
 
-Nothing that may have run is repeated beyond what its idempotency permits, or rejected as if it had not run.
+A job that may have run is retried or rejected only as its idempotency permits.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 from pipitshed.scheduling.recent_counts import AttemptWindow
 from pipitshed.scheduling.settings import DeduplicationScope, Idempotency, JobClass, Limits, Settings
 
-ALLOWED_FAILURE_PROBABILITY = 0.1  # of jobs of the class of least priority weight; other classes' is smaller
-BACKOFF_OBJECTIVE_FRACTION = 0.02  # first mean pause, as a part of the latency objective; it doubles
-MAX_BACKOFF_OBJECTIVE_FRACTION = 0.25  # longest mean pause, as a part of the latency objective
-LAST_ATTEMPT_TICKS = 3  # before the deadline: later an attempt could not end in time
-FINAL_ANSWER_TICKS = 2  # before the deadline: the final answer must leave by then
-CLOSE_BEFORE_WINDOW_END_TICKS = 2  # a repeat leaves so many ticks before the idempotency window ends
+ALLOWED_FAILURE_PROBABILITY = 0.1  # for the class of least priority weight; smaller for others
+BACKOFF_OBJECTIVE_FRACTION = 0.02  # first mean pause as a fraction of the latency objective; it doubles
+MAX_BACKOFF_OBJECTIVE_FRACTION = 0.25  # longest mean pause as a fraction of the latency objective
+LAST_ATTEMPT_TICKS = 3  # before the deadline; a later attempt could not end in time
+FINAL_ANSWER_TICKS = 2  # before the deadline; the final answer must be sent by then
+CLOSE_BEFORE_WINDOW_END_TICKS = 2  # a retry is sent at least this long before the idempotency window ends
 
 
 @dataclass(frozen=True, slots=True)
 class RetryOptions:
-    """What a job's idempotency permits at present."""
+    """What a job's idempotency permits at this time."""
 
     may_attempt: bool
     scope: Scope
-    rejectable: bool  # whether the client may repeat the request without harm
+    rejectable: bool  # whether the client may safely send the request again
 
 
 _ATTEMPT_ANYWHERE = RetryOptions(True, None, True)
@@ -54,7 +54,7 @@
 
 
 def _scope(first: Attempt, job_class: JobClass) -> Scope:
-    """The workers among which a repeat of the attempt is recognised as one."""
+    """The workers that recognise a retry of this attempt as a duplicate."""
     if job_class.deduplication_scope is DeduplicationScope.ALL:
         return None
     if job_class.deduplication_scope is DeduplicationScope.ZONE:
@@ -68,9 +68,9 @@
 
 
 def write_within_ms(job: Job, tick_ms: float, now_ms: float) -> float:
-    """How long the attempt made now may wait for its connection before it is written; 0 without a bound.
+    """How long the attempt made now may wait for a connection before it is written, in ms; 0 for no limit.
 
-    The repeat of a job with an idempotency key must reach its worker within the window.
+    A retry of a job with an idempotency key must reach its worker within the idempotency window.
     """
     if job.job_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
         return 0.0
@@ -81,27 +81,27 @@
 
 
 def last_attempt_ms(job: Job, tick_ms: float) -> float:
-    """When the job is given up if it has no attempt in flight."""
+    """The time from which a job without an attempt in flight gets its final answer."""
     return job.deadline_ms - LAST_ATTEMPT_TICKS * tick_ms
 
 
 def final_answer_due_ms(job: Job, tick_ms: float) -> float:
-    """When the job is looked at for the last time before its deadline."""
+    """The time at which the job is checked for the last time before its deadline."""
     return job.deadline_ms - FINAL_ANSWER_TICKS * tick_ms
 
 
 def allowed_failure_probability(priority_weight: float, min_priority_weight: float) -> float:
-    """The probability that all of a job's attempts may fail, p in the paper's Equation 2."""
+    """The allowed probability that all attempts of a job fail, p in the paper's Equation 2."""
     return ALLOWED_FAILURE_PROBABILITY * min(
         1.0, min_priority_weight / (priority_weight or min_priority_weight)
     )
 
 
 def allowed_attempts(job: Job, max_attempts: int, window: AttemptWindow, now_ms: float) -> int:
-    """The attempts after which one has found capacity with enough assurance, the paper's Equation 2."""
+    """The number of attempts that find capacity with sufficient probability, by the paper's Equation 2."""
     probability = window.no_capacity_probability(now_ms)
     if probability is None:
-        # Too few samples: one attempt, and one more for each that itself found no capacity.
+        # Too few samples: one attempt, and one more for each of the job's attempts that found no capacity.
         return min(max_attempts, 1 + job.no_capacity_count)
     if probability <= 0:
         return 1
@@ -114,9 +114,9 @@
 def reason_for_no_attempt(
     job: Job, options: RetryOptions, limits: Limits, window: AttemptWindow, now_ms: float
 ) -> AnswerReason | None:
-    """Why the job gets no further attempt now; None where it gets one."""
-    # Nobody else can repeat a job that broke off and can't be rejected: its client must not repeat it.
-    # It gets all the attempts there are.
+    """The reason for which the job gets no further attempt now; None where it gets one."""
+    # A client must not resend a job whose connection broke and that can't be rejected. Only the scheduler can
+    # retry such a job, so the job gets the maximum number of attempts.
     only_scheduler_may_repeat = (
         bool(job.reset_count) and not options.rejectable and not job.attempts_in_flight()
     )
@@ -136,13 +136,13 @@
         and now_ms > job.submitted_at_ms + job.job_class.latency_objective_ms
         and (window.no_capacity_probability(now_ms) or 0.0) > BUSY_PROBABILITY
     ):
-        # Other jobs could still be in time: a late one takes none of a busy fleet's capacity.
+        # A late job takes no capacity of busy workers from jobs that can still meet their objective.
         return AnswerReason.OBJECTIVE_MISSED
     return None
 
 
 def backoff_ms(job: Job, rng: random.Random) -> float:
-    """A random pause before the next attempt, whose mean doubles with each that found no capacity."""
+    """A random pause in ms before the next attempt; its mean doubles with each one without capacity."""
     objective_ms = job.job_class.latency_objective_ms
     mean_ms = min(
         BACKOFF_OBJECTIVE_FRACTION * objective_ms * 2.0**job.no_capacity_count,
@@ -154,10 +154,10 @@
 def final_answer(
     job: Job, reason: AnswerReason, settings: Settings, now_ms: float, rng: random.Random
 ) -> RejectRequest | FailRequest:
-    """The answer to a job that is given up, as its idempotency permits.
+    """The final answer to a job without a result, as its idempotency permits.
 
-    A rejected client may come again after the longest mean pause, as its latency objective runs on meanwhile.
-    The time is spread where clients are bound to it, so that they do not return all at once.
+    A rejected client may retry after the longest mean pause, because its latency objective keeps running.
+    Where clients honour the retry time, it is randomised, so that they do not all return at the same time.
     """
     if not retry_options(job, settings.limits, settings.tick_ms, now_ms).rejectable:
         return FailRequest(job.id, reason)
--- a/pipitshed/scheduling/slow_start.py
+++ b/pipitshed/scheduling/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: how much a worker that has just started is sent."""
+"""Slow start: limits the jobs that a recently started worker gets."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def is_warming_up(worker: Worker, slow_start_ms: float, now_ms: float) -> bool:
-    """Whether the worker started so recently that it does not bear its full load yet."""
+    """Whether the worker started less than `slow_start_ms` ago and does not take its full load yet."""
     return worker.started_at_ms > 0 and now_ms - worker.started_at_ms < slow_start_ms
 
 
@@ -24,11 +24,11 @@
     now_ms: float,
     rng: random.Random,
 ) -> bool:
-    """Draw whether a worker that is warming up gets this job.
+    """Decide at random whether a worker in slow start gets this job.
 
-    The chance is the part of its capacity that it has by now, and smaller for jobs of more than mean work.
-    The caller draws only once for each job. Further draws would prefer these workers, which look idle, and
-    all dispatchers together would send one of them more than its part.
+    The probability is the fraction of its capacity that the worker has reached, and smaller for jobs of more
+    than mean work. The caller decides only once per job: further draws would prefer these workers, which look
+    idle, and all dispatchers together would send one of them more than its part.
     """
     age_ms = max(0.0, now_ms - worker.started_at_ms)
     capacity_fraction = (
