--- a/pipitshed/scheduling/endpoint_list.py
+++ b/pipitshed/scheduling/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: what discovery's updates say of workers, and when departed workers are forgotten."""
+"""The endpoint list: applies discovery's updates to the workers, and removes departed workers in time."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from pipitshed.scheduling.weighted_pools import Pools
 from pipitshed.scheduling.worker_state import Worker
 
-LIVE_WEIGHT_SMOOTHING = 0.1  # weight of a new live weight, which follows the worker's load and lags behind it
-FORGET_AFTER_MS = 60_000.0  # a departed worker is kept; only an ejection that it asked for may last longer
-WEIGHT_COUNT = 3  # the weights of a worker: planned, listed, even
+LIVE_WEIGHT_SMOOTHING = 0.1  # weight of a new sample; live weights follow the load with a delay
+FORGET_AFTER_MS = 60_000.0  # retention of departed workers; only a requested ejection may last longer
+WEIGHT_COUNT = 3  # weights of a worker: the plan's, the list's and an equal one
 
-PoolKey = tuple[int, frozenset[int] | None]  # a job's class and the interfaces that can express it
+PoolKey = tuple[int, frozenset[int] | None]  # a job's class and its compatible interfaces
 
 
 class EndpointList:
-    """The workers that discovery lists, and the pools from which they are drawn."""
+    """The workers that discovery lists, and the weighted pools from which they are drawn."""
 
     __slots__ = ("settings", "workers", "departed_at_ms", "pools", "planned_workers")
 
@@ -27,16 +27,16 @@
         self.workers: dict[WorkerId, Worker] = {}
         self.departed_at_ms: dict[WorkerId, float] = {}  # of workers that are no longer listed, oldest first
         self.pools: Pools[Worker] = Pools(self._weights, WEIGHT_COUNT)
-        self.planned_workers: set[WorkerId] = set()  # the ready ones to which a placement plan gives weights
+        self.planned_workers: set[WorkerId] = set()  # ready workers with weights from a placement plan
 
     def apply_settings(self, settings: Settings) -> None:
-        """Weigh workers by these settings from now on."""
+        """Apply new settings; a change of the kind of weights rebuilds the pools."""
         if settings.weight_kind is not self.settings.weight_kind:
             self.pools.clear()
         self.settings = settings
 
     def apply_update(self, update: EndpointsUpdated, now_ms: float) -> None:
-        """Take an update of the list in; a failed fetch changes nothing."""
+        """Apply an update of the list; a failed fetch changes nothing."""
         if update.kind is UpdateKind.FETCH_FAILED:
             return
         listed = set()
@@ -71,10 +71,10 @@
             self.departed_at_ms.pop(worker.id, None)
         if entry.started_at_ms > worker.started_at_ms:
             worker.started_at_ms = entry.started_at_ms
-            outlier_ejection.end_all_ejections(worker)  # the ejection was that of the process before
+            outlier_ejection.end_all_ejections(worker)  # the ejections were due to the previous process
 
     def _remove_all_except(self, listed: set[WorkerId], now_ms: float) -> None:
-        """Count the workers that a snapshot lacks as departed."""
+        """Mark the workers that a snapshot lacks as departed."""
         for worker in self.workers.values():
             if worker.id not in listed:
                 self.departed_at_ms.setdefault(worker.id, now_ms)
@@ -83,10 +83,10 @@
                     self._update_weights(worker)
 
     def _forget_departed(self, now_ms: float) -> None:
-        """Forget workers that departed long ago, except those with own attempts in flight or still ejected.
+        """Remove workers that departed long ago, except those with attempts in flight or an ejection.
 
-        A worker that is listed again sooner is as it was, as a list may lack a worker once. A worker that is
-        listed again later is a new one.
+        A list may lack a worker by mistake, so a worker that is listed again within the retention time keeps
+        its state. A worker that is listed again later counts as new.
         """
         departed = self.departed_at_ms
         for worker_id in list(
@@ -95,13 +95,13 @@
             worker = self.workers[worker_id]
             del departed[worker_id]
             if worker.in_flight_count or outlier_ejection.is_ejected(worker, now_ms):
-                departed[worker_id] = now_ms  # moves it to the end, to be looked at again
+                departed[worker_id] = now_ms  # moves the worker to the end, to be checked again
             else:
                 del self.workers[worker_id]
                 self.pools.remove(worker)
 
     def _update_weights(self, worker: Worker) -> None:
-        """Have a worker's changed fields count in the draws."""
+        """Apply a worker's changed fields to the weighted pools."""
         if worker.ready and worker.planned_weights:
             self.planned_workers.add(worker.id)
         else:
@@ -114,9 +114,10 @@
         return worker.ready and (worker.job_classes is None or class_index in worker.job_classes)
 
     def _weights(self, worker: Worker, key: PoolKey) -> tuple[float, ...] | None:
-        """A worker's weights for the jobs of a class; None where it can't be drawn for them.
+        """A worker's weights for a pool key; None where the worker can't run its jobs.
 
-        The pool draws by the first weight that any worker has: the plan's, the list's, then an even one.
+        The pool draws by the first kind of weight that any of its workers has: the plan's, then the list's,
+        then an equal one.
         """
         class_index, interfaces = key
         if (
@@ -126,8 +127,6 @@
         ):
             return None
         listed_weight = 0.0 if self.settings.weight_kind is WeightKind.NONE else worker.weight
-        planned = (
-            worker.planned_weights or ()
-        )  # shorter than the classes where some were added after the plan
+        planned = worker.planned_weights or ()  # shorter than the classes if some were added after the plan
         planned_weight = planned[class_index] if class_index < len(planned) else 0.0
         return planned_weight, listed_weight, 1.0
--- a/pipitshed/scheduling/job_state.py
+++ b/pipitshed/scheduling/job_state.py
@@ -1,4 +1,4 @@
-"""What a dispatcher knows of one job and its attempts. No rule stands here."""
+"""The state that a dispatcher keeps of one job and its attempts; the rules are in other modules."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from pipitshed.scheduling.settings import JobClass
 from pipitshed.scheduling.worker_state import Worker
 
-Scope = tuple[str, int] | None  # the workers a job may go to: a zone, a cell, or all of them
+Scope = tuple[str, int] | None  # the workers that a job may go to: those of a zone, of a cell, or all
 
 
 class Attempt:
@@ -29,17 +29,17 @@
     def __init__(self, worker: Worker, now_ms: float) -> None:
         self.worker = worker
         self.dispatched_at_ms = now_ms
-        self.started_at_ms = now_ms  # the dispatch, until the start is reported
+        self.started_at_ms = now_ms  # time of the dispatch until the start is reported
         self.last_progress_at_ms = now_ms
         self.in_flight = True
         self.started = False
-        self.capacity_recorded = False  # whether it counts in the attempt window already
+        self.capacity_recorded = False  # whether the attempt window already counts it
         self.cancelled = False
-        self.not_executed = False  # its outcome proves that it never ran
+        self.not_executed = False  # the outcome proves that the worker never ran the job
 
 
 class Job:
-    """One client's job, until its final answer and the last outcome of its attempts."""
+    """A client's job, kept until it has its final answer and no attempt is in flight."""
 
     __slots__ = (
         "id",
@@ -77,17 +77,17 @@
         self.finished = False
         self.streaming = False
         self.served = False
-        self.resume_at_ms = now_ms  # no attempt before then
-        self.wake_at_ms = math.inf  # when the earliest timer set for it fires
+        self.resume_at_ms = now_ms  # earliest time of the next attempt
+        self.wake_at_ms = math.inf  # time at which the earliest timer for the job fires
         self.no_capacity_count = 0  # attempts that found no capacity
         self.reset_count = 0  # attempts whose connection broke
         self.error_count = 0  # attempts that ended in an error
-        self.departed_worker_count = 0  # attempts that never ran, as their worker had left or was draining
-        self.min_allowed_attempts = 0  # in all, guaranteed by a replaced attempt
+        self.departed_worker_count = 0  # attempts not run because their worker had left or was draining
+        self.min_allowed_attempts = 0  # total, raised when an attempt is replaced
         self.allowed_failure_probability = 1.0
 
     def attempts_in_flight(self) -> list[Attempt]:
-        """The attempts whose outcome has not come in."""
+        """The attempts that have no outcome yet."""
         return [attempt for attempt in self.attempts if attempt.in_flight]
 
     def first_possible_execution(self) -> Attempt | None:
--- a/pipitshed/scheduling/worker_state.py
+++ b/pipitshed/scheduling/worker_state.py
@@ -1,4 +1,4 @@
-"""What a dispatcher knows of one worker. No rule stands here."""
+"""The state that a dispatcher keeps of one worker; the rules are in other modules."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Worker:
-    """One worker of the endpoint list, and what this dispatcher has seen of it."""
+    """A worker of the endpoint list, and what this dispatcher has observed about it."""
 
     __slots__ = (
         "id",
@@ -45,18 +45,18 @@
         self.planned_weights = entry.planned_weights
         self.started_at_ms = 0.0
         self.ready = False
-        self.in_flight_count = 0  # own attempts there
-        self.unstarted_count = 0  # own attempts there that have not started
-        self.reserved_slots = 0.0  # taken by own jobs that started, by all where no starts are reported
-        self.ejected_until_ms = 0.0  # as it had no capacity, or asked for the pause
-        self.error_ejected_until_ms = 0.0  # as it failed jobs
+        self.in_flight_count = 0  # this dispatcher's attempts at the worker
+        self.unstarted_count = 0  # those of them that have not started
+        self.reserved_slots = 0.0  # slots of started attempts; of all, where starts are not reported
+        self.ejected_until_ms = 0.0  # ejection for lack of capacity, or requested by the worker
+        self.error_ejected_until_ms = 0.0  # ejection because the worker failed jobs
         self.consecutive_rejections = 0
-        self.error_count = 0  # goes up with each error and down with each job served
+        self.error_count = 0  # increases with each error, decreases with each served job
         self.ms_per_work_unit = 0.0  # 0 while unknown
         self.ms_per_work_unit_at_ms = -math.inf
-        self.idle_connection_count = 0  # own open connections that are not in use
-        self.idle_connection_at_ms = -math.inf  # when the last of them became idle
+        self.idle_connection_count = 0  # open connections of this dispatcher that are not in use
+        self.idle_connection_at_ms = -math.inf  # when a connection last became idle
 
     def selection_fields(self) -> tuple[object, ...]:
-        """The fields of the endpoint list on which the weights of the draw depend."""
+        """The fields from the endpoint list that determine the selection weights."""
         return self.ready, self.weight, self.job_classes, self.interface, self.planned_weights
