--- a/pipitshed/scheduling/dispatcher.py
+++ b/pipitshed/scheduling/dispatcher.py
@@ -1,7 +1,7 @@
-"""The dispatcher: brings each event to the rules, and what they decide out as actions.
+"""The dispatcher: passes each event to the scheduling rules and returns their decisions as actions.
 
-It has no clock and does no I/O of its own. The rules stand in the modules beside it: a worker is drawn in
-proportion to capacity (worker_selection), the estimate of the probability that a draw finds no capacity sets
+It has no clock and does no I/O. The rules are in the other modules of this package: a worker is drawn in
+proportion to capacity (worker_selection), the estimated probability that a draw finds no capacity determines
 how many attempts a job gets (retry_policy), and new jobs are shed near saturation (admission).
 """
 
@@ -53,7 +53,7 @@
 
 
 class Dispatcher:
-    """One dispatcher: events in, actions out."""
+    """Makes the scheduling decisions of one scheduler: handles events and returns actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -72,7 +72,7 @@
         self.selector = WorkerSelector(
             settings, self.endpoints, self.window, self.load, self.statistics, self.rng
         )
-        self._timers: dict[int, int | None] = {}  # by token, the job that it is for; None: the poll schedule
+        self._timers: dict[int, int | None] = {}  # job id by token; None for the poll schedule
         self._last_token = 0
         self._handlers: dict[type, Callable[[Any], None]] = {
             AttemptFinished: self._on_attempt_finished,
@@ -87,10 +87,10 @@
         }
 
     def apply_settings(self, settings: Settings) -> None:
-        """Go by new settings from now on.
+        """Apply new settings.
 
-        Classes are only ever added, so that a job in progress keeps its own. What is known of workers and of
-        capacity stays.
+        Settings only add classes, so a job in progress keeps its class. The state of workers and the capacity
+        estimates are kept.
         """
         self.settings = settings
         self.endpoints.apply_settings(settings)
@@ -100,7 +100,7 @@
         self.selector.settings = settings
 
     def handle(self, now_ms: float, events: Iterable[Event]) -> list[Action]:
-        """Take the events that have come in at this time; the actions are for the same time."""
+        """Handle the events received by `now_ms`; the returned actions are to be carried out at that time."""
         self.now_ms = now_ms
         self.actions = []
         for event in events:
@@ -110,7 +110,7 @@
         return self.actions
 
     def ejected_worker_count(self, now_ms: float) -> int:
-        """How many ready workers the draws pass over at present, as ejected or as slow."""
+        """The number of ready workers that are ejected or slow at this time."""
         mean_ms = self.statistics.ms_per_work_unit
         return sum(
             worker.ready
@@ -163,7 +163,7 @@
             self._finish(job)
 
     def _advance(self, job: Job) -> None:
-        """Do what is due for a job."""
+        """Do what is due for a job: check its attempts, start one, give the job up, or set a timer."""
         if job.finished or job.streaming:
             return
         in_flight = job.attempts_in_flight()
@@ -177,7 +177,7 @@
             self._wake_at(job, job.resume_at_ms)
 
     def _try_attempt(self, job: Job) -> None:
-        """Dispatch the job to a drawn worker, if it gets a further attempt; else give it up in time."""
+        """Start a further attempt if the job is allowed one; otherwise give the job up."""
         limits = self.settings.limits
         options = retry_policy.retry_options(job, limits, self.settings.tick_ms, self.now_ms)
         reason = retry_policy.reason_for_no_attempt(job, options, limits, self.window, self.now_ms)
@@ -207,8 +207,8 @@
             worker.unstarted_count += 1
             self._wake_at(job, now_ms + self._start_timeout_ms(job))
             return
-        # No start will be reported, so it counts as running from now on. Where reports tell the own part of
-        # the load, what own jobs take shows a lack of capacity at once; elsewhere only late answers do.
+        # Starts are not reported, so the attempt counts as running from now on. With load reports, the slots
+        # that this dispatcher's jobs use show a lack of capacity at once; without them only late answers do.
         attempt.started = True
         attempt.capacity_recorded = self.load.total_slots > 0
         if attempt.capacity_recorded:
@@ -224,7 +224,7 @@
         self._finish(job)
 
     def _finish(self, job: Job) -> None:
-        """The job has its final answer, or nobody waits for one: cancel what is in flight."""
+        """Close a job that has its final answer, or whose client left, and cancel its attempts in flight."""
         job.finished = True
         self.statistics.record_finished(job)
         self.waiting.pop(job.id, None)
@@ -246,7 +246,7 @@
         return attempt_watchdog.start_timeout_ms(job, self.settings, self.window, self.now_ms)
 
     def _check_attempts(self, job: Job, in_flight: list[Attempt]) -> None:
-        """See to attempts that do not start, or have stalled."""
+        """Check attempts in flight for a missed start or a stall; cancel the others once one has started."""
         if not self.settings.workers_report_start:
             return
         started = [attempt for attempt in in_flight if attempt.started]
@@ -355,7 +355,7 @@
             self._advance(job)
 
     def _release(self, job: Job, attempt: Attempt, event: AttemptFinished) -> None:
-        """Give back what the attempt took of its worker."""
+        """Release the slots and the connection that the attempt used at its worker."""
         worker = attempt.worker
         attempt.in_flight = False
         worker.in_flight_count -= 1
@@ -371,19 +371,19 @@
             worker.idle_connection_at_ms = self.now_ms
 
     def _record_outcome(self, job: Job, attempt: Attempt, event: AttemptFinished) -> None:
-        """Learn from the outcome what it says of capacity and of the worker."""
+        """Update the capacity estimate and the worker's state from the outcome."""
         worker = attempt.worker
         if attempt.not_executed and not self.endpoints.takes_class(worker, job.class_index):
-            job.departed_worker_count += 1  # it says nothing of how hard capacity is to find
+            job.departed_worker_count += 1  # this does not show a lack of capacity
         if event.outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED):
             if not attempt.capacity_recorded or not self.settings.workers_report_start:
                 self._record_no_capacity(worker, event.outcome is Outcome.REJECTED)
             job.no_capacity_count += 1
         elif event.outcome is Outcome.ERROR:
             outlier_ejection.eject_for_error(worker, job.id, self.now_ms)
-            job.error_count += 1  # the window counts capacity alone, so this allows a further attempt
+            job.error_count += 1  # the attempt window ignores errors, so this count allows a further attempt
         elif event.outcome is Outcome.RESET:
-            job.reset_count += 1  # as above: a stale connection, or a worker that died
+            job.reset_count += 1  # likewise: a stale connection, or a worker that crashed
         elif event.outcome is Outcome.OK:
             self._record_served(job, attempt, event.elapsed_ms)
 
@@ -397,7 +397,7 @@
             self._record_capacity(attempt.worker, late and not self.settings.workers_report_start)
 
     def _apply_pushback(self, job: Job, worker: Worker, pushback_ms: float) -> None:
-        """Wait as long as the worker asks to; give the job up where that is too long, or never."""
+        """Delay the next attempt as the worker requests; give the job up if it asks for none or too late."""
         job.resume_at_ms = max(job.resume_at_ms, self.now_ms + pushback_ms)
         outlier_ejection.eject_until(worker, job.resume_at_ms)
         if pushback_ms < 0 or job.resume_at_ms >= job.deadline_ms:
@@ -411,7 +411,7 @@
         self.actions.append(SetTimer(self._last_token, max(0.0, at_ms - self.now_ms)))
 
     def _wake_at(self, job: Job, at_ms: float) -> None:
-        """Look at the job again at this time, unless an earlier timer does so first."""
+        """Set a timer for the job at this time, unless an earlier one is set."""
         if at_ms < job.wake_at_ms:
             job.wake_at_ms = at_ms
             self._set_timer(job.id, at_ms)
--- a/pipitshed/scheduling/worker_selection.py
+++ b/pipitshed/scheduling/worker_selection.py
@@ -1,7 +1,7 @@
-"""Worker selection: a weighted random draw, local zone first, that passes over workers in doubt.
+"""Worker selection: weighted random draws, from the local zone first.
 
 Workers are drawn in proportion to capacity, the policy of the paper. A drawn worker that is ejected, slow, in
-use or without an idle connection is passed over and another is drawn, a bounded number of times.
+use or without an idle connection is passed over and another is drawn, a limited number of times.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from pipitshed.scheduling.weighted_pools import Pool
 from pipitshed.scheduling.worker_state import Worker
 
-MAX_DRAWS = 16  # for one selection, before a worker that was passed over is taken after all
-LOCAL_DRAWS = 2.0  # of these, the draws from the own zone alone
-LOCAL_DRAWS_PER_CROSS_ZONE_COST = 50.0  # more of these for each unit of the cost of leaving the zone
-LOCAL_MAX_PROBABILITY_PER_CROSS_ZONE_COST = 9.0  # no-capacity probability up to which the zone comes first
-RESERVED_SLOTS_EXPONENT = 24.0  # keeps workers with few slots from filling up by chance
-COSTLY_HANDSHAKE = 0.05  # handshake cost from which workers without an idle connection are passed over
+MAX_DRAWS = 16  # per selection; after them a passed-over worker is chosen
+LOCAL_DRAWS = 2.0  # of these, the draws from the local zone only
+LOCAL_DRAWS_PER_CROSS_ZONE_COST = 50.0  # additional local draws per unit of cross-zone cost
+LOCAL_MAX_PROBABILITY_PER_CROSS_ZONE_COST = 9.0  # limit of the no-capacity probability for local draws
+RESERVED_SLOTS_EXPONENT = 24.0  # prevents workers with few slots from filling up by chance
+COSTLY_HANDSHAKE = 0.05  # handshake cost from which workers with an idle connection are preferred
 
 
 class WorkerSelector:
-    """Chooses the worker for an attempt."""
+    """Selects the worker for an attempt."""
 
     __slots__ = ("settings", "_endpoints", "_window", "_load", "_statistics", "_rng")
 
@@ -49,10 +49,10 @@
         self._rng = rng
 
     def select(self, job: Job, scope: Scope, now_ms: float) -> Worker | None:
-        """A worker of the scope for the job's next attempt; None where there is none.
+        """A worker of the scope for the job's next attempt; None where the scope has none.
 
-        The order of preference: a worker in no doubt with an idle connection, one in no doubt without it,
-        and the last resort among those where no attempt of the job is in flight.
+        The order of preference: a worker that is not passed over and has an idle connection, one that is not
+        passed over, and the best-ranked fallback where no attempt of the job is in flight.
         """
         key = (job.class_index, job.compatible_interfaces)
         pool = self._endpoints.pools.get(scope, key)
@@ -84,9 +84,10 @@
     def _local_pool(
         self, scope: Scope, key: PoolKey, pool: Pool[Worker], now_ms: float
     ) -> Pool[Worker] | None:
-        """The pool of the own zone where it is drawn from first: unless the job is bound to a scope.
+        """The pool of the local zone; None where the local zone is not preferred.
 
-        A placement plan weighs the cost of crossing zones itself, so with one there is no preference.
+        It is not preferred for a job with a scope, nor with a placement plan, whose weights already account
+        for the cost of crossing zones.
         """
         settings = self.settings
         if scope is not None or settings.zone_count <= 1 or self._endpoints.planned_workers:
@@ -96,7 +97,7 @@
             return None
         local_pool = self._endpoints.pools.get(("zone", settings.own_zone), key)
         if local_pool and self._rng.random() * pool.total > local_pool.total * settings.zone_count:
-            return None  # a zone with few workers gets no more than its capacity's part
+            return None  # a zone with few workers gets jobs only up to its part of the capacity
         return local_pool
 
     def _accepts_in_slow_start(self, worker: Worker, job: Job, now_ms: float) -> bool:
@@ -116,27 +117,27 @@
             return True
         mean_ms = self._statistics.ms_per_work_unit
         if is_slow(worker, mean_ms, now_ms) and self._rng.random() > mean_ms / worker.ms_per_work_unit:
-            return True  # the draws that still choose it show when it is fast again
+            return True  # the jobs that it still gets show when it is fast again
         if self.settings.workers_report_start:
             return (
                 worker.unstarted_count > 0
                 or self._rng.random() * DEFAULT_WORKER_SLOTS < worker.reserved_slots * (job.slots + 1) / 2
             )
-        # Nobody reports queues as they are now, so only what own jobs leave of the slots counts as capacity.
+        # Current queue lengths are unknown: only the slots that own jobs leave free count as capacity.
         free_fraction = max(0.0, 1 - worker.reserved_slots / self._load.worker_slots(worker))
         return self._rng.random() > math.pow(free_fraction, RESERVED_SLOTS_EXPONENT)
 
     def _has_connection(self, worker: Worker, now_ms: float) -> bool:
-        """Whether a dispatch there opens no connection, where that is costly."""
+        """Whether a dispatch uses an idle connection, or handshakes cost too little to matter."""
         return self.settings.costs.handshake_cost < COSTLY_HANDSHAKE or (
             worker.idle_connection_count > 0
             and now_ms - worker.idle_connection_at_ms < self.settings.limits.idle_timeout_ms
         )
 
     def _fallback_rank(self, worker: Worker, now_ms: float) -> tuple[bool, float]:
-        """The order in which workers in doubt are taken: least load first, but those that fail jobs last.
+        """The order of passed-over workers: least load first, but workers ejected for errors last.
 
-        A worker that fails jobs ends them at once, so that it always has the least load.
+        A worker that fails jobs ends them immediately, so it always has the least load.
         """
         fails_jobs = worker.error_count > 0 and is_ejected(worker, now_ms)
         return fails_jobs, worker.reserved_slots / self._load.worker_slots(worker)
