--- a/pipitshed/__init__.py
+++ b/pipitshed/__init__.py
@@ -1,4 +1,4 @@
-"""A scheduler that pushes jobs to planners; its decisions can be used on their own."""
+"""A job scheduler and protocol translator; `Dispatcher` makes its decisions and works without I/O."""
 
 from pipitshed.scheduling.dispatcher import Dispatcher
 from pipitshed.scheduling.settings import Settings
--- a/pipitshed/simulator/__init__.py
+++ b/pipitshed/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter: the same decisions on the simulator's wire."""
+"""Adapter that runs dispatchers under an external simulator, over its binary protocol."""
--- a/pipitshed/simulator/adapter.py
+++ b/pipitshed/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: many dispatchers in one process, driven over standard input and output."""
+"""The simulator's adapter: runs several dispatchers in one process over standard input and output."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def _handle(dispatcher: Dispatcher, instance: int, now_ms: float, events: list[Event]) -> list[bytes]:
-    """The encoded actions of one instance; an exception from the dispatcher is reported as `broken`."""
+    """The encoded actions of one instance, or the record of an exception that its dispatcher raised."""
     try:
         return [wire.encode_action(instance, action) for action in dispatcher.handle(now_ms, events)]
     except Exception as error:
@@ -26,7 +26,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Answer each batch of events with a reply frame until the input ends; raises WireError."""
     dispatchers: dict[int, Dispatcher] = {}
     while header := source.read(wire.HEADER.size):
         if len(header) < wire.HEADER.size:
@@ -43,7 +43,7 @@
 def _events_by_instance(
     dispatchers: dict[int, Dispatcher], count: int, batch: bytes
 ) -> dict[int, list[Event]]:
-    """The events of a batch by instance; instances that it starts and stops are added and removed."""
+    """The events of a batch by instance; adds the instances that it starts and removes those it stops."""
     events_by_instance: dict[int, list[Event]] = {}
     for instance, event in wire.decode_batch(count, batch):
         if isinstance(event, wire.InstanceStarted):
@@ -60,7 +60,7 @@
 
 
 def main() -> int:
-    """Run the adapter; malformed input ends it with a message and a non-zero exit."""
+    """Run the adapter; returns 0, or 2 with a message on standard error where the input is malformed."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
--- a/pipitshed/simulator/wire.py
+++ b/pipitshed/simulator/wire.py
@@ -1,6 +1,6 @@
-"""The binary wire: frames to events, actions to frames, the start settings to Settings.
+"""Codec of the simulator's binary protocol: decodes frames into events, encodes actions into frames.
 
-It translates names and checks form; it decides nothing. Malformed input raises WireError.
+It also parses the settings of a new instance. Malformed input raises WireError.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 
 
 class WireError(ValueError):
-    """The input does not have the wire's form."""
+    """The input does not follow the simulator's protocol."""
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceStarted:
-    """An instance begins, with its seed and its settings."""
+    """The simulator starts a dispatcher instance with a random seed and settings."""
 
     seed: int
     settings: Settings
@@ -40,12 +40,12 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStopped:
-    """An instance is dead; all it knew is void."""
+    """The simulator stops a dispatcher instance, whose state is discarded."""
 
 
 WireEvent = InstanceStarted | InstanceStopped | events.Event
 
-# Fixed parts of the records, after the code byte and the instance number.
+# Fixed parts of the event records, after the record header: code byte and instance number.
 _RECORD_HEADER = struct.Struct("<BI")
 _TOKEN = struct.Struct("<Q")
 _INSTANCE_STARTED = struct.Struct("<QI")
@@ -75,7 +75,7 @@
 
 
 class _Reader:
-    """Cuts one frame's body into fields."""
+    """Reads the fields of one frame's body in order."""
 
     __slots__ = ("data", "offset")
 
@@ -205,7 +205,7 @@
 
 
 def decode_batch(count: int, body: bytes) -> list[tuple[int, WireEvent]]:
-    """The (instance, event) pairs of one frame, in order."""
+    """The (instance, event) pairs of a frame with `count` records; raises WireError where it is malformed."""
     reader = _Reader(body)
     events = []
     for _ in range(count):
@@ -252,23 +252,23 @@
 
 
 def encode_text(code: int, instance: int, text: str) -> bytes:
-    """A record that carries a line of text, cut to what its length field can say."""
+    """A record with a line of text, truncated to the 65535 bytes that its length field can hold."""
     data = text.encode()[:0xFFFF]
     return _TEXT.pack(code, instance, len(data)) + data
 
 
 def encode_exception(instance: int, text: str) -> bytes:
-    """The record that says the decision code has failed."""
+    """The record (code 74) that reports an exception in the dispatcher."""
     return encode_text(74, instance, text)
 
 
 def encode_action(instance: int, action: actions.Action) -> bytes:
-    """One action as a record."""
+    """The record of an action of this instance."""
     return _ACTIONS[type(action)](instance, action)
 
 
 def encode_reply(records: list[bytes]) -> bytes:
-    """A whole reply frame."""
+    """The reply frame to one batch: a header with body length and record count, then the records."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(body), len(records)) + body
 
@@ -277,10 +277,10 @@
 
 
 def settings_from_json(data: bytes) -> Settings:
-    """The start settings from their text."""
+    """Parse the JSON settings of a new instance; raises WireError where they are invalid."""
     try:
         return settings_from(msgspec.json.decode(data))
     except (msgspec.DecodeError, RecursionError, UnicodeError) as error:
-        raise WireError(f"settings: not JSON: {error}") from None
+        raise WireError(f"the settings are not JSON: {error}") from None
     except SettingsError as error:
         raise WireError(str(error)) from None
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a process: framing, many instances, clean and unclean ends."""
+"""The simulator's adapter: framing, several instances, exit with and without an error."""
 
 import io
 import json
@@ -12,7 +12,7 @@
 from pipitshed.scheduling.dispatcher import Dispatcher
 from pipitshed.simulator import adapter, wire
 
-INFO = json.dumps(
+SETTINGS = json.dumps(
     {
         "services": [{"goalTime": 300.0, "deadline": 5000.0, "repeat": "retryable"}],
         "permissions": {"maxAttempts": 4},
@@ -21,11 +21,11 @@
 WORKERS = [bytes([10, 0, 0, n, 64, 31]) for n in range(1, 6)]
 
 
-def born(instance: int, seed: int) -> bytes:
+def start_instance(instance: int, seed: int) -> bytes:
     entries = b"".join(struct.pack("<HdB6sfBH", 0, 0.0, 0, worker, 1.0, 1, 0) for worker in WORKERS)
     return (
-        struct.pack("<BIQI", 3, instance, seed, len(INFO))
-        + INFO
+        struct.pack("<BIQI", 3, instance, seed, len(SETTINGS))
+        + SETTINGS
         + struct.pack("<BIBQI", 8, instance, 3, 1, len(WORKERS))
         + entries
     )
@@ -47,7 +47,7 @@
 
 
 def test_a_session_over_a_pipe() -> None:
-    done = run(frame(0.0) + frame(10.0, born(7, 1), count=2) + frame(20.0, submit(7, 99)))
+    done = run(frame(0.0) + frame(10.0, start_instance(7, 1), count=2) + frame(20.0, submit(7, 99)))
     assert done.returncode == 0 and done.stderr == b""
     assert done.stdout[:8] == wire.encode_reply([])
     assert struct.pack("<BIQ", 65, 7, 99) in done.stdout
@@ -63,7 +63,7 @@
         (frame(0.0, struct.pack("<BIQI", 3, 1, 1, 2) + b"{}"), b"services"),
     ],
 )
-def test_malformed_input_ends_it_with_a_message(data: bytes, message: bytes) -> None:
+def test_malformed_input_ends_the_adapter_with_a_message(data: bytes, message: bytes) -> None:
     done = run(data)
     assert done.returncode == 2
     assert message in done.stderr and done.stderr.count(b"\n") == 1
@@ -75,12 +75,12 @@
     return sink.getvalue()
 
 
-def test_instances_act_the_same_alone_and_together() -> None:
+def test_an_instance_acts_the_same_alone_and_beside_others() -> None:
     def actions_of(instance: int, others: list[int]) -> bytes:
-        everyone = sorted([instance, *others])
+        instances = sorted([instance, *others])
         reply = serve(
-            frame(0.0, *(born(i, i) for i in everyone), count=2 * len(everyone)),
-            frame(5.0, *(submit(i, 1000 * i + n) for n in range(20) for i in everyone)),
+            frame(0.0, *(start_instance(i, i) for i in instances), count=2 * len(instances)),
+            frame(5.0, *(submit(i, 1000 * i + n) for n in range(20) for i in instances)),
         )
         head = struct.pack("<BI", 65, instance)
         return b"".join(reply[at : at + 27] for at in range(len(reply)) if reply.startswith(head, at))
@@ -90,18 +90,21 @@
     assert actions_of(1, [2, 3]) == alone
 
 
-def test_halt_forgets_and_a_later_birth_starts_empty() -> None:
-    halt = struct.pack("<BI", 2, 1)
-    reply = serve(frame(0.0, born(1, 1), count=2), frame(5.0, submit(1, 5), halt, born(1, 2), count=4))
+def test_a_stopped_instance_starts_again_without_state() -> None:
+    stop_instance = struct.pack("<BI", 2, 1)
+    reply = serve(
+        frame(0.0, start_instance(1, 1), count=2),
+        frame(5.0, submit(1, 5), stop_instance, start_instance(1, 2), count=4),
+    )
     assert struct.pack("<BIQ", 65, 1, 5) not in reply
     with pytest.raises(wire.WireError, match="not running"):
-        serve(frame(0.0, born(1, 1), count=2), frame(5.0, halt), frame(6.0, submit(1, 5)))
+        serve(frame(0.0, start_instance(1, 1), count=2), frame(5.0, stop_instance), frame(6.0, submit(1, 5)))
 
 
-def test_an_exception_in_the_rules_becomes_broken(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_dispatcher_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail(self: Dispatcher, now: float, events: list[events.Event]) -> list[actions.Action]:
         raise KeyError("lost")
 
     monkeypatch.setattr(Dispatcher, "handle", fail)
-    reply = serve(frame(0.0, born(1, 1), count=2))
+    reply = serve(frame(0.0, start_instance(1, 1), count=2))
     assert struct.pack("<BI", 74, 1) in reply and b"KeyError: 'lost'" in reply
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec, on the bytes that the wire's description shows, and on malformed input."""
+"""The simulator's codec, on the bytes in the protocol's description and on malformed input."""
 
 import json
 import struct
@@ -32,17 +32,20 @@
     return wire.decode_batch(1, body)
 
 
-def test_the_batch_shown_on_the_wire_page() -> None:
+def test_the_example_batch_of_the_protocol_description() -> None:
     count, length, now = wire.HEADER.unpack_from(BATCH)
     assert (count, length, now) == (3, len(BATCH) - 16, 8412.25)
-    submit, timer, withdrawn = wire.decode_batch(count, BATCH[16:])
+    job_submitted, timer, withdrawn = wire.decode_batch(count, BATCH[16:])
     number = struct.unpack("<Q", bytes.fromhex("c4913a5d1e900500"))[0]
-    assert submit == (3, events.JobSubmitted(number, 240.0, 0, 0, 2.0, 1.5, 12.0, 0x91F03B7C55D20A64, False))
+    assert job_submitted == (
+        3,
+        events.JobSubmitted(number, 240.0, 0, 0, 2.0, 1.5, 12.0, 0x91F03B7C55D20A64, False),
+    )
     assert timer == (3, events.TimerFired(77))
     assert withdrawn[0] == 5 and isinstance(withdrawn[1], events.JobWithdrawn)
 
 
-def test_the_reply_shown_on_the_wire_page() -> None:
+def test_the_example_reply_of_the_protocol_description() -> None:
     number = struct.unpack("<Q", bytes.fromhex("c4913a5d1e900500"))[0]
     records = [
         wire.encode_action(3, actions.StartAttempt(number, WORKER, 80.0)),
@@ -52,14 +55,14 @@
     assert wire.encode_reply(records) == REPLY
 
 
-def test_the_list_and_the_outcome_shown_on_the_wire_page() -> None:
-    [(instance, news)] = decode(
+def test_the_example_endpoint_list_and_outcome_of_the_protocol_description() -> None:
+    [(instance, update)] = decode(
         "08 03000000 03 2900000000000000 02000000"
         "0000 0000000000000000 00 0a124a07 431f 0000803f 01 0000"
         "0000 0000000000d4b740 00 0a9011f2 6c1f 0000c03f 01 0100"
     )
     assert instance == 3
-    assert news == events.EndpointsUpdated(
+    assert update == events.EndpointsUpdated(
         events.UpdateKind.CACHED,
         41,
         (
@@ -77,14 +80,19 @@
     )
 
 
-def test_the_events_without_an_example() -> None:
+def test_events_without_an_example() -> None:
     head = struct.pack("<I", 2)
-    note = b"\x05" + head + struct.pack("<Qf6sBH", 9, 0.5, WORKER, 2, 1)
-    probed = b"\x06" + head + struct.pack("<6sdBB2f", WORKER, 3.0, 1, 2, 4.0, 0.5)
-    mail = b"\x04" + head + struct.pack("<HH", 7, 2) + b"hi"
-    first = b"\x0b" + head + struct.pack("<QH6sd", 9, 1, WORKER, 4.0)
-    halt = b"\x02" + head
-    decoded = [event for _, event in wire.decode_batch(5, note + probed + mail + first + halt)]
+    progress = b"\x05" + head + struct.pack("<Qf6sBH", 9, 0.5, WORKER, 2, 1)
+    probe = b"\x06" + head + struct.pack("<6sdBB2f", WORKER, 3.0, 1, 2, 4.0, 0.5)
+    peer_message = b"\x04" + head + struct.pack("<HH", 7, 2) + b"hi"
+    response_started = b"\x0b" + head + struct.pack("<QH6sd", 9, 1, WORKER, 4.0)
+    stop_instance = b"\x02" + head
+    decoded = [
+        event
+        for _, event in wire.decode_batch(
+            5, progress + probe + peer_message + response_started + stop_instance
+        )
+    ]
     assert decoded == [
         events.AttemptProgressed(9, 1, WORKER, 2, 0.5),
         events.ProbeFinished(WORKER, 3.0, events.Outcome.OK, (4.0, 0.5)),
@@ -108,7 +116,7 @@
         (actions.FetchEndpoints(), bytes.fromhex("4c 02000000")),
     ],
 )
-def test_each_action(action: actions.Action, record: bytes) -> None:
+def test_each_action_is_encoded(action: actions.Action, record: bytes) -> None:
     assert wire.encode_action(2, action) == record
 
 
@@ -129,26 +137,26 @@
         (1, "08 03000000 01 2900000000000000 ffffffff", "ends before"),
     ],
 )
-def test_malformed_records_are_refused(count: int, body: str, message: str) -> None:
+def test_malformed_records_are_rejected(count: int, body: str, message: str) -> None:
     with pytest.raises(wire.WireError, match=message):
         wire.decode_batch(count, bytes.fromhex(body))
 
 
-def info(**changes: object) -> bytes:
+def settings_json(**changes: object) -> bytes:
     base: dict[str, object] = {"services": [{"goalTime": 300.0, "deadline": 7500.0}]}
     return json.dumps(base | changes).encode()
 
 
 def test_settings_defaults_and_unknown_keys() -> None:
-    settings = wire.settings_from_json(info(novelty={"a": 1}))
+    settings = wire.settings_from_json(settings_json(novelty={"a": 1}))
     assert settings.classes == (JobClass(300.0, 7500.0, deduplication_scope=DeduplicationScope.CELL),)
-    assert settings.classes[0].idempotency is Idempotency.NON_IDEMPOTENT  # the careful default
+    assert settings.classes[0].idempotency is Idempotency.NON_IDEMPOTENT  # the default permits no retry
     assert settings.limits.max_attempts == 1 and not settings.limits.may_probe
 
 
 def test_settings_are_translated() -> None:
     settings = wire.settings_from_json(
-        info(
+        settings_json(
             services=[{"goalTime": 1, "deadline": 2, "repeat": "dedup", "keyScope": "zone", "window": 5}],
             familyInfo={"classKind": [1], "classStretch": [2.0], "classPriority": [1], "tellsStart": True},
             stats={"source": "inline", "fields": ["x0", "depth", "novel"]},
@@ -198,19 +206,19 @@
         ({"tick": None}, "tick"),
     ],
 )
-def test_impossible_settings_are_refused_by_name(changes: dict[str, object], key: str) -> None:
+def test_invalid_settings_are_rejected_by_key(changes: dict[str, object], key: str) -> None:
     with pytest.raises(wire.WireError, match=key):
-        wire.settings_from_json(info(**changes))
+        wire.settings_from_json(settings_json(**changes))
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"[1]", b"\xff"])
-def test_settings_that_are_no_object_are_refused(data: bytes) -> None:
+def test_settings_other_than_an_object_are_rejected(data: bytes) -> None:
     with pytest.raises(wire.WireError):
         wire.settings_from_json(data)
 
 
-def test_a_report_that_lacks_a_field_is_no_report() -> None:
-    """Taken for 0, a field that is left out would be the sign of a full planner, or of an idle one."""
+def test_a_load_report_that_lacks_a_field_is_ignored() -> None:
+    """Guards against a missing field that is read as 0 and makes a worker look full or idle."""
     assert ordered_report({"x0": 2.0, "depth": 1.0}, ["depth", "x0"]) == (1.0, 2.0)
     assert ordered_report({"x0": 2.0}, ["depth", "x0"]) == () == ordered_report({}, ["x0"])
     assert parse_load_report(b"TEXT x0=2", ["depth", "x0"]) == () and parse_load_report(
