--- a/tests/scheduling/test_dispatcher_rules.py
+++ b/tests/scheduling/test_dispatcher_rules.py
@@ -1,4 +1,4 @@
-"""Each part of the mechanism, and each failure met so far, without the bench."""
+"""The dispatcher's rules one by one, and regression tests of past failures, in virtual time."""
 
 from __future__ import annotations
 
@@ -50,11 +50,11 @@
 FIELDS = ("free_slots", "queue")
 SHORT_CONNECT_TIMEOUT = Limits(
     may_cancel=True, parallel_attempts=True, max_attempts=4, connect_timeout_ms=30.0
-)  # connections come up soon
+)  # a start timeout of 30 ms while there is capacity
 
 
 def serve_jobs(bench: Bench, jobs: int, outcome: Outcome = Outcome.OK, first: int = 1) -> list[StartAttempt]:
-    """Submit jobs one by one, ending each first attempt the same way."""
+    """Submit jobs one by one and end each first attempt with the same outcome."""
     sends = []
     for job in range(first, first + jobs):
         for send in sends_of(bench.feed(JobSubmitted(job, 4000.0))):
@@ -65,7 +65,7 @@
 
 def test_draws_follow_the_listed_weights() -> None:
     workers = tuple(
-        replace(entry, weight=1.0 + (place % 2) * 3, zone=0) for place, entry in enumerate(entries(8))
+        replace(entry, weight=1.0 + (index % 2) * 3, zone=0) for index, entry in enumerate(entries(8))
     )
     bench = Bench(settings(weight_kind=WeightKind.ROUGH, zone_count=1), workers)
     counts = Counter(send.worker for send in serve_jobs(bench, 4000))
@@ -76,7 +76,7 @@
 def test_without_weights_draws_are_even() -> None:
     bench = Bench(
         settings(zone_count=1),
-        tuple(replace(entry, weight=float(place)) for place, entry in enumerate(entries(5))),
+        tuple(replace(entry, weight=float(index)) for index, entry in enumerate(entries(5))),
     )
     counts = Counter(send.worker for send in serve_jobs(bench, 2000))
     assert min(counts.values()) > 300
@@ -84,7 +84,7 @@
 
 def test_only_workers_of_the_class_kind_are_drawn() -> None:
     cls = JobClass(300.0, 5000.0, idempotency=Idempotency.IDEMPOTENT, worker_kind=1)
-    workers = tuple(replace(entry, worker_kind=place % 2) for place, entry in enumerate(entries(8)))
+    workers = tuple(replace(entry, worker_kind=index % 2) for index, entry in enumerate(entries(8)))
     bench = Bench(settings(classes=(cls,)), workers)
     assert {send.worker for send in serve_jobs(bench, 200)} <= {worker_id(n) for n in (2, 4, 6, 8)}
 
@@ -164,7 +164,7 @@
             pauses_ms[attempt].append(bench.sends[-1][0] - last)
     means = [sum(row) / len(row) for row in pauses_ms]
     assert means[1] > 1.4 * means[0] and means[2] > 1.1 * means[1]
-    assert len(set(pauses_ms[0])) > 2  # random, not a step
+    assert len(set(pauses_ms[0])) > 2  # the pauses are random
 
 
 def test_near_saturation_new_jobs_are_rejected_but_some_are_dispatched() -> None:
@@ -175,7 +175,7 @@
     for job in range(1, 1001):
         for send in sends_of(bench.feed(JobSubmitted(job, 4000.0))):
             dispatched += 1
-            bench.finish(send, 0, Outcome.REJECTED)  # as a full fleet does
+            bench.finish(send, 0, Outcome.REJECTED)  # as workers without capacity do
     assert 20 <= dispatched <= 90
     assert sum(isinstance(action, RejectRequest) for action in bench.log) == 1000 - dispatched
 
@@ -201,9 +201,10 @@
 
 
 def test_a_handshake_across_zones_is_not_counted_as_lack_of_capacity() -> None:
-    """The failure met: starts told 78 ms after the send, behind three round trips for a new connection, were
-    awaited for 70; each call-off closed the connection, so the next attempt needed one again, and a fleet
-    with room refused six jobs in ten. A full fleet keeps nobody waiting so."""
+    """Guards against rejections while workers have capacity. Starts were reported 78 ms after the dispatch,
+    behind three round trips for a new connection, but the start timeout was 70 ms. Each cancel closed the
+    connection, so the next attempt needed a new one, and six jobs in ten were rejected. Without capacity the
+    timeout is shorter."""
     limits = Limits(may_cancel=True, max_attempts=4)
     bench = Bench(settings(zone_count=1, workers_report_start=True, limits=limits), entries(9))
     for job in range(1, WINDOW_ATTEMPT_COUNT + 1):
@@ -225,8 +226,8 @@
 def test_a_job_is_retried_after_a_reset_or_an_error_where_its_class_allows(
     idempotency: Idempotency, outcome: Outcome
 ) -> None:
-    """The failures met: 51 requests on connections that had gone stale, and a planner that failed one job in
-    ten of a day, each given up in a fleet with room."""
+    """Guards against giving a job up while workers have capacity: 51 requests on stale connections, and the
+    jobs of a worker that failed one in ten, got no further attempt."""
     bench = Bench(
         settings(idempotency, DeduplicationScope.ZONE, zone_count=2, workers_report_start=True), entries(9)
     )
@@ -252,8 +253,8 @@
 def test_a_job_whose_worker_left_before_it_ran_is_retried(
     change: dict[str, Any], idempotency: Idempotency, outcome: Outcome
 ) -> None:
-    """Guards against a rejection beside free workers: with f at zero a job has one attempt, and one that a
-    departing worker never took used it up."""
+    """Guards against a rejection while workers are free: at a no-capacity probability of 0 a job has one
+    attempt, and an attempt at a departing worker, which never ran it, used that up."""
     bench = Bench(settings(idempotency, zone_count=1), entries(2))
     serve_jobs(bench, WINDOW_ATTEMPT_COUNT)
     [send] = sends_of(bench.feed(JobSubmitted(100, 4000.0)))
@@ -262,13 +263,13 @@
     bench.finish(send, 0, outcome)
     [again] = sends_of(bench.run(bench.now + 500.0))
     assert again.worker != send.worker
-    bench.finish(again, 1, Outcome.CONNECT_FAILED)  # that one is listed: it counts
+    bench.finish(again, 1, Outcome.CONNECT_FAILED)  # this worker is listed, so the attempt counts
     assert not sends_of(bench.run(bench.now + 500.0)) and not bench.checker.faults
 
 
 def test_a_keyed_job_whose_connection_broke_is_not_given_up_for_lack_of_capacity() -> None:
-    """The failure met: reset, turned away once, then failed, as f near 0 allowed two attempts in all; its
-    client must not ask again, so it was lost. One that never ran is refused as before."""
+    """Guards against a lost job: after a reset and one rejection it failed, because a no-capacity probability
+    near 0 allowed two attempts, and its client must not resend it. A job that never ran is rejected."""
     limits = Limits(may_cancel=True, max_attempts=4)
     for first, attempts in [(Outcome.RESET, 4), (Outcome.REJECTED, 1)]:
         bench = Bench(
@@ -294,7 +295,7 @@
     "idempotency", [Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT_WITH_KEY, Idempotency.NON_IDEMPOTENT]
 )
 def test_a_started_job_whose_worker_stops_reporting_is_retried(idempotency: Idempotency) -> None:
-    """The failure met: a machine that is cut off closes nothing; its jobs waited for their deadline."""
+    """Guards against jobs that wait until their deadline: a machine that is cut off closes no connection."""
     limits = Limits(may_cancel=True, max_attempts=4)
     bench = Bench(
         settings(
@@ -365,23 +366,25 @@
 
 @pytest.mark.parametrize("scheduler_count", [1, 20])
 def test_workers_in_slow_start_get_their_part_from_all_schedulers_together(scheduler_count: int) -> None:
-    rules = Guarantees(
+    guarantees = Guarantees(
         slow_start_ms=10_000.0,
         initial_capacity_fraction=0.2,
         overload_multiple=3.0,
         overload_window_ms=1000.0,
     )
     workers = tuple(
-        replace(entry, started_at_ms=990.0 if place == 0 else 0.0) for place, entry in enumerate(entries(10))
+        replace(entry, started_at_ms=990.0 if index == 0 else 0.0) for index, entry in enumerate(entries(10))
     )
-    cold = total = 0
+    slow_start_count = total = 0
     for seed in range(scheduler_count):
-        bench = Bench(settings(zone_count=1, guarantees=rules), workers, seed)
+        bench = Bench(settings(zone_count=1, guarantees=guarantees), workers, seed)
         for send in serve_jobs(bench, 2000 // scheduler_count):
-            cold += send.worker == worker_id(1)
+            slow_start_count += send.worker == worker_id(1)
             total += 1
     assert total == 2000
-    assert 0.01 * total < cold < 0.035 * total  # a tenth of the fleet, at a fifth of its capacity
+    assert (
+        0.01 * total < slow_start_count < 0.035 * total
+    )  # a tenth of the workers, at a fifth of its capacity
 
 
 def test_an_idle_connection_is_preferred_where_handshakes_cost() -> None:
@@ -455,10 +458,10 @@
 
 
 def fill_window(bench: Bench, no_capacity_count: int, rejected_by_worker: bool = False) -> None:
-    """A full window in which so many of the attempts found no room."""
-    for place in range(WINDOW_ATTEMPT_COUNT):
+    """Fill the attempt window; `no_capacity_count` of its attempts found no capacity."""
+    for index in range(WINDOW_ATTEMPT_COUNT):
         bench.dispatcher.window.add(
-            bench.now, place < no_capacity_count, rejected_by_worker and place < no_capacity_count
+            bench.now, index < no_capacity_count, rejected_by_worker and index < no_capacity_count
         )
 
 
@@ -478,9 +481,9 @@
 
 
 def test_a_tenants_quota_counts_by_this_dispatchers_part_of_the_load() -> None:
-    """The failure met: in a busy fleet both tenants were over their allowances alike, none of them unevenly,
-    and all was late; and of a dispatcher with most of the traffic, a fourth of the allowance was counted as
-    its own. What reports say that others' jobs hold tells the part."""
+    """Guards against two failures. With busy workers, two tenants exceeded their quotas evenly, neither was
+    rejected, and all answers were late. A dispatcher with most of the traffic counted only a fourth of the
+    quota as its own. The slots that other dispatchers' jobs use, by the load reports, give the right part."""
     rejected = []
     for other_slots in (0.0, 9.0):
         bench = Bench(
@@ -501,27 +504,27 @@
 
 
 def test_without_load_reports_a_busy_dispatcher_does_not_reject_all_tenants() -> None:
-    """The failure met: one of forty with more than a fortieth of the traffic took all of its tenants to be
-    over their shares, and refused twice as much while planners joined."""
+    """Guards against a dispatcher, one of 40 with more than a fortieth of the traffic, that counted all its
+    tenants as over quota and rejected twice as many jobs while workers joined."""
     tenants = (Tenant(0.5, 10.0), Tenant(0.5, 10.0))
     bench = Bench(settings(zone_count=1, tenants=tenants, scheduler_count=40), entries(9))
     for job in range(1, 200):
         fill_window(bench, 20)
         actions = bench.feed(JobSubmitted(job, 4000.0, tenant=job % 2))
         assert job < 20 or not any(
-            isinstance(one, RejectRequest) for one in actions
-        )  # a few say nothing of parts
+            isinstance(action, RejectRequest) for action in actions
+        )  # too few jobs to compare shares
 
 
 def test_a_tenant_without_a_quota_is_never_over_it() -> None:
     bench = Bench(settings(zone_count=1, tenants=(Tenant(0.5), Tenant(0.5))), entries(9))
-    for job in range(1, 200):  # all of the first one's: twice its share
+    for job in range(1, 200):  # all jobs are the first tenant's: twice its share
         fill_window(bench, 20)
-        assert not any(isinstance(one, RejectRequest) for one in bench.feed(JobSubmitted(job, 4000.0)))
+        assert not any(isinstance(action, RejectRequest) for action in bench.feed(JobSubmitted(job, 4000.0)))
 
 
 def reserve_slots_in_zone(bench: Bench, zone: int, jobs: float) -> None:
-    """Own jobs that stay out on each worker of a zone."""
+    """Reserve slots on each worker of a zone, as jobs in flight do."""
     for worker in bench.dispatcher.workers.values():
         worker.reserved_slots += jobs * (worker.zone == zone)
 
@@ -540,14 +543,14 @@
     assert 0 < cross_zone_count(0.1, 0.15, 0) < cross_zone_count(0.02, 0.15, 0) / 2
     assert (
         cross_zone_count(0.1, 0, 12) == 0 < cross_zone_count(0.02, 0, 12)
-    )  # where draws find no room, cheap crossings come first
+    )  # without capacity, other zones come first where the cost is low
 
 
 def test_a_zone_with_more_traffic_than_capacity_sends_jobs_to_other_zones() -> None:
-    """The failure met: nine in ten jobs stayed in a zone that got three fifths of the traffic; 30 jobs waited
-    at one worker there while others were idle, as nothing but a refusal counted as a lack of room."""
+    """Guards against long queues beside idle workers: nine in ten jobs stayed in a zone with three fifths of
+    the traffic, and 30 jobs waited at one worker there, as only a rejection counted as lack of capacity."""
     config = settings(own_zone=1, zone_count=3, costs=Costs(cross_zone_cost=0.01, handshake_cost=0.02))
-    bench = Bench(config, tuple(replace(entry, zone=place % 3) for place, entry in enumerate(entries(12))))
+    bench = Bench(config, tuple(replace(entry, zone=index % 3) for index, entry in enumerate(entries(12))))
     counts = Counter(
         send.worker for job in range(1, 37) for send in sends_of(bench.feed(JobSubmitted(job, 4000.0)))
     )
@@ -571,15 +574,17 @@
 
 
 def test_long_queues_without_rejections_count_as_no_capacity() -> None:
-    """The failure met: deep queues turn nothing away; f stood at 0 while seven in ten answers came late."""
+    """Guards against a no-capacity probability of 0 while long queues make seven in ten answers late."""
     config = settings(zone_count=1, report_fields=FIELDS)
-    for slots_in_use, f in ((0, 0.0), (4, 1.0)):
+    for slots_in_use, probability in ((0, 0.0), (4, 1.0)):
         bench = Bench(config, entries(9))
         serve_with_reports(bench, 5)
         reserve_slots_in_zone(bench, 0, slots_in_use)
         reserve_slots_in_zone(bench, 1, slots_in_use)
         serve_with_reports(bench, WINDOW_ATTEMPT_COUNT, first=100)
-        assert no_capacity_probability(bench) == pytest.approx(f, abs=0.1)  # from 0.9 on few are still tried
+        assert no_capacity_probability(bench) == pytest.approx(
+            probability, abs=0.1
+        )  # few are admitted from 0.9 on
 
 
 def serve_with_reports(bench: Bench, jobs: int, first: int = 1) -> None:
@@ -588,8 +593,10 @@
             bench.finish(send, 0, Outcome.OK, load_report=(4.0, 0.0))
 
 
-@pytest.mark.parametrize(("elapsed_ms", "f"), [(200.0, 0.0), (700.0, 1.0)])
-def test_without_starts_and_reports_late_answers_count_as_no_capacity(elapsed_ms: float, f: float) -> None:
+@pytest.mark.parametrize(("elapsed_ms", "probability"), [(200.0, 0.0), (700.0, 1.0)])
+def test_without_starts_and_reports_late_answers_count_as_no_capacity(
+    elapsed_ms: float, probability: float
+) -> None:
     cls = JobClass(
         latency_objective_ms=300.0,
         deadline_ms=5000.0,
@@ -601,7 +608,7 @@
         for send in sends_of(bench.feed(JobSubmitted(job, 4000.0, work=100.0))):
             bench.now += elapsed_ms
             bench.feed(AttemptFinished(job, 0, send.worker, Outcome.OK, elapsed_ms, True))
-    assert no_capacity_probability(bench) == f
+    assert no_capacity_probability(bench) == probability
 
 
 def test_without_start_reports_a_worker_that_rejected_a_job_is_passed_over() -> None:
@@ -610,12 +617,12 @@
     [send] = sends_of(bench.feed(JobSubmitted(50, 4000.0)))
     bench.finish(send, 0, Outcome.REJECTED)
     assert bench.dispatcher.window.rejected_fraction() > 0
-    assert send.worker not in {one.worker for one in serve_jobs(bench, 20, first=60)}
+    assert send.worker not in {send.worker for send in serve_jobs(bench, 20, first=60)}
 
 
 def test_a_zone_with_few_workers_gets_no_more_than_its_part() -> None:
-    # Two zones, one worker in five here: with all of the own traffic it would bear two and a half shares.
-    workers = tuple(replace(entry, zone=0 if place else 1) for place, entry in enumerate(entries(5)))
+    # Two zones, and the local one has one worker in five: with all local traffic it would have 2.5 shares.
+    workers = tuple(replace(entry, zone=0 if index else 1) for index, entry in enumerate(entries(5)))
     bench = Bench(settings(own_zone=1, costs=Costs(cross_zone_cost=0.1)), workers)
     counts = Counter(send.worker for send in serve_jobs(bench, 1000))
     assert 350 < counts[worker_id(1)] < 600
@@ -634,13 +641,13 @@
 
 
 def test_jobs_of_much_work_go_to_workers_in_slow_start_less_often() -> None:
-    rules = Guarantees(slow_start_ms=1e9, initial_capacity_fraction=0.5)
+    guarantees = Guarantees(slow_start_ms=1e9, initial_capacity_fraction=0.5)
     workers = tuple(
-        replace(entry, started_at_ms=990.0 if place == 0 else 0.0) for place, entry in enumerate(entries(5))
+        replace(entry, started_at_ms=990.0 if index == 0 else 0.0) for index, entry in enumerate(entries(5))
     )
 
-    def cold(slots: float) -> int:
-        bench = Bench(settings(zone_count=1, guarantees=rules), workers)
+    def slow_start_count(slots: float) -> int:
+        bench = Bench(settings(zone_count=1, guarantees=guarantees), workers)
         statistics = bench.dispatcher.statistics
         statistics.mean_service_time_ms, statistics.mean_slot_time_ms = [100.0], 100.0
         return sum(
@@ -649,7 +656,7 @@
             for send in sends_of(bench.feed(JobSubmitted(job, 4000.0, slots=slots)))
         )
 
-    assert cold(4.0) < cold(1.0) / 2
+    assert slow_start_count(4.0) < slow_start_count(1.0) / 2
 
 
 def test_jobs_of_low_value_for_their_work_are_rejected_first() -> None:
@@ -701,7 +708,7 @@
 
 def test_with_start_reports_late_answers_do_not_count_as_no_capacity() -> None:
     bench = Bench(settings(zone_count=1, workers_report_start=True), entries(9))
-    for job in range(1, WINDOW_ATTEMPT_COUNT + 1):  # the word of each start was lost
+    for job in range(1, WINDOW_ATTEMPT_COUNT + 1):  # each start report was lost
         [send] = sends_of(bench.feed(JobSubmitted(job, 4000.0)))
         bench.feed(AttemptFinished(job, 0, send.worker, Outcome.OK, 2000.0, True))
     assert (
@@ -721,8 +728,8 @@
 
 
 def test_a_worker_that_fails_jobs_fast_gets_less_than_its_share_and_its_jobs_are_retried() -> None:
-    """Guards against a worker that starts every job and fails it at once: its connection came free at
-    once, so draws that prefer kept connections sent it twice its share, and each of its jobs was lost."""
+    """Guards against a worker that starts every job and fails it immediately. Its connection was idle again
+    at once, so draws that prefer idle connections sent it twice its share, and each of its jobs was lost."""
     workers = tuple(replace(entry, zone=0) for entry in entries(6))
     bench = Bench(
         settings(zone_count=1, workers_report_start=True, costs=Costs(handshake_cost=0.12)), workers
@@ -730,7 +737,7 @@
     failing_worker = worker_id(2)
     sent: Counter[WorkerIdType] = Counter()
     tries: Counter[int] = Counter()
-    busy: list[tuple[float, StartAttempt, int]] = []
+    running: list[tuple[float, StartAttempt, int]] = []
 
     def perform(actions: list[object]) -> None:
         for send in [action for action in actions if isinstance(action, StartAttempt)]:
@@ -740,14 +747,14 @@
             if send.worker == failing_worker:
                 perform(bench.finish(send, attempt, Outcome.ERROR, answered=False))
             else:
-                busy.append((bench.now + 250.0, send, attempt))
+                running.append((bench.now + 250.0, send, attempt))
 
     for job in range(1, 601):
         perform(bench.feed(JobSubmitted(job, 4000.0)))
         for _ in range(4):
             perform(bench.run(bench.now + 5.0))
-            for item in [item for item in busy if item[0] <= bench.now]:
-                busy.remove(item)
+            for item in [item for item in running if item[0] <= bench.now]:
+                running.remove(item)
                 perform(bench.finish(item[1], item[2], Outcome.OK))
     lost = sum(isinstance(action, RejectRequest | FailRequest) for action in bench.log)
     assert sent[failing_worker] < 0.5 * sum(sent.values()) / len(workers)
@@ -756,7 +763,7 @@
 
 
 def eject_for_error_at_only_worker(bench: Bench) -> tuple[StartAttempt, StartAttempt]:
-    """Two jobs at the only worker, the first of which has failed there; both sends."""
+    """Send two jobs to the only worker, which fails the first; returns both attempts."""
     first, second = [sends_of(bench.feed(JobSubmitted(job, 4000.0)))[0] for job in (3, 4)]
     bench.finish(first, 0, Outcome.ERROR, answered=True)
     return first, second
@@ -764,8 +771,8 @@
 
 @pytest.mark.parametrize("idempotency", [Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT])
 def test_an_ejection_for_an_error_is_not_ended_by_a_start_or_a_rejection(idempotency: Idempotency) -> None:
-    """Guards against jobs sent back too soon to a worker that fails them: another job's start there ended the
-    ejection, and another job's rejection replaced it by a shorter one."""
+    """Guards against jobs that go back too soon to a worker that fails them: the start of another job there
+    ended the ejection, and the rejection of another job replaced it by a shorter one."""
     started = Bench(settings(idempotency, zone_count=1, workers_report_start=True), entries(1))
     rejected = Bench(settings(idempotency, zone_count=1, workers_report_start=True), entries(1))
     [worker], [other] = [list(bench.dispatcher.workers.values()) for bench in (started, rejected)]
@@ -774,15 +781,16 @@
     _, second = eject_for_error_at_only_worker(rejected)
     rejected.finish(second, 0, Outcome.REJECTED)
     longest_for_a_rejection_ms = 1.5 * outlier_ejection.EJECTION_MS
-    for bench, one in ((started, worker), (rejected, other)):
-        assert outlier_ejection.is_ejected(one, bench.now + longest_for_a_rejection_ms)
+    for bench, ejected in ((started, worker), (rejected, other)):
+        assert outlier_ejection.is_ejected(ejected, bench.now + longest_for_a_rejection_ms)
     started.feed(EndpointsUpdated(UpdateKind.DELTA, 2, (replace(entries(1)[0], started_at_ms=started.now),)))
-    assert not outlier_ejection.is_ejected(worker, started.now)  # another process has not failed any
+    assert not outlier_ejection.is_ejected(worker, started.now)  # a new process has failed no job
 
 
 def test_a_worker_that_fails_jobs_fast_is_drawn_last_where_all_others_have_jobs() -> None:
-    """The failure met: with all draws doubted, the least held was taken, which is the one that ends each job
-    at once by an error; it drew 14 of 127 jobs in a fleet of ten, and each was lost."""
+    """Guards against a preference for a failing worker: with all drawn workers passed over, the least loaded
+    was chosen, which ended each job immediately with an error. It got 14 of 127 jobs among ten workers, and
+    each was lost."""
     cls = JobClass(300.0, 5000.0, idempotency=Idempotency.NON_IDEMPOTENT)
     bench, failing_worker = Bench(settings(zone_count=1, classes=(cls,)), entries(9)), worker_id(4)
     for worker in bench.dispatcher.workers.values():
@@ -798,7 +806,7 @@
 
 
 def test_an_error_allows_an_attempt_only_where_equation_2_allows_none() -> None:
-    """The failure met: on top of what f allows, such attempts filled a fleet of forty short of a zone."""
+    """Guards against overload: attempts beyond Equation 2 filled 40 workers while a zone was missing."""
     limits = Limits(may_cancel=True, max_attempts=5)
     for no_capacity_attempts, attempts in (
         (0, 1 + 1),
