--- a/benchmarks/capacity/letter.py
+++ b/benchmarks/capacity/letter.py
@@ -827,7 +827,7 @@
 
 ZONE_TESTS = (
     "tests/proxy/test_endpoint_updates.py::test_a_lost_zone_in_one_read_is_one_change_to_the_decisions",
-    "tests/scheduling/test_decisions_scale.py::test_a_change_touches_at_most_twice_the_rows_at_4600_planners",
+    "tests/scheduling/test_decisions_scale.py::test_a_change_accesses_at_most_twice_the_rows_with_4600_workers",
 )
 FAILURES = (
     Failure(
@@ -858,7 +858,7 @@
         "us",
         NONE,
         (
-            "tests/scheduling/test_slow_start.py::test_beyond_their_budget_of_n_only_chance_comes_to_cold_planners",
+            "tests/scheduling/test_slow_start.py::test_workers_in_slow_start_get_no_more_than_their_limit_plus_chance",
         ),
     ),
     Failure(
--- a/tests/scheduling/test_decisions_scale.py
+++ b/tests/scheduling/test_decisions_scale.py
@@ -1,4 +1,4 @@
-"""The work of the decisions by the size of the fleet, in rows touched, and draws from pools that change."""
+"""The cost of decisions by the number of workers, in rows accessed, and draws from changing pools."""
 
 from __future__ import annotations
 
@@ -21,100 +21,102 @@
 
 
 @pytest.fixture
-def touched(monkeypatch: pytest.MonkeyPatch) -> Counter[str]:
-    """Rows touched: weights summed, and workers weighed."""
+def row_accesses(monkeypatch: pytest.MonkeyPatch) -> Counter[str]:
+    """Counts the rows accessed: weights that are summed, and workers whose weights are read."""
     rows: Counter[str] = Counter()
 
-    def summed(weights: list[float]) -> accumulate[float]:
+    def counting_accumulate(weights: list[float]) -> accumulate[float]:
         rows["summed"] += len(weights)
         return accumulate(weights)
 
-    weigh = Pools._weights_or_zeros
+    weights_or_zeros = Pools._weights_or_zeros
 
-    def weighed(self, key, member):  # type: ignore[no-untyped-def]
+    def counting_weights_or_zeros(self, key, member):  # type: ignore[no-untyped-def]
         rows["weighed"] += 1
-        return weigh(self, key, member)
+        return weights_or_zeros(self, key, member)
 
-    monkeypatch.setattr(pools, "accumulate", summed)
-    monkeypatch.setattr(Pools, "_weights_or_zeros", weighed)
+    monkeypatch.setattr(pools, "accumulate", counting_accumulate)
+    monkeypatch.setattr(Pools, "_weights_or_zeros", counting_weights_or_zeros)
     return rows
 
 
-def scheduler_of(planners: int) -> Scheduler:
-    scheduler = Scheduler(planners)
+def warmed_up_scheduler(workers: int) -> Scheduler:
+    scheduler = Scheduler(workers)
     for _ in range(20 * CLASSES):
         scheduler.job()
     return scheduler
 
 
-def test_a_change_touches_at_most_twice_the_rows_at_4600_planners(touched: Counter[str]) -> None:
+def test_a_change_accesses_at_most_twice_the_rows_with_4600_workers(row_accesses: Counter[str]) -> None:
     rows = {}
-    for planners in (200, 4600):
-        scheduler = scheduler_of(planners)
-        touched.clear()
+    for workers in (200, 4600):
+        scheduler = warmed_up_scheduler(workers)
+        row_accesses.clear()
         for _ in range(200):
             scheduler.replace()
-        rows[planners] = touched.copy()
+        rows[workers] = row_accesses.copy()
     assert rows[4600]["summed"] <= 2 * rows[200]["summed"], rows
     assert rows[4600]["weighed"] <= 1.2 * rows[200]["weighed"], rows
 
 
-def test_a_lost_zone_in_one_piece_of_news_is_one_change_to_the_pools(touched: Counter[str]) -> None:
-    scheduler = scheduler_of(4600)
+def test_a_lost_zone_in_one_update_is_one_change_to_the_pools(row_accesses: Counter[str]) -> None:
+    scheduler = warmed_up_scheduler(4600)
     lost = [gone(entry) for entry in scheduler.entries if entry.zone == ZONES - 1]
-    touched.clear()
+    row_accesses.clear()
     scheduler.tell(UpdateKind.DELTA, lost)
-    assert not touched  # nothing is due before the next draw
+    assert not row_accesses  # pools are updated at the next draw
     for _ in range(20 * CLASSES):
         scheduler.job()
-    assert len(lost) == 657 and touched["weighed"] == CLASSES * len(lost)
-    assert touched["summed"] <= CLASSES * 2 * 4800
+    assert len(lost) == 657 and row_accesses["weighed"] == CLASSES * len(lost)
+    assert row_accesses["summed"] <= CLASSES * 2 * 4800
 
 
-def test_what_changes_nothing_touches_no_row(touched: Counter[str]) -> None:
-    scheduler = scheduler_of(200)
-    touched.clear()
+def test_an_update_without_changes_accesses_no_row(row_accesses: Counter[str]) -> None:
+    scheduler = warmed_up_scheduler(200)
+    row_accesses.clear()
     scheduler.tell(UpdateKind.CACHED, scheduler.entries)
     scheduler.dispatcher.apply_settings(scheduler.dispatcher.settings)
     for _ in range(20 * CLASSES):
         scheduler.job()
-    assert not touched
+    assert not row_accesses
 
 
-def test_a_job_of_one_tenant_reads_no_other() -> None:
-    read: list[int] = []
+def test_a_job_does_not_read_all_tenants() -> None:
+    read_lengths: list[int] = []
 
-    class Rows(list[object]):
+    class CountingList(list[object]):
         def __iter__(self) -> Iterator[object]:
-            read.append(len(self))
+            read_lengths.append(len(self))
             return super().__iter__()
 
-    tenants = Rows(Tenant(1.0, 0.5) for _ in range(380))
+    tenants = CountingList(Tenant(1.0, 0.5) for _ in range(380))
     dispatcher = Dispatcher(Settings(classes=(JobClass(300.0, 5000.0),), tenants=tenants), 1)
     admission = dispatcher.admission
-    admission.tenant_counts = Rows(admission.tenant_counts)
-    read.clear()
+    admission.tenant_counts = CountingList(admission.tenant_counts)
+    read_lengths.clear()
     for job in range(20):
         dispatcher.handle(1000.0, [JobSubmitted(job, 4000.0, tenant=job % 3)])
-    assert not read and admission.tenant_counts[0].count == 7 and admission.all_tenants_count.count == 20
+    assert (
+        not read_lengths and admission.tenant_counts[0].count == 7 and admission.all_tenants_count.count == 20
+    )
 
 
-def test_pools_that_are_not_drawn_from_are_dropped() -> None:
-    scheduler = scheduler_of(200)
+def test_unused_pools_are_removed() -> None:
+    scheduler = warmed_up_scheduler(200)
     for _ in range(120):
-        scheduler.jobs = 0  # the next job is again of class 1
+        scheduler.jobs = 0  # the next job is of class 1 again
         scheduler.replace()
     assert {key[0] for key in scheduler.dispatcher.endpoints.pools._groups[None].pools} == {1, 2}
 
 
-class Part:
-    """In place of chance: one given part of the total."""
+class FixedFraction:
+    """A random number generator that returns one given number."""
 
-    def __init__(self, part: float) -> None:
-        self.part = part
+    def __init__(self, fraction: float) -> None:
+        self.fraction = fraction
 
     def random(self) -> float:
-        return self.part
+        return self.fraction
 
 
 STEPS = st.lists(
@@ -129,58 +131,66 @@
 
 @settings(derandomize=True, database=None, deadline=None)
 @given(STEPS, st.sampled_from((2, 3, 32)))
-def test_pools_after_changes_are_those_made_anew(steps: list[tuple[int, object, bool]], block: int) -> None:
+def test_changed_pools_equal_rebuilt_pools(steps: list[tuple[int, object, bool]], block_size: int) -> None:
     weights: dict[int, object] = {}
-    known: set[int] = set()
+    members: set[int] = set()
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(pools, "BLOCK_SIZE", block)
-        made = Pools[int](lambda member, key: weights[member], 3)
-        for member, told, drawn in steps:
-            if told == "remove":
-                if member in known:
-                    known.discard(member)
-                    made.remove(member)
+        patch.setattr(pools, "BLOCK_SIZE", block_size)
+        pools_under_test = Pools[int](lambda member, key: weights[member], 3)
+        for member, change, draws in steps:
+            if change == "remove":
+                if member in members:
+                    members.discard(member)
+                    pools_under_test.remove(member)
             else:
-                weights[member] = told
-                if member not in known:
-                    known.add(member)
-                    made.add(member, (None, member % 3))
-                made.change(member)
-            for tag in (None, 0, 1, 2) if drawn else ():
-                mine = {one: weights[one] for one in known if weights[one] and tag in (None, one % 3)}
-                ways = [{one: way[place] for one, way in mine.items() if way[place]} for place in range(3)]
-                naive = next((way for way in ways if way), {})
-                pool, total = made.get(tag, ()), sum(naive.values())
+                weights[member] = change
+                if member not in members:
+                    members.add(member)
+                    pools_under_test.add(member, (None, member % 3))
+                pools_under_test.change(member)
+            for tag in (None, 0, 1, 2) if draws else ():
+                tagged = {
+                    number: weights[number]
+                    for number in members
+                    if weights[number] and tag in (None, number % 3)
+                }
+                candidates = [
+                    {number: row[kind] for number, row in tagged.items() if row[kind]} for kind in range(3)
+                ]
+                expected = next((row for row in candidates if row), {})
+                pool, total = pools_under_test.get(tag, ()), sum(expected.values())
                 assert (pool.total if pool else 0) == total
-                got = Counter(pool.draw(Part((n + 0.5) / total)) for n in range(total)) if pool else {}
-                assert got == naive
+                drawn_members = (
+                    Counter(pool.draw(FixedFraction((n + 0.5) / total)) for n in range(total)) if pool else {}
+                )
+                assert drawn_members == expected
 
 
 @settings(derandomize=True, database=None, deadline=None)
 @given(st.lists(st.sampled_from((0.0, 0.0, 0.1, 0.3, 0.7, 1e-9, 7.7)), min_size=1, max_size=40))
-def test_rounding_draws_none_without_weight(weights: list[float]) -> None:
+def test_rounding_draws_no_member_without_weight(weights: list[float]) -> None:
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(pools, "BLOCK_SIZE", 2)
         sums = PrefixSums(list(weights))
         total = sums.total()
         edges = [edge / total for edge in accumulate(weights) if total]
         for edge in edges:
-            for part in (edge, math.nextafter(edge, 0), math.nextafter(edge, 1)):
-                assert weights[sums.index_at(min(part, math.nextafter(1, 0)))] > 0
+            for fraction in (edge, math.nextafter(edge, 0), math.nextafter(edge, 1)):
+                assert weights[sums.index_at(min(fraction, math.nextafter(1, 0)))] > 0
 
 
 def test_draws_follow_the_weights() -> None:
     rng, weights = random.Random(7), {number: 1.0 + number % 5 for number in range(200)}
-    made = Pools[int](lambda member, key: (weights[member],), 1)
+    pools_under_test = Pools[int](lambda member, key: (weights[member],), 1)
     for number in range(200):
-        made.add(number, (None,))
+        pools_under_test.add(number, (None,))
     for number in range(0, 200, 7):
-        assert made.get(None, 0)
+        assert pools_under_test.get(None, 0)
         weights[number] *= 3
-        made.change(number)
-    pool = made.get(None, 0)
+        pools_under_test.change(number)
+    pool = pools_under_test.get(None, 0)
     assert pool is not None
-    drawn = Counter(pool.draw(rng) for _ in range(100_000))
+    draws = Counter(pool.draw(rng) for _ in range(100_000))
     expected = {number: 100_000 * weight / pool.total for number, weight in weights.items()}
-    chi = sum((drawn[number] - mean) ** 2 / mean for number, mean in expected.items())
-    assert chi < 267  # 199 degrees of freedom: 0.999 of all fair draws are below
+    chi_squared = sum((draws[number] - mean) ** 2 / mean for number, mean in expected.items())
+    assert chi_squared < 267  # 0.999 quantile for 199 degrees of freedom
--- a/tests/scheduling/test_endpoint_list.py
+++ b/tests/scheduling/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""What has left the list is forgotten in time, and what is still owed is kept."""
+"""Workers that left the endpoint list are removed in time, unless state of them is still needed."""
 
 from __future__ import annotations
 
@@ -17,129 +17,133 @@
 from pipitshed.scheduling.slow_start import is_warming_up
 from pipitshed.scheduling.worker_state import Worker
 
-ONE, TWO = worker_id(1), worker_id(2)
+FIRST_ID, SECOND_ID = worker_id(1), worker_id(2)
 FIRST, SECOND, THIRD = entries(3, started_at_ms=500.0)
-LONG = Limits(may_cancel=True, parallel_attempts=True, max_attempts=9)
+NINE_ATTEMPTS = Limits(may_cancel=True, parallel_attempts=True, max_attempts=9)
 
 
 def bench_of(
-    effect: Idempotency = Idempotency.IDEMPOTENT, group: DeduplicationScope = DeduplicationScope.ALL
+    idempotency: Idempotency = Idempotency.IDEMPOTENT,
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL,
 ) -> Bench:
     config = settings(
-        effect,
-        group,
-        limits=LONG,
+        idempotency,
+        deduplication_scope,
+        limits=NINE_ATTEMPTS,
         zone_count=1,
         guarantees=Guarantees(answer_slack_ms=20.0, slow_start_ms=9000.0),
     )
-    cls = replace(config.classes[0], idempotency_window_ms=300_000.0, deadline_ms=300_000.0)
-    bench = Bench(replace(config, classes=(cls,)))
+    job_class = replace(config.classes[0], idempotency_window_ms=300_000.0, deadline_ms=300_000.0)
+    bench = Bench(replace(config, classes=(job_class,)))
     bench.now = 100_000.0
-    tell(bench, FIRST)
+    update_list(bench, FIRST)
     return bench
 
 
-def tell(bench: Bench, *listed: object) -> list[StartAttempt]:
+def update_list(bench: Bench, *listed: object) -> list[StartAttempt]:
     return sends_of(bench.feed(EndpointsUpdated(UpdateKind.DELTA, 1, listed)))  # type: ignore[arg-type]
 
 
-def gone(bench: Bench, wait: float = FORGET_AFTER_MS) -> None:
-    """The first leaves the list, and so long after it there is other news."""
-    tell(bench, replace(FIRST, state=EndpointState.REMOVED))
-    bench.now += wait
-    tell(bench, replace(THIRD, state=EndpointState.DRAINING))
+def remove_first_worker(bench: Bench, wait_ms: float = FORGET_AFTER_MS) -> None:
+    """Remove the first worker from the list, and send another update `wait_ms` later."""
+    update_list(bench, replace(FIRST, state=EndpointState.REMOVED))
+    bench.now += wait_ms
+    update_list(bench, replace(THIRD, state=EndpointState.DRAINING))
 
 
-def sent(bench: Bench) -> StartAttempt:
+def submit_job(bench: Bench) -> StartAttempt:
     [send] = sends_of(bench.feed(JobSubmitted(1, 250_000.0)))
     return send
 
 
-def retried(bench: Bench) -> Iterable[StartAttempt]:
+def retries(bench: Bench) -> Iterable[StartAttempt]:
     return sends_of(bench.run(bench.now + 1000.0))
 
 
-def test_replaced_planners_are_forgotten_with_all_that_held_them() -> None:
+def test_replaced_workers_are_removed_with_all_references_to_them() -> None:
     scheduler = Scheduler(200)
-    tables = scheduler.dispatcher.endpoints
-    before = sum(isinstance(one, Worker) for one in gc.get_objects())
+    endpoint_list = scheduler.dispatcher.endpoints
+    before = sum(isinstance(candidate, Worker) for candidate in gc.get_objects())
     for _ in range(3):
         for _ in range(433):
             scheduler.replace()
         scheduler.now += FORGET_AFTER_MS
         scheduler.replace()
-    assert len(tables.workers) <= 202 and len(tables.departed_at_ms) <= 2
-    assert all(len(tagged.members) <= 200 + 433 + 3 for tagged in tables.pools._groups.values())
+    assert len(endpoint_list.workers) <= 202 and len(endpoint_list.departed_at_ms) <= 2
+    assert all(len(tag_group.members) <= 200 + 433 + 3 for tag_group in endpoint_list.pools._groups.values())
     gc.collect()
-    assert sum(isinstance(one, Worker) for one in gc.get_objects()) - before <= 2
+    assert sum(isinstance(candidate, Worker) for candidate in gc.get_objects()) - before <= 2
 
 
-def test_what_a_list_lacked_once_is_as_it_was() -> None:
+def test_a_worker_that_a_list_lacked_for_a_short_time_keeps_its_state() -> None:
     bench = bench_of()
-    bench.finish(sent(bench), 0, Outcome.REJECTED)
-    was = bench.dispatcher.workers[ONE]
-    assert was.consecutive_rejections == 1
-    gone(bench, FORGET_AFTER_MS - 1)
-    tell(bench, FIRST)
-    assert bench.dispatcher.workers[ONE] is was
-    gone(bench, FORGET_AFTER_MS - 1)  # it was listed meanwhile: its time begins anew
-    assert ONE in bench.dispatcher.workers
+    bench.finish(submit_job(bench), 0, Outcome.REJECTED)
+    worker = bench.dispatcher.workers[FIRST_ID]
+    assert worker.consecutive_rejections == 1
+    remove_first_worker(bench, FORGET_AFTER_MS - 1)
+    update_list(bench, FIRST)
+    assert bench.dispatcher.workers[FIRST_ID] is worker
+    remove_first_worker(bench, FORGET_AFTER_MS - 1)  # listed in between, so its retention time starts again
+    assert FIRST_ID in bench.dispatcher.workers
 
 
 @pytest.mark.parametrize("state", (EndpointState.DRAINING, EndpointState.READY))
-def test_what_is_listed_is_kept(state: EndpointState) -> None:
+def test_a_listed_worker_is_kept(state: EndpointState) -> None:
     bench = bench_of()
-    gone(bench, 0.0)
-    tell(bench, replace(FIRST, state=state))
+    remove_first_worker(bench, 0.0)
+    update_list(bench, replace(FIRST, state=state))
     bench.now += 2 * FORGET_AFTER_MS
-    tell(bench)
-    assert ONE in bench.dispatcher.workers
+    update_list(bench)
+    assert FIRST_ID in bench.dispatcher.workers
 
 
-def test_one_with_an_attempt_out_is_kept_until_that_ends() -> None:
+def test_a_worker_with_an_attempt_in_flight_is_kept_until_the_attempt_ends() -> None:
     bench = bench_of()
-    send = sent(bench)
-    gone(bench)
-    assert bench.dispatcher.workers[ONE].unstarted_count + bench.dispatcher.workers[ONE].reserved_slots == 1
+    send = submit_job(bench)
+    remove_first_worker(bench)
+    assert (
+        bench.dispatcher.workers[FIRST_ID].unstarted_count + bench.dispatcher.workers[FIRST_ID].reserved_slots
+        == 1
+    )
     bench.finish(send, 0, Outcome.OK)
     bench.now += FORGET_AFTER_MS
-    tell(bench)
-    assert ONE not in bench.dispatcher.workers
+    update_list(bench)
+    assert FIRST_ID not in bench.dispatcher.workers
 
 
-def test_a_planners_own_word_of_when_to_come_back_holds_for_it() -> None:
+def test_a_requested_ejection_outlasts_the_retention_time() -> None:
     bench = bench_of()
-    bench.finish(sent(bench), 0, Outcome.REJECTED, pushback_ms=2 * FORGET_AFTER_MS)
-    gone(bench)
-    assert bench.dispatcher.workers[ONE].ejected_until_ms > bench.now
+    bench.finish(submit_job(bench), 0, Outcome.REJECTED, pushback_ms=2 * FORGET_AFTER_MS)
+    remove_first_worker(bench)
+    assert bench.dispatcher.workers[FIRST_ID].ejected_until_ms > bench.now
     bench.now += 2 * FORGET_AFTER_MS
-    tell(bench)
-    assert ONE not in bench.dispatcher.workers
+    update_list(bench)
+    assert FIRST_ID not in bench.dispatcher.workers
 
 
-def test_a_job_goes_not_again_to_one_it_tried_that_was_forgotten_and_is_back() -> None:
+def test_a_job_is_not_retried_at_a_worker_that_was_removed_and_listed_again() -> None:
     for _ in range(8):
         bench = bench_of()
-        bench.finish(sent(bench), 0, Outcome.REJECTED)
-        gone(bench)
-        assert ONE not in bench.dispatcher.workers
-        tell(bench, replace(FIRST, started_at_ms=600.0), SECOND)
-        assert [send.worker for send in retried(bench)][:1] == [TWO]
+        bench.finish(submit_job(bench), 0, Outcome.REJECTED)
+        remove_first_worker(bench)
+        assert FIRST_ID not in bench.dispatcher.workers
+        update_list(bench, replace(FIRST, started_at_ms=600.0), SECOND)
+        assert [send.worker for send in retries(bench)][:1] == [SECOND_ID]
 
 
-def test_a_repeat_stays_in_the_zone_of_one_that_was_forgotten() -> None:
+def test_a_retry_stays_in_the_zone_of_a_removed_worker() -> None:
     bench = bench_of(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE)
-    bench.finish(sent(bench), 0, Outcome.RESET)
-    gone(bench)
-    tell(bench, SECOND)
-    assert ONE not in bench.dispatcher.workers and not retried(bench)
-    tell(bench, replace(THIRD, state=EndpointState.READY))
-    assert {send.worker for send in retried(bench)} == {THIRD.worker}
+    bench.finish(submit_job(bench), 0, Outcome.RESET)
+    remove_first_worker(bench)
+    update_list(bench, SECOND)
+    assert FIRST_ID not in bench.dispatcher.workers and not retries(bench)
+    update_list(bench, replace(THIRD, state=EndpointState.READY))
+    assert {send.worker for send in retries(bench)} == {THIRD.worker}
 
 
-def test_one_that_was_forgotten_is_cold_from_its_new_start() -> None:
+def test_a_removed_worker_that_is_listed_again_is_in_slow_start() -> None:
     bench = bench_of()
-    gone(bench)
-    tell(bench, replace(FIRST, started_at_ms=bench.now - 100.0))
+    remove_first_worker(bench)
+    update_list(bench, replace(FIRST, started_at_ms=bench.now - 100.0))
     slow_start_ms = bench.config.guarantees.slow_start_ms
-    assert is_warming_up(bench.dispatcher.workers[ONE], slow_start_ms, bench.dispatcher.now_ms)
+    assert is_warming_up(bench.dispatcher.workers[FIRST_ID], slow_start_ms, bench.dispatcher.now_ms)
--- a/tests/scheduling/test_rule_checker.py
+++ b/tests/scheduling/test_rule_checker.py
@@ -1,4 +1,4 @@
-"""The four rules under random event sequences, watched by a checker that is shown to catch violations."""
+"""The rules that a dispatcher must keep, under random event sequences, and the checker that watches them."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 )
 from pipitshed.scheduling.settings import DeduplicationScope, Idempotency, Limits
 
-CONFIGS = [
+SETTINGS = [
     settings(
-        effect,
-        group,
-        limits=Limits(may_cancel=cancel, parallel_attempts=parallel, max_attempts=4),
-        workers_report_start=tells,
-        endpoints_polled=ask,
+        idempotency,
+        deduplication_scope,
+        limits=Limits(may_cancel=may_cancel, parallel_attempts=parallel, max_attempts=4),
+        workers_report_start=reports_start,
+        endpoints_polled=polled,
         progress_interval_ms=1000.0,
     )
-    for effect, group in [
+    for idempotency, deduplication_scope in [
         (Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
         (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL),
         (Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ALL),
         (Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE),
         (Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL),
     ]
-    for cancel, parallel, tells, ask in [
+    for may_cancel, parallel, reports_start, polled in [
         (True, True, True, True),
         (False, False, False, False),
         (True, False, True, False),
@@ -58,85 +58,96 @@
 
 
 def play(bench: Bench, steps: list[tuple[str, int]]) -> None:
-    """Random but legal traffic: every attempt ends once, time-outs come by the deadline."""
-    out: dict[tuple[int, int], StartAttempt] = {}
-    left: dict[int, float] = {}
-    listed = list(entries(9))
-    seen = 0
-
-    def end(key: tuple[int, int], outcome: Outcome) -> None:
-        send = out.pop(key)
-        was = bench.checker.jobs[key[0]].answered
-        bench.feed(AttemptFinished(key[0], key[1], send.worker, outcome, 1.0, was or outcome is Outcome.OK))
-        collect()
-
-    def collect() -> None:
-        nonlocal seen
-        for action in bench.log[seen:]:
+    """Feed a bench random but legal events: each attempt ends once, at the job's deadline at the latest."""
+    in_flight: dict[tuple[int, int], StartAttempt] = {}
+    deadlines_ms: dict[int, float] = {}
+    listed_entries = list(entries(9))
+    collected_count = 0
+
+    def finish_attempt(key: tuple[int, int], outcome: Outcome) -> None:
+        send = in_flight.pop(key)
+        was_answered = bench.checker.jobs[key[0]].answered
+        bench.feed(
+            AttemptFinished(key[0], key[1], send.worker, outcome, 1.0, was_answered or outcome is Outcome.OK)
+        )
+        collect_actions()
+
+    def collect_actions() -> None:
+        nonlocal collected_count
+        for action in bench.log[collected_count:]:
             if isinstance(action, StartAttempt):
-                number = len(
-                    [1 for a in bench.log[:seen] if isinstance(a, StartAttempt) and a.job_id == action.job_id]
+                attempt_index = len(
+                    [
+                        1
+                        for a in bench.log[:collected_count]
+                        if isinstance(a, StartAttempt) and a.job_id == action.job_id
+                    ]
                 )
-                out[action.job_id, number] = action
+                in_flight[action.job_id, attempt_index] = action
             elif isinstance(action, CancelAttempt):
                 cancelled.append((action.job_id, action.attempt_index))
-            seen += 1
+            collected_count += 1
 
-    def pass_time(span: float) -> None:
-        stop = bench.now + span
-        while bench.now < stop:
-            for key in [key for key in out if left[key[0]] <= bench.now]:
-                end(key, Outcome.TIMEOUT)
+    def advance_time(span_ms: float) -> None:
+        stop_at = bench.now + span_ms
+        while bench.now < stop_at:
+            for key in [key for key in in_flight if deadlines_ms[key[0]] <= bench.now]:
+                finish_attempt(key, Outcome.TIMEOUT)
             bench.run(bench.now + bench.config.tick_ms)
-            collect()
+            collect_actions()
             while cancelled:
                 key = cancelled.pop()
-                if key in out:
-                    end(key, Outcome.CANCELLED)
+                if key in in_flight:
+                    finish_attempt(key, Outcome.CANCELLED)
 
     cancelled: list[tuple[int, int]] = []
     job = 0
-    for kind, pick in steps:
-        if kind == "submit":
+    for step, number in steps:
+        if step == "submit":
             job += 1
-            left[job] = bench.now + 200.0 + pick % 4000
-            bench.feed(JobSubmitted(job, left[job] - bench.now))
-        elif kind == "end" and out:
-            end(list(out)[pick % len(out)], list(Outcome)[pick // 16 % 8])
-        elif kind == "note" and out:
-            key = list(out)[pick % len(out)]
+            deadlines_ms[job] = bench.now + 200.0 + number % 4000
+            bench.feed(JobSubmitted(job, deadlines_ms[job] - bench.now))
+        elif step == "end" and in_flight:
+            finish_attempt(list(in_flight)[number % len(in_flight)], list(Outcome)[number // 16 % 8])
+        elif step == "note" and in_flight:
+            key = list(in_flight)[number % len(in_flight)]
             bench.feed(
                 AttemptProgressed(
-                    *key, out[key].worker, ProgressKind.STARTED if pick % 2 else ProgressKind.PROGRESS, 0.5
+                    *key,
+                    in_flight[key].worker,
+                    ProgressKind.STARTED if number % 2 else ProgressKind.PROGRESS,
+                    0.5,
                 )
             )
-        elif kind == "list":
-            place = pick % 9
-            state = EndpointState(pick // 16 % 3)
-            listed[place] = replace(listed[place], state=state)
-            whole = tuple(entry for entry in listed if entry.state is not EndpointState.REMOVED)
-            news = [
-                EndpointsUpdated(UpdateKind.DELTA, pick, (listed[place],)),
-                EndpointsUpdated(UpdateKind.SNAPSHOT, pick, whole),
+        elif step == "list":
+            index = number % 9
+            state = EndpointState(number // 16 % 3)
+            listed_entries[index] = replace(listed_entries[index], state=state)
+            snapshot_entries = tuple(
+                entry for entry in listed_entries if entry.state is not EndpointState.REMOVED
+            )
+            updates = [
+                EndpointsUpdated(UpdateKind.DELTA, number, (listed_entries[index],)),
+                EndpointsUpdated(UpdateKind.SNAPSHOT, number, snapshot_entries),
                 EndpointsUpdated(UpdateKind.FETCH_FAILED),
             ]
-            bench.feed(news[pick // 64 % 3])
-        elif kind == "withdraw" and job:
-            target = 1 + pick % job
+            bench.feed(updates[number // 64 % 3])
+        elif step == "withdraw" and job:
+            target = 1 + number % job
             bench.checker.jobs[target].answered = True
             bench.feed(JobWithdrawn(target))
-        elif kind == "stray":
-            bench.feed(JobWithdrawn(10_000 + pick), AttemptProgressed(20_000, 0, worker_id(1), 1))
+        elif step == "stray":
+            bench.feed(JobWithdrawn(10_000 + number), AttemptProgressed(20_000, 0, worker_id(1), 1))
             bench.dispatcher.handle(
                 bench.now, [AttemptFinished(30_000, 3, worker_id(1), Outcome.OK, 1.0, True)]
             )
-        collect()
-        pass_time(bench.config.tick_ms * (1 + pick % 40))
-    pass_time(6000.0)
+        collect_actions()
+        advance_time(bench.config.tick_ms * (1 + number % 40))
+    advance_time(6000.0)
     bench.checker.close(bench.now)
 
 
-@pytest.mark.parametrize("config", CONFIGS)
+@pytest.mark.parametrize("config", SETTINGS)
 @hypothesis_settings(max_examples=25, deadline=None, derandomize=True, database=None)
 @given(steps=STEPS, seed=st.integers(0, 9))
 def test_no_rule_is_broken(config: object, steps: list[tuple[str, int]], seed: int) -> None:
@@ -146,16 +157,20 @@
 
 
 def checker_with(
-    effect: Idempotency, group: DeduplicationScope = DeduplicationScope.ALL, parallel: bool = True
+    idempotency: Idempotency,
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL,
+    parallel: bool = True,
 ) -> Checker:
-    checker = Checker(settings(effect, group, limits=Limits(parallel_attempts=parallel, max_attempts=4)))
+    checker = Checker(
+        settings(idempotency, deduplication_scope, limits=Limits(parallel_attempts=parallel, max_attempts=4))
+    )
     checker.event(0.0, EndpointsUpdated(UpdateKind.SNAPSHOT, 1, entries(9)))
     checker.event(0.0, JobSubmitted(1, 1000.0))
     checker.action(0.0, StartAttempt(1, worker_id(1)))
     return checker
 
 
-def test_the_checker_catches_planted_violations() -> None:
+def test_the_checker_catches_violations() -> None:
     checker = checker_with(Idempotency.NON_IDEMPOTENT)
     checker.action(1.0, StartAttempt(1, worker_id(2)))
     checker.action(1.0, RejectRequest(1))
