--- a/tests/equivalence/names.py
+++ b/tests/equivalence/names.py
@@ -1,7 +1,7 @@
-"""The names that the recordings carry, and what the code calls the same things now.
+"""Maps the names in the recordings to the present names of the code.
 
-The recordings were made by commit 9bcbde6. Their events and actions are written in that commit's words;
-this map is the one place that knows both. A renamed class, field or enum member changes its line here.
+Commit 9bcbde6 made the recordings; their events and actions have the names of that commit. This module alone
+maps them. A change of the name of a class, field or enum member changes its line here.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 
 
 @dataclass(frozen=True)
-class Renamed:
-    """A class and its fields, by recorded name."""
+class RenamedClass:
+    """A present class, and its present field names by recorded name."""
 
     current: type
     fields: dict[str, str]
@@ -58,7 +58,7 @@
     "NoteKind": (events.ProgressKind, {"STARTED": "STARTED", "PROGRESS": "PROGRESS"}),
 }
 
-# Fields whose recorded value is the name of an enum's member.
+# Fields whose recorded value is the name of an enum member.
 ENUM_FIELDS = {
     ("ListNews", "kind"): "ListKind",
     ("Entry", "state"): "State",
@@ -66,13 +66,13 @@
     ("Finished", "outcome"): "Outcome",
 }
 
-EVENTS: dict[str, Renamed] = {
-    "ListNews": Renamed(
+EVENTS: dict[str, RenamedClass] = {
+    "ListNews": RenamedClass(
         events.EndpointsUpdated, {"kind": "kind", "version": "version", "entries": "entries"}
     ),
-    "ListMoved": Renamed(events.DiscoveryMoved, {}),
-    "LinkLost": Renamed(events.ConnectionLost, {"worker": "worker"}),
-    "Submitted": Renamed(
+    "ListMoved": RenamedClass(events.DiscoveryMoved, {}),
+    "LinkLost": RenamedClass(events.ConnectionLost, {"worker": "worker"}),
+    "Submitted": RenamedClass(
         events.JobSubmitted,
         {
             "job": "job_id",
@@ -87,11 +87,11 @@
             "fits": "compatible_interfaces",
         },
     ),
-    "FirstByte": Renamed(
+    "FirstByte": RenamedClass(
         events.ResponseStarted,
         {"job": "job_id", "attempt": "attempt_index", "worker": "worker", "elapsed": "elapsed_ms"},
     ),
-    "Note": Renamed(
+    "Note": RenamedClass(
         events.AttemptProgressed,
         {
             "job": "job_id",
@@ -101,7 +101,7 @@
             "done": "done_fraction",
         },
     ),
-    "Finished": Renamed(
+    "Finished": RenamedClass(
         events.AttemptFinished,
         {
             "job": "job_id",
@@ -114,9 +114,9 @@
             "pushback": "pushback_ms",
         },
     ),
-    "Withdrawn": Renamed(events.JobWithdrawn, {"job": "job_id"}),
-    "TimerFired": Renamed(events.TimerFired, {"token": "token"}),
-    "Entry": Renamed(
+    "Withdrawn": RenamedClass(events.JobWithdrawn, {"job": "job_id"}),
+    "TimerFired": RenamedClass(events.TimerFired, {"token": "token"}),
+    "Entry": RenamedClass(
         events.EndpointEntry,
         {
             "worker": "worker",
@@ -133,19 +133,19 @@
     ),
 }
 
-ACTIONS: dict[str, Renamed] = {
-    "Send": Renamed(
+ACTIONS: dict[str, RenamedClass] = {
+    "Send": RenamedClass(
         actions.StartAttempt,
         {"job": "job_id", "worker": "worker", "timeout": "timeout_ms", "write_within": "write_within_ms"},
     ),
-    "Refuse": Renamed(actions.RejectRequest, {"job": "job_id", "retry_after": "retry_after_ms"}),
-    "Fail": Renamed(actions.FailRequest, {"job": "job_id"}),
-    "Cancel": Renamed(actions.CancelAttempt, {"job": "job_id", "attempt": "attempt_index"}),
-    "SetTimer": Renamed(actions.SetTimer, {"token": "token", "delay": "delay_ms"}),
-    "WatchList": Renamed(actions.WatchEndpoints, {"on": "enabled"}),
+    "Refuse": RenamedClass(actions.RejectRequest, {"job": "job_id", "retry_after": "retry_after_ms"}),
+    "Fail": RenamedClass(actions.FailRequest, {"job": "job_id"}),
+    "Cancel": RenamedClass(actions.CancelAttempt, {"job": "job_id", "attempt": "attempt_index"}),
+    "SetTimer": RenamedClass(actions.SetTimer, {"token": "token", "delay": "delay_ms"}),
+    "WatchList": RenamedClass(actions.WatchEndpoints, {"on": "enabled"}),
 }
 
-# Constants of the rules by recorded name: where each stands now, and a value near its own.
+# Constants of the rules by recorded name: the module, the present name, and a slightly different value.
 CONSTANTS: dict[str, tuple[Any, str, float]] = {
     "REFUSE_ABOVE": (admission, "SATURATION_THRESHOLD", 0.85),
     "EJECTION_MS": (outlier_ejection, "EJECTION_MS", 330.0),
@@ -159,32 +159,35 @@
 _ACTION_NAMES = {renamed.current: name for name, renamed in ACTIONS.items()}
 
 
-class Decisions:
-    """The dispatcher of today, spoken to in the recordings' words."""
+class TranslatedDispatcher:
+    """The present dispatcher behind the recorded names of settings, events and actions."""
 
     def __init__(self, settings: Fields, seed: int, on_sockets: bool = False) -> None:
         self._on_sockets = on_sockets
         self._dispatcher = Dispatcher(self._settings(settings), seed)
 
     def _settings(self, settings: Fields) -> Any:
-        made = settings_from(settings)
+        parsed = settings_from(settings)
         if not self._on_sockets:
-            return made
+            return parsed
         from pipitshed.config.platform import settings_for_sockets
 
-        return settings_for_sockets(made)
+        return settings_for_sockets(parsed)
 
-    def retune(self, settings: Fields) -> None:
-        """New settings under way."""
+    def apply_settings(self, settings: Fields) -> None:
+        """Apply new settings to the running dispatcher."""
         self._dispatcher.apply_settings(self._settings(settings))
 
     def handle(self, now: float, items: list[Item]) -> list[Item]:
-        """One turn: the actions that these events bring."""
-        return [recorded(action) for action in self._dispatcher.handle(now, [event(*item) for item in items])]
+        """Handle the events of one turn; returns the actions by their recorded names."""
+        return [
+            recorded_item(action)
+            for action in self._dispatcher.handle(now, [event_from_recording(*item) for item in items])
+        ]
 
 
-def event(name: str, fields: Fields) -> Any:
-    """An event of today from its recorded form."""
+def event_from_recording(name: str, fields: Fields) -> Any:
+    """The present event for a recorded one."""
     renamed = EVENTS[name]
     return renamed.current(
         **{renamed.fields[field]: _value(name, field, value) for field, value in fields.items()}
@@ -197,7 +200,7 @@
         current, members = ENUMS[kind]
         return current[members[value]]
     if field == "entries":
-        return tuple(event("Entry", entry) for entry in value)
+        return tuple(event_from_recording("Entry", entry) for entry in value)
     if field in ("classes", "fits") and value is not None:
         return frozenset(value)
     if field == "worker" and isinstance(value, str):
@@ -207,14 +210,14 @@
     return value
 
 
-def recorded(action: Any) -> Item:
-    """An action of today in its recorded form; fields that it did not have then are left out."""
+def recorded_item(action: Any) -> Item:
+    """The recorded form of an action, without the fields that are not recorded."""
     name = _ACTION_NAMES[type(action)]
     return name, {field: getattr(action, current) for field, current in ACTIONS[name].fields.items()}
 
 
-def text(items: list[Item]) -> str:
-    """Actions as one comparable text, a line each."""
+def items_as_text(items: list[Item]) -> str:
+    """Events or actions as text, one per line, for comparison."""
     return "\n".join(
         f"{name}({', '.join(f'{field}={value!r}' for field, value in fields.items())})"
         for name, fields in items
@@ -231,8 +234,8 @@
 }
 
 
-def request(fields: Fields) -> Request:
-    """A client's request from its recorded form."""
+def request_from_recording(fields: Fields) -> Request:
+    """The present request for a recorded one."""
     return Request(
         **{
             REQUEST_FIELDS[name]: value.encode() if name == "body" else value
--- a/tests/equivalence/recording.py
+++ b/tests/equivalence/recording.py
@@ -1,7 +1,7 @@
-"""Recordings: a hash for each turn of a stream, four bytes each.
+"""Reads and writes the recordings: a hash of four bytes for each turn of a stream.
 
-Run `python tests/equivalence/recording.py write` to record what is there now, and with `show SEED TURN` to
-print a turn in full, here or in a checkout of 9bcbde6.
+`python tests/equivalence/recording.py write` records the present behaviour; `show SEED TURN` prints one turn
+completely, in this checkout or in one of commit 9bcbde6.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 if __name__ == "__main__":
     sys.path[:0] = [str(Path(__file__).parent.parent), str(Path(__file__).parent.parent.parent)]
 
-from equivalence.names import Decisions, Item, text
-from equivalence.streams import World
+from equivalence.names import Item, TranslatedDispatcher, items_as_text
+from equivalence.streams import Environment
 
 FOLDER = Path(__file__).parent / "recordings"
 SEEDS = range(240)
@@ -27,34 +27,35 @@
 
 
 def turn_hash(now: float, actions: list[Item]) -> bytes:
-    """What a recording holds of a turn: its time, as a mark of the stream, and its actions."""
-    return hashlib.blake2b(f"{now!r}\n{text(actions)}".encode(), digest_size=HASH_BYTES).digest()
+    """The hash of a turn: its time, which identifies the position in the stream, and its actions."""
+    return hashlib.blake2b(f"{now!r}\n{items_as_text(actions)}".encode(), digest_size=HASH_BYTES).digest()
 
 
 def recorded_hashes(name: str) -> dict[str, bytes]:
-    """The hashes of each stream of a recording, by the stream's name."""
-    held = json.loads(gzip.decompress((FOLDER / name).read_bytes()))
-    return {stream: bytes.fromhex(hashes) for stream, hashes in held.items()}
+    """The hashes of a recording by stream name."""
+    recorded = json.loads(gzip.decompress((FOLDER / name).read_bytes()))
+    return {stream: bytes.fromhex(hashes) for stream, hashes in recorded.items()}
 
 
 def write_hashes(name: str, streams: dict[str, bytes]) -> None:
-    """Write a recording."""
-    held = json.dumps({stream: hashes.hex() for stream, hashes in streams.items()})
-    (FOLDER / name).write_bytes(gzip.compress(held.encode(), mtime=0))
+    """Write the hashes by stream name to a recording."""
+    recorded = json.dumps({stream: hashes.hex() for stream, hashes in streams.items()})
+    (FOLDER / name).write_bytes(gzip.compress(recorded.encode(), mtime=0))
 
 
 def hashes_of(turns: Iterator[Turn]) -> bytes:
-    """The hashes of a stream, one after the other."""
+    """The concatenated hashes of a stream's turns."""
     return b"".join(turn_hash(now, actions) for now, _, actions in turns)
 
 
 def first_difference(turns: Iterator[Turn], expected: bytes) -> str | None:
-    """What the first turn that differs holds now; None where all are as recorded."""
+    """A description of the first turn that differs from the recording; None where all are equal."""
     count = 0
-    for count, (now, items, actions) in enumerate(turns, 1):
+    for count, (now, events, actions) in enumerate(turns, 1):
         if turn_hash(now, actions) != expected[(count - 1) * HASH_BYTES : count * HASH_BYTES]:
             return (
-                f"turn {count - 1} at {now!r} differs\nevents:\n{text(items)}\nactions now:\n{text(actions)}"
+                f"turn {count - 1} at {now!r} differs\nevents:\n{items_as_text(events)}\n"
+                f"actions now:\n{items_as_text(actions)}"
             )
     return (
         None
@@ -63,32 +64,32 @@
     )
 
 
-def real_turns(name: str = "experiment.jsonl.gz") -> Iterator[Turn]:
-    """The turns of a stream that was written down while the program ran the project's own experiment."""
-    decisions: Decisions | None = None
+def experiment_turns(name: str = "experiment.jsonl.gz") -> Iterator[Turn]:
+    """The turns of a stream that was recorded while the program ran the project's experiment."""
+    dispatcher: TranslatedDispatcher | None = None
     for line in gzip.decompress((FOLDER / name).read_bytes()).splitlines():
-        held: dict[str, Any] = json.loads(line)
-        if "settings" in held:
-            if decisions is None:
-                decisions = Decisions(held["settings"], held["seed"], on_sockets=True)
+        recorded: dict[str, Any] = json.loads(line)
+        if "settings" in recorded:
+            if dispatcher is None:
+                dispatcher = TranslatedDispatcher(recorded["settings"], recorded["seed"], on_sockets=True)
             else:
-                decisions.retune(held["settings"])
+                dispatcher.apply_settings(recorded["settings"])
             continue
-        assert decisions is not None
-        items: list[Item] = [(kind, fields) for kind, fields in held["events"]]
-        yield held["now"], items, decisions.handle(held["now"], items)
+        assert dispatcher is not None
+        events: list[Item] = [(kind, fields) for kind, fields in recorded["events"]]
+        yield recorded["now"], events, dispatcher.handle(recorded["now"], events)
 
 
 def main() -> None:
-    """Write all recordings anew, or show one turn of a seed."""
+    """Write all recordings again, or print one turn of a seed."""
     if sys.argv[1:] == ["write"]:
-        write_hashes("seeds.json.gz", {str(seed): hashes_of(World(seed).turns()) for seed in SEEDS})
-        write_hashes("experiment.json.gz", {"experiment": hashes_of(real_turns())})
+        write_hashes("seeds.json.gz", {str(seed): hashes_of(Environment(seed).turns()) for seed in SEEDS})
+        write_hashes("experiment.json.gz", {"experiment": hashes_of(experiment_turns())})
         return
     _, seed, turn = sys.argv[1:]
-    for number, (now, items, actions) in enumerate(World(int(seed)).turns()):
+    for number, (now, events, actions) in enumerate(Environment(int(seed)).turns()):
         if number == int(turn):
-            print(f"{now!r}\nevents:\n{text(items)}\nactions:\n{text(actions)}")
+            print(f"{now!r}\nevents:\n{items_as_text(events)}\nactions:\n{items_as_text(actions)}")
 
 
 if __name__ == "__main__":
--- a/tests/equivalence/streams.py
+++ b/tests/equivalence/streams.py
@@ -1,8 +1,8 @@
-"""Event streams for the dispatcher: a small world of workers, clients and discovery, drawn from a seed.
+"""Event streams for the dispatcher: simulated workers, clients and discovery, generated from a seed.
 
-The world answers the dispatcher's actions, so that streams hold what really follows from them: attempts
-that end in every outcome, lists of every kind, drains, restarts, lost zones, reloads, tenants over quota.
-It speaks the recordings' words alone (`names.py`).
+The simulation carries out the dispatcher's actions, so that later events follow from them: attempts with
+every outcome, all kinds of endpoint updates, drains, restarts, lost zones, reloads, tenants over quota. It
+uses only the recorded names (`names.py`).
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from collections.abc import Iterator
 from typing import Any
 
-from equivalence.names import Decisions, Fields, Item
+from equivalence.names import Fields, Item, TranslatedDispatcher
 
 EVENTS_PER_STREAM = 480
 OUTCOMES = ("ERROR", "FULL", "TIMEOUT", "CONNECT_FAILED", "RESET", "MOOT")
 
-# Four deployments: what differs between them decides which rules are at work.
-SITES: dict[str, Fields] = {
+# Four deployments, whose differences determine which rules apply.
+DEPLOYMENTS: dict[str, Fields] = {
     "lima-planning": {
         "areas": ["lima-norte", "arequipa"],
         "shapes": ["fast", "standard", "slow"],
@@ -176,8 +176,8 @@
 
 
 def settings_of(seed: int, rng: random.Random) -> Fields:
-    """A site's settings; three streams of four change some of them as another deployment might."""
-    settings: Fields = dict(list(SITES.values())[seed % len(SITES)])
+    """The settings of a deployment; in three streams of four some of them are changed at random."""
+    settings: Fields = dict(list(DEPLOYMENTS.values())[seed % len(DEPLOYMENTS)])
     if rng.random() < 0.25:
         return settings
     services = []
@@ -222,7 +222,7 @@
 
 
 class Worker:
-    """One worker of the world, and how well it is."""
+    """A simulated worker, with its failure probability and a factor on its durations."""
 
     def __init__(self, number: int, settings: Fields, rng: random.Random) -> None:
         self.name = bytes([10, 0, number // 200, number % 200, 0, 1])
@@ -235,11 +235,11 @@
         self.classes = None if rng.random() < 0.9 else [rng.randrange(len(settings["services"]))]
         self.interface = rng.choice((1, 1, 1, 2))
         self.planned: list[float] | None = None
-        self.trouble = rng.choice((0.0, 0.0, 0.1, 0.3, 0.8))
-        self.slowness = rng.choice((0.3, 1.0, 1.0, 4.0))
+        self.failure_probability = rng.choice((0.0, 0.0, 0.1, 0.3, 0.8))
+        self.duration_factor = rng.choice((0.3, 1.0, 1.0, 4.0))
 
     def entry(self) -> Fields:
-        """Its entry in the list."""
+        """The worker's entry in the endpoint list."""
         return {
             "worker": self.name,
             "zone": self.zone,
@@ -254,23 +254,25 @@
         }
 
 
-class World:
-    """Everything around one dispatcher."""
+class Environment:
+    """The simulated surroundings of one dispatcher: workers, clients, discovery and a clock."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(f"stream {seed}")
         self.settings = settings_of(seed, self.rng)
-        self.decisions = Decisions(self.settings, seed * 7919 + 11, on_sockets=self.rng.random() < 0.4)
+        self.dispatcher = TranslatedDispatcher(
+            self.settings, seed * 7919 + 11, on_sockets=self.rng.random() < 0.4
+        )
         self.now = 1.7e12 if seed % 2 else 1000.0
-        self.load = self.rng.choice((4.0, 12.0, 40.0, 120.0))  # jobs a second
-        self.planned = self.rng.random() < 0.15  # whether a placement plan gives the weights
-        self.discovery_trouble = self.rng.choice((0.1, 0.35, 0.9))
+        self.jobs_per_s = self.rng.choice((4.0, 12.0, 40.0, 120.0))
+        self.planned = self.rng.random() < 0.15  # whether a placement plan gives weights
+        self.discovery_failure_probability = self.rng.choice((0.1, 0.35, 0.9))
         self.workers = [
             Worker(number, self.settings, self.rng) for number in range(self.rng.choice((2, 5, 12, 30)))
         ]
-        self.spare = len(self.workers)
+        self.last_worker_number = len(self.workers)
         self.version = 1
-        self.out: dict[tuple[int, int], Worker] = {}
+        self.in_flight: dict[tuple[int, int], Worker] = {}
         self.attempts: dict[int, int] = {}
         self.answered: set[int] = set()
         self.jobs = 0
@@ -280,65 +282,67 @@
         if self.planned:
             for worker in self.workers:
                 worker.planned = [self.rng.choice((0.0, 0.3, 1.0)) for _ in self.settings["services"]]
-        self.at(
+        self.schedule(
             0.0, "ListNews", kind="CACHED", version=1, entries=[worker.entry() for worker in self.workers]
         )
-        self.at(self.rng.random() * 20.0, "arrival")
-        self.at(self.rng.uniform(100.0, 900.0), "churn")
+        self.schedule(self.rng.random() * 20.0, "arrival")
+        self.schedule(self.rng.uniform(100.0, 900.0), "churn")
 
-    def at(self, delay: float, name: str, **fields: Any) -> None:
-        """Have an event come after a delay (ms)."""
+    def schedule(self, delay: float, name: str, **fields: Any) -> None:
+        """Schedule an event after a delay in ms."""
         self._order += 1
         heapq.heappush(self._queue, (self.now + delay, self._order, (name, fields)))
 
     def turns(self) -> Iterator[tuple[float, list[Item], list[Item]]]:
-        """Time, events and actions of each turn, until the stream is long enough."""
+        """Time, events and actions of each turn, until the stream has EVENTS_PER_STREAM events."""
         tick = self.settings["tick"]
         while self.events < EVENTS_PER_STREAM:
             self.now = max(self.now + tick, self._queue[0][0])
             items: list[Item] = []
             while self._queue and self._queue[0][0] <= self.now:
                 _, _, (name, fields) = heapq.heappop(self._queue)
-                items += self.come(name, fields)
+                items += self.deliver(name, fields)
             if not items:
                 continue
             self.events += len(items)
-            actions = self.decisions.handle(self.now, items)
+            actions = self.dispatcher.handle(self.now, items)
             for action in actions:
-                self.carry_out(*action)
+                self.perform(*action)
             yield self.now, items, actions
 
-    def come(self, name: str, fields: Fields) -> list[Item]:
-        """What has come due, as events; the world's own affairs are none."""
+    def deliver(self, name: str, fields: Fields) -> list[Item]:
+        """Events of the dispatcher for a scheduled event; none for the simulation's own events."""
         rng = self.rng
         if name == "arrival":
-            return self.arrival()
+            return self.submit_job()
         if name == "churn":
-            rarely = 8.0 if self.discovery_trouble > 0.5 else 1.0  # no news where discovery is down
-            self.at(rng.uniform(100.0, 1500.0) * rarely, "churn")
-            return self.churn()
+            factor = (
+                8.0 if self.discovery_failure_probability > 0.5 else 1.0
+            )  # discovery that is down sends few updates
+            self.schedule(rng.uniform(100.0, 1500.0) * factor, "churn")
+            return self.change_workers()
         if name == "ask":
-            return self.list_answer()
+            return self.discovery_response()
         if name == "leave":
             if fields["job"] in self.answered:
                 return []
             self.answered.add(fields["job"])
             return [("Withdrawn", fields)]
-        if name in ("Note", "FirstByte") and (fields["job"], fields["attempt"]) not in self.out:
+        if name in ("Note", "FirstByte") and (fields["job"], fields["attempt"]) not in self.in_flight:
             return [] if rng.random() < 0.8 else [(name, fields)]
         if name == "Finished":
-            return self.finished(fields)
+            return self.deliver_finished(fields)
         return [(name, fields)]
 
-    def arrival(self) -> list[Item]:
-        """One job, and when the next one comes."""
+    def submit_job(self) -> list[Item]:
+        """Submit one job, and schedule the next."""
         rng = self.rng
-        self.at(rng.expovariate(self.load) * 1000.0, "arrival")
+        self.schedule(rng.expovariate(self.jobs_per_s) * 1000.0, "arrival")
         self.jobs += 1
         number = rng.randrange(len(self.settings["services"]))
         deadline = self.settings["services"][number]["deadline"]
         if rng.random() < 0.04:
-            self.at(rng.uniform(0.0, deadline), "leave", job=self.jobs)
+            self.schedule(rng.uniform(0.0, deadline), "leave", job=self.jobs)
         return [
             (
                 "Submitted",
@@ -357,41 +361,41 @@
             )
         ]
 
-    def finished(self, fields: Fields) -> list[Item]:
-        """The end of an attempt, once."""
-        if self.out.pop((fields["job"], fields["attempt"]), None) is None:
+    def deliver_finished(self, fields: Fields) -> list[Item]:
+        """The end of an attempt, which is delivered once."""
+        if self.in_flight.pop((fields["job"], fields["attempt"]), None) is None:
             return []
         if fields["outcome"] == "OK":
             self.answered.add(fields["job"])
         return [("Finished", fields | {"settled": fields["job"] in self.answered})]
 
-    def churn(self) -> list[Item]:
-        """Something happens to the fleet."""
+    def change_workers(self) -> list[Item]:
+        """Make one random change to workers, connections, discovery, settings or the clock."""
         rng = self.rng
-        what = rng.random()
-        if what < 0.08:
+        choice = rng.random()
+        if choice < 0.08:
             return [("ListMoved", {})]
-        if what < 0.2:
+        if choice < 0.2:
             return [("LinkLost", {"worker": rng.choice(self.workers).name})]
-        if what < 0.26:
-            self.reload()
+        if choice < 0.26:
+            self.reload_settings()
             return []
-        if what < 0.29:
-            self.now += 65_000.0  # a long quiet time, or a process that stood still
+        if choice < 0.29:
+            self.now += 65_000.0  # a long time without events, or a suspended process
             return []
-        if what < 0.31:
-            stranger = Worker(9_000 + self.spare, self.settings, rng)
-            stranger.state = "GONE"
-            return self.news("DELTA", [stranger])
-        if what < 0.33:
+        if choice < 0.31:
+            unlisted_worker = Worker(9_000 + self.last_worker_number, self.settings, rng)
+            unlisted_worker.state = "GONE"
+            return self.endpoints_updated("DELTA", [unlisted_worker])
+        if choice < 0.33:
             return [
                 ("Note", {"job": self.jobs + 1000, "attempt": 0, "worker": b"\0", "kind": "STARTED"}),
                 ("Withdrawn", {"job": self.jobs + 1000}),
                 ("TimerFired", {"token": 10**9}),
                 ("FirstByte", {"job": self.jobs + 1000, "attempt": 0, "worker": b"\0", "elapsed": 1.0}),
-                ("Finished", self.end(self.jobs + 1000, 0, "ERROR") | {"settled": False}),
+                ("Finished", self.finished_fields(self.jobs + 1000, 0, "ERROR") | {"settled": False}),
             ]
-        if what < 0.4:
+        if choice < 0.4:
             zone = rng.randrange(max(1, len(self.settings["areas"])))
             state = rng.choice(("GONE", "READY"))
             changed = [worker for worker in self.workers if worker.zone == zone]
@@ -400,31 +404,34 @@
         else:
             changed = rng.sample(self.workers, min(len(self.workers), rng.choice((1, 1, 2, 4))))
             for worker in changed:
-                self.change(worker)
+                self.change_worker(worker)
         if rng.random() < 0.2:
-            self.spare += 1
-            self.workers.append(Worker(self.spare, self.settings, rng))
+            self.last_worker_number += 1
+            self.workers.append(Worker(self.last_worker_number, self.settings, rng))
             self.workers[-1].started_at = self.now - rng.uniform(0.0, 500.0)
             changed.append(self.workers[-1])
-        return self.news("DELTA", changed)
+        return self.endpoints_updated("DELTA", changed)
 
-    def change(self, worker: Worker) -> None:
-        """A drain, an end, a restart, another weight, or better or worse health."""
+    def change_worker(self, worker: Worker) -> None:
+        """Drain, remove or restart a worker, or change its weight or its behaviour."""
         rng = self.rng
-        what = rng.randrange(6)
-        if what == 0:
+        choice = rng.randrange(6)
+        if choice == 0:
             worker.state = "DRAINING"
-        elif what == 1:
+        elif choice == 1:
             worker.state = "GONE"
-        elif what <= 3:
+        elif choice <= 3:
             worker.state, worker.started_at = "READY", self.now - rng.uniform(0.0, 800.0)
-        elif what == 4:
+        elif choice == 4:
             worker.weight = rng.choice((0.0, 0.5, 1.0, 3.0))
         else:
-            worker.trouble, worker.slowness = rng.choice((0.0, 0.2, 0.9)), rng.choice((0.3, 1.0, 4.0))
+            worker.failure_probability, worker.duration_factor = (
+                rng.choice((0.0, 0.2, 0.9)),
+                rng.choice((0.3, 1.0, 4.0)),
+            )
 
-    def reload(self) -> None:
-        """New settings: other limits, and at times a class more."""
+    def reload_settings(self) -> None:
+        """Apply new settings with other limits, and sometimes an additional class."""
         rng = self.rng
         services = [dict(service) for service in self.settings["services"]]
         if rng.random() < 0.5:
@@ -442,84 +449,100 @@
             "weights": rng.choice(("off", "nominal", "live")),
             "permissions": self.settings["permissions"] | {"maxAttempts": rng.randint(1, 5)},
         }
-        self.decisions.retune(self.settings)
+        self.dispatcher.apply_settings(self.settings)
 
-    def news(self, kind: str, workers: list[Worker]) -> list[Item]:
-        """A piece of list news."""
+    def endpoints_updated(self, kind: str, workers: list[Worker]) -> list[Item]:
+        """An update of the endpoint list."""
         self.version += 1
         return [
-            ("ListNews", {"kind": kind, "version": self.version, "entries": [one.entry() for one in workers]})
+            (
+                "ListNews",
+                {"kind": kind, "version": self.version, "entries": [worker.entry() for worker in workers]},
+            )
         ]
 
-    def list_answer(self) -> list[Item]:
-        """Discovery answers a call, or doesn't."""
+    def discovery_response(self) -> list[Item]:
+        """The result of a call to discovery: a list or a failure."""
         rng = self.rng
-        if rng.random() < self.discovery_trouble:
+        if rng.random() < self.discovery_failure_probability:
             return [("ListNews", {"kind": "FAILED"})]
-        self.at(rng.uniform(300.0, 6000.0), "ListNews", kind="FAILED")  # the watch ends
-        return self.news(
+        self.schedule(rng.uniform(300.0, 6000.0), "ListNews", kind="FAILED")  # the subscription ends
+        return self.endpoints_updated(
             "FULL",
             [worker for worker in self.workers if rng.random() < (0.1 if worker.state == "GONE" else 0.93)],
         )
 
-    def carry_out(self, name: str, fields: Fields) -> None:
-        """What an action brings about."""
+    def perform(self, name: str, fields: Fields) -> None:
+        """Schedule the events that follow from an action."""
         rng = self.rng
         if name == "SetTimer":
-            self.at(fields["delay"], "TimerFired", token=fields["token"])
+            self.schedule(fields["delay"], "TimerFired", token=fields["token"])
         elif name in ("Refuse", "Fail"):
             self.answered.add(fields["job"])
         elif name == "WatchList":
-            self.at(rng.choice((1.0, 30.0, 1500.0)), "ask")
+            self.schedule(rng.choice((1.0, 30.0, 1500.0)), "ask")
         elif name == "Cancel":
             if rng.random() < 0.9:
-                self.at(
+                self.schedule(
                     rng.uniform(0.0, 20.0),
                     "Finished",
-                    **self.end(fields["job"], fields["attempt"], "CANCELLED"),
+                    **self.finished_fields(fields["job"], fields["attempt"], "CANCELLED"),
                 )
         elif name == "Send":
-            self.attempt(fields["job"], fields["worker"])
+            self.start_attempt(fields["job"], fields["worker"])
 
-    def attempt(self, job: int, name: bytes) -> None:
-        """An attempt begins; what becomes of it is drawn at once."""
+    def start_attempt(self, job: int, name: bytes) -> None:
+        """Start an attempt, whose outcome and times are drawn immediately."""
         rng = self.rng
-        place = self.attempts.get(job, 0)
-        self.attempts[job] = place + 1
+        attempt_index = self.attempts.get(job, 0)
+        self.attempts[job] = attempt_index + 1
         worker = next(worker for worker in self.workers if worker.name == name)
-        self.out[job, place] = worker
-        outcome = rng.choice(OUTCOMES) if rng.random() < worker.trouble or worker.state == "GONE" else "OK"
-        queued = rng.choice((1.0, 20.0, 20.0, 900.0)) * worker.slowness
-        lasts = rng.expovariate(1.0) * 300.0 * worker.slowness + 1.0
+        self.in_flight[job, attempt_index] = worker
+        outcome = (
+            rng.choice(OUTCOMES)
+            if rng.random() < worker.failure_probability or worker.state == "GONE"
+            else "OK"
+        )
+        queue_ms = rng.choice((1.0, 20.0, 20.0, 900.0)) * worker.duration_factor
+        service_ms = rng.expovariate(1.0) * 300.0 * worker.duration_factor + 1.0
         if self.settings["familyInfo"].get("tellsStart") and rng.random() < 0.9:
-            self.at(queued, "Note", job=job, attempt=place, worker=name, kind="STARTED")
-            for part in (0.3, 0.7):
+            self.schedule(queue_ms, "Note", job=job, attempt=attempt_index, worker=name, kind="STARTED")
+            for fraction in (0.3, 0.7):
                 if rng.random() < 0.5:
-                    self.at(
-                        queued + part * lasts,
+                    self.schedule(
+                        queue_ms + fraction * service_ms,
                         "Note",
                         job=job,
-                        attempt=place,
+                        attempt=attempt_index,
                         worker=name,
                         kind="PROGRESS",
-                        done=part,
+                        done=fraction,
                     )
         if rng.random() < 0.05:
-            self.at(
-                queued + lasts * 0.5, "FirstByte", job=job, attempt=place, worker=name, elapsed=lasts * 0.5
+            self.schedule(
+                queue_ms + service_ms * 0.5,
+                "FirstByte",
+                job=job,
+                attempt=attempt_index,
+                worker=name,
+                elapsed=service_ms * 0.5,
             )
         if outcome in ("FULL", "CONNECT_FAILED", "MOOT"):
-            queued = lasts = rng.choice((0.0, 2.0, 200.0))
-        self.at(queued + lasts, "Finished", **self.end(job, place, outcome, queued + lasts))
+            queue_ms = service_ms = rng.choice((0.0, 2.0, 200.0))
+        self.schedule(
+            queue_ms + service_ms,
+            "Finished",
+            **self.finished_fields(job, attempt_index, outcome, queue_ms + service_ms),
+        )
 
-    def end(self, job: int, place: int, outcome: str, elapsed: float = 1.0) -> Fields:
-        """The end of an attempt as an event's fields."""
+    def finished_fields(self, job: int, attempt_index: int, outcome: str, elapsed: float = 1.0) -> Fields:
+        """The fields of the event that ends an attempt."""
         rng = self.rng
         count = len(self.settings["stats"]["fields"]) if rng.random() < 0.7 else 0
-        worker = self.out.get((job, place))
+        worker = self.in_flight.get((job, attempt_index))
         return {
             "job": job,
-            "attempt": place,
+            "attempt": attempt_index,
             "worker": worker.name if worker else b"\0",
             "outcome": outcome,
             "elapsed": elapsed,
--- a/tests/equivalence/test_same_bytes.py
+++ b/tests/equivalence/test_same_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes in both directions: what 9bcbde6 wrote is read, and what is written now is the same."""
+"""Bytes that commit 9bcbde6 wrote are read, and the bytes written now are the same."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 from equivalence import names
-from pipitshed.cluster import row_store as rowsfile
+from pipitshed.cluster import row_store
 from pipitshed.cluster.codec import Codec
 from pipitshed.placement import plan
 from pipitshed.simulator import wire
@@ -21,7 +21,7 @@
 
 
 def golden(name: str) -> Any:
-    """What the commit before wrote."""
+    """A golden file, which commit 9bcbde6 wrote."""
     return json.loads((GOLDEN / name).read_text())
 
 
@@ -37,13 +37,13 @@
             assert codec.encode(codec.decode(data)) == data
 
 
-def test_the_file_of_rows_is_read_and_written_as_before(tmp_path: Path) -> None:
+def test_the_rows_file_is_read_and_written_as_before(tmp_path: Path) -> None:
     data = (GOLDEN / "rows-file").read_bytes()
     before, after = tmp_path / "before", tmp_path / "after"
     before.write_bytes(data)
-    kept = rowsfile.read(before)
-    assert [row.key for row in kept.rows] == ["class/quote/goalTime", "tenant/andes-retail/share"]
-    rowsfile.write(after, kept)
+    rows_file = row_store.read(before)
+    assert [row.key for row in rows_file.rows] == ["class/quote/goalTime", "tenant/andes-retail/share"]
+    row_store.write(after, rows_file)
     assert after.read_bytes() == data
 
 
@@ -65,54 +65,54 @@
 def test_an_event_of_the_simulator_is_read_as_before(name: str) -> None:
     record, expected = golden("events.json")[name]
     [(instance, event)] = wire.decode_batch(1, bytes.fromhex(record))
-    assert instance == 3 and event == names.event(name, expected)
+    assert instance == 3 and event == names.event_from_recording(name, expected)
 
 
-@pytest.mark.parametrize("place", range(len(golden("forms.json"))))
-def test_a_message_is_translated_as_before(place: int) -> None:
-    held = golden("forms.json")[place]
+@pytest.mark.parametrize("index", range(len(golden("forms.json"))))
+def test_a_message_is_translated_as_before(index: int) -> None:
+    case = golden("forms.json")[index]
     translator = Translator(read((ROOT / "deploy" / "translation.toml").read_text()), ("quote", "book"))
-    prepared = translator.prepare(names.request(held["request"]))
-    assert {str(interface): body.hex() for interface, body in prepared.bodies.items()} == held["bodies"]
-    assert sorted(map(str, prepared.failures)) == held["unfit"]
+    prepared = translator.prepare(names.request_from_recording(case["request"]))
+    assert {str(interface): body.hex() for interface, body in prepared.bodies.items()} == case["bodies"]
+    assert sorted(map(str, prepared.failures)) == case["unfit"]
 
 
-def test_the_json_schemas_ask_for_the_same_keys() -> None:
+def test_the_json_schemas_allow_the_same_keys() -> None:
     from click.testing import CliRunner
 
     from pipitshed.cli.commands import main
 
-    for which, keys in golden("schemas.json").items():
-        schema = json.loads(CliRunner().invoke(main, ["schema", which]).output)
-        assert schema_keys(schema) == keys, which
+    for file_kind, keys in golden("schemas.json").items():
+        schema = json.loads(CliRunner().invoke(main, ["schema", file_kind]).output)
+        assert schema_keys(schema) == keys, file_kind
 
 
 def schema_keys(schema: Any) -> list[str]:
-    """The keys that a schema allows, with their types and defaults: all but titles and descriptions."""
-    found: set[str] = set()
+    """The keys that a schema allows, with types and defaults but without titles and descriptions."""
+    keys_found: set[str] = set()
 
-    def walk(held: Any, path: str, within: tuple[str, ...] = ()) -> None:
-        if isinstance(held, list):
-            for item in held:
+    def collect_keys(node: Any, path: str, enclosing_types: tuple[str, ...] = ()) -> None:
+        if isinstance(node, list):
+            for item in node:
                 if isinstance(item, dict | list):
-                    walk(item, path, within)
+                    collect_keys(item, path, enclosing_types)
                 else:
-                    found.add(f"{path} {item!r}")
+                    keys_found.add(f"{path} {item!r}")
             return
-        for key, value in held.items():
+        for key, value in node.items():
             if key == "$ref":
                 name = value.rpartition("/")[2]
-                if name not in within:  # a type that holds itself is walked once
-                    walk(schema["$defs"][name], path, (*within, name))
+                if name not in enclosing_types:  # a recursive type is visited once
+                    collect_keys(schema["$defs"][name], path, (*enclosing_types, name))
             elif key == "properties":
                 for name, inner in value.items():
-                    walk(inner, f"{path}.{name}", within)
+                    collect_keys(inner, f"{path}.{name}", enclosing_types)
             elif key in ("title", "description", "$defs"):
                 continue
             elif isinstance(value, dict | list):
-                walk(value, f"{path}<{key}>", within)
+                collect_keys(value, f"{path}<{key}>", enclosing_types)
             else:
-                found.add(f"{path} {key}={value!r}")
+                keys_found.add(f"{path} {key}={value!r}")
 
-    walk(schema, "")
-    return sorted(found)
+    collect_keys(schema, "")
+    return sorted(keys_found)
--- a/tests/equivalence/test_same_transcripts.py
+++ b/tests/equivalence/test_same_transcripts.py
@@ -1,6 +1,6 @@
-"""What the fronts, worker clients, figures, log and trace write on real sockets is what 9bcbde6 wrote.
+"""Frontends, worker clients, metrics, log and trace write the same bytes on sockets as commit 9bcbde6.
 
-Times, ids that are drawn and ports are masked; everything else is compared to the byte.
+Times, random ids and ports are masked; everything else is compared byte by byte.
 """
 
 from __future__ import annotations
@@ -54,18 +54,18 @@
 
 
 def masked(data: bytes) -> str:
-    """Bytes as text, without what differs from run to run."""
+    """Bytes as text, with the parts masked that differ between runs."""
     for pattern, text in MASKS:
         data = re.sub(pattern, text, data)
     return data.decode("latin-1")
 
 
 class RecordingPlanner(Planner):
-    """A worker that keeps the bytes of each request as they came."""
+    """A stand-in worker that stores the received bytes of each request."""
 
     def __init__(self) -> None:
         super().__init__("p1", act=self.answer)
-        self.raw: list[bytes] = []
+        self.received_bytes: list[bytes] = []
 
     @staticmethod
     def answer(run: Run) -> None:
@@ -78,22 +78,22 @@
             run.serve()
 
     async def serve(self, reader: Reader, writer: Writer) -> None:
-        tapped = asyncio.StreamReader()
-        copy = asyncio.create_task(self.tap(reader, tapped))
+        copied_reader = asyncio.StreamReader()
+        copy_task = asyncio.create_task(self.copy_bytes(reader, copied_reader))
         try:
-            await super().serve(tapped, writer)
+            await super().serve(copied_reader, writer)
         finally:
-            copy.cancel()
+            copy_task.cancel()
 
-    async def tap(self, reader: Reader, tapped: asyncio.StreamReader) -> None:
+    async def copy_bytes(self, reader: Reader, copied_reader: asyncio.StreamReader) -> None:
         while data := await reader.read(65536):
-            self.raw.append(data)
-            tapped.feed_data(data)
-        tapped.feed_eof()
+            self.received_bytes.append(data)
+            copied_reader.feed_data(data)
+        copied_reader.feed_eof()
 
 
 async def http_transcript() -> Transcript:
-    """Each request on a connection of its own: the answer, and what the worker was sent."""
+    """For each request, on a connection of its own: the answer and the bytes sent to the worker."""
     transcript = {}
     settings = {
         "permissions": {
@@ -106,7 +106,7 @@
     }
     async with RecordingPlanner() as planner, program(planner, settings=settings, mgmt=True) as running:
         for name, request in REQUESTS.items():
-            planner.raw.clear()
+            planner.received_bytes.clear()
             reader, writer = await asyncio.open_connection("127.0.0.1", running.port)
             writer.write(request)
             answer = await reader.readuntil(b"\r\n\r\n")
@@ -114,16 +114,16 @@
             answer += await reader.readexactly(length)
             writer.close()
             transcript[name] = masked(answer)
-            transcript[f"{name}, sent on"] = masked(b"".join(planner.raw))
-        status, figures = await call(running.mgmt_port, b"GET /-/metrics HTTP/1.1\r\nHost: a\r\n\r\n")
-        transcript["figures"] = figures.decode()
+            transcript[f"{name}, sent on"] = masked(b"".join(planner.received_bytes))
+        status, metrics = await call(running.mgmt_port, b"GET /-/metrics HTTP/1.1\r\nHost: a\r\n\r\n")
+        transcript["figures"] = metrics.decode()
         status, ready = await call(running.mgmt_port, b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
         transcript["ready"] = f"{status} {ready.decode()}"
     return transcript
 
 
 async def gearman_transcript() -> Transcript:
-    """What a Gearman client, worker and administrator read."""
+    """The bytes that a Gearman client, worker and administrator receive."""
     transcript = {}
     async with (
         Planner("p1", act=RecordingPlanner.answer) as planner,
@@ -140,13 +140,13 @@
             ("a job that fails, with exceptions", Kind.SUBMIT_JOB, (b"plan_quote", b"u5", b"fail"), 3),
         ):
             client.say(kind, *arguments)
-            told = b""
+            received = b""
             with contextlib.suppress(TimeoutError):
                 for _ in range(answers):
                     async with asyncio.timeout(2.0):
                         head = await client.reader.readexactly(12)
-                        told += head + await client.reader.readexactly(int.from_bytes(head[8:], "big"))
-            transcript[f"gearman: {name}"] = masked(re.sub(rb"(?s)(\0RES.{4}).{4}", rb"\1", told))
+                        received += head + await client.reader.readexactly(int.from_bytes(head[8:], "big"))
+            transcript[f"gearman: {name}"] = masked(re.sub(rb"(?s)(\0RES.{4}).{4}", rb"\1", received))
         for command in (b"version", b"nonsense"):
             reader, writer = await asyncio.open_connection("127.0.0.1", running.gearman_port)
             writer.write(command + b"\n")
@@ -168,7 +168,7 @@
 
 
 async def trace_transcript(folder: Path) -> Transcript:
-    """The trace that LB_TRACE asks for, and the log."""
+    """The trace file of LB_TRACE, and the log."""
     trace = folder / "trace"
     async with Planner("p1") as planner, program(planner, env={"LB_TRACE": str(trace)}) as running:
         client = await HttpClient.to(running.port)
@@ -193,10 +193,10 @@
     }
 
 
-def compare(made: Transcript) -> None:
-    """Each part must be as it was; a part that there was not is a fault as well."""
+def compare(transcript: Transcript) -> None:
+    """Compare each part with the golden file; a part that the golden file lacks raises KeyError."""
     expected = json.loads(GOLDEN.read_text())
-    for name, text in made.items():
+    for name, text in transcript.items():
         assert text == expected[name], name
 
 
