--- a/tests/deployments.py
+++ b/tests/deployments.py
@@ -1,4 +1,4 @@
-"""Legal deployments, drawn: the settings that a scheduler may be told, in the platform's own words."""
+"""Hypothesis strategy for valid deployments: random settings of a scheduler, in the platform's format."""
 
 from __future__ import annotations
 
@@ -7,43 +7,43 @@
 from hypothesis import strategies as st
 
 FIELDS = ("concurrent", "depth", "load_share", "mean_ms", "tps", "err_ps", "x0", "x1")
-EFFECTS = ("retryable", "dedup", "fragile")
+REPEAT_POLICIES = ("retryable", "dedup", "fragile")
 
 
-def _names(what: str, least: int, most: int) -> st.SearchStrategy[list[str]]:
-    """Names that no code can know, some of them far from plain."""
+def _names(prefix: str, min_count: int, max_count: int) -> st.SearchStrategy[list[str]]:
+    """Random names with a prefix, some with non-ASCII characters."""
     word = st.text("abcxyz-_09é", min_size=1, max_size=12)
-    return st.lists(word, min_size=least, max_size=most, unique=True).map(
-        lambda words: [f"{what}-{one}" for one in words]
+    return st.lists(word, min_size=min_count, max_size=max_count, unique=True).map(
+        lambda words: [f"{prefix}-{suffix}" for suffix in words]
     )
 
 
-def _numbers(low: float, high: float) -> st.SearchStrategy[float]:
-    return st.floats(low, high, allow_nan=False).map(lambda value: round(value, 3))
+def _numbers(minimum: float, maximum: float) -> st.SearchStrategy[float]:
+    return st.floats(minimum, maximum, allow_nan=False).map(lambda value: round(value, 3))
 
 
 @st.composite
 def deployments(draw: st.DrawFn, longest: float = 20_000.0) -> dict[str, Any]:
-    """The settings of a legal deployment; no deadline is longer than `longest` (ms)."""
+    """The settings of a valid deployment; no deadline is longer than `longest` ms."""
     zones, shapes = draw(_names("zone", 1, 5)), draw(_names("shape", 1, 4))
     classes = []
     for name in draw(_names("class", 1, 6)):
         deadline = draw(_numbers(400.0, longest))
-        one: dict[str, Any] = {
+        settings_of_class: dict[str, Any] = {
             "name": name,
             "deadline": deadline,
             "goalTime": round(deadline * draw(_numbers(0.02, 0.9)), 1),
             "gain": draw(_numbers(0.0, 20.0)),
             "lateWorth": draw(_numbers(0.0, 1.0)),
-            "repeat": draw(st.sampled_from(EFFECTS)),
+            "repeat": draw(st.sampled_from(REPEAT_POLICIES)),
             "keyScope": draw(st.sampled_from(("all", "zone", "cell"))),
             "window": draw(_numbers(50.0, 30_000.0)),
             "stream": False,
         }
         if draw(st.booleans()):
-            one["aimStretch"] = draw(_numbers(0.0, 4.0))
-        classes.append(one)
-    starts = draw(st.booleans())
+            settings_of_class["aimStretch"] = draw(_numbers(0.0, 4.0))
+        classes.append(settings_of_class)
+    workers_report_start = draw(st.booleans())
     return {
         "areas": zones,
         "locality": draw(st.integers(0, len(zones) - 1)),
@@ -58,7 +58,7 @@
             "fields": draw(st.lists(st.sampled_from(FIELDS), max_size=4, unique=True)),
         },
         "familyInfo": {
-            "tellsStart": starts,
+            "tellsStart": workers_report_start,
             "progress": draw(st.sampled_from((0.0, 500.0, 2000.0))),
             "classStretch": [draw(_numbers(0.0, 3.0)) for _ in classes],
             "classPriority": [draw(st.integers(0, 3)) for _ in classes],
