--- a/pipitshed/scheduling/attempt_watchdog.py
+++ b/pipitshed/scheduling/attempt_watchdog.py
@@ -13,7 +13,7 @@
 START_TIMEOUT_HANDSHAKE_FACTOR = 3.0  # per unit of handshake cost: a cancel closes a connection
 START_TIMEOUT_REJECTION_FACTOR = 6.0  # per rejected fraction: workers that reject jobs have short queues
 MIN_START_TIMEOUT_TICKS = 3
-STALLED_PROGRESS_INTERVALS = 1.75  # without a report: the attempt has stalled, as reports may be late
+STALLED_PROGRESS_INTERVALS = 1.75  # without a report, after which an attempt has stalled; reports may be late
 
 
 class StartOverdueAction(enum.Enum):
--- a/pipitshed/scheduling/capacity_estimate.py
+++ b/pipitshed/scheduling/capacity_estimate.py
@@ -7,7 +7,7 @@
 from pipitshed.scheduling.settings import Settings
 from pipitshed.scheduling.worker_state import Worker
 
-WINDOW_ATTEMPT_COUNT = 30  # window size of Equation 1 in the load-balancing paper
+WINDOW_ATTEMPT_COUNT = 30  # window size of the paper's Equation 1
 WINDOW_MAX_AGE_MS = 30_000.0  # older attempts do not reflect the present load
 BUSY_PROBABILITY = 0.5  # no-capacity probability above which the workers count as busy
 MEAN_SMOOTHING = 0.05  # weight of a new sample in a running mean
--- a/pipitshed/scheduling/dispatcher.py
+++ b/pipitshed/scheduling/dispatcher.py
@@ -397,7 +397,7 @@
             self._record_capacity(attempt.worker, late and not self.settings.workers_report_start)
 
     def _apply_pushback(self, job: Job, worker: Worker, pushback_ms: float) -> None:
-        """Delay the next attempt as the worker requests; give the job up if it asks for none or too late."""
+        """Delay the next attempt as the worker requests; give the job up if that leaves it no attempt."""
         job.resume_at_ms = max(job.resume_at_ms, self.now_ms + pushback_ms)
         outlier_ejection.eject_until(worker, job.resume_at_ms)
         if pushback_ms < 0 or job.resume_at_ms >= job.deadline_ms:
--- a/pipitshed/scheduling/events.py
+++ b/pipitshed/scheduling/events.py
@@ -20,7 +20,7 @@
 
 
 class UpdateKind(enum.IntEnum):
-    """What the entries of an update are: the complete list, changes to it, or none."""
+    """What an update holds: the whole list, changes, nothing (a failed fetch), or a cached whole list."""
 
     SNAPSHOT = 0
     DELTA = 1
--- a/pipitshed/scheduling/settings.py
+++ b/pipitshed/scheduling/settings.py
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant's relative share of the traffic, and its quota in jobs/s over all dispatchers (0: none)."""
+    """A tenant's relative share of the traffic, and its quota in jobs/s over all dispatchers; 0 for none."""
 
     quota_share: float = 1.0
     quota_per_s: float = 0.0
--- a/pipitshed/scheduling/worker_selection.py
+++ b/pipitshed/scheduling/worker_selection.py
@@ -123,7 +123,8 @@
                 worker.unstarted_count > 0
                 or self._rng.random() * DEFAULT_WORKER_SLOTS < worker.reserved_slots * (job.slots + 1) / 2
             )
-        # Current queue lengths are unknown: only the slots that own jobs leave free count as capacity.
+        # Current queue lengths are unknown, so only the slots that this dispatcher's jobs leave free count as
+        # capacity.
         free_fraction = max(0.0, 1 - worker.reserved_slots / self._load.worker_slots(worker))
         return self._rng.random() > math.pow(free_fraction, RESERVED_SLOTS_EXPONENT)
 
--- a/tests/scheduling/test_dispatcher_rules.py
+++ b/tests/scheduling/test_dispatcher_rules.py
@@ -366,7 +366,7 @@
 
 @pytest.mark.parametrize("scheduler_count", [1, 20])
 def test_workers_in_slow_start_get_their_part_from_all_schedulers_together(scheduler_count: int) -> None:
-    guarantees = Guarantees(
+    slow_start = Guarantees(
         slow_start_ms=10_000.0,
         initial_capacity_fraction=0.2,
         overload_multiple=3.0,
@@ -377,7 +377,7 @@
     )
     slow_start_count = total = 0
     for seed in range(scheduler_count):
-        bench = Bench(settings(zone_count=1, guarantees=guarantees), workers, seed)
+        bench = Bench(settings(zone_count=1, guarantees=slow_start), workers, seed)
         for send in serve_jobs(bench, 2000 // scheduler_count):
             slow_start_count += send.worker == worker_id(1)
             total += 1
@@ -617,7 +617,7 @@
     [send] = sends_of(bench.feed(JobSubmitted(50, 4000.0)))
     bench.finish(send, 0, Outcome.REJECTED)
     assert bench.dispatcher.window.rejected_fraction() > 0
-    assert send.worker not in {send.worker for send in serve_jobs(bench, 20, first=60)}
+    assert send.worker not in {later.worker for later in serve_jobs(bench, 20, first=60)}
 
 
 def test_a_zone_with_few_workers_gets_no_more_than_its_part() -> None:
@@ -641,13 +641,13 @@
 
 
 def test_jobs_of_much_work_go_to_workers_in_slow_start_less_often() -> None:
-    guarantees = Guarantees(slow_start_ms=1e9, initial_capacity_fraction=0.5)
+    slow_start = Guarantees(slow_start_ms=1e9, initial_capacity_fraction=0.5)
     workers = tuple(
         replace(entry, started_at_ms=990.0 if index == 0 else 0.0) for index, entry in enumerate(entries(5))
     )
 
     def slow_start_count(slots: float) -> int:
-        bench = Bench(settings(zone_count=1, guarantees=guarantees), workers)
+        bench = Bench(settings(zone_count=1, guarantees=slow_start), workers)
         statistics = bench.dispatcher.statistics
         statistics.mean_service_time_ms, statistics.mean_slot_time_ms = [100.0], 100.0
         return sum(
--- a/tests/scheduling/test_rule_checker.py
+++ b/tests/scheduling/test_rule_checker.py
@@ -28,7 +28,7 @@
     settings(
         idempotency,
         deduplication_scope,
-        limits=Limits(may_cancel=may_cancel, parallel_attempts=parallel, max_attempts=4),
+        limits=Limits(may_cancel=cancellable, parallel_attempts=parallel, max_attempts=4),
         workers_report_start=reports_start,
         endpoints_polled=polled,
         progress_interval_ms=1000.0,
@@ -40,7 +40,7 @@
         (Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE),
         (Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL),
     ]
-    for may_cancel, parallel, reports_start, polled in [
+    for cancellable, parallel, reports_start, polled in [
         (True, True, True, True),
         (False, False, False, False),
         (True, False, True, False),
