--- a/pipitshed/scheduling/endpoint_list.py
+++ b/pipitshed/scheduling/endpoint_list.py
@@ -11,7 +11,7 @@
 from pipitshed.scheduling.worker_state import Worker
 
 LIVE_WEIGHT_SMOOTHING = 0.1  # weight of a new sample; live weights follow the load with a delay
-FORGET_AFTER_MS = 60_000.0  # retention of departed workers; only a requested ejection may last longer
+DEPARTED_RETENTION_MS = 60_000.0  # longer than any ejection, except one that the worker requested
 WEIGHT_COUNT = 3  # weights of a worker: the plan's, the list's and an equal one
 
 PoolKey = tuple[int, frozenset[int] | None]  # a job's class and its compatible interfaces
@@ -45,7 +45,7 @@
             listed.add(entry.worker)
         if update.kind is not UpdateKind.DELTA:
             self._remove_all_except(listed, now_ms)
-        self._forget_departed(now_ms)
+        self._remove_departed(now_ms)
 
     def _apply_entry(self, entry: EndpointEntry, now_ms: float) -> None:
         worker = self.workers.get(entry.worker)
@@ -82,7 +82,7 @@
                     worker.ready = False
                     self._update_weights(worker)
 
-    def _forget_departed(self, now_ms: float) -> None:
+    def _remove_departed(self, now_ms: float) -> None:
         """Remove workers that departed long ago, except those with attempts in flight or an ejection.
 
         A list may lack a worker by mistake, so a worker that is listed again within the retention time keeps
@@ -90,7 +90,7 @@
         """
         departed = self.departed_at_ms
         for worker_id in list(
-            takewhile(lambda worker_id: departed[worker_id] <= now_ms - FORGET_AFTER_MS, departed)
+            takewhile(lambda worker_id: departed[worker_id] <= now_ms - DEPARTED_RETENTION_MS, departed)
         ):
             worker = self.workers[worker_id]
             del departed[worker_id]
--- a/tests/scheduling/test_endpoint_list.py
+++ b/tests/scheduling/test_endpoint_list.py
@@ -11,7 +11,7 @@
 
 from benchmarks.capacity.decisions import Scheduler
 from pipitshed.scheduling.actions import StartAttempt
-from pipitshed.scheduling.endpoint_list import FORGET_AFTER_MS
+from pipitshed.scheduling.endpoint_list import DEPARTED_RETENTION_MS
 from pipitshed.scheduling.events import EndpointState, EndpointsUpdated, JobSubmitted, Outcome, UpdateKind
 from pipitshed.scheduling.settings import DeduplicationScope, Guarantees, Idempotency, Limits
 from pipitshed.scheduling.slow_start import is_warming_up
@@ -44,7 +44,7 @@
     return sends_of(bench.feed(EndpointsUpdated(UpdateKind.DELTA, 1, listed)))  # type: ignore[arg-type]
 
 
-def remove_first_worker(bench: Bench, wait_ms: float = FORGET_AFTER_MS) -> None:
+def remove_first_worker(bench: Bench, wait_ms: float = DEPARTED_RETENTION_MS) -> None:
     """Remove the first worker from the list, and send another update `wait_ms` later."""
     update_list(bench, replace(FIRST, state=EndpointState.REMOVED))
     bench.now += wait_ms
@@ -67,7 +67,7 @@
     for _ in range(3):
         for _ in range(433):
             scheduler.replace()
-        scheduler.now += FORGET_AFTER_MS
+        scheduler.now += DEPARTED_RETENTION_MS
         scheduler.replace()
     assert len(endpoint_list.workers) <= 202 and len(endpoint_list.departed_at_ms) <= 2
     assert all(len(tag_group.members) <= 200 + 433 + 3 for tag_group in endpoint_list.pools._groups.values())
@@ -80,10 +80,10 @@
     bench.finish(submit_job(bench), 0, Outcome.REJECTED)
     worker = bench.dispatcher.workers[FIRST_ID]
     assert worker.consecutive_rejections == 1
-    remove_first_worker(bench, FORGET_AFTER_MS - 1)
+    remove_first_worker(bench, DEPARTED_RETENTION_MS - 1)
     update_list(bench, FIRST)
     assert bench.dispatcher.workers[FIRST_ID] is worker
-    remove_first_worker(bench, FORGET_AFTER_MS - 1)  # listed in between, so its retention time starts again
+    remove_first_worker(bench, DEPARTED_RETENTION_MS - 1)  # the list update restarted the time
     assert FIRST_ID in bench.dispatcher.workers
 
 
@@ -92,7 +92,7 @@
     bench = bench_of()
     remove_first_worker(bench, 0.0)
     update_list(bench, replace(FIRST, state=state))
-    bench.now += 2 * FORGET_AFTER_MS
+    bench.now += 2 * DEPARTED_RETENTION_MS
     update_list(bench)
     assert FIRST_ID in bench.dispatcher.workers
 
@@ -106,17 +106,17 @@
         == 1
     )
     bench.finish(send, 0, Outcome.OK)
-    bench.now += FORGET_AFTER_MS
+    bench.now += DEPARTED_RETENTION_MS
     update_list(bench)
     assert FIRST_ID not in bench.dispatcher.workers
 
 
 def test_a_requested_ejection_outlasts_the_retention_time() -> None:
     bench = bench_of()
-    bench.finish(submit_job(bench), 0, Outcome.REJECTED, pushback_ms=2 * FORGET_AFTER_MS)
+    bench.finish(submit_job(bench), 0, Outcome.REJECTED, pushback_ms=2 * DEPARTED_RETENTION_MS)
     remove_first_worker(bench)
     assert bench.dispatcher.workers[FIRST_ID].ejected_until_ms > bench.now
-    bench.now += 2 * FORGET_AFTER_MS
+    bench.now += 2 * DEPARTED_RETENTION_MS
     update_list(bench)
     assert FIRST_ID not in bench.dispatcher.workers
 
