--- a/tests/attempt_rig.py
+++ b/tests/attempt_rig.py
@@ -68,7 +68,7 @@
 
 
 @contextlib.asynccontextmanager
-async def late_connections() -> AsyncIterator[Callable[[], None]]:
+async def delayed_connections() -> AsyncIterator[Callable[[], None]]:
     """Connections come up when the test says so; entered, it waits for nothing."""
     loop = asyncio.get_running_loop()
     gate, create = asyncio.Event(), loop.create_connection
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -7,7 +7,7 @@
 from unittest.mock import Mock
 
 import pytest
-from attempt_rig import Rig, late_connections
+from attempt_rig import Rig, delayed_connections
 from grpc_peer import GrpcPlanner, bench
 from helpers import entries
 from interface_world import World, row
@@ -95,7 +95,7 @@
 
     @story
     async def run() -> None:
-        async with Planner("p1") as planner, late_connections() as up:
+        async with Planner("p1") as planner, delayed_connections() as up:
             rig, clock = Rig(), Clock()
             table = rig.core.endpoints
             table._clock = clock
@@ -163,7 +163,7 @@
     permissions = SETTINGS["permissions"] | {"idleClose": 100.0, "maxAttempts": 1}
     async with (
         GrpcPlanner("p1") as planner,
-        late_connections() as up,
+        delayed_connections() as up,
         bench(planner, settings={"permissions": permissions}) as made,
     ):
         caller = made.ask()
--- a/tests/upstream/test_attempt_races.py
+++ b/tests/upstream/test_attempt_races.py
@@ -8,7 +8,7 @@
 from unittest.mock import Mock
 
 import pytest
-from attempt_rig import Rig, late_connections
+from attempt_rig import Rig, delayed_connections
 from loopback import Peer, Planner, Reader, Writer, story
 
 from pipitshed.protocols.gearman import Kind, pack
@@ -31,7 +31,7 @@
 
     @story
     async def run() -> None:
-        async with Planner("p1") as planner, late_connections() as up:
+        async with Planner("p1") as planner, delayed_connections() as up:
             rig = Rig(Idempotency.IDEMPOTENT_WITH_KEY)
             rig.lists(planner.port)
             exchange = rig.take("a1")
