--- a/tests/attempt_rig.py
+++ b/tests/attempt_rig.py
@@ -51,7 +51,7 @@
             self.ended.put_nowait(event)
         assert not isinstance(event, JobSubmitted) or event.job_id
 
-    def lists(self, port: int, state: EndpointState = EndpointState.READY) -> None:
+    def list_worker(self, port: int, state: EndpointState = EndpointState.READY) -> None:
         [entry] = entries(1)
         target = Endpoint(entry.worker, self.carrier, ("127.0.0.1", port))
         self.core.endpoints.update("test", UpdateKind.DELTA, 1, [(replace(entry, state=state), target)])
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -99,11 +99,11 @@
             rig, clock = Rig(), Clock()
             table = rig.core.endpoints
             table._clock = clock
-            rig.lists(planner.port)
+            rig.list_worker(planner.port)
             [entry, other] = entries(2)
             rig.send(rig.take("a1"))
             await asyncio.sleep(0)
-            rig.lists(planner.port, EndpointState.REMOVED)
+            rig.list_worker(planner.port, EndpointState.REMOVED)
             for _ in range(3):  # news of another planner, in which others would be forgotten
                 clock.now += 2 * FORGET_AFTER_S
                 table.update(
@@ -113,7 +113,7 @@
             up()
             assert await rig.outcome() is Outcome.CONNECT_FAILED and not planner.runs
             if again:  # it is back, and cold: what is held of it is of its new start
-                rig.lists(planner.port)
+                rig.list_worker(planner.port)
                 rig.send(rig.take("a2"))
                 assert await rig.outcome() is Outcome.OK
             clock.now += 2 * FORGET_AFTER_S
@@ -131,10 +131,10 @@
         rig, clock = Rig(), Clock()
         rig.core.endpoints._clock = clock
         rig.core.endpoints._workers_in_use = lambda: ()  # even then
-        rig.lists(planner.port)
+        rig.list_worker(planner.port)
         rig.send(rig.take("a1"))
         run = await planner.wait_for(1)
-        rig.lists(planner.port, EndpointState.REMOVED)
+        rig.list_worker(planner.port, EndpointState.REMOVED)
         clock.now += 2 * FORGET_AFTER_S
         rig.core.endpoints.update("test", UpdateKind.DELTA, 1, [])
         assert rig.core.endpoints.endpoint(rig.worker) is None
@@ -148,7 +148,7 @@
     rig = Rig()
     for number in range(12):
         async with Planner(f"p{number}", act=Run.serve) as planner:
-            rig.lists(planner.port)
+            rig.list_worker(planner.port)
             rig.send(rig.take(f"a{number}"))
             assert await rig.outcome() is Outcome.OK
             connection = next(iter(rig.carrier._open_connections))
--- a/tests/upstream/test_attempt_races.py
+++ b/tests/upstream/test_attempt_races.py
@@ -33,7 +33,7 @@
     async def run() -> None:
         async with Planner("p1") as planner, delayed_connections() as up:
             rig = Rig(Idempotency.IDEMPOTENT_WITH_KEY)
-            rig.lists(planner.port)
+            rig.list_worker(planner.port)
             exchange = rig.take("a1")
             rig.send(exchange, 30.0 if crossing == "the window ends" else 0.0)
             if crossing == "the client goes":
@@ -44,12 +44,12 @@
                 loop.call_at(exchange.attempts[0].write_deadline_at + 0.001, passed.set)
                 await passed.wait()
             else:
-                rig.lists(
+                rig.list_worker(
                     planner.port, EndpointState.DRAINING if "drains" in crossing else EndpointState.REMOVED
                 )
             up()
             assert await rig.outcome() is Outcome.CONNECT_FAILED
-            rig.lists(planner.port)
+            rig.list_worker(planner.port)
             other = rig.take("a2")
             rig.send(other)
             assert await rig.outcome() is Outcome.OK
@@ -94,7 +94,7 @@
     """`done` had been read, so the attempt was over, and no timer was left to end the connection."""
     async with Script(CHUNKED + DONE) as planner:
         rig = Rig()
-        rig.lists(planner.port)
+        rig.list_worker(planner.port)
         rig.send(rig.take())
         assert await rig.outcome() is Outcome.OK
         began = asyncio.get_running_loop().time()
@@ -125,7 +125,7 @@
     async def run() -> None:
         async with Script(text) as planner:
             rig = Rig()
-            rig.lists(planner.port)
+            rig.list_worker(planner.port)
             rig.send(rig.take())
             assert await rig.outcome() is Outcome.RESET, name
             assert await planner.ends.get() == 1
@@ -159,7 +159,7 @@
 
         async with Late() as planner:
             rig = Rig(effect)
-            rig.lists(planner.port)
+            rig.list_worker(planner.port)
             rig.send(rig.take("a1"))
             assert await rig.outcome() is Outcome.OK
             rig.send(rig.take("a2"))
@@ -173,7 +173,7 @@
     """In one segment with the first answer's end: the rest of it would have met the next request."""
     async with Script(CHUNKED + DONE + END + NOT_RUN[:20], CHUNKED + DONE + END) as planner:
         rig = Rig()
-        rig.lists(planner.port)
+        rig.list_worker(planner.port)
         rig.send(rig.take("a1"))
         assert await rig.outcome() is Outcome.OK
         assert await planner.ends.get() == 1
@@ -192,7 +192,7 @@
 
     async with Hasty() as planner:
         rig = Rig()
-        rig.lists(planner.port)
+        rig.list_worker(planner.port)
         rig.send(rig.take("a1", bytes(32 * 1024 * 1024)))
         assert await rig.outcome() is Outcome.REJECTED
         assert not rig.carrier.pool._idle.get(("127.0.0.1", planner.port))
@@ -239,7 +239,7 @@
     got: list[int] = []
     async with Halting() as planner:
         rig = Rig()
-        rig.lists(planner.port)
+        rig.list_worker(planner.port)
         exchange = rig.take("a1", bytes(32 * 1024 * 1024))
         rig.send(exchange)
         await halted.wait()
@@ -258,7 +258,7 @@
     """The exception ended the task alone: the attempt waited for its deadline."""
     async with Planner("p1") as planner:
         rig = Rig()
-        rig.lists(planner.port)
+        rig.list_worker(planner.port)
         target = rig.core.endpoints.endpoint(rig.worker)
         assert target is not None
         target.address = ("a" * 70 + ".example", 80)
