--- a/tests/attempt_rig.py
+++ b/tests/attempt_rig.py
@@ -57,7 +57,7 @@
         self.core.endpoints.update("test", UpdateKind.DELTA, 1, [(replace(entry, state=state), target)])
         self.worker = entry.worker
 
-    def take(self, name: str = "a1", body: bytes = b"pallets") -> RequestContext:
+    def submit(self, name: str = "a1", body: bytes = b"pallets") -> RequestContext:
         return self.core.submit(Request(name, 0, 9000.0, 0, body, "k-" + name), Mock())
 
     def send(self, exchange: RequestContext, write_within: float = 0.0) -> None:
