--- a/tests/attempt_rig.py
+++ b/tests/attempt_rig.py
@@ -60,7 +60,7 @@
     def submit(self, name: str = "a1", body: bytes = b"pallets") -> RequestContext:
         return self.core.submit(Request(name, 0, 9000.0, 0, body, "k-" + name), Mock())
 
-    def send(self, exchange: RequestContext, write_within: float = 0.0) -> None:
+    def start_attempt(self, exchange: RequestContext, write_within: float = 0.0) -> None:
         self.core._execute(StartAttempt(exchange.job_id, self.worker, write_within_ms=write_within))
 
     async def outcome(self) -> Outcome:
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -101,7 +101,7 @@
             table._clock = clock
             rig.list_worker(planner.port)
             [entry, other] = entries(2)
-            rig.send(rig.submit("a1"))
+            rig.start_attempt(rig.submit("a1"))
             await asyncio.sleep(0)
             rig.list_worker(planner.port, EndpointState.REMOVED)
             for _ in range(3):  # news of another planner, in which others would be forgotten
@@ -114,7 +114,7 @@
             assert await rig.outcome() is Outcome.CONNECT_FAILED and not planner.runs
             if again:  # it is back, and cold: what is held of it is of its new start
                 rig.list_worker(planner.port)
-                rig.send(rig.submit("a2"))
+                rig.start_attempt(rig.submit("a2"))
                 assert await rig.outcome() is Outcome.OK
             clock.now += 2 * FORGET_AFTER_S
             table.update("test", UpdateKind.DELTA, 1, [(replace(other, weight=2.0), Mock())])
@@ -132,7 +132,7 @@
         rig.core.endpoints._clock = clock
         rig.core.endpoints._workers_in_use = lambda: ()  # even then
         rig.list_worker(planner.port)
-        rig.send(rig.submit("a1"))
+        rig.start_attempt(rig.submit("a1"))
         run = await planner.wait_for(1)
         rig.list_worker(planner.port, EndpointState.REMOVED)
         clock.now += 2 * FORGET_AFTER_S
@@ -149,7 +149,7 @@
     for number in range(12):
         async with Planner(f"p{number}", act=Run.serve) as planner:
             rig.list_worker(planner.port)
-            rig.send(rig.submit(f"a{number}"))
+            rig.start_attempt(rig.submit(f"a{number}"))
             assert await rig.outcome() is Outcome.OK
             connection = next(iter(rig.carrier._open_connections))
         while connection in rig.carrier._open_connections:  # the planner's end closes it
--- a/tests/upstream/test_attempt_races.py
+++ b/tests/upstream/test_attempt_races.py
@@ -35,7 +35,7 @@
             rig = Rig(Idempotency.IDEMPOTENT_WITH_KEY)
             rig.list_worker(planner.port)
             exchange = rig.submit("a1")
-            rig.send(exchange, 30.0 if crossing == "the window ends" else 0.0)
+            rig.start_attempt(exchange, 30.0 if crossing == "the window ends" else 0.0)
             if crossing == "the client goes":
                 rig.core.withdraw(exchange)
             elif crossing == "the window ends":
@@ -51,7 +51,7 @@
             assert await rig.outcome() is Outcome.CONNECT_FAILED
             rig.list_worker(planner.port)
             other = rig.submit("a2")
-            rig.send(other)
+            rig.start_attempt(other)
             assert await rig.outcome() is Outcome.OK
             assert [run.headers["x-request-id"] for run in planner.runs] == ["a2"]
             if crossing != "the client goes":
@@ -95,7 +95,7 @@
     async with Script(CHUNKED + DONE) as planner:
         rig = Rig()
         rig.list_worker(planner.port)
-        rig.send(rig.submit())
+        rig.start_attempt(rig.submit())
         assert await rig.outcome() is Outcome.OK
         began = asyncio.get_running_loop().time()
         await planner.ends.get()
@@ -126,7 +126,7 @@
         async with Script(text) as planner:
             rig = Rig()
             rig.list_worker(planner.port)
-            rig.send(rig.submit())
+            rig.start_attempt(rig.submit())
             assert await rig.outcome() is Outcome.RESET, name
             assert await planner.ends.get() == 1
 
@@ -160,9 +160,9 @@
         async with Late() as planner:
             rig = Rig(effect)
             rig.list_worker(planner.port)
-            rig.send(rig.submit("a1"))
+            rig.start_attempt(rig.submit("a1"))
             assert await rig.outcome() is Outcome.OK
-            rig.send(rig.submit("a2"))
+            rig.start_attempt(rig.submit("a2"))
             assert await rig.outcome() is outcome and len(planner.writers) == 1
 
     run()
@@ -174,7 +174,7 @@
     async with Script(CHUNKED + DONE + END + NOT_RUN[:20], CHUNKED + DONE + END) as planner:
         rig = Rig()
         rig.list_worker(planner.port)
-        rig.send(rig.submit("a1"))
+        rig.start_attempt(rig.submit("a1"))
         assert await rig.outcome() is Outcome.OK
         assert await planner.ends.get() == 1
 
@@ -193,7 +193,7 @@
     async with Hasty() as planner:
         rig = Rig()
         rig.list_worker(planner.port)
-        rig.send(rig.submit("a1", bytes(32 * 1024 * 1024)))
+        rig.start_attempt(rig.submit("a1", bytes(32 * 1024 * 1024)))
         assert await rig.outcome() is Outcome.REJECTED
         assert not rig.carrier.pool._idle.get(("127.0.0.1", planner.port))
 
@@ -241,7 +241,7 @@
         rig = Rig()
         rig.list_worker(planner.port)
         exchange = rig.submit("a1", bytes(32 * 1024 * 1024))
-        rig.send(exchange)
+        rig.start_attempt(exchange)
         await halted.wait()
         begun = asyncio.get_running_loop().time()
         rig.core.withdraw(exchange)
@@ -263,6 +263,6 @@
         assert target is not None
         target.address = ("a" * 70 + ".example", 80)
         begun = asyncio.get_running_loop().time()
-        rig.send(rig.submit())
+        rig.start_attempt(rig.submit())
         assert await rig.outcome() is Outcome.CONNECT_FAILED
         assert asyncio.get_running_loop().time() - begun < 1.0  # of nine
