--- a/tests/attempt_rig.py
+++ b/tests/attempt_rig.py
@@ -43,7 +43,7 @@
             settings(classes=classes, limits=Limits(may_cancel=False, max_attempts=3)), 1, loop
         )
         self.core._turns.post = self._heard  # type: ignore[method-assign]
-        self.carrier = HttpWorkerClient(self.core, [], loop)
+        self.worker_client = HttpWorkerClient(self.core, [], loop)
         self.ended: asyncio.Queue[AttemptFinished] = asyncio.Queue()
 
     def _heard(self, event: Event) -> None:
@@ -53,7 +53,7 @@
 
     def list_worker(self, port: int, state: EndpointState = EndpointState.READY) -> None:
         [entry] = entries(1)
-        target = Endpoint(entry.worker, self.carrier, ("127.0.0.1", port))
+        target = Endpoint(entry.worker, self.worker_client, ("127.0.0.1", port))
         self.core.endpoints.update("test", UpdateKind.DELTA, 1, [(replace(entry, state=state), target)])
         self.worker = entry.worker
 
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -107,7 +107,7 @@
             for _ in range(3):  # news of another planner, in which others would be forgotten
                 clock.now += 2 * FORGET_AFTER_S
                 table.update(
-                    "test", UpdateKind.DELTA, 1, [(other, Endpoint(other.worker, rig.carrier, None))]
+                    "test", UpdateKind.DELTA, 1, [(other, Endpoint(other.worker, rig.worker_client, None))]
                 )
             assert table.is_leaving(entry.worker) and table.endpoint(entry.worker) is not None
             up()
@@ -119,7 +119,7 @@
             clock.now += 2 * FORGET_AFTER_S
             table.update("test", UpdateKind.DELTA, 1, [(replace(other, weight=2.0), Mock())])
             assert (table.endpoint(entry.worker) is not None) is again
-            rig.carrier.close()
+            rig.worker_client.close()
 
     run()
 
@@ -151,10 +151,14 @@
             rig.list_worker(planner.port)
             rig.start_attempt(rig.submit(f"a{number}"))
             assert await rig.outcome() is Outcome.OK
-            connection = next(iter(rig.carrier._open_connections))
-        while connection in rig.carrier._open_connections:  # the planner's end closes it
+            connection = next(iter(rig.worker_client._open_connections))
+        while connection in rig.worker_client._open_connections:  # the planner's end closes it
             await asyncio.sleep(0)
-    assert not rig.carrier.pool._idle and not rig.carrier.pool._by_age and not rig.carrier._open_connections
+    assert (
+        not rig.worker_client.pool._idle
+        and not rig.worker_client.pool._by_age
+        and not rig.worker_client._open_connections
+    )
 
 
 @story
--- a/tests/upstream/test_attempt_races.py
+++ b/tests/upstream/test_attempt_races.py
@@ -100,7 +100,7 @@
         began = asyncio.get_running_loop().time()
         await planner.ends.get()
         assert asyncio.get_running_loop().time() - began < 1.0
-        assert not rig.carrier.pool._idle.get(("127.0.0.1", planner.port))
+        assert not rig.worker_client.pool._idle.get(("127.0.0.1", planner.port))
 
 
 @pytest.mark.parametrize(
@@ -195,7 +195,7 @@
         rig.list_worker(planner.port)
         rig.start_attempt(rig.submit("a1", bytes(32 * 1024 * 1024)))
         assert await rig.outcome() is Outcome.REJECTED
-        assert not rig.carrier.pool._idle.get(("127.0.0.1", planner.port))
+        assert not rig.worker_client.pool._idle.get(("127.0.0.1", planner.port))
 
 
 @story
