--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -235,7 +235,7 @@
         self.loop = asyncio.get_running_loop()
         self.core = Forwarder(settings_from(SETTINGS | settings), 1, self.loop)
         self.core.attach_translator(Translator(read(forms), ["quote", "book"]))
-        self.carrier = GrpcWorkerClient(self.core, ["quote", "book"], self.loop, keepalive)
+        self.worker_client = GrpcWorkerClient(self.core, ["quote", "book"], self.loop, keepalive)
         self.core.endpoints.update("test", UpdateKind.CACHED, 0, [])
         self._ids = 0
 
@@ -247,7 +247,7 @@
             [
                 (
                     replace(EndpointEntry(planner.name.encode(), planner.zone, interface=2), **changes),
-                    Endpoint(planner.name.encode(), self.carrier, ("127.0.0.1", planner.port), 2),
+                    Endpoint(planner.name.encode(), self.worker_client, ("127.0.0.1", planner.port), 2),
                 )
                 for planner in planners
             ],
@@ -290,4 +290,4 @@
     try:
         yield made
     finally:
-        made.carrier.close()
+        made.worker_client.close()
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -171,14 +171,14 @@
         bench(planner, settings={"permissions": permissions}) as made,
     ):
         caller = made.ask()
-        while not made.carrier._all:
+        while not made.worker_client._all:
             await asyncio.sleep(0)
         made.list(planner, state=EndpointState.REMOVED)
         up()
         while not planner.peers:
             await asyncio.sleep(0)
         await asyncio.wait_for(planner.peers[0].lost.wait(), 2.0)
-        assert not planner.calls and not made.carrier._all and not made.carrier._connections
+        assert not planner.calls and not made.worker_client._all and not made.worker_client._connections
         made.leave(caller)
 
 
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -156,9 +156,11 @@
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: faults.append(context))
         async with bench() as world:
-            connection = GrpcConnection(world.carrier, Endpoint(b"p1", world.carrier, ("127.0.0.1", 1), 2))
-            world.carrier._connections["127.0.0.1", 1] = connection
-            world.carrier._all.add(connection)
+            connection = GrpcConnection(
+                world.worker_client, Endpoint(b"p1", world.worker_client, ("127.0.0.1", 1), 2)
+            )
+            world.worker_client._connections["127.0.0.1", 1] = connection
+            world.worker_client._all.add(connection)
             world.core.endpoints._endpoints[b"p1"] = connection.endpoint
             transport = Transport()
             connection.connection_made(transport)  # type: ignore[arg-type]
--- a/tests/upstream/test_grpc_client.py
+++ b/tests/upstream/test_grpc_client.py
@@ -218,7 +218,7 @@
         caller = made.ask("book", client_timeout_ms=600.0)
         assert (await caller.answer())[0] == "refused"
         assert made.core.counters["attempt RESET"] == 0 and made.core.counters["attempt CONNECT_FAILED"] >= 1
-        made.carrier.on_wrong_interface = wrong.append
+        made.worker_client.on_wrong_interface = wrong.append
         made.list(mute, state=EndpointState.REMOVED)
         made.list(old)
         caller = made.ask("book", client_timeout_ms=600.0)
