--- a/tests/attempt_rig.py
+++ b/tests/attempt_rig.py
@@ -29,56 +29,56 @@
 class Rig:
     """A core whose events are heard, and whose decisions are the test's own."""
 
-    def __init__(self, effect: Idempotency = Idempotency.IDEMPOTENT) -> None:
+    def __init__(self, idempotency: Idempotency = Idempotency.IDEMPOTENT) -> None:
         loop = asyncio.get_running_loop()
         classes = (
             JobClass(
                 latency_objective_ms=1000.0,
                 deadline_ms=9000.0,
-                idempotency=effect,
+                idempotency=idempotency,
                 idempotency_window_ms=5000.0,
             ),
         )
         self.core = Forwarder(
             settings(classes=classes, limits=Limits(may_cancel=False, max_attempts=3)), 1, loop
         )
-        self.core._turns.post = self._heard  # type: ignore[method-assign]
+        self.core._turns.post = self._record_event  # type: ignore[method-assign]
         self.worker_client = HttpWorkerClient(self.core, [], loop)
-        self.ended: asyncio.Queue[AttemptFinished] = asyncio.Queue()
+        self.finished_attempts: asyncio.Queue[AttemptFinished] = asyncio.Queue()
 
-    def _heard(self, event: Event) -> None:
+    def _record_event(self, event: Event) -> None:
         if isinstance(event, AttemptFinished):
-            self.ended.put_nowait(event)
+            self.finished_attempts.put_nowait(event)
         assert not isinstance(event, JobSubmitted) or event.job_id
 
     def list_worker(self, port: int, state: EndpointState = EndpointState.READY) -> None:
         [entry] = entries(1)
-        target = Endpoint(entry.worker, self.worker_client, ("127.0.0.1", port))
-        self.core.endpoints.update("test", UpdateKind.DELTA, 1, [(replace(entry, state=state), target)])
+        endpoint = Endpoint(entry.worker, self.worker_client, ("127.0.0.1", port))
+        self.core.endpoints.update("test", UpdateKind.DELTA, 1, [(replace(entry, state=state), endpoint)])
         self.worker = entry.worker
 
     def submit(self, name: str = "a1", body: bytes = b"pallets") -> RequestContext:
         return self.core.submit(Request(name, 0, 9000.0, 0, body, "k-" + name), Mock())
 
-    def start_attempt(self, exchange: RequestContext, write_within: float = 0.0) -> None:
-        self.core._execute(StartAttempt(exchange.job_id, self.worker, write_within_ms=write_within))
+    def start_attempt(self, context: RequestContext, write_within_ms: float = 0.0) -> None:
+        self.core._execute(StartAttempt(context.job_id, self.worker, write_within_ms=write_within_ms))
 
     async def outcome(self) -> Outcome:
-        return (await self.ended.get()).outcome
+        return (await self.finished_attempts.get()).outcome
 
 
 @contextlib.asynccontextmanager
 async def delayed_connections() -> AsyncIterator[Callable[[], None]]:
     """Connections come up when the test says so; entered, it waits for nothing."""
     loop = asyncio.get_running_loop()
-    gate, create = asyncio.Event(), loop.create_connection
+    may_connect, create = asyncio.Event(), loop.create_connection
 
-    async def late(*told: object, **more: object) -> object:
-        await gate.wait()
-        return await create(*told, **more)  # type: ignore[arg-type, call-overload]
+    async def connect_when_allowed(*args: object, **kwargs: object) -> object:
+        await may_connect.wait()
+        return await create(*args, **kwargs)  # type: ignore[arg-type, call-overload]
 
-    loop.create_connection = late  # type: ignore[method-assign, assignment]
+    loop.create_connection = connect_when_allowed  # type: ignore[method-assign, assignment]
     try:
-        yield gate.set
+        yield may_connect.set
     finally:
         loop.create_connection = create  # type: ignore[method-assign]
--- a/tests/upstream/test_attempt_races.py
+++ b/tests/upstream/test_attempt_races.py
@@ -24,49 +24,49 @@
 
 
 @pytest.mark.parametrize(
-    "crossing", ["the client goes", "the planner drains", "the planner goes", "the window ends"]
+    "change", ["the client goes", "the planner drains", "the planner goes", "the window ends"]
 )
-def test_nothing_is_written_on_a_connection_that_comes_up_too_late(crossing: str) -> None:
+def test_nothing_is_written_on_a_connection_that_comes_up_too_late(change: str) -> None:
     """It used to be written however late, unless it had been called off, which not all settings permit."""
 
     @story
     async def run() -> None:
-        async with Planner("p1") as planner, delayed_connections() as up:
+        async with Planner("p1") as planner, delayed_connections() as allow_connections:
             rig = Rig(Idempotency.IDEMPOTENT_WITH_KEY)
             rig.list_worker(planner.port)
-            exchange = rig.submit("a1")
-            rig.start_attempt(exchange, 30.0 if crossing == "the window ends" else 0.0)
-            if crossing == "the client goes":
-                rig.core.withdraw(exchange)
-            elif crossing == "the window ends":
+            context = rig.submit("a1")
+            rig.start_attempt(context, 30.0 if change == "the window ends" else 0.0)
+            if change == "the client goes":
+                rig.core.withdraw(context)
+            elif change == "the window ends":
                 loop = asyncio.get_running_loop()
-                passed = asyncio.Event()
-                loop.call_at(exchange.attempts[0].write_deadline_at + 0.001, passed.set)
-                await passed.wait()
+                window_ended = asyncio.Event()
+                loop.call_at(context.attempts[0].write_deadline_at + 0.001, window_ended.set)
+                await window_ended.wait()
             else:
                 rig.list_worker(
-                    planner.port, EndpointState.DRAINING if "drains" in crossing else EndpointState.REMOVED
+                    planner.port, EndpointState.DRAINING if "drains" in change else EndpointState.REMOVED
                 )
-            up()
+            allow_connections()
             assert await rig.outcome() is Outcome.CONNECT_FAILED
             rig.list_worker(planner.port)
-            other = rig.submit("a2")
-            rig.start_attempt(other)
+            next_request = rig.submit("a2")
+            rig.start_attempt(next_request)
             assert await rig.outcome() is Outcome.OK
             assert [run.headers["x-request-id"] for run in planner.runs] == ["a2"]
-            if crossing != "the client goes":
-                rig.core.withdraw(exchange)
+            if change != "the client goes":
+                rig.core.withdraw(context)
             assert not rig.core._requests._contexts
 
     run()
 
 
-class Script(Peer):
+class ScriptedWorker(Peer):
     """A planner that answers each request with bytes of the test's."""
 
     def __init__(self, *answers: bytes) -> None:
         self.answers = list(answers)
-        self.ends: asyncio.Queue[int] = asyncio.Queue()
+        self.closed: asyncio.Queue[int] = asyncio.Queue()
 
     async def serve(self, reader: Reader, writer: Writer) -> None:
         number = len(self.writers)
@@ -76,7 +76,7 @@
                 writer.write(self.answers.pop(0))
             await reader.read()
         finally:
-            self.ends.put_nowait(number)
+            self.closed.put_nowait(number)
 
 
 def line(text: str) -> bytes:
@@ -92,14 +92,14 @@
 @story
 async def test_an_answer_whose_end_never_comes_costs_its_connection_soon() -> None:
     """`done` had been read, so the attempt was over, and no timer was left to end the connection."""
-    async with Script(CHUNKED + DONE) as planner:
+    async with ScriptedWorker(CHUNKED + DONE) as planner:
         rig = Rig()
         rig.list_worker(planner.port)
         rig.start_attempt(rig.submit())
         assert await rig.outcome() is Outcome.OK
-        began = asyncio.get_running_loop().time()
-        await planner.ends.get()
-        assert asyncio.get_running_loop().time() - began < 1.0
+        started_at = asyncio.get_running_loop().time()
+        await planner.closed.get()
+        assert asyncio.get_running_loop().time() - started_at < 1.0
         assert not rig.worker_client.pool._idle.get(("127.0.0.1", planner.port))
 
 
@@ -123,18 +123,18 @@
 
     @story
     async def run() -> None:
-        async with Script(text) as planner:
+        async with ScriptedWorker(text) as planner:
             rig = Rig()
             rig.list_worker(planner.port)
             rig.start_attempt(rig.submit())
             assert await rig.outcome() is Outcome.RESET, name
-            assert await planner.ends.get() == 1
+            assert await planner.closed.get() == 1
 
     run()
 
 
 @pytest.mark.parametrize(
-    "effect, outcome",
+    "idempotency, outcome",
     [
         (Idempotency.IDEMPOTENT, Outcome.REJECTED),
         (Idempotency.IDEMPOTENT_WITH_KEY, Outcome.RESET),
@@ -142,14 +142,14 @@
     ],
 )
 def test_a_late_second_answer_is_no_proof_that_the_next_job_never_ran(
-    effect: Idempotency, outcome: Outcome
+    idempotency: Idempotency, outcome: Outcome
 ) -> None:
     """A 503 names no request. One that comes just after the next request was written would be "never ran" of
     a job that runs: where that matters, it says nothing."""
 
     @story
     async def run() -> None:
-        class Late(Peer):
+        class LateSecondAnswer(Peer):
             async def serve(self, reader: Reader, writer: Writer) -> None:
                 await reader.readuntil(b"pallets")
                 writer.write(CHUNKED + DONE + END)
@@ -157,8 +157,8 @@
                 writer.write(NOT_RUN)
                 await reader.read()
 
-        async with Late() as planner:
-            rig = Rig(effect)
+        async with LateSecondAnswer() as planner:
+            rig = Rig(idempotency)
             rig.list_worker(planner.port)
             rig.start_attempt(rig.submit("a1"))
             assert await rig.outcome() is Outcome.OK
@@ -171,26 +171,26 @@
 @story
 async def test_half_a_second_answer_behind_the_first_ends_the_connection() -> None:
     """In one segment with the first answer's end: the rest of it would have met the next request."""
-    async with Script(CHUNKED + DONE + END + NOT_RUN[:20], CHUNKED + DONE + END) as planner:
+    async with ScriptedWorker(CHUNKED + DONE + END + NOT_RUN[:20], CHUNKED + DONE + END) as planner:
         rig = Rig()
         rig.list_worker(planner.port)
         rig.start_attempt(rig.submit("a1"))
         assert await rig.outcome() is Outcome.OK
-        assert await planner.ends.get() == 1
+        assert await planner.closed.get() == 1
 
 
 @story
 async def test_an_answer_before_the_whole_request_is_out_ends_the_connection() -> None:
     """The rest of that request would stand before the next one."""
 
-    class Hasty(Peer):
+    class EarlyAnswer(Peer):
         async def serve(self, reader: Reader, writer: Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.transport.pause_reading()
             writer.write(NOT_RUN)
             await asyncio.get_running_loop().create_future()
 
-    async with Hasty() as planner:
+    async with EarlyAnswer() as planner:
         rig = Rig()
         rig.list_worker(planner.port)
         rig.start_attempt(rig.submit("a1", bytes(32 * 1024 * 1024)))
@@ -202,55 +202,55 @@
 async def test_a_worker_that_grabs_after_a_repeats_window_gets_nothing() -> None:
     """An attempt that waits for a Gearman worker is assigned when that asks, maybe after the window."""
     rig = Rig(Idempotency.IDEMPOTENT_WITH_KEY)
-    link = Mock()
-    carrier = GearmanWorkerClient(
+    connection = Mock()
+    worker_client = GearmanWorkerClient(
         rig.core, {"plan": 0}, WorkerLocation(0, 0, 0, 1.0), 1000, asyncio.get_running_loop()
     )
-    worker = carrier.worker(link)
+    worker = worker_client.worker(connection)
     worker.handle(Kind.CAN_DO, [b"plan"])
-    exchange = rig.submit("a1")
-    rig.core._execute(StartAttempt(exchange.job_id, worker.endpoint.id, write_within_ms=1.0))
-    passed = asyncio.Event()
-    asyncio.get_running_loop().call_at(exchange.attempts[0].write_deadline_at + 0.001, passed.set)
-    await passed.wait()
+    context = rig.submit("a1")
+    rig.core._execute(StartAttempt(context.job_id, worker.endpoint.id, write_within_ms=1.0))
+    window_ended = asyncio.Event()
+    asyncio.get_running_loop().call_at(context.attempts[0].write_deadline_at + 0.001, window_ended.set)
+    await window_ended.wait()
     worker.handle(Kind.GRAB_JOB, [])
-    link.write.assert_called_once_with(pack(Kind.NO_JOB))
+    connection.write.assert_called_once_with(pack(Kind.NO_JOB))
     assert await rig.outcome() is Outcome.CONNECT_FAILED
-    rig.core.withdraw(exchange)
+    rig.core.withdraw(context)
 
 
 @story
 async def test_a_request_that_is_half_out_when_its_client_goes_is_not_finished() -> None:
     """Its last byte would be an attempt's beginning, and nothing called it off where settings permit none."""
-    halted, read = asyncio.Event(), asyncio.Event()
+    reading_paused, read = asyncio.Event(), asyncio.Event()
 
-    class Halting(Peer):
+    class PausedReader(Peer):
         async def serve(self, reader: Reader, writer: Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.transport.pause_reading()
-            halted.set()
+            reading_paused.set()
             await read.wait()
             writer.transport.resume_reading()
             with contextlib.suppress(ConnectionError):
                 while data := await reader.read(1 << 20):
-                    got.append(len(data))
-            got.append(-1)
+                    received.append(len(data))
+            received.append(-1)
 
-    got: list[int] = []
-    async with Halting() as planner:
+    received: list[int] = []
+    async with PausedReader() as planner:
         rig = Rig()
         rig.list_worker(planner.port)
-        exchange = rig.submit("a1", bytes(32 * 1024 * 1024))
-        rig.start_attempt(exchange)
-        await halted.wait()
-        begun = asyncio.get_running_loop().time()
-        rig.core.withdraw(exchange)
+        context = rig.submit("a1", bytes(32 * 1024 * 1024))
+        rig.start_attempt(context)
+        await reading_paused.wait()
+        started_at = asyncio.get_running_loop().time()
+        rig.core.withdraw(context)
         assert await rig.outcome() is Outcome.CONNECT_FAILED
-        assert asyncio.get_running_loop().time() - begun < 0.1  # not at its deadline
+        assert asyncio.get_running_loop().time() - started_at < 0.1  # not at its deadline
         read.set()
-        while not got or got[-1] >= 0:
+        while not received or received[-1] >= 0:
             await asyncio.sleep(0)
-        assert sum(got) < 32 * 1024 * 1024
+        assert sum(received) < 32 * 1024 * 1024
 
 
 @story
@@ -259,10 +259,10 @@
     async with Planner("p1") as planner:
         rig = Rig()
         rig.list_worker(planner.port)
-        target = rig.core.endpoints.endpoint(rig.worker)
-        assert target is not None
-        target.address = ("a" * 70 + ".example", 80)
-        begun = asyncio.get_running_loop().time()
+        endpoint = rig.core.endpoints.endpoint(rig.worker)
+        assert endpoint is not None
+        endpoint.address = ("a" * 70 + ".example", 80)
+        started_at = asyncio.get_running_loop().time()
         rig.start_attempt(rig.submit())
         assert await rig.outcome() is Outcome.CONNECT_FAILED
-        assert asyncio.get_running_loop().time() - begun < 1.0  # of nine
+        assert asyncio.get_running_loop().time() - started_at < 1.0  # of nine
