--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -228,7 +228,7 @@
         return self.told[0]
 
 
-class Bench:
+class ForwarderRig:
     """The core, the translator and the carrier on this loop."""
 
     def __init__(self, settings: dict[str, Any], forms: str, keepalive: float) -> None:
@@ -283,9 +283,9 @@
     settings: dict[str, Any] | None = None,
     forms: str = FORMS,
     keepalive: float = 10.0,
-) -> AsyncIterator[Bench]:
+) -> AsyncIterator[ForwarderRig]:
     """The bench with these planners listed."""
-    made = Bench(settings or {}, forms, keepalive)
+    made = ForwarderRig(settings or {}, forms, keepalive)
     made.list(*planners)
     try:
         yield made
