--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -278,7 +278,7 @@
 
 
 @contextlib.asynccontextmanager
-async def bench(
+async def forwarder_rig(
     *planners: GrpcPlanner,
     settings: dict[str, Any] | None = None,
     forms: str = FORMS,
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -8,7 +8,7 @@
 
 import pytest
 from attempt_rig import Rig, delayed_connections
-from grpc_peer import GrpcPlanner, bench
+from grpc_peer import GrpcPlanner, forwarder_rig
 from helpers import entries
 from interface_world import World, row
 from loopback import SETTINGS, Planner, Run, story
@@ -168,7 +168,7 @@
     async with (
         GrpcPlanner("p1") as planner,
         delayed_connections() as up,
-        bench(planner, settings={"permissions": permissions}) as made,
+        forwarder_rig(planner, settings={"permissions": permissions}) as made,
     ):
         caller = made.ask()
         while not made.worker_client._all:
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import hpack
-from grpc_peer import QUOTE, Caller, bench
+from grpc_peer import QUOTE, Caller, forwarder_rig
 from hyperframe.frame import (
     ContinuationFrame,
     DataFrame,
@@ -155,7 +155,7 @@
         faults: list[Any] = []
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: faults.append(context))
-        async with bench() as world:
+        async with forwarder_rig() as world:
             connection = GrpcConnection(
                 world.worker_client, Endpoint(b"p1", world.worker_client, ("127.0.0.1", 1), 2)
             )
--- a/tests/upstream/test_grpc_client.py
+++ b/tests/upstream/test_grpc_client.py
@@ -5,7 +5,7 @@
 
 import h2.errors
 import pytest
-from grpc_peer import BOOK, Call, GrpcPlanner, bench
+from grpc_peer import BOOK, Call, GrpcPlanner, forwarder_rig
 from loopback import ONCE, SETTINGS, story
 
 from pipitshed.protocols.grpc import PREFIX, timeout_text
@@ -22,7 +22,7 @@
 
 @story
 async def test_a_job_is_told_whole_and_its_result_comes_back() -> None:
-    async with GrpcPlanner(act=silent) as planner, bench(planner) as made:
+    async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as made:
         caller = made.ask("book", slots=2.0, memory=1.5, idempotency_key="k 1", client_timeout_ms=4000.0)
         call = await planner.call(1)
         told = call.headers
@@ -49,7 +49,7 @@
 
 @story
 async def test_many_attempts_share_one_connection_within_the_planners_limit() -> None:
-    async with GrpcPlanner(act=silent, max_concurrent_streams=2) as planner, bench(planner) as made:
+    async with GrpcPlanner(act=silent, max_concurrent_streams=2) as planner, forwarder_rig(planner) as made:
         callers = [made.ask("book") for _ in range(3)]
         await planner.call(2)
         await asyncio.sleep(0.05)
@@ -64,7 +64,7 @@
 @story
 async def test_a_client_that_goes_is_followed_wherever_its_request_is() -> None:
     """Waiting to be translated, waiting for a stream, and just written."""
-    async with GrpcPlanner(act=silent, max_concurrent_streams=1) as planner, bench(planner) as made:
+    async with GrpcPlanner(act=silent, max_concurrent_streams=1) as planner, forwarder_rig(planner) as made:
         early = made.ask()
         made.leave(early)  # in this very turn: it is not translated yet
         first = made.ask("book")
@@ -87,7 +87,7 @@
 @story
 async def test_a_cancel_that_races_the_last_event_leaves_one_outcome() -> None:
     """The client goes in the turn in which the result stands in the socket, in both orders."""
-    async with GrpcPlanner(act=silent) as planner, bench(planner) as made:
+    async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as made:
         for count, last in enumerate((False, True), 1):
             caller = made.ask()
             call = await planner.call(count)
@@ -114,7 +114,7 @@
         """The planner answers as though it had not read of the cancel yet."""
         call.peer.data_received = lambda data: None  # type: ignore[method-assign]
 
-    async with GrpcPlanner(act=silent) as planner, bench(planner) as made:
+    async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as made:
         first, beside = made.ask("book"), made.ask("book")
         await planner.call(2)
         late = next(call for call in planner.calls if call.headers["x-request-id"] == "r1")
@@ -132,7 +132,11 @@
 
 @story
 async def test_goaway_splits_streams_by_its_last_id_and_is_word_of_a_drain() -> None:
-    async with GrpcPlanner("p1", act=silent) as leaving, GrpcPlanner("p2") as staying, bench(leaving) as made:
+    async with (
+        GrpcPlanner("p1", act=silent) as leaving,
+        GrpcPlanner("p2") as staying,
+        forwarder_rig(leaving) as made,
+    ):
         callers = [made.ask("book") for _ in range(2)]
         await leaving.call(2)
         made.list(staying)
@@ -151,7 +155,7 @@
 
 @story
 async def test_a_held_planner_comes_back_with_its_next_start_alone() -> None:
-    async with GrpcPlanner(act=silent) as planner, bench(planner) as made:
+    async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as made:
         made.ask()
         (await planner.call(1)).peer.goaway(2**31 - 1)
         await asyncio.sleep(0.05)
@@ -195,7 +199,7 @@
     async def run() -> None:
         # One attempt each: on a busy machine a later one may be out at the deadline, and have run.
         alone = ONCE | {"permissions": SETTINGS["permissions"] | {"maxAttempts": 1}}
-        async with GrpcPlanner(act=act) as planner, bench(planner, settings=alone) as made:
+        async with GrpcPlanner(act=act) as planner, forwarder_rig(planner, settings=alone) as made:
             caller = made.ask("book", client_timeout_ms=2000.0)
             how, _ = await caller.answer()
             await asyncio.sleep(0.01)
@@ -213,7 +217,7 @@
     """A planner that accepts and says nothing, and one that speaks HTTP/1.1: nothing of a request is written,
     so both prove that nothing ran."""
     wrong = []
-    async with GrpcPlanner("mute") as mute, GrpcPlanner("old") as old, bench(mute) as made:
+    async with GrpcPlanner("mute") as mute, GrpcPlanner("old") as old, forwarder_rig(mute) as made:
         mute.settings = old.settings = None
         caller = made.ask("book", client_timeout_ms=600.0)
         assert (await caller.answer())[0] == "refused"
@@ -238,7 +242,7 @@
     item = b'{"sku":"%s","count":7}' % (b"P" * 20)
     body = BOOK[:-1] + b',"goods":[' + b",".join([item] * ((65_000 - len(BOOK)) // (len(item) + 1))) + b"]}"
     assert 64_000 < len(body) <= 65_536
-    async with GrpcPlanner(initial_window_size=64) as planner, bench(planner) as made:
+    async with GrpcPlanner(initial_window_size=64) as planner, forwarder_rig(planner) as made:
         caller = made.ask("book", body, client_timeout_ms=15_000.0)
         beside = made.ask("quote")
         assert (await beside.answer())[0] == "served" and not caller.told
@@ -253,7 +257,7 @@
     async with (
         GrpcPlanner("p1", initial_window_size=10) as stuck,
         GrpcPlanner("p2") as other,
-        bench(stuck, settings=ONCE) as made,
+        forwarder_rig(stuck, settings=ONCE) as made,
     ):
         stuck.opens = False
         caller = made.ask("book", body)
@@ -272,7 +276,7 @@
             call.peer.http2.ping(b"12345678")
         call.peer.flush()
 
-    async with GrpcPlanner("p1", act=flood) as bad, bench(bad) as made:
+    async with GrpcPlanner("p1", act=flood) as bad, forwarder_rig(bad) as made:
         caller = made.ask("quote", client_timeout_ms=800.0)
         await bad.call(1)
         await asyncio.wait_for(bad.peers[0].lost.wait(), 2.0)
@@ -306,7 +310,7 @@
     async with (
         GrpcPlanner("p1", act=vanish) as gone,
         GrpcPlanner("p2") as other,
-        bench(gone, settings={"familyInfo": {"tellsStart": False}}, keepalive=0.1) as made,
+        forwarder_rig(gone, settings={"familyInfo": {"tellsStart": False}}, keepalive=0.1) as made,
     ):
         caller = made.ask()
         await gone.call(1)
@@ -324,7 +328,7 @@
     def full(text: str) -> Any:
         return lambda call: call.end(8, x_not_run="1", grpc_retry_pushback_ms=text)
 
-    async with GrpcPlanner(act=full("300")) as planner, bench(planner) as made:
+    async with GrpcPlanner(act=full("300")) as planner, forwarder_rig(planner) as made:
         caller = made.ask("quote", client_timeout_ms=900.0)
         await planner.call(1)
         begun = made.loop.time()
@@ -345,7 +349,7 @@
         async with (
             GrpcPlanner("p1", act=silent) as first,
             GrpcPlanner("p2", zone) as second,
-            bench(first) as made,
+            forwarder_rig(first) as made,
         ):
             caller = made.ask("book", client_timeout_ms=1500.0)
             (await first.call(1)).started()
@@ -362,7 +366,10 @@
 @story
 async def test_a_result_that_the_old_form_cannot_express_fails_once() -> None:
     """The job ran: even a quote, which is safe to repeat, is not run again for it."""
-    async with GrpcPlanner(act=lambda call: call.done(truck="t" * 40)) as planner, bench(planner) as made:
+    async with (
+        GrpcPlanner(act=lambda call: call.done(truck="t" * 40)) as planner,
+        forwarder_rig(planner) as made,
+    ):
         form = b"from=LIM&to=AQP&plts=4"
         assert await made.ask("quote", form, form_version=0).answer() == ("unfit", ("truck", True))
         assert len(planner.calls) == 1
@@ -372,7 +379,7 @@
 @story
 async def test_what_no_listed_planner_can_be_told_is_refused_at_once() -> None:
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
-    async with GrpcPlanner() as planner, bench(planner) as made:
+    async with GrpcPlanner() as planner, forwarder_rig(planner) as made:
         begun = made.loop.time()
         assert await made.ask("book", hazard).answer() == ("unfit", ("hazard", False))
         for name, body in [
@@ -391,7 +398,7 @@
 @story
 async def test_what_waits_is_refused_when_the_last_planner_that_could_be_told_has_gone() -> None:
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
-    async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, bench(newer) as made:
+    async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, forwarder_rig(newer) as made:
         made.list(older, interface=1, job_classes=frozenset())  # it can be told, but has no room
         caller = made.ask("book", hazard)
         await asyncio.sleep(0.05)
@@ -405,7 +412,7 @@
 async def test_only_those_that_can_be_told_are_drawn() -> None:
     """Where both interfaces stand side by side, a wrong one costs no attempt."""
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
-    async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, bench(newer, older) as made:
+    async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, forwarder_rig(newer, older) as made:
         made.list(older, interface=1)
         # The stand-in of interface 1 speaks gRPC as well: here it counts that alone the draw goes there.
         made.core.endpoints._endpoints[b"p1"].interface = 1
