--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -268,7 +268,7 @@
         }
         return Request(**told | more)
 
-    def ask(self, job_class: str = "quote", body: bytes | None = None, **more: Any) -> Caller:
+    def submit(self, job_class: str = "quote", body: bytes | None = None, **more: Any) -> Caller:
         caller = Caller()
         caller.exchange = self.core.submit(self.request(job_class, body, **more), caller)
         return caller
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -170,7 +170,7 @@
         delayed_connections() as up,
         forwarder_rig(planner, settings={"permissions": permissions}) as made,
     ):
-        caller = made.ask()
+        caller = made.submit()
         while not made.worker_client._all:
             await asyncio.sleep(0)
         made.list(planner, state=EndpointState.REMOVED)
--- a/tests/upstream/test_grpc_client.py
+++ b/tests/upstream/test_grpc_client.py
@@ -23,7 +23,7 @@
 @story
 async def test_a_job_is_told_whole_and_its_result_comes_back() -> None:
     async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as made:
-        caller = made.ask("book", slots=2.0, memory=1.5, idempotency_key="k 1", client_timeout_ms=4000.0)
+        caller = made.submit("book", slots=2.0, memory=1.5, idempotency_key="k 1", client_timeout_ms=4000.0)
         call = await planner.call(1)
         told = call.headers
         assert (told["x-request-id"], told["x-class"], told["x-tenant"]) == ("r1", "book", "andes-retail")
@@ -50,7 +50,7 @@
 @story
 async def test_many_attempts_share_one_connection_within_the_planners_limit() -> None:
     async with GrpcPlanner(act=silent, max_concurrent_streams=2) as planner, forwarder_rig(planner) as made:
-        callers = [made.ask("book") for _ in range(3)]
+        callers = [made.submit("book") for _ in range(3)]
         await planner.call(2)
         await asyncio.sleep(0.05)
         assert len(planner.calls) == 2 and len(planner.peers) == 1
@@ -65,11 +65,11 @@
 async def test_a_client_that_goes_is_followed_wherever_its_request_is() -> None:
     """Waiting to be translated, waiting for a stream, and just written."""
     async with GrpcPlanner(act=silent, max_concurrent_streams=1) as planner, forwarder_rig(planner) as made:
-        early = made.ask()
+        early = made.submit()
         made.leave(early)  # in this very turn: it is not translated yet
-        first = made.ask("book")
+        first = made.submit("book")
         call = await planner.call(1)
-        waiting = made.ask("book")
+        waiting = made.submit("book")
         await asyncio.sleep(0.05)
         made.leave(waiting)
         await asyncio.sleep(0.02)
@@ -79,7 +79,7 @@
         assert call.reset == CANCEL
         assert not early.told and not first.told and not waiting.told
         assert made.core.active_count == 0 and made.core.counters["withdrawn"] == 3
-        later = made.ask()
+        later = made.submit()
         (await planner.call(2)).done()
         assert (await later.answer())[0] == "served"
 
@@ -89,7 +89,7 @@
     """The client goes in the turn in which the result stands in the socket, in both orders."""
     async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as made:
         for count, last in enumerate((False, True), 1):
-            caller = made.ask()
+            caller = made.submit()
             call = await planner.call(count)
             if last:
                 call.done()
@@ -100,7 +100,7 @@
             await asyncio.sleep(0.05)
             assert not caller.told and made.core.active_count == 0
         assert made.core.counters["attempt CANCELLED"] + made.core.counters["attempt OK"] == 2
-        caller = made.ask()
+        caller = made.submit()
         (await planner.call(3)).done()
         assert (await caller.answer())[0] == "served" and len(planner.peers) == 1
 
@@ -115,13 +115,13 @@
         call.peer.data_received = lambda data: None  # type: ignore[method-assign]
 
     async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as made:
-        first, beside = made.ask("book"), made.ask("book")
+        first, beside = made.submit("book"), made.submit("book")
         await planner.call(2)
         late = next(call for call in planner.calls if call.headers["x-request-id"] == "r1")
         other = next(call for call in planner.calls if call is not late)
         apart(late)
         made.leave(first)
-        third = made.ask("book")  # a new stream: those that are closed are forgotten
+        third = made.submit("book")  # a new stream: those that are closed are forgotten
         await asyncio.sleep(0.05)
         late.done()
         other.done()
@@ -137,7 +137,7 @@
         GrpcPlanner("p2") as staying,
         forwarder_rig(leaving) as made,
     ):
-        callers = [made.ask("book") for _ in range(2)]
+        callers = [made.submit("book") for _ in range(2)]
         await leaving.call(2)
         made.list(staying)
         low, high = sorted(leaving.calls, key=lambda call: call.number)
@@ -146,7 +146,7 @@
         assert made.core.endpoints.interfaces() == {2}
         assert made.core._dispatcher.workers[b"p1"].ready is False
         for _ in range(20):
-            assert (await made.ask().answer())[0] == "served"
+            assert (await made.submit().answer())[0] == "served"
         assert len(leaving.calls) == 2
         low.done()  # the one at the last id ends as it would have
         assert sorted([(await caller.answer())[0] for caller in callers]) == ["served", "served"]
@@ -156,7 +156,7 @@
 @story
 async def test_a_held_planner_comes_back_with_its_next_start_alone() -> None:
     async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as made:
-        made.ask()
+        made.submit()
         (await planner.call(1)).peer.goaway(2**31 - 1)
         await asyncio.sleep(0.05)
         for changes, ready in [
@@ -200,7 +200,7 @@
         # One attempt each: on a busy machine a later one may be out at the deadline, and have run.
         alone = ONCE | {"permissions": SETTINGS["permissions"] | {"maxAttempts": 1}}
         async with GrpcPlanner(act=act) as planner, forwarder_rig(planner, settings=alone) as made:
-            caller = made.ask("book", client_timeout_ms=2000.0)
+            caller = made.submit("book", client_timeout_ms=2000.0)
             how, _ = await caller.answer()
             await asyncio.sleep(0.01)
             assert made.core.counters[f"attempt {tally}"] >= 1, made.core.counters
@@ -219,13 +219,13 @@
     wrong = []
     async with GrpcPlanner("mute") as mute, GrpcPlanner("old") as old, forwarder_rig(mute) as made:
         mute.settings = old.settings = None
-        caller = made.ask("book", client_timeout_ms=600.0)
+        caller = made.submit("book", client_timeout_ms=600.0)
         assert (await caller.answer())[0] == "refused"
         assert made.core.counters["attempt RESET"] == 0 and made.core.counters["attempt CONNECT_FAILED"] >= 1
         made.worker_client.on_wrong_interface = wrong.append
         made.list(mute, state=EndpointState.REMOVED)
         made.list(old)
-        caller = made.ask("book", client_timeout_ms=600.0)
+        caller = made.submit("book", client_timeout_ms=600.0)
         while not old.peers:
             await asyncio.sleep(0.01)
         old.peers[0].transport.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
@@ -243,8 +243,8 @@
     body = BOOK[:-1] + b',"goods":[' + b",".join([item] * ((65_000 - len(BOOK)) // (len(item) + 1))) + b"]}"
     assert 64_000 < len(body) <= 65_536
     async with GrpcPlanner(initial_window_size=64) as planner, forwarder_rig(planner) as made:
-        caller = made.ask("book", body, client_timeout_ms=15_000.0)
-        beside = made.ask("quote")
+        caller = made.submit("book", body, client_timeout_ms=15_000.0)
+        beside = made.submit("quote")
         assert (await beside.answer())[0] == "served" and not caller.told
         assert (await caller.answer())[0] == "served"
         told = pb.RunRequest.FromString(planner.calls[-1].body[PREFIX.size :]).book.goods
@@ -260,7 +260,7 @@
         forwarder_rig(stuck, settings=ONCE) as made,
     ):
         stuck.opens = False
-        caller = made.ask("book", body)
+        caller = made.submit("book", body)
         await stuck.until(lambda: bool(stuck.peers and stuck.peers[0].calls))
         made.list(other)
         stuck.cut()
@@ -277,12 +277,12 @@
         call.peer.flush()
 
     async with GrpcPlanner("p1", act=flood) as bad, forwarder_rig(bad) as made:
-        caller = made.ask("quote", client_timeout_ms=800.0)
+        caller = made.submit("quote", client_timeout_ms=800.0)
         await bad.call(1)
         await asyncio.wait_for(bad.peers[0].lost.wait(), 2.0)
         async with GrpcPlanner("p2") as good:
             made.list(good)
-            assert (await made.ask().answer())[0] == "served"
+            assert (await made.submit().answer())[0] == "served"
         assert (await caller.answer())[0] in ("served", "refused")
 
 
@@ -312,7 +312,7 @@
         GrpcPlanner("p2") as other,
         forwarder_rig(gone, settings={"familyInfo": {"tellsStart": False}}, keepalive=0.1) as made,
     ):
-        caller = made.ask()
+        caller = made.submit()
         await gone.call(1)
         made.list(other)
         begun = made.loop.time()
@@ -329,7 +329,7 @@
         return lambda call: call.end(8, x_not_run="1", grpc_retry_pushback_ms=text)
 
     async with GrpcPlanner(act=full("300")) as planner, forwarder_rig(planner) as made:
-        caller = made.ask("quote", client_timeout_ms=900.0)
+        caller = made.submit("quote", client_timeout_ms=900.0)
         await planner.call(1)
         begun = made.loop.time()
         await planner.call(2)
@@ -338,7 +338,7 @@
         for text in ("-1", "60000", "soon"):
             planner.act = full(text)
             seen, begun = len(planner.calls), made.loop.time()
-            assert (await made.ask("quote", client_timeout_ms=4000.0).answer())[0] == "refused"
+            assert (await made.submit("quote", client_timeout_ms=4000.0).answer())[0] == "refused"
             assert len(planner.calls) == seen + 1 and made.loop.time() - begun < 1.0
             made.list(planner, started_at_ms=made.core._turns.epoch_s * 1000 + len(planner.calls))
 
@@ -351,7 +351,7 @@
             GrpcPlanner("p2", zone) as second,
             forwarder_rig(first) as made,
         ):
-            caller = made.ask("book", client_timeout_ms=1500.0)
+            caller = made.submit("book", client_timeout_ms=1500.0)
             (await first.call(1)).started()
             made.list(second)
             made.list(first, state=EndpointState.REMOVED)
@@ -371,9 +371,9 @@
         forwarder_rig(planner) as made,
     ):
         form = b"from=LIM&to=AQP&plts=4"
-        assert await made.ask("quote", form, form_version=0).answer() == ("unfit", ("truck", True))
+        assert await made.submit("quote", form, form_version=0).answer() == ("unfit", ("truck", True))
         assert len(planner.calls) == 1
-        assert (await made.ask("quote").answer())[0] == "served"
+        assert (await made.submit("quote").answer())[0] == "served"
 
 
 @story
@@ -381,7 +381,7 @@
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
     async with GrpcPlanner() as planner, forwarder_rig(planner) as made:
         begun = made.loop.time()
-        assert await made.ask("book", hazard).answer() == ("unfit", ("hazard", False))
+        assert await made.submit("book", hazard).answer() == ("unfit", ("hazard", False))
         for name, body in [
             ("pallets", b'{"origin":"a","destination":"b","pallets":1.5}'),
             ("origin", b'{"origin":"a","origin":"b","destination":"b","pallets":1}'),
@@ -390,8 +390,8 @@
             ("the message", b'{"origin":"\xff"}'),
             ("the message", b"[" * 30_000),
         ]:
-            assert await made.ask("book", body).answer() == ("unfit", (name, False))
-        assert await made.ask("book", idempotency_key="k\u00e9").answer() == ("unfit", ("key", False))
+            assert await made.submit("book", body).answer() == ("unfit", (name, False))
+        assert await made.submit("book", idempotency_key="k\u00e9").answer() == ("unfit", ("key", False))
         assert made.loop.time() - begun < 0.5 and not planner.calls
 
 
@@ -400,7 +400,7 @@
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
     async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, forwarder_rig(newer) as made:
         made.list(older, interface=1, job_classes=frozenset())  # it can be told, but has no room
-        caller = made.ask("book", hazard)
+        caller = made.submit("book", hazard)
         await asyncio.sleep(0.05)
         assert not caller.told
         made.list(older, interface=2)
@@ -417,6 +417,6 @@
         # The stand-in of interface 1 speaks gRPC as well: here it counts that alone the draw goes there.
         made.core.endpoints._endpoints[b"p1"].interface = 1
         for _ in range(10):
-            made.ask("book", hazard)
+            made.submit("book", hazard)
         await older.call(10)
         assert not newer.calls and made.core.counters["attempt MOOT"] == 0
