--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -273,7 +273,7 @@
         caller.exchange = self.core.submit(self.request(job_class, body, **more), caller)
         return caller
 
-    def leave(self, caller: Caller) -> None:
+    def withdraw(self, caller: Caller) -> None:
         self.core.withdraw(caller.exchange)
 
 
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -179,7 +179,7 @@
             await asyncio.sleep(0)
         await asyncio.wait_for(planner.peers[0].lost.wait(), 2.0)
         assert not planner.calls and not made.worker_client._all and not made.worker_client._connections
-        made.leave(caller)
+        made.withdraw(caller)
 
 
 def test_what_is_known_of_interfaces_is_forgotten_where_a_whole_list_leaves_a_planner_out() -> None:
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -174,7 +174,7 @@
                     break
                 connection.data_received(data[place : place + piece])
                 if place // piece == drop:
-                    world.leave(callers[0])
+                    world.withdraw(callers[0])
             await asyncio.sleep(0)
             assert len(connection._http2.incoming_buffer._data) < 2**14 + 64
             assert transport.written < MAX_UNREAD_BYTES
@@ -184,6 +184,6 @@
                 assert all(attempt.finished for attempt in caller.exchange.attempts) and len(caller.told) <= 1
             assert not connection.streams and not connection.queue and not faults, faults
             for caller in callers:
-                world.leave(caller)
+                world.withdraw(caller)
 
     asyncio.run(run())
--- a/tests/upstream/test_grpc_client.py
+++ b/tests/upstream/test_grpc_client.py
@@ -66,15 +66,15 @@
     """Waiting to be translated, waiting for a stream, and just written."""
     async with GrpcPlanner(act=silent, max_concurrent_streams=1) as planner, forwarder_rig(planner) as made:
         early = made.submit()
-        made.leave(early)  # in this very turn: it is not translated yet
+        made.withdraw(early)  # in this very turn: it is not translated yet
         first = made.submit("book")
         call = await planner.call(1)
         waiting = made.submit("book")
         await asyncio.sleep(0.05)
-        made.leave(waiting)
+        made.withdraw(waiting)
         await asyncio.sleep(0.02)
         assert len(planner.calls) == 1 and call.reset is None
-        made.leave(first)
+        made.withdraw(first)
         await planner.until(lambda: call.reset is not None)
         assert call.reset == CANCEL
         assert not early.told and not first.told and not waiting.told
@@ -93,9 +93,9 @@
             call = await planner.call(count)
             if last:
                 call.done()
-                made.leave(caller)
+                made.withdraw(caller)
             else:
-                made.leave(caller)
+                made.withdraw(caller)
                 call.done()
             await asyncio.sleep(0.05)
             assert not caller.told and made.core.active_count == 0
@@ -120,14 +120,14 @@
         late = next(call for call in planner.calls if call.headers["x-request-id"] == "r1")
         other = next(call for call in planner.calls if call is not late)
         apart(late)
-        made.leave(first)
+        made.withdraw(first)
         third = made.submit("book")  # a new stream: those that are closed are forgotten
         await asyncio.sleep(0.05)
         late.done()
         other.done()
         assert (await beside.answer())[0] == "served"
         assert made.core.counters["attempt RESET"] == 0 and not planner.peers[0].lost.is_set()
-        made.leave(third)
+        made.withdraw(third)
 
 
 @story
