--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -239,7 +239,7 @@
         self.core.endpoints.update("test", UpdateKind.CACHED, 0, [])
         self._ids = 0
 
-    def list(self, *planners: GrpcPlanner, **changes: Any) -> None:
+    def list_workers(self, *planners: GrpcPlanner, **changes: Any) -> None:
         self.core.endpoints.update(
             "test",
             UpdateKind.DELTA,
@@ -286,7 +286,7 @@
 ) -> AsyncIterator[ForwarderRig]:
     """The bench with these planners listed."""
     made = ForwarderRig(settings or {}, forms, keepalive)
-    made.list(*planners)
+    made.list_workers(*planners)
     try:
         yield made
     finally:
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -173,7 +173,7 @@
         caller = made.submit()
         while not made.worker_client._all:
             await asyncio.sleep(0)
-        made.list(planner, state=EndpointState.REMOVED)
+        made.list_workers(planner, state=EndpointState.REMOVED)
         up()
         while not planner.peers:
             await asyncio.sleep(0)
--- a/tests/upstream/test_grpc_client.py
+++ b/tests/upstream/test_grpc_client.py
@@ -139,7 +139,7 @@
     ):
         callers = [made.submit("book") for _ in range(2)]
         await leaving.call(2)
-        made.list(staying)
+        made.list_workers(staying)
         low, high = sorted(leaving.calls, key=lambda call: call.number)
         low.peer.goaway(low.number)
         await staying.call(1)  # the one above never ran: it may go anywhere
@@ -165,7 +165,7 @@
             ({"started_at_ms": 9.0}, True),
             ({"started_at_ms": 9.0, "state": EndpointState.DRAINING}, False),
         ]:
-            made.list(planner, **changes)
+            made.list_workers(planner, **changes)
             await asyncio.sleep(0.02)
             assert made.core._dispatcher.workers[b"p1"].ready is ready, changes
 
@@ -223,8 +223,8 @@
         assert (await caller.answer())[0] == "refused"
         assert made.core.counters["attempt RESET"] == 0 and made.core.counters["attempt CONNECT_FAILED"] >= 1
         made.worker_client.on_wrong_interface = wrong.append
-        made.list(mute, state=EndpointState.REMOVED)
-        made.list(old)
+        made.list_workers(mute, state=EndpointState.REMOVED)
+        made.list_workers(old)
         caller = made.submit("book", client_timeout_ms=600.0)
         while not old.peers:
             await asyncio.sleep(0.01)
@@ -262,7 +262,7 @@
         stuck.opens = False
         caller = made.submit("book", body)
         await stuck.until(lambda: bool(stuck.peers and stuck.peers[0].calls))
-        made.list(other)
+        made.list_workers(other)
         stuck.cut()
         assert (await caller.answer())[0] == "served"
         assert made.core.counters["attempt CONNECT_FAILED"] == 1 and not stuck.calls and len(other.calls) == 1
@@ -281,7 +281,7 @@
         await bad.call(1)
         await asyncio.wait_for(bad.peers[0].lost.wait(), 2.0)
         async with GrpcPlanner("p2") as good:
-            made.list(good)
+            made.list_workers(good)
             assert (await made.submit().answer())[0] == "served"
         assert (await caller.answer())[0] in ("served", "refused")
 
@@ -314,7 +314,7 @@
     ):
         caller = made.submit()
         await gone.call(1)
-        made.list(other)
+        made.list_workers(other)
         begun = made.loop.time()
         assert (await caller.answer())[0] == "served"
         assert 2.0 < made.loop.time() - begun < 4.0 and made.core.counters["attempt RESET"] == 1
@@ -340,7 +340,7 @@
             seen, begun = len(planner.calls), made.loop.time()
             assert (await made.submit("quote", client_timeout_ms=4000.0).answer())[0] == "refused"
             assert len(planner.calls) == seen + 1 and made.loop.time() - begun < 1.0
-            made.list(planner, started_at_ms=made.core._turns.epoch_s * 1000 + len(planner.calls))
+            made.list_workers(planner, started_at_ms=made.core._turns.epoch_s * 1000 + len(planner.calls))
 
 
 @pytest.mark.parametrize("zone", [0, 1])
@@ -353,8 +353,8 @@
         ):
             caller = made.submit("book", client_timeout_ms=1500.0)
             (await first.call(1)).started()
-            made.list(second)
-            made.list(first, state=EndpointState.REMOVED)
+            made.list_workers(second)
+            made.list_workers(first, state=EndpointState.REMOVED)
             await asyncio.sleep(0.02)
             first.cut()
             assert (await caller.answer())[0] == ("served" if zone == 0 else "failed")
@@ -399,11 +399,11 @@
 async def test_what_waits_is_refused_when_the_last_planner_that_could_be_told_has_gone() -> None:
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
     async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, forwarder_rig(newer) as made:
-        made.list(older, interface=1, job_classes=frozenset())  # it can be told, but has no room
+        made.list_workers(older, interface=1, job_classes=frozenset())  # it can be told, but has no room
         caller = made.submit("book", hazard)
         await asyncio.sleep(0.05)
         assert not caller.told
-        made.list(older, interface=2)
+        made.list_workers(older, interface=2)
         assert await asyncio.wait_for(caller.answer(), 0.5) == ("unfit", ("hazard", False))
         assert not newer.calls and not older.calls
 
@@ -413,7 +413,7 @@
     """Where both interfaces stand side by side, a wrong one costs no attempt."""
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
     async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, forwarder_rig(newer, older) as made:
-        made.list(older, interface=1)
+        made.list_workers(older, interface=1)
         # The stand-in of interface 1 speaks gRPC as well: here it counts that alone the draw goes there.
         made.core.endpoints._endpoints[b"p1"].interface = 1
         for _ in range(10):
