--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -198,13 +198,13 @@
 class Caller:
     """A client of the core, and all that it was told."""
 
-    told: list[tuple[str, Any]] = field(default_factory=list)
+    outcomes: list[tuple[str, Any]] = field(default_factory=list)
     notes: list[tuple[ProgressKind, float]] = field(default_factory=list)
     over: asyncio.Event = field(default_factory=asyncio.Event)
     exchange: Any = None
 
     def _end(self, how: str, what: Any = None) -> None:
-        self.told.append((how, what))
+        self.outcomes.append((how, what))
         self.over.set()
 
     def succeeded(self, result: bytes) -> None:
@@ -224,8 +224,8 @@
 
     async def answer(self) -> tuple[str, Any]:
         await self.over.wait()
-        assert len(self.told) == 1, self.told
-        return self.told[0]
+        assert len(self.outcomes) == 1, self.outcomes
+        return self.outcomes[0]
 
 
 class ForwarderRig:
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -181,7 +181,10 @@
             connection.connection_lost(None)
             await asyncio.sleep(0)
             for caller in callers:
-                assert all(attempt.finished for attempt in caller.exchange.attempts) and len(caller.told) <= 1
+                assert (
+                    all(attempt.finished for attempt in caller.exchange.attempts)
+                    and len(caller.outcomes) <= 1
+                )
             assert not connection.streams and not connection.queue and not faults, faults
             for caller in callers:
                 world.withdraw(caller)
--- a/tests/upstream/test_grpc_client.py
+++ b/tests/upstream/test_grpc_client.py
@@ -77,7 +77,7 @@
         made.withdraw(first)
         await planner.until(lambda: call.reset is not None)
         assert call.reset == CANCEL
-        assert not early.told and not first.told and not waiting.told
+        assert not early.outcomes and not first.outcomes and not waiting.outcomes
         assert made.core.active_count == 0 and made.core.counters["withdrawn"] == 3
         later = made.submit()
         (await planner.call(2)).done()
@@ -98,7 +98,7 @@
                 made.withdraw(caller)
                 call.done()
             await asyncio.sleep(0.05)
-            assert not caller.told and made.core.active_count == 0
+            assert not caller.outcomes and made.core.active_count == 0
         assert made.core.counters["attempt CANCELLED"] + made.core.counters["attempt OK"] == 2
         caller = made.submit()
         (await planner.call(3)).done()
@@ -245,7 +245,7 @@
     async with GrpcPlanner(initial_window_size=64) as planner, forwarder_rig(planner) as made:
         caller = made.submit("book", body, client_timeout_ms=15_000.0)
         beside = made.submit("quote")
-        assert (await beside.answer())[0] == "served" and not caller.told
+        assert (await beside.answer())[0] == "served" and not caller.outcomes
         assert (await caller.answer())[0] == "served"
         told = pb.RunRequest.FromString(planner.calls[-1].body[PREFIX.size :]).book.goods
         assert len(told) == body.count(b"sku") and {one.count for one in told} == {7}
@@ -402,7 +402,7 @@
         made.list_workers(older, interface=1, job_classes=frozenset())  # it can be told, but has no room
         caller = made.submit("book", hazard)
         await asyncio.sleep(0.05)
-        assert not caller.told
+        assert not caller.outcomes
         made.list_workers(older, interface=2)
         assert await asyncio.wait_for(caller.answer(), 0.5) == ("unfit", ("hazard", False))
         assert not newer.calls and not older.calls
