--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -201,7 +201,7 @@
     outcomes: list[tuple[str, Any]] = field(default_factory=list)
     notes: list[tuple[ProgressKind, float]] = field(default_factory=list)
     over: asyncio.Event = field(default_factory=asyncio.Event)
-    exchange: Any = None
+    context: Any = None
 
     def _end(self, how: str, what: Any = None) -> None:
         self.outcomes.append((how, what))
@@ -270,11 +270,11 @@
 
     def submit(self, job_class: str = "quote", body: bytes | None = None, **more: Any) -> Caller:
         caller = Caller()
-        caller.exchange = self.core.submit(self.request(job_class, body, **more), caller)
+        caller.context = self.core.submit(self.request(job_class, body, **more), caller)
         return caller
 
     def withdraw(self, caller: Caller) -> None:
-        self.core.withdraw(caller.exchange)
+        self.core.withdraw(caller.context)
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -166,8 +166,8 @@
             connection.connection_made(transport)  # type: ignore[arg-type]
             callers = [Caller(), Caller()]
             for caller in callers:
-                caller.exchange = world.core.submit(world.request("quote", QUOTE, form_version=None), caller)
-                world.core._attempts.start(StartAttempt(caller.exchange.job_id, b"p1"))
+                caller.context = world.core.submit(world.request("quote", QUOTE, form_version=None), caller)
+                world.core._attempts.start(StartAttempt(caller.context.job_id, b"p1"))
             data = (made(SettingsFrame, 0) if greets else b"") + b"".join(parts)
             for place in range(0, len(data), piece):
                 if connection.has_ended or transport.closed:
@@ -182,8 +182,7 @@
             await asyncio.sleep(0)
             for caller in callers:
                 assert (
-                    all(attempt.finished for attempt in caller.exchange.attempts)
-                    and len(caller.outcomes) <= 1
+                    all(attempt.finished for attempt in caller.context.attempts) and len(caller.outcomes) <= 1
                 )
             assert not connection.streams and not connection.queue and not faults, faults
             for caller in callers:
