--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -27,7 +27,7 @@
 from pipitshed.worker_api import planner_pb2 as pb
 
 ROOT = Path(__file__).parent.parent
-FORMS = (ROOT / "deploy" / "translation.toml").read_text()
+TRANSLATION_TOML = (ROOT / "deploy" / "translation.toml").read_text()
 QUOTE = b'{"origin":"LIM","destination":"AQP","pallets":4}'
 BOOK = b'{"origin":"LIM","destination":"AQP","pallets":2}'
 
@@ -222,7 +222,7 @@
     def progressed(self, kind: ProgressKind, share: float) -> None:
         self.notes.append((kind, share))
 
-    async def answer(self) -> tuple[str, Any]:
+    async def outcome(self) -> tuple[str, Any]:
         await self.over.wait()
         assert len(self.outcomes) == 1, self.outcomes
         return self.outcomes[0]
@@ -231,10 +231,10 @@
 class ForwarderRig:
     """The core, the translator and the carrier on this loop."""
 
-    def __init__(self, settings: dict[str, Any], forms: str, keepalive: float) -> None:
+    def __init__(self, settings: dict[str, Any], translation_toml: str, keepalive: float) -> None:
         self.loop = asyncio.get_running_loop()
         self.core = Forwarder(settings_from(SETTINGS | settings), 1, self.loop)
-        self.core.attach_translator(Translator(read(forms), ["quote", "book"]))
+        self.core.attach_translator(Translator(read(translation_toml), ["quote", "book"]))
         self.worker_client = GrpcWorkerClient(self.core, ["quote", "book"], self.loop, keepalive)
         self.core.endpoints.update("test", UpdateKind.CACHED, 0, [])
         self._ids = 0
@@ -281,11 +281,11 @@
 async def forwarder_rig(
     *planners: GrpcPlanner,
     settings: dict[str, Any] | None = None,
-    forms: str = FORMS,
+    translation_toml: str = TRANSLATION_TOML,
     keepalive: float = 10.0,
 ) -> AsyncIterator[ForwarderRig]:
     """The bench with these planners listed."""
-    made = ForwarderRig(settings or {}, forms, keepalive)
+    made = ForwarderRig(settings or {}, translation_toml, keepalive)
     made.list_workers(*planners)
     try:
         yield made
--- a/tests/test_translation.py
+++ b/tests/test_translation.py
@@ -8,7 +8,7 @@
 from urllib.parse import parse_qsl, urlencode
 
 import pytest
-from grpc_peer import FORMS
+from grpc_peer import TRANSLATION_TOML
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -18,7 +18,7 @@
 from pipitshed.translation.values import Unfit
 from pipitshed.worker_api import planner_pb2 as pb
 
-FILE = read(FORMS)
+FILE = read(TRANSLATION_TOML)
 TRANSLATOR = Translator(FILE, ["quote", "book"])
 
 places = st.text(st.characters(codec="utf-8", exclude_categories=["Cs"]), max_size=32)
@@ -199,14 +199,14 @@
     ],
 )
 def test_a_file_that_would_lose_anything_is_turned_down_by_its_line(old: str, new: str, what: str) -> None:
-    assert old in FORMS
+    assert old in TRANSLATION_TOML
     with pytest.raises(TranslationError) as caught:
-        read(FORMS.replace(old, new, 1))
+        read(TRANSLATION_TOML.replace(old, new, 1))
     assert what in str(caught.value), str(caught.value)
 
 
 def test_the_line_is_the_one_at_fault() -> None:
-    text = FORMS.replace('dock = { default = "any" }', "dock = { default = 3 }")
+    text = TRANSLATION_TOML.replace('dock = { default = "any" }', "dock = { default = 3 }")
     line = text.splitlines().index("dock = { default = 3 }") + 1
     with pytest.raises(TranslationError) as caught:
         read(text)
@@ -214,7 +214,7 @@
 
 
 def test_a_step_may_not_touch_the_envelope() -> None:
-    text = FORMS.replace(
+    text = TRANSLATION_TOML.replace(
         "[steps.classes.book.request.cannot]\nhazard",
         '[steps.classes.book.request.cannot]\nidempotency-key = "none"\nhazard',
         1,
@@ -228,7 +228,9 @@
 
 def test_a_field_that_only_the_new_side_requires_is_refused_by_name_where_no_default_is_stated() -> None:
     forms = read(
-        FORMS.replace('dock = { default = "any" }', 'dock = { cannot = "old terminals know no docks" }')
+        TRANSLATION_TOML.replace(
+            'dock = { default = "any" }', 'dock = { cannot = "old terminals know no docks" }'
+        )
     )
     with pytest.raises(Unfit) as caught:
         Translator(forms, ["quote", "book"]).convert(
@@ -240,7 +242,7 @@
 def test_a_refusal_names_the_field_as_its_client_does() -> None:
     """Over two steps: what the newest form can't hold is told by the oldest one's name."""
     old, new = 'weight_g = { type = "integer" }', 'weight_g = { type = "integer", most = 5 }'
-    forms = read(FORMS.replace(old, new))
+    forms = read(TRANSLATION_TOML.replace(old, new))
     with pytest.raises(Unfit) as caught:
         Translator(forms, ["quote", "book"]).convert(0, 2, "quote", b"from=a&to=b&plts=1&kg=2.5")
     assert (caught.value.field, caught.value.value) == ("kg", "2500")
--- a/tests/upstream/test_grpc_client.py
+++ b/tests/upstream/test_grpc_client.py
@@ -34,7 +34,7 @@
         call.started()
         call.event(running=pb.Running(share=0.5))
         call.done(stops=["LIM", "AQP"])
-        how, result = await caller.answer()
+        how, result = await caller.outcome()
         assert (how, result) == (
             "served",
             b'{"booking_ref":"B-1","departs":"2027-01-15T08:00:00Z","stops":["LIM","AQP"]}',
@@ -58,7 +58,7 @@
         await (await planner.call(3)).peer.planner.call(3)
         planner.calls[1].done()
         planner.calls[2].done()
-        assert [(await caller.answer())[0] for caller in callers] == ["served"] * 3
+        assert [(await caller.outcome())[0] for caller in callers] == ["served"] * 3
 
 
 @story
@@ -81,7 +81,7 @@
         assert made.core.active_count == 0 and made.core.counters["withdrawn"] == 3
         later = made.submit()
         (await planner.call(2)).done()
-        assert (await later.answer())[0] == "served"
+        assert (await later.outcome())[0] == "served"
 
 
 @story
@@ -102,7 +102,7 @@
         assert made.core.counters["attempt CANCELLED"] + made.core.counters["attempt OK"] == 2
         caller = made.submit()
         (await planner.call(3)).done()
-        assert (await caller.answer())[0] == "served" and len(planner.peers) == 1
+        assert (await caller.outcome())[0] == "served" and len(planner.peers) == 1
 
 
 @story
@@ -125,7 +125,7 @@
         await asyncio.sleep(0.05)
         late.done()
         other.done()
-        assert (await beside.answer())[0] == "served"
+        assert (await beside.outcome())[0] == "served"
         assert made.core.counters["attempt RESET"] == 0 and not planner.peers[0].lost.is_set()
         made.withdraw(third)
 
@@ -146,10 +146,10 @@
         assert made.core.endpoints.interfaces() == {2}
         assert made.core._dispatcher.workers[b"p1"].ready is False
         for _ in range(20):
-            assert (await made.submit().answer())[0] == "served"
+            assert (await made.submit().outcome())[0] == "served"
         assert len(leaving.calls) == 2
         low.done()  # the one at the last id ends as it would have
-        assert sorted([(await caller.answer())[0] for caller in callers]) == ["served", "served"]
+        assert sorted([(await caller.outcome())[0] for caller in callers]) == ["served", "served"]
         await low.peer.lost.wait()
 
 
@@ -201,7 +201,7 @@
         alone = ONCE | {"permissions": SETTINGS["permissions"] | {"maxAttempts": 1}}
         async with GrpcPlanner(act=act) as planner, forwarder_rig(planner, settings=alone) as made:
             caller = made.submit("book", client_timeout_ms=2000.0)
-            how, _ = await caller.answer()
+            how, _ = await caller.outcome()
             await asyncio.sleep(0.01)
             assert made.core.counters[f"attempt {tally}"] >= 1, made.core.counters
             if tally in ("RESET", "ERROR", "TIMEOUT"):
@@ -220,7 +220,7 @@
     async with GrpcPlanner("mute") as mute, GrpcPlanner("old") as old, forwarder_rig(mute) as made:
         mute.settings = old.settings = None
         caller = made.submit("book", client_timeout_ms=600.0)
-        assert (await caller.answer())[0] == "refused"
+        assert (await caller.outcome())[0] == "refused"
         assert made.core.counters["attempt RESET"] == 0 and made.core.counters["attempt CONNECT_FAILED"] >= 1
         made.worker_client.on_wrong_interface = wrong.append
         made.list_workers(mute, state=EndpointState.REMOVED)
@@ -245,8 +245,8 @@
     async with GrpcPlanner(initial_window_size=64) as planner, forwarder_rig(planner) as made:
         caller = made.submit("book", body, client_timeout_ms=15_000.0)
         beside = made.submit("quote")
-        assert (await beside.answer())[0] == "served" and not caller.outcomes
-        assert (await caller.answer())[0] == "served"
+        assert (await beside.outcome())[0] == "served" and not caller.outcomes
+        assert (await caller.outcome())[0] == "served"
         told = pb.RunRequest.FromString(planner.calls[-1].body[PREFIX.size :]).book.goods
         assert len(told) == body.count(b"sku") and {one.count for one in told} == {7}
 
@@ -264,7 +264,7 @@
         await stuck.until(lambda: bool(stuck.peers and stuck.peers[0].calls))
         made.list_workers(other)
         stuck.cut()
-        assert (await caller.answer())[0] == "served"
+        assert (await caller.outcome())[0] == "served"
         assert made.core.counters["attempt CONNECT_FAILED"] == 1 and not stuck.calls and len(other.calls) == 1
 
 
@@ -282,8 +282,8 @@
         await asyncio.wait_for(bad.peers[0].lost.wait(), 2.0)
         async with GrpcPlanner("p2") as good:
             made.list_workers(good)
-            assert (await made.submit().answer())[0] == "served"
-        assert (await caller.answer())[0] in ("served", "refused")
+            assert (await made.submit().outcome())[0] == "served"
+        assert (await caller.outcome())[0] in ("served", "refused")
 
 
 @pytest.mark.parametrize("begun", [0.0, 0.5, 0.8, 0.99, 1.0, 1.7])
@@ -316,7 +316,7 @@
         await gone.call(1)
         made.list_workers(other)
         begun = made.loop.time()
-        assert (await caller.answer())[0] == "served"
+        assert (await caller.outcome())[0] == "served"
         assert 2.0 < made.loop.time() - begun < 4.0 and made.core.counters["attempt RESET"] == 1
 
 
@@ -334,11 +334,11 @@
         begun = made.loop.time()
         await planner.call(2)
         assert made.loop.time() - begun >= 0.29
-        assert (await caller.answer())[0] == "refused"
+        assert (await caller.outcome())[0] == "refused"
         for text in ("-1", "60000", "soon"):
             planner.act = full(text)
             seen, begun = len(planner.calls), made.loop.time()
-            assert (await made.submit("quote", client_timeout_ms=4000.0).answer())[0] == "refused"
+            assert (await made.submit("quote", client_timeout_ms=4000.0).outcome())[0] == "refused"
             assert len(planner.calls) == seen + 1 and made.loop.time() - begun < 1.0
             made.list_workers(planner, started_at_ms=made.core._turns.epoch_s * 1000 + len(planner.calls))
 
@@ -357,7 +357,7 @@
             made.list_workers(first, state=EndpointState.REMOVED)
             await asyncio.sleep(0.02)
             first.cut()
-            assert (await caller.answer())[0] == ("served" if zone == 0 else "failed")
+            assert (await caller.outcome())[0] == ("served" if zone == 0 else "failed")
             assert len(second.calls) == (1 if zone == 0 else 0)
 
     story(run)()
@@ -371,9 +371,9 @@
         forwarder_rig(planner) as made,
     ):
         form = b"from=LIM&to=AQP&plts=4"
-        assert await made.submit("quote", form, form_version=0).answer() == ("unfit", ("truck", True))
+        assert await made.submit("quote", form, form_version=0).outcome() == ("unfit", ("truck", True))
         assert len(planner.calls) == 1
-        assert (await made.submit("quote").answer())[0] == "served"
+        assert (await made.submit("quote").outcome())[0] == "served"
 
 
 @story
@@ -381,7 +381,7 @@
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
     async with GrpcPlanner() as planner, forwarder_rig(planner) as made:
         begun = made.loop.time()
-        assert await made.submit("book", hazard).answer() == ("unfit", ("hazard", False))
+        assert await made.submit("book", hazard).outcome() == ("unfit", ("hazard", False))
         for name, body in [
             ("pallets", b'{"origin":"a","destination":"b","pallets":1.5}'),
             ("origin", b'{"origin":"a","origin":"b","destination":"b","pallets":1}'),
@@ -390,8 +390,8 @@
             ("the message", b'{"origin":"\xff"}'),
             ("the message", b"[" * 30_000),
         ]:
-            assert await made.submit("book", body).answer() == ("unfit", (name, False))
-        assert await made.submit("book", idempotency_key="k\u00e9").answer() == ("unfit", ("key", False))
+            assert await made.submit("book", body).outcome() == ("unfit", (name, False))
+        assert await made.submit("book", idempotency_key="k\u00e9").outcome() == ("unfit", ("key", False))
         assert made.loop.time() - begun < 0.5 and not planner.calls
 
 
@@ -404,7 +404,7 @@
         await asyncio.sleep(0.05)
         assert not caller.outcomes
         made.list_workers(older, interface=2)
-        assert await asyncio.wait_for(caller.answer(), 0.5) == ("unfit", ("hazard", False))
+        assert await asyncio.wait_for(caller.outcome(), 0.5) == ("unfit", ("hazard", False))
         assert not newer.calls and not older.calls
 
 
