--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -187,9 +187,9 @@
 
     async def __aexit__(self, *_: object) -> None:
         self._server.close()
-        self.cut()
+        self.abort_connections()
 
-    def cut(self) -> None:
+    def abort_connections(self) -> None:
         for peer in self.peers:
             peer.transport.abort()
 
--- a/tests/test_old_clients.py
+++ b/tests/test_old_clients.py
@@ -170,7 +170,7 @@
             old = Planner("p1", act=lambda run: run.say("done", result=PLAN))
             old._server = await asyncio.start_server(old._connected, "127.0.0.1", newer.port)
             old.writers = []
-            newer.cut()
+            newer.abort_connections()
             status, _, body = await client.answer()
             assert (status, json.loads(body)["price"]) == (200, 2)
             assert old.runs[0].headers["x-class"] == "quote" and old.runs[0].body == JOB
--- a/tests/upstream/test_grpc_client.py
+++ b/tests/upstream/test_grpc_client.py
@@ -263,7 +263,7 @@
         caller = made.submit("book", body)
         await stuck.until(lambda: bool(stuck.peers and stuck.peers[0].calls))
         made.list_workers(other)
-        stuck.cut()
+        stuck.abort_connections()
         assert (await caller.outcome())[0] == "served"
         assert made.core.counters["attempt CONNECT_FAILED"] == 1 and not stuck.calls and len(other.calls) == 1
 
@@ -356,7 +356,7 @@
             made.list_workers(second)
             made.list_workers(first, state=EndpointState.REMOVED)
             await asyncio.sleep(0.02)
-            first.cut()
+            first.abort_connections()
             assert (await caller.outcome())[0] == ("served" if zone == 0 else "failed")
             assert len(second.calls) == (1 if zone == 0 else 0)
 
