--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -40,8 +40,8 @@
     number: int
     headers: dict[str, str]
     body: bytes = b""
-    whole: bool = False
-    reset: int | None = None  # the code with which the scheduler called it off
+    is_complete: bool = False
+    reset_code: int | None = None  # the code with which the scheduler called it off
 
     def event(self, **kind: Any) -> None:
         self.raw(pb.RunEvent(id=self.headers["x-request-id"], **kind).SerializeToString())
@@ -50,7 +50,7 @@
         self.send(frame(message))
 
     def send(self, data: bytes) -> None:
-        if not self.peer.answered(self.number):
+        if not self.peer.mark_response_started(self.number):
             head = [(":status", "200"), ("content-type", "application/grpc")]
             self.peer.http2.send_headers(self.number, head)
         self.peer.http2.send_data(self.number, data)
@@ -73,12 +73,12 @@
             ("grpc-status", str(status)),
             *((name.replace("_", "-"), value) for name, value in more.items()),
         ]
-        if not self.peer.answered(self.number):
+        if not self.peer.mark_response_started(self.number):
             trailers = [(":status", "200"), ("content-type", "application/grpc"), *trailers]
         self.peer.http2.send_headers(self.number, trailers, end_stream=True)
         self.peer.flush()
 
-    def refuse(self, code: int) -> None:
+    def reset_stream(self, code: int) -> None:
         self.peer.http2.reset_stream(self.number, code)
         self.peer.flush()
 
@@ -93,7 +93,7 @@
         )
         self.calls: dict[int, Call] = {}
         self.lost = asyncio.Event()
-        self._answered: set[int] = set()
+        self._started_responses: set[int] = set()
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
@@ -108,10 +108,10 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.lost.set()
 
-    def answered(self, number: int) -> bool:
+    def mark_response_started(self, number: int) -> bool:
         """Whether the head of the answer has gone out; from now on it has."""
-        before = number in self._answered
-        self._answered.add(number)
+        before = number in self._started_responses
+        self._started_responses.add(number)
         return before
 
     def flush(self) -> None:
@@ -131,17 +131,17 @@
                 self.calls[number] = Call(self, number, dict(event.headers))
             elif isinstance(event, h2.events.DataReceived):
                 self.calls[number].body += event.data
-                if self.planner.opens:
+                if self.planner.returns_window:
                     self.http2.acknowledge_received_data(event.flow_controlled_length, number)
             elif isinstance(event, h2.events.StreamEnded):
                 call = self.calls[number]
-                call.whole = True
+                call.is_complete = True
                 self.planner.calls.append(call)
                 self.planner.act(call)
             elif isinstance(event, h2.events.StreamReset):
-                self.calls[number].reset = event.error_code
+                self.calls[number].reset_code = event.error_code
         self.flush()
-        self.planner.stir()
+        self.planner.notify()
 
 
 class GrpcPlanner:
@@ -157,26 +157,26 @@
         self.peers: list[Peer] = []
         self.calls: list[Call] = []
         self.port = 0
-        self.opens = True  # its windows again as data comes
-        self._came = asyncio.Condition()
-        self._stirs: set[asyncio.Task[None]] = set()
+        self.returns_window = True  # its windows again as data comes
+        self._changed = asyncio.Condition()
+        self._notify_tasks: set[asyncio.Task[None]] = set()
 
-    def stir(self) -> None:
-        async def tell() -> None:
-            async with self._came:
-                self._came.notify_all()
+    def notify(self) -> None:
+        async def notify_all() -> None:
+            async with self._changed:
+                self._changed.notify_all()
 
-        task = asyncio.get_running_loop().create_task(tell())
-        self._stirs.add(task)
-        task.add_done_callback(self._stirs.discard)
+        task = asyncio.get_running_loop().create_task(notify_all())
+        self._notify_tasks.add(task)
+        task.add_done_callback(self._notify_tasks.discard)
 
-    async def until(self, what: Callable[[], bool]) -> None:
-        async with self._came:
-            await self._came.wait_for(what)
+    async def wait_until(self, what: Callable[[], bool]) -> None:
+        async with self._changed:
+            await self._changed.wait_for(what)
 
     async def call(self, count: int) -> Call:
         """The call with this number, counted from one, once it is whole."""
-        await self.until(lambda: len(self.calls) >= count)
+        await self.wait_until(lambda: len(self.calls) >= count)
         return self.calls[count - 1]
 
     async def __aenter__(self) -> GrpcPlanner:
@@ -200,12 +200,12 @@
 
     outcomes: list[tuple[str, Any]] = field(default_factory=list)
     notes: list[tuple[ProgressKind, float]] = field(default_factory=list)
-    over: asyncio.Event = field(default_factory=asyncio.Event)
+    ended: asyncio.Event = field(default_factory=asyncio.Event)
     context: Any = None
 
-    def _end(self, how: str, what: Any = None) -> None:
-        self.outcomes.append((how, what))
-        self.over.set()
+    def _end(self, kind: str, what: Any = None) -> None:
+        self.outcomes.append((kind, what))
+        self.ended.set()
 
     def succeeded(self, result: bytes) -> None:
         self._end("served", result)
@@ -223,7 +223,7 @@
         self.notes.append((kind, share))
 
     async def outcome(self) -> tuple[str, Any]:
-        await self.over.wait()
+        await self.ended.wait()
         assert len(self.outcomes) == 1, self.outcomes
         return self.outcomes[0]
 
@@ -231,11 +231,11 @@
 class ForwarderRig:
     """The core, the translator and the carrier on this loop."""
 
-    def __init__(self, settings: dict[str, Any], translation_toml: str, keepalive: float) -> None:
+    def __init__(self, settings: dict[str, Any], translation_toml: str, keepalive_s: float) -> None:
         self.loop = asyncio.get_running_loop()
         self.core = Forwarder(settings_from(SETTINGS | settings), 1, self.loop)
         self.core.attach_translator(Translator(read(translation_toml), ["quote", "book"]))
-        self.worker_client = GrpcWorkerClient(self.core, ["quote", "book"], self.loop, keepalive)
+        self.worker_client = GrpcWorkerClient(self.core, ["quote", "book"], self.loop, keepalive_s)
         self.core.endpoints.update("test", UpdateKind.CACHED, 0, [])
         self._ids = 0
 
@@ -282,12 +282,12 @@
     *planners: GrpcPlanner,
     settings: dict[str, Any] | None = None,
     translation_toml: str = TRANSLATION_TOML,
-    keepalive: float = 10.0,
+    keepalive_s: float = 10.0,
 ) -> AsyncIterator[ForwarderRig]:
     """The bench with these planners listed."""
-    made = ForwarderRig(settings or {}, translation_toml, keepalive)
-    made.list_workers(*planners)
+    rig = ForwarderRig(settings or {}, translation_toml, keepalive_s)
+    rig.list_workers(*planners)
     try:
-        yield made
+        yield rig
     finally:
-        made.worker_client.close()
+        rig.worker_client.close()
--- a/tests/upstream/test_grpc_client.py
+++ b/tests/upstream/test_grpc_client.py
@@ -22,8 +22,8 @@
 
 @story
 async def test_a_job_is_told_whole_and_its_result_comes_back() -> None:
-    async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as made:
-        caller = made.submit("book", slots=2.0, memory=1.5, idempotency_key="k 1", client_timeout_ms=4000.0)
+    async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as rig:
+        caller = rig.submit("book", slots=2.0, memory=1.5, idempotency_key="k 1", client_timeout_ms=4000.0)
         call = await planner.call(1)
         told = call.headers
         assert (told["x-request-id"], told["x-class"], told["x-tenant"]) == ("r1", "book", "andes-retail")
@@ -49,8 +49,8 @@
 
 @story
 async def test_many_attempts_share_one_connection_within_the_planners_limit() -> None:
-    async with GrpcPlanner(act=silent, max_concurrent_streams=2) as planner, forwarder_rig(planner) as made:
-        callers = [made.submit("book") for _ in range(3)]
+    async with GrpcPlanner(act=silent, max_concurrent_streams=2) as planner, forwarder_rig(planner) as rig:
+        callers = [rig.submit("book") for _ in range(3)]
         await planner.call(2)
         await asyncio.sleep(0.05)
         assert len(planner.calls) == 2 and len(planner.peers) == 1
@@ -64,22 +64,22 @@
 @story
 async def test_a_client_that_goes_is_followed_wherever_its_request_is() -> None:
     """Waiting to be translated, waiting for a stream, and just written."""
-    async with GrpcPlanner(act=silent, max_concurrent_streams=1) as planner, forwarder_rig(planner) as made:
-        early = made.submit()
-        made.withdraw(early)  # in this very turn: it is not translated yet
-        first = made.submit("book")
+    async with GrpcPlanner(act=silent, max_concurrent_streams=1) as planner, forwarder_rig(planner) as rig:
+        early = rig.submit()
+        rig.withdraw(early)  # in this very turn: it is not translated yet
+        first = rig.submit("book")
         call = await planner.call(1)
-        waiting = made.submit("book")
+        waiting = rig.submit("book")
         await asyncio.sleep(0.05)
-        made.withdraw(waiting)
+        rig.withdraw(waiting)
         await asyncio.sleep(0.02)
-        assert len(planner.calls) == 1 and call.reset is None
-        made.withdraw(first)
-        await planner.until(lambda: call.reset is not None)
-        assert call.reset == CANCEL
+        assert len(planner.calls) == 1 and call.reset_code is None
+        rig.withdraw(first)
+        await planner.wait_until(lambda: call.reset_code is not None)
+        assert call.reset_code == CANCEL
         assert not early.outcomes and not first.outcomes and not waiting.outcomes
-        assert made.core.active_count == 0 and made.core.counters["withdrawn"] == 3
-        later = made.submit()
+        assert rig.core.active_count == 0 and rig.core.counters["withdrawn"] == 3
+        later = rig.submit()
         (await planner.call(2)).done()
         assert (await later.outcome())[0] == "served"
 
@@ -87,20 +87,20 @@
 @story
 async def test_a_cancel_that_races_the_last_event_leaves_one_outcome() -> None:
     """The client goes in the turn in which the result stands in the socket, in both orders."""
-    async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as made:
+    async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as rig:
         for count, last in enumerate((False, True), 1):
-            caller = made.submit()
+            caller = rig.submit()
             call = await planner.call(count)
             if last:
                 call.done()
-                made.withdraw(caller)
+                rig.withdraw(caller)
             else:
-                made.withdraw(caller)
+                rig.withdraw(caller)
                 call.done()
             await asyncio.sleep(0.05)
-            assert not caller.outcomes and made.core.active_count == 0
-        assert made.core.counters["attempt CANCELLED"] + made.core.counters["attempt OK"] == 2
-        caller = made.submit()
+            assert not caller.outcomes and rig.core.active_count == 0
+        assert rig.core.counters["attempt CANCELLED"] + rig.core.counters["attempt OK"] == 2
+        caller = rig.submit()
         (await planner.call(3)).done()
         assert (await caller.outcome())[0] == "served" and len(planner.peers) == 1
 
@@ -114,20 +114,20 @@
         """The planner answers as though it had not read of the cancel yet."""
         call.peer.data_received = lambda data: None  # type: ignore[method-assign]
 
-    async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as made:
-        first, beside = made.submit("book"), made.submit("book")
+    async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as rig:
+        first, beside = rig.submit("book"), rig.submit("book")
         await planner.call(2)
         late = next(call for call in planner.calls if call.headers["x-request-id"] == "r1")
         other = next(call for call in planner.calls if call is not late)
         apart(late)
-        made.withdraw(first)
-        third = made.submit("book")  # a new stream: those that are closed are forgotten
+        rig.withdraw(first)
+        third = rig.submit("book")  # a new stream: those that are closed are forgotten
         await asyncio.sleep(0.05)
         late.done()
         other.done()
         assert (await beside.outcome())[0] == "served"
-        assert made.core.counters["attempt RESET"] == 0 and not planner.peers[0].lost.is_set()
-        made.withdraw(third)
+        assert rig.core.counters["attempt RESET"] == 0 and not planner.peers[0].lost.is_set()
+        rig.withdraw(third)
 
 
 @story
@@ -135,18 +135,18 @@
     async with (
         GrpcPlanner("p1", act=silent) as leaving,
         GrpcPlanner("p2") as staying,
-        forwarder_rig(leaving) as made,
+        forwarder_rig(leaving) as rig,
     ):
-        callers = [made.submit("book") for _ in range(2)]
+        callers = [rig.submit("book") for _ in range(2)]
         await leaving.call(2)
-        made.list_workers(staying)
+        rig.list_workers(staying)
         low, high = sorted(leaving.calls, key=lambda call: call.number)
         low.peer.goaway(low.number)
         await staying.call(1)  # the one above never ran: it may go anywhere
-        assert made.core.endpoints.interfaces() == {2}
-        assert made.core._dispatcher.workers[b"p1"].ready is False
+        assert rig.core.endpoints.interfaces() == {2}
+        assert rig.core._dispatcher.workers[b"p1"].ready is False
         for _ in range(20):
-            assert (await made.submit().outcome())[0] == "served"
+            assert (await rig.submit().outcome())[0] == "served"
         assert len(leaving.calls) == 2
         low.done()  # the one at the last id ends as it would have
         assert sorted([(await caller.outcome())[0] for caller in callers]) == ["served", "served"]
@@ -155,8 +155,8 @@
 
 @story
 async def test_a_held_planner_comes_back_with_its_next_start_alone() -> None:
-    async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as made:
-        made.submit()
+    async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as rig:
+        rig.submit()
         (await planner.call(1)).peer.goaway(2**31 - 1)
         await asyncio.sleep(0.05)
         for changes, ready in [
@@ -165,16 +165,16 @@
             ({"started_at_ms": 9.0}, True),
             ({"started_at_ms": 9.0, "state": EndpointState.DRAINING}, False),
         ]:
-            made.list_workers(planner, **changes)
+            rig.list_workers(planner, **changes)
             await asyncio.sleep(0.02)
-            assert made.core._dispatcher.workers[b"p1"].ready is ready, changes
+            assert rig.core._dispatcher.workers[b"p1"].ready is ready, changes
 
 
 @pytest.mark.parametrize(
     ("act", "tally"),
     [
-        (lambda call: call.refuse(h2.errors.ErrorCodes.REFUSED_STREAM), "FULL"),
-        (lambda call: call.refuse(h2.errors.ErrorCodes.INTERNAL_ERROR), "RESET"),
+        (lambda call: call.reset_stream(h2.errors.ErrorCodes.REFUSED_STREAM), "FULL"),
+        (lambda call: call.reset_stream(h2.errors.ErrorCodes.INTERNAL_ERROR), "RESET"),
         (lambda call: call.end(14), "RESET"),
         (lambda call: call.end(14, x_not_run="1"), "FULL"),
         (lambda call: call.end(8), "ERROR"),
@@ -199,11 +199,11 @@
     async def run() -> None:
         # One attempt each: on a busy machine a later one may be out at the deadline, and have run.
         alone = ONCE | {"permissions": SETTINGS["permissions"] | {"maxAttempts": 1}}
-        async with GrpcPlanner(act=act) as planner, forwarder_rig(planner, settings=alone) as made:
-            caller = made.submit("book", client_timeout_ms=2000.0)
+        async with GrpcPlanner(act=act) as planner, forwarder_rig(planner, settings=alone) as rig:
+            caller = rig.submit("book", client_timeout_ms=2000.0)
             how, _ = await caller.outcome()
             await asyncio.sleep(0.01)
-            assert made.core.counters[f"attempt {tally}"] >= 1, made.core.counters
+            assert rig.core.counters[f"attempt {tally}"] >= 1, rig.core.counters
             if tally in ("RESET", "ERROR", "TIMEOUT"):
                 assert len(planner.calls) == 1 and how == "failed"
             else:
@@ -217,22 +217,22 @@
     """A planner that accepts and says nothing, and one that speaks HTTP/1.1: nothing of a request is written,
     so both prove that nothing ran."""
     wrong = []
-    async with GrpcPlanner("mute") as mute, GrpcPlanner("old") as old, forwarder_rig(mute) as made:
+    async with GrpcPlanner("mute") as mute, GrpcPlanner("old") as old, forwarder_rig(mute) as rig:
         mute.settings = old.settings = None
-        caller = made.submit("book", client_timeout_ms=600.0)
+        caller = rig.submit("book", client_timeout_ms=600.0)
         assert (await caller.outcome())[0] == "refused"
-        assert made.core.counters["attempt RESET"] == 0 and made.core.counters["attempt CONNECT_FAILED"] >= 1
-        made.worker_client.on_wrong_interface = wrong.append
-        made.list_workers(mute, state=EndpointState.REMOVED)
-        made.list_workers(old)
-        caller = made.submit("book", client_timeout_ms=600.0)
+        assert rig.core.counters["attempt RESET"] == 0 and rig.core.counters["attempt CONNECT_FAILED"] >= 1
+        rig.worker_client.on_wrong_interface = wrong.append
+        rig.list_workers(mute, state=EndpointState.REMOVED)
+        rig.list_workers(old)
+        caller = rig.submit("book", client_timeout_ms=600.0)
         while not old.peers:
             await asyncio.sleep(0.01)
         old.peers[0].transport.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
         await old.peers[0].lost.wait()
         await asyncio.sleep(0.02)
         assert [target.id for target in wrong] == [b"old"]
-        assert made.core.counters["attempt RESET"] == 0
+        assert rig.core.counters["attempt RESET"] == 0
 
 
 @story
@@ -242,9 +242,9 @@
     item = b'{"sku":"%s","count":7}' % (b"P" * 20)
     body = BOOK[:-1] + b',"goods":[' + b",".join([item] * ((65_000 - len(BOOK)) // (len(item) + 1))) + b"]}"
     assert 64_000 < len(body) <= 65_536
-    async with GrpcPlanner(initial_window_size=64) as planner, forwarder_rig(planner) as made:
-        caller = made.submit("book", body, client_timeout_ms=15_000.0)
-        beside = made.submit("quote")
+    async with GrpcPlanner(initial_window_size=64) as planner, forwarder_rig(planner) as rig:
+        caller = rig.submit("book", body, client_timeout_ms=15_000.0)
+        beside = rig.submit("quote")
         assert (await beside.outcome())[0] == "served" and not caller.outcomes
         assert (await caller.outcome())[0] == "served"
         told = pb.RunRequest.FromString(planner.calls[-1].body[PREFIX.size :]).book.goods
@@ -257,32 +257,32 @@
     async with (
         GrpcPlanner("p1", initial_window_size=10) as stuck,
         GrpcPlanner("p2") as other,
-        forwarder_rig(stuck, settings=ONCE) as made,
+        forwarder_rig(stuck, settings=ONCE) as rig,
     ):
-        stuck.opens = False
-        caller = made.submit("book", body)
-        await stuck.until(lambda: bool(stuck.peers and stuck.peers[0].calls))
-        made.list_workers(other)
+        stuck.returns_window = False
+        caller = rig.submit("book", body)
+        await stuck.wait_until(lambda: bool(stuck.peers and stuck.peers[0].calls))
+        rig.list_workers(other)
         stuck.abort_connections()
         assert (await caller.outcome())[0] == "served"
-        assert made.core.counters["attempt CONNECT_FAILED"] == 1 and not stuck.calls and len(other.calls) == 1
+        assert rig.core.counters["attempt CONNECT_FAILED"] == 1 and not stuck.calls and len(other.calls) == 1
 
 
 @story
 async def test_a_planner_that_floods_resets_is_left_and_the_rest_goes_on() -> None:
     def flood(call: Call) -> None:
-        call.refuse(h2.errors.ErrorCodes.REFUSED_STREAM)
+        call.reset_stream(h2.errors.ErrorCodes.REFUSED_STREAM)
         for _ in range(400):
             call.peer.http2.ping(b"12345678")
         call.peer.flush()
 
-    async with GrpcPlanner("p1", act=flood) as bad, forwarder_rig(bad) as made:
-        caller = made.submit("quote", client_timeout_ms=800.0)
+    async with GrpcPlanner("p1", act=flood) as bad, forwarder_rig(bad) as rig:
+        caller = rig.submit("quote", client_timeout_ms=800.0)
         await bad.call(1)
         await asyncio.wait_for(bad.peers[0].lost.wait(), 2.0)
         async with GrpcPlanner("p2") as good:
-            made.list_workers(good)
-            assert (await made.submit().outcome())[0] == "served"
+            rig.list_workers(good)
+            assert (await rig.submit().outcome())[0] == "served"
         assert (await caller.outcome())[0] in ("served", "refused")
 
 
@@ -310,14 +310,14 @@
     async with (
         GrpcPlanner("p1", act=vanish) as gone,
         GrpcPlanner("p2") as other,
-        forwarder_rig(gone, settings={"familyInfo": {"tellsStart": False}}, keepalive=0.1) as made,
+        forwarder_rig(gone, settings={"familyInfo": {"tellsStart": False}}, keepalive_s=0.1) as rig,
     ):
-        caller = made.submit()
+        caller = rig.submit()
         await gone.call(1)
-        made.list_workers(other)
-        begun = made.loop.time()
+        rig.list_workers(other)
+        begun = rig.loop.time()
         assert (await caller.outcome())[0] == "served"
-        assert 2.0 < made.loop.time() - begun < 4.0 and made.core.counters["attempt RESET"] == 1
+        assert 2.0 < rig.loop.time() - begun < 4.0 and rig.core.counters["attempt RESET"] == 1
 
 
 @story
@@ -328,19 +328,19 @@
     def full(text: str) -> Any:
         return lambda call: call.end(8, x_not_run="1", grpc_retry_pushback_ms=text)
 
-    async with GrpcPlanner(act=full("300")) as planner, forwarder_rig(planner) as made:
-        caller = made.submit("quote", client_timeout_ms=900.0)
+    async with GrpcPlanner(act=full("300")) as planner, forwarder_rig(planner) as rig:
+        caller = rig.submit("quote", client_timeout_ms=900.0)
         await planner.call(1)
-        begun = made.loop.time()
+        begun = rig.loop.time()
         await planner.call(2)
-        assert made.loop.time() - begun >= 0.29
+        assert rig.loop.time() - begun >= 0.29
         assert (await caller.outcome())[0] == "refused"
         for text in ("-1", "60000", "soon"):
             planner.act = full(text)
-            seen, begun = len(planner.calls), made.loop.time()
-            assert (await made.submit("quote", client_timeout_ms=4000.0).outcome())[0] == "refused"
-            assert len(planner.calls) == seen + 1 and made.loop.time() - begun < 1.0
-            made.list_workers(planner, started_at_ms=made.core._turns.epoch_s * 1000 + len(planner.calls))
+            seen, begun = len(planner.calls), rig.loop.time()
+            assert (await rig.submit("quote", client_timeout_ms=4000.0).outcome())[0] == "refused"
+            assert len(planner.calls) == seen + 1 and rig.loop.time() - begun < 1.0
+            rig.list_workers(planner, started_at_ms=rig.core._turns.epoch_s * 1000 + len(planner.calls))
 
 
 @pytest.mark.parametrize("zone", [0, 1])
@@ -349,12 +349,12 @@
         async with (
             GrpcPlanner("p1", act=silent) as first,
             GrpcPlanner("p2", zone) as second,
-            forwarder_rig(first) as made,
+            forwarder_rig(first) as rig,
         ):
-            caller = made.submit("book", client_timeout_ms=1500.0)
+            caller = rig.submit("book", client_timeout_ms=1500.0)
             (await first.call(1)).started()
-            made.list_workers(second)
-            made.list_workers(first, state=EndpointState.REMOVED)
+            rig.list_workers(second)
+            rig.list_workers(first, state=EndpointState.REMOVED)
             await asyncio.sleep(0.02)
             first.abort_connections()
             assert (await caller.outcome())[0] == ("served" if zone == 0 else "failed")
@@ -368,20 +368,20 @@
     """The job ran: even a quote, which is safe to repeat, is not run again for it."""
     async with (
         GrpcPlanner(act=lambda call: call.done(truck="t" * 40)) as planner,
-        forwarder_rig(planner) as made,
+        forwarder_rig(planner) as rig,
     ):
         form = b"from=LIM&to=AQP&plts=4"
-        assert await made.submit("quote", form, form_version=0).outcome() == ("unfit", ("truck", True))
+        assert await rig.submit("quote", form, form_version=0).outcome() == ("unfit", ("truck", True))
         assert len(planner.calls) == 1
-        assert (await made.submit("quote").outcome())[0] == "served"
+        assert (await rig.submit("quote").outcome())[0] == "served"
 
 
 @story
 async def test_what_no_listed_planner_can_be_told_is_refused_at_once() -> None:
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
-    async with GrpcPlanner() as planner, forwarder_rig(planner) as made:
-        begun = made.loop.time()
-        assert await made.submit("book", hazard).outcome() == ("unfit", ("hazard", False))
+    async with GrpcPlanner() as planner, forwarder_rig(planner) as rig:
+        begun = rig.loop.time()
+        assert await rig.submit("book", hazard).outcome() == ("unfit", ("hazard", False))
         for name, body in [
             ("pallets", b'{"origin":"a","destination":"b","pallets":1.5}'),
             ("origin", b'{"origin":"a","origin":"b","destination":"b","pallets":1}'),
@@ -390,20 +390,20 @@
             ("the message", b'{"origin":"\xff"}'),
             ("the message", b"[" * 30_000),
         ]:
-            assert await made.submit("book", body).outcome() == ("unfit", (name, False))
-        assert await made.submit("book", idempotency_key="k\u00e9").outcome() == ("unfit", ("key", False))
-        assert made.loop.time() - begun < 0.5 and not planner.calls
+            assert await rig.submit("book", body).outcome() == ("unfit", (name, False))
+        assert await rig.submit("book", idempotency_key="k\u00e9").outcome() == ("unfit", ("key", False))
+        assert rig.loop.time() - begun < 0.5 and not planner.calls
 
 
 @story
 async def test_what_waits_is_refused_when_the_last_planner_that_could_be_told_has_gone() -> None:
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
-    async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, forwarder_rig(newer) as made:
-        made.list_workers(older, interface=1, job_classes=frozenset())  # it can be told, but has no room
-        caller = made.submit("book", hazard)
+    async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, forwarder_rig(newer) as rig:
+        rig.list_workers(older, interface=1, job_classes=frozenset())  # it can be told, but has no room
+        caller = rig.submit("book", hazard)
         await asyncio.sleep(0.05)
         assert not caller.outcomes
-        made.list_workers(older, interface=2)
+        rig.list_workers(older, interface=2)
         assert await asyncio.wait_for(caller.outcome(), 0.5) == ("unfit", ("hazard", False))
         assert not newer.calls and not older.calls
 
@@ -412,11 +412,11 @@
 async def test_only_those_that_can_be_told_are_drawn() -> None:
     """Where both interfaces stand side by side, a wrong one costs no attempt."""
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
-    async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, forwarder_rig(newer, older) as made:
-        made.list_workers(older, interface=1)
+    async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, forwarder_rig(newer, older) as rig:
+        rig.list_workers(older, interface=1)
         # The stand-in of interface 1 speaks gRPC as well: here it counts that alone the draw goes there.
-        made.core.endpoints._endpoints[b"p1"].interface = 1
+        rig.core.endpoints._endpoints[b"p1"].interface = 1
         for _ in range(10):
-            made.submit("book", hazard)
+            rig.submit("book", hazard)
         await older.call(10)
-        assert not newer.calls and made.core.counters["attempt MOOT"] == 0
+        assert not newer.calls and rig.core.counters["attempt MOOT"] == 0
