--- a/tests/catalog_updates.py
+++ b/tests/catalog_updates.py
@@ -30,7 +30,7 @@
     ]
 
 
-class Wide(Catalog):
+class LargeCatalog(Catalog):
     """A list of so many planners beside the real ones, indented where asked for."""
 
     def __init__(self, *planners: Planner, others: int, indent: int | None = None) -> None:
--- a/tests/discovery/test_catalog_size_limit.py
+++ b/tests/discovery/test_catalog_size_limit.py
@@ -6,7 +6,7 @@
 from unittest.mock import Mock
 
 import pytest
-from catalog_updates import HEAD, Wide, chunk, news_of, rows
+from catalog_updates import HEAD, LargeCatalog, chunk, news_of, rows
 from loopback import HttpClient, Planner, program, story
 
 from pipitshed.discovery.catalog import (
@@ -26,7 +26,7 @@
     """The failure met: over a constant bound no list was taken, and the watch was opened again and again."""
     async with (
         Planner("p1") as planner,
-        Wide(planner, others=4599, indent=2) as catalog,
+        LargeCatalog(planner, others=4599, indent=2) as catalog,
         program(catalog=catalog) as running,
     ):
         client = await HttpClient.to(running.port)
@@ -48,7 +48,7 @@
         async with (
             Planner("p1") as old,
             Planner("p2") as new,
-            Wide(old, others=2500, indent=indent) as catalog,
+            LargeCatalog(old, others=2500, indent=indent) as catalog,
             program(old, catalog=catalog, memory_mb=32) as running,
         ):
             watch = await catalog.watches.get()
--- a/tests/discovery/test_catalog_snapshots.py
+++ b/tests/discovery/test_catalog_snapshots.py
@@ -5,7 +5,7 @@
 import asyncio
 import re
 
-from catalog_updates import Wide, chunk, news_of
+from catalog_updates import LargeCatalog, chunk, news_of
 from loopback import Catalog, HttpClient, Planner, Program, Reader, Writer, figures, program, story
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -176,7 +176,7 @@
     """Where many start together, discovery's line is full: given up 1.5 s after its first byte, the list was
     asked for again, and never came."""
 
-    class Slow(Wide):
+    class Slow(LargeCatalog):
         async def serve(self, reader: Reader, writer: Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
             self.asked.append(0)
