--- a/tests/catalog_updates.py
+++ b/tests/catalog_updates.py
@@ -40,10 +40,10 @@
     def tell(self, writer: Writer, reset: bool, instances: list[dict[str, object]]) -> None:
         self.generation += 1
         told = instances + self.others if reset else instances
-        writer.write(chunk(news_of(self.generation, reset, told, self.indent)))
+        writer.write(chunk(update_bytes(self.generation, reset, told, self.indent)))
 
 
-def news_of(
+def update_bytes(
     version: int, reset: bool, instances: list[dict[str, object]], indent: int | None = None
 ) -> bytes:
     """A piece of news as a watch brings it."""
--- a/tests/discovery/test_catalog_snapshots.py
+++ b/tests/discovery/test_catalog_snapshots.py
@@ -5,7 +5,7 @@
 import asyncio
 import re
 
-from catalog_updates import LargeCatalog, chunk, news_of
+from catalog_updates import LargeCatalog, chunk, update_bytes
 from loopback import Catalog, HttpClient, Planner, Program, Reader, Writer, figures, program, story
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -49,7 +49,7 @@
         self.asked.append(int(line.split()[1].rpartition("from=")[2]))
         reset, rows = self.versions.since(self.asked[-1])
         self.whole += reset
-        text = news_of(self.versions.number, reset, rows)
+        text = update_bytes(self.versions.number, reset, rows)
         if self.broken:
             self.broken -= 1
             writer.write(HEAD + chunk(text[: len(text) // 2]))
@@ -61,7 +61,7 @@
 
     def push(self, writer: Writer, row: dict[str, object]) -> None:
         self.versions.change(row)
-        writer.write(chunk(news_of(self.versions.number, False, [row])))
+        writer.write(chunk(update_bytes(self.versions.number, False, [row])))
 
 
 def counted(running: Program, name: str) -> int:
@@ -180,7 +180,7 @@
         async def serve(self, reader: Reader, writer: Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
             self.asked.append(0)
-            text = news_of(7, True, [*(planner.line() for planner in self.planners), *self.others])
+            text = update_bytes(7, True, [*(planner.line() for planner in self.planners), *self.others])
             writer.write(HEAD)
             step = len(text) // 18 + 1
             for place in range(0, len(text), step):
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -10,7 +10,7 @@
 from unittest.mock import Mock
 
 import pytest
-from catalog_updates import HEAD, chunk, news_of, rows
+from catalog_updates import HEAD, chunk, rows, update_bytes
 from helpers import settings, worker_id
 
 from pipitshed.discovery.catalog import CatalogClient, EndpointParser, NameIndex
@@ -76,12 +76,12 @@
 @rigged
 async def test_a_lost_zone_in_one_read_is_one_change_to_the_decisions(rig: Rig) -> None:
     """657 lines of one planner each: they used to make all pools anew 657 times."""
-    rig.read(news_of(1, True, rows(1400, "ready")))
+    rig.read(update_bytes(1, True, rows(1400, "ready")))
     await rig.turns(lambda: len(rig.told) == 1)
     lost = rows(657)
     rig.read(
-        *[news_of(2 + place, False, [row]) for place, row in enumerate(lost)],
-        news_of(700, False, [lost[5] | {"lifecycle": "ready", "startedAtMs": 9}]),
+        *[update_bytes(2 + place, False, [row]) for place, row in enumerate(lost)],
+        update_bytes(700, False, [lost[5] | {"lifecycle": "ready", "startedAtMs": 9}]),
     )
     await rig.turns(lambda: len(rig.told) == 2)
     [change] = rig.told[1]
@@ -97,10 +97,10 @@
 async def test_a_failed_call_between_two_changes_of_a_turn_keeps_its_place(rig: Rig) -> None:
     """The decisions count failures since the last news."""
     one, two = rows(2, "ready")
-    rig.read(news_of(1, False, [one]), news_of(2, False, [two]))
+    rig.read(update_bytes(1, False, [one]), update_bytes(2, False, [two]))
     rig.call.fail()
     rig.opened()
-    rig.read(news_of(3, False, [one | {"weight": 2.0}]), news_of(4, False, [two | {"weight": 2.0}]))
+    rig.read(update_bytes(3, False, [one | {"weight": 2.0}]), update_bytes(4, False, [two | {"weight": 2.0}]))
     await rig.turns(lambda: len(rig.told) == 1)
     assert [(news.kind, news.version, len(news.entries)) for news in rig.told[0]] == [
         (UpdateKind.DELTA, 2, 2),
@@ -115,12 +115,12 @@
 
     async def run() -> None:
         rig = Rig(weight_kind=weights)
-        rig.read(news_of(1, True, rows(1500, "ready")))
+        rig.read(update_bytes(1, True, rows(1500, "ready")))
         await rig.turns(lambda: len(rig.told) == 1)
         before = dict(rig.core.endpoints._endpoints)
         again = rows(1499, "ready")
         again[7]["lifecycle"] = "draining"
-        rig.read(news_of(2, True, again))
+        rig.read(update_bytes(2, True, again))
         await rig.turns(lambda: len(rig.told) == 2)
         [change] = rig.told[1]
         assert len(change.entries) == told
@@ -138,7 +138,7 @@
 @rigged
 async def test_a_long_list_takes_several_turns_and_comes_into_the_table_whole(rig: Rig) -> None:
     """It stalled the loop, with all its timers, for 27 ms at 4,600; a part of it would draw all jobs."""
-    rig.read(news_of(1, True, rows(4600, "ready")), news_of(2, False, [rows(1)[0]]))
+    rig.read(update_bytes(1, True, rows(4600, "ready")), update_bytes(2, False, [rows(1)[0]]))
     seen = set()
 
     def whole() -> bool:
@@ -155,17 +155,17 @@
     """The list known stands, what came behind it is not taken, and the next call's news is."""
     bad = rows(1500, "ready")
     bad[-1]["hostPort"] = "nowhere"
-    rig.read(news_of(8, True, bad), news_of(9, False, rows(1, "ready")))
+    rig.read(update_bytes(8, True, bad), update_bytes(9, False, rows(1, "ready")))
     await rig.turns(lambda: len(rig.told) == 1)
     assert [news.kind for news in rig.told[0]] == [UpdateKind.FETCH_FAILED]
     assert rig.discovery.version == 0 and rig.core.endpoints.size() == 0
     rig.opened()
-    rig.read(news_of(9, True, rows(3, "ready")))
+    rig.read(update_bytes(9, True, rows(3, "ready")))
     assert rig.core.endpoints.ready() == 3 and rig.discovery.version == 9
-    rig.read(news_of(10, True, bad))
+    rig.read(update_bytes(10, True, bad))
     rig.call.fail()  # and where the next call's news waits behind it, that is taken
     rig.opened()
-    rig.read(news_of(11, False, rows(2)))
+    rig.read(update_bytes(11, False, rows(2)))
     await rig.turns(lambda: rig.discovery.version == 11)
     assert rig.core.endpoints.size() == 3 and rig.core.endpoints.ready() == 1
 
