--- a/tests/catalog_updates.py
+++ b/tests/catalog_updates.py
@@ -13,7 +13,7 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-def rows(count: int, lifecycle: str = "draining") -> list[dict[str, object]]:
+def catalog_entries(count: int, lifecycle: str = "draining") -> list[dict[str, object]]:
     """Planners that nothing is sent to, with names as long as real ones."""
     return [
         {
@@ -35,7 +35,7 @@
 
     def __init__(self, *planners: Planner, others: int, indent: int | None = None) -> None:
         super().__init__(*planners)
-        self.others, self.indent = rows(others), indent
+        self.others, self.indent = catalog_entries(others), indent
 
     def tell(self, writer: Writer, reset: bool, instances: list[dict[str, object]]) -> None:
         self.generation += 1
--- a/tests/discovery/test_catalog_size_limit.py
+++ b/tests/discovery/test_catalog_size_limit.py
@@ -6,7 +6,7 @@
 from unittest.mock import Mock
 
 import pytest
-from catalog_updates import HEAD, LargeCatalog, chunk, rows, update_bytes
+from catalog_updates import HEAD, LargeCatalog, catalog_entries, chunk, update_bytes
 from loopback import HttpClient, Planner, program, story
 
 from pipitshed.discovery.catalog import (
@@ -68,7 +68,7 @@
                 assert (await client.answer())[0] == 200
             assert catalog.asked == [1, 1]
         told = [line for line in running.log if "WARNING" in line]
-        size = len(update_bytes(2, True, [old.line(), *rows(2500)], indent))
+        size = len(update_bytes(2, True, [old.line(), *catalog_entries(2500)], indent))
         assert len(told) == 1 and f"an update of {size} bytes" in told[0] and str(256 * 1024) in told[0], told
 
     run()
@@ -92,8 +92,10 @@
 
 def _text(form: str, count: int) -> bytes:
     if form != "row by row":
-        return update_bytes(7, True, rows(count, "ready"), 2 if form == "indented" else None)
-    inner = "\n,".join(map(json.dumps, rows(count, "ready")))  # each row's line ends as the last would
+        return update_bytes(7, True, catalog_entries(count, "ready"), 2 if form == "indented" else None)
+    inner = "\n,".join(
+        map(json.dumps, catalog_entries(count, "ready"))
+    )  # each row's line ends as the last would
     return (f'{{"generation": 7, "reset": true, "instances": [\n{inner}\n]\n}}\n').encode()
 
 
@@ -125,7 +127,7 @@
     """Only braces outside of texts count, and an escaped quote ends no text."""
     told: list[int] = []
     call, _ = _watch(told)
-    odd = rows(3, "ready")
+    odd = catalog_entries(3, "ready")
     odd[0]["instanceId"], odd[1]["zone"], odd[2]["instanceId"] = 'a}"}\\', "}}}", '{"'
     call.data_received(chunk(update_bytes(7, True, odd, 2)))
     assert told == [3]
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -10,7 +10,7 @@
 from unittest.mock import Mock
 
 import pytest
-from catalog_updates import HEAD, chunk, rows, update_bytes
+from catalog_updates import HEAD, catalog_entries, chunk, update_bytes
 from helpers import settings, worker_id
 
 from pipitshed.discovery.catalog import CatalogClient, EndpointParser, NameIndex
@@ -76,9 +76,9 @@
 @rigged
 async def test_a_lost_zone_in_one_read_is_one_change_to_the_decisions(rig: Rig) -> None:
     """657 lines of one planner each: they used to make all pools anew 657 times."""
-    rig.read(update_bytes(1, True, rows(1400, "ready")))
+    rig.read(update_bytes(1, True, catalog_entries(1400, "ready")))
     await rig.turns(lambda: len(rig.told) == 1)
-    lost = rows(657)
+    lost = catalog_entries(657)
     rig.read(
         *[update_bytes(2 + place, False, [row]) for place, row in enumerate(lost)],
         update_bytes(700, False, [lost[5] | {"lifecycle": "ready", "startedAtMs": 9}]),
@@ -96,7 +96,7 @@
 @rigged
 async def test_a_failed_call_between_two_changes_of_a_turn_keeps_its_place(rig: Rig) -> None:
     """The decisions count failures since the last news."""
-    one, two = rows(2, "ready")
+    one, two = catalog_entries(2, "ready")
     rig.read(update_bytes(1, False, [one]), update_bytes(2, False, [two]))
     rig.call.fail()
     rig.opened()
@@ -115,10 +115,10 @@
 
     async def run() -> None:
         rig = Rig(weight_kind=weights)
-        rig.read(update_bytes(1, True, rows(1500, "ready")))
+        rig.read(update_bytes(1, True, catalog_entries(1500, "ready")))
         await rig.turns(lambda: len(rig.told) == 1)
         before = dict(rig.core.endpoints._endpoints)
-        again = rows(1499, "ready")
+        again = catalog_entries(1499, "ready")
         again[7]["lifecycle"] = "draining"
         rig.read(update_bytes(2, True, again))
         await rig.turns(lambda: len(rig.told) == 2)
@@ -138,7 +138,9 @@
 @rigged
 async def test_a_long_list_takes_several_turns_and_comes_into_the_table_whole(rig: Rig) -> None:
     """It stalled the loop, with all its timers, for 27 ms at 4,600; a part of it would draw all jobs."""
-    rig.read(update_bytes(1, True, rows(4600, "ready")), update_bytes(2, False, [rows(1)[0]]))
+    rig.read(
+        update_bytes(1, True, catalog_entries(4600, "ready")), update_bytes(2, False, [catalog_entries(1)[0]])
+    )
     seen = set()
 
     def whole() -> bool:
@@ -153,19 +155,19 @@
 @rigged
 async def test_a_row_that_can_not_be_read_late_in_a_long_list_fails_the_call(rig: Rig) -> None:
     """The list known stands, what came behind it is not taken, and the next call's news is."""
-    bad = rows(1500, "ready")
+    bad = catalog_entries(1500, "ready")
     bad[-1]["hostPort"] = "nowhere"
-    rig.read(update_bytes(8, True, bad), update_bytes(9, False, rows(1, "ready")))
+    rig.read(update_bytes(8, True, bad), update_bytes(9, False, catalog_entries(1, "ready")))
     await rig.turns(lambda: len(rig.told) == 1)
     assert [news.kind for news in rig.told[0]] == [UpdateKind.FETCH_FAILED]
     assert rig.discovery.version == 0 and rig.core.endpoints.size() == 0
     rig.opened()
-    rig.read(update_bytes(9, True, rows(3, "ready")))
+    rig.read(update_bytes(9, True, catalog_entries(3, "ready")))
     assert rig.core.endpoints.ready() == 3 and rig.discovery.version == 9
     rig.read(update_bytes(10, True, bad))
     rig.call.fail()  # and where the next call's news waits behind it, that is taken
     rig.opened()
-    rig.read(update_bytes(11, False, rows(2)))
+    rig.read(update_bytes(11, False, catalog_entries(2)))
     await rig.turns(lambda: rig.discovery.version == 11)
     assert rig.core.endpoints.size() == 3 and rig.core.endpoints.ready() == 1
 
