--- a/tests/discovery/test_dns_sd.py
+++ b/tests/discovery/test_dns_sd.py
@@ -29,11 +29,11 @@
             begun = loop.time()
             server.add(first, "state=draining")
             server.add(second)
-            await server.rounds(2)
+            await server.wait_for_refreshes(2)
             assert loop.time() - begun < 1.5
             await twenty(second)
             server.records[SERVICE, "PTR"].remove(f"p2.{SERVICE}")
             server.add(first)
-            await server.rounds(2)
+            await server.wait_for_refreshes(2)
             await twenty(first)
     server.transport.close()
--- a/tests/name_server.py
+++ b/tests/name_server.py
@@ -17,8 +17,8 @@
 
     def __init__(self) -> None:
         self.records: dict[tuple[str, str], list[str]] = {}
-        self.asked: dict[tuple[str, str], int] = {}
-        self.came = asyncio.Event()
+        self.query_counts: dict[tuple[str, str], int] = {}
+        self.query_received = asyncio.Event()
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:  # type: ignore[override]
         self.transport = transport
@@ -34,22 +34,22 @@
         else:
             answer.set_rcode(dns.rcode.NXDOMAIN)
         self.transport.sendto(answer.to_wire(), address)
-        self.asked[key] = self.asked.get(key, 0) + 1
-        self.came.set()
+        self.query_counts[key] = self.query_counts.get(key, 0) + 1
+        self.query_received.set()
 
-    async def rounds(self, count: int) -> None:
+    async def wait_for_refreshes(self, count: int) -> None:
         """Wait for so many questions for the service from now on."""
         key = (SERVICE, "PTR")
-        until = self.asked.get(key, 0) + count
-        while self.asked.get(key, 0) < until:
-            self.came.clear()
-            await self.came.wait()
+        target_count = self.query_counts.get(key, 0) + count
+        while self.query_counts.get(key, 0) < target_count:
+            self.query_received.clear()
+            await self.query_received.wait()
 
     def add(self, planner: Planner, *pairs: str) -> None:
         name = f"{planner.name}.{SERVICE}"
         self.records[name, "SRV"] = [f"0 1 {planner.port} {planner.name}.depots.example."]
         self.records[name, "TXT"] = [" ".join(f'"{pair}"' for pair in ("zone=lima-norte", *pairs))]
         self.records[f"{planner.name}.depots.example.", "A"] = ["127.0.0.1"]
-        listed = self.records.setdefault((SERVICE, "PTR"), [])
-        if name not in listed:
-            listed.append(name)
+        instances = self.records.setdefault((SERVICE, "PTR"), [])
+        if name not in instances:
+            instances.append(name)
