--- a/tests/discovery/test_worker_interfaces.py
+++ b/tests/discovery/test_worker_interfaces.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 from grpc_peer import GrpcPlanner
-from interface_world import World, row
+from interface_world import RegistryRig, row
 from loopback import Planner, story
 
 from pipitshed.discovery.worker_interfaces import MAX_CONCURRENT_PROBES
@@ -14,7 +14,7 @@
 
 
 def test_the_row_then_settings_then_the_default_tell() -> None:
-    world = World({"p2": 2, "p3": 2}, default=1)
+    world = RegistryRig({"p2": 2, "p3": 2}, default=1)
     world.list(row("p1"), row("p2"), row("p3", interface=1))
     assert [world.entry(name).interface for name in ("p1", "p2", "p3")] == [1, 2, 1]
     assert not world.asked
@@ -23,7 +23,7 @@
 
 
 def test_what_nobody_tells_is_found_out_once_per_start_and_gets_nothing_until_then() -> None:
-    world = World()
+    world = RegistryRig()
     world.list(row())
     world.list(row(), row())
     assert len(world.asked) == 1 and world.entry("p1").job_classes == frozenset()
@@ -39,7 +39,7 @@
 
 
 def test_one_that_cannot_be_asked_is_asked_again_ever_more_rarely() -> None:
-    world = World()
+    world = RegistryRig()
     world.list(row())
     waits = []
     for _ in range(7):
@@ -54,7 +54,7 @@
 
 
 def test_a_wide_fleet_is_asked_a_few_at_a_time() -> None:
-    world = World()
+    world = RegistryRig()
     world.list(*(row(f"p{number}") for number in range(100)))
     assert len(world.asked) == MAX_CONCURRENT_PROBES
     for place in range(100):
@@ -67,7 +67,7 @@
 def test_rows_with_an_address_that_is_none_cost_no_probe(address: str) -> None:
     """Guards against a probe lost for each such row: after eight of them no worker was probed any more, and
     all workers whose interface nobody tells were left without a job."""
-    world = World()
+    world = RegistryRig()
     for number in range(2 * MAX_CONCURRENT_PROBES):
         with pytest.raises(ValueError, match="host:port"):
             world.list(msgspec.structs.replace(row(f"bad{number}"), host_port=address))
@@ -79,7 +79,7 @@
 
 
 def test_a_row_that_is_seen_to_be_wrong_is_doubted_and_found_out() -> None:
-    world = World()
+    world = RegistryRig()
     world.list(row(interface=2))
     world.interfaces.mismatched(b"p1")
     assert world.entry("p1").job_classes == frozenset()
@@ -92,7 +92,7 @@
 
 
 def test_its_own_word_of_a_drain_holds_until_it_takes_connections_again() -> None:
-    world = World()
+    world = RegistryRig()
     world.list(row(interface=2))
     world.interfaces.drains(b"p1")
     assert world.entry("p1").state is EndpointState.DRAINING
--- a/tests/interface_world.py
+++ b/tests/interface_world.py
@@ -9,7 +9,7 @@
 from pipitshed.scheduling.events import UpdateKind
 
 
-class World:
+class RegistryRig:
     """The module without I/O: what it asks is kept, and answered by hand."""
 
     def __init__(self, told: dict[str, int] | None = None, default: int = 0) -> None:
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -10,7 +10,7 @@
 from attempt_rig import Rig, delayed_connections
 from grpc_peer import GrpcPlanner, forwarder_rig
 from helpers import entries
-from interface_world import World, row
+from interface_world import RegistryRig, row
 from loopback import SETTINGS, Planner, Run, story
 
 from pipitshed.proxy.endpoint_table import FORGET_AFTER_S, EndpointTable
@@ -184,7 +184,7 @@
 
 def test_what_is_known_of_interfaces_is_forgotten_where_a_whole_list_leaves_a_planner_out() -> None:
     """No row says `gone` then: the planner was known for ever, and asked again and again."""
-    world, clock = World(), Clock()
+    world, clock = RegistryRig(), Clock()
     world.table._clock = clock
     world.table.attach_forgotten_listener(world.interfaces.forget)
     world.list(row("p1"), row("p2"))
