--- a/tests/discovery/test_worker_interfaces.py
+++ b/tests/discovery/test_worker_interfaces.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 from grpc_peer import GrpcPlanner
-from interface_world import RegistryRig, row
+from interface_registry_rig import RegistryRig, row
 from loopback import Planner, story
 
 from pipitshed.discovery.worker_interfaces import MAX_CONCURRENT_PROBES
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -10,7 +10,7 @@
 from attempt_rig import Rig, delayed_connections
 from grpc_peer import GrpcPlanner, forwarder_rig
 from helpers import entries
-from interface_world import RegistryRig, row
+from interface_registry_rig import RegistryRig, row
 from loopback import SETTINGS, Planner, Run, story
 
 from pipitshed.proxy.endpoint_table import FORGET_AFTER_S, EndpointTable
