--- a/tests/interface_registry_rig.py
+++ b/tests/interface_registry_rig.py
@@ -27,7 +27,7 @@
         )
         self.listing = EndpointParser("test", NameIndex(["z"]), NameIndex([]), "http", self.interfaces)  # type: ignore[arg-type]
 
-    def list(self, *rows: CatalogEntry) -> None:
+    def list_entries(self, *rows: CatalogEntry) -> None:
         self.table.update("test", UpdateKind.DELTA, 1, [self.listing.row(row) for row in rows])
 
     def entry(self, name: str) -> Any:
