--- a/tests/discovery/test_worker_interfaces.py
+++ b/tests/discovery/test_worker_interfaces.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 from grpc_peer import GrpcPlanner
-from interface_registry_rig import RegistryRig, row
+from interface_registry_rig import RegistryRig, catalog_entry
 from loopback import Planner, story
 
 from pipitshed.discovery.worker_interfaces import MAX_CONCURRENT_PROBES
@@ -15,7 +15,7 @@
 
 def test_the_row_then_settings_then_the_default_tell() -> None:
     world = RegistryRig({"p2": 2, "p3": 2}, default=1)
-    world.list_entries(row("p1"), row("p2"), row("p3", interface=1))
+    world.list_entries(catalog_entry("p1"), catalog_entry("p2"), catalog_entry("p3", interface=1))
     assert [world.entry(name).interface for name in ("p1", "p2", "p3")] == [1, 2, 1]
     assert not world.asked
     assert world.table.endpoint(b"p2").client == "grpc"  # type: ignore[union-attr,comparison-overlap]
@@ -24,15 +24,15 @@
 
 def test_what_nobody_tells_is_found_out_once_per_start_and_gets_nothing_until_then() -> None:
     world = RegistryRig()
-    world.list_entries(row())
-    world.list_entries(row(), row())
+    world.list_entries(catalog_entry())
+    world.list_entries(catalog_entry(), catalog_entry())
     assert len(world.asked) == 1 and world.entry("p1").job_classes == frozenset()
     assert 0 in world.table.interfaces()
     world.interfaces.detected(*world.asked[0], 2)
     assert world.entry("p1").interface == 2 and world.entry("p1").job_classes is None
-    world.list_entries(row())
+    world.list_entries(catalog_entry())
     assert len(world.asked) == 1
-    world.list_entries(row(started=2.0))  # the same instance is back, perhaps with the other one
+    world.list_entries(catalog_entry(started=2.0))  # the same instance is back, perhaps with the other one
     assert len(world.asked) == 2 and world.entry("p1").job_classes == frozenset()
     world.interfaces.detected(*world.asked[1], 1)
     assert world.entry("p1").interface == 1
@@ -40,7 +40,7 @@
 
 def test_one_that_cannot_be_asked_is_asked_again_ever_more_rarely() -> None:
     world = RegistryRig()
-    world.list_entries(row())
+    world.list_entries(catalog_entry())
     waits = []
     for _ in range(7):
         world.interfaces.detected(*world.asked[-1], 0)
@@ -48,14 +48,14 @@
         waits.append(wait)
         again()
     assert waits == [0.25, 0.5, 1.0, 2.0, 4.0, 4.0, 4.0] and len(world.asked) == 8
-    world.list_entries(row(lifecycle="gone"))
+    world.list_entries(catalog_entry(lifecycle="gone"))
     world.interfaces.detected(*world.asked[-1], 0)
     assert not world.later
 
 
 def test_a_wide_fleet_is_asked_a_few_at_a_time() -> None:
     world = RegistryRig()
-    world.list_entries(*(row(f"p{number}") for number in range(100)))
+    world.list_entries(*(catalog_entry(f"p{number}") for number in range(100)))
     assert len(world.asked) == MAX_CONCURRENT_PROBES
     for place in range(100):
         world.interfaces.detected(*world.asked[place], 1 + place % 2)
@@ -70,8 +70,8 @@
     world = RegistryRig()
     for number in range(2 * MAX_CONCURRENT_PROBES):
         with pytest.raises(ValueError, match="host:port"):
-            world.list_entries(msgspec.structs.replace(row(f"bad{number}"), host_port=address))
-    world.list_entries(*(row(f"p{number}") for number in range(100)))
+            world.list_entries(msgspec.structs.replace(catalog_entry(f"bad{number}"), host_port=address))
+    world.list_entries(*(catalog_entry(f"p{number}") for number in range(100)))
     assert len(world.asked) == MAX_CONCURRENT_PROBES
     for place in range(100):
         world.interfaces.detected(*world.asked[place], 1)
@@ -80,23 +80,25 @@
 
 def test_a_row_that_is_seen_to_be_wrong_is_doubted_and_found_out() -> None:
     world = RegistryRig()
-    world.list_entries(row(interface=2))
+    world.list_entries(catalog_entry(interface=2))
     world.interfaces.mismatched(b"p1")
     assert world.entry("p1").job_classes == frozenset()
     world.interfaces.detected(*world.asked[0], 1)
     assert world.entry("p1").interface == 1
-    world.list_entries(row(interface=2))  # the row says the same again: what was found stands for this start
+    world.list_entries(
+        catalog_entry(interface=2)
+    )  # the row says the same again: what was found stands for this start
     assert world.entry("p1").interface == 1
-    world.list_entries(row(started=2.0, interface=2))
+    world.list_entries(catalog_entry(started=2.0, interface=2))
     assert world.entry("p1").interface == 2
 
 
 def test_its_own_word_of_a_drain_holds_until_it_takes_connections_again() -> None:
     world = RegistryRig()
-    world.list_entries(row(interface=2))
+    world.list_entries(catalog_entry(interface=2))
     world.interfaces.drains(b"p1")
     assert world.entry("p1").state is EndpointState.DRAINING
-    world.list_entries(row(interface=2))
+    world.list_entries(catalog_entry(interface=2))
     assert world.entry("p1").state is EndpointState.DRAINING
     [(wait, again)] = world.later
     assert wait == 2.0
--- a/tests/interface_registry_rig.py
+++ b/tests/interface_registry_rig.py
@@ -27,8 +27,8 @@
         )
         self.listing = EndpointParser("test", NameIndex(["z"]), NameIndex([]), "http", self.interfaces)  # type: ignore[arg-type]
 
-    def list_entries(self, *rows: CatalogEntry) -> None:
-        self.table.update("test", UpdateKind.DELTA, 1, [self.listing.row(row) for row in rows])
+    def list_entries(self, *entries: CatalogEntry) -> None:
+        self.table.update("test", UpdateKind.DELTA, 1, [self.listing.row(entry) for entry in entries])
 
     def entry(self, name: str) -> Any:
         return next(
@@ -36,5 +36,5 @@
         )
 
 
-def row(name: str = "p1", started: float = 1.0, **more: Any) -> CatalogEntry:
+def catalog_entry(name: str = "p1", started: float = 1.0, **more: Any) -> CatalogEntry:
     return CatalogEntry(name, "127.0.0.1:7", "z", started_at_ms=started, **more)
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -10,7 +10,7 @@
 from attempt_rig import Rig, delayed_connections
 from grpc_peer import GrpcPlanner, forwarder_rig
 from helpers import entries
-from interface_registry_rig import RegistryRig, row
+from interface_registry_rig import RegistryRig, catalog_entry
 from loopback import SETTINGS, Planner, Run, story
 
 from pipitshed.proxy.endpoint_table import FORGET_AFTER_S, EndpointTable
@@ -187,11 +187,11 @@
     world, clock = RegistryRig(), Clock()
     world.table._clock = clock
     world.table.attach_forgotten_listener(world.interfaces.forget)
-    world.list_entries(row("p1"), row("p2"))
-    world.table.update("test", UpdateKind.SNAPSHOT, 2, [world.listing.row(row("p2"))])
+    world.list_entries(catalog_entry("p1"), catalog_entry("p2"))
+    world.table.update("test", UpdateKind.SNAPSHOT, 2, [world.listing.row(catalog_entry("p2"))])
     clock.now += 2 * FORGET_AFTER_S
-    world.list_entries(row("p2"))
+    world.list_entries(catalog_entry("p2"))
     assert list(world.interfaces._known) == [b"p2"]
-    world.list_entries(row("p1", started=5.0))
+    world.list_entries(catalog_entry("p1", started=5.0))
     world.interfaces.detected(b"p1", ("127.0.0.1", 7), 2)
     assert world.entry("p1").interface == 2
