--- a/tests/interface_registry_rig.py
+++ b/tests/interface_registry_rig.py
@@ -25,10 +25,10 @@
             lambda worker, address: self.asked.append((worker, address)),
             lambda wait, what: self.later.append((wait, what)),
         )
-        self.listing = EndpointParser("test", NameIndex(["z"]), NameIndex([]), "http", self.interfaces)  # type: ignore[arg-type]
+        self.parser = EndpointParser("test", NameIndex(["z"]), NameIndex([]), "http", self.interfaces)  # type: ignore[arg-type]
 
     def list_entries(self, *entries: CatalogEntry) -> None:
-        self.table.update("test", UpdateKind.DELTA, 1, [self.listing.row(entry) for entry in entries])
+        self.table.update("test", UpdateKind.DELTA, 1, [self.parser.row(entry) for entry in entries])
 
     def entry(self, name: str) -> Any:
         return next(
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -188,7 +188,7 @@
     world.table._clock = clock
     world.table.attach_forgotten_listener(world.interfaces.forget)
     world.list_entries(catalog_entry("p1"), catalog_entry("p2"))
-    world.table.update("test", UpdateKind.SNAPSHOT, 2, [world.listing.row(catalog_entry("p2"))])
+    world.table.update("test", UpdateKind.SNAPSHOT, 2, [world.parser.row(catalog_entry("p2"))])
     clock.now += 2 * FORGET_AFTER_S
     world.list_entries(catalog_entry("p2"))
     assert list(world.interfaces._known) == [b"p2"]
