--- a/tests/interface_registry_rig.py
+++ b/tests/interface_registry_rig.py
@@ -12,18 +12,18 @@
 class RegistryRig:
     """The module without I/O: what it asks is kept, and answered by hand."""
 
-    def __init__(self, told: dict[str, int] | None = None, default: int = 0) -> None:
-        self.news: list[Any] = []
-        self.asked: list[tuple[bytes, tuple[str, int]]] = []
-        self.later: list[tuple[float, Callable[[], None]]] = []
-        self.table = EndpointTable(self.news.append)
+    def __init__(self, configured: dict[str, int] | None = None, default: int = 0) -> None:
+        self.events: list[Any] = []
+        self.probes: list[tuple[bytes, tuple[str, int]]] = []
+        self.timers: list[tuple[float, Callable[[], None]]] = []
+        self.table = EndpointTable(self.events.append)
         self.interfaces = InterfaceRegistry(
             self.table,
             {1: "http", 2: "grpc"},
-            told or {},
+            configured or {},
             default,  # type: ignore[dict-item]
-            lambda worker, address: self.asked.append((worker, address)),
-            lambda wait, what: self.later.append((wait, what)),
+            lambda worker, address: self.probes.append((worker, address)),
+            lambda delay_s, callback: self.timers.append((delay_s, callback)),
         )
         self.parser = EndpointParser("test", NameIndex(["z"]), NameIndex([]), "http", self.interfaces)  # type: ignore[arg-type]
 
@@ -32,9 +32,12 @@
 
     def entry(self, name: str) -> Any:
         return next(
-            entry for news in reversed(self.news) for entry in news.entries if entry.worker == name.encode()
+            entry
+            for events in reversed(self.events)
+            for entry in events.entries
+            if entry.worker == name.encode()
         )
 
 
-def catalog_entry(name: str = "p1", started: float = 1.0, **more: Any) -> CatalogEntry:
-    return CatalogEntry(name, "127.0.0.1:7", "z", started_at_ms=started, **more)
+def catalog_entry(name: str = "p1", started_at_ms: float = 1.0, **changes: Any) -> CatalogEntry:
+    return CatalogEntry(name, "127.0.0.1:7", "z", started_at_ms=started_at_ms, **changes)
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -192,6 +192,6 @@
     clock.now += 2 * FORGET_AFTER_S
     world.list_entries(catalog_entry("p2"))
     assert list(world.interfaces._known) == [b"p2"]
-    world.list_entries(catalog_entry("p1", started=5.0))
+    world.list_entries(catalog_entry("p1", started_at_ms=5.0))
     world.interfaces.detected(b"p1", ("127.0.0.1", 7), 2)
     assert world.entry("p1").interface == 2
