--- a/pipitshed/discovery/worker_interfaces.py
+++ b/pipitshed/discovery/worker_interfaces.py
@@ -158,7 +158,7 @@
         if scheduling_entry.interface == _UNKNOWN:
             self._table.update(known.source, UpdateKind.DELTA, 0, [row])
 
-    def drains(self, worker: WorkerId) -> None:
+    def drain_announced(self, worker: WorkerId) -> None:
         """A worker has said itself that it drains.
 
         Its next start ends that. Where its source does not report starts, a worker that accepts connections
--- a/pipitshed/server/translation.py
+++ b/pipitshed/server/translation.py
@@ -54,7 +54,7 @@
         self.interfaces.mismatched(endpoint.id)
 
     def _drains(self, endpoint: Endpoint) -> None:
-        self.interfaces.drains(endpoint.id)
+        self.interfaces.drain_announced(endpoint.id)
 
     def close(self) -> None:
         """Stop probing, and close the connections to workers."""
--- a/tests/discovery/test_worker_interfaces.py
+++ b/tests/discovery/test_worker_interfaces.py
@@ -98,7 +98,7 @@
 def test_its_own_word_of_a_drain_holds_until_it_takes_connections_again() -> None:
     rig = RegistryRig()
     rig.list_entries(catalog_entry(interface=2))
-    rig.interfaces.drains(b"p1")
+    rig.interfaces.drain_announced(b"p1")
     assert rig.entry("p1").state is EndpointState.DRAINING
     rig.list_entries(catalog_entry(interface=2))
     assert rig.entry("p1").state is EndpointState.DRAINING
