--- a/tests/discovery/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -21,7 +21,7 @@
     story,
 )
 
-TOLD_BY = 6.0  # s after which a change counts as told, whatever became of the calls
+NOTIFIED_AFTER_S = 6.0  # s after which a change counts as told, whatever became of the calls
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -30,7 +30,7 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-class Scripted(Catalog):
+class ScriptedCatalog(Catalog):
     """The first call is answered as `first` says, the others as usual."""
 
     async def first(self, writer: Writer) -> None:
@@ -50,7 +50,7 @@
 async def test_a_drain_whose_news_trickles_in_is_known_before_it_counts_as_told() -> None:
     """Each byte used to renew the watch's patience: news cut into bytes was held back for ever."""
 
-    class Trickling(Scripted):
+    class TricklingCatalog(ScriptedCatalog):
         async def first(self, writer: Writer) -> None:
             writer.write(HEAD)
             self.tell(writer, True, [old.line(), new.line()])
@@ -58,28 +58,28 @@
             client.ask("a1")  # the list has been read: this is the other end of a turn
             await client.answer()
             text = json.dumps({"generation": 9, "reset": False, "instances": [old.line("draining")]}).encode()
-            self.since = asyncio.get_running_loop().time()
+            self.started_at = asyncio.get_running_loop().time()
             old.state = "draining"
-            for place in range(len(text)):  # at full length this takes far beyond 6 s
-                writer.write(chunk(text[place : place + 1]))
+            for index in range(len(text)):  # at full length this takes far beyond 6 s
+                writer.write(chunk(text[index : index + 1]))
                 await asyncio.sleep(0.2)
                 if writer.transport.is_closing():
                     return
 
-    class Stated(Planner):
+    class PlannerWithState(Planner):
         state = "ready"
 
         def line(self, lifecycle: str = "") -> dict[str, object]:
             return super().line(lifecycle or self.state)
 
     async with (
-        Stated("p1") as old,
+        PlannerWithState("p1") as old,
         Planner("p2") as new,
-        Trickling(old, new) as catalog,
+        TricklingCatalog(old, new) as catalog,
         program(old, new, catalog=catalog) as running,
     ):
         await catalog.watches.get()
-        assert asyncio.get_running_loop().time() - catalog.since < TOLD_BY
+        assert asyncio.get_running_loop().time() - catalog.started_at < NOTIFIED_AFTER_S
         runs = len(old.runs)
         client = await HttpClient.to(running.port)
         for number in range(8):
@@ -88,24 +88,32 @@
         assert len(old.runs) == runs
 
 
-@pytest.mark.parametrize("begin, piece", [(HEAD, chunk(b"\n")), (b"HTTP/1.1 200 OK\r\nX-Slow: ", b"a")])
-def test_a_call_that_trickles_without_end_is_given_up_in_time(begin: bytes, piece: bytes) -> None:
+@pytest.mark.parametrize(
+    "response_start, repeated_part", [(HEAD, chunk(b"\n")), (b"HTTP/1.1 200 OK\r\nX-Slow: ", b"a")]
+)
+def test_a_call_that_trickles_without_end_is_given_up_in_time(
+    response_start: bytes, repeated_part: bytes
+) -> None:
     """Heartbeats before the first piece, which comes at once, and a head without end: each byte used to hold
     the call, and with it the list, for ever."""
 
-    class Trickling(Scripted):
+    class TricklingCatalog(ScriptedCatalog):
         async def first(self, writer: Writer) -> None:
-            writer.write(begin)
-            self.since = asyncio.get_running_loop().time()
+            writer.write(response_start)
+            self.started_at = asyncio.get_running_loop().time()
             while not writer.transport.is_closing():
-                writer.write(piece)
+                writer.write(repeated_part)
                 await asyncio.sleep(0.1)
 
     @story
     async def run() -> None:
-        async with Planner("p1") as planner, Trickling(planner) as catalog, program(planner, catalog=catalog):
+        async with (
+            Planner("p1") as planner,
+            TricklingCatalog(planner) as catalog,
+            program(planner, catalog=catalog),
+        ):
             await catalog.watches.get()
-            assert asyncio.get_running_loop().time() - catalog.since < TOLD_BY
+            assert asyncio.get_running_loop().time() - catalog.started_at < NOTIFIED_AFTER_S
 
     run()
 
@@ -115,50 +123,50 @@
     """The failure met: schedulers of a lost zone came back 18 s later with the list that they had known, and
     sent their first jobs by it to planners that had gone 16 s before."""
 
-    class Held(Catalog):
+    class HeldCatalog(Catalog):
         def __init__(self, *planners: Planner) -> None:
             super().__init__(*planners)
-            self.called, self.go = asyncio.Event(), asyncio.Event()
+            self.call_received, self.may_answer = asyncio.Event(), asyncio.Event()
 
         async def serve(self, reader: Reader, writer: Writer) -> None:
-            self.called.set()
-            await self.go.wait()
+            self.call_received.set()
+            await self.may_answer.wait()
             await super().serve(reader, writer)
 
     async with (
-        Planner("p1") as gone,
-        Planner("p2") as here,
-        Held(here) as catalog,
-        program(gone, catalog=catalog) as running,
+        Planner("p1") as unlisted,
+        Planner("p2") as listed,
+        HeldCatalog(listed) as catalog,
+        program(unlisted, catalog=catalog) as running,
     ):
         assert (await call(running.port, HEALTH))[0] == 503
-        await catalog.called.wait()
+        await catalog.call_received.wait()
         assert (await call(running.port, HEALTH))[0] == 503
-        catalog.go.set()
+        catalog.may_answer.set()
         await healthy(running.port)
         client = await HttpClient.to(running.port)
         client.ask("a1")
         assert (await client.answer())[0] == 200
-        assert not gone.runs and len(here.runs) == 1
+        assert not unlisted.runs and len(listed.runs) == 1
 
 
 @story
 async def test_lists_that_come_indented_are_read_whole_from_a_watch() -> None:
     """Lists may come indented: then a piece of news is many lines, and some end like a whole one."""
 
-    class Indented(Catalog):
+    class IndentedCatalog(Catalog):
         def tell(self, writer: Writer, reset: bool, instances: list[dict[str, object]]) -> None:
             self.generation += 1
-            news = {"generation": self.generation, "reset": reset, "instances": instances}
-            text = json.dumps(news, indent=2)
-            for place in range(0, len(text), 50):
-                writer.write(chunk(text[place : place + 50].encode()))
+            update = {"generation": self.generation, "reset": reset, "instances": instances}
+            text = json.dumps(update, indent=2)
+            for index in range(0, len(text), 50):
+                writer.write(chunk(text[index : index + 50].encode()))
             writer.write(chunk(b"\n"))
 
     async with (
         Planner("p1") as old,
         Planner("p2") as new,
-        Indented(old) as catalog,
+        IndentedCatalog(old) as catalog,
         program(catalog=catalog) as running,
     ):
         watch = await catalog.watches.get()
@@ -174,13 +182,13 @@
 async def test_what_is_no_list_is_a_failed_call_and_the_known_list_stands() -> None:
     """Bad bytes from discovery: the call has failed, and another one follows."""
 
-    class Bad(Scripted):
+    class InvalidCatalog(ScriptedCatalog):
         async def first(self, writer: Writer) -> None:
             writer.write(HEAD + chunk(b'{"generation": "many", "instances": [}\n'))
 
     async with (
         Planner("p1") as planner,
-        Bad(planner) as catalog,
+        InvalidCatalog(planner) as catalog,
         program(planner, catalog=catalog) as running,
     ):
         client = await HttpClient.to(running.port)
@@ -194,7 +202,7 @@
     """Where lists are pushed, what the agent has counts from the first moment of a new process, and at once
     when it is back: a wait of half a second, and one that doubles, overran a grace of 600 ms."""
 
-    class Down(Catalog):
+    class RejectingCatalog(Catalog):
         refused = 0
 
         async def serve(self, reader: Reader, writer: Writer) -> None:
@@ -207,7 +215,7 @@
                 await super().serve(reader, writer)
 
     rules = SETTINGS["rules"] | {"drainGrace": 600.0}
-    async with Planner("p1") as planner, Down(planner) as catalog:
+    async with Planner("p1") as planner, RejectingCatalog(planner) as catalog:
         catalog.times: list[float] = []  # type: ignore[misc]
         async with program(planner, catalog=catalog, settings={"discovery": "pushed", "rules": rules}):
             await catalog.watches.get()
@@ -225,40 +233,40 @@
 
         def fetch_failed(self) -> None:
             self.failures += 1
-            told.set()
+            failure_reported.set()
 
-    told = asyncio.Event()
+    failure_reported = asyncio.Event()
     loop = asyncio.get_running_loop()
     table = Table()
-    async with Planner("p1") as planner, Scripted(planner) as catalog:
-        one = module.CatalogClient(("127.0.0.1", catalog.port), None, table, loop)  # type: ignore[arg-type]
+    async with Planner("p1") as planner, ScriptedCatalog(planner) as catalog:
+        client = module.CatalogClient(("127.0.0.1", catalog.port), None, table, loop)  # type: ignore[arg-type]
         catalog.asked.append(0)
-        one.fetch(True)
+        client.fetch(True)
         await catalog.watches.get()
         while not table.failures:  # the list can't be put anywhere: the call fails, and nobody asks again
-            await told.wait()
-        told.clear()
-        await told.wait()
-        assert table.failures == 2 and one.active_calls == 0
-        one.stop()
+            await failure_reported.wait()
+        failure_reported.clear()
+        await failure_reported.wait()
+        assert table.failures == 2 and client.active_calls == 0
+        client.stop()
 
 
 @story
 async def test_a_job_is_not_lost_while_the_list_is_silent() -> None:
     """The list known so far stands while every call hangs."""
 
-    class Hanging(Catalog):
+    class HangingCatalog(Catalog):
         async def serve(self, reader: Reader, writer: Writer) -> None:
-            came.set()
+            call_received.set()
             await reader.read()
 
-    came = asyncio.Event()
+    call_received = asyncio.Event()
     async with (
         Planner("p1", act=Run.serve) as planner,
-        Hanging(planner) as catalog,
+        HangingCatalog(planner) as catalog,
         program(planner, catalog=catalog) as running,
     ):
-        await came.wait()
+        await call_received.wait()
         client = await HttpClient.to(running.port)
         client.ask("a1")
         assert (await client.answer())[0] == 200
--- a/tests/discovery/test_catalog_size_limit.py
+++ b/tests/discovery/test_catalog_size_limit.py
@@ -67,9 +67,13 @@
                 client.ask(f"c{len(new.runs)}")
                 assert (await client.answer())[0] == 200
             assert catalog.asked == [1, 1]
-        told = [line for line in running.log if "WARNING" in line]
+        warnings = [line for line in running.log if "WARNING" in line]
         size = len(update_bytes(2, True, [old.line(), *catalog_entries(2500)], indent))
-        assert len(told) == 1 and f"an update of {size} bytes" in told[0] and str(256 * 1024) in told[0], told
+        assert (
+            len(warnings) == 1
+            and f"an update of {size} bytes" in warnings[0]
+            and str(256 * 1024) in warnings[0]
+        ), warnings
 
     run()
 
@@ -79,69 +83,69 @@
     assert bounds == sorted(set(bounds)) and bounds[3] > 4 * 1_081_000
 
 
-def _watch(told: list[int]) -> tuple[CatalogCall, Mock]:
+def _watch(entry_counts: list[int]) -> tuple[CatalogCall, Mock]:
     """A watch whose news is counted by entries, without a socket."""
     loop = Mock()
-    table = EndpointTable(lambda news: told.append(len(getattr(news, "entries", ()))))
-    listing = EndpointParser("test", NameIndex(["lima-norte"]), NameIndex(["standard"]), Mock())
-    call = CatalogCall(CatalogClient(("127.0.0.1", 1), listing, table, loop), True)
+    table = EndpointTable(lambda news: entry_counts.append(len(getattr(news, "entries", ()))))
+    parser = EndpointParser("test", NameIndex(["lima-norte"]), NameIndex(["standard"]), Mock())
+    call = CatalogCall(CatalogClient(("127.0.0.1", 1), parser, table, loop), True)
     call.connection_made(Mock())
     call.data_received(HEAD)
     return call, table  # type: ignore[return-value]
 
 
-def _text(form: str, count: int) -> bytes:
-    if form != "row by row":
-        return update_bytes(7, True, catalog_entries(count, "ready"), 2 if form == "indented" else None)
+def _update_text(layout: str, count: int) -> bytes:
+    if layout != "row by row":
+        return update_bytes(7, True, catalog_entries(count, "ready"), 2 if layout == "indented" else None)
     inner = "\n,".join(
         map(json.dumps, catalog_entries(count, "ready"))
     )  # each row's line ends as the last would
     return (f'{{"generation": 7, "reset": true, "instances": [\n{inner}\n]\n}}\n').encode()
 
 
-@pytest.mark.parametrize("form", ["compact", "indented", "row by row"])
+@pytest.mark.parametrize("layout", ["compact", "indented", "row by row"])
 @pytest.mark.parametrize("size", [1, 1000, 64 * 1024])
 def test_long_news_in_pieces_is_tried_no_more_often_than_it_is_long(
-    form: str, size: int, monkeypatch: pytest.MonkeyPatch
+    layout: str, size: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each line that ended like a whole list was a try at all that had come: work grew with the square."""
-    tried = 0
+    decoded_bytes = 0
     decode = update_parser._decode
 
     def counting(text: bytes) -> CatalogUpdate:
-        nonlocal tried
-        tried += len(text)
+        nonlocal decoded_bytes
+        decoded_bytes += len(text)
         return decode(text)
 
     monkeypatch.setattr(update_parser, "_decode", counting)
-    told: list[int] = []
-    call, _ = _watch(told)
-    text = _text(form, 400)
-    for place in range(0, len(text), size):
-        part = text[place : place + size]
-        call.data_received(chunk(part))
-    assert told == [400] and tried <= 2 * len(text)
+    entry_counts: list[int] = []
+    call, _ = _watch(entry_counts)
+    text = _update_text(layout, 400)
+    for index in range(0, len(text), size):
+        received = text[index : index + size]
+        call.data_received(chunk(received))
+    assert entry_counts == [400] and decoded_bytes <= 2 * len(text)
 
 
 def test_braces_in_names_end_no_list() -> None:
     """Only braces outside of texts count, and an escaped quote ends no text."""
-    told: list[int] = []
-    call, _ = _watch(told)
-    odd = catalog_entries(3, "ready")
-    odd[0]["instanceId"], odd[1]["zone"], odd[2]["instanceId"] = 'a}"}\\', "}}}", '{"'
-    call.data_received(chunk(update_bytes(7, True, odd, 2)))
-    assert told == [3]
+    entry_counts: list[int] = []
+    call, _ = _watch(entry_counts)
+    entries = catalog_entries(3, "ready")
+    entries[0]["instanceId"], entries[1]["zone"], entries[2]["instanceId"] = 'a}"}\\', "}}}", '{"'
+    call.data_received(chunk(update_bytes(7, True, entries, 2)))
+    assert entry_counts == [3]
 
 
 def test_what_is_wrong_with_news_is_named_once(caplog: pytest.LogCaptureFixture) -> None:
     """The parser named its callback alone: "`on_body` callback error", at each call anew."""
-    told: list[int] = []
-    call, _ = _watch(told)
-    owner = call._client
+    entry_counts: list[int] = []
+    call, _ = _watch(entry_counts)
+    client = call._client
     for _ in range(2):
         call.data_received(chunk(b'{"generation": 1, "instances": 5}\n'))
-        call = CatalogCall(owner, True)
+        call = CatalogCall(client, True)
         call.connection_made(Mock())
         call.data_received(HEAD)
-    said = [record.message for record in caplog.records]
-    assert len(said) == 1 and "invalid update: Expected `array`, got `int`" in said[0], said
+    messages = [record.message for record in caplog.records]
+    assert len(messages) == 1 and "invalid update: Expected `array`, got `int`" in messages[0], messages
--- a/tests/discovery/test_catalog_snapshots.py
+++ b/tests/discovery/test_catalog_snapshots.py
@@ -30,15 +30,15 @@
         return True, [planner.line() for planner in self.planners]
 
 
-class Versioned(Catalog):
+class VersionedCatalog(Catalog):
     """Answers a watch with what has changed since the version it names."""
 
     def __init__(self, versions: Versions) -> None:
         super().__init__()
         self.versions = versions
-        self.whole = 0
+        self.snapshot_count = 0
         self.down = False
-        self.broken = 0  # so many answers break off in the middle
+        self.truncated_answers = 0  # so many answers break off in the middle
 
     async def serve(self, reader: Reader, writer: Writer) -> None:
         line = (await reader.readuntil(b"\r\n\r\n")).decode()
@@ -48,10 +48,10 @@
             return
         self.asked.append(int(line.split()[1].rpartition("from=")[2]))
         reset, rows = self.versions.since(self.asked[-1])
-        self.whole += reset
+        self.snapshot_count += reset
         text = update_bytes(self.versions.number, reset, rows)
-        if self.broken:
-            self.broken -= 1
+        if self.truncated_answers:
+            self.truncated_answers -= 1
             writer.write(HEAD + chunk(text[: len(text) // 2]))
             await writer.drain()
             return
@@ -64,7 +64,7 @@
         writer.write(chunk(update_bytes(self.versions.number, False, [row])))
 
 
-def counted(running: Program, name: str) -> int:
+def final_count(running: Program, name: str) -> int:
     """A count that the program told at its end."""
     found = re.search(rf"{name}=(\d+)", "".join(line for line in running.log if "ended:" in line))
     return int(found[1]) if found else 0
@@ -76,8 +76,8 @@
     async with Planner("p1") as one, Planner("p2") as two:
         versions = Versions(one, two)
         async with (
-            Versioned(versions) as first,
-            Versioned(versions) as second,
+            VersionedCatalog(versions) as first,
+            VersionedCatalog(versions) as second,
             program(
                 catalog=first,
                 settings={"rules": {"answerSlack": 8.0, "askWithin": 1000.0, "drainGrace": 1500.0}},
@@ -85,12 +85,12 @@
         ):
             watch = await first.watches.get()
             first.push(watch, two.line("draining"))
-            await served(running, one)
+            await wait_until_served_by(running, one)
             watch.transport.abort()  # broken
             versions.change(one.line("draining"))
             versions.change(two.line())
             watch = await first.watches.get()
-            await served(running, two)
+            await wait_until_served_by(running, two)
             first.down = True
             watch.transport.abort()  # cut: calls hang, until discovery is back
             await first.watches.get()
@@ -98,19 +98,19 @@
             versions.change(one.line())
             versions.change(two.line("draining"))
             await first.watches.get()
-            await served(running, one)
+            await wait_until_served_by(running, one)
             await first.watches.get()  # silent for 2.4 s
             config = running.config.read_text()
             running.reload(config.replace(f"127.0.0.1:{first.port}", f"127.0.0.1:{second.port}"))
             watch = await second.watches.get()
             second.push(watch, one.line("draining"))
             second.push(watch, two.line())
-            await served(running, two)
+            await wait_until_served_by(running, two)
             assert first.asked == [1, 11, 13, 15] and second.asked == [15]
-            assert first.whole == 1 and second.whole == 0
-    assert counted(running, "whole lists") == 1
+            assert first.snapshot_count == 1 and second.snapshot_count == 0
+    assert final_count(running, "whole lists") == 1
     assert sum("endpoint list snapshot, version 10, 2 workers" in line for line in running.log) == 1
-    assert counted(running, "list changes") == 7 and counted(running, "list calls") >= 6
+    assert final_count(running, "list changes") == 7 and final_count(running, "list calls") >= 6
 
 
 @story
@@ -118,34 +118,34 @@
     async with Planner("p1") as one, Planner("p2") as two:
         versions = Versions(one, two, first=1)
         versions.change(one.line("draining"))
-        async with Versioned(versions) as catalog, program(one, two, catalog=catalog) as running:
+        async with VersionedCatalog(versions) as catalog, program(one, two, catalog=catalog) as running:
             await catalog.watches.get()
-            await served(running, two)
-            assert catalog.asked == [1] and not catalog.whole
-    assert counted(running, "whole lists") == 0 and counted(running, "list changes") == 1
+            await wait_until_served_by(running, two)
+            assert catalog.asked == [1] and not catalog.snapshot_count
+    assert final_count(running, "whole lists") == 0 and final_count(running, "list changes") == 1
 
 
 @story
 async def test_a_whole_list_that_breaks_off_is_asked_for_again_and_no_other() -> None:
     """What came in half is no version that is known."""
-    async with Planner("p1") as one, Versioned(Versions(one)) as catalog:
-        catalog.broken = 2
+    async with Planner("p1") as one, VersionedCatalog(Versions(one)) as catalog:
+        catalog.truncated_answers = 2
         async with program(catalog=catalog) as running:
             await catalog.watches.get()
-            await served(running, one)
-            assert catalog.asked == [1, 1, 1] and catalog.whole == 3
-    assert counted(running, "whole lists") == 1
+            await wait_until_served_by(running, one)
+            assert catalog.asked == [1, 1, 1] and catalog.snapshot_count == 3
+    assert final_count(running, "whole lists") == 1
 
 
-async def served(running: Program, planner: Planner) -> None:
+async def wait_until_served_by(running: Program, planner: Planner) -> None:
     """Jobs are sent there, and soon nowhere else."""
     client = await HttpClient.to(running.port)
-    in_a_row = number = 0
-    while in_a_row < 12:
+    consecutive = number = 0
+    while consecutive < 12:
         before, number = len(planner.runs), number + 1
         client.ask(f"{planner.name}-{before}-{number}")
         status, _, _ = await client.answer()
-        in_a_row = in_a_row + 1 if status == 200 and len(planner.runs) > before else 0
+        consecutive = consecutive + 1 if status == 200 and len(planner.runs) > before else 0
     client.writer.close()
 
 
@@ -162,7 +162,7 @@
     async def run() -> None:
         async with (
             Planner("p1") as one,
-            Versioned(Versions(one)) as catalog,
+            VersionedCatalog(Versions(one)) as catalog,
             program(catalog=catalog, mgmt=True) as running,
         ):
             await catalog.watches.get()
@@ -176,23 +176,23 @@
     """Where many start together, discovery's line is full: given up 1.5 s after its first byte, the list was
     asked for again, and never came."""
 
-    class Slow(LargeCatalog):
+    class SlowCatalog(LargeCatalog):
         async def serve(self, reader: Reader, writer: Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
             self.asked.append(0)
             text = update_bytes(7, True, [*(planner.line() for planner in self.planners), *self.others])
             writer.write(HEAD)
             step = len(text) // 18 + 1
-            for place in range(0, len(text), step):
-                writer.write(chunk(text[place : place + step]))
+            for index in range(0, len(text), step):
+                writer.write(chunk(text[index : index + step]))
                 await asyncio.sleep(0.12)
             await reader.read()
 
     async with (
         Planner("p1") as planner,
-        Slow(planner, others=4599) as catalog,
+        SlowCatalog(planner, others=4599) as catalog,
         program(catalog=catalog) as running,
     ):
         await running.logged("endpoint list snapshot")
-        await served(running, planner)
+        await wait_until_served_by(running, planner)
         assert len(catalog.asked) == 1
--- a/tests/discovery/test_dns_sd.py
+++ b/tests/discovery/test_dns_sd.py
@@ -18,22 +18,22 @@
         async with program(front=front, settings={"discovery": "pushed"}) as running:
             client = await HttpClient.to(running.port)
 
-            async def twenty(planner: Planner) -> None:
-                seen = len(planner.runs)
+            async def submit_twenty(planner: Planner) -> None:
+                runs_before = len(planner.runs)
                 for number in range(20):
-                    client.ask(f"{planner.name}-{seen + number}")
+                    client.ask(f"{planner.name}-{runs_before + number}")
                     assert (await client.answer())[0] == 200
-                assert len(planner.runs) == seen + 20
+                assert len(planner.runs) == runs_before + 20
 
-            await twenty(first)
-            begun = loop.time()
+            await submit_twenty(first)
+            started_at = loop.time()
             server.add(first, "state=draining")
             server.add(second)
             await server.wait_for_refreshes(2)
-            assert loop.time() - begun < 1.5
-            await twenty(second)
+            assert loop.time() - started_at < 1.5
+            await submit_twenty(second)
             server.records[SERVICE, "PTR"].remove(f"p2.{SERVICE}")
             server.add(first)
             await server.wait_for_refreshes(2)
-            await twenty(first)
+            await submit_twenty(first)
     server.transport.close()
--- a/tests/test_fleet_lists.py
+++ b/tests/test_fleet_lists.py
@@ -9,70 +9,75 @@
 from pipitshed.scheduling.settings import Guarantees
 
 SERVE_MS = 110.0  # one call at a time
-QUEUE = 4  # calls that may wait; more are turned down at once
+MAX_WAITING_CALLS = 4  # calls that may wait; more are turned down at once
 
 
-def play(
-    siblings: int,
-    seconds: float,
-    down: float = 0.0,
-    ask_within: float = 10_000.0,
+def simulate(
+    scheduler_count: int,
+    duration_s: float,
+    outage_s: float = 0.0,
+    poll_deadline_ms: float = 10_000.0,
 ) -> tuple[int, dict[int, float], float]:
     """(calls made while discovery was down, by sibling when it got its watch (ms from the start), longest gap
     between two calls of one sibling in ms) after `seconds`, all starting together from their cached list; for
     the first `down` seconds, discovery turns every call down."""
     config = settings(
         endpoints_polled=True,
-        scheduler_count=siblings,
-        guarantees=Guarantees(answer_slack_ms=20.0, drain_grace_ms=100.0, poll_deadline_ms=ask_within),
+        scheduler_count=scheduler_count,
+        guarantees=Guarantees(answer_slack_ms=20.0, drain_grace_ms=100.0, poll_deadline_ms=poll_deadline_ms),
     )
-    benches = [Bench(config, entries(3), seed=number) for number in range(siblings)]
-    queue: list[int] = []
-    watching: dict[int, float] = {}
+    benches = [Bench(config, entries(3), seed=number) for number in range(scheduler_count)]
+    waiting: list[int] = []
+    watch_started_ms: dict[int, float] = {}
     calls, free_at, start = 0, 0.0, benches[0].now
-    now, last, gap = start, [start] * siblings, 0.0
-    while now < start + seconds * 1000:
+    now, last_call_at, longest_gap_ms = start, [start] * scheduler_count, 0.0
+    while now < start + duration_s * 1000:
         now += config.tick_ms
         for number, bench in enumerate(benches):
             for action in bench.run(now):
                 if isinstance(action, WatchEndpoints) and action.enabled:
-                    gap, last[number] = max(gap, now - last[number]), now
-                    if now < start + down * 1000:
+                    longest_gap_ms, last_call_at[number] = (
+                        max(longest_gap_ms, now - last_call_at[number]),
+                        now,
+                    )
+                    if now < start + outage_s * 1000:
                         calls += 1
                         bench.feed(EndpointsUpdated(UpdateKind.FETCH_FAILED))
-                    elif len(queue) < QUEUE:
-                        queue.append(number)
+                    elif len(waiting) < MAX_WAITING_CALLS:
+                        waiting.append(number)
                     else:
                         bench.feed(EndpointsUpdated(UpdateKind.FETCH_FAILED))
-        if queue and now >= free_at:
-            number = queue.pop(0)
+        if waiting and now >= free_at:
+            number = waiting.pop(0)
             free_at = now + SERVE_MS
-            watching[number] = now - start
+            watch_started_ms[number] = now - start
             benches[number].feed(EndpointsUpdated(UpdateKind.SNAPSHOT, 2, entries(3)))
-    return calls, watching, gap
+    return calls, watch_started_ms, longest_gap_ms
 
 
 def test_siblings_turned_away_back_off_and_each_asks_again_soon_enough_for_what_counts_as_told() -> None:
     """Guards against siblings that keep an overbooked discovery full, and, since the operators' new term,
     against a back-off of up to 8 s: a change counts as told 6 s after discovery had it and could be reached,
     whatever is allowed after a failed call."""
-    calls, watching, gap = play(40, 30.0, down=15.0)
+    calls, watch_started_ms, longest_gap_ms = simulate(40, 30.0, outage_s=15.0)
     assert calls < 40 * 13  # asking again within the first wait each time, they would make over 40 * 50
-    assert len(watching) == 40
-    assert gap <= 2_000.0 + 5.0  # so two calls fit between the return and the time when news counts
+    assert len(watch_started_ms) == 40
+    assert (
+        longest_gap_ms <= 2_000.0 + 5.0
+    )  # so two calls fit between the return and the time when news counts
 
 
 def test_where_calls_must_be_rare_a_failed_one_is_still_followed_in_time() -> None:
     """Another customer's settings: where a list is good for a minute, it backs off no further; one that is
     good for half a second is asked for anew within the four times that a failed call leaves."""
-    assert play(3, 30.0, down=20.0, ask_within=60_000.0)[2] <= 2_000.0 + 5.0
-    assert play(3, 30.0, down=20.0, ask_within=500.0)[2] < 4 * 500.0
+    assert simulate(3, 30.0, outage_s=20.0, poll_deadline_ms=60_000.0)[2] <= 2_000.0 + 5.0
+    assert simulate(3, 30.0, outage_s=20.0, poll_deadline_ms=500.0)[2] < 4 * 500.0
 
 
 def test_a_few_siblings_all_know_the_list_6_s_after_discovery_is_back() -> None:
     """Ten siblings take a ninth of a second of discovery's time each, in turn, four of them waiting."""
-    _, watching, _ = play(10, 30.0, down=15.0)
-    assert len(watching) == 10 and max(watching.values()) < 15_000.0 + 6_000.0
+    _, watch_started_ms, _ = simulate(10, 30.0, outage_s=15.0)
+    assert len(watch_started_ms) == 10 and max(watch_started_ms.values()) < 15_000.0 + 6_000.0
 
 
 def test_an_agent_that_is_down_is_not_asked_in_a_busy_loop() -> None:
--- a/tests/upstream/test_grpc_client.py
+++ b/tests/upstream/test_grpc_client.py
@@ -25,10 +25,14 @@
     async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as rig:
         caller = rig.submit("book", slots=2.0, memory=1.5, idempotency_key="k 1", client_timeout_ms=4000.0)
         call = await planner.call(1)
-        told = call.headers
-        assert (told["x-request-id"], told["x-class"], told["x-tenant"]) == ("r1", "book", "andes-retail")
-        assert (told["idempotency-key"], told["x-slots"], told["x-memory"]) == ("k 1", "2", "1.5")
-        assert told["grpc-timeout"].endswith("u") and int(told["grpc-timeout"][:-1]) <= 3_970_000
+        headers = call.headers
+        assert (headers["x-request-id"], headers["x-class"], headers["x-tenant"]) == (
+            "r1",
+            "book",
+            "andes-retail",
+        )
+        assert (headers["idempotency-key"], headers["x-slots"], headers["x-memory"]) == ("k 1", "2", "1.5")
+        assert headers["grpc-timeout"].endswith("u") and int(headers["grpc-timeout"][:-1]) <= 3_970_000
         job = pb.RunRequest.FromString(call.body[PREFIX.size :])
         assert (job.book.origin, job.book.pallets, job.book.dock) == ("LIM", 2, "any")
         call.started()
@@ -171,7 +175,7 @@
 
 
 @pytest.mark.parametrize(
-    ("act", "tally"),
+    ("act", "expected"),
     [
         (lambda call: call.reset_stream(h2.errors.ErrorCodes.REFUSED_STREAM), "FULL"),
         (lambda call: call.reset_stream(h2.errors.ErrorCodes.INTERNAL_ERROR), "RESET"),
@@ -247,8 +251,8 @@
         beside = rig.submit("quote")
         assert (await beside.outcome())[0] == "served" and not caller.outcomes
         assert (await caller.outcome())[0] == "served"
-        told = pb.RunRequest.FromString(planner.calls[-1].body[PREFIX.size :]).book.goods
-        assert len(told) == body.count(b"sku") and {one.count for one in told} == {7}
+        goods = pb.RunRequest.FromString(planner.calls[-1].body[PREFIX.size :]).book.goods
+        assert len(goods) == body.count(b"sku") and {one.count for one in goods} == {7}
 
 
 @story
@@ -286,8 +290,8 @@
         assert (await caller.outcome())[0] in ("served", "refused")
 
 
-@pytest.mark.parametrize("begun", [0.0, 0.5, 0.8, 0.99, 1.0, 1.7])
-@pytest.mark.parametrize("lasts", [0.0, 0.2, 0.9])
+@pytest.mark.parametrize("started_at", [0.0, 0.5, 0.8, 0.99, 1.0, 1.7])
+@pytest.mark.parametrize("duration_s", [0.0, 0.2, 0.9])
 def test_a_flood_is_found_wherever_in_a_second_it_begins(begun: float, lasts: float) -> None:
     """Guards against a flood that lies over the end of a counted second, and was taken for two small ones:
     also one that a held-up loop read in two parts."""
