--- a/tests/upstream/test_grpc_client.py
+++ b/tests/upstream/test_grpc_client.py
@@ -16,13 +16,13 @@
 CANCEL = h2.errors.ErrorCodes.CANCEL
 
 
-def silent(call: Call) -> None:
+def no_answer(call: Call) -> None:
     """The planner says nothing yet."""
 
 
 @story
 async def test_a_job_is_told_whole_and_its_result_comes_back() -> None:
-    async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as rig:
+    async with GrpcPlanner(act=no_answer) as planner, forwarder_rig(planner) as rig:
         caller = rig.submit("book", slots=2.0, memory=1.5, idempotency_key="k 1", client_timeout_ms=4000.0)
         call = await planner.call(1)
         headers = call.headers
@@ -38,8 +38,8 @@
         call.started()
         call.event(running=pb.Running(share=0.5))
         call.done(stops=["LIM", "AQP"])
-        how, result = await caller.outcome()
-        assert (how, result) == (
+        result_kind, result = await caller.outcome()
+        assert (result_kind, result) == (
             "served",
             b'{"booking_ref":"B-1","departs":"2027-01-15T08:00:00Z","stops":["LIM","AQP"]}',
         )
@@ -53,7 +53,7 @@
 
 @story
 async def test_many_attempts_share_one_connection_within_the_planners_limit() -> None:
-    async with GrpcPlanner(act=silent, max_concurrent_streams=2) as planner, forwarder_rig(planner) as rig:
+    async with GrpcPlanner(act=no_answer, max_concurrent_streams=2) as planner, forwarder_rig(planner) as rig:
         callers = [rig.submit("book") for _ in range(3)]
         await planner.call(2)
         await asyncio.sleep(0.05)
@@ -68,9 +68,9 @@
 @story
 async def test_a_client_that_goes_is_followed_wherever_its_request_is() -> None:
     """Waiting to be translated, waiting for a stream, and just written."""
-    async with GrpcPlanner(act=silent, max_concurrent_streams=1) as planner, forwarder_rig(planner) as rig:
-        early = rig.submit()
-        rig.withdraw(early)  # in this very turn: it is not translated yet
+    async with GrpcPlanner(act=no_answer, max_concurrent_streams=1) as planner, forwarder_rig(planner) as rig:
+        untranslated = rig.submit()
+        rig.withdraw(untranslated)  # in this very turn: it is not translated yet
         first = rig.submit("book")
         call = await planner.call(1)
         waiting = rig.submit("book")
@@ -81,7 +81,7 @@
         rig.withdraw(first)
         await planner.wait_until(lambda: call.reset_code is not None)
         assert call.reset_code == CANCEL
-        assert not early.outcomes and not first.outcomes and not waiting.outcomes
+        assert not untranslated.outcomes and not first.outcomes and not waiting.outcomes
         assert rig.core.active_count == 0 and rig.core.counters["withdrawn"] == 3
         later = rig.submit()
         (await planner.call(2)).done()
@@ -91,11 +91,11 @@
 @story
 async def test_a_cancel_that_races_the_last_event_leaves_one_outcome() -> None:
     """The client goes in the turn in which the result stands in the socket, in both orders."""
-    async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as rig:
-        for count, last in enumerate((False, True), 1):
+    async with GrpcPlanner(act=no_answer) as planner, forwarder_rig(planner) as rig:
+        for count, answer_first in enumerate((False, True), 1):
             caller = rig.submit()
             call = await planner.call(count)
-            if last:
+            if answer_first:
                 call.done()
                 rig.withdraw(caller)
             else:
@@ -114,22 +114,22 @@
     """Guards the connection: the head of an answer on a stream that was called off and is forgotten is no
     stream that the planner opens."""
 
-    def apart(call: Call) -> None:
+    def ignore_cancel(call: Call) -> None:
         """The planner answers as though it had not read of the cancel yet."""
         call.peer.data_received = lambda data: None  # type: ignore[method-assign]
 
-    async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as rig:
-        first, beside = rig.submit("book"), rig.submit("book")
+    async with GrpcPlanner(act=no_answer) as planner, forwarder_rig(planner) as rig:
+        first, concurrent = rig.submit("book"), rig.submit("book")
         await planner.call(2)
         late = next(call for call in planner.calls if call.headers["x-request-id"] == "r1")
         other = next(call for call in planner.calls if call is not late)
-        apart(late)
+        ignore_cancel(late)
         rig.withdraw(first)
         third = rig.submit("book")  # a new stream: those that are closed are forgotten
         await asyncio.sleep(0.05)
         late.done()
         other.done()
-        assert (await beside.outcome())[0] == "served"
+        assert (await concurrent.outcome())[0] == "served"
         assert rig.core.counters["attempt RESET"] == 0 and not planner.peers[0].lost.is_set()
         rig.withdraw(third)
 
@@ -137,7 +137,7 @@
 @story
 async def test_goaway_splits_streams_by_its_last_id_and_is_word_of_a_drain() -> None:
     async with (
-        GrpcPlanner("p1", act=silent) as leaving,
+        GrpcPlanner("p1", act=no_answer) as leaving,
         GrpcPlanner("p2") as staying,
         forwarder_rig(leaving) as rig,
     ):
@@ -159,7 +159,7 @@
 
 @story
 async def test_a_held_planner_comes_back_with_its_next_start_alone() -> None:
-    async with GrpcPlanner(act=silent) as planner, forwarder_rig(planner) as rig:
+    async with GrpcPlanner(act=no_answer) as planner, forwarder_rig(planner) as rig:
         rig.submit()
         (await planner.call(1)).peer.goaway(2**31 - 1)
         await asyncio.sleep(0.05)
@@ -197,21 +197,21 @@
         (lambda call: call.peer.transport.write(b"nonsense that is no frame"), "RESET"),
     ],
 )
-def test_what_comes_back_has_its_outcome(act: Any, tally: str) -> None:
+def test_what_comes_back_has_its_outcome(act: Any, expected: str) -> None:
     """By the table in docs/design/translation.md; where it may have run, this class forbids another run."""
 
     async def run() -> None:
         # One attempt each: on a busy machine a later one may be out at the deadline, and have run.
-        alone = ONCE | {"permissions": SETTINGS["permissions"] | {"maxAttempts": 1}}
-        async with GrpcPlanner(act=act) as planner, forwarder_rig(planner, settings=alone) as rig:
+        single_attempt = ONCE | {"permissions": SETTINGS["permissions"] | {"maxAttempts": 1}}
+        async with GrpcPlanner(act=act) as planner, forwarder_rig(planner, settings=single_attempt) as rig:
             caller = rig.submit("book", client_timeout_ms=2000.0)
-            how, _ = await caller.outcome()
+            result_kind, _ = await caller.outcome()
             await asyncio.sleep(0.01)
-            assert rig.core.counters[f"attempt {tally}"] >= 1, rig.core.counters
-            if tally in ("RESET", "ERROR", "TIMEOUT"):
-                assert len(planner.calls) == 1 and how == "failed"
+            assert rig.core.counters[f"attempt {expected}"] >= 1, rig.core.counters
+            if expected in ("RESET", "ERROR", "TIMEOUT"):
+                assert len(planner.calls) == 1 and result_kind == "failed"
             else:
-                assert how == "refused"
+                assert result_kind == "refused"
 
     story(run)()
 
@@ -220,14 +220,14 @@
 async def test_no_settings_no_request() -> None:
     """A planner that accepts and says nothing, and one that speaks HTTP/1.1: nothing of a request is written,
     so both prove that nothing ran."""
-    wrong = []
-    async with GrpcPlanner("mute") as mute, GrpcPlanner("old") as old, forwarder_rig(mute) as rig:
-        mute.settings = old.settings = None
+    wrong_interface = []
+    async with GrpcPlanner("mute") as silent, GrpcPlanner("old") as old, forwarder_rig(silent) as rig:
+        silent.settings = old.settings = None
         caller = rig.submit("book", client_timeout_ms=600.0)
         assert (await caller.outcome())[0] == "refused"
         assert rig.core.counters["attempt RESET"] == 0 and rig.core.counters["attempt CONNECT_FAILED"] >= 1
-        rig.worker_client.on_wrong_interface = wrong.append
-        rig.list_workers(mute, state=EndpointState.REMOVED)
+        rig.worker_client.on_wrong_interface = wrong_interface.append
+        rig.list_workers(silent, state=EndpointState.REMOVED)
         rig.list_workers(old)
         caller = rig.submit("book", client_timeout_ms=600.0)
         while not old.peers:
@@ -235,7 +235,7 @@
         old.peers[0].transport.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
         await old.peers[0].lost.wait()
         await asyncio.sleep(0.02)
-        assert [target.id for target in wrong] == [b"old"]
+        assert [target.id for target in wrong_interface] == [b"old"]
         assert rig.core.counters["attempt RESET"] == 0
 
 
@@ -248,8 +248,8 @@
     assert 64_000 < len(body) <= 65_536
     async with GrpcPlanner(initial_window_size=64) as planner, forwarder_rig(planner) as rig:
         caller = rig.submit("book", body, client_timeout_ms=15_000.0)
-        beside = rig.submit("quote")
-        assert (await beside.outcome())[0] == "served" and not caller.outcomes
+        concurrent = rig.submit("quote")
+        assert (await concurrent.outcome())[0] == "served" and not caller.outcomes
         assert (await caller.outcome())[0] == "served"
         goods = pb.RunRequest.FromString(planner.calls[-1].body[PREFIX.size :]).book.goods
         assert len(goods) == body.count(b"sku") and {one.count for one in goods} == {7}
@@ -259,17 +259,19 @@
 async def test_a_request_cut_in_the_middle_of_its_body_never_ran() -> None:
     body = b'{"origin":"LIM","destination":"AQP","pallets":2,"remark":"' + b"x" * 3000 + b'"}'
     async with (
-        GrpcPlanner("p1", initial_window_size=10) as stuck,
+        GrpcPlanner("p1", initial_window_size=10) as blocked,
         GrpcPlanner("p2") as other,
-        forwarder_rig(stuck, settings=ONCE) as rig,
+        forwarder_rig(blocked, settings=ONCE) as rig,
     ):
-        stuck.returns_window = False
+        blocked.returns_window = False
         caller = rig.submit("book", body)
-        await stuck.wait_until(lambda: bool(stuck.peers and stuck.peers[0].calls))
+        await blocked.wait_until(lambda: bool(blocked.peers and blocked.peers[0].calls))
         rig.list_workers(other)
-        stuck.abort_connections()
+        blocked.abort_connections()
         assert (await caller.outcome())[0] == "served"
-        assert rig.core.counters["attempt CONNECT_FAILED"] == 1 and not stuck.calls and len(other.calls) == 1
+        assert (
+            rig.core.counters["attempt CONNECT_FAILED"] == 1 and not blocked.calls and len(other.calls) == 1
+        )
 
 
 @story
@@ -292,36 +294,36 @@
 
 @pytest.mark.parametrize("started_at", [0.0, 0.5, 0.8, 0.99, 1.0, 1.7])
 @pytest.mark.parametrize("duration_s", [0.0, 0.2, 0.9])
-def test_a_flood_is_found_wherever_in_a_second_it_begins(begun: float, lasts: float) -> None:
+def test_a_flood_is_found_wherever_in_a_second_it_begins(started_at: float, duration_s: float) -> None:
     """Guards against a flood that lies over the end of a counted second, and was taken for two small ones:
     also one that a held-up loop read in two parts."""
     counter = ControlFrameCounter()
     assert not counter.is_flooding(100.0)
-    found = [counter.is_flooding(100.0 + begun + lasts * place / 400) for place in range(400)]
-    assert any(found) and (lasts > 0 or found.index(True) <= MAX_FRAMES_PER_S)
+    detected = [counter.is_flooding(100.0 + started_at + duration_s * index / 400) for index in range(400)]
+    assert any(detected) and (duration_s > 0 or detected.index(True) <= MAX_FRAMES_PER_S)
 
 
 def test_few_frames_on_end_are_no_flood() -> None:
-    counter, a_second = ControlFrameCounter(), MAX_FRAMES_PER_S - 2
-    assert not any(counter.is_flooding(50.0 + place / a_second) for place in range(10_000))
+    counter, per_second = ControlFrameCounter(), MAX_FRAMES_PER_S - 2
+    assert not any(counter.is_flooding(50.0 + index / per_second) for index in range(10_000))
 
 
 @story
 async def test_a_silent_planner_is_asked_for_a_sign_of_life() -> None:
-    def vanish(call: Call) -> None:
+    def stop_reading(call: Call) -> None:
         call.peer.data_received = lambda data: None  # type: ignore[method-assign]
 
     async with (
-        GrpcPlanner("p1", act=vanish) as gone,
+        GrpcPlanner("p1", act=stop_reading) as unresponsive,
         GrpcPlanner("p2") as other,
-        forwarder_rig(gone, settings={"familyInfo": {"tellsStart": False}}, keepalive_s=0.1) as rig,
+        forwarder_rig(unresponsive, settings={"familyInfo": {"tellsStart": False}}, keepalive_s=0.1) as rig,
     ):
         caller = rig.submit()
-        await gone.call(1)
+        await unresponsive.call(1)
         rig.list_workers(other)
-        begun = rig.loop.time()
+        started_at = rig.loop.time()
         assert (await caller.outcome())[0] == "served"
-        assert 2.0 < rig.loop.time() - begun < 4.0 and rig.core.counters["attempt RESET"] == 1
+        assert 2.0 < rig.loop.time() - started_at < 4.0 and rig.core.counters["attempt RESET"] == 1
 
 
 @story
@@ -329,21 +331,21 @@
     """The next attempt waits as long as the planner says; a negative one is the last; one past the deadline
     is answered at once."""
 
-    def full(text: str) -> Any:
+    def rejecting(text: str) -> Any:
         return lambda call: call.end(8, x_not_run="1", grpc_retry_pushback_ms=text)
 
-    async with GrpcPlanner(act=full("300")) as planner, forwarder_rig(planner) as rig:
+    async with GrpcPlanner(act=rejecting("300")) as planner, forwarder_rig(planner) as rig:
         caller = rig.submit("quote", client_timeout_ms=900.0)
         await planner.call(1)
-        begun = rig.loop.time()
+        started_at = rig.loop.time()
         await planner.call(2)
-        assert rig.loop.time() - begun >= 0.29
+        assert rig.loop.time() - started_at >= 0.29
         assert (await caller.outcome())[0] == "refused"
         for text in ("-1", "60000", "soon"):
-            planner.act = full(text)
-            seen, begun = len(planner.calls), rig.loop.time()
+            planner.act = rejecting(text)
+            calls_before, started_at = len(planner.calls), rig.loop.time()
             assert (await rig.submit("quote", client_timeout_ms=4000.0).outcome())[0] == "refused"
-            assert len(planner.calls) == seen + 1 and rig.loop.time() - begun < 1.0
+            assert len(planner.calls) == calls_before + 1 and rig.loop.time() - started_at < 1.0
             rig.list_workers(planner, started_at_ms=rig.core._turns.epoch_s * 1000 + len(planner.calls))
 
 
@@ -351,7 +353,7 @@
 def test_a_book_cut_in_mid_stream_is_repeated_in_its_zone_alone(zone: int) -> None:
     async def run() -> None:
         async with (
-            GrpcPlanner("p1", act=silent) as first,
+            GrpcPlanner("p1", act=no_answer) as first,
             GrpcPlanner("p2", zone) as second,
             forwarder_rig(first) as rig,
         ):
@@ -384,7 +386,7 @@
 async def test_what_no_listed_planner_can_be_told_is_refused_at_once() -> None:
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
     async with GrpcPlanner() as planner, forwarder_rig(planner) as rig:
-        begun = rig.loop.time()
+        started_at = rig.loop.time()
         assert await rig.submit("book", hazard).outcome() == ("unfit", ("hazard", False))
         for name, body in [
             ("pallets", b'{"origin":"a","destination":"b","pallets":1.5}'),
@@ -396,7 +398,7 @@
         ]:
             assert await rig.submit("book", body).outcome() == ("unfit", (name, False))
         assert await rig.submit("book", idempotency_key="k\u00e9").outcome() == ("unfit", ("key", False))
-        assert rig.loop.time() - begun < 0.5 and not planner.calls
+        assert rig.loop.time() - started_at < 0.5 and not planner.calls
 
 
 @story
