--- a/pipitshed/upstream/__init__.py
+++ b/pipitshed/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The clients that carry attempts to workers over HTTP, gRPC and Gearman."""
+"""The clients that send attempts to workers over HTTP, gRPC and Gearman."""
--- a/pipitshed/upstream/gearman.py
+++ b/pipitshed/upstream/gearman.py
@@ -45,18 +45,18 @@
 
 
 class WorkerConnection(Protocol):
-    """A worker's connection."""
+    """What this module needs of a worker's connection."""
 
     def write(self, data: bytes) -> None:
         """Send packets."""
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close without flushing."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerLocation:
-    """Where Gearman workers are, and their weight: the same for all, as the front file says."""
+    """Zone, cell, machine kind and weight of all Gearman workers, as the front file sets them."""
 
     zone: int = 0
     cell: int = 0
@@ -72,12 +72,12 @@
         self.connection = connection
         self.name = "-"
         self.endpoint = Endpoint(f"gearman-{number}".encode(), client, self)
-        self.abilities: dict[str, float] = {}  # function: its timeout (s), 0 for none
+        self.abilities: dict[str, float] = {}  # timeout (s) by function, 0 for none
         self.waiting: list[Attempt] = []
         self.running: dict[bytes, Attempt] = {}  # by handle
         self.is_listed = False
         self.is_removed = False
-        self._is_retiring = False  # it gets no more jobs, and is closed once it runs none
+        self._is_retiring = False  # no new jobs; closed once its last job has ended
         self._partial_results: dict[bytes, bytes] = {}  # WORK_DATA so far, by handle
         self._is_asleep = False
 
@@ -117,7 +117,7 @@
             self.connection.write(pack(Kind.NOOP))
 
     def _assign_job(self, assignment: Kind) -> None:
-        """Send the waiting attempt of the highest priority, the oldest among equals."""
+        """Assign the waiting attempt with the highest priority, the oldest among equals."""
         core = self.client.core
         self._is_asleep = False
         for attempt in [attempt for attempt in self.waiting if not core.may_begin(attempt)]:
@@ -146,7 +146,7 @@
         core.attempt_progressed(attempt, ProgressKind.STARTED)
 
     def _handle_work(self, kind: Kind, arguments: list[bytes]) -> None:
-        """Handle progress, a part of a result, or the end of a job; ignore jobs that are over."""
+        """Handle progress, a part of a result, or the end of a job; ignore jobs that have ended."""
         handle = arguments[0]
         attempt = self.running.get(handle)
         if attempt is None:
@@ -165,7 +165,7 @@
             return
         if kind is Kind.WORK_WARNING:
             return
-        # After WORK_EXCEPTION a WORK_FAIL may follow: the job is over by then, and it is ignored.
+        # A WORK_FAIL may follow a WORK_EXCEPTION; it is ignored, as the job has ended by then.
         del self.running[handle]
         if self._is_retiring:
             self._close_if_idle()
@@ -177,10 +177,10 @@
             core.attempt_finished(attempt, Outcome.ERROR, error)
 
     def stop(self, handle: bytes) -> None:
-        """Give up an assigned job, which the protocol has no way to cancel.
+        """Abandon an assigned job, which the protocol has no way to cancel.
 
-        The connection is closed, so that the worker can notice. Its other jobs are finished first: they may
-        belong to clients whose class forbids a second run.
+        The connection is closed, which the worker can detect. Its other jobs end first: their classes may
+        forbid a second run.
         """
         del self.running[handle]
         self._partial_results.pop(handle, None)
@@ -224,7 +224,7 @@
 
 
 class GearmanWorkerClient:
-    """All Gearman workers, and the functions by which they name the job classes."""
+    """All connected Gearman workers, and the job class of each function."""
 
     def __init__(
         self,
@@ -246,19 +246,19 @@
     # ---- workers
 
     def worker(self, connection: WorkerConnection) -> GearmanWorker:
-        """The worker of a connection that has sent its first worker packet."""
+        """Create the worker of a connection that has sent its first worker packet."""
         self._worker_count += 1
         worker = GearmanWorker(self, connection, self._worker_count)
         self.workers[worker] = None
         return worker
 
     def new_handle(self) -> bytes:
-        """A handle for a worker's job; none of the handles for clients looks like it."""
+        """Return a new handle for a worker's job, unlike any handle given to a client."""
         self._handle_count += 1
         return b"H:pipitshed:attempt:%d" % self._handle_count
 
     def function(self, attempt: Attempt, worker: GearmanWorker) -> str | None:
-        """The name by which a worker knows an attempt's work; None if it can't do that."""
+        """Return the function under which a worker runs an attempt's job; None if it has none."""
         request = attempt.context.request
         if request.function:
             return request.function if request.function in worker.abilities else None
@@ -268,7 +268,7 @@
         )
 
     def list_worker(self, worker: GearmanWorker) -> None:
-        """Update the endpoint table with what a worker can do now.
+        """Update the endpoint table with a worker's current abilities.
 
         A worker without any ability is draining until its connection ends. Attempts that wait for an ability
         that it no longer has are rejected.
@@ -307,7 +307,7 @@
     # ---- attempts
 
     def start(self, attempt: Attempt) -> None:
-        """Queue an attempt for its worker."""
+        """Queue an attempt for its worker; finish it at once if the worker can't run it."""
         worker: GearmanWorker = attempt.endpoint.address
         attempt.fully_sent = False
         if worker.is_removed:
@@ -318,7 +318,7 @@
             worker.add(attempt)
 
     def abort(self, attempt: Attempt) -> bool:
-        """Stop an attempt for good; whether it may have run.
+        """Stop an attempt; return whether it may have run.
 
         An assigned job can't be cancelled: the worker gets no further one, and its connection is closed.
         """
--- a/pipitshed/upstream/grpc/__init__.py
+++ b/pipitshed/upstream/grpc/__init__.py
@@ -1,4 +1,4 @@
-"""Attempts to workers that speak gRPC, the second version of the worker interface.
+"""Sends attempts to workers over gRPC, version 2 of the worker interface.
 
 The outcomes follow the table in docs/design/translation.md.
 """
--- a/pipitshed/upstream/grpc/client.py
+++ b/pipitshed/upstream/grpc/client.py
@@ -1,4 +1,4 @@
-"""The client of gRPC workers: one HTTP/2 connection to each, on which every attempt is a stream."""
+"""The client of gRPC workers: one HTTP/2 connection per worker, and one stream on it per attempt."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     ) -> None:
         self.core = core
         self.loop = loop
-        self.keepalive_s = keepalive_s  # silence, with attempts outstanding, after which a PING is sent
+        self.keepalive_s = keepalive_s  # time without input, with attempts outstanding, before a PING
         self.on_wrong_interface: Callable[[Endpoint], None] = lambda _: None
         self.on_drain: Callable[[Endpoint], None] = lambda endpoint: core.endpoints.mark_draining(endpoint.id)
         limits = core.settings.limits
@@ -47,7 +47,7 @@
         self.probe_count = 0
         self._classes = classes
         self._connect_timeout_s = limits.connect_timeout_ms / 1000
-        self._connections: dict[Address, GrpcConnection] = {}  # those that open new streams
+        self._connections: dict[Address, GrpcConnection] = {}  # those that accept new streams
         self._all: set[GrpcConnection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -56,7 +56,7 @@
         self._connection(attempt.endpoint).add(attempt)
 
     def abort(self, attempt: Attempt) -> bool:
-        """Stop an attempt for good; whether it may have run."""
+        """Stop an attempt; return whether it may have run."""
         state = attempt.transport_state
         if isinstance(state, GrpcStream):
             return state.connection.cancel(state)
@@ -65,7 +65,7 @@
         return False
 
     def probe(self, endpoint: Endpoint) -> None:
-        """Ask whether a worker is there; this interface reports no load."""
+        """Check with a PING that a worker responds; interface 2 reports no load."""
         self._connection(endpoint).probe()
 
     def close_idle_connections(self, endpoint: Endpoint) -> None:
@@ -80,7 +80,7 @@
             connection.close()
 
     def lost(self, connection: GrpcConnection) -> None:
-        """A connection opens no new streams any more, or has ended."""
+        """Remove a connection that accepts no new streams or has ended."""
         address = connection.endpoint.address
         if self._connections.get(address) is connection:
             del self._connections[address]
@@ -88,9 +88,9 @@
             self._all.discard(connection)
 
     def metadata(self, attempt: Attempt, remaining_s: float) -> list[Header]:
-        """The headers of an attempt that has `remaining_s` seconds.
+        """Return the request headers of an attempt with `remaining_s` seconds until its deadline.
 
-        Those that differ with each attempt are never indexed, so that the header encoder does not cache them.
+        Headers whose value differs with each attempt are never indexed: the header encoder would cache them.
         """
         request = attempt.context.request
         headers = [
@@ -111,7 +111,7 @@
         return headers
 
     def _connection(self, endpoint: Endpoint) -> GrpcConnection:
-        """The connection that opens new streams; it may not be up yet."""
+        """Return the worker's connection for new streams, which may still be connecting."""
         connection = self._connections.get(endpoint.address)
         if connection is None:
             self.core.counters["connections"] += 1
@@ -126,7 +126,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _connect(self, connection: GrpcConnection) -> None:
-        """Connect, and abort where the worker's SETTINGS do not arrive in time."""
+        """Connect; abort if the worker's SETTINGS do not arrive within the connect timeout."""
         host, port = connection.endpoint.address
         try:
             async with asyncio.timeout(self._connect_timeout_s):
--- a/pipitshed/upstream/grpc/connection.py
+++ b/pipitshed/upstream/grpc/connection.py
@@ -1,7 +1,7 @@
 """One HTTP/2 connection to a gRPC worker, and the streams that carry attempts on it.
 
-Nothing of a request is sent before the worker's SETTINGS have arrived. So for a worker of the other
-interface, or one that can't be reached, it is known that nothing ran.
+No request is sent before the worker's SETTINGS have arrived. An attempt therefore can't have run on a worker
+that speaks the other interface or can't be reached.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 if TYPE_CHECKING:
     from pipitshed.upstream.grpc.client import GrpcWorkerClient
 
-MAX_STREAMS = 256  # on one connection, whatever the worker permits
-MAX_UNREAD_BYTES = 1024 * 1024  # that a worker may leave unread before its connection is closed
-WINDOW_BYTES = 2 * MESSAGE_LIMIT  # flow control windows of a stream and of a connection
+MAX_STREAMS = 256  # per connection, even if the worker permits more
+MAX_UNREAD_BYTES = 1024 * 1024  # in the write buffer; a worker that reads no faster is disconnected
+WINDOW_BYTES = 2 * MESSAGE_LIMIT  # flow control window of each stream and of the connection
 MAX_HEADER_LIST_BYTES = 16 * 1024
 PROBE_TIMEOUT_S = 0.5
 MAX_KEEPALIVE_S = 600.0
@@ -48,25 +48,25 @@
 
     def __init__(self, client: GrpcWorkerClient, endpoint: Endpoint) -> None:
         self.endpoint = endpoint
-        self.queue: deque[Attempt] = deque()  # waiting for the connection, or for a free stream
+        self.queue: deque[Attempt] = deque()  # those that wait for the connection or for a free stream
         self.streams: dict[int, GrpcStream] = {}
-        self.is_draining = False  # no new streams: the worker said so, or all stream ids are used up
+        self.is_draining = False  # no new streams: the worker sent GOAWAY, or all stream ids are used up
         self.is_ready = False  # the worker's SETTINGS have arrived
         self.has_ended = False
         self.client = client
         self._loop = client.loop
         self._http2 = Http2()
         self._transport: asyncio.Transport | None = None
-        self.idle_reports = 0  # how often the scheduler counts this connection as an idle one
+        self.idle_reports = 0  # idle connections that the scheduler counts for this connection
         self._unflushed: set[int] = set()  # streams whose last bytes may not have reached the kernel
         self._is_write_paused = False
         self._is_flush_scheduled = False
         self._idle_timer: asyncio.TimerHandle | None = None
         self._keepalive = Keepalive(self._loop, client.keepalive_s, self._send_keepalive_ping, self.abort)
-        self._probes: dict[bytes, float] = {}  # loop time of the start, by the data of the PING
+        self._probes: dict[bytes, float] = {}  # loop time of the probe's start, by PING data
         self._control_frames = ControlFrameCounter()
 
-    # ---- the connection
+    # ---- connection state
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the preface and SETTINGS."""
@@ -96,19 +96,19 @@
         self._unflushed.clear()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """End all attempts; a worker that closed before its SETTINGS speaks the other interface."""
+        """Finish all attempts; a worker that closes before sending SETTINGS speaks the other interface."""
         if not self.is_ready and not self.has_ended:
             self.client.on_wrong_interface(self.endpoint)
         self.end()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close without flushing, and finish all attempts."""
         if self._transport is not None:
             self._transport.abort()
         self.end()
 
     def end(self) -> None:
-        """Report the outcome of each attempt that was on this connection."""
+        """Finish each attempt and probe on this connection; further calls have no effect."""
         if self.has_ended:
             return
         self.has_ended = True
@@ -131,7 +131,7 @@
             self.client.core.connection_lost(self.endpoint)
 
     def close(self) -> None:
-        """Close with a GOAWAY: no attempt is outstanding."""
+        """Send GOAWAY and close; called when no attempt is outstanding."""
         if self._transport is not None and not self.has_ended:
             self._http2.close_connection()
             self._flush()
@@ -139,7 +139,7 @@
         self.end()
 
     def drain(self) -> None:
-        """Start no new streams; attempts without one have not run."""
+        """Open no further streams; finish the queued attempts, which have not run, as CONNECT_FAILED."""
         if self.is_draining:
             return
         self.is_draining = True
@@ -151,7 +151,7 @@
     # ---- output
 
     def add(self, attempt: Attempt) -> None:
-        """Send an attempt on a stream, at once or when one is free."""
+        """Send an attempt on a new stream, or queue it until the worker permits one."""
         attempt.transport_state = self
         attempt.fully_sent = False
         self.queue.append(attempt)
@@ -162,13 +162,13 @@
             self._open_streams()
 
     def forget(self, attempt: Attempt) -> None:
-        """Remove an attempt that has no stream yet."""
+        """Remove an attempt that is still queued."""
         if attempt in self.queue:
             self.queue.remove(attempt)
             self._continue()
 
     def cancel(self, stream: GrpcStream) -> bool:
-        """Cancel an attempt on its stream; whether it may have run."""
+        """Reset an attempt's stream; return whether the attempt may have run."""
         self.close_stream(stream)
         return stream.is_sent
 
@@ -213,7 +213,7 @@
                 self._http2.send_data(stream.stream_id, bytes(part), end_stream=is_last)
                 stream.is_sent = is_last
         except h2.exceptions.ProtocolError:
-            return  # the worker has ended the stream in this turn: the event that says so follows
+            return  # the worker has just ended the stream; the event for that follows
         self.client.core.attempt_sent(stream.attempt)
         self._unflushed.add(stream.stream_id)
 
@@ -241,9 +241,9 @@
         self._keepalive.last_received_at = self._loop.time()
         try:
             events = self._http2.receive_data(data)
-        except Exception as error:  # invalid input ends this connection, and nothing else
+        except Exception as error:  # invalid input ends this connection only
             if not self.is_ready:
-                # No HTTP/2 at all: a worker of the other interface, to which nothing was sent.
+                # The input is not HTTP/2: the worker speaks the other interface, and no request was sent.
                 self.client.on_wrong_interface(self.endpoint)
             else:
                 log.warning("grpc: %s: %s", type(error).__name__, error)
@@ -259,7 +259,7 @@
         self._flush()
 
     def _on_data(self, event: h2.events.DataReceived) -> None:
-        # Data is used at once, so its window is returned at once; an incomplete message is bounded.
+        # Data is consumed at once, so the window is returned; the size of an incomplete message is limited.
         if event.flow_controlled_length:
             self._http2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
         stream = self.streams.get(event.stream_id)
@@ -319,7 +319,7 @@
             self._send_body(self.streams[event.stream_id])
 
     def _on_goaway(self, event: h2.events.ConnectionTerminated) -> None:
-        if event.error_code == _ErrorCodes.ENHANCE_YOUR_CALM:  # the worker counts too many PINGs
+        if event.error_code == _ErrorCodes.ENHANCE_YOUR_CALM:  # the worker rejects PINGs as too frequent
             self.client.keepalive_s = min(MAX_KEEPALIVE_S, 2 * self.client.keepalive_s)
         self.drain()
         last_stream_id = event.last_stream_id or 0
@@ -347,21 +347,21 @@
             self._flush()
             self.abort()
 
-    # ---- the ends of streams
+    # ---- closing streams
 
     def close_stream(self, stream: GrpcStream, is_closed: bool = False) -> None:
-        """Make place for the next stream; reset this one unless both sides have ended it."""
+        """Remove a stream, reset it unless both sides have ended it, and start queued attempts."""
         stream.release()
         if self.streams.pop(stream.stream_id, None) is not None and not self.has_ended:
             if not is_closed:
-                # Where the worker has ended it in this turn, there is nothing to reset.
+                # If the worker has just ended the stream, there is nothing to reset.
                 with contextlib.suppress(h2.exceptions.ProtocolError):
                     self._http2.reset_stream(stream.stream_id, _ErrorCodes.CANCEL)
                 self._schedule_flush()
             self._continue()
 
     def _continue(self) -> None:
-        """Give a free place to the next attempt; without any, the connection is idle."""
+        """Start queued attempts; without attempts and probes, start the idle timer or end a drain."""
         if self.has_ended:
             return
         if self.queue and self.is_ready:
@@ -377,7 +377,7 @@
     # ---- PINGs
 
     def probe(self) -> None:
-        """Send a PING: its answer says that the worker is there, and nothing of its load."""
+        """Send a PING; its ACK shows that the worker responds, but not its load."""
         self.client.probe_count += 1
         ping_data = b"%08x" % (self.client.probe_count & 0xFFFF_FFFF)
         self._probes[ping_data] = self._loop.time()
--- a/pipitshed/upstream/grpc/control_frames.py
+++ b/pipitshed/upstream/grpc/control_frames.py
@@ -1,4 +1,4 @@
-"""Finds out that a worker floods its connection with frames that cost work and bring nothing."""
+"""Detects a worker that floods its connection with control frames, which cost CPU time and carry no data."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ControlFrameCounter:
-    """Counts the control frames of the last second: this period's, and a part of those of the one before."""
+    """Estimates the control frames of the last second from this period's count and the previous one's."""
 
     __slots__ = ("_count", "_last_count", "_period_start")
 
@@ -17,7 +17,7 @@
         self._period_start = 0.0  # loop time
 
     def is_flooding(self, now: float) -> bool:
-        """Count one frame; True if there are too many."""
+        """Count one frame; True if the last second's count exceeds MAX_FRAMES_PER_S."""
         if now - self._period_start >= 2 * _PERIOD_S:
             self._last_count, self._count, self._period_start = 0, 0, now
         elif now - self._period_start >= _PERIOD_S:
--- a/pipitshed/upstream/grpc/keepalive.py
+++ b/pipitshed/upstream/grpc/keepalive.py
@@ -1,4 +1,4 @@
-"""Finds out that a worker has vanished: a connection that is silent with jobs on it is sent a PING."""
+"""Detects unreachable workers: sends a PING on a connection with attempts that receives no input."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class Keepalive:
-    """The timer of one connection.
+    """The keepalive timer of one connection.
 
     Attributes:
         last_received_at: Loop time of the last bytes; the connection sets it.
-        is_ping_pending: Whether a PING is not answered yet; the connection clears it.
+        is_ping_pending: Whether a PING has not been acknowledged yet; the connection clears it.
     """
 
     __slots__ = (
@@ -42,13 +42,13 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Watch the connection from now on, if that is not so already."""
+        """Start the timer, unless it is running."""
         if self._timer is None:
             self.last_received_at = self._loop.time()
             self._timer = self._loop.call_later(self._silence_s, self._check)
 
     def stop(self) -> None:
-        """Stop watching."""
+        """Stop the timer; called when the connection has no attempts."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/pipitshed/upstream/grpc/outcomes.py
+++ b/pipitshed/upstream/grpc/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of attempts over gRPC, by the table in docs/design/translation.md; no I/O."""
+"""Maps gRPC statuses to attempt outcomes, by the table in docs/design/translation.md; no I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusOutcome:
-    """What a status says of an attempt, and of the worker."""
+    """The outcome that a status means for an attempt, and whether the worker speaks another interface."""
 
     outcome: Outcome
     is_wrong_interface: bool = False
@@ -30,12 +30,12 @@
 def outcome_of_status(
     status: bytes, headers: Mapping[bytes, bytes], has_received_message: bool
 ) -> StatusOutcome:
-    """The outcome of a stream that ends with a status, and no event that ends the job.
+    """Return the outcome of a stream that ends with a status and without an event that ends the job.
 
     Args:
         status: The value of `grpc-status`.
-        headers: All headers or trailers with it.
-        has_received_message: Whether a message arrived before: then the job has begun.
+        headers: All headers or trailers that arrived with the status.
+        has_received_message: Whether a message arrived before the status, so that the job has started.
     """
     code = int(status) if status.isdigit() else _UNKNOWN_STATUS
     if code == Status.OK:
@@ -52,9 +52,9 @@
 
 
 def retry_pushback_ms(headers: Mapping[bytes, bytes]) -> float | None:
-    """How long the worker asks to wait before a retry; negative where it asks for none.
+    """Return the delay (ms) before a retry that the worker asks for; negative to forbid a retry.
 
-    By gRPC's retry design (A6), a value that can't be read asks for no retry.
+    By gRPC's retry design (A6), a value that can't be parsed forbids a retry.
     """
     if b"grpc-retry-pushback-ms" not in headers:
         return None
--- a/pipitshed/upstream/grpc/stream.py
+++ b/pipitshed/upstream/grpc/stream.py
@@ -1,4 +1,4 @@
-"""One attempt on its HTTP/2 stream: the events that the worker sends, and the attempt's one outcome."""
+"""One attempt on its HTTP/2 stream: parses the worker's events and reports the attempt's outcome once."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class GrpcStream:
-    """One attempt on its stream."""
+    """An attempt, its HTTP/2 stream and the parser of the worker's response."""
 
     __slots__ = (
         "connection",
@@ -41,20 +41,20 @@
         self.connection, self.attempt, self.stream_id = connection, attempt, stream_id
         self.unsent = memoryview(body)
         self.result = b""
-        self.event_outcome: Outcome | None = None  # by an event; the status behind it may say more
+        self.event_outcome: Outcome | None = None  # by an event; the status after it may add a pushback
         self.has_received_message = False
-        self.is_sent = False  # END_STREAM is handed to the HTTP/2 library
-        self._buffer = bytearray()  # received, and not a whole message yet
+        self.is_sent = False  # END_STREAM has been passed to the HTTP/2 library
+        self._buffer = bytearray()  # received bytes of an incomplete message
         self._timer: asyncio.TimerHandle | None = None
 
     def receive(self, data: bytes) -> None:
-        """Handle the messages that are complete now."""
+        """Buffer received data, and handle each complete message."""
         self._buffer += data
         try:
             for message in messages(self._buffer):
                 event = planner_pb2.RunEvent.FromString(message)
                 if event.id != self.attempt.context.request.id:
-                    raise BadMessageError("an event is for another request")
+                    raise BadMessageError("an event carries the id of another request")
                 self.has_received_message = True
                 self._handle_event(event)
                 if self.event_outcome is not None:
@@ -80,8 +80,8 @@
         elif kind == "returned":
             self.event_outcome = Outcome.REJECTED
         if self.event_outcome is not None:
-            # The status that follows may ask to wait before a retry. Without a timeout, a stream that is
-            # never ended would take the place of another.
+            # The status that follows may ask to wait before a retry. Without a timeout, a stream that the
+            # worker never ends would count against the permitted streams.
             self._timer = self.connection.client.loop.call_later(STATUS_TIMEOUT_S, self._on_status_timeout)
 
     def _on_status_timeout(self) -> None:
@@ -90,15 +90,15 @@
             self.connection.close_stream(self)
 
     def finish(self, outcome: Outcome, pushback_ms: float | None = None, is_closed: bool = False) -> None:
-        """End the stream, as nothing more arrives on it; `is_closed` if both sides have ended it.
+        """Report the outcome and close the stream; `is_closed` if both sides have ended it.
 
-        An outcome by an event counts before `outcome`.
+        An outcome from an event takes precedence over `outcome`.
         """
         self.report(self.event_outcome or outcome, self.result, pushback_ms)
         self.connection.close_stream(self, is_closed)
 
     def report(self, outcome: Outcome, result: bytes = b"", pushback_ms: float | None = None) -> None:
-        """Report the attempt's outcome, if none has been so far."""
+        """Report the attempt's outcome, unless one has been reported."""
         if not self.attempt.finished:
             connection = self.connection
             if outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED) and not connection.has_ended:
@@ -106,7 +106,7 @@
             connection.client.core.attempt_finished(self.attempt, outcome, result, (), pushback_ms)
 
     def release(self) -> None:
-        """Stop the timer, and let go of the request's body."""
+        """Stop the timer, and release the request's body."""
         if self._timer is not None:
             self._timer.cancel()
         self.unsent.release()
--- a/pipitshed/upstream/http/__init__.py
+++ b/pipitshed/upstream/http/__init__.py
@@ -1,4 +1,4 @@
-"""Attempts to workers that speak HTTP, over a pool of connections."""
+"""Sends attempts to workers over HTTP, version 1 of the worker interface, from a pool of connections."""
 
 from __future__ import annotations
 
--- a/pipitshed/upstream/http/client.py
+++ b/pipitshed/upstream/http/client.py
@@ -43,7 +43,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def apply_settings(self, limits: Limits, report_fields: Sequence[str]) -> None:
-        """Use other limits and report fields from now on."""
+        """Replace the limits and the report fields."""
         self.report_fields = report_fields
         self._connect_timeout_s = limits.connect_timeout_ms / 1000
         self.pool.set_idle_timeout(limits.idle_timeout_ms)
@@ -60,16 +60,16 @@
             self._spawn(self._connect_for_attempt(attempt))
 
     def abort(self, attempt: Attempt) -> bool:
-        """Stop an attempt for good; whether it may have run, as its last byte has been sent."""
+        """Stop an attempt; return whether its last byte has been sent, so that it may have run."""
         connection = attempt.transport_state
         if not isinstance(connection, HttpWorkerConnection):
-            return False  # still connecting; the connection becomes idle once it is up
+            return False  # still connecting; once established, the connection becomes idle
         is_sent = connection.is_sent
         connection.close()
         return is_sent
 
     def probe(self, endpoint: Endpoint) -> None:
-        """Ask a worker for its load."""
+        """Request a worker's load report."""
         self._spawn(self._probe(endpoint))
 
     def idempotency(self, attempt: Attempt) -> Idempotency:
@@ -80,22 +80,22 @@
 
     @property
     def connections(self) -> int:
-        """How many connections are up or being established."""
+        """The number of connections that are open or being established."""
         return self._connecting_count + len(self._open_connections)
 
     def connected(self, connection: HttpWorkerConnection) -> None:
-        """A connection is up."""
+        """Called when a connection is established."""
         self._open_connections.add(connection)
 
     def lost(self, connection: HttpWorkerConnection) -> None:
-        """A connection is closed."""
+        """Called when a connection is closed."""
         self._open_connections.discard(connection)
         self.pool.discard(connection)
 
     def close_oldest_idle(self) -> bool:
-        """Close the connection that is idle for longest; False if there is none.
+        """Close the connection that has been idle longest; False if there is none.
 
-        With one idle connection to each of many workers, no descriptor would be left for new ones.
+        Otherwise, idle connections to many workers could leave no file descriptor for new ones.
         """
         return self.pool.close_oldest()
 
@@ -139,8 +139,8 @@
         elif self.core.may_begin(attempt):
             self._write_attempt(connection, attempt)
         else:
-            # Aborted meanwhile, or too late to be written. Nothing was sent, so the next attempt may use the
-            # connection.
+            # The attempt was aborted meanwhile, or its write deadline has passed. Nothing was sent, so the
+            # connection can be reused.
             self.pool.put(connection)
             self.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
 
--- a/pipitshed/upstream/http/connection.py
+++ b/pipitshed/upstream/http/connection.py
@@ -1,7 +1,7 @@
 """One connection to a worker that speaks HTTP.
 
-A worker answers an attempt with status 200 and one JSON object a line: the job's progress, then its outcome.
-Other statuses say that the job failed or, with `X-Not-Run`, that it did not run.
+A worker answers an attempt with status 200 and one JSON object per line: the job's progress, then its
+outcome. Other statuses mean that the job failed or, with `X-Not-Run`, that it did not run.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 if TYPE_CHECKING:
     from pipitshed.upstream.http.client import HttpWorkerClient
 
-ANSWER_END_TIMEOUT_S = 0.5  # from an attempt's outcome to the end of the answer that brought it
-SECOND_ANSWER_WINDOW_S = 0.05  # after an answer, in which a second one to the same request may still arrive
-MAX_LINE_BYTES = 4 * BODY_LIMIT  # JSON's escapes may make a result longer than its limit
-HTTP2_SETTINGS_PREFIX = b"\0\0"  # of a frame of less than 256 bytes; no HTTP/1.1 answer begins like this
+ANSWER_END_TIMEOUT_S = 0.5  # from an attempt's outcome to the end of the answer that carried it
+SECOND_ANSWER_WINDOW_S = 0.05  # after an answer, within which a second one to the same request may arrive
+MAX_LINE_BYTES = 4 * BODY_LIMIT  # JSON escapes may make a line longer than the limit of its result
+HTTP2_SETTINGS_PREFIX = b"\0\0"  # of a SETTINGS frame under 256 bytes; no HTTP/1.1 answer begins so
 
 _STATUS_OK = 200
 _NOT_RUN_STATUSES = (503, 504)
@@ -52,14 +52,14 @@
 
 
 def _header_text(text: str) -> str:
-    """A text without what can't stand in a header's value, above all line ends."""
+    """Return a text without the characters that a header value can't contain, such as line breaks."""
     return "".join(char for char in text if " " <= char <= "~")
 
 
 def request_bytes(attempt: Attempt, remaining_s: float, classes: Sequence[str] = ()) -> bytes:
-    """The request of an attempt that has `remaining_s` seconds.
+    """Return the HTTP request of an attempt with `remaining_s` seconds until its deadline.
 
-    Where messages are translated, it names class and tenant, as requests of every interface do there.
+    Where messages are translated, it names the class and the tenant, as requests of every interface then do.
     """
     request = attempt.context.request
     names = ""
@@ -85,9 +85,9 @@
         self.probed_endpoint: Endpoint | None = None
         self.probe_started_at = 0.0  # loop time
         self.idle_timer: asyncio.TimerHandle | None = None
-        # Loop time. Stored here, as uvloop's timer does not know it where it is due at once.
+        # Loop time. Stored here, as uvloop's timer handle does not have it for a timer that is due at once.
         self.idle_deadline = 0.0
-        self.idle_endpoint: Endpoint | None = None  # for which the scheduler counts an idle connection
+        self.idle_endpoint: Endpoint | None = None  # whose idle connections the scheduler counts
         self._client = client
         self._reader = Reader(self, MAX_LINE_BYTES)
         self._transport: asyncio.Transport | None = None
@@ -103,7 +103,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Count the connection."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's transports do not inherit from it
-        # With this limit the transport pauses the protocol while any byte is unsent, so that is known.
+        # With a limit of 0, the transport calls `pause_writing` while any byte is unsent.
         self._transport.set_write_buffer_limits(high=0)
         self._client.connected(self)
 
@@ -163,7 +163,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse what has arrived."""
         if self.attempt is None and self.probed_endpoint is None:
-            self.close()  # input without a request could be taken for the answer to the next one
+            self.close()  # unrequested input could be taken for the answer to the next request
             return
         try:
             self._reader.feed(data)
@@ -174,16 +174,16 @@
             self.close()
             return
         if self.attempt is None and self.probed_endpoint is None:
-            # A second answer has begun behind the first: its rest must not meet the next request.
+            # A second answer has begun after the first: its rest must not be taken for the next one.
             if self._reader.begun:
                 self.close()
         elif self._is_outcome_reported and self._answer_end_timer is None:
-            # The attempt's own timer ends with its outcome. Without this one, an answer that never ends would
-            # hold the connection for ever.
+            # The attempt's own timer ends with its outcome. Without this timer, an answer that never ends
+            # would keep the connection open forever.
             self._answer_end_timer = self._client.loop.call_later(ANSWER_END_TIMEOUT_S, self.close)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Report the outcome, if none has been so far."""
+        """Report the outcome, unless one has been reported."""
         self._finish(Outcome.CONNECT_FAILED if self._has_unsent_bytes else Outcome.RESET)
         self._cancel_timers()
         if self.idle_endpoint is not None:
@@ -193,11 +193,11 @@
     # ---- what the HTTP reader reports
 
     def head_came(self, status: int) -> None:
-        """The answer's head is complete."""
+        """Called when the answer's head is complete."""
         self._status = status
 
     def body_came(self) -> None:
-        """More of the body stands in the reader's buffer."""
+        """Handle the complete lines in the reader's buffer; called when it has received more of the body."""
         if self._status != _STATUS_OK or self.attempt is None:
             return
         while (text := self._reader.buffer.line()) is not None:
@@ -215,7 +215,7 @@
             rest = self._reader.buffer.take_all().strip()
             if rest:
                 self._handle_line(rest)
-            self._finish(Outcome.RESET)  # counts if no line has brought an outcome
+            self._finish(Outcome.RESET)  # no effect if a line has reported an outcome
         elif self._status in _NOT_RUN_STATUSES and headers.get(b"x-not-run", b"").strip() == b"1":
             self._finish(Outcome.RESET if self._may_be_second_answer() else Outcome.REJECTED, b"", report)
         elif self.probed_endpoint is not None and self._status == _STATUS_OK:
@@ -227,7 +227,7 @@
         if self._answer_end_timer is not None:
             self._answer_end_timer.cancel()
             self._answer_end_timer = None
-        # Where the answer came before the whole request was sent, the request's rest is still to be sent.
+        # If the answer arrived before the whole request was sent, the connection can't be reused.
         if keep_alive and self.is_open and not self._has_unsent_bytes:
             self._second_answer_until = self._client.loop.time() + SECOND_ANSWER_WINDOW_S
             self._client.pool.put(self)
@@ -241,9 +241,10 @@
         try:
             line = _decode_line(text)
         except msgspec.DecodeError:
-            raise BadAnswerError("a line is not JSON") from None
+            raise BadAnswerError("a response line is not JSON") from None
         if line.id != attempt.context.request.id:
-            raise BadAnswerError("a line is for another request")  # whose result must not reach this client
+            # Its result must not reach this request's client.
+            raise BadAnswerError("a response line carries the id of another request")
         if line.state == "started":
             self._client.core.attempt_progressed(attempt, ProgressKind.STARTED)
         elif line.state == "running":
@@ -253,9 +254,9 @@
             self._finish(_OUTCOMES[line.state], line.result.encode(), report)
 
     def _may_be_second_answer(self) -> bool:
-        """Whether "not run" may be meant for the request before this one: the answer names no request.
+        """Whether a "not run" answer, which carries no request id, may be for the previous request.
 
-        A job that is not idempotent must not be repeated on such a word.
+        A job that is not idempotent must not be retried because of such an answer.
         """
         return (
             self.attempt is not None
@@ -264,7 +265,7 @@
         )
 
     def _finish(self, outcome: Outcome, result: bytes = b"", report: Sequence[float] = ()) -> None:
-        """Report the one outcome of what this connection carries."""
+        """Report the outcome of the current attempt or probe, once."""
         if self._is_outcome_reported:
             return
         self._is_outcome_reported = True
--- a/pipitshed/upstream/http/load_report.py
+++ b/pipitshed/upstream/http/load_report.py
@@ -1,4 +1,4 @@
-"""The load reports of workers: named numbers, in the order that the settings give."""
+"""Parses workers' load reports: named numbers, returned in the order of the settings."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def parse_load_report(text: bytes, fields: Sequence[str]) -> tuple[float, ...]:
-    """The values of a report, `TEXT a=1, b=2` or JSON, for these fields; none if it can't be parsed."""
+    """Return a report's values for these fields (`TEXT a=1, b=2` or JSON); empty if it can't be parsed."""
     values: dict[str, float] = {}
     body = text.strip().removeprefix(b"TEXT").removeprefix(b"JSON").strip()
     try:
@@ -25,9 +25,8 @@
 
 
 def ordered_report(values: dict[str, float], fields: Sequence[str]) -> tuple[float, ...]:
-    """The values in the order of the fields; none if one is missing.
+    """Return the values in the order of the fields; empty if one is missing.
 
-    A missing field must not count as 0: depending on the field, that would say that the worker is full, or
-    that it is idle.
+    A missing field must not count as 0: depending on the field, 0 means that the worker is full or idle.
     """
     return tuple(values[name] for name in fields) if all(name in values for name in fields) else ()
--- a/pipitshed/upstream/http/pool.py
+++ b/pipitshed/upstream/http/pool.py
@@ -10,23 +10,23 @@
 if TYPE_CHECKING:
     from pipitshed.upstream.http.connection import HttpWorkerConnection
 
-IDLE_MARGIN_FRACTION = 0.1  # of the worker's idle timeout, by which a connection is closed before it
+IDLE_MARGIN_FRACTION = 0.1  # of the worker's idle timeout: how much earlier a connection is closed
 
 
 class IdlePool:
     """Idle connections by address.
 
-    The one that was used last is taken first, so that those that are not needed reach their idle timeout.
+    The most recently used one is taken first, so that surplus connections reach their idle timeout.
     """
 
     def __init__(self, idle_timeout_ms: float, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self._idle: dict[Address, list[HttpWorkerConnection]] = {}
-        self._by_age: dict[HttpWorkerConnection, None] = {}  # the one that is idle for longest is first
+        self._by_age: dict[HttpWorkerConnection, None] = {}  # in order, the longest idle first
         self._idle_timeout_s = _with_margin(idle_timeout_ms)
 
     def set_idle_timeout(self, idle_timeout_ms: float) -> None:
-        """Use another idle timeout; a shorter one also counts for what is idle now."""
+        """Change the idle timeout; a shorter one also applies to connections that are idle now."""
         timeout_before_s, self._idle_timeout_s = self._idle_timeout_s, _with_margin(idle_timeout_ms)
         if self._idle_timeout_s >= timeout_before_s:
             return
@@ -38,7 +38,7 @@
                     connection.idle_timer = self._loop.call_at(connection.idle_deadline, connection.close)
 
     def put(self, connection: HttpWorkerConnection) -> None:
-        """Add a connection; it is closed before the worker would close it."""
+        """Add an idle connection; it is closed shortly before the worker would close it."""
         self._idle.setdefault(connection.address, []).append(connection)
         self._by_age[connection] = None
         connection.idle_deadline = self._loop.time() + self._idle_timeout_s
@@ -66,7 +66,7 @@
             self._idle.pop(connection.address, None)
 
     def close_oldest(self) -> bool:
-        """Close the connection that is idle for longest; False if there is none."""
+        """Close the connection that has been idle longest; False if there is none."""
         oldest = next(iter(self._by_age), None)
         if oldest is None:
             return False
--- a/pipitshed/upstream/interface_probe.py
+++ b/pipitshed/upstream/interface_probe.py
@@ -1,7 +1,7 @@
-"""Finds out which interface a worker speaks, on a connection of its own and without a request.
+"""Detects which interface a worker speaks, on a separate connection and without a request.
 
-It sends HTTP/2's preface. A worker of interface 2 answers with its SETTINGS. For a worker of interface 1 the
-preface is a malformed request line, so it answers with an error or closes.
+The probe sends the HTTP/2 preface. A worker of interface 2 answers with its SETTINGS. For a worker of
+interface 1 the preface is a malformed request line, so it answers with an error or closes.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 CONNECT_TIMEOUT_S = 1.0
 RESPONSE_TIMEOUT_S = 1.0
-GOAWAY_WINDOW_S = 0.05  # behind the SETTINGS, in which a worker that is about to stop sends GOAWAY
+GOAWAY_WINDOW_S = 0.05  # after its SETTINGS, within which a stopping worker sends GOAWAY
 
 _UNKNOWN, _HTTP, _GRPC = 0, 1, 2  # interfaces
 
 
 class _Probe(asyncio.Protocol):
-    """One worker's response to the preface; the result is its interface, or 0 where that is not known."""
+    """One worker's response to the preface; the result is its interface, or 0 if unknown."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.result: asyncio.Future[int] = loop.create_future()
@@ -41,7 +41,7 @@
         self.transport.write(self._http2.data_to_send())
 
     def data_received(self, data: bytes) -> None:
-        """Look for SETTINGS, for a GOAWAY, and for what is no HTTP/2."""
+        """Handle SETTINGS, GOAWAY and input that is not HTTP/2."""
         if self.result.done():
             return
         try:
@@ -57,10 +57,10 @@
             self._goaway_timer = self._loop.call_later(GOAWAY_WINDOW_S, self._set_result, _GRPC)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take a clean close for interface 1, unless SETTINGS came before it.
+        """Treat a clean close as interface 1, unless SETTINGS arrived before it.
 
-        The platform's workers close on input that they can't parse. One that closes behind its SETTINGS was
-        about to stop.
+        The platform's workers close on input that they can't parse. A worker that closes after its SETTINGS
+        was stopping.
         """
         is_clean_close = self._goaway_timer is None and not isinstance(exc, ConnectionError)
         self._set_result(_HTTP if is_clean_close else _UNKNOWN)
@@ -73,7 +73,7 @@
 
 
 class InterfaceProber:
-    """Probes workers, each in a task of its own."""
+    """Probes workers, each in a separate task."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, on_detected: Callable[[WorkerId, Address, int], None]
@@ -83,7 +83,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def probe(self, worker: WorkerId, address: Address) -> None:
-        """Start a probe; its result goes to `on_detected`, as 0 where it failed."""
+        """Start a probe; it calls `on_detected` with the interface, or 0 if the probe failed."""
         task = self._loop.create_task(self._run(worker, address))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
