--- a/pipitshed/discovery/__init__.py
+++ b/pipitshed/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Sources of the endpoint list: the catalog service, DNS-SD, and what else is known of each endpoint."""
+"""Sources of the endpoint list (catalog service, DNS-SD), of workers' interfaces and of planned weights."""
--- a/pipitshed/discovery/catalog/client.py
+++ b/pipitshed/discovery/catalog/client.py
@@ -19,7 +19,7 @@
 SOURCE = "discovery"
 CONNECT_TIMEOUT_S = 1.0
 RESPONSE_TIMEOUT_S = (
-    3.2  # to the head of a response: the server queues calls, and rejects those that wait long
+    3.2  # to the response's head: the server queues calls, and rejects those that wait too long
 )
 MIN_PUSH_TIMEOUT_S = 0.25  # for connecting and for the response's head, where lists are pushed
 IDLE_CHECK_INTERVAL_S = 3.0  # longer than the scheduler ever waits between two calls
@@ -57,7 +57,7 @@
         self.table = table
         self.loop = loop
         self.size_limit = size_limit  # bytes of one update
-        self.version = 0  # of the list that is known
+        self.version = 0  # of the known list
         self.received_any = False  # an update has arrived since the start
         self.unreachable = False  # the last call that ended could not connect
         self.connect_timeout_s, self.response_timeout_s = CONNECT_TIMEOUT_S, RESPONSE_TIMEOUT_S
@@ -74,23 +74,23 @@
     def set_timeouts(self, grace_s: float) -> None:
         """Shorten the timeouts for a list that is pushed to an agent on this machine.
 
-        A pushed list counts as known the moment the agent has it. An agent does not queue calls, so one that
-        hangs is given up well within the grace period for drains.
+        A pushed list counts as known as soon as the agent has it. The agent does not queue calls, so a call
+        that hangs is abandoned well within the grace period for drains (`grace_s`).
         """
         timeout_s = min(CONNECT_TIMEOUT_S, max(MIN_PUSH_TIMEOUT_S, grace_s / 3))
         self.connect_timeout_s = self.response_timeout_s = timeout_s
 
     def load_cached(self, update: CatalogUpdate) -> None:
-        """Start from the list that this scheduler knew last."""
+        """Start with the cached list, the last one that this scheduler knew."""
         self.version = update.generation
         rows = map(self.parser.row, update.instances)
         self.table.update(SOURCE, UpdateKind.CACHED, update.generation, rows)
 
     def follow(self, address: tuple[str, int]) -> None:
-        """Use another discovery address from now on.
+        """Use another discovery address for further calls.
 
-        The watch at the old address continues until the scheduler calls `fetch` again. The list that is known
-        and its version stay.
+        The watch at the old address continues until the scheduler calls `fetch` again. The known list and its
+        version stay.
         """
         if address != self.address:
             self.address = address
@@ -113,7 +113,7 @@
         task.add_done_callback(self._tasks.discard)
 
     def call_ended(self) -> None:
-        """A call is over, however it ended."""
+        """Count the end of a call, for whatever reason it ended."""
         self.active_calls -= 1
         if not self.active_calls:
             self._idle_since = self.loop.time()
@@ -139,19 +139,19 @@
             self._idle_check.cancel()
 
     def log_problem(self, text: str) -> None:
-        """Log what is wrong with updates, once until that changes: each further call may bring the same."""
+        """Log a problem with updates, unless it was the last one logged: further calls may repeat it."""
         if text != self._last_problem:
             self._last_problem = text
             log.warning("discovery: %s", text)
 
     def accept(self, call: CatalogCall, update: CatalogUpdate, advances_version: bool) -> None:
-        """Put an update of a call into the endpoint table, behind those before it.
+        """Apply an update to the endpoint table, after those that are already pending.
 
-        Parsing a long one at once would make the loop's timers late, so its entries are parsed in slices.
-        They still come into the table as one change.
+        Parsing a long update at once would delay the event loop's timers, so its entries are parsed in
+        slices. The table still gets them as one change.
 
         Args:
-            call: The call that brought the update, and that fails if it can't be parsed.
+            call: The call that received the update; it fails if the update can't be parsed.
             update: The update.
             advances_version: Whether the list has the update's version afterwards.
         """
@@ -164,11 +164,11 @@
 
     @property
     def _entries_per_turn(self) -> int:
-        # While interfaces are being probed, a row that was made some turns ago may be out of date.
+        # Where interfaces are probed, a row built in an earlier turn of the event loop may be out of date.
         return ENTRIES_PER_TURN if self.parser.interface_resolver is None else sys.maxsize
 
     def _apply_pending(self) -> None:
-        """Apply pending updates, as many as one turn of the loop may."""
+        """Apply pending updates, as many as one turn of the event loop permits."""
         while self._pending:
             pending = self._pending[0]
             try:
@@ -197,7 +197,7 @@
     def _reject(self, call: CatalogCall, error: Exception) -> None:
         """Fail a call whose update can't be applied.
 
-        Its later updates go as well: they are changes to a list that is not known.
+        The call's later updates are dropped as well: they are changes to an unknown list.
         """
         self._pending = deque(pending for pending in self._pending if pending.call is not call)
         self._rows = []
--- a/pipitshed/discovery/catalog/endpoint_parser.py
+++ b/pipitshed/discovery/catalog/endpoint_parser.py
@@ -1,4 +1,4 @@
-"""Rows of the endpoint table from the entries of a discovery source."""
+"""Converts the entries of a discovery source to rows of the endpoint table."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 
 class NameIndex:
-    """Numbers for names: those of the settings in their order, others behind them as they appear."""
+    """Assigns numbers to names: first to those of the settings, then to others as they appear."""
 
     def __init__(self, names: list[str]) -> None:
         self._indexes = {name: index for index, name in enumerate(names)}
 
     def index(self, name: str) -> int:
-        """The number of a name; a new one gets the next number."""
+        """Return the number of a name; a new name gets the next number."""
         return self._indexes.setdefault(name, len(self._indexes))
 
 
 class InterfaceResolver(Protocol):
-    """Says which interface a worker speaks, where workers speak more than one."""
+    """Determines a worker's interface, where the workers use more than one."""
 
     def choose(self, source: str, entry: CatalogEntry, parser: EndpointParser) -> tuple[int, WorkerClient]:
-        """The worker's interface, 0 while it is being probed, and the client that starts attempts there."""
+        """Return the worker's interface, 0 while it is being probed, and the client for its attempts."""
 
 
 class EndpointParser:
@@ -50,7 +50,7 @@
         self._worker_client = worker_client
 
     def row(self, entry: CatalogEntry) -> EndpointRow:
-        """The table's row for one entry; ValueError if its address can't be parsed."""
+        """Return the table's row for one entry; ValueError if its address can't be parsed."""
         address = parse_address(entry.host_port)
         worker = entry.instance_id.encode()
         interface, worker_client = _DEFAULT_INTERFACE, self._worker_client
--- a/pipitshed/discovery/catalog/size_limit.py
+++ b/pipitshed/discovery/catalog/size_limit.py
@@ -1,16 +1,16 @@
 """The size limit of one update, and how an update beyond it is skipped.
 
-An update has to fit into the process's memory beside everything else. One that does not is read to its end
-and dropped, and the watch goes on: a new watch would only bring the same update again.
+An update has to fit into the process's memory. One that does not is read to its end and discarded, and the
+watch continues: a new watch would only receive the same update again.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-BASE_MEMORY_MB = 40.0  # what the process takes without an endpoint list, with its clients' requests
-MEMORY_BYTES_PER_UPDATE_BYTE = 20.0  # peak memory while an update is parsed and the list before still stands
-MIN_SIZE_LIMIT_BYTES = 256 * 1024  # accepted whatever the memory limit is
+BASE_MEMORY_MB = 40.0  # used by the process and its clients' requests, without an endpoint list
+MEMORY_BYTES_PER_UPDATE_BYTE = 20.0  # peak, while an update is parsed and the previous list is still held
+MIN_SIZE_LIMIT_BYTES = 256 * 1024  # accepted at any memory limit
 
 
 def update_size_limit(memory_mb: float) -> int:
@@ -25,7 +25,7 @@
 
     Attributes:
         skipped_bytes: The bytes read and dropped so far.
-        is_multiline: Whether the update comes indented over several lines.
+        is_multiline: Whether the update is indented over several lines.
     """
 
     skipped_bytes: int
@@ -41,12 +41,12 @@
         return not self.is_multiline or not line.strip() or line.startswith(b"}")
 
     def skipped_message(self, limit_bytes: int) -> str:
-        """What to log once the update has ended."""
+        """Return the log message for an update that has been skipped to its end."""
         return _message(f"{self.skipped_bytes} bytes", limit_bytes, "it was skipped")
 
     @staticmethod
     def interrupted_message(limit_bytes: int) -> str:
-        """What to log where the call ends before the update does."""
+        """Return the log message for an update whose call has ended before it."""
         return _message("unknown size", limit_bytes, "the call ended before it did")
 
 
--- a/pipitshed/discovery/catalog/update_parser.py
+++ b/pipitshed/discovery/catalog/update_parser.py
@@ -1,6 +1,6 @@
-"""The catalog's updates: their JSON form, and updates that come indented over several lines.
+"""Parses the catalog's updates.
 
-A watch sends one JSON object for each update. It usually fills one line, but may come indented.
+A watch sends one JSON object for each update, usually on one line, but possibly indented over several lines.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from pipitshed.protocols.http import BadAnswerError
 
-_JSON_STRING = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"')  # holds no line break: JSON escapes them
+_JSON_STRING = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"')  # contains no line break: JSON escapes them
 
 
 class CatalogEntry(msgspec.Struct, rename="camel", gc=False):
@@ -54,7 +54,7 @@
 
 
 class LineAssembler:
-    """Joins the lines of an update that comes indented.
+    """Joins the lines of an indented update.
 
     The end of the update is found by counting braces, not by trying to decode after each line: that would
     take time that grows with the square of the update's length.
@@ -72,7 +72,7 @@
         return bool(self._lines)
 
     def add(self, line: bytes) -> bytes | None:
-        """Add a line; the update's whole text if the line closes the last brace."""
+        """Add a line; return the update's whole text if the line closes the last brace."""
         self._lines.append(line)
         self.size_bytes += len(line) + 1
         if b"{" in line or b"}" in line:
@@ -85,9 +85,9 @@
         return text
 
     def join(self, rest: bytes) -> bytes:
-        """All lines so far and what follows them."""
+        """Return the lines added so far, followed by `rest`."""
         return b"\n".join((*self._lines, rest))
 
     def clear(self) -> None:
-        """Drop what has been added."""
+        """Discard the lines added so far."""
         self._lines, self.size_bytes, self._open_braces = [], 0, 0
--- a/pipitshed/discovery/catalog/watch.py
+++ b/pipitshed/discovery/catalog/watch.py
@@ -1,7 +1,7 @@
 """One call to the catalog on a connection of its own: a watch, or a fetch of the whole list.
 
 A watch answers with chunked lines for as long as its connection lasts: updates, and an empty line as a
-heartbeat while nothing changes. Whatever ends a call, other than this side, is reported as a failed fetch.
+heartbeat while nothing changes. A call that this side has not ended itself is reported as a failed fetch.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 MIN_RATE_BYTES_PER_S = 64 * 1024  # a longer update that arrives at this rate gets further UPDATE_TIMEOUT_S
 HEARTBEAT_INTERVAL_S = 2.0  # between the empty lines of a watch
 WATCH_SILENCE_TIMEOUT_S = HEARTBEAT_INTERVAL_S + 0.4  # after which a watch counts as broken
-OVERSIZED_UPDATE_TIMEOUT_S = 10.0  # to the end of an update that is skipped
-READ_SIZE_BYTES = 256 * 1024  # the most that one read of a connection brings
+OVERSIZED_UPDATE_TIMEOUT_S = 10.0  # to the end of an update that is being skipped
+READ_SIZE_BYTES = 256 * 1024  # upper bound of one read from a connection
 
 _STATUS_OK = 200
 
@@ -50,7 +50,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     async def run(self) -> None:
-        """Connect, which sends the request; report the call as failed where that goes wrong."""
+        """Connect, which sends the request; report the call as failed if that is not possible."""
         client = self._client
         try:
             async with asyncio.timeout(client.connect_timeout_s):
@@ -91,10 +91,10 @@
             self._timer = self._client.loop.call_later(seconds, on_timeout or self.fail)
 
     def _set_update_timeout(self) -> None:
-        """Require the update's end soon, but let a long one continue while it arrives fast enough.
+        """Fail the call if the update does not end in time, unless it arrives at the minimum rate.
 
-        Where many schedulers fetch a long list at once, it takes longer than the timeout. Giving it up would
-        only start the same transfer again.
+        Where many schedulers fetch a long list at once, it takes longer than the timeout. Aborting the call
+        would only start the same transfer again.
         """
         received_before = self._received_bytes
 
@@ -121,7 +121,7 @@
         self._set_timeout(self._client.response_timeout_s)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has arrived."""
+        """Parse received data, and start the update's timeout with its first byte."""
         if self._ended:
             return
         was_incomplete = self._is_update_incomplete
@@ -135,24 +135,24 @@
         except Exception:
             log.exception("discovery update failed")
             self.fail()
-        # The timeout runs from an update's first byte: single bytes that trickle in must not renew it, as the
-        # list counts as notified from when discovery sends it. Only a complete line is a sign of life.
+        # The timeout runs from an update's first byte: bytes that arrive one at a time must not renew it, as
+        # the list counts as known from when discovery sends it. Only a complete line renews it.
         if self._is_update_incomplete and not was_incomplete and self._oversized is None:
             self._set_update_timeout()
 
     @property
     def _is_update_incomplete(self) -> bool:
-        """Whether an update has begun that must be complete soon."""
+        """Whether an update has been received in part."""
         return bool(self._assembler) or self._oversized is not None or len(self._reader.buffer) > 0
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """The server has ended the call, or the network has."""
+        """Report the call as failed, unless this side has ended it."""
         self.fail()
 
     # ---- what the HTTP reader reports
 
     def head_came(self, status: int) -> None:
-        """The response's head is complete."""
+        """Check the response's status; called when its head is complete."""
         self._status = status
         if status != _STATUS_OK:
             self.fail()
@@ -160,7 +160,7 @@
             self._set_update_timeout()  # the first update follows at once
 
     def body_came(self) -> None:
-        """More of the body stands in the reader's buffer."""
+        """Handle the reader's buffer: the lines of a watch, and updates beyond the size limit."""
         buffer, limit_bytes = self._reader.buffer, self._size_limit_bytes
         for line in buffer.lines() if self._is_watch else ():
             if self._ended:
@@ -177,7 +177,7 @@
             self._oversized.skipped_bytes += len(buffer.take_all())
 
     def answer_ended(self, _keep_alive: bool) -> None:
-        """The response is complete: the list of a fetch, or the unexpected end of a watch."""
+        """Handle the end of the response: the list of a fetch, or the unexpected end of a watch."""
         text = self._assembler.join(self._reader.buffer.take_all())
         is_complete = self._ended or (
             self._oversized is None and (not text.strip() or self._accept_update(text))
@@ -202,16 +202,16 @@
         text = self._assembler.add(line)
         if text is not None:
             if not self._accept_update(text):
-                raise BadAnswerError("invalid update: it is truncated")
+                raise BadAnswerError("invalid update: truncated")
             self._set_timeout(WATCH_SILENCE_TIMEOUT_S)
 
     def _accept_update(self, text: bytes) -> bool:
-        """Hand an update to the client; False if the text ends before it does."""
+        """Pass an update to the client; False if the text is truncated."""
         update = decode_update(text)
         if update is None:
             return False
         self._has_update = True
-        # After a skipped update the known version must stay: the next call has to ask from before it.
+        # A skipped update must not advance the known version: the next call has to ask from before it.
         self._missed_update = self._missed_update and not update.reset
         self._client.accept(self, update, not self._missed_update)
         return True
--- a/pipitshed/discovery/dns_sd.py
+++ b/pipitshed/discovery/dns_sd.py
@@ -23,10 +23,10 @@
 
 SOURCE = "dns-sd"
 QUERY_TIMEOUT_S = 0.5
-MAX_REFRESH_INTERVAL_S = 0.5  # however long records live: no job may reach a draining worker 1.5 s later
-MIN_REFRESH_INTERVAL_S = 0.1  # however briefly records live
-REFRESH_TTL_FRACTION = 0.8  # of the time to live, after which records are queried again
-_MAX_NUMBER = 1e15  # in a TXT record; larger ones are no weight, cell or time
+MAX_REFRESH_INTERVAL_S = 0.5  # for any time to live: no job may reach a worker 1.5 s after its drain
+MIN_REFRESH_INTERVAL_S = 0.1  # for any time to live
+REFRESH_TTL_FRACTION = 0.8  # of the records' time to live, after which they are queried again
+_MAX_NUMBER = 1e15  # in a TXT record; a larger one is not a weight, cell or time
 
 log = logging.getLogger("pipitshed")
 
@@ -83,7 +83,7 @@
 
 
 class DnsSdClient:
-    """Browses one service at one name server, as often as its records' times to live require."""
+    """Browses one service at one name server, at intervals that follow its records' times to live."""
 
     def __init__(
         self,
@@ -99,7 +99,7 @@
         self._table = table
         self._loop = loop
         self._instances: dict[dns.name.Name, _Instance] = {}
-        self._published: dict[dns.name.Name, CatalogEntry] = {}  # what the endpoint table has
+        self._published: dict[dns.name.Name, CatalogEntry] = {}  # as in the endpoint table
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
@@ -107,7 +107,7 @@
         self._task = self._loop.create_task(self._run())
 
     def close(self) -> None:
-        """Stop browsing; what the endpoint table has stays."""
+        """Stop browsing; the endpoint table keeps its rows."""
         if self._task is not None:
             self._task.cancel()
 
@@ -134,18 +134,18 @@
         return response
 
     async def _records(self, name: dns.name.Name, kind: dns.rdatatype.RdataType) -> dns.rrset.RRset | None:
-        """The records of a name; None if there are none, or they say goodbye by a time to live of 0."""
+        """Return the records of a name; None if there are none, or their time to live of 0 withdraws them."""
         response = await self._query(name, kind)
         records = response.get_rrset(dns.message.ANSWER, name, dns.rdataclass.IN, kind)
         return records if records is not None and records.ttl > 0 else None
 
     async def _refresh(self) -> float:
-        """Browse once, and publish what has changed; the shortest time to live (s) of what was found."""
+        """Browse once, and publish the changes; return the shortest time to live (s) of the records."""
         now = self._loop.time()
         try:
             pointers = await self._records(self._service, dns.rdatatype.PTR)
         except _QueryFailedError:
-            # No answer says nothing about the instances: each stays until its records expire.
+            # A failed query says nothing about the instances: each stays until its records expire.
             self._instances = {
                 name: instance for name, instance in self._instances.items() if instance.expires_at > now
             }
@@ -164,7 +164,7 @@
         return min(ttls_s, default=MAX_REFRESH_INTERVAL_S)
 
     async def _resolve(self, name: dns.name.Name) -> _Instance | None:
-        """An instance by its SRV, TXT and A records; the one known so far if a query fails."""
+        """Return an instance from its SRV, TXT and A records; the last known one if a query fails."""
         try:
             srv, txt = await asyncio.gather(
                 self._records(name, dns.rdatatype.SRV), self._records(name, dns.rdatatype.TXT)
@@ -183,7 +183,7 @@
         return _Instance(entry, self._loop.time() + ttl_s)
 
     def _publish(self) -> None:
-        """Update the endpoint table with the entries that have changed or are gone."""
+        """Update the endpoint table with the entries that have changed or disappeared."""
         before = self._published
         current = {name: instance.entry for name, instance in self._instances.items()}
         if current == before:
--- a/pipitshed/discovery/placement_plan.py
+++ b/pipitshed/discovery/placement_plan.py
@@ -16,7 +16,7 @@
 
 
 class PlacementPlanSource:
-    """The plan's file, and the endpoint table whose weights approach the plan step by step."""
+    """Reads a plan's file, and moves the endpoint table's weights to the plan step by step."""
 
     def __init__(
         self,
@@ -59,13 +59,12 @@
     def apply_weights(self) -> None:
         """Set the endpoint table's weights to those of the current step.
 
-        Also called when the job classes change: a job of a new class would otherwise find no worker that has
-        a weight for it.
+        Also called when the job classes change: otherwise no worker would have a weight for a new class.
         """
         plan_before = self.follower.plan
         self._table.set_planned_weights(self.follower.weights(self._table.entries(), time.time()))
         if plan_before is not None and self.follower.plan is None:
-            log.warning("plan %s: it has expired; the endpoint list's weights apply", self._path.name)
+            log.warning("plan %s: the plan has expired; the endpoint list's weights apply", self._path.name)
 
     def close(self) -> None:
         """Stop stepping; the weights stay as they are."""
--- a/pipitshed/discovery/worker_interfaces.py
+++ b/pipitshed/discovery/worker_interfaces.py
@@ -1,6 +1,6 @@
-"""Which interface each worker speaks: from its entry or the settings, else by one probe per worker start.
+"""Determines each worker's interface: from its entry or the settings, else by one probe per worker start.
 
-No I/O here: `probe` does it, for at most `MAX_CONCURRENT_PROBES` workers at a time.
+This module does no I/O: its `probe` callback does, for at most `MAX_CONCURRENT_PROBES` workers at a time.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 MAX_CONCURRENT_PROBES = 8  # so that many workers that start together do not cause a burst of connections
 FIRST_RETRY_DELAY_S = 0.25  # after a failed probe; doubles with each further one
 MAX_RETRY_DELAY_S = 4.0
-DRAIN_CHECK_DELAY_S = 2.0  # from a worker's own notice of a drain to a probe whether it accepts connections
+DRAIN_CHECK_DELAY_S = 2.0  # from a worker's drain notice to a probe whether it accepts connections
 
-_UNKNOWN = 0  # no interface: it is being probed
+_UNKNOWN = 0  # not an interface: the worker is being probed
 _DEFAULT_INTERFACE = 1
 
 
 @dataclass(slots=True)
 class _KnownWorker:
-    """What is known of one worker since its last start."""
+    """The state of one worker since its last start."""
 
     entry: CatalogEntry
     source: str
@@ -42,7 +42,7 @@
         return parse_address(self.entry.host_port)
 
     def is_same_start(self, entry: CatalogEntry) -> bool:
-        """Whether an entry is of the process that is known, not of one started later or elsewhere."""
+        """Whether an entry is for the known process, not for one started later or at another address."""
         return (entry.started_at_ms, entry.host_port) == (self.entry.started_at_ms, self.entry.host_port)
 
 
@@ -69,7 +69,7 @@
         self._active_probes = 0
 
     def choose(self, source: str, entry: CatalogEntry, parser: EndpointParser) -> tuple[int, WorkerClient]:
-        """The interface of one worker, 0 while it is being probed, and the client that starts attempts."""
+        """Return a worker's interface, 0 while it is being probed, and the client for its attempts."""
         worker = entry.instance_id.encode()
         known = self._known.get(worker)
         if entry.lifecycle == "gone":
@@ -84,14 +84,14 @@
         return interface, self._worker_clients[interface or _DEFAULT_INTERFACE]
 
     def _interface(self, entry: CatalogEntry, known: _KnownWorker | None) -> int:
-        # What was detected counts first: it is there only where nothing else said, or the entry was wrong.
+        # A detected interface takes precedence: there is one only if none was given, or the entry was wrong.
         detected = known.detected if known is not None else _UNKNOWN
         if entry.interface in self._worker_clients:
             return detected or entry.interface
         return detected or self._configured.get(entry.instance_id, 0) or self._default
 
     def forget(self, worker: WorkerId) -> None:
-        """Forget a worker that left the list a while ago without an entry that says so."""
+        """Remove a worker that has been absent from the list for a while, without a `gone` entry."""
         self._known.pop(worker, None)
 
     # ---- probes
@@ -111,7 +111,7 @@
                 self._probe(worker, known.address)
 
     def detected(self, worker: WorkerId, address: Address, interface: int) -> None:
-        """A probe has ended; `interface` is 0 if it failed, or the worker is about to leave."""
+        """Handle the end of a probe; `interface` is 0 if it failed, or the worker is stopping."""
         self._active_probes -= 1
         known = self._known.get(worker)
         if known is not None:
@@ -140,12 +140,12 @@
     def _update_row(self, known: _KnownWorker) -> None:
         self._table.update(known.source, UpdateKind.DELTA, 0, [known.parser.row(known.entry)])
 
-    # ---- what worker clients observe
+    # ---- reports from worker clients
 
     def mismatched(self, worker: WorkerId) -> None:
-        """A worker has answered in another interface than its entry says.
+        """Handle an answer in another interface than the worker's entry says.
 
-        It gets no further jobs until a probe has found out which it speaks, unless the settings say so.
+        The worker gets no further jobs until a probe has detected its interface, unless the settings give it.
         """
         known = self._known.get(worker)
         if known is None or known.is_probing:
@@ -159,10 +159,10 @@
             self._table.update(known.source, UpdateKind.DELTA, 0, [row])
 
     def drain_announced(self, worker: WorkerId) -> None:
-        """A worker has said itself that it drains.
+        """Handle a worker's own notice that it is draining.
 
-        Its next start ends that. Where its source does not report starts, a worker that accepts connections
-        again without such a notice is back.
+        Its next start ends the drain. Where its source does not report starts, the drain ends when the worker
+        accepts connections without sending a notice.
         """
         self._table.mark_draining(worker)
         if self._table.is_marked_draining(worker):
