--- a/tests/discovery/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -47,7 +47,7 @@
 
 
 @story
-async def test_a_drain_whose_news_trickles_in_is_known_before_it_counts_as_told() -> None:
+async def test_a_drain_update_that_trickles_in_is_applied_in_time() -> None:
     """Each byte used to renew the watch's patience: news cut into bytes was held back for ever."""
 
     class TricklingCatalog(ScriptedCatalog):
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize(
     "response_start, repeated_part", [(HEAD, chunk(b"\n")), (b"HTTP/1.1 200 OK\r\nX-Slow: ", b"a")]
 )
-def test_a_call_that_trickles_without_end_is_given_up_in_time(
+def test_a_call_that_trickles_without_end_is_aborted_in_time(
     response_start: bytes, repeated_part: bytes
 ) -> None:
     """Heartbeats before the first piece, which comes at once, and a head without end: each byte used to hold
@@ -119,7 +119,7 @@
 
 
 @story
-async def test_a_restarted_process_takes_no_jobs_before_it_has_had_the_list() -> None:
+async def test_a_restarted_process_accepts_no_jobs_before_it_has_the_list() -> None:
     """The failure met: schedulers of a lost zone came back 18 s later with the list that they had known, and
     sent their first jobs by it to planners that had gone 16 s before."""
 
@@ -151,7 +151,7 @@
 
 
 @story
-async def test_lists_that_come_indented_are_read_whole_from_a_watch() -> None:
+async def test_indented_updates_are_parsed_from_a_watch() -> None:
     """Lists may come indented: then a piece of news is many lines, and some end like a whole one."""
 
     class IndentedCatalog(Catalog):
@@ -179,7 +179,7 @@
 
 
 @story
-async def test_what_is_no_list_is_a_failed_call_and_the_known_list_stands() -> None:
+async def test_an_invalid_update_fails_the_call_and_keeps_the_known_list() -> None:
     """Bad bytes from discovery: the call has failed, and another one follows."""
 
     class InvalidCatalog(ScriptedCatalog):
@@ -198,7 +198,7 @@
 
 
 @story
-async def test_a_pushed_list_is_asked_for_at_once_and_again_well_within_the_grace() -> None:
+async def test_a_pushed_list_is_fetched_at_once_and_retried_within_the_grace_period() -> None:
     """Where lists are pushed, what the agent has counts from the first moment of a new process, and at once
     when it is back: a wait of half a second, and one that doubles, overran a grace of 600 ms."""
 
@@ -224,7 +224,7 @@
 
 
 @story
-async def test_an_exception_between_two_calls_does_not_end_the_asking() -> None:
+async def test_an_exception_between_two_calls_does_not_stop_polling() -> None:
     """Whatever goes wrong inside: while no call is under way, the decisions are told that the last failed."""
     from pipitshed.discovery import catalog as module
 
@@ -252,7 +252,7 @@
 
 
 @story
-async def test_a_job_is_not_lost_while_the_list_is_silent() -> None:
+async def test_jobs_are_served_from_the_known_list_while_calls_hang() -> None:
     """The list known so far stands while every call hangs."""
 
     class HangingCatalog(Catalog):
--- a/tests/discovery/test_catalog_size_limit.py
+++ b/tests/discovery/test_catalog_size_limit.py
@@ -22,7 +22,7 @@
 
 
 @story
-async def test_4600_planners_in_an_indented_list_are_taken_and_the_first_job_is_served() -> None:
+async def test_an_indented_list_of_4600_workers_is_accepted() -> None:
     """The failure met: over a constant bound no list was taken, and the watch was opened again and again."""
     async with (
         Planner("p1") as planner,
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("indent", [None, 2])
-def test_a_list_beyond_the_bound_is_told_of_once_and_the_watch_and_the_known_list_stand(
+def test_an_oversized_list_is_logged_once_and_the_watch_continues(
     indent: int | None,
 ) -> None:
     """The list known serves on, the changes behind the long one are taken, and a call that follows asks from
@@ -78,7 +78,7 @@
     run()
 
 
-def test_the_bound_follows_the_memory_limit() -> None:
+def test_the_size_limit_follows_the_memory_limit() -> None:
     bounds = [update_size_limit(limit) for limit in (32, 64, 128, 192, 256)]
     assert bounds == sorted(set(bounds)) and bounds[3] > 4 * 1_081_000
 
@@ -105,7 +105,7 @@
 
 @pytest.mark.parametrize("layout", ["compact", "indented", "row by row"])
 @pytest.mark.parametrize("size", [1, 1000, 64 * 1024])
-def test_long_news_in_pieces_is_tried_no_more_often_than_it_is_long(
+def test_decoding_a_long_update_in_parts_takes_linear_time(
     layout: str, size: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each line that ended like a whole list was a try at all that had come: work grew with the square."""
@@ -127,7 +127,7 @@
     assert entry_counts == [400] and decoded_bytes <= 2 * len(text)
 
 
-def test_braces_in_names_end_no_list() -> None:
+def test_braces_in_strings_do_not_end_an_update() -> None:
     """Only braces outside of texts count, and an escaped quote ends no text."""
     entry_counts: list[int] = []
     call, _ = _watch(entry_counts)
@@ -137,7 +137,7 @@
     assert entry_counts == [3]
 
 
-def test_what_is_wrong_with_news_is_named_once(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_problem_with_updates_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
     """The parser named its callback alone: "`on_body` callback error", at each call anew."""
     entry_counts: list[int] = []
     call, _ = _watch(entry_counts)
--- a/tests/discovery/test_catalog_snapshots.py
+++ b/tests/discovery/test_catalog_snapshots.py
@@ -71,7 +71,7 @@
 
 
 @story
-async def test_no_whole_list_follows_a_broken_silent_or_cut_watch_or_a_move() -> None:
+async def test_no_snapshot_is_fetched_after_a_lost_watch_or_an_address_change() -> None:
     """One after a start that knows none of use; then each call names the version known, by changes too."""
     async with Planner("p1") as one, Planner("p2") as two:
         versions = Versions(one, two)
@@ -114,7 +114,7 @@
 
 
 @story
-async def test_a_start_with_a_known_list_asks_for_what_has_changed_since() -> None:
+async def test_a_start_with_a_cached_list_fetches_only_changes() -> None:
     async with Planner("p1") as one, Planner("p2") as two:
         versions = Versions(one, two, first=1)
         versions.change(one.line("draining"))
@@ -126,7 +126,7 @@
 
 
 @story
-async def test_a_whole_list_that_breaks_off_is_asked_for_again_and_no_other() -> None:
+async def test_a_truncated_snapshot_is_fetched_again() -> None:
     """What came in half is no version that is known."""
     async with Planner("p1") as one, VersionedCatalog(Versions(one)) as catalog:
         catalog.truncated_answers = 2
@@ -149,7 +149,7 @@
     client.writer.close()
 
 
-def test_counts_of_the_list_are_lines_beside_the_fleets_figures_alone() -> None:
+def test_list_counters_are_not_among_the_default_metrics() -> None:
     """The page of the operators' address names what stands there; it does not say that more may."""
     from pipitshed.admin.metrics import count_lines, parse
 
@@ -172,7 +172,7 @@
 
 
 @story
-async def test_a_whole_list_that_takes_long_to_come_is_not_fetched_again() -> None:
+async def test_a_slow_snapshot_is_not_fetched_again() -> None:
     """Where many start together, discovery's line is full: given up 1.5 s after its first byte, the list was
     asked for again, and never came."""
 
--- a/tests/discovery/test_dns_sd.py
+++ b/tests/discovery/test_dns_sd.py
@@ -7,7 +7,7 @@
 
 
 @story
-async def test_records_fill_the_route_table_and_drains_are_kept() -> None:
+async def test_records_fill_the_endpoint_table_and_drains_are_respected() -> None:
     """A draining record and one that has vanished get nothing new from 1.5 s on; two rounds are less."""
     loop = asyncio.get_running_loop()
     _, server = await loop.create_datagram_endpoint(NameServer, local_addr=("127.0.0.1", 0))
--- a/tests/discovery/test_worker_interfaces.py
+++ b/tests/discovery/test_worker_interfaces.py
@@ -13,7 +13,7 @@
 from pipitshed.upstream.interface_probe import InterfaceProber
 
 
-def test_the_row_then_settings_then_the_default_tell() -> None:
+def test_the_entry_then_the_settings_then_the_default_give_the_interface() -> None:
     rig = RegistryRig({"p2": 2, "p3": 2}, default=1)
     rig.list_entries(catalog_entry("p1"), catalog_entry("p2"), catalog_entry("p3", interface=1))
     assert [rig.entry(name).interface for name in ("p1", "p2", "p3")] == [1, 2, 1]
@@ -22,7 +22,7 @@
     assert rig.table.interfaces() == {1, 2}
 
 
-def test_what_nobody_tells_is_found_out_once_per_start_and_gets_nothing_until_then() -> None:
+def test_an_unknown_interface_is_probed_once_per_start_and_gets_no_jobs_until_then() -> None:
     rig = RegistryRig()
     rig.list_entries(catalog_entry())
     rig.list_entries(catalog_entry(), catalog_entry())
@@ -40,7 +40,7 @@
     assert rig.entry("p1").interface == 1
 
 
-def test_one_that_cannot_be_asked_is_asked_again_ever_more_rarely() -> None:
+def test_failed_probes_are_retried_with_increasing_delays() -> None:
     rig = RegistryRig()
     rig.list_entries(catalog_entry())
     delays_s = []
@@ -55,7 +55,7 @@
     assert not rig.timers
 
 
-def test_a_wide_fleet_is_asked_a_few_at_a_time() -> None:
+def test_the_number_of_concurrent_probes_is_limited() -> None:
     rig = RegistryRig()
     rig.list_entries(*(catalog_entry(f"p{number}") for number in range(100)))
     assert len(rig.probes) == MAX_CONCURRENT_PROBES
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("address", ["", "10.0.0.7", "10.0.0.7:http", "10.0.0.7:70000"])
-def test_rows_with_an_address_that_is_none_cost_no_probe(address: str) -> None:
+def test_entries_with_an_invalid_address_cause_no_probe(address: str) -> None:
     """Guards against a probe lost for each such row: after eight of them no worker was probed any more, and
     all workers whose interface nobody tells were left without a job."""
     rig = RegistryRig()
@@ -80,7 +80,7 @@
     assert len(rig.probes) == 100
 
 
-def test_a_row_that_is_seen_to_be_wrong_is_doubted_and_found_out() -> None:
+def test_an_entry_with_the_wrong_interface_is_corrected_by_a_probe() -> None:
     rig = RegistryRig()
     rig.list_entries(catalog_entry(interface=2))
     rig.interfaces.mismatched(b"p1")
@@ -95,7 +95,7 @@
     assert rig.entry("p1").interface == 2
 
 
-def test_its_own_word_of_a_drain_holds_until_it_takes_connections_again() -> None:
+def test_a_workers_drain_notice_holds_until_it_accepts_connections_again() -> None:
     rig = RegistryRig()
     rig.list_entries(catalog_entry(interface=2))
     rig.interfaces.drain_announced(b"p1")
@@ -114,7 +114,7 @@
 
 
 @story
-async def test_sounding_tells_the_interfaces_apart() -> None:
+async def test_the_prober_distinguishes_the_interfaces() -> None:
     detected: dict[bytes, int] = {}
     loop = asyncio.get_running_loop()
     prober = InterfaceProber(loop, lambda worker, address, interface: detected.update({worker: interface}))
--- a/tests/test_fleet_lists.py
+++ b/tests/test_fleet_lists.py
@@ -55,7 +55,7 @@
     return calls, watch_started_ms, longest_gap_ms
 
 
-def test_siblings_turned_away_back_off_and_each_asks_again_soon_enough_for_what_counts_as_told() -> None:
+def test_rejected_schedulers_back_off_but_retry_before_changes_count_as_known() -> None:
     """Guards against siblings that keep an overbooked discovery full, and, since the operators' new term,
     against a back-off of up to 8 s: a change counts as told 6 s after discovery had it and could be reached,
     whatever is allowed after a failed call."""
@@ -67,7 +67,7 @@
     )  # so two calls fit between the return and the time when news counts
 
 
-def test_where_calls_must_be_rare_a_failed_one_is_still_followed_in_time() -> None:
+def test_a_failed_call_is_retried_in_time_for_any_poll_deadline() -> None:
     """Another customer's settings: where a list is good for a minute, it backs off no further; one that is
     good for half a second is asked for anew within the four times that a failed call leaves."""
     assert simulate(3, 30.0, outage_s=20.0, poll_deadline_ms=60_000.0)[2] <= 2_000.0 + 5.0
@@ -80,7 +80,7 @@
     assert len(watch_started_ms) == 10 and max(watch_started_ms.values()) < 15_000.0 + 6_000.0
 
 
-def test_an_agent_that_is_down_is_not_asked_in_a_busy_loop() -> None:
+def test_an_unavailable_agent_is_not_polled_in_a_busy_loop() -> None:
     """Where lists are pushed the wait is a part of the grace for drains, which may be set to nothing."""
     config = settings(
         endpoints_polled=True,
--- a/tests/upstream/test_attempt_races.py
+++ b/tests/upstream/test_attempt_races.py
@@ -90,7 +90,7 @@
 
 
 @story
-async def test_an_answer_whose_end_never_comes_costs_its_connection_soon() -> None:
+async def test_a_connection_is_closed_if_the_answer_does_not_end() -> None:
     """`done` had been read, so the attempt was over, and no timer was left to end the connection."""
     async with ScriptedWorker(CHUNKED + DONE) as planner:
         rig = Rig()
@@ -118,7 +118,7 @@
         ("another's line", CHUNKED + line('{"id":"a0","state":"done","result":"theirs"}') + END),
     ],
 )
-def test_an_answer_that_never_ends_or_is_not_this_requests_is_a_reset(name: str, text: bytes) -> None:
+def test_an_invalid_or_unlimited_answer_is_a_reset(name: str, text: bytes) -> None:
     """Bad bytes from a planner: the outcome by the protocol's table, the connection never used again."""
 
     @story
@@ -141,7 +141,7 @@
         (Idempotency.NON_IDEMPOTENT, Outcome.RESET),
     ],
 )
-def test_a_late_second_answer_is_no_proof_that_the_next_job_never_ran(
+def test_a_late_second_answer_does_not_prove_that_the_next_job_did_not_run(
     idempotency: Idempotency, outcome: Outcome
 ) -> None:
     """A 503 names no request. One that comes just after the next request was written would be "never ran" of
@@ -169,7 +169,7 @@
 
 
 @story
-async def test_half_a_second_answer_behind_the_first_ends_the_connection() -> None:
+async def test_a_partial_second_answer_closes_the_connection() -> None:
     """In one segment with the first answer's end: the rest of it would have met the next request."""
     async with ScriptedWorker(CHUNKED + DONE + END + NOT_RUN[:20], CHUNKED + DONE + END) as planner:
         rig = Rig()
@@ -180,7 +180,7 @@
 
 
 @story
-async def test_an_answer_before_the_whole_request_is_out_ends_the_connection() -> None:
+async def test_an_answer_before_the_whole_request_is_sent_closes_the_connection() -> None:
     """The rest of that request would stand before the next one."""
 
     class EarlyAnswer(Peer):
@@ -199,7 +199,7 @@
 
 
 @story
-async def test_a_worker_that_grabs_after_a_repeats_window_gets_nothing() -> None:
+async def test_a_gearman_worker_that_asks_after_the_retry_window_gets_no_job() -> None:
     """An attempt that waits for a Gearman worker is assigned when that asks, maybe after the window."""
     rig = Rig(Idempotency.IDEMPOTENT_WITH_KEY)
     connection = Mock()
@@ -220,7 +220,7 @@
 
 
 @story
-async def test_a_request_that_is_half_out_when_its_client_goes_is_not_finished() -> None:
+async def test_a_half_sent_request_is_aborted_when_its_client_disconnects() -> None:
     """Its last byte would be an attempt's beginning, and nothing called it off where settings permit none."""
     reading_paused, read = asyncio.Event(), asyncio.Event()
 
@@ -254,7 +254,7 @@
 
 
 @story
-async def test_a_planner_at_an_address_that_can_be_none_is_one_that_could_not_be_reached() -> None:
+async def test_an_invalid_worker_address_counts_as_a_failed_connect() -> None:
     """The exception ended the task alone: the attempt waited for its deadline."""
     async with Planner("p1") as planner:
         rig = Rig()
--- a/tests/upstream/test_grpc_client.py
+++ b/tests/upstream/test_grpc_client.py
@@ -21,7 +21,7 @@
 
 
 @story
-async def test_a_job_is_told_whole_and_its_result_comes_back() -> None:
+async def test_a_request_carries_all_fields_and_returns_the_result() -> None:
     async with GrpcPlanner(act=no_answer) as planner, forwarder_rig(planner) as rig:
         caller = rig.submit("book", slots=2.0, memory=1.5, idempotency_key="k 1", client_timeout_ms=4000.0)
         call = await planner.call(1)
@@ -46,13 +46,13 @@
         assert caller.notes == [(ProgressKind.STARTED, 0.0), (ProgressKind.PROGRESS, 0.5)]
 
 
-def test_the_time_left_is_never_rounded_up() -> None:
+def test_the_timeout_is_never_rounded_up() -> None:
     assert timeout_text(0.0000019) == b"1u" and timeout_text(-1.0) == b"0u"
     assert timeout_text(99.9999999) == b"99999999u" and timeout_text(100.0009) == b"100000m"
 
 
 @story
-async def test_many_attempts_share_one_connection_within_the_planners_limit() -> None:
+async def test_attempts_share_one_connection_within_the_workers_stream_limit() -> None:
     async with GrpcPlanner(act=no_answer, max_concurrent_streams=2) as planner, forwarder_rig(planner) as rig:
         callers = [rig.submit("book") for _ in range(3)]
         await planner.call(2)
@@ -66,7 +66,7 @@
 
 
 @story
-async def test_a_client_that_goes_is_followed_wherever_its_request_is() -> None:
+async def test_a_withdrawn_request_is_cancelled_in_each_state() -> None:
     """Waiting to be translated, waiting for a stream, and just written."""
     async with GrpcPlanner(act=no_answer, max_concurrent_streams=1) as planner, forwarder_rig(planner) as rig:
         untranslated = rig.submit()
@@ -110,7 +110,7 @@
 
 
 @story
-async def test_a_late_answer_to_a_cancelled_attempt_leaves_the_others_alone() -> None:
+async def test_a_late_answer_to_a_cancelled_attempt_does_not_affect_others() -> None:
     """Guards the connection: the head of an answer on a stream that was called off and is forgotten is no
     stream that the planner opens."""
 
@@ -135,7 +135,7 @@
 
 
 @story
-async def test_goaway_splits_streams_by_its_last_id_and_is_word_of_a_drain() -> None:
+async def test_goaway_splits_streams_by_its_last_id_and_marks_the_worker_draining() -> None:
     async with (
         GrpcPlanner("p1", act=no_answer) as leaving,
         GrpcPlanner("p2") as staying,
@@ -158,7 +158,7 @@
 
 
 @story
-async def test_a_held_planner_comes_back_with_its_next_start_alone() -> None:
+async def test_a_draining_worker_becomes_ready_only_with_its_next_start() -> None:
     async with GrpcPlanner(act=no_answer) as planner, forwarder_rig(planner) as rig:
         rig.submit()
         (await planner.call(1)).peer.goaway(2**31 - 1)
@@ -197,7 +197,7 @@
         (lambda call: call.peer.transport.write(b"nonsense that is no frame"), "RESET"),
     ],
 )
-def test_what_comes_back_has_its_outcome(act: Any, expected: str) -> None:
+def test_each_response_has_its_outcome(act: Any, expected: str) -> None:
     """By the table in docs/design/translation.md; where it may have run, this class forbids another run."""
 
     async def run() -> None:
@@ -217,7 +217,7 @@
 
 
 @story
-async def test_no_settings_no_request() -> None:
+async def test_no_request_is_sent_before_settings() -> None:
     """A planner that accepts and says nothing, and one that speaks HTTP/1.1: nothing of a request is written,
     so both prove that nothing ran."""
     wrong_interface = []
@@ -240,7 +240,7 @@
 
 
 @story
-async def test_a_body_of_64_kib_goes_through_a_window_of_a_few_bytes() -> None:
+async def test_a_body_of_64_kib_is_sent_through_a_window_of_64_bytes() -> None:
     """A thousand frames of 64 bytes: the attempt beside it is not held up, and both are whole. (A window of
     one byte took 15 s of CPU in pure Python, the whole patience of the story.)"""
     item = b'{"sku":"%s","count":7}' % (b"P" * 20)
@@ -256,7 +256,7 @@
 
 
 @story
-async def test_a_request_cut_in_the_middle_of_its_body_never_ran() -> None:
+async def test_a_request_cut_off_in_its_body_counts_as_not_run() -> None:
     body = b'{"origin":"LIM","destination":"AQP","pallets":2,"remark":"' + b"x" * 3000 + b'"}'
     async with (
         GrpcPlanner("p1", initial_window_size=10) as blocked,
@@ -275,7 +275,7 @@
 
 
 @story
-async def test_a_planner_that_floods_resets_is_left_and_the_rest_goes_on() -> None:
+async def test_a_worker_that_floods_control_frames_is_disconnected() -> None:
     def flood(call: Call) -> None:
         call.reset_stream(h2.errors.ErrorCodes.REFUSED_STREAM)
         for _ in range(400):
@@ -303,13 +303,13 @@
     assert any(detected) and (duration_s > 0 or detected.index(True) <= MAX_FRAMES_PER_S)
 
 
-def test_few_frames_on_end_are_no_flood() -> None:
+def test_a_steady_rate_below_the_limit_is_not_a_flood() -> None:
     counter, per_second = ControlFrameCounter(), MAX_FRAMES_PER_S - 2
     assert not any(counter.is_flooding(50.0 + index / per_second) for index in range(10_000))
 
 
 @story
-async def test_a_silent_planner_is_asked_for_a_sign_of_life() -> None:
+async def test_a_silent_worker_is_sent_a_keepalive_ping() -> None:
     def stop_reading(call: Call) -> None:
         call.peer.data_received = lambda data: None  # type: ignore[method-assign]
 
@@ -327,7 +327,7 @@
 
 
 @story
-async def test_pushback_is_heeded() -> None:
+async def test_retry_pushback_is_respected() -> None:
     """The next attempt waits as long as the planner says; a negative one is the last; one past the deadline
     is answered at once."""
 
@@ -350,7 +350,7 @@
 
 
 @pytest.mark.parametrize("zone", [0, 1])
-def test_a_book_cut_in_mid_stream_is_repeated_in_its_zone_alone(zone: int) -> None:
+def test_a_booking_cut_off_in_its_stream_is_retried_only_in_its_zone(zone: int) -> None:
     async def run() -> None:
         async with (
             GrpcPlanner("p1", act=no_answer) as first,
@@ -370,7 +370,7 @@
 
 
 @story
-async def test_a_result_that_the_old_form_cannot_express_fails_once() -> None:
+async def test_a_result_that_the_old_form_cannot_express_fails_without_a_retry() -> None:
     """The job ran: even a quote, which is safe to repeat, is not run again for it."""
     async with (
         GrpcPlanner(act=lambda call: call.done(truck="t" * 40)) as planner,
@@ -383,7 +383,7 @@
 
 
 @story
-async def test_what_no_listed_planner_can_be_told_is_refused_at_once() -> None:
+async def test_a_request_that_no_listed_worker_can_express_is_rejected_at_once() -> None:
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
     async with GrpcPlanner() as planner, forwarder_rig(planner) as rig:
         started_at = rig.loop.time()
@@ -402,7 +402,7 @@
 
 
 @story
-async def test_what_waits_is_refused_when_the_last_planner_that_could_be_told_has_gone() -> None:
+async def test_a_waiting_request_is_rejected_when_the_last_compatible_worker_has_gone() -> None:
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
     async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, forwarder_rig(newer) as rig:
         rig.list_workers(older, interface=1, job_classes=frozenset())  # it can be told, but has no room
@@ -415,7 +415,7 @@
 
 
 @story
-async def test_only_those_that_can_be_told_are_drawn() -> None:
+async def test_only_compatible_workers_are_selected() -> None:
     """Where both interfaces stand side by side, a wrong one costs no attempt."""
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
     async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, forwarder_rig(newer, older) as rig:
