--- a/tests/attempt_rig.py
+++ b/tests/attempt_rig.py
@@ -1,4 +1,4 @@
-"""A forwarder whose events the test sees, and connections that come up late."""
+"""A forwarder whose events the test receives, and connections that wait until the test allows them."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Rig:
-    """A core whose events are heard, and whose decisions are the test's own."""
+    """A forwarder with an HTTP client; the test starts the attempts itself, instead of the dispatcher."""
 
     def __init__(self, idempotency: Idempotency = Idempotency.IDEMPOTENT) -> None:
         loop = asyncio.get_running_loop()
@@ -69,7 +69,7 @@
 
 @contextlib.asynccontextmanager
 async def delayed_connections() -> AsyncIterator[Callable[[], None]]:
-    """Connections come up when the test says so; entered, it waits for nothing."""
+    """Delay new connections until the test calls the yielded function."""
     loop = asyncio.get_running_loop()
     may_connect, create = asyncio.Event(), loop.create_connection
 
--- a/tests/catalog_updates.py
+++ b/tests/catalog_updates.py
@@ -14,7 +14,7 @@
 
 
 def catalog_entries(count: int, lifecycle: str = "draining") -> list[dict[str, object]]:
-    """Planners that nothing is sent to, with names as long as real ones."""
+    """Catalog entries of workers that get no jobs, with names as long as real ones."""
     return [
         {
             "instanceId": f"s-{number:08x}",
@@ -31,7 +31,7 @@
 
 
 class LargeCatalog(Catalog):
-    """A list of so many planners beside the real ones, indented where asked for."""
+    """Adds `others` further workers to each snapshot, and optionally indents the updates."""
 
     def __init__(self, *planners: Planner, others: int, indent: int | None = None) -> None:
         super().__init__(*planners)
@@ -39,13 +39,13 @@
 
     def tell(self, writer: Writer, reset: bool, instances: list[dict[str, object]]) -> None:
         self.generation += 1
-        told = instances + self.others if reset else instances
-        writer.write(chunk(update_bytes(self.generation, reset, told, self.indent)))
+        listed = instances + self.others if reset else instances
+        writer.write(chunk(update_bytes(self.generation, reset, listed, self.indent)))
 
 
 def update_bytes(
     version: int, reset: bool, instances: list[dict[str, object]], indent: int | None = None
 ) -> bytes:
-    """A piece of news as a watch brings it."""
+    """One update as a watch receives it."""
     text = json.dumps({"generation": version, "reset": reset, "instances": instances}, indent=indent)
     return text.encode() + b"\n"
--- a/tests/discovery/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -1,4 +1,4 @@
-"""Discovery's rare moments: news in pieces, calls that hang, a list that comes back; on sockets."""
+"""Rare conditions of the catalog: fragmented updates, calls that hang, a list that returns; on sockets."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     story,
 )
 
-NOTIFIED_AFTER_S = 6.0  # s after which a change counts as told, whatever became of the calls
+NOTIFIED_AFTER_S = 6.0  # s after which a change counts as known, whatever happened to the calls
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -31,7 +31,7 @@
 
 
 class ScriptedCatalog(Catalog):
-    """The first call is answered as `first` says, the others as usual."""
+    """Answers the first call with `first`, and the others as usual."""
 
     async def first(self, writer: Writer) -> None:
         raise NotImplementedError
@@ -48,19 +48,19 @@
 
 @story
 async def test_a_drain_update_that_trickles_in_is_applied_in_time() -> None:
-    """Each byte used to renew the watch's patience: news cut into bytes was held back for ever."""
+    """Each byte renewed the watch's timeout, so an update that arrived byte by byte was delayed forever."""
 
     class TricklingCatalog(ScriptedCatalog):
         async def first(self, writer: Writer) -> None:
             writer.write(HEAD)
             self.tell(writer, True, [old.line(), new.line()])
             client = await HttpClient.to(running.port)
-            client.ask("a1")  # the list has been read: this is the other end of a turn
+            client.ask("a1")  # the answer shows that the list has been read
             await client.answer()
             text = json.dumps({"generation": 9, "reset": False, "instances": [old.line("draining")]}).encode()
             self.started_at = asyncio.get_running_loop().time()
             old.state = "draining"
-            for index in range(len(text)):  # at full length this takes far beyond 6 s
+            for index in range(len(text)):  # the whole update would take far more than 6 s
                 writer.write(chunk(text[index : index + 1]))
                 await asyncio.sleep(0.2)
                 if writer.transport.is_closing():
@@ -94,8 +94,8 @@
 def test_a_call_that_trickles_without_end_is_aborted_in_time(
     response_start: bytes, repeated_part: bytes
 ) -> None:
-    """Heartbeats before the first piece, which comes at once, and a head without end: each byte used to hold
-    the call, and with it the list, for ever."""
+    """Heartbeats before the first update, which should follow at once, and an endless head: each byte kept
+    the call open, and the list unchanged, forever."""
 
     class TricklingCatalog(ScriptedCatalog):
         async def first(self, writer: Writer) -> None:
@@ -120,8 +120,8 @@
 
 @story
 async def test_a_restarted_process_accepts_no_jobs_before_it_has_the_list() -> None:
-    """The failure met: schedulers of a lost zone came back 18 s later with the list that they had known, and
-    sent their first jobs by it to planners that had gone 16 s before."""
+    """Schedulers of a failed zone restarted 18 s later with their cached list, and sent their first jobs to
+    workers that had left 16 s before."""
 
     class HeldCatalog(Catalog):
         def __init__(self, *planners: Planner) -> None:
@@ -152,7 +152,7 @@
 
 @story
 async def test_indented_updates_are_parsed_from_a_watch() -> None:
-    """Lists may come indented: then a piece of news is many lines, and some end like a whole one."""
+    """An indented update has many lines, and some of them end like a complete update."""
 
     class IndentedCatalog(Catalog):
         def tell(self, writer: Writer, reset: bool, instances: list[dict[str, object]]) -> None:
@@ -172,7 +172,7 @@
         watch = await catalog.watches.get()
         catalog.tell(watch, False, [old.line("draining"), new.line()])
         client = await HttpClient.to(running.port)
-        while not new.runs:  # until the change has been read, `p1` still serves
+        while not new.runs:  # `p1` serves until the change has been read
             client.ask(f"a{len(old.runs)}")
             assert (await client.answer())[0] == 200
         assert len(catalog.asked) == 1 and catalog.watches.empty()
@@ -180,7 +180,7 @@
 
 @story
 async def test_an_invalid_update_fails_the_call_and_keeps_the_known_list() -> None:
-    """Bad bytes from discovery: the call has failed, and another one follows."""
+    """After invalid bytes from the catalog the call counts as failed, and another one follows."""
 
     class InvalidCatalog(ScriptedCatalog):
         async def first(self, writer: Writer) -> None:
@@ -199,8 +199,8 @@
 
 @story
 async def test_a_pushed_list_is_fetched_at_once_and_retried_within_the_grace_period() -> None:
-    """Where lists are pushed, what the agent has counts from the first moment of a new process, and at once
-    when it is back: a wait of half a second, and one that doubles, overran a grace of 600 ms."""
+    """Where lists are pushed, the agent's list counts as known from the start of a process, and as soon as
+    the agent is back. A delay of half a second that doubles exceeded a grace period of 600 ms."""
 
     class RejectingCatalog(Catalog):
         refused = 0
@@ -225,7 +225,7 @@
 
 @story
 async def test_an_exception_between_two_calls_does_not_stop_polling() -> None:
-    """Whatever goes wrong inside: while no call is under way, the decisions are told that the last failed."""
+    """While no call is in progress for any reason, the scheduler is told that the last one failed."""
     from pipitshed.discovery import catalog as module
 
     class Table:
@@ -243,7 +243,8 @@
         catalog.asked.append(0)
         client.fetch(True)
         await catalog.watches.get()
-        while not table.failures:  # the list can't be put anywhere: the call fails, and nobody asks again
+        # The table can't apply the list: the call fails, and nothing starts another.
+        while not table.failures:
             await failure_reported.wait()
         failure_reported.clear()
         await failure_reported.wait()
@@ -253,7 +254,7 @@
 
 @story
 async def test_jobs_are_served_from_the_known_list_while_calls_hang() -> None:
-    """The list known so far stands while every call hangs."""
+    """The known list stays in use while every call hangs."""
 
     class HangingCatalog(Catalog):
         async def serve(self, reader: Reader, writer: Writer) -> None:
--- a/tests/discovery/test_catalog_size_limit.py
+++ b/tests/discovery/test_catalog_size_limit.py
@@ -1,4 +1,4 @@
-"""Long lists: taken up to a bound that follows the memory limit, and passed over beyond it."""
+"""Long lists: accepted up to a size limit that follows the memory limit, and skipped beyond it."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @story
 async def test_an_indented_list_of_4600_workers_is_accepted() -> None:
-    """The failure met: over a constant bound no list was taken, and the watch was opened again and again."""
+    """With a constant size limit a longer list was never accepted, and the watch was reopened repeatedly."""
     async with (
         Planner("p1") as planner,
         LargeCatalog(planner, others=4599, indent=2) as catalog,
@@ -40,8 +40,8 @@
 def test_an_oversized_list_is_logged_once_and_the_watch_continues(
     indent: int | None,
 ) -> None:
-    """The list known serves on, the changes behind the long one are taken, and a call that follows asks from
-    the version before it and brings no second line."""
+    """The known list stays in use, the changes after the long update are applied, and the next call asks from
+    the version before it without a second warning."""
 
     @story
     async def run() -> None:
@@ -84,9 +84,9 @@
 
 
 def _watch(entry_counts: list[int]) -> tuple[CatalogCall, Mock]:
-    """A watch whose news is counted by entries, without a socket."""
+    """Return a watch without a socket; the number of entries of each update is appended to `entry_counts`."""
     loop = Mock()
-    table = EndpointTable(lambda news: entry_counts.append(len(getattr(news, "entries", ()))))
+    table = EndpointTable(lambda event: entry_counts.append(len(getattr(event, "entries", ()))))
     parser = EndpointParser("test", NameIndex(["lima-norte"]), NameIndex(["standard"]), Mock())
     call = CatalogCall(CatalogClient(("127.0.0.1", 1), parser, table, loop), True)
     call.connection_made(Mock())
@@ -97,9 +97,8 @@
 def _update_text(layout: str, count: int) -> bytes:
     if layout != "row by row":
         return update_bytes(7, True, catalog_entries(count, "ready"), 2 if layout == "indented" else None)
-    inner = "\n,".join(
-        map(json.dumps, catalog_entries(count, "ready"))
-    )  # each row's line ends as the last would
+    # Each entry's line ends like the last line.
+    inner = "\n,".join(map(json.dumps, catalog_entries(count, "ready")))
     return (f'{{"generation": 7, "reset": true, "instances": [\n{inner}\n]\n}}\n').encode()
 
 
@@ -108,7 +107,7 @@
 def test_decoding_a_long_update_in_parts_takes_linear_time(
     layout: str, size: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each line that ended like a whole list was a try at all that had come: work grew with the square."""
+    """Each line that ended like a complete list caused all input to be decoded: quadratic time."""
     decoded_bytes = 0
     decode = update_parser._decode
 
@@ -128,7 +127,7 @@
 
 
 def test_braces_in_strings_do_not_end_an_update() -> None:
-    """Only braces outside of texts count, and an escaped quote ends no text."""
+    """Only braces outside of strings count, and an escaped quote does not end a string."""
     entry_counts: list[int] = []
     call, _ = _watch(entry_counts)
     entries = catalog_entries(3, "ready")
@@ -138,7 +137,7 @@
 
 
 def test_a_problem_with_updates_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
-    """The parser named its callback alone: "`on_body` callback error", at each call anew."""
+    """The log had only the parser's callback, "`on_body` callback error", and that for each call."""
     entry_counts: list[int] = []
     call, _ = _watch(entry_counts)
     client = call._client
--- a/tests/discovery/test_catalog_snapshots.py
+++ b/tests/discovery/test_catalog_snapshots.py
@@ -1,4 +1,4 @@
-"""How often a whole list is fetched: a call names the version known, whatever ended the one before."""
+"""How often a snapshot is fetched: a call names the known version, whatever ended the previous call."""
 
 from __future__ import annotations
 
@@ -12,44 +12,44 @@
 
 
 class Versions:
-    """What discovery knows at each version; several addresses may serve it."""
+    """The catalog's state at each version; catalogs at several addresses may share it."""
 
     def __init__(self, *planners: Planner, first: int = 10) -> None:
         self.planners = planners
         self.changes: dict[int, dict[str, object]] = {}
         self.first = self.number = first
 
-    def change(self, row: dict[str, object]) -> None:
+    def change(self, entry: dict[str, object]) -> None:
         self.number += 1
-        self.changes[self.number] = row
+        self.changes[self.number] = entry
 
     def since(self, version: int) -> tuple[bool, list[dict[str, object]]]:
-        """Whether it is the whole list, and its rows: the changes where all of them are known."""
+        """Return whether the answer is a snapshot, and its entries: the changes if all of them are known."""
         if self.first <= version <= self.number:
             return False, [self.changes[number] for number in range(version + 1, self.number + 1)]
         return True, [planner.line() for planner in self.planners]
 
 
 class VersionedCatalog(Catalog):
-    """Answers a watch with what has changed since the version it names."""
+    """Answers a watch with the changes since the version that it names."""
 
     def __init__(self, versions: Versions) -> None:
         super().__init__()
         self.versions = versions
         self.snapshot_count = 0
         self.down = False
-        self.truncated_answers = 0  # so many answers break off in the middle
+        self.truncated_answers = 0  # number of answers to truncate in the middle
 
     async def serve(self, reader: Reader, writer: Writer) -> None:
         line = (await reader.readuntil(b"\r\n\r\n")).decode()
         if self.down:
             self.watches.put_nowait(writer)
-            await reader.read()  # it is cut off: nothing comes
+            await reader.read()  # a network partition: no answer
             return
         self.asked.append(int(line.split()[1].rpartition("from=")[2]))
-        reset, rows = self.versions.since(self.asked[-1])
+        reset, entries = self.versions.since(self.asked[-1])
         self.snapshot_count += reset
-        text = update_bytes(self.versions.number, reset, rows)
+        text = update_bytes(self.versions.number, reset, entries)
         if self.truncated_answers:
             self.truncated_answers -= 1
             writer.write(HEAD + chunk(text[: len(text) // 2]))
@@ -59,20 +59,20 @@
         self.watches.put_nowait(writer)
         await reader.read()
 
-    def push(self, writer: Writer, row: dict[str, object]) -> None:
-        self.versions.change(row)
-        writer.write(chunk(update_bytes(self.versions.number, False, [row])))
+    def push(self, writer: Writer, entry: dict[str, object]) -> None:
+        self.versions.change(entry)
+        writer.write(chunk(update_bytes(self.versions.number, False, [entry])))
 
 
 def final_count(running: Program, name: str) -> int:
-    """A count that the program told at its end."""
+    """Return a counter of the program's last log line."""
     found = re.search(rf"{name}=(\d+)", "".join(line for line in running.log if "ended:" in line))
     return int(found[1]) if found else 0
 
 
 @story
 async def test_no_snapshot_is_fetched_after_a_lost_watch_or_an_address_change() -> None:
-    """One after a start that knows none of use; then each call names the version known, by changes too."""
+    """The first call after a start without a usable list fetches one; later calls name the known version."""
     async with Planner("p1") as one, Planner("p2") as two:
         versions = Versions(one, two)
         async with (
@@ -92,7 +92,7 @@
             watch = await first.watches.get()
             await wait_until_served_by(running, two)
             first.down = True
-            watch.transport.abort()  # cut: calls hang, until discovery is back
+            watch.transport.abort()  # a partition: calls hang until the catalog is reachable again
             await first.watches.get()
             first.down = False
             versions.change(one.line())
@@ -127,7 +127,7 @@
 
 @story
 async def test_a_truncated_snapshot_is_fetched_again() -> None:
-    """What came in half is no version that is known."""
+    """A truncated update must not count as a known version."""
     async with Planner("p1") as one, VersionedCatalog(Versions(one)) as catalog:
         catalog.truncated_answers = 2
         async with program(catalog=catalog) as running:
@@ -138,7 +138,7 @@
 
 
 async def wait_until_served_by(running: Program, planner: Planner) -> None:
-    """Jobs are sent there, and soon nowhere else."""
+    """Submit jobs until 12 in a row have run on this worker."""
     client = await HttpClient.to(running.port)
     consecutive = number = 0
     while consecutive < 12:
@@ -150,7 +150,7 @@
 
 
 def test_list_counters_are_not_among_the_default_metrics() -> None:
-    """The page of the operators' address names what stands there; it does not say that more may."""
+    """The documented list of metrics is complete, so list counters must not be added to it."""
     from pipitshed.admin.metrics import count_lines, parse
 
     assert parse(count_lines({"whole lists": 2, "list bytes": 90})) == {
@@ -173,8 +173,8 @@
 
 @story
 async def test_a_slow_snapshot_is_not_fetched_again() -> None:
-    """Where many start together, discovery's line is full: given up 1.5 s after its first byte, the list was
-    asked for again, and never came."""
+    """When many schedulers start together, the catalog's link is saturated. A call that was aborted 1.5 s
+    after its first byte fetched the list again, and never got it."""
 
     class SlowCatalog(LargeCatalog):
         async def serve(self, reader: Reader, writer: Writer) -> None:
--- a/tests/discovery/test_dns_sd.py
+++ b/tests/discovery/test_dns_sd.py
@@ -1,4 +1,4 @@
-"""DNS-SD records in the route table, from a name server that is scripted here."""
+"""DNS-SD records in the endpoint table, from a scripted name server."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 @story
 async def test_records_fill_the_endpoint_table_and_drains_are_respected() -> None:
-    """A draining record and one that has vanished get nothing new from 1.5 s on; two rounds are less."""
+    """A worker that drains or disappears gets no new jobs after 1.5 s; two refreshes take less time."""
     loop = asyncio.get_running_loop()
     _, server = await loop.create_datagram_endpoint(NameServer, local_addr=("127.0.0.1", 0))
     front = f'[dns-sd]\nserver = "127.0.0.1:{server.port}"\nservice = "{SERVICE}"\n'
--- a/tests/discovery/test_worker_interfaces.py
+++ b/tests/discovery/test_worker_interfaces.py
@@ -1,4 +1,4 @@
-"""Which interface a planner speaks: told, found out once per start, found wrong, and held while it drains."""
+"""Which interface a worker speaks: configured, probed once per start, or corrected; and drain notices."""
 
 import asyncio
 
@@ -32,9 +32,8 @@
     assert rig.entry("p1").interface == 2 and rig.entry("p1").job_classes is None
     rig.list_entries(catalog_entry())
     assert len(rig.probes) == 1
-    rig.list_entries(
-        catalog_entry(started_at_ms=2.0)
-    )  # the same instance is back, perhaps with the other one
+    # The same instance has restarted, perhaps with the other interface.
+    rig.list_entries(catalog_entry(started_at_ms=2.0))
     assert len(rig.probes) == 2 and rig.entry("p1").job_classes == frozenset()
     rig.interfaces.detected(*rig.probes[1], 1)
     assert rig.entry("p1").interface == 1
@@ -67,8 +66,8 @@
 
 @pytest.mark.parametrize("address", ["", "10.0.0.7", "10.0.0.7:http", "10.0.0.7:70000"])
 def test_entries_with_an_invalid_address_cause_no_probe(address: str) -> None:
-    """Guards against a probe lost for each such row: after eight of them no worker was probed any more, and
-    all workers whose interface nobody tells were left without a job."""
+    """Each such entry leaked a probe: after eight of them no worker was probed any more, and workers whose
+    interface is not configured got no jobs."""
     rig = RegistryRig()
     for number in range(2 * MAX_CONCURRENT_PROBES):
         with pytest.raises(ValueError, match="host:port"):
@@ -87,9 +86,8 @@
     assert rig.entry("p1").job_classes == frozenset()
     rig.interfaces.detected(*rig.probes[0], 1)
     assert rig.entry("p1").interface == 1
-    rig.list_entries(
-        catalog_entry(interface=2)
-    )  # the row says the same again: what was found stands for this start
+    # The entry is unchanged: the detected interface is kept for this start.
+    rig.list_entries(catalog_entry(interface=2))
     assert rig.entry("p1").interface == 1
     rig.list_entries(catalog_entry(started_at_ms=2.0, interface=2))
     assert rig.entry("p1").interface == 2
@@ -106,7 +104,7 @@
     assert delay_s == 2.0
     rig.timers.clear()
     callback()
-    rig.interfaces.detected(*rig.probes[0], 0)  # it leaves still
+    rig.interfaces.detected(*rig.probes[0], 0)  # it is still stopping
     assert rig.entry("p1").state is EndpointState.DRAINING
     rig.timers.pop()[1]()
     rig.interfaces.detected(*rig.probes[1], 2)
--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -1,4 +1,4 @@
-"""A planner of interface 2 that is scripted frame by frame, and the core with its gRPC carrier before it."""
+"""A worker of interface 2 that is scripted frame by frame, and a forwarder with a gRPC client for it."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 
 @dataclass
 class Call:
-    """One stream that came to the planner."""
+    """One stream that the worker has received."""
 
     peer: Peer
-    number: int
+    stream_id: int
     headers: dict[str, str]
     body: bytes = b""
     is_complete: bool = False
-    reset_code: int | None = None  # the code with which the scheduler called it off
+    reset_code: int | None = None  # the error code with which the scheduler reset it
 
     def event(self, **kind: Any) -> None:
         self.raw(pb.RunEvent(id=self.headers["x-request-id"], **kind).SerializeToString())
@@ -50,41 +50,41 @@
         self.send(frame(message))
 
     def send(self, data: bytes) -> None:
-        if not self.peer.mark_response_started(self.number):
+        if not self.peer.mark_response_started(self.stream_id):
             head = [(":status", "200"), ("content-type", "application/grpc")]
-            self.peer.http2.send_headers(self.number, head)
-        self.peer.http2.send_data(self.number, data)
+            self.peer.http2.send_headers(self.stream_id, head)
+        self.peer.http2.send_data(self.stream_id, data)
         self.peer.flush()
 
     def started(self) -> None:
         self.event(started=pb.Started())
 
-    def done(self, price: int = 5000, **more: Any) -> None:
+    def done(self, price: int = 5000, **fields: Any) -> None:
         if self.headers["x-class"] == "book":
-            booking = pb.Booking(booking_ref="B-1", departs_ms=1_800_000_000_000, **more)
+            booking = pb.Booking(booking_ref="B-1", departs_ms=1_800_000_000_000, **fields)
             self.event(done=pb.Done(booking=booking))
         else:
-            offer = pb.Offer(price_cents=price, departs_ms=1_800_000_000_000, **more)
+            offer = pb.Offer(price_cents=price, departs_ms=1_800_000_000_000, **fields)
             self.event(done=pb.Done(offer=offer))
         self.end()
 
-    def end(self, status: int = 0, **more: str) -> None:
+    def end(self, status: int = 0, **metadata: str) -> None:
         trailers = [
             ("grpc-status", str(status)),
-            *((name.replace("_", "-"), value) for name, value in more.items()),
+            *((name.replace("_", "-"), value) for name, value in metadata.items()),
         ]
-        if not self.peer.mark_response_started(self.number):
+        if not self.peer.mark_response_started(self.stream_id):
             trailers = [(":status", "200"), ("content-type", "application/grpc"), *trailers]
-        self.peer.http2.send_headers(self.number, trailers, end_stream=True)
+        self.peer.http2.send_headers(self.stream_id, trailers, end_stream=True)
         self.peer.flush()
 
     def reset_stream(self, code: int) -> None:
-        self.peer.http2.reset_stream(self.number, code)
+        self.peer.http2.reset_stream(self.stream_id, code)
         self.peer.flush()
 
 
 class Peer(asyncio.Protocol):
-    """One connection at the planner."""
+    """One connection, on the worker's side."""
 
     def __init__(self, planner: GrpcPlanner) -> None:
         self.planner = planner
@@ -108,11 +108,11 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.lost.set()
 
-    def mark_response_started(self, number: int) -> bool:
-        """Whether the head of the answer has gone out; from now on it has."""
-        before = number in self._started_responses
-        self._started_responses.add(number)
-        return before
+    def mark_response_started(self, stream_id: int) -> bool:
+        """Record that the response headers are sent; return whether they had been before."""
+        had_started = stream_id in self._started_responses
+        self._started_responses.add(stream_id)
+        return had_started
 
     def flush(self) -> None:
         self.transport.write(self.http2.data_to_send())
@@ -124,28 +124,28 @@
 
     def data_received(self, data: bytes) -> None:
         if self.planner.settings is None:
-            return  # it says nothing
+            return  # a silent worker
         for event in self.http2.receive_data(data):
-            number = getattr(event, "stream_id", 0)
+            stream_id = getattr(event, "stream_id", 0)
             if isinstance(event, h2.events.RequestReceived):
-                self.calls[number] = Call(self, number, dict(event.headers))
+                self.calls[stream_id] = Call(self, stream_id, dict(event.headers))
             elif isinstance(event, h2.events.DataReceived):
-                self.calls[number].body += event.data
+                self.calls[stream_id].body += event.data
                 if self.planner.returns_window:
-                    self.http2.acknowledge_received_data(event.flow_controlled_length, number)
+                    self.http2.acknowledge_received_data(event.flow_controlled_length, stream_id)
             elif isinstance(event, h2.events.StreamEnded):
-                call = self.calls[number]
+                call = self.calls[stream_id]
                 call.is_complete = True
                 self.planner.calls.append(call)
                 self.planner.act(call)
             elif isinstance(event, h2.events.StreamReset):
-                self.calls[number].reset_code = event.error_code
+                self.calls[stream_id].reset_code = event.error_code
         self.flush()
         self.planner.notify()
 
 
 class GrpcPlanner:
-    """The planner: `act` is told of each whole request."""
+    """The worker; it calls `act` with each complete request."""
 
     def __init__(
         self, name: str = "p1", zone: int = 0, act: Callable[[Call], None] = Call.done, **settings: int
@@ -157,7 +157,7 @@
         self.peers: list[Peer] = []
         self.calls: list[Call] = []
         self.port = 0
-        self.returns_window = True  # its windows again as data comes
+        self.returns_window = True  # whether it opens its flow control window again as data arrives
         self._changed = asyncio.Condition()
         self._notify_tasks: set[asyncio.Task[None]] = set()
 
@@ -170,12 +170,12 @@
         self._notify_tasks.add(task)
         task.add_done_callback(self._notify_tasks.discard)
 
-    async def wait_until(self, what: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
         async with self._changed:
-            await self._changed.wait_for(what)
+            await self._changed.wait_for(condition)
 
     async def call(self, count: int) -> Call:
-        """The call with this number, counted from one, once it is whole."""
+        """Wait for the complete call with this number, counted from one."""
         await self.wait_until(lambda: len(self.calls) >= count)
         return self.calls[count - 1]
 
@@ -196,15 +196,15 @@
 
 @dataclass
 class Caller:
-    """A client of the core, and all that it was told."""
+    """A client of the forwarder; records all outcomes and progress that it gets."""
 
     outcomes: list[tuple[str, Any]] = field(default_factory=list)
-    notes: list[tuple[ProgressKind, float]] = field(default_factory=list)
+    progress: list[tuple[ProgressKind, float]] = field(default_factory=list)
     ended: asyncio.Event = field(default_factory=asyncio.Event)
     context: Any = None
 
-    def _end(self, kind: str, what: Any = None) -> None:
-        self.outcomes.append((kind, what))
+    def _end(self, kind: str, details: Any = None) -> None:
+        self.outcomes.append((kind, details))
         self.ended.set()
 
     def succeeded(self, result: bytes) -> None:
@@ -216,11 +216,11 @@
     def failed(self) -> None:
         self._end("failed")
 
-    def untranslatable(self, why: Any, ran: bool) -> None:
-        self._end("unfit", (why.field, ran))
+    def untranslatable(self, reason: Any, ran: bool) -> None:
+        self._end("unfit", (reason.field, ran))
 
     def progressed(self, kind: ProgressKind, share: float) -> None:
-        self.notes.append((kind, share))
+        self.progress.append((kind, share))
 
     async def outcome(self) -> tuple[str, Any]:
         await self.ended.wait()
@@ -229,7 +229,7 @@
 
 
 class ForwarderRig:
-    """The core, the translator and the carrier on this loop."""
+    """A forwarder with a translator and a gRPC client, on the running event loop."""
 
     def __init__(self, settings: dict[str, Any], translation_toml: str, keepalive_s: float) -> None:
         self.loop = asyncio.get_running_loop()
@@ -253,24 +253,24 @@
             ],
         )
 
-    def request(self, job_class: str = "quote", body: bytes | None = None, **more: Any) -> Request:
+    def request(self, job_class: str = "quote", body: bytes | None = None, **changes: Any) -> Request:
         self._ids += 1
-        number = job_class == "book"
-        told = {
+        is_book = job_class == "book"
+        fields = {
             "id": f"r{self._ids}",
-            "job_class": int(number),
+            "job_class": int(is_book),
             "client_timeout_ms": 5000.0,
             "tenant": 0,
-            "body": body or (BOOK if number else QUOTE),
+            "body": body or (BOOK if is_book else QUOTE),
             "tenant_name": "andes-retail",
             "form_version": 1,
-            "idempotency_key": f"k{self._ids}" if number else "",
+            "idempotency_key": f"k{self._ids}" if is_book else "",
         }
-        return Request(**told | more)
+        return Request(**fields | changes)
 
-    def submit(self, job_class: str = "quote", body: bytes | None = None, **more: Any) -> Caller:
+    def submit(self, job_class: str = "quote", body: bytes | None = None, **changes: Any) -> Caller:
         caller = Caller()
-        caller.context = self.core.submit(self.request(job_class, body, **more), caller)
+        caller.context = self.core.submit(self.request(job_class, body, **changes), caller)
         return caller
 
     def withdraw(self, caller: Caller) -> None:
@@ -284,7 +284,7 @@
     translation_toml: str = TRANSLATION_TOML,
     keepalive_s: float = 10.0,
 ) -> AsyncIterator[ForwarderRig]:
-    """The bench with these planners listed."""
+    """Run a rig in which these workers are listed."""
     rig = ForwarderRig(settings or {}, translation_toml, keepalive_s)
     rig.list_workers(*planners)
     try:
--- a/tests/interface_registry_rig.py
+++ b/tests/interface_registry_rig.py
@@ -1,4 +1,4 @@
-"""The registry of worker interfaces without I/O."""
+"""The registry of worker interfaces, without I/O."""
 
 from collections.abc import Callable
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 class RegistryRig:
-    """The module without I/O: what it asks is kept, and answered by hand."""
+    """A registry whose probes and timers are recorded; the test answers and fires them itself."""
 
     def __init__(self, configured: dict[str, int] | None = None, default: int = 0) -> None:
         self.events: list[Any] = []
--- a/tests/name_server.py
+++ b/tests/name_server.py
@@ -1,4 +1,4 @@
-"""A name server that is scripted."""
+"""A scripted DNS server for DNS-SD records."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class NameServer(asyncio.DatagramProtocol):
-    """Answers from `records`, and counts the questions."""
+    """Answers from `records`, and counts the queries by name and type."""
 
     def __init__(self) -> None:
         self.records: dict[tuple[str, str], list[str]] = {}
@@ -38,7 +38,7 @@
         self.query_received.set()
 
     async def wait_for_refreshes(self, count: int) -> None:
-        """Wait for so many questions for the service from now on."""
+        """Wait for `count` further queries for the service's PTR records."""
         key = (SERVICE, "PTR")
         target_count = self.query_counts.get(key, 0) + count
         while self.query_counts.get(key, 0) < target_count:
--- a/tests/test_fleet_lists.py
+++ b/tests/test_fleet_lists.py
@@ -1,4 +1,4 @@
-"""Forty siblings and one discovery that serves calls in turn and turns them down while its queue is full."""
+"""Up to forty schedulers, and one catalog that serves calls in turn and rejects them if its queue is full."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pipitshed.scheduling.settings import Guarantees
 
 SERVE_MS = 110.0  # one call at a time
-MAX_WAITING_CALLS = 4  # calls that may wait; more are turned down at once
+MAX_WAITING_CALLS = 4  # further calls are rejected at once
 
 
 def simulate(
@@ -18,9 +18,12 @@
     outage_s: float = 0.0,
     poll_deadline_ms: float = 10_000.0,
 ) -> tuple[int, dict[int, float], float]:
-    """(calls made while discovery was down, by sibling when it got its watch (ms from the start), longest gap
-    between two calls of one sibling in ms) after `seconds`, all starting together from their cached list; for
-    the first `down` seconds, discovery turns every call down."""
+    """Simulate schedulers that start together from their cached lists; for the first `outage_s` seconds, the
+    catalog rejects every call.
+
+    Returns the number of calls during the outage, the time (ms from the start) at which each scheduler got
+    its watch, and the longest gap (ms) between two calls of one scheduler.
+    """
     config = settings(
         endpoints_polled=True,
         scheduler_count=scheduler_count,
@@ -56,32 +59,31 @@
 
 
 def test_rejected_schedulers_back_off_but_retry_before_changes_count_as_known() -> None:
-    """Guards against siblings that keep an overbooked discovery full, and, since the operators' new term,
-    against a back-off of up to 8 s: a change counts as told 6 s after discovery had it and could be reached,
-    whatever is allowed after a failed call."""
+    """Guards against schedulers that keep an overloaded catalog's queue full, and against a back-off of up to
+    8 s: a change counts as known 6 s after the catalog has it and is reachable, whatever the wait after a
+    failed call may be."""
     calls, watch_started_ms, longest_gap_ms = simulate(40, 30.0, outage_s=15.0)
-    assert calls < 40 * 13  # asking again within the first wait each time, they would make over 40 * 50
+    assert calls < 40 * 13  # without back-off there would be over 40 * 50 calls
     assert len(watch_started_ms) == 40
-    assert (
-        longest_gap_ms <= 2_000.0 + 5.0
-    )  # so two calls fit between the return and the time when news counts
+    # Two calls fit between the catalog's return and the time when a change counts as known.
+    assert longest_gap_ms <= 2_000.0 + 5.0
 
 
 def test_a_failed_call_is_retried_in_time_for_any_poll_deadline() -> None:
-    """Another customer's settings: where a list is good for a minute, it backs off no further; one that is
-    good for half a second is asked for anew within the four times that a failed call leaves."""
+    """Other poll deadlines: with one of a minute the back-off does not grow further; with one of half a
+    second, a failed call is retried within four times the deadline."""
     assert simulate(3, 30.0, outage_s=20.0, poll_deadline_ms=60_000.0)[2] <= 2_000.0 + 5.0
     assert simulate(3, 30.0, outage_s=20.0, poll_deadline_ms=500.0)[2] < 4 * 500.0
 
 
 def test_a_few_siblings_all_know_the_list_6_s_after_discovery_is_back() -> None:
-    """Ten siblings take a ninth of a second of discovery's time each, in turn, four of them waiting."""
+    """Each of ten schedulers takes a ninth of a second of the catalog's time in turn, with four waiting."""
     _, watch_started_ms, _ = simulate(10, 30.0, outage_s=15.0)
     assert len(watch_started_ms) == 10 and max(watch_started_ms.values()) < 15_000.0 + 6_000.0
 
 
 def test_an_unavailable_agent_is_not_polled_in_a_busy_loop() -> None:
-    """Where lists are pushed the wait is a part of the grace for drains, which may be set to nothing."""
+    """Where lists are pushed, the retry delay is a fraction of the drain grace period, which may be 0."""
     config = settings(
         endpoints_polled=True,
         endpoints_pushed=True,
--- a/tests/upstream/test_attempt_races.py
+++ b/tests/upstream/test_attempt_races.py
@@ -1,5 +1,7 @@
-"""What comes while a connection to a planner comes up, and answers that break off, double or never end: the
-carrier alone, between a core and scripted planners on sockets."""
+"""Changes while a connection to a worker is established, and answers that are truncated, repeated or endless.
+
+The worker client runs between a forwarder and scripted workers on sockets.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +29,7 @@
     "change", ["the client goes", "the planner drains", "the planner goes", "the window ends"]
 )
 def test_nothing_is_written_on_a_connection_that_comes_up_too_late(change: str) -> None:
-    """It used to be written however late, unless it had been called off, which not all settings permit."""
+    """An attempt was written however late, unless it had been cancelled, which not all settings permit."""
 
     @story
     async def run() -> None:
@@ -62,7 +64,7 @@
 
 
 class ScriptedWorker(Peer):
-    """A planner that answers each request with bytes of the test's."""
+    """A worker that answers each request with the next of the given byte strings."""
 
     def __init__(self, *answers: bytes) -> None:
         self.answers = list(answers)
@@ -91,7 +93,7 @@
 
 @story
 async def test_a_connection_is_closed_if_the_answer_does_not_end() -> None:
-    """`done` had been read, so the attempt was over, and no timer was left to end the connection."""
+    """After `done` the attempt and its timer have ended: no timer was left to close the connection."""
     async with ScriptedWorker(CHUNKED + DONE) as planner:
         rig = Rig()
         rig.list_worker(planner.port)
@@ -119,7 +121,7 @@
     ],
 )
 def test_an_invalid_or_unlimited_answer_is_a_reset(name: str, text: bytes) -> None:
-    """Bad bytes from a planner: the outcome by the protocol's table, the connection never used again."""
+    """Invalid bytes from a worker: the outcome follows the protocol's table, and the connection is closed."""
 
     @story
     async def run() -> None:
@@ -144,8 +146,8 @@
 def test_a_late_second_answer_does_not_prove_that_the_next_job_did_not_run(
     idempotency: Idempotency, outcome: Outcome
 ) -> None:
-    """A 503 names no request. One that comes just after the next request was written would be "never ran" of
-    a job that runs: where that matters, it says nothing."""
+    """A 503 carries no request id. One that arrives just after the next request was written could be taken to
+    say that this request did not run, while it does. If a second run is harmful, the 503 proves nothing."""
 
     @story
     async def run() -> None:
@@ -170,7 +172,7 @@
 
 @story
 async def test_a_partial_second_answer_closes_the_connection() -> None:
-    """In one segment with the first answer's end: the rest of it would have met the next request."""
+    """It arrives in one segment with the first answer's end; its rest would be read as the next answer."""
     async with ScriptedWorker(CHUNKED + DONE + END + NOT_RUN[:20], CHUNKED + DONE + END) as planner:
         rig = Rig()
         rig.list_worker(planner.port)
@@ -181,7 +183,7 @@
 
 @story
 async def test_an_answer_before_the_whole_request_is_sent_closes_the_connection() -> None:
-    """The rest of that request would stand before the next one."""
+    """Otherwise the rest of that request would be sent before the next one."""
 
     class EarlyAnswer(Peer):
         async def serve(self, reader: Reader, writer: Writer) -> None:
@@ -200,7 +202,7 @@
 
 @story
 async def test_a_gearman_worker_that_asks_after_the_retry_window_gets_no_job() -> None:
-    """An attempt that waits for a Gearman worker is assigned when that asks, maybe after the window."""
+    """A Gearman worker asks for its jobs, so an attempt may be assigned only after its retry window."""
     rig = Rig(Idempotency.IDEMPOTENT_WITH_KEY)
     connection = Mock()
     worker_client = GearmanWorkerClient(
@@ -221,7 +223,7 @@
 
 @story
 async def test_a_half_sent_request_is_aborted_when_its_client_disconnects() -> None:
-    """Its last byte would be an attempt's beginning, and nothing called it off where settings permit none."""
+    """With its last byte the attempt would start, and where settings forbid cancels nothing would stop it."""
     reading_paused, read = asyncio.Event(), asyncio.Event()
 
     class PausedReader(Peer):
@@ -255,7 +257,7 @@
 
 @story
 async def test_an_invalid_worker_address_counts_as_a_failed_connect() -> None:
-    """The exception ended the task alone: the attempt waited for its deadline."""
+    """The exception ended only the connecting task, and the attempt waited for its deadline."""
     async with Planner("p1") as planner:
         rig = Rig()
         rig.list_worker(planner.port)
@@ -265,4 +267,4 @@
         started_at = asyncio.get_running_loop().time()
         rig.start_attempt(rig.submit())
         assert await rig.outcome() is Outcome.CONNECT_FAILED
-        assert asyncio.get_running_loop().time() - started_at < 1.0  # of nine
+        assert asyncio.get_running_loop().time() - started_at < 1.0  # the deadline is 9 s
--- a/tests/upstream/test_grpc_client.py
+++ b/tests/upstream/test_grpc_client.py
@@ -1,4 +1,4 @@
-"""Attempts over gRPC against a planner that is scripted frame by frame: a test for each line of the table."""
+"""Attempts over gRPC to a scripted worker: a test for each line of docs/design/translation.md's table."""
 
 import asyncio
 from typing import Any
@@ -17,7 +17,7 @@
 
 
 def no_answer(call: Call) -> None:
-    """The planner says nothing yet."""
+    """Send no response yet."""
 
 
 @story
@@ -43,7 +43,7 @@
             "served",
             b'{"booking_ref":"B-1","departs":"2027-01-15T08:00:00Z","stops":["LIM","AQP"]}',
         )
-        assert caller.notes == [(ProgressKind.STARTED, 0.0), (ProgressKind.PROGRESS, 0.5)]
+        assert caller.progress == [(ProgressKind.STARTED, 0.0), (ProgressKind.PROGRESS, 0.5)]
 
 
 def test_the_timeout_is_never_rounded_up() -> None:
@@ -67,10 +67,10 @@
 
 @story
 async def test_a_withdrawn_request_is_cancelled_in_each_state() -> None:
-    """Waiting to be translated, waiting for a stream, and just written."""
+    """The states: waiting for translation, waiting for a stream, and sent."""
     async with GrpcPlanner(act=no_answer, max_concurrent_streams=1) as planner, forwarder_rig(planner) as rig:
         untranslated = rig.submit()
-        rig.withdraw(untranslated)  # in this very turn: it is not translated yet
+        rig.withdraw(untranslated)  # in the same turn of the event loop: not translated yet
         first = rig.submit("book")
         call = await planner.call(1)
         waiting = rig.submit("book")
@@ -90,7 +90,7 @@
 
 @story
 async def test_a_cancel_that_races_the_last_event_leaves_one_outcome() -> None:
-    """The client goes in the turn in which the result stands in the socket, in both orders."""
+    """The client disconnects in the turn of the event loop in which the result arrives, in both orders."""
     async with GrpcPlanner(act=no_answer) as planner, forwarder_rig(planner) as rig:
         for count, answer_first in enumerate((False, True), 1):
             caller = rig.submit()
@@ -111,11 +111,11 @@
 
 @story
 async def test_a_late_answer_to_a_cancelled_attempt_does_not_affect_others() -> None:
-    """Guards the connection: the head of an answer on a stream that was called off and is forgotten is no
-    stream that the planner opens."""
+    """Response headers on a stream that was cancelled and removed must not be taken for a stream that the
+    worker opens, which would end the connection."""
 
     def ignore_cancel(call: Call) -> None:
-        """The planner answers as though it had not read of the cancel yet."""
+        """Let the worker answer as if it had not received the cancel yet."""
         call.peer.data_received = lambda data: None  # type: ignore[method-assign]
 
     async with GrpcPlanner(act=no_answer) as planner, forwarder_rig(planner) as rig:
@@ -125,7 +125,7 @@
         other = next(call for call in planner.calls if call is not late)
         ignore_cancel(late)
         rig.withdraw(first)
-        third = rig.submit("book")  # a new stream: those that are closed are forgotten
+        third = rig.submit("book")  # a new stream, with which closed ones are removed
         await asyncio.sleep(0.05)
         late.done()
         other.done()
@@ -144,15 +144,15 @@
         callers = [rig.submit("book") for _ in range(2)]
         await leaving.call(2)
         rig.list_workers(staying)
-        low, high = sorted(leaving.calls, key=lambda call: call.number)
-        low.peer.goaway(low.number)
-        await staying.call(1)  # the one above never ran: it may go anywhere
+        low, high = sorted(leaving.calls, key=lambda call: call.stream_id)
+        low.peer.goaway(low.stream_id)
+        await staying.call(1)  # the stream above the last id did not run: it may be retried anywhere
         assert rig.core.endpoints.interfaces() == {2}
         assert rig.core._dispatcher.workers[b"p1"].ready is False
         for _ in range(20):
             assert (await rig.submit().outcome())[0] == "served"
         assert len(leaving.calls) == 2
-        low.done()  # the one at the last id ends as it would have
+        low.done()  # the stream at the last id ends normally
         assert sorted([(await caller.outcome())[0] for caller in callers]) == ["served", "served"]
         await low.peer.lost.wait()
 
@@ -198,10 +198,10 @@
     ],
 )
 def test_each_response_has_its_outcome(act: Any, expected: str) -> None:
-    """By the table in docs/design/translation.md; where it may have run, this class forbids another run."""
+    """By the table in docs/design/translation.md; the class forbids a second run if the job may have run."""
 
     async def run() -> None:
-        # One attempt each: on a busy machine a later one may be out at the deadline, and have run.
+        # One attempt only: on a busy machine a later one may be outstanding at the deadline, and have run.
         single_attempt = ONCE | {"permissions": SETTINGS["permissions"] | {"maxAttempts": 1}}
         async with GrpcPlanner(act=act) as planner, forwarder_rig(planner, settings=single_attempt) as rig:
             caller = rig.submit("book", client_timeout_ms=2000.0)
@@ -218,8 +218,8 @@
 
 @story
 async def test_no_request_is_sent_before_settings() -> None:
-    """A planner that accepts and says nothing, and one that speaks HTTP/1.1: nothing of a request is written,
-    so both prove that nothing ran."""
+    """A worker that accepts the connection and stays silent, and one that speaks HTTP/1.1: no request is
+    written, so it is certain that no job ran."""
     wrong_interface = []
     async with GrpcPlanner("mute") as silent, GrpcPlanner("old") as old, forwarder_rig(silent) as rig:
         silent.settings = old.settings = None
@@ -241,8 +241,8 @@
 
 @story
 async def test_a_body_of_64_kib_is_sent_through_a_window_of_64_bytes() -> None:
-    """A thousand frames of 64 bytes: the attempt beside it is not held up, and both are whole. (A window of
-    one byte took 15 s of CPU in pure Python, the whole patience of the story.)"""
+    """A thousand frames of 64 bytes do not delay a concurrent attempt, and both bodies arrive complete. A
+    window of one byte takes 15 s of CPU time in pure Python, which is the test's whole time limit."""
     item = b'{"sku":"%s","count":7}' % (b"P" * 20)
     body = BOOK[:-1] + b',"goods":[' + b",".join([item] * ((65_000 - len(BOOK)) // (len(item) + 1))) + b"]}"
     assert 64_000 < len(body) <= 65_536
@@ -295,8 +295,8 @@
 @pytest.mark.parametrize("started_at", [0.0, 0.5, 0.8, 0.99, 1.0, 1.7])
 @pytest.mark.parametrize("duration_s", [0.0, 0.2, 0.9])
 def test_a_flood_is_found_wherever_in_a_second_it_begins(started_at: float, duration_s: float) -> None:
-    """Guards against a flood that lies over the end of a counted second, and was taken for two small ones:
-    also one that a held-up loop read in two parts."""
+    """Guards against a flood across the end of a counting period, which was counted as two small ones; also
+    one that a delayed event loop reads in two parts."""
     counter = ControlFrameCounter()
     assert not counter.is_flooding(100.0)
     detected = [counter.is_flooding(100.0 + started_at + duration_s * index / 400) for index in range(400)]
@@ -328,8 +328,8 @@
 
 @story
 async def test_retry_pushback_is_respected() -> None:
-    """The next attempt waits as long as the planner says; a negative one is the last; one past the deadline
-    is answered at once."""
+    """The next attempt waits as long as the worker asks. A negative or invalid value forbids a retry, and a
+    value beyond the deadline ends the request at once."""
 
     def rejecting(text: str) -> Any:
         return lambda call: call.end(8, x_not_run="1", grpc_retry_pushback_ms=text)
@@ -371,7 +371,7 @@
 
 @story
 async def test_a_result_that_the_old_form_cannot_express_fails_without_a_retry() -> None:
-    """The job ran: even a quote, which is safe to repeat, is not run again for it."""
+    """The job ran: not even a quote, which is safe to repeat, is run again."""
     async with (
         GrpcPlanner(act=lambda call: call.done(truck="t" * 40)) as planner,
         forwarder_rig(planner) as rig,
@@ -405,7 +405,8 @@
 async def test_a_waiting_request_is_rejected_when_the_last_compatible_worker_has_gone() -> None:
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
     async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, forwarder_rig(newer) as rig:
-        rig.list_workers(older, interface=1, job_classes=frozenset())  # it can be told, but has no room
+        # Compatible, but not ready for any class.
+        rig.list_workers(older, interface=1, job_classes=frozenset())
         caller = rig.submit("book", hazard)
         await asyncio.sleep(0.05)
         assert not caller.outcomes
@@ -416,11 +417,11 @@
 
 @story
 async def test_only_compatible_workers_are_selected() -> None:
-    """Where both interfaces stand side by side, a wrong one costs no attempt."""
+    """With workers of both interfaces, no attempt is spent on an incompatible one."""
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
     async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, forwarder_rig(newer, older) as rig:
         rig.list_workers(older, interface=1)
-        # The stand-in of interface 1 speaks gRPC as well: here it counts that alone the draw goes there.
+        # The stand-in for interface 1 speaks gRPC as well: the test checks only which worker is selected.
         rig.core.endpoints._endpoints[b"p1"].interface = 1
         for _ in range(10):
             rig.submit("book", hazard)
