--- a/pipitshed/discovery/dns_sd.py
+++ b/pipitshed/discovery/dns_sd.py
@@ -23,8 +23,8 @@
 
 SOURCE = "dns-sd"
 QUERY_TIMEOUT_S = 0.5
-MAX_REFRESH_INTERVAL_S = 0.5  # for any time to live: no job may reach a worker 1.5 s after its drain
-MIN_REFRESH_INTERVAL_S = 0.1  # for any time to live
+MAX_REFRESH_INTERVAL_S = 0.5  # also for long times to live: no job may reach a worker 1.5 s after its drain
+MIN_REFRESH_INTERVAL_S = 0.1  # also for short times to live
 REFRESH_TTL_FRACTION = 0.8  # of the records' time to live, after which they are queried again
 _MAX_NUMBER = 1e15  # in a TXT record; a larger one is not a weight, cell or time
 
--- a/pipitshed/upstream/gearman.py
+++ b/pipitshed/upstream/gearman.py
@@ -153,7 +153,7 @@
             return
         core = self.client.core
         if kind is Kind.WORK_STATUS:
-            done, total = (_count(argument) for argument in arguments[1:])
+            done, total = (_parse_count(argument) for argument in arguments[1:])
             share = min(1.0, done / total) if total else 0.0
             core.attempt_progressed(attempt, ProgressKind.PROGRESS, share)
             return
@@ -213,7 +213,7 @@
     return data.decode("latin-1")
 
 
-def _count(data: bytes) -> float:
+def _parse_count(data: bytes) -> float:
     try:
         value = float(data)
     except ValueError:
@@ -320,7 +320,7 @@
     def abort(self, attempt: Attempt) -> bool:
         """Stop an attempt; return whether it may have run.
 
-        An assigned job can't be cancelled: the worker gets no further one, and its connection is closed.
+        An assigned job can't be cancelled: the worker gets no further jobs, and its connection is closed.
         """
         worker: GearmanWorker = attempt.endpoint.address
         if attempt in worker.waiting:
--- a/pipitshed/upstream/grpc/client.py
+++ b/pipitshed/upstream/grpc/client.py
@@ -90,7 +90,8 @@
     def metadata(self, attempt: Attempt, remaining_s: float) -> list[Header]:
         """Return the request headers of an attempt with `remaining_s` seconds until its deadline.
 
-        Headers whose value differs with each attempt are never indexed: the header encoder would cache them.
+        Headers whose value differs with each attempt are never indexed, so that the encoder does not cache
+        them.
         """
         request = attempt.context.request
         headers = [
--- a/pipitshed/upstream/grpc/connection.py
+++ b/pipitshed/upstream/grpc/connection.py
@@ -31,7 +31,7 @@
     from pipitshed.upstream.grpc.client import GrpcWorkerClient
 
 MAX_STREAMS = 256  # per connection, even if the worker permits more
-MAX_UNREAD_BYTES = 1024 * 1024  # in the write buffer; a worker that reads no faster is disconnected
+MAX_UNREAD_BYTES = 1024 * 1024  # unsent bytes beyond which the connection to a slow reader is closed
 WINDOW_BYTES = 2 * MESSAGE_LIMIT  # flow control window of each stream and of the connection
 MAX_HEADER_LIST_BYTES = 16 * 1024
 PROBE_TIMEOUT_S = 0.5
--- a/pipitshed/upstream/grpc/keepalive.py
+++ b/pipitshed/upstream/grpc/keepalive.py
@@ -48,7 +48,7 @@
             self._timer = self._loop.call_later(self._silence_s, self._check)
 
     def stop(self) -> None:
-        """Stop the timer; called when the connection has no attempts."""
+        """Stop the timer; called when the connection has no attempts or has ended."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
