--- a/tests/catalog_updates.py
+++ b/tests/catalog_updates.py
@@ -13,8 +13,8 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-def rows(count: int, lifecycle: str = "draining") -> list[dict[str, object]]:
-    """Planners that nothing is sent to, with names as long as real ones."""
+def catalog_entries(count: int, lifecycle: str = "draining") -> list[dict[str, object]]:
+    """Catalog entries of workers that get no jobs, with names as long as real ones."""
     return [
         {
             "instanceId": f"s-{number:08x}",
@@ -30,22 +30,22 @@
     ]
 
 
-class Wide(Catalog):
-    """A list of so many planners beside the real ones, indented where asked for."""
+class LargeCatalog(Catalog):
+    """Adds `others` further workers to each snapshot, and optionally indents the updates."""
 
     def __init__(self, *planners: Planner, others: int, indent: int | None = None) -> None:
         super().__init__(*planners)
-        self.others, self.indent = rows(others), indent
+        self.others, self.indent = catalog_entries(others), indent
 
     def tell(self, writer: Writer, reset: bool, instances: list[dict[str, object]]) -> None:
         self.generation += 1
-        told = instances + self.others if reset else instances
-        writer.write(chunk(news_of(self.generation, reset, told, self.indent)))
+        listed = instances + self.others if reset else instances
+        writer.write(chunk(update_bytes(self.generation, reset, listed, self.indent)))
 
 
-def news_of(
+def update_bytes(
     version: int, reset: bool, instances: list[dict[str, object]], indent: int | None = None
 ) -> bytes:
-    """A piece of news as a watch brings it."""
+    """One update as a watch receives it."""
     text = json.dumps({"generation": version, "reset": reset, "instances": instances}, indent=indent)
     return text.encode() + b"\n"
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -7,10 +7,10 @@
 from unittest.mock import Mock
 
 import pytest
-from attempt_rig import Rig, late_connections
-from grpc_peer import GrpcPlanner, bench
+from attempt_rig import Rig, delayed_connections
+from grpc_peer import GrpcPlanner, forwarder_rig
 from helpers import entries
-from interface_world import World, row
+from interface_registry_rig import RegistryRig, catalog_entry
 from loopback import SETTINGS, Planner, Run, story
 
 from pipitshed.proxy.endpoint_table import FORGET_AFTER_S, EndpointTable
@@ -95,31 +95,31 @@
 
     @story
     async def run() -> None:
-        async with Planner("p1") as planner, late_connections() as up:
+        async with Planner("p1") as planner, delayed_connections() as up:
             rig, clock = Rig(), Clock()
             table = rig.core.endpoints
             table._clock = clock
-            rig.lists(planner.port)
+            rig.list_worker(planner.port)
             [entry, other] = entries(2)
-            rig.send(rig.take("a1"))
+            rig.start_attempt(rig.submit("a1"))
             await asyncio.sleep(0)
-            rig.lists(planner.port, EndpointState.REMOVED)
+            rig.list_worker(planner.port, EndpointState.REMOVED)
             for _ in range(3):  # news of another planner, in which others would be forgotten
                 clock.now += 2 * FORGET_AFTER_S
                 table.update(
-                    "test", UpdateKind.DELTA, 1, [(other, Endpoint(other.worker, rig.carrier, None))]
+                    "test", UpdateKind.DELTA, 1, [(other, Endpoint(other.worker, rig.worker_client, None))]
                 )
             assert table.is_leaving(entry.worker) and table.endpoint(entry.worker) is not None
             up()
             assert await rig.outcome() is Outcome.CONNECT_FAILED and not planner.runs
             if again:  # it is back, and cold: what is held of it is of its new start
-                rig.lists(planner.port)
-                rig.send(rig.take("a2"))
+                rig.list_worker(planner.port)
+                rig.start_attempt(rig.submit("a2"))
                 assert await rig.outcome() is Outcome.OK
             clock.now += 2 * FORGET_AFTER_S
             table.update("test", UpdateKind.DELTA, 1, [(replace(other, weight=2.0), Mock())])
             assert (table.endpoint(entry.worker) is not None) is again
-            rig.carrier.close()
+            rig.worker_client.close()
 
     run()
 
@@ -131,10 +131,10 @@
         rig, clock = Rig(), Clock()
         rig.core.endpoints._clock = clock
         rig.core.endpoints._workers_in_use = lambda: ()  # even then
-        rig.lists(planner.port)
-        rig.send(rig.take("a1"))
+        rig.list_worker(planner.port)
+        rig.start_attempt(rig.submit("a1"))
         run = await planner.wait_for(1)
-        rig.lists(planner.port, EndpointState.REMOVED)
+        rig.list_worker(planner.port, EndpointState.REMOVED)
         clock.now += 2 * FORGET_AFTER_S
         rig.core.endpoints.update("test", UpdateKind.DELTA, 1, [])
         assert rig.core.endpoints.endpoint(rig.worker) is None
@@ -148,13 +148,17 @@
     rig = Rig()
     for number in range(12):
         async with Planner(f"p{number}", act=Run.serve) as planner:
-            rig.lists(planner.port)
-            rig.send(rig.take(f"a{number}"))
+            rig.list_worker(planner.port)
+            rig.start_attempt(rig.submit(f"a{number}"))
             assert await rig.outcome() is Outcome.OK
-            connection = next(iter(rig.carrier._open_connections))
-        while connection in rig.carrier._open_connections:  # the planner's end closes it
+            connection = next(iter(rig.worker_client._open_connections))
+        while connection in rig.worker_client._open_connections:  # the planner's end closes it
             await asyncio.sleep(0)
-    assert not rig.carrier.pool._idle and not rig.carrier.pool._by_age and not rig.carrier._open_connections
+    assert (
+        not rig.worker_client.pool._idle
+        and not rig.worker_client.pool._by_age
+        and not rig.worker_client._open_connections
+    )
 
 
 @story
@@ -163,31 +167,31 @@
     permissions = SETTINGS["permissions"] | {"idleClose": 100.0, "maxAttempts": 1}
     async with (
         GrpcPlanner("p1") as planner,
-        late_connections() as up,
-        bench(planner, settings={"permissions": permissions}) as made,
+        delayed_connections() as up,
+        forwarder_rig(planner, settings={"permissions": permissions}) as made,
     ):
-        caller = made.ask()
-        while not made.carrier._all:
+        caller = made.submit()
+        while not made.worker_client._all:
             await asyncio.sleep(0)
-        made.list(planner, state=EndpointState.REMOVED)
+        made.list_workers(planner, state=EndpointState.REMOVED)
         up()
         while not planner.peers:
             await asyncio.sleep(0)
         await asyncio.wait_for(planner.peers[0].lost.wait(), 2.0)
-        assert not planner.calls and not made.carrier._all and not made.carrier._connections
-        made.leave(caller)
+        assert not planner.calls and not made.worker_client._all and not made.worker_client._connections
+        made.withdraw(caller)
 
 
 def test_what_is_known_of_interfaces_is_forgotten_where_a_whole_list_leaves_a_planner_out() -> None:
     """No row says `gone` then: the planner was known for ever, and asked again and again."""
-    world, clock = World(), Clock()
+    world, clock = RegistryRig(), Clock()
     world.table._clock = clock
     world.table.attach_forgotten_listener(world.interfaces.forget)
-    world.list(row("p1"), row("p2"))
-    world.table.update("test", UpdateKind.SNAPSHOT, 2, [world.listing.row(row("p2"))])
+    world.list_entries(catalog_entry("p1"), catalog_entry("p2"))
+    world.table.update("test", UpdateKind.SNAPSHOT, 2, [world.parser.row(catalog_entry("p2"))])
     clock.now += 2 * FORGET_AFTER_S
-    world.list(row("p2"))
+    world.list_entries(catalog_entry("p2"))
     assert list(world.interfaces._known) == [b"p2"]
-    world.list(row("p1", started=5.0))
+    world.list_entries(catalog_entry("p1", started_at_ms=5.0))
     world.interfaces.detected(b"p1", ("127.0.0.1", 7), 2)
     assert world.entry("p1").interface == 2
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import hpack
-from grpc_peer import QUOTE, Caller, bench
+from grpc_peer import QUOTE, Caller, forwarder_rig
 from hyperframe.frame import (
     ContinuationFrame,
     DataFrame,
@@ -155,33 +155,37 @@
         faults: list[Any] = []
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: faults.append(context))
-        async with bench() as world:
-            connection = GrpcConnection(world.carrier, Endpoint(b"p1", world.carrier, ("127.0.0.1", 1), 2))
-            world.carrier._connections["127.0.0.1", 1] = connection
-            world.carrier._all.add(connection)
+        async with forwarder_rig() as world:
+            connection = GrpcConnection(
+                world.worker_client, Endpoint(b"p1", world.worker_client, ("127.0.0.1", 1), 2)
+            )
+            world.worker_client._connections["127.0.0.1", 1] = connection
+            world.worker_client._all.add(connection)
             world.core.endpoints._endpoints[b"p1"] = connection.endpoint
             transport = Transport()
             connection.connection_made(transport)  # type: ignore[arg-type]
             callers = [Caller(), Caller()]
             for caller in callers:
-                caller.exchange = world.core.submit(world.request("quote", QUOTE, form_version=None), caller)
-                world.core._attempts.start(StartAttempt(caller.exchange.job_id, b"p1"))
+                caller.context = world.core.submit(world.request("quote", QUOTE, form_version=None), caller)
+                world.core._attempts.start(StartAttempt(caller.context.job_id, b"p1"))
             data = (made(SettingsFrame, 0) if greets else b"") + b"".join(parts)
             for place in range(0, len(data), piece):
                 if connection.has_ended or transport.closed:
                     break
                 connection.data_received(data[place : place + piece])
                 if place // piece == drop:
-                    world.leave(callers[0])
+                    world.withdraw(callers[0])
             await asyncio.sleep(0)
             assert len(connection._http2.incoming_buffer._data) < 2**14 + 64
             assert transport.written < MAX_UNREAD_BYTES
             connection.connection_lost(None)
             await asyncio.sleep(0)
             for caller in callers:
-                assert all(attempt.finished for attempt in caller.exchange.attempts) and len(caller.told) <= 1
+                assert (
+                    all(attempt.finished for attempt in caller.context.attempts) and len(caller.outcomes) <= 1
+                )
             assert not connection.streams and not connection.queue and not faults, faults
             for caller in callers:
-                world.leave(caller)
+                world.withdraw(caller)
 
     asyncio.run(run())
