--- a/pipitshed/membership/messages.py
+++ b/pipitshed/membership/messages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from pipitshed.membership.members import MemberRecord
-from pipitshed.replication.messages import Compare, Items, Rows
+from pipitshed.replication.messages import Compare, FetchRequest, Rows
 from pipitshed.replication.row import Row
 
 GOSSIP_LIMIT_BYTES = 700  # of gossip in one datagram, which stays under the usual 1,400 bytes
@@ -53,7 +53,7 @@
 class RepairMessage(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """A message of anti-entropy, with its sender's record where the receiver may not know it yet."""
 
-    part: Compare | Items | Rows
+    part: Compare | FetchRequest | Rows
     sender: MemberRecord | None = None
 
 
--- a/pipitshed/membership/sync.py
+++ b/pipitshed/membership/sync.py
@@ -13,7 +13,7 @@
 from pipitshed.membership.messages import RepairMessage
 from pipitshed.membership.suspicion import MemberRecords
 from pipitshed.membership.timers import Timer
-from pipitshed.replication.messages import Compare, Items, Rows, unpack
+from pipitshed.replication.messages import Compare, FetchRequest, Rows, unpack
 from pipitshed.replication.row import Row
 
 RANDOM_COMPARISON_PROBABILITY = 0.1  # that a sync compares a random range whatever the digests are
@@ -117,7 +117,7 @@
             self._records.apply(now, message.sender)
         part = message.part
         local = self._local
-        if isinstance(part, Compare | Items):
+        if isinstance(part, Compare | FetchRequest):
             outgoing = local.replicator.answer_peer(now, source, part, local.sample_peers)
         elif 0 <= part.table < len(local.replicator.tables):
             gained_count, newer_keys = self._apply(now, part)
--- a/pipitshed/replication/anti_entropy.py
+++ b/pipitshed/replication/anti_entropy.py
@@ -12,7 +12,7 @@
 from pipitshed.replication.exchange import MAX_FETCH_RANGES, Exchange, ExchangeResult, PeerBackoff
 from pipitshed.replication.merkle_tree import FANOUT, ROOT
 from pipitshed.replication.message_pacing import Address, ComparableTable, MessagePacer, OutgoingMessage
-from pipitshed.replication.messages import Compare, Items, Rows
+from pipitshed.replication.messages import Compare, FetchRequest, Rows
 from pipitshed.replication.peer_responder import PeerResponder
 from pipitshed.replication.range_comparison import (
     MAX_LEAF_ITEMS,
@@ -104,7 +104,7 @@
         exchange.due_at = now + REQUEST_TIMEOUT_S * (1 + exchange.attempt_count)
         return [OutgoingMessage(exchange.peer, request)]
 
-    def _next_request(self, exchange: Exchange) -> Compare | Items | None:
+    def _next_request(self, exchange: Exchange) -> Compare | FetchRequest | None:
         if exchange.retry_request is not None:
             return exchange.retry_request
         tree = self._tables[exchange.table].tree
@@ -119,7 +119,7 @@
             for other in self._exchanges.values()
             if other.table == exchange.table
             and other is not exchange
-            and isinstance(other.pending_request, Items)
+            and isinstance(other.pending_request, FetchRequest)
             for node in other.pending_request.ranges
         }
 
@@ -196,7 +196,7 @@
             del self._exchanges[message.table, peer]
             return outgoing
         request = exchange.pending_request
-        if not isinstance(request, Items) or request.salt != message.salt:
+        if not isinstance(request, FetchRequest) or request.salt != message.salt:
             return outgoing
         exchange.gained_count += gained_count
         exchange.sent_rows = exchange.sent_rows or bool(outgoing)
@@ -206,7 +206,7 @@
         return outgoing + (self._advance(now, exchange) if now < exchange.deadline else [])
 
 
-def _record_answer(exchange: Exchange, request: Items, complete: bool, gained_count: int) -> None:
+def _record_answer(exchange: Exchange, request: FetchRequest, complete: bool, gained_count: int) -> None:
     """Adapt the number of ranges of a request to the answer, and drop the ranges that are settled."""
     if complete:
         exchange.max_fetch_ranges = min(MAX_FETCH_RANGES, exchange.max_fetch_ranges * 2)
--- a/pipitshed/replication/exchange.py
+++ b/pipitshed/replication/exchange.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from pipitshed.replication.message_pacing import Address
-from pipitshed.replication.messages import Compare, Items
+from pipitshed.replication.messages import Compare, FetchRequest
 
 MAX_FETCH_RANGES = 16  # that one request asks for
 MAX_BACKOFF_PEERS = 64
@@ -35,7 +35,7 @@
     nodes_to_fetch: dict[int, tuple[int, int]] = field(default_factory=dict)
     max_fetch_ranges: int = MAX_FETCH_RANGES  # fewer while the answers are incomplete
     initial_digest: bytes = b""  # of the table here
-    pending_request: Compare | Items | None = None
+    pending_request: Compare | FetchRequest | None = None
     retry_request: Compare | None = None  # had no answer, and is sent again
     due_at: float = 0.0  # when the pending request times out, or the next one is tried
     attempt_count: int = 0
--- a/pipitshed/replication/message_pacing.py
+++ b/pipitshed/replication/message_pacing.py
@@ -10,7 +10,7 @@
 
 from pipitshed.replication.bandwidth_budget import BandwidthBudget
 from pipitshed.replication.merkle_tree import MerkleTree
-from pipitshed.replication.messages import Compare, Items, Rows, message_size, pack
+from pipitshed.replication.messages import Compare, FetchRequest, Rows, message_size, pack
 
 Address = tuple[str, int]
 MAX_REQUESTED_ITEMS = 32  # that one request may be expected to bring
@@ -36,7 +36,7 @@
     """A message to be sent to a peer."""
 
     to: Address
-    message: Compare | Items | Rows
+    message: Compare | FetchRequest | Rows
 
 
 class MessagePacer:
--- a/pipitshed/replication/messages.py
+++ b/pipitshed/replication/messages.py
@@ -30,7 +30,7 @@
     wants_answer: bool
 
 
-class Items(msgspec.Struct, frozen=True, array_like=True, tag=21):
+class FetchRequest(msgspec.Struct, frozen=True, array_like=True, tag=21):
     """Marks of all items that the sender has in these ranges: a request for those that it lacks."""
 
     table: int
@@ -40,7 +40,7 @@
 
 
 class Rows(msgspec.Struct, frozen=True, array_like=True, tag=22):
-    """Items that the receiver lacks: an answer to `Items` for its ranges, or pushed unrequested (`fresh`)."""
+    """Items that the receiver lacks: the answer to a `FetchRequest`, or an unrequested push (`fresh`)."""
 
     table: int
     packed: bytes
--- a/pipitshed/replication/peer_responder.py
+++ b/pipitshed/replication/peer_responder.py
@@ -11,7 +11,7 @@
     MAX_RANGES,
     MESSAGE_LIMIT_BYTES,
     Compare,
-    Items,
+    FetchRequest,
     Range,
     Rows,
     decode_marks,
@@ -34,7 +34,9 @@
         self._tables = tables
         self._pacer = pacer
         self._rng = rng
-        self._deferred: dict[tuple[int, Address], Items] = {}  # requests that the budget had no bytes for
+        self._deferred: dict[
+            tuple[int, Address], FetchRequest
+        ] = {}  # requests that the budget had no bytes for
         self._retry_at = float("inf")
 
     def next_due_at(self) -> float | None:
@@ -47,7 +49,7 @@
         if self._deferred and now >= self._retry_at:
             deferred, self._deferred = self._deferred, {}
             for (_, peer), request in deferred.items():
-                outgoing += self.answer_items(now, peer, request)
+                outgoing += self.answer_fetch_request(now, peer, request)
         return outgoing
 
     def answer_comparison(
@@ -66,7 +68,7 @@
             answer = comparison_answer(request.table, tree, differing)
         return self._admitted(now, peer, answer)
 
-    def answer_items(self, now: float, peer: Address, request: Items) -> list[OutgoingMessage]:
+    def answer_fetch_request(self, now: float, peer: Address, request: FetchRequest) -> list[OutgoingMessage]:
         """Answer a peer that sent the marks of its items with the rows that it lacks."""
         table = self._tables[request.table]
         peer_marks = decode_marks(request.marks)
@@ -85,7 +87,7 @@
         answer = Rows(request.table, packed, nodes, request.salt, requested_marks, complete)
         return self._admitted(now, peer, answer)
 
-    def _defer(self, now: float, peer: Address, request: Items) -> None:
+    def _defer(self, now: float, peer: Address, request: FetchRequest) -> None:
         if len(self._deferred) < MAX_DEFERRED_REQUESTS:
             self._deferred[request.table, peer] = request
             self._retry_at = now + DEFERRED_RETRY_S
--- a/pipitshed/replication/replicator.py
+++ b/pipitshed/replication/replicator.py
@@ -15,7 +15,7 @@
     ComparableTable,
     OutgoingMessage,
 )
-from pipitshed.replication.messages import MESSAGE_LIMIT_BYTES, Compare, Items, Rows
+from pipitshed.replication.messages import MESSAGE_LIMIT_BYTES, Compare, FetchRequest, Rows
 
 HEADER_BYTES = 50  # around a message: the headers of IP and UDP, and the transport's frame
 OVERHEAD_BYTES = HEADER_BYTES + 20  # and the structure that holds the items
@@ -286,7 +286,7 @@
         return self.anti_entropy.compare_random_range(now, index, address)
 
     def answer_peer(
-        self, now: float, address: Address, message: Compare | Items, sample_peers: PeerSampler
+        self, now: float, address: Address, message: Compare | FetchRequest, sample_peers: PeerSampler
     ) -> list[OutgoingMessage]:
         """Handle a peer's request, or its answer to a comparison.
 
@@ -295,11 +295,11 @@
         """
         if not 0 <= message.table < len(self.tables):
             return []
-        is_request = isinstance(message, Items) or message.wants_answer
+        is_request = isinstance(message, FetchRequest) or message.wants_answer
         if is_request and not self.tables[message.table].caught_up:
             return []
-        if isinstance(message, Items):
-            return self.anti_entropy.responder.answer_items(now, address, message)
+        if isinstance(message, FetchRequest):
+            return self.anti_entropy.responder.answer_fetch_request(now, address, message)
         outgoing = self.anti_entropy.receive_comparison(now, address, message)
         if is_request:
             return outgoing
--- a/pipitshed/replication/row_fetch.py
+++ b/pipitshed/replication/row_fetch.py
@@ -8,12 +8,12 @@
 from pipitshed.replication.exchange import Exchange
 from pipitshed.replication.merkle_tree import MerkleTree
 from pipitshed.replication.message_pacing import MAX_REQUESTED_ITEMS
-from pipitshed.replication.messages import MAX_MARKS, Items, encode_marks
+from pipitshed.replication.messages import MAX_MARKS, FetchRequest, encode_marks
 
 
 def fetch_request(
     exchange: Exchange, tree: MerkleTree, busy_nodes: Collection[int], rng: random.Random
-) -> Items | None:
+) -> FetchRequest | None:
     """Return a request for ranges that differ, as many as one answer may hold; None where there is none.
 
     Args:
@@ -30,7 +30,7 @@
         return None
     salt = rng.randrange(2**32)
     marks = [mark for node in chosen for mark, _ in tree.marks(node, salt)]
-    return Items(exchange.table, tuple(chosen), salt, encode_marks(marks[: 2 * MAX_MARKS]))
+    return FetchRequest(exchange.table, tuple(chosen), salt, encode_marks(marks[: 2 * MAX_MARKS]))
 
 
 def _remove_equal_ranges(exchange: Exchange, tree: MerkleTree) -> None:
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -20,7 +20,7 @@
 from pipitshed.replication.messages import (
     UNPACKED_LIMIT_BYTES,
     Compare,
-    Items,
+    FetchRequest,
     Rows,
     message_size,
     pack,
@@ -187,7 +187,7 @@
             out = end.receive_rows(0.0, THERE, message, len(new), [])
         else:
             is_comparison = isinstance(message, Compare)
-            handle = end.receive_comparison if is_comparison else end.responder.answer_items
+            handle = end.receive_comparison if is_comparison else end.responder.answer_fetch_request
             out = handle(0.0, THERE, message)  # type: ignore[operator]
         return list(out) if leads else [one.message for one in out]
 
@@ -349,7 +349,7 @@
     for step in range(200):
         told = tuple(Row(f"k{step}-{n}", 1, 1, "w", b"x" * 40) for n in range(10))
         liar.tell(victim, RepairMessage(Rows(1, pack(told), (ROOT,), 1, bytes(100), False)))
-        liar.tell(victim, RepairMessage(Items(1, (ROOT,) * 20, step, b"")))
+        liar.tell(victim, RepairMessage(FetchRequest(1, (ROOT,) * 20, step, b"")))
         liar.tell(victim, RepairMessage(Compare(1, ((ROOT, step, 5000),), True)))
         network.run(0.05)
     assert all(len(node.tables[0]) <= 200 for node in nodes(network))
@@ -587,7 +587,7 @@
     held.put("k", b"1", "w")
     repair = AntiEntropy([held], BandwidthBudget(1, 0.0), Zeros(), 0)
     [asked] = repair.compare_random_range(1.0, 0, THERE)
-    assert isinstance(asked.message, Items) and asked.message.salt == 0
+    assert isinstance(asked.message, FetchRequest) and asked.message.salt == 0
     sample = Rows(0, pack([Row("k2", 1, 1, "w", b"2")]), complete=False)
     assert sample.is_sample and sample.salt == 0
     assert repair.receive_rows(1.1, THERE, sample, 1, ()) == []
