--- a/pipitshed/replication/row_table.py
+++ b/pipitshed/replication/row_table.py
@@ -27,7 +27,7 @@
     CONFLICT = "conflict"  # the table has another content under the same version, which takes precedence
     TOO_LONG = "too-long"
     TOO_MANY = "too-many"
-    UNSOUND = "unsound"
+    INVALID = "unsound"
 
 
 class RowError(ValueError):
@@ -122,7 +122,7 @@
             ApplyResult.TOO_LONG: f"{row.size} bytes, {self.max_row_bytes} at most",
             ApplyResult.TOO_MANY: f"no room: {len(self)} rows and deleted ones of {self.max_rows}, "
             f"{self._bytes} bytes of {self.max_bytes}",
-            ApplyResult.UNSOUND: f"its key has 1 to {KEY_LIMIT_BYTES} bytes, "
+            ApplyResult.INVALID: f"its key has 1 to {KEY_LIMIT_BYTES} bytes, "
             f"its writer 1 to {WRITER_LIMIT_BYTES}",
         }[result]
 
@@ -137,7 +137,7 @@
         if current == row:
             return ApplyResult.SAME
         if not row.is_valid():
-            return ApplyResult.UNSOUND
+            return ApplyResult.INVALID
         if current is not None:
             version, current_version = (row.term, row.number), (current.term, current.number)
             if version == current_version:
