--- a/pipitshed/replication/merkle_tree.py
+++ b/pipitshed/replication/merkle_tree.py
@@ -14,7 +14,7 @@
 FANOUT = 16  # children of a node
 MAX_DEPTH = 3  # levels below the root, so at most 4,096 leaves; the items of a leaf are compared one by one
 ROOT = 1  # the root's node number
-ITEM_MARK_BYTES = 2  # length of the mark by which one item of a range is compared
+FINGERPRINT_BYTES = 2  # length of the fingerprint by which one item of a range is compared
 _BITS_PER_LEVEL = 4
 _HASH_BITS = 64
 _HASH_MASK = (1 << _HASH_BITS) - 1
@@ -110,14 +110,14 @@
                 return
             yield key
 
-    def marks(self, node: int, salt: int) -> Iterator[tuple[int, str]]:
-        """Iterate over (mark, key) of each item in a node's range that counts in the digests.
+    def fingerprints(self, node: int, salt: int) -> Iterator[tuple[int, str]]:
+        """Iterate over (fingerprint, key) of each item in a node's range that counts in the digests.
 
-        A mark has 16 bits. It depends on the salt, so that two contents with the same mark under one salt
-        differ under the next.
+        A fingerprint has 16 bits. It depends on the salt, so that two contents whose fingerprints collide
+        under one salt differ under the next.
         """
         for key in self.keys(node):
             key_hash, content_hash = self._items[key]
             if content_hash:
                 mixed = (key_hash ^ content_hash) * (salt | 1) & _HASH_MASK
-                yield mixed >> (_HASH_BITS - 8 * ITEM_MARK_BYTES), key
+                yield mixed >> (_HASH_BITS - 8 * FINGERPRINT_BYTES), key
--- a/pipitshed/replication/messages.py
+++ b/pipitshed/replication/messages.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from pipitshed.replication.merkle_tree import ITEM_MARK_BYTES
+from pipitshed.replication.merkle_tree import FINGERPRINT_BYTES
 
 UNPACKED_LIMIT_BYTES = 16_384  # of one packed part
 MESSAGE_LIMIT_BYTES = 1200  # fits a datagram of 1,400 bytes with the frame and the sender's member record
 MAX_RANGES = 72  # in one message
-MAX_MARKS = 256  # in one message
+MAX_FINGERPRINTS = 256  # in one message
 Range = tuple[int, int, int]  # node number, sum of the hashes, number of items
 T = TypeVar("T")
 _encoder = msgspec.msgpack.Encoder()
@@ -31,12 +31,12 @@
 
 
 class FetchRequest(msgspec.Struct, frozen=True, array_like=True, tag=21):
-    """Marks of all items that the sender has in these ranges: a request for those that it lacks."""
+    """Fingerprints of all items that the sender has in these ranges: a request for those that it lacks."""
 
     table: int
     ranges: tuple[int, ...]
     salt: int
-    marks: bytes
+    fingerprints: bytes
 
 
 class Rows(msgspec.Struct, frozen=True, array_like=True, tag=22):
@@ -46,7 +46,7 @@
     packed: bytes
     ranges: tuple[int, ...] = ()
     salt: int = 0  # as in the request
-    requested_marks: bytes = b""  # marks of what the sender lacks itself
+    requested_fingerprints: bytes = b""  # fingerprints of what the sender lacks itself
     complete: bool = True  # whether these are all items that the ranges call for
     fresh: bool = False
 
@@ -72,18 +72,18 @@
         return ()
 
 
-def decode_marks(marks: bytes) -> set[int]:
-    """Return the marks of a message."""
-    end = min(len(marks), 2 * MAX_MARKS * ITEM_MARK_BYTES)
+def decode_fingerprints(fingerprints: bytes) -> set[int]:
+    """Return the fingerprints of a message."""
+    end = min(len(fingerprints), 2 * MAX_FINGERPRINTS * FINGERPRINT_BYTES)
     return {
-        int.from_bytes(marks[start : start + ITEM_MARK_BYTES], "big")
-        for start in range(0, end, ITEM_MARK_BYTES)
+        int.from_bytes(fingerprints[start : start + FINGERPRINT_BYTES], "big")
+        for start in range(0, end, FINGERPRINT_BYTES)
     }
 
 
-def encode_marks(marks: Iterable[int]) -> bytes:
-    """Join marks for a message."""
-    return b"".join(mark.to_bytes(ITEM_MARK_BYTES, "big") for mark in marks)
+def encode_fingerprints(fingerprints: Iterable[int]) -> bytes:
+    """Join fingerprints for a message."""
+    return b"".join(fingerprint.to_bytes(FINGERPRINT_BYTES, "big") for fingerprint in fingerprints)
 
 
 def message_size(message: msgspec.Struct) -> int:
--- a/pipitshed/replication/peer_responder.py
+++ b/pipitshed/replication/peer_responder.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Sequence
 
-from pipitshed.replication.merkle_tree import ITEM_MARK_BYTES, ROOT, is_valid_node
+from pipitshed.replication.merkle_tree import FINGERPRINT_BYTES, ROOT, is_valid_node
 from pipitshed.replication.message_pacing import Address, ComparableTable, MessagePacer, OutgoingMessage
 from pipitshed.replication.messages import (
     MAX_RANGES,
@@ -14,8 +14,8 @@
     FetchRequest,
     Range,
     Rows,
-    decode_marks,
-    encode_marks,
+    decode_fingerprints,
+    encode_fingerprints,
     pack,
 )
 from pipitshed.replication.range_comparison import comparison_answer
@@ -69,22 +69,24 @@
         return self._admitted(now, peer, answer)
 
     def answer_fetch_request(self, now: float, peer: Address, request: FetchRequest) -> list[OutgoingMessage]:
-        """Answer a peer that sent the marks of its items with the rows that it lacks."""
+        """Answer a peer that sent the fingerprints of its items with the rows that it lacks."""
         table = self._tables[request.table]
-        peer_marks = decode_marks(request.marks)
+        peer_fingerprints = decode_fingerprints(request.fingerprints)
         nodes = tuple(node for node in request.ranges[:MAX_RANGES] if is_valid_node(node))
-        own_marks = [pair for node in nodes for pair in table.tree.marks(node, request.salt)]
+        own_fingerprints = [pair for node in nodes for pair in table.tree.fingerprints(node, request.salt)]
         available = self._pacer.payload_bytes(now, request.table, MIN_ANSWER_BYTES)
         space = min(MESSAGE_LIMIT_BYTES, available) - NODE_BYTES * len(nodes)
         if space <= 0:
             self._defer(now, peer, request)
             return []
-        unknown_marks = sorted(peer_marks - {mark for mark, _ in own_marks})
-        requested_marks = encode_marks(unknown_marks[: space // 4 // ITEM_MARK_BYTES])
-        missing_keys = [key for mark, key in own_marks if mark not in peer_marks]
-        count, packed = self._pacer.pack_rows(table, missing_keys, space - len(requested_marks))
+        unknown_fingerprints = sorted(
+            peer_fingerprints - {fingerprint for fingerprint, _ in own_fingerprints}
+        )
+        requested_fingerprints = encode_fingerprints(unknown_fingerprints[: space // 4 // FINGERPRINT_BYTES])
+        missing_keys = [key for fingerprint, key in own_fingerprints if fingerprint not in peer_fingerprints]
+        count, packed = self._pacer.pack_rows(table, missing_keys, space - len(requested_fingerprints))
         complete = count == len(missing_keys)
-        answer = Rows(request.table, packed, nodes, request.salt, requested_marks, complete)
+        answer = Rows(request.table, packed, nodes, request.salt, requested_fingerprints, complete)
         return self._admitted(now, peer, answer)
 
     def _defer(self, now: float, peer: Address, request: FetchRequest) -> None:
@@ -98,7 +100,7 @@
     def send_requested(
         self, now: float, peer: Address, message: Rows, newer_keys: Sequence[str]
     ) -> list[OutgoingMessage]:
-        """Send a peer the rows whose marks it has requested, and those of which it has an older version."""
+        """Send a peer the rows that it requested by fingerprint, and those of which it has older versions."""
         table, outgoing = self._tables[message.table], []
         min_bytes = MIN_ANSWER_BYTES + self._pacer.overhead_bytes
         keys = sorted(self._requested_keys(table, message) | set(newer_keys))
@@ -114,11 +116,11 @@
 
     @staticmethod
     def _requested_keys(table: ComparableTable, message: Rows) -> set[str]:
-        requested_marks = decode_marks(message.requested_marks)
+        requested_fingerprints = decode_fingerprints(message.requested_fingerprints)
         return {
             key
             for node in message.ranges[:MAX_RANGES]
-            if requested_marks and is_valid_node(node)
-            for mark, key in table.tree.marks(node, message.salt)
-            if mark in requested_marks
+            if requested_fingerprints and is_valid_node(node)
+            for fingerprint, key in table.tree.fingerprints(node, message.salt)
+            if fingerprint in requested_fingerprints
         }
--- a/pipitshed/replication/row_fetch.py
+++ b/pipitshed/replication/row_fetch.py
@@ -8,7 +8,7 @@
 from pipitshed.replication.exchange import Exchange
 from pipitshed.replication.merkle_tree import MerkleTree
 from pipitshed.replication.message_pacing import MAX_REQUESTED_ITEMS
-from pipitshed.replication.messages import MAX_MARKS, FetchRequest, encode_marks
+from pipitshed.replication.messages import MAX_FINGERPRINTS, FetchRequest, encode_fingerprints
 
 
 def fetch_request(
@@ -29,8 +29,10 @@
     if not chosen:
         return None
     salt = rng.randrange(2**32)
-    marks = [mark for node in chosen for mark, _ in tree.marks(node, salt)]
-    return FetchRequest(exchange.table, tuple(chosen), salt, encode_marks(marks[: 2 * MAX_MARKS]))
+    fingerprints = [fingerprint for node in chosen for fingerprint, _ in tree.fingerprints(node, salt)]
+    return FetchRequest(
+        exchange.table, tuple(chosen), salt, encode_fingerprints(fingerprints[: 2 * MAX_FINGERPRINTS])
+    )
 
 
 def _remove_equal_ranges(exchange: Exchange, tree: MerkleTree) -> None:
@@ -43,7 +45,7 @@
     exchange: Exchange, tree: MerkleTree, busy_nodes: Collection[int], nodes: list[int]
 ) -> list[int]:
     chosen: list[int] = []
-    mark_count, expected_count = 0, 0
+    fingerprint_count, expected_count = 0, 0
     for node in nodes:
         if node in busy_nodes:
             continue
@@ -51,11 +53,11 @@
         missing_count = max(1, exchange.nodes_to_fetch[node][1] - own_count)
         if chosen and (
             len(chosen) >= exchange.max_fetch_ranges
-            or mark_count + own_count > MAX_MARKS
+            or fingerprint_count + own_count > MAX_FINGERPRINTS
             or expected_count + missing_count > MAX_REQUESTED_ITEMS
         ):
             break
         chosen.append(node)
-        mark_count += own_count
+        fingerprint_count += own_count
         expected_count += missing_count
     return chosen
