--- a/pipitshed/membership/dissemination.py
+++ b/pipitshed/membership/dissemination.py
@@ -44,7 +44,7 @@
         accusation = current if current is not None and current.state is not MemberState.ALIVE else None
         max_bytes = GOSSIP_LIMIT_BYTES - (accusation.size if accusation is not None else 0)
         sends_rows = self._regions.sends_rows_to(receiver)
-        (records, *rows), paid_bytes = local.replicator.select_gossip(
+        (records, *rows), charged_bytes = local.replicator.select_gossip(
             now,
             max_bytes,
             receiver.name,
@@ -55,7 +55,7 @@
         )
         if accusation is not None and accusation not in records:
             records = (accusation, *records)
-        return records, tuple(rows) if any(rows) else (), paid_bytes
+        return records, tuple(rows) if any(rows) else (), charged_bytes
 
     # ---- rows
 
--- a/pipitshed/membership/local_state.py
+++ b/pipitshed/membership/local_state.py
@@ -59,17 +59,17 @@
         """Add an instruction."""
         self._instructions.append(instruction)
 
-    def send(self, now: float, to: Address, message: Message, paid_bytes: int = 0) -> None:
+    def send(self, now: float, to: Address, message: Message, charged_bytes: int = 0) -> None:
         """Send a message whatever the budget has left.
 
         Args:
             now: The time.
             to: The receiver.
             message: The message.
-            paid_bytes: Bytes of it that were charged to the budget before.
+            charged_bytes: Bytes of it that were charged to the budget before.
         """
         size = HEADER_BYTES + message_size(message)
-        self._local.replicator.budget.charge(now, size - paid_bytes)
+        self._local.replicator.budget.charge(now, size - charged_bytes)
         self.add(SendMessage(to, message))
 
     def send_admitted(self, outgoing: Sequence[OutgoingMessage]) -> None:
--- a/pipitshed/membership/probing.py
+++ b/pipitshed/membership/probing.py
@@ -89,10 +89,10 @@
 
     def _ping(self, now: float, target: MemberRecord, number: int) -> None:
         local = self._local
-        gossip, rows, paid_bytes = self._disseminator.gossip_for(now, target)
+        gossip, rows, charged_bytes = self._disseminator.gossip_for(now, target)
         digests = local.replicator.digests()
         ping = Ping(number, local.self_record, target.name, gossip, digests, rows)
-        self._outbox.send(now, target.address, ping, paid_bytes)
+        self._outbox.send(now, target.address, ping, charged_bytes)
 
     def request_indirect_pings(self, now: float, number: int) -> None:
         """Ask other members to probe in this one's place, as no ack has come in time."""
@@ -108,9 +108,9 @@
         ]
         for record in local.rng.sample(helpers, min(len(helpers), local.timings.helpers)):
             probe.helper_count += 1
-            gossip, _, paid_bytes = self._disseminator.gossip_for(now, record)
+            gossip, _, charged_bytes = self._disseminator.gossip_for(now, record)
             request = IndirectPing(number, local.self_record, probe.target, gossip)
-            self._outbox.send(now, record.address, request, paid_bytes)
+            self._outbox.send(now, record.address, request, charged_bytes)
 
     def handle_probe_timeout(self, now: float, number: int) -> None:
         """Suspect the target of a probe that was not answered."""
@@ -126,12 +126,14 @@
 
     def answer_ping(self, now: float, source: Address, ping: Ping) -> None:
         """Answer a ping with an ack."""
-        gossip, rows, paid_bytes = self._disseminator.gossip_for(now, ping.sender, (ping.gossip, *ping.rows))
+        gossip, rows, charged_bytes = self._disseminator.gossip_for(
+            now, ping.sender, (ping.gossip, *ping.rows)
+        )
         digests = self._local.replicator.digests()
         ack = Ack(ping.number, self._local.self_record, gossip, digests, rows)
-        self._outbox.send(now, source, ack, paid_bytes)
+        self._outbox.send(now, source, ack, charged_bytes)
 
-    def ping_for(self, now: float, message: IndirectPing) -> None:
+    def handle_indirect_ping(self, now: float, message: IndirectPing) -> None:
         """Probe in another member's place."""
         local = self._local
         if local.leaving or not message.target.is_valid():
@@ -146,18 +148,18 @@
         """Tell the member that asked for an indirect ping that no ack has come so far."""
         probe = self._probes.get(number)
         if probe is not None and probe.requester is not None:
-            gossip, _, paid_bytes = self._disseminator.gossip_for(now, probe.requester)
+            gossip, _, charged_bytes = self._disseminator.gossip_for(now, probe.requester)
             nack = Nack(probe.requester_number, self._local.self_record, gossip)
-            self._outbox.send(now, probe.requester.address, nack, paid_bytes)
+            self._outbox.send(now, probe.requester.address, nack, charged_bytes)
 
-    def take_acked(self, message: Ack) -> Probe | None:
+    def pop_acked_probe(self, message: Ack) -> Probe | None:
         """Remove and return the probe that an ack answers, if there is one."""
         probe = self._probes.get(message.number)
         if probe is None or message.sender.name != probe.target.name:
             return None
         return self._probes.pop(message.number)
 
-    def handle_acked(self, now: float, probe: Probe, message: Ack) -> None:
+    def complete_probe(self, now: float, probe: Probe, message: Ack) -> None:
         """Note that a probe succeeded, and forward the ack where the probe was for another member."""
         if probe.requester is None:
             self._local.health.record_success()
--- a/pipitshed/membership/protocol.py
+++ b/pipitshed/membership/protocol.py
@@ -153,7 +153,7 @@
         if isinstance(message, Ping):
             self._handle_ping(now, message, source)
         elif isinstance(message, IndirectPing):
-            self._prober.ping_for(now, message)
+            self._prober.handle_indirect_ping(now, message)
         elif isinstance(message, Ack):
             self._handle_ack(now, message)
         else:
@@ -168,10 +168,10 @@
 
     def _handle_ack(self, now: float, message: Ack) -> None:
         self._disseminator.apply_fresh(now, message.rows)
-        probe = self._prober.take_acked(message)
+        probe = self._prober.pop_acked_probe(message)
         if probe is not None:
             self._synchronizer.receive_digests(now, message.sender, message.digests)
-            self._prober.handle_acked(now, probe, message)
+            self._prober.complete_probe(now, probe, message)
 
     # ---- what the user of the protocol does
 
