--- a/pipitshed/replication/replicator.py
+++ b/pipitshed/replication/replicator.py
@@ -60,7 +60,9 @@
         self._rng = rng
         self._started_at = now
         self._seeds = frozenset(seeds)
-        self._seeds_behind: list[set[Address]] = [set() for _ in tables]  # that have not caught up either
+        self._seeds_not_caught_up: list[set[Address]] = [
+            set() for _ in tables
+        ]  # that have not caught up either
         self._differed_at: list[dict[Address, float]] = [{} for _ in tables]  # peers with another digest
         self._last_change = [(-1, now)] * len(tables)  # change count, and when it was first seen
         self._next_exchange_at = [now] * len(tables)
@@ -92,7 +94,11 @@
                 continue
             self._agreeing_peers[index] = 0
             if address in self._seeds:
-                (self._seeds_behind[index].discard if digest else self._seeds_behind[index].add)(address)
+                (
+                    self._seeds_not_caught_up[index].discard
+                    if digest
+                    else self._seeds_not_caught_up[index].add
+                )(address)
             differed_at = self._differed_at[index]
             if digest and (address in differed_at or len(differed_at) < MAX_DIFFERING_PEERS):
                 differed_at[address] = now
@@ -349,7 +355,7 @@
             # may be this part of it alone, while the rows in force are on the other side of a partition.
             if (
                 not table.caught_up
-                and self._seeds_behind[index] == self._seeds
+                and self._seeds_not_caught_up[index] == self._seeds
                 and not any(len(digests) > index and digests[index] for digests in self.peer_digests.values())
             ):
                 table.caught_up = True
