--- a/pipitshed/cluster/view_report.py
+++ b/pipitshed/cluster/view_report.py
@@ -49,7 +49,7 @@
         address=f"{member.host}:{member.port}",
         state=member.state.name.lower(),
         incarnation=member.incarnation,
-        for_s=round(now - membership.view.since(member.name), FOR_S_DIGITS),
+        for_s=round(now - membership.view.state_changed_at(member.name), FOR_S_DIGITS),
         said_by=member.reported_by,
         agrees=_agrees(membership, member),
     )
--- a/pipitshed/membership/view.py
+++ b/pipitshed/membership/view.py
@@ -37,7 +37,7 @@
         """Return the record of a member."""
         return self._records.get(name)
 
-    def since(self, name: str) -> float:
+    def state_changed_at(self, name: str) -> float:
         """Return the time at which a member's state changed last."""
         return self._state_since[name]
 
