--- a/pipitshed/cluster/config_file.py
+++ b/pipitshed/cluster/config_file.py
@@ -153,7 +153,7 @@
         if len(name.encode()) > NAME_LIMIT:
             yield _Fault((key,), f"over {NAME_LIMIT} bytes")
     yield from _address_faults(file)
-    if (fault := file.scales.fault()) is not None:
+    if (fault := file.scales.find_invalid_field()) is not None:
         yield _Fault(("scales", fault[0]), fault[1])
 
 
--- a/pipitshed/membership/timing.py
+++ b/pipitshed/membership/timing.py
@@ -29,7 +29,7 @@
         120.0  # a departed member's record is kept; after it only seeds join two sides of a partition
     )
 
-    def fault(self) -> tuple[str, str] | None:
+    def find_invalid_field(self) -> tuple[str, str] | None:
         """Return the first invalid field, and why it is invalid; None where all are valid."""
         for name in (
             "period",
