--- a/pipitshed/membership/suspicion.py
+++ b/pipitshed/membership/suspicion.py
@@ -35,13 +35,13 @@
         """Whether any member is suspected."""
         return bool(self._suspicions)
 
-    def apply(self, now: float, record: MemberRecord, fetched_with: int = 0) -> None:
+    def apply(self, now: float, record: MemberRecord, fetched_count: int = 0) -> None:
         """Apply a record: refute it where it is wrong about this member, and pass it on where it is new.
 
         Args:
             now: The time.
             record: The record.
-            fetched_with: For a record that anti-entropy brought, how many came in the same answer.
+            fetched_count: For a record that anti-entropy brought, how many came in the same answer.
         """
         local = self._local
         if record.name == local.self_record.name:
@@ -57,20 +57,20 @@
             return
         if not local.view.apply(now, record):
             return
-        self._queue(now, record, fetched_with)
+        self._queue(now, record, fetched_count)
         if record.state is MemberState.SUSPECT:
             suspicion = self._suspicions[record.name] = Suspicion(record, now, {record.reported_by})
-            self._check_by(self._ends_at(suspicion))
+            self._schedule_check(self._ends_at(suspicion))
         else:
             self._suspicions.pop(record.name, None)
         if current is None or (current.state, current.instance_id) != (record.state, record.instance_id):
             previous_state = current.state if current is not None else None
             self._outbox.add(MemberStateChanged(record, previous_state))
 
-    def _queue(self, now: float, record: MemberRecord, fetched_with: int) -> None:
+    def _queue(self, now: float, record: MemberRecord, fetched_count: int) -> None:
         local = self._local
-        if fetched_with:
-            local.replicator.queue_fetched(now, VIEW_INDEX, record, len(local.view), fetched_with)
+        if fetched_count:
+            local.replicator.queue_fetched(now, VIEW_INDEX, record, len(local.view), fetched_count)
         else:
             local.replicator.queue_item(VIEW_INDEX, record)
 
@@ -143,7 +143,7 @@
         if suspicion is not None and record.reported_by not in suspicion.reporters:
             suspicion.reporters.add(record.reported_by)
             self._local.replicator.queue_item(VIEW_INDEX, record)
-            self._check_by(self._ends_at(suspicion))
+            self._schedule_check(self._ends_at(suspicion))
 
     def _ends_at(self, suspicion: Suspicion) -> float:
         confirmations = len(suspicion.reporters) - 1
@@ -151,7 +151,7 @@
             self._local.timings, self._local.view.live_count, confirmations
         )
 
-    def _check_by(self, when: float) -> None:
+    def _schedule_check(self, when: float) -> None:
         """Check the suspicions by this time.
 
         One timer serves all suspicions: with one for each, and each set again for all the others, the
@@ -174,4 +174,4 @@
             if current is not None and current.state is MemberState.SUSPECT:
                 self.apply(now, current.with_state(MemberState.DEAD, self._local.self_record.name))
         if self._suspicions:
-            self._check_by(min(self._ends_at(suspicion) for suspicion in self._suspicions.values()))
+            self._schedule_check(min(self._ends_at(suspicion) for suspicion in self._suspicions.values()))
