--- a/pipitshed/replication/commit_tracking.py
+++ b/pipitshed/replication/commit_tracking.py
@@ -239,9 +239,9 @@
         self._next_query_at = now + QUERY_INTERVAL_S if watches else float("inf")
         self._forget_departed(live_instances)
         unreported_keys = self._unreported_keys(now, watches, live_instances)
-        longest_ago = sorted((self._queried_at.get(name, 0.0), name) for name in unreported_keys)
+        by_last_query = sorted((self._queried_at.get(name, 0.0), name) for name in unreported_keys)
         outgoing: list[OutgoingReport] = []
-        for queried_at, name in longest_ago[:MAX_QUERIES_AT_ONCE]:
+        for queried_at, name in by_last_query[:MAX_QUERIES_AT_ONCE]:
             if now - queried_at >= QUERY_RETRY_S or name not in self._queried_at:
                 self._queried_at[name] = now
                 outgoing.append(
--- a/pipitshed/replication/replicator.py
+++ b/pipitshed/replication/replicator.py
@@ -19,8 +19,8 @@
 
 HEADER_BYTES = 50  # around a message: the headers of IP and UDP, and the transport's frame
 OVERHEAD_BYTES = HEADER_BYTES + 20  # and the structure that holds the items
-MAX_QUEUE_TO_PASS_ON_FETCHED = 8  # queued items from which on fetched ones are not passed on
-MAX_FETCHED_TO_PASS_ON = 3  # items in one answer, up to which they are passed on
+MAX_QUEUED_FOR_FETCHED = 8  # queued items from which on fetched ones are not passed on
+MAX_FETCHED_IN_ANSWER = 3  # items in one answer, up to which they are passed on
 FETCHED_TRANSMISSIONS = 4  # how often a fetched item is passed on
 LONG_QUEUE_ITEMS = 24  # queued items from which on a message has less space for them
 MIN_LONG_QUEUE_BYTES = 60
@@ -136,8 +136,8 @@
             answer_item_count: How many items came with it.
         """
         if (
-            answer_item_count <= MAX_FETCHED_TO_PASS_ON
-            and len(self.queues[index]) < MAX_QUEUE_TO_PASS_ON_FETCHED
+            answer_item_count <= MAX_FETCHED_IN_ANSWER
+            and len(self.queues[index]) < MAX_QUEUED_FOR_FETCHED
             and not self._is_far_behind(now, index)
         ):
             send_count = max(0, transmission_limit(cluster_size) - FETCHED_TRANSMISSIONS)
@@ -168,12 +168,12 @@
             The items by table, and their size in bytes.
         """
         chosen: list[Any] = [()] * len(self.tables)
-        waiting = self._tables_to_send(receiver, table_count, always_index)
+        table_indexes = self._tables_to_send(receiver, table_count, always_index)
         spent_bytes = 0
         # The shortest queue comes first and leaves space to the others: equal parts where all are long.
-        for turn, index in enumerate(sorted(waiting, key=lambda index: len(self.queues[index]))):
+        for position, index in enumerate(sorted(table_indexes, key=lambda index: len(self.queues[index]))):
             queue = self.queues[index]
-            share = (max_bytes - spent_bytes) // (len(waiting) - turn)
+            share = (max_bytes - spent_bytes) // (len(table_indexes) - position)
             share = min(share, self.budget.available_bytes(now, index, OVERHEAD_BYTES))
             # Of a very long queue most items would reach members that know them: left to anti-entropy.
             share = min(share, max(MIN_LONG_QUEUE_BYTES, max_bytes * LONG_QUEUE_ITEMS // len(queue)))
@@ -192,15 +192,15 @@
                 and index != always_index
             ):
                 queue.clear()
-        known = self.peer_digests.get(receiver, ())
+        receiver_digests = self.peer_digests.get(receiver, ())
         return [
             index
             for index, queue in enumerate(self.queues[:table_count])
             if len(queue)
             and (
                 index == always_index
-                or index >= len(known)
-                or known[index] != self.tables[index].tree.digest()
+                or index >= len(receiver_digests)
+                or receiver_digests[index] != self.tables[index].tree.digest()
             )
         ]
 
