--- a/pipitshed/membership/__init__.py
+++ b/pipitshed/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of schedulers: SWIM with Lifeguard and anti-entropy, with no I/O."""
+"""Cluster membership of schedulers: SWIM with Lifeguard and anti-entropy, without I/O."""
--- a/pipitshed/membership/dissemination.py
+++ b/pipitshed/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination: which records and rows go with a message, and the push of fresh rows."""
+"""Dissemination: selects the records and rows that go with a message, and pushes fresh rows."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 from pipitshed.replication.row import Row
 from pipitshed.replication.row_table import ApplyResult
 
-PUSH_DELAY_S = 0.03  # that fresh rows wait for others to be pushed with
+PUSH_DELAY_S = 0.03  # delay of a push, so that rows written shortly after each other share one message
 Gossip = tuple[tuple[MemberRecord, ...], FreshRows, int]  # records, rows, bytes charged to the budget
 
 
 class Disseminator:
-    """Passes on records and rows with probes, and fresh rows by push."""
+    """Disseminates records and rows with probes, and fresh rows by push as well."""
 
     def __init__(self, local: LocalState, outbox: Outbox, records: MemberRecords, regions: RegionMap) -> None:
         self._local = local
         self._outbox = outbox
         self._records = records
         self._regions = regions
-        self._changed_rows: list[list[Row]] = [[] for _ in local.tables]  # not announced to the user yet
-        self._pushes_local_rows = False  # whether some of what is to be pushed was written here
+        self._changed_rows: list[list[Row]] = [[] for _ in local.tables]  # by table, not reported yet
+        self._pushes_local_rows = False  # whether any row to be pushed was written on this member
         self._push_timer_set = False
 
     def gossip_for(
@@ -35,9 +35,9 @@
     ) -> Gossip:
         """Choose the records and rows for one message.
 
-        A record that accuses the receiver goes first, so that it can refute at once (Lifeguard's
-        buddy system). Suspicions are in no digest: while there are any, records also go to members with the
-        same view.
+        A record that says the receiver is suspected or dead goes first, so that the receiver can refute it at
+        once (Lifeguard's buddy system). The digests do not cover suspicions, so while any member is suspected
+        records also go to receivers whose view has the same digest.
         """
         local = self._local
         current = local.view.get(receiver.name)
@@ -60,13 +60,13 @@
     # ---- rows
 
     def publish(self, now: float, index: int, rows: Sequence[Row]) -> None:
-        """Pass on rows that were written into a table here."""
+        """Queue rows that this member wrote to a table, for gossip and push."""
         self._changed_rows[index] += rows
         self._pushes_local_rows = True
         self._local.replicator.queue_fresh(now, VIEW_INDEX + 1 + index, rows)
 
     def apply_fresh(self, now: float, fresh: FreshRows) -> None:
-        """Apply the rows of a message, by table."""
+        """Apply the rows of a message, given by table."""
         for index, rows in enumerate(fresh[: len(self._local.tables)]):
             self.apply_rows(now, index, rows, fetched=False)
 
@@ -77,10 +77,10 @@
             now: The time.
             index: The table.
             rows: The rows.
-            fetched: Whether anti-entropy brought them, rather than gossip.
+            fetched: Whether anti-entropy fetched the rows, rather than gossip or a push.
 
         Returns:
-            How many were new, and the keys of those of which the table has a newer row.
+            The number of new rows, and the keys for which the table has a newer row.
         """
         local = self._local
         gained_count, newer_keys = 0, []
@@ -99,14 +99,14 @@
         return gained_count, newer_keys
 
     def push(self, now: float) -> None:
-        """Push the fresh rows."""
+        """Push the fresh rows; called when the push timer expires."""
         self._push_timer_set = False
         targets = self._regions.push_targets(self._pushes_local_rows)
         self._outbox.send_admitted(self._local.replicator.push_fresh(now, targets))
         self._pushes_local_rows = False
 
     def finish_step(self, now: float) -> None:
-        """Set a timer for rows that are to be pushed, and announce to the user which rows have changed."""
+        """Set the push timer if rows are waiting, and report the changed rows by RowsChanged."""
         if self._local.replicator.has_pushes and not self._push_timer_set:
             self._push_timer_set = True
             self._local.timers.set(now + PUSH_DELAY_S, Timer.PUSH)
--- a/pipitshed/membership/instructions.py
+++ b/pipitshed/membership/instructions.py
@@ -1,4 +1,4 @@
-"""What the protocol instructs its user to do, and the changes that it announces."""
+"""Instructions that the protocol returns to its caller: messages to send and changes to act on."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message."""
+    """The caller has to send this message."""
 
     to: Address
     message: Message
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberStateChanged:
-    """A member's state has changed in this view; `previous_state` is None for one that was unknown."""
+    """A member's state or instance has changed in the view; `previous_state` is None for a new member."""
 
     record: MemberRecord
     previous_state: MemberState | None
@@ -27,21 +27,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """Another process has this member's name, and started later."""
+    """Another process that started later has this member's name."""
 
     by: MemberRecord
 
 
 @dataclass(frozen=True, slots=True)
 class Reinstated:
-    """The process that had this member's name is gone, so that the name is this member's again."""
+    """The process that superseded this member is gone, so this member holds its name again."""
 
     after: MemberRecord
 
 
 @dataclass(frozen=True, slots=True)
 class RowsChanged:
-    """These rows of a table are new here: sent by a peer, or written here."""
+    """These rows of a table are new on this member: a peer sent them, or this member wrote them."""
 
     table: str
     rows: tuple[Row, ...]
--- a/pipitshed/membership/local_state.py
+++ b/pipitshed/membership/local_state.py
@@ -1,4 +1,4 @@
-"""What the parts of one member's protocol share: its own state, and the instructions it gives."""
+"""State that the components of the membership protocol share, and the outbox of instructions."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from pipitshed.replication.replicator import HEADER_BYTES, Replicator
 from pipitshed.replication.row_table import RowTable
 
-VIEW_INDEX = 0  # of the membership view among the replicated tables; the tables of rows follow
+VIEW_INDEX = 0  # index of the membership view in the replicated tables; the tables of rows follow
 
 
 @dataclass(slots=True)
 class LocalState:
-    """The state of one member that all parts of its protocol read."""
+    """The state of one member that all components of its protocol read."""
 
     self_record: MemberRecord
     timings: ProtocolTimings
@@ -33,53 +33,53 @@
     rng: random.Random
     probe_numbers: Iterator[int]
     timers: TimerQueue
-    superseded: bool = False  # another process has the name, by its record's clock, and is not known as gone
+    superseded: bool = False  # a process with this name has a later start time, and is not known to be gone
     leaving: bool = False
 
     @property
     def is_silent(self) -> bool:
-        """Whether this member takes no further part in anti-entropy."""
+        """Whether this member takes no part in anti-entropy, as it leaves or is superseded."""
         return self.leaving or self.superseded
 
     def sample_peers(self) -> list[Address]:
-        """Return the addresses of a few live members, drawn at random."""
+        """Return up to `timings.helpers` addresses of other live members, drawn at random."""
         own_name = self.self_record.name
         peers = [record.address for record in self.view if not record.is_departed and record.name != own_name]
         return self.rng.sample(peers, min(len(peers), self.timings.helpers))
 
 
 class Outbox:
-    """Collects the instructions to the user of the protocol, and charges what is sent to the budget."""
+    """Collects the instructions to the caller, and charges sent messages to the bandwidth budget."""
 
     def __init__(self, local: LocalState) -> None:
         self._local = local
         self._instructions: list[Instruction] = []
 
     def add(self, instruction: Instruction) -> None:
-        """Add an instruction."""
+        """Append an instruction to those that `drain` returns."""
         self._instructions.append(instruction)
 
     def send(self, now: float, to: Address, message: Message, charged_bytes: int = 0) -> None:
-        """Send a message whatever the budget has left.
+        """Send a message even if the budget is exhausted, and charge the budget for its bytes.
 
         Args:
             now: The time.
             to: The receiver.
             message: The message.
-            charged_bytes: Bytes of it that were charged to the budget before.
+            charged_bytes: Bytes of the message that have already been charged to the budget.
         """
         size = HEADER_BYTES + message_size(message)
         self._local.replicator.budget.charge(now, size - charged_bytes)
         self.add(SendMessage(to, message))
 
     def send_admitted(self, outgoing: Sequence[OutgoingMessage]) -> None:
-        """Send messages of anti-entropy, which the budget has admitted."""
+        """Send messages of anti-entropy, whose bytes the budget has already admitted."""
         for item in outgoing:
             is_request = isinstance(item.message, Compare) and item.message.wants_answer
             sender = self._local.self_record if is_request else None
             self.add(SendMessage(item.to, RepairMessage(item.message, sender)))
 
     def drain(self) -> list[Instruction]:
-        """Return all instructions, and forget them."""
+        """Return all instructions, and empty the outbox."""
         instructions, self._instructions = self._instructions, []
         return instructions
--- a/pipitshed/membership/members.py
+++ b/pipitshed/membership/members.py
@@ -1,4 +1,4 @@
-"""Member records, and the order in which one record replaces another."""
+"""Member records, and the order of precedence between two records of one member."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from pipitshed.replication.merkle_tree import hash64
 
-NAME_LIMIT = 64  # bytes of a name, a zone or a region
-_ALWAYS_VALID_CHARS = NAME_LIMIT // 4  # a character takes at most 4 bytes of UTF-8
+NAME_LIMIT = 64  # bytes of a name, zone, host or region
+_ALWAYS_VALID_CHARS = NAME_LIMIT // 4  # a character has at most 4 bytes in UTF-8
 _encoder = msgspec.msgpack.Encoder()
 Address = tuple[str, int]
 
@@ -19,26 +19,26 @@
 
     ALIVE = 0
     SUSPECT = 1
-    DEAD = 2  # it did not answer, and did not refute the suspicion
-    LEFT = 3  # it announced this itself
+    DEAD = 2  # the member did not answer, and did not refute the suspicion in time
+    LEFT = 3  # the member announced its departure
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The state of one member, as a member has reported it."""
+    """The state of one member, as reported by that member or another one."""
 
     name: str
     host: str
     port: int
     zone: str
-    incarnation: int  # Unix ms at the process's start, raised by each refutation
-    instance_id: int  # drawn at the process's start: it tells two processes with one name apart
+    incarnation: int  # Unix time in ms when the process started; each refutation raises it
+    instance_id: int  # random, drawn when the process starts; distinguishes two processes with one name
     state: MemberState = MemberState.ALIVE
-    reported_by: str = ""  # the member that reported it first
-    region: str = ""  # where empty, the part of the zone before the first "/"
+    reported_by: str = ""  # name of the member that first reported this state
+    region: str = ""  # if empty, the region is the part of the zone before the first "/"
 
     @property
     def address(self) -> Address:
-        """The address for messages of peers."""
+        """The host and port to which peers send messages."""
         return self.host, self.port
 
     @property
@@ -53,19 +53,20 @@
 
     @property
     def key(self) -> str:
-        """The member's name: a newer record of the same name replaces this one."""
+        """The member's name; a newer record with the same name replaces this one."""
         return self.name
 
     @property
     def effective_region(self) -> str:
-        """The region that the member is in."""
+        """The configured region, or else the part of the zone before the first "/"."""
         return self.region or self.zone.partition("/")[0]
 
     @property
     def content_hash(self) -> int:
-        """A hash of what two views must agree on: 0, so nothing, for a departed member.
+        """A hash of the fields on which two views must agree; 0 for a departed member.
 
-        A suspicion is no part of it, as it ends by itself; the refutation that ends one, or a death, is.
+        The hash does not cover a suspicion, as a suspicion ends by itself; it changes with the refutation or
+        the death that ends one.
         """
         if self.is_departed:
             return 0
@@ -75,7 +76,7 @@
         )
 
     def is_valid(self) -> bool:
-        """Whether all fields are within their bounds; records from peers are checked by it."""
+        """Whether all fields are within their bounds; called for each record that a peer sends."""
         texts = (self.name, self.zone, self.host, self.reported_by, self.region)
         return (
             bool(self.name and self.host)
@@ -86,7 +87,7 @@
         )
 
     def with_state(self, state: MemberState, reported_by: str) -> MemberRecord:
-        """Return this record with another state, as reported by a member."""
+        """Return a copy with another state and the name of the member that reports it."""
         return MemberRecord(
             self.name,
             self.host,
@@ -101,9 +102,9 @@
 
 
 def precedence(record: MemberRecord) -> tuple[int, int, int]:
-    """Return a sort key under which the record that replaces another is greater.
+    """Return a sort key: of two records of one member, the one with the greater key replaces the other.
 
-    The order is total, so that merged views do not depend on the order of arrival: by the incarnation, then
-    by the instance, then by the state.
+    Records are ordered by incarnation, then instance, then state. The order is total, so merged views do not
+    depend on the order in which records arrive.
     """
     return record.incarnation, record.instance_id, int(record.state)
--- a/pipitshed/membership/messages.py
+++ b/pipitshed/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the membership protocol. The transport frames, bounds and authenticates them."""
+"""Messages of the membership protocol. The transport frames and authenticates them, and limits their size."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 from pipitshed.replication.messages import Compare, FetchRequest, Rows
 from pipitshed.replication.row import Row
 
-GOSSIP_LIMIT_BYTES = 700  # of gossip in one datagram, which stays under the usual 1,400 bytes
-FreshRows = tuple[tuple[Row, ...], ...]  # by table
+GOSSIP_LIMIT_BYTES = 700  # per datagram, which is limited to 1,400 bytes in all
+FreshRows = tuple[tuple[Row, ...], ...]  # rows by table
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """A probe. A member whose name is not `target` doesn't answer."""
+    """A probe. A member whose name is not `target` does not answer it."""
 
     number: int
     sender: MemberRecord
     target: str
     gossip: tuple[MemberRecord, ...] = ()
-    digests: tuple[bytes, ...] = ()  # of the view and then the tables; empty for one that has not caught up
+    digests: tuple[bytes, ...] = ()  # of the view, then of each table; empty if not caught up yet
     rows: FreshRows = ()
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """The answer to a ping; also forwarded to the member that asked for an indirect ping."""
+    """The answer to a ping; a helper forwards it to the member that asked for an indirect ping."""
 
     number: int
     sender: MemberRecord
     gossip: tuple[MemberRecord, ...] = ()
-    digests: tuple[bytes, ...] = ()  # of the view and then the tables; empty for one that has not caught up
+    digests: tuple[bytes, ...] = ()  # of the view, then of each table; empty if not caught up yet
     rows: FreshRows = ()
 
 
 class IndirectPing(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """A request to probe this target in the sender's place."""
+    """A request to probe the target on behalf of the sender."""
 
     number: int
     sender: MemberRecord
@@ -43,7 +43,7 @@
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """No ack to an indirect ping so far. It shows its requester that the requester's own link works."""
+    """A helper's report that its ping has no ack so far; it shows the requester that its own link works."""
 
     number: int
     sender: MemberRecord
@@ -51,7 +51,7 @@
 
 
 class RepairMessage(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """A message of anti-entropy, with its sender's record where the receiver may not know it yet."""
+    """A message of anti-entropy, with the sender's record if the receiver may not know the sender."""
 
     part: Compare | FetchRequest | Rows
     sender: MemberRecord | None = None
--- a/pipitshed/membership/probing.py
+++ b/pipitshed/membership/probing.py
@@ -1,4 +1,4 @@
-"""Failure detection: probe rounds, acks, indirect pings and their nacks."""
+"""Failure detection: probe rounds, acks, indirect pings and nacks."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from pipitshed.membership.suspicion import MemberRecords
 from pipitshed.membership.timers import Timer
 
-RECENT_DIFFERENCE_S = 1.0  # in which a member that sent another view, so that it is alive, is not probed
-NACK_FRACTION = 0.8  # of the ack timeout, after which an indirect ping without an ack is nacked
+RECENT_DIFFERENCE_S = 1.0  # a member that sent a differing view digest this recently is not probed
+NACK_FRACTION = 0.8  # of the ack timeout; a helper without an ack then sends a nack
 
 
 @dataclass(slots=True)
 class Probe:
-    """A probe in flight, of this member's own round or for another member."""
+    """A probe in flight, from this member's own round or on behalf of another member."""
 
     target: MemberRecord
     requester: MemberRecord | None = None  # the member that asked for an indirect ping
-    requester_number: int = 0  # the probe's number there
-    helper_count: int = 0  # members that were asked for an indirect ping: each sends an ack or a nack
+    requester_number: int = 0  # number of the requester's probe
+    helper_count: int = 0  # members asked for an indirect ping; each sends an ack or a nack
     nack_count: int = 0
 
 
 class Prober:
-    """Probes the members one after the other, and probes for others."""
+    """Probes the members in turn, and probes members on behalf of others."""
 
     def __init__(
         self, local: LocalState, outbox: Outbox, records: MemberRecords, disseminator: Disseminator
@@ -42,16 +42,16 @@
     # ---- probes of this member
 
     def probe_next(self, now: float) -> None:
-        """Probe the next member of the round."""
+        """Probe the next member of the round; called once each protocol period."""
         local = self._local
         for name in local.view.forget_departed(now):
             local.replicator.peer_digests.pop(name, None)
         if local.leaving:
-            self.announce_departure(now)  # repeated while the process still lives: messages may be lost
+            self.announce_departure(now)  # repeated while the process runs, as messages may be lost
             return
         target = self._next_target()
-        # A member that has just started knows few others: it must not probe these all the time, as a whole
-        # cluster that starts may know the same few.
+        # A member that has just started knows few others. It must not probe these in every period, as all
+        # members of a cluster that starts may know the same few.
         if target is None or self._has_recently_differed(now, target):
             return
         number = next(local.probe_numbers)
@@ -66,7 +66,7 @@
         return now - differed_at < RECENT_DIFFERENCE_S
 
     def _next_target(self) -> MemberRecord | None:
-        """Return the next member of a round, in which each is probed once in random order (SWIM, 4.3)."""
+        """Return the next member of the round; a round has each member once in random order (SWIM, 4.3)."""
         local = self._local
         for _ in range(2):
             if not self._round:
@@ -80,7 +80,7 @@
         return None
 
     def announce_departure(self, now: float) -> None:
-        """Ping a few members, so that they pass on that this one leaves."""
+        """Ping a few members; the pings carry the record that this member has left, and they pass it on."""
         local = self._local
         own_name = local.self_record.name
         peers = [record for record in local.view.live_members() if record.name != own_name]
@@ -95,7 +95,7 @@
         self._outbox.send(now, target.address, ping, charged_bytes)
 
     def request_indirect_pings(self, now: float, number: int) -> None:
-        """Ask other members to probe in this one's place, as no ack has come in time."""
+        """Ask other members for indirect pings, as no ack has come in time."""
         probe = self._probes.get(number)
         if probe is None:
             return
@@ -113,11 +113,11 @@
             self._outbox.send(now, record.address, request, charged_bytes)
 
     def handle_probe_timeout(self, now: float, number: int) -> None:
-        """Suspect the target of a probe that was not answered."""
+        """Suspect the target of a probe that has had no ack, direct or indirect."""
         probe = self._probes.pop(number, None)
         if probe is None or probe.requester is not None:
             return
-        # Helpers that sent no nack say more of this member's link, or event loop, than of the target.
+        # A missing nack indicates a fault of this member's link or event loop rather than of the target.
         missing_nacks = probe.helper_count - probe.nack_count
         self._local.health.record_failure(missing_nacks if probe.helper_count else 1)
         self._records.suspect(now, probe.target)
@@ -125,7 +125,7 @@
     # ---- messages of peers
 
     def answer_ping(self, now: float, source: Address, ping: Ping) -> None:
-        """Answer a ping with an ack."""
+        """Answer a ping with an ack that carries gossip and digests."""
         gossip, rows, charged_bytes = self._disseminator.gossip_for(
             now, ping.sender, (ping.gossip, *ping.rows)
         )
@@ -134,7 +134,7 @@
         self._outbox.send(now, source, ack, charged_bytes)
 
     def handle_indirect_ping(self, now: float, message: IndirectPing) -> None:
-        """Probe in another member's place."""
+        """Probe the target on behalf of the member that asked for an indirect ping."""
         local = self._local
         if local.leaving or not message.target.is_valid():
             return
@@ -153,14 +153,14 @@
             self._outbox.send(now, probe.requester.address, nack, charged_bytes)
 
     def pop_acked_probe(self, message: Ack) -> Probe | None:
-        """Remove and return the probe that an ack answers, if there is one."""
+        """Remove and return the probe that an ack answers; None for an unknown or late ack."""
         probe = self._probes.get(message.number)
         if probe is None or message.sender.name != probe.target.name:
             return None
         return self._probes.pop(message.number)
 
     def complete_probe(self, now: float, probe: Probe, message: Ack) -> None:
-        """Note that a probe succeeded, and forward the ack where the probe was for another member."""
+        """Record the success of an own probe, or forward the ack to the member that requested the probe."""
         if probe.requester is None:
             self._local.health.record_success()
             return
@@ -168,7 +168,7 @@
         self._outbox.send(now, probe.requester.address, forwarded)
 
     def handle_nack(self, message: Nack) -> None:
-        """Count a helper's nack."""
+        """Count a nack of a helper for a probe in flight."""
         probe = self._probes.get(message.number)
         if probe is not None:
             probe.nack_count += 1
--- a/pipitshed/membership/protocol.py
+++ b/pipitshed/membership/protocol.py
@@ -1,4 +1,4 @@
-"""The membership protocol of one member: messages and times go in, instructions come out.
+"""The membership protocol of one member: its input is messages and times, its output instructions.
 
 The membership view is the first of the replicated tables.
 """
@@ -26,11 +26,11 @@
 from pipitshed.replication.row_table import RowTable
 
 MAX_FIRST_PROBE_NUMBER = 1 << 30
-STALL_HEALTH_PENALTY = 2  # added to the health score of a member whose event loop stood still
+STALL_HEALTH_PENALTY = 2  # added to the health score of a member whose event loop stalled
 
 
 class Membership:
-    """One member's part in the protocol. Times are seconds of any monotonic clock."""
+    """One member of the protocol. Times are seconds of any monotonic clock."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         now: float,
         tables: Sequence[RowTable] = (),
     ) -> None:
-        """Create a member that joins by `seeds`; `tables` are replicated with the view."""
+        """Create a member that joins through `seeds`; `tables` are replicated beside the view."""
         self.timings = timings
         self.view = MembershipView(timings.tombstones)
         self.health = LocalHealth()
@@ -72,34 +72,34 @@
         self._set_first_timers(now)
 
     def _set_first_timers(self, now: float) -> None:
-        # The first probe is drawn from a whole period, as many members may start at once.
+        # The first probe is at a random time within one period, as many members may start at once.
         self._timers.set(now + self._local.rng.random() * self.timings.period, Timer.PROBE)
         self._timers.set(now, Timer.SYNC)
         self._synchronizer.set_reconnect_timer(now)
 
     @property
     def self_record(self) -> MemberRecord:
-        """This member's own record."""
+        """This member's current record, with its incarnation and state."""
         return self._local.self_record
 
     @property
     def superseded(self) -> bool:
-        """Whether another process has this member's name, started later, and is not known to be gone."""
+        """Whether another process with this name started later and is not known to be gone."""
         return self._local.superseded
 
     @property
     def leaving(self) -> bool:
-        """Whether this member is leaving."""
+        """Whether `leave` was called."""
         return self._local.leaving
 
     # ---- time
 
     def next_due_at(self) -> float:
-        """Return when `handle_timeouts` has something to do."""
+        """Return the time at which the next timer expires."""
         return self._timers.next_due_at()
 
     def handle_timeouts(self, now: float) -> list[Instruction]:
-        """Do what has come due."""
+        """Handle all timers that have expired, and return instructions."""
         self._check_for_stall(now)
         while (expired := self._timers.pop_expired(now)) is not None:
             self._handle_timer(now, *expired)
@@ -128,10 +128,10 @@
                 self.records.check_suspicions(now)
 
     def _check_for_stall(self, now: float) -> None:
-        """Postpone all timeouts of others where this member's own event loop stood still.
+        """Postpone the timeouts of probes and suspicions after a stall of this member's own event loop.
 
-        A process that was stopped, or had no core, finds all its probes unanswered when it wakes, while the
-        answers, and refutations of its suspicions, are still to be read from its sockets.
+        A process that was stopped, or had no core, finds all its probes unanswered when it wakes, while acks
+        and refutations of its suspicions are still unread in its sockets.
         """
         stalled_s = now - self._timers.next_due_at()
         if stalled_s <= self.timings.period:
@@ -143,7 +143,7 @@
     # ---- messages
 
     def handle_message(self, now: float, message: Message, source: Address) -> list[Instruction]:
-        """Handle a message that came from `source`."""
+        """Handle a message that came from the address `source`, and return instructions."""
         if isinstance(message, RepairMessage):
             self._synchronizer.handle_message(now, message, source)
             return self._finish(now)
@@ -173,15 +173,15 @@
             self._synchronizer.receive_digests(now, message.sender, message.digests)
             self._prober.complete_probe(now, probe, message)
 
-    # ---- what the user of the protocol does
+    # ---- calls of the application
 
     def disseminate(self, now: float, table: str, rows: Sequence[Row]) -> list[Instruction]:
-        """Pass on rows that were written into a table here; they are announced here too."""
+        """Disseminate rows that this member wrote to a table; the returned RowsChanged reports them too."""
         self._disseminator.publish(now, self._table_index(table), rows)
         return self._finish(now)
 
     def reported_digests(self, table: str) -> dict[str, bytes]:
-        """Return each peer's last digest of a table; empty where the peer has not caught up."""
+        """Return each peer's last digest of a table; empty if the peer has not caught up."""
         index = VIEW_INDEX + 1 + self._table_index(table)
         return {
             name: digests[index]
@@ -194,7 +194,7 @@
         return index
 
     def leave(self, now: float) -> list[Instruction]:
-        """Announce that this member leaves, to enough members that they pass it on."""
+        """Announce to a few members, which pass it on, that this member leaves."""
         self._local.leaving = True
         own = self.self_record
         self.records.announce_self(now, own.with_state(MemberState.LEFT, own.name))
@@ -202,7 +202,7 @@
         return self._finish(now)
 
     def _finish(self, now: float) -> list[Instruction]:
-        """Set the timers that are due, and return all instructions."""
+        """Set the timers of exchanges and pushes, and return all instructions."""
         self.replicator.apply_completed_exchanges(now)
         self._synchronizer.set_exchange_timer()
         self._disseminator.finish_step(now)
--- a/pipitshed/membership/regions.py
+++ b/pipitshed/membership/regions.py
@@ -1,4 +1,4 @@
-"""Where members live, by region: the targets of pushes, and how few messages cross to another region."""
+"""Members by region: selects the targets of pushes, and limits the rows sent to other regions."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from pipitshed.membership.members import Address, MemberRecord, MemberState
 from pipitshed.membership.view import MembershipView
 
-PUSH_FANOUT = 3  # members of the own region to which each one pushes fresh rows
+PUSH_FANOUT = 3  # members of its own region to which each member pushes fresh rows
 
 
 class RegionMap:
-    """The regions of a view, as one member sees them."""
+    """The members of one member's view, grouped by region."""
 
     def __init__(self, self_record: MemberRecord, view: MembershipView, rng: random.Random) -> None:
         self._name, self._region = self_record.name, self_record.effective_region
@@ -22,7 +22,7 @@
         self._cached_addresses: dict[str, list[Address]] = {}
 
     def _addresses_by_region(self) -> dict[str, list[Address]]:
-        """Return the addresses of the other members that are alive."""
+        """Return the addresses of the other alive members by region, cached until the view changes."""
         if self._cached_change_count != self._view.change_count:
             addresses: dict[str, list[Address]] = {}
             for record in self._view:
@@ -32,9 +32,10 @@
         return self._cached_addresses
 
     def push_targets(self, written_here: bool) -> list[Address]:
-        """Return the members to which fresh rows are pushed.
+        """Return the addresses of the members to which fresh rows are pushed.
 
-        These are a few of the own region, and one of each other region for rows that were written here.
+        These are a few members of this region. One member of each other region is added if this member wrote
+        the rows, or if this region has fewer than `PUSH_FANOUT` other members.
         """
         addresses = self._addresses_by_region()
         local = addresses.get(self._region, [])
@@ -46,7 +47,7 @@
         return targets
 
     def sends_rows_to(self, receiver: MemberRecord) -> bool:
-        """Whether rows go with a probe: seldom to another region, where few receive them and pass them on."""
+        """Whether a probe carries rows: seldom to another region, where the few receivers pass them on."""
         region_size = len(self._addresses_by_region().get(self._region, ())) + 1
         return receiver.effective_region == self._region or self._rng.random() * region_size < math.log10(
             len(self._view) + 1
--- a/pipitshed/membership/suspicion.py
+++ b/pipitshed/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Member records: applying what others report, suspicions and their timeouts, and refutation."""
+"""Member records: applies records that others report, times suspicions, and refutes wrong records."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """A member that is suspected, since when, and which members have reported it."""
+    """A suspected member, the start of the suspicion, and the names of the members that reported it."""
 
     record: MemberRecord
     since: float
@@ -22,7 +22,7 @@
 
 
 class MemberRecords:
-    """Applies member records to the view, and decides how long a suspicion lasts."""
+    """Applies member records to the view, and declares members dead when their suspicion times out."""
 
     def __init__(self, local: LocalState, outbox: Outbox) -> None:
         self._local = local
@@ -36,12 +36,12 @@
         return bool(self._suspicions)
 
     def apply(self, now: float, record: MemberRecord, fetched_count: int = 0) -> None:
-        """Apply a record: refute it where it is wrong about this member, and pass it on where it is new.
+        """Apply a record: refute it if it is wrong about this member, and queue it for gossip if it is new.
 
         Args:
             now: The time.
             record: The record.
-            fetched_count: For a record that anti-entropy brought, how many came in the same answer.
+            fetched_count: Number of records in the answer if anti-entropy fetched the record, otherwise 0.
         """
         local = self._local
         if record.name == local.self_record.name:
@@ -92,8 +92,8 @@
         if precedence(record) <= precedence(local.self_record):
             return
         if record.is_departed or record.address == local.self_record.address:
-            # An earlier instance of this member, whose clock was ahead, or another process that is gone: none
-            # has this name now.
+            # The record is of an earlier instance of this member, whose clock was ahead, or of another
+            # process that is gone: no other process has this name now.
             if local.superseded:
                 local.superseded = False
                 self._outbox.add(Reinstated(record))
@@ -103,7 +103,7 @@
             self._outbox.add(Superseded(record))
 
     def _refute(self, now: float, record: MemberRecord) -> None:
-        """Announce that this member is alive, by a record that takes precedence over the wrong one."""
+        """Announce that this member is alive, with a record that takes precedence over the wrong one."""
         own = self._local.self_record
         refutation = MemberRecord(
             own.name,
@@ -118,7 +118,7 @@
         self.announce_self(now, refutation)
 
     def announce_self(self, now: float, record: MemberRecord) -> None:
-        """Replace this member's own record, and pass it on."""
+        """Replace this member's own record, and queue it for gossip."""
         self._local.self_record = record
         self._local.view.apply(now, record)
         self._local.replicator.queue_item(VIEW_INDEX, record)
@@ -126,19 +126,19 @@
     # ---- suspicions
 
     def suspect(self, now: float, target: MemberRecord) -> None:
-        """Suspect a member that did not answer a probe, unless it is a new instance by now."""
+        """Suspect a member that did not answer a probe, unless it has restarted since the probe."""
         current = self._local.view.get(target.name)
         if current is not None and not current.is_departed and current.instance_id == target.instance_id:
             own_name = self._local.self_record.name
             self.apply(now, current.with_state(MemberState.SUSPECT, own_name))
 
     def postpone_suspicions(self, delay_s: float) -> None:
-        """Let all suspicions last longer by this time."""
+        """Extend all suspicions by this time."""
         for suspicion in self._suspicions.values():
             suspicion.since += delay_s
 
     def _confirm_suspicion(self, record: MemberRecord) -> None:
-        """Shorten a suspicion that another member reports too, and pass on that member's report."""
+        """Shorten a suspicion that one more member reports, and queue that member's record for gossip."""
         suspicion = self._suspicions.get(record.name)
         if suspicion is not None and record.reported_by not in suspicion.reporters:
             suspicion.reporters.add(record.reported_by)
@@ -152,19 +152,19 @@
         )
 
     def _schedule_check(self, when: float) -> None:
-        """Check the suspicions by this time.
+        """Set the timer for the check of suspicions, unless it expires earlier anyway.
 
-        One timer serves all suspicions: with one for each, and each set again for all the others, the
-        number of timers would double with every check.
+        One timer serves all suspicions. With a timer for each one, set again at each check, the number of
+        timers would double with every check.
         """
         if when < self._next_check_at:
             self._next_check_at = when
             self._local.timers.set(when, Timer.SUSPICION)
 
     def check_suspicions(self, now: float) -> None:
-        """Declare those members dead whose suspicion has lasted its time."""
+        """Declare the members dead whose suspicion has timed out."""
         if now < self._next_check_at:
-            return  # a timer that was replaced by an earlier one
+            return  # this timer was replaced by an earlier one
         self._next_check_at = math.inf
         for name, suspicion in list(self._suspicions.items()):
             if now < self._ends_at(suspicion):
--- a/pipitshed/membership/sync.py
+++ b/pipitshed/membership/sync.py
@@ -1,4 +1,4 @@
-"""Joining and anti-entropy: exchanges with seeds, with peers that differ, and with dead members."""
+"""Joining and anti-entropy: exchanges with seeds, with peers whose digests differ, and with dead members."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from pipitshed.replication.messages import Compare, FetchRequest, Rows, unpack
 from pipitshed.replication.row import Row
 
-RANDOM_COMPARISON_PROBABILITY = 0.1  # that a sync compares a random range whatever the digests are
-JOIN_INTERVAL_FACTOR = 0.3  # of the sync interval, while no other member is known
-MIN_JITTER_FACTOR = 0.5  # intervals are drawn between this and 1.5 times their length
+RANDOM_COMPARISON_PROBABILITY = 0.1  # that a sync compares a random range even if no digest differs
+JOIN_INTERVAL_FACTOR = 0.3  # of the sync interval, while this member knows no other
+MIN_JITTER_FACTOR = 0.5  # intervals are drawn between 0.5 and 1.5 times their length
 _record_decoder = msgspec.msgpack.Decoder(tuple[MemberRecord, ...])
 _row_decoder = msgspec.msgpack.Decoder(tuple[Row, ...])
 
 
 class Synchronizer:
-    """Starts exchanges, and handles the messages of exchanges."""
+    """Starts exchanges of anti-entropy, and handles their messages."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
     # ---- time
 
     def sync(self, now: float) -> None:
-        """Set the next sync's timer, and start exchanges."""
+        """Set the timer of the next sync, and start exchanges."""
         local = self._local
         factor = 1.0 if local.view.live_count > 1 else JOIN_INTERVAL_FACTOR
         interval_s = local.timings.sync * (MIN_JITTER_FACTOR + local.rng.random()) * factor
@@ -53,7 +53,7 @@
             self._start_exchanges(now)
 
     def _start_exchanges(self, now: float) -> None:
-        """Start exchanges with peers that differ, or with a seed while no other member is known."""
+        """Start exchanges with peers that differ, or with a seed while this member knows no other."""
         local = self._local
         replicator = local.replicator
         if local.view.live_count > 1:
@@ -61,7 +61,7 @@
                 self._outbox.send_admitted(
                     replicator.start_exchange_if_due(now, index, True, local.sample_peers)
                 )
-            # At times a range is compared though all agree: equal digests might hide a difference.
+            # Some syncs compare a range though all digests agree: a hash collision would hide a difference.
             if local.rng.random() < RANDOM_COMPARISON_PROBABILITY and (peers := local.sample_peers()):
                 self._outbox.send_admitted(replicator.compare_random_range(now, peers[0]))
         elif self._seeds:
@@ -70,9 +70,9 @@
                 self._outbox.send_admitted(replicator.start_exchange(now, index, seed))
 
     def reconnect(self, now: float) -> None:
-        """Set the next timer, and start an exchange with a dead member, or a seed without a live member.
+        """Set the next timer, and start an exchange with a dead member, or a seed that is not live.
 
-        Without it, two sides of a partition would consider each other dead for good once it has healed.
+        Without it the two sides of a partition would consider each other dead for good after it has healed.
         """
         local = self._local
         self.set_reconnect_timer(now)
@@ -84,18 +84,18 @@
             self._outbox.send_admitted(local.replicator.start_exchange(now, VIEW_INDEX, address))
 
     def set_reconnect_timer(self, now: float) -> None:
-        """Set the timer of the next attempt to reach a member that is considered dead."""
+        """Set the timer of the next attempt to reach a dead member."""
         local = self._local
         interval_s = local.timings.sync_with_gone * (MIN_JITTER_FACTOR + local.rng.random())
         local.timers.set(now + interval_s, Timer.RECONNECT)
 
     def handle_exchange_timeouts(self, now: float) -> None:
-        """Send what has come due of the exchanges."""
+        """Send the retries and postponed messages of exchanges that are due."""
         self._exchange_timer_at = math.inf
         self._outbox.send_admitted(self._local.replicator.handle_timeouts(now))
 
     def set_exchange_timer(self) -> None:
-        """Set a timer for what comes due next of the exchanges, unless an earlier one is set."""
+        """Set a timer for the next due time of the exchanges, unless an earlier one is set."""
         due_at = self._local.replicator.anti_entropy.next_due_at()
         if due_at is not None and due_at < self._exchange_timer_at:
             self._exchange_timer_at = due_at
@@ -104,7 +104,7 @@
     # ---- messages of peers
 
     def receive_digests(self, now: float, sender: MemberRecord, digests: tuple[bytes, ...]) -> None:
-        """Handle the digests of a ping or an ack."""
+        """Handle the digests that a peer sent with a ping or an ack."""
         local = self._local
         if sender.name in local.view and sender.name != local.self_record.name:
             outgoing = local.replicator.receive_digests(now, sender.name, sender.address, digests)
@@ -112,7 +112,7 @@
                 self._outbox.send_admitted(outgoing)
 
     def handle_message(self, now: float, message: RepairMessage, source: Address) -> None:
-        """Handle a message of an exchange."""
+        """Handle a message of anti-entropy, and the sender's record if it has one."""
         if message.sender is not None and message.sender.is_valid():
             self._records.apply(now, message.sender)
         part = message.part
@@ -129,7 +129,7 @@
         self._outbox.send_admitted(outgoing)
 
     def _apply(self, now: float, message: Rows) -> tuple[int, list[str]]:
-        """Apply a peer's items; return how many were new, and the keys of newer ones here."""
+        """Apply a peer's items; return the number of new ones, and the keys with newer items here."""
         if message.table == VIEW_INDEX:
             return self._apply_records(now, unpack(message.packed, _record_decoder))
         rows = unpack(message.packed, _row_decoder)
--- a/pipitshed/membership/view.py
+++ b/pipitshed/membership/view.py
@@ -1,4 +1,4 @@
-"""One member's view: the newest record of each member, bounded, with tombstones that expire."""
+"""The membership view of one member: bounded in size, with tombstones that expire."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from pipitshed.membership.members import MemberRecord, precedence
 from pipitshed.replication.merkle_tree import MerkleTree
 
-MAX_MEMBERS = 4096  # names in the view, however many peers send
+MAX_MEMBERS = 4096  # bound on names in the view, whatever peers send
 
 
 class MembershipView:
-    """The newest record of each member. `change_count` counts its changes."""
+    """The newest record of each member; `change_count` is raised by each change."""
 
     def __init__(self, tombstone_lifetime_s: float, max_members: int = MAX_MEMBERS) -> None:
         self._records: dict[str, MemberRecord] = {}
@@ -20,9 +20,9 @@
         self._tombstone_lifetime_s = tombstone_lifetime_s
         self._max_members = max_members
         self.change_count = 0
-        self.caught_up = True  # a member that joins knows at least itself, and claims no more than it knows
+        self.caught_up = True  # always: a joining member's view has at least its own record
         self.tree = MerkleTree()
-        self.rejected_count = 0  # records of names beyond the bound
+        self.rejected_count = 0  # records rejected because the view was full
 
     def __iter__(self) -> Iterator[MemberRecord]:
         return iter(self._records.values())
@@ -34,15 +34,15 @@
         return len(self._records)
 
     def get(self, name: str) -> MemberRecord | None:
-        """Return the record of a member."""
+        """Return the record of a member, or None."""
         return self._records.get(name)
 
     def state_changed_at(self, name: str) -> float:
-        """Return the time at which a member's state changed last."""
+        """Return the time at which a member's state or instance last changed."""
         return self._state_since[name]
 
     def apply(self, now: float, record: MemberRecord) -> bool:
-        """Store a record if it is newer; return whether it was."""
+        """Store a record if it is newer than the current one; return whether it was stored."""
         current = self._records.get(record.name)
         if current is None:
             if len(self._records) >= self._max_members:
@@ -61,7 +61,7 @@
     def forget_departed(self, now: float) -> list[str]:
         """Remove the members whose tombstones have expired, and return their names.
 
-        Otherwise the view would grow with each name that ever was.
+        Without this the view would grow with every name that has ever joined.
         """
         lifetime_s = self._tombstone_lifetime_s
         expired = [name for name in self._departed if now - self._state_since[name] >= lifetime_s]
@@ -74,13 +74,13 @@
 
     @property
     def live_count(self) -> int:
-        """How many members are alive or suspected."""
+        """The number of members that are alive or suspected."""
         return len(self._records) - len(self._departed)
 
     def live_members(self) -> list[MemberRecord]:
-        """Return the members that are alive or suspected, by name."""
+        """Return the records of the members that are alive or suspected, sorted by name."""
         return sorted((record for record in self if not record.is_departed), key=lambda record: record.name)
 
     def digest(self) -> str:
-        """Return a hash of the live members with addresses and incarnations: equal where two views agree."""
+        """Return a hash of the live members' addresses and incarnations; equal if two views agree."""
         return self.tree.digest().hex()
