--- a/pipitshed/replication/__init__.py
+++ b/pipitshed/replication/__init__.py
@@ -1,4 +1,5 @@
-"""Replication of small versioned rows to every scheduler: digests, gossip, anti-entropy and a byte budget.
+"""Replication of small versioned rows to all schedulers: digests, gossip, anti-entropy, a bandwidth budget.
 
-No I/O; time and random draws are passed in. The user knows the peers, and carries the messages.
+The package does no I/O: the caller passes in the time and a random source, knows the peers, and carries the
+messages.
 """
--- a/pipitshed/replication/anti_entropy.py
+++ b/pipitshed/replication/anti_entropy.py
@@ -1,6 +1,6 @@
-"""Anti-entropy: comparing tables with one peer, range by range, and fetching what differs.
+"""Anti-entropy: compares a table with a peer's range by range, and fetches the items that differ.
 
-One side leads an exchange; the other answers each message by itself and stores no state of the exchange.
+One side leads an exchange; the other side answers each message by itself and stores no state of the exchange.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 )
 from pipitshed.replication.row_fetch import fetch_request
 
-ANSWER_RESERVE_BYTES = 500  # of the budget that a request leaves for answers
-REQUEST_TIMEOUT_S = 0.6  # a peer may let a request wait for its budget
+ANSWER_RESERVE_BYTES = 500  # of the budget, which a request leaves free for answers
+REQUEST_TIMEOUT_S = 0.6  # covers a wait for the peer's bandwidth budget
 MAX_ATTEMPTS = 3
-MAX_EXCHANGE_S = 20.0  # however much the peer still sends
-BUDGET_RETRY_S = 0.1  # until a request that the budget had no bytes for is tried again
+MAX_EXCHANGE_S = 20.0  # an exchange ends then even if the peer still sends items
+BUDGET_RETRY_S = 0.1  # delay before a request that exceeded the budget is tried again
 
 
 class AntiEntropy:
-    """All exchanges of one member, for all its tables."""
+    """All exchanges that one member leads, for all its tables, and its answers to peers."""
 
     def __init__(
         self,
@@ -42,19 +42,19 @@
         rng: random.Random,
         overhead_bytes: int,
     ) -> None:
-        """`overhead_bytes` is the most that the transport adds to a message."""
+        """Create the engine; `overhead_bytes` is the most that the transport adds to a message."""
         self._tables = tables
         self._rng = rng
         self._exchanges: dict[tuple[int, Address], Exchange] = {}
         self.pacer = MessagePacer(budget, overhead_bytes)
         self.responder = PeerResponder(tables, self.pacer, rng)
         self.backoff = PeerBackoff()
-        self.completed: list[ExchangeResult] = []  # emptied by the user of this class
+        self.completed: list[ExchangeResult] = []  # the caller takes and clears these
 
     # ---- exchanges that this member leads
 
     def missing_count(self, table: int) -> int:
-        """Return how many more items peers have, by what they sent in the running exchanges."""
+        """Return how many more items a peer has than this member, by the running exchanges; 0 without one."""
         counts = (exchange.missing_count for exchange in self._exchanges.values() if exchange.table == table)
         return max(counts, default=0)
 
@@ -63,19 +63,19 @@
         return sum(exchange.table == table for exchange in self._exchanges.values())
 
     def may_start(self, now: float, table: int, peer: Address) -> bool:
-        """Whether no exchange with a peer is running, and none has failed recently."""
+        """Whether no exchange with the peer is running, and the backoff from the peer has ended."""
         return self.is_idle(table, peer) and self.backoff.allows(now, table, peer)
 
     def is_idle(self, table: int, peer: Address) -> bool:
-        """Whether no exchange with a peer is running."""
+        """Whether no exchange of the table with the peer is running."""
         return (table, peer) not in self._exchanges
 
     def start(self, now: float, table: int, peer: Address) -> list[OutgoingMessage]:
-        """Compare all of a table with a peer, and fetch what differs."""
+        """Start to compare a whole table with a peer, and to fetch the items that differ."""
         return self._start(now, Exchange(table, peer, now + MAX_EXCHANGE_S, nodes_to_compare=[ROOT]))
 
     def compare_random_range(self, now: float, table: int, peer: Address) -> list[OutgoingMessage]:
-        """Compare a random range item by item: equal digests of different items would hide the difference."""
+        """Compare a random range item by item, which finds a difference that colliding digests hide."""
         tree, node = self._tables[table].tree, ROOT
         while can_split(tree, node):
             node = node * FANOUT + self._rng.randrange(FANOUT)
@@ -89,7 +89,7 @@
         return self._advance(now, exchange)
 
     def _advance(self, now: float, exchange: Exchange) -> list[OutgoingMessage]:
-        """Send the next request of an exchange, or end the exchange where nothing is left to do."""
+        """Send the next request of an exchange, or end the exchange if nothing is left to do."""
         request = self._next_request(exchange)
         if request is None and not exchange.nodes_to_fetch:
             self._end(now, exchange, answered=True)
@@ -127,7 +127,7 @@
         table, peer = exchange.table, exchange.peer
         del self._exchanges[table, peer]
         self.completed.append(ExchangeResult(table, peer, not exchange.incomplete, exchange.gained_count))
-        # Other peers may have brought the difference first.
+        # Other peers may have sent the differing items first.
         table_changed = self._tables[table].tree.digest() != exchange.initial_digest
         made_progress = exchange.gained_count or exchange.sent_rows or table_changed
         if answered and (made_progress or not exchange.differed):
@@ -138,7 +138,7 @@
     # ---- time
 
     def next_due_at(self) -> float | None:
-        """Return when `handle_timeouts` has something to do."""
+        """Return the time at which `handle_timeouts` is due, or None."""
         retry_at = self.responder.next_due_at()
         if not self._exchanges:
             return retry_at
@@ -146,7 +146,7 @@
         return due_at if retry_at is None else min(due_at, retry_at)
 
     def handle_timeouts(self, now: float) -> list[OutgoingMessage]:
-        """Retry requests that had no answer, and messages that the budget had no bytes for."""
+        """Retry requests without an answer, and messages that exceeded the budget."""
         outgoing = self.responder.handle_timeouts(now)
         for exchange in [exchange for exchange in self._exchanges.values() if exchange.due_at <= now]:
             request = exchange.pending_request
@@ -164,7 +164,7 @@
     # ---- messages of peers
 
     def receive_comparison(self, now: float, peer: Address, message: Compare) -> list[OutgoingMessage]:
-        """Handle a peer's digests: a request to answer, or the answer to a request of this member."""
+        """Handle a peer's digests, which are a request or the answer to a request of this member."""
         tree = self._tables[message.table].tree
         differing = differing_ranges(tree, message.ranges)
         if message.wants_answer:
@@ -179,20 +179,20 @@
     def receive_rows(
         self, now: float, peer: Address, message: Rows, gained_count: int, newer_keys: Sequence[str]
     ) -> list[OutgoingMessage]:
-        """Handle rows of a peer that were applied.
+        """Handle a message with rows after its rows were applied.
 
         Args:
             now: The time.
             peer: The sender.
-            message: Its message.
-            gained_count: How many of the rows were new here.
-            newer_keys: Keys of which this member has a newer row.
+            message: The message.
+            gained_count: Number of rows that were new to this member.
+            newer_keys: Keys for which this member has a newer row.
         """
         outgoing = self.responder.send_requested(now, peer, message, newer_keys)
         exchange = self._exchanges.get((message.table, peer))
         if exchange is None:
             return outgoing
-        if message.is_sample:  # it answers no request for rows, whatever its salt
+        if message.is_sample:  # a sample answers no FetchRequest, even if the salts are equal
             del self._exchanges[message.table, peer]
             return outgoing
         request = exchange.pending_request
@@ -207,7 +207,7 @@
 
 
 def _record_answer(exchange: Exchange, request: FetchRequest, complete: bool, gained_count: int) -> None:
-    """Adapt the number of ranges of a request to the answer, and drop the ranges that are settled."""
+    """Adapt the number of ranges per request to the answer, and drop the ranges that are settled."""
     if complete:
         exchange.max_fetch_ranges = min(MAX_FETCH_RANGES, exchange.max_fetch_ranges * 2)
     else:
--- a/pipitshed/replication/bandwidth_budget.py
+++ b/pipitshed/replication/bandwidth_budget.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-RATE_BYTES_PER_S = 6800.0  # of all that goes to peers, with its headers
-BURST_BYTES = 1400.0  # at once beyond the rate, so that under 9,000 bytes leave in any one second
-MAX_DEBT_REPAYMENT_FRACTION = 0.8  # of the refill: a member that is probed very often still has bytes left
-# for requests of its own
-RESERVATION_S = 1.0  # how long a table that was deferred has its share reserved
+RATE_BYTES_PER_S = 6800.0  # of all messages to peers, headers included
+BURST_BYTES = 1400.0  # beyond the rate; keeps the bytes sent in any second under 9,000
+# Of the refill. The rest stays for a member's own requests even if it has to answer very many probes.
+MAX_DEBT_REPAYMENT_FRACTION = 0.8
+RESERVATION_S = 1.0  # time for which the share of a deferred table is reserved
 
 
 class BandwidthBudget:
-    """The bytes that all tables may send together. Times are seconds of any monotonic clock.
+    """A token bucket for the bytes that all tables send. Times are seconds of any monotonic clock.
 
-    Messages that can't wait are charged too: they leave a debt that is repaid from the refill.
+    Messages that cannot wait are charged too: they leave a debt that is repaid from the refill.
     """
 
     def __init__(
@@ -21,9 +21,9 @@
         self._rate, self._burst = rate, burst
         self._tokens, self._refilled_at = burst, now
         self._debt = 0.0
-        self._shares = [burst] * tables  # what each table may send while others wait
+        self._shares = [burst] * tables  # bytes that each table may send while another one waits
         self._waiting_until = [float("-inf")] * tables
-        self.deferred_count = 0  # messages that had to wait, or were not sent
+        self.deferred_count = 0  # requests for bytes that were refused
 
     def _refill(self, now: float) -> None:
         refill = max(0.0, now - self._refilled_at) * self._rate
@@ -35,15 +35,15 @@
         self._shares = [min(self._burst, share + share_refill) for share in self._shares]
 
     def charge(self, now: float, size: int) -> None:
-        """Account for bytes that are sent whatever the budget has left, such as probes."""
+        """Charge bytes that are sent even if the budget is exhausted, such as probes."""
         self._refill(now)
         self._debt = min(self._burst, self._debt + size)
 
     def available_bytes(self, now: float, table: int, min_bytes: int = 1) -> int:
-        """Return how many bytes a table may send now, or 0 where these are fewer than `min_bytes`.
+        """Return how many bytes a table may send now, or 0 if these are fewer than `min_bytes`.
 
-        In the latter case the table's share is reserved for it: a table with much to send would otherwise
-        leave one with little waiting.
+        In the latter case the table's share is reserved, so that a table with much to send does not starve
+        one with little to send.
         """
         self._refill(now)
         available = self._tokens
@@ -56,7 +56,7 @@
         return int(available)
 
     def spend(self, now: float, table: int, size: int) -> None:
-        """Account for bytes that a table has sent."""
+        """Take bytes that a table has sent out of the bucket and the table's share."""
         self._refill(now)
         self._tokens -= size
         self._shares[table] = max(0.0, self._shares[table] - size)
--- a/pipitshed/replication/commit_tracking.py
+++ b/pipitshed/replication/commit_tracking.py
@@ -1,7 +1,7 @@
-"""Which member has applied which row.
+"""Tracks which member has applied which row.
 
-Members report to a row's writer once they have applied it, and the writer queries those that have not
-reported. A row is in force only once every live member, in its present instance, has confirmed this very row.
+Members report to a row's writer once they have applied the row, and the writer queries members that have not
+reported. A row is in force once every live member, in its present instance, has confirmed this exact row.
 """
 
 from __future__ import annotations
@@ -15,38 +15,38 @@
 from pipitshed.replication.row import Row
 from pipitshed.replication.row_table import RowTable
 
-REPORT_RATE_BYTES_PER_S = 4500.0  # of all members' reports to one writer
-FRAME_BYTES = 24  # around a message: the transport's header, and a cluster's name of usual length
-MAX_QUERY_KEYS = 8  # in one query
-MAX_REPORTED_ROWS = 2  # in one unrequested report; with more, the digest speaks for all of them
-MAX_REPORTED_REJECTIONS = 4  # in one report
+REPORT_RATE_BYTES_PER_S = 4500.0  # of the reports of all members to one writer
+FRAME_BYTES = 24  # around a message: the transport's header with a cluster name of usual length
+MAX_QUERY_KEYS = 8  # per query
+MAX_REPORTED_ROWS = 2  # per unrequested report; for more rows only the table's digest is reported
+MAX_REPORTED_REJECTIONS = 4  # per report
 MAX_REASON_CHARS = 80
-QUERY_DELAY_S = 0.4  # beyond the time in which all members should have reported
-QUERY_RETRY_S = 1.0  # between two queries to one member
-QUERY_INTERVAL_S = 0.25
-QUERY_ROUND_TRIP_BYTES = 160  # a query and its answer
+QUERY_DELAY_S = 0.4  # after the time by which all members should have reported
+QUERY_RETRY_S = 1.0  # minimum between two queries to one member
+QUERY_INTERVAL_S = 0.25  # between two batches of queries
+QUERY_ROUND_TRIP_BYTES = 160  # of a query and its answer
 MAX_QUERIES_AT_ONCE = int(REPORT_RATE_BYTES_PER_S * QUERY_INTERVAL_S / QUERY_ROUND_TRIP_BYTES)
 MAX_WATCHED_ROWS = 256
-WATCH_S = 10.0  # how long members are queried after the last request for a row's status
-_SAMPLE_HASH = 2**63  # a content hash of the usual encoded length
+WATCH_S = 10.0  # time for which members are queried after the last request for a row's status
+_SAMPLE_HASH = 2**63  # has the usual encoded length of a content hash
 
 _encoder = msgspec.msgpack.Encoder()
 
 
 class AppliedReport(msgspec.Struct, frozen=True, array_like=True, tag=32):
-    """The sender has applied all rows of the table with this digest, and these, but not the rejected ones."""
+    """The sender has applied the table with this digest, and the listed rows, except the rejected rows."""
 
     sender: str
     instance_id: int
-    sequence: int  # counts the sender's changes: of two reports the later one is valid
+    sequence: int  # counts the sender's changes; the report with the higher one is the later
     digest: bytes
-    rows: tuple[int, ...] = ()  # content hashes
-    rejected: tuple[tuple[int, str], ...] = ()  # content hashes and reasons
-    has_more_rejections: bool = False  # whether not all rejected rows are listed
+    rows: tuple[int, ...] = ()  # content hashes of applied rows
+    rejected: tuple[tuple[int, str], ...] = ()  # content hash and reason of each
+    has_more_rejections: bool = False  # whether `rejected` lists only some of the rejected rows
 
 
 class AppliedQuery(msgspec.Struct, frozen=True, array_like=True, tag=33):
-    """Which of the rows with these keys have you applied?"""
+    """Asks which of the rows with these keys the receiver has applied."""
 
     sender: str
     keys: tuple[str, ...]
@@ -54,11 +54,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AppliedState:
-    """What one member has applied."""
+    """The rows that one member has applied and rejected."""
 
-    digest: bytes = b""  # of the table that it was made from
+    digest: bytes = b""  # of the table from which the rows were applied
     rows: Mapping[str, Row] = field(default_factory=dict)  # the rows of that table, by key
-    applied: Mapping[str, Row] = field(default_factory=dict)  # by key; deleted rows count
+    applied: Mapping[str, Row] = field(default_factory=dict)  # by key, with deleted rows
     rejected: Mapping[str, str] = field(default_factory=dict)  # reasons, by key
 
 
@@ -80,11 +80,11 @@
 
     appliers: tuple[str, ...]
     missing: tuple[tuple[str, str], ...]  # name, and the reason of one that rejects the row
-    superseded: Row | None = None  # the row that is in the table instead
+    superseded: Row | None = None  # the row that the table has instead
 
     @property
     def in_force(self) -> bool:
-        """Whether every live member has applied the row."""
+        """Whether every live member has applied the row, and no other row has replaced it."""
         return not self.missing and self.superseded is None
 
 
@@ -93,7 +93,7 @@
 
 
 class Confirmations:
-    """One member's part: the reports that it sends to writers, and those that it receives as a writer.
+    """Tracks confirmations for one member: reports that it sends to writers, and receives as a writer.
 
     Times are seconds of any monotonic clock.
     """
@@ -103,10 +103,10 @@
         self._name, self._instance_id = name, instance_id
         self._table = table
         self._rng = rng
-        # Reports to be sent, by writer: when, and the keys of the rows.
+        # Reports to be sent, by writer: the time, and the keys of the rows.
         self._pending_reports: dict[str, tuple[float, dict[str, None]]] = {}
         self._watches: dict[str, _Watch] = {}  # by key
-        self._queried_at: dict[str, float] = {}  # by member
+        self._queried_at: dict[str, float] = {}  # time of the last query, by member
         self._last_reports: dict[str, tuple[int, int]] = {}  # instance id and sequence, by member
         self._sequence = 0
         self._next_query_at = float("inf")
@@ -116,9 +116,9 @@
     def record_applied(
         self, now: float, state: AppliedState, changed: Iterable[Row], cluster_size: int
     ) -> None:
-        """Note that this member has applied or rejected rows, and schedule the reports to their writers.
+        """Record that this member has applied or rejected rows, and schedule reports to their writers.
 
-        Each report is sent at a random time, so that all members together stay within the report rate.
+        Each report has a random delay, so that all members together stay within the report rate.
         """
         self.state = state
         self._sequence += 1
@@ -131,7 +131,7 @@
             self._pending_reports[row.writer][1][row.key] = None
 
     def _reporting_time_s(self, cluster_size: int) -> float:
-        """Return how long all members take to report one row, if their reports are as long as this one's."""
+        """Return the time in which all members report one row, if reports are as long as this member's."""
         report = AppliedReport(
             self._name, self._instance_id, self._sequence, self.state.digest, (_SAMPLE_HASH,)
         )
@@ -139,7 +139,7 @@
         return cluster_size * report_bytes / REPORT_RATE_BYTES_PER_S
 
     def answer_query(self, message: AppliedQuery) -> AppliedReport:
-        """Return the answer to a query."""
+        """Return the report that answers a writer's query."""
         return self._report(message.keys[:MAX_QUERY_KEYS])
 
     def _report(self, keys: Iterable[str]) -> AppliedReport:
@@ -158,10 +158,10 @@
             len(rejected) > MAX_REPORTED_REJECTIONS,
         )
 
-    # ---- as a writer, or as the member that was asked for a row's status
+    # ---- as a writer, or as a member that reports a row's status
 
     def watch(self, now: float, row: Row) -> None:
-        """Track which members have applied this row, and query those that don't report it."""
+        """Track which members apply this row for `WATCH_S`, and query those that do not report it."""
         watch = self._watches.get(row.key)
         if watch is None or watch.content_hash != row.content_hash:
             self._watches.pop(row.key, None)
@@ -172,14 +172,14 @@
         self._next_query_at = min(self._next_query_at, now + QUERY_INTERVAL_S)
 
     def receive_report(self, message: AppliedReport, live_instances: LiveInstances) -> None:
-        """Take up a member's report, unless it is of another instance or overtaken by a later one."""
+        """Process a member's report; ignore it if from another instance or older than the last one."""
         instance_id, sequence = self._last_reports.get(message.sender, (0, 0))
         if live_instances.get(message.sender) != message.instance_id or (
             instance_id == message.instance_id and message.sequence < sequence
         ):
             return
         self._last_reports[message.sender] = message.instance_id, message.sequence
-        # A digest also covers rows that the sender rejects: it counts only where all of these are listed.
+        # The digest covers rejected rows too, so it confirms rows only if the report lists all rejected ones.
         has_applied_table = message.digest == self._table.digest() and not message.has_more_rejections
         rejected, applied = dict(message.rejected), set(message.rows)
         for key, watch in self._watches.items():
@@ -193,7 +193,7 @@
                 watch.confirmed.pop(message.sender, None)
 
     def status(self, now: float, row: Row, live_instances: LiveInstances) -> CommitStatus:
-        """Return which members have applied a row, and keep watching it."""
+        """Return which members have applied a row, and watch the row for another `WATCH_S`."""
         current = self._table.get(row.key)
         if current != row:
             return CommitStatus((), (), current if current is not None else row)
@@ -203,7 +203,7 @@
         return CommitStatus(tuple(sorted(appliers)), tuple(sorted(missing.items())))
 
     def _missing(self, watch: _Watch, live_instances: LiveInstances) -> dict[str, str]:
-        """Return the members that have not applied a row, with the reason where they reject it."""
+        """Return the members that have not applied a row, with their reason if they rejected it."""
         missing: dict[str, str] = {}
         for name, instance_id in live_instances.items():
             if name == self._name:
@@ -218,11 +218,11 @@
     # ---- time
 
     def next_due_at(self) -> float:
-        """Return when `handle_timeouts` has something to do."""
+        """Return the time at which the next report or query is due; infinity if none is."""
         return min([self._next_query_at, *(when for when, _ in self._pending_reports.values())])
 
     def handle_timeouts(self, now: float, live_instances: LiveInstances) -> list[OutgoingReport]:
-        """Return the reports and queries that are due."""
+        """Return the reports and queries that are due, with their receivers."""
         outgoing: list[OutgoingReport] = []
         for writer, (when, keys) in list(self._pending_reports.items()):
             if when <= now:
@@ -234,7 +234,7 @@
         return outgoing
 
     def _queries(self, now: float, live_instances: LiveInstances) -> list[OutgoingReport]:
-        """Query members that have not reported rows which someone waits for, a few at a time."""
+        """Return queries to members that have not reported watched rows, a few at a time."""
         watches = [watch for watch in self._watches.values() if watch.until > now]
         self._next_query_at = now + QUERY_INTERVAL_S if watches else float("inf")
         self._forget_departed(live_instances)
@@ -258,7 +258,7 @@
     def _unreported_keys(
         self, now: float, watches: Iterable[_Watch], live_instances: LiveInstances
     ) -> dict[str, list[str]]:
-        """Return the keys of overdue rows by the member that has neither applied nor rejected them."""
+        """Return the keys of overdue rows, by the member that has neither applied nor rejected them."""
         overdue_s = self._reporting_time_s(len(live_instances)) + QUERY_DELAY_S
         unreported: dict[str, list[str]] = {}
         for watch in watches:
--- a/pipitshed/replication/gossip_queue.py
+++ b/pipitshed/replication/gossip_queue.py
@@ -1,4 +1,4 @@
-"""Items that are passed on with probes: each a bounded number of times, the least sent and newest first."""
+"""Queue of items to gossip with probes: each is sent a bounded number of times, the least sent first."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from collections.abc import Collection
 from typing import Generic, Protocol, TypeVar
 
-TRANSMISSION_FACTOR = 4  # times log10 of the cluster's size: how often an item is passed on
+TRANSMISSION_FACTOR = 4  # transmissions of an item by each member, as a multiple of log10 of the cluster size
 MAX_QUEUED_ITEMS = 512
 
 
 class GossipItem(Protocol):
-    """An item that can be passed on: a member record, or a row."""
+    """An item that can be gossiped: a member record or a row."""
 
     @property
     def key(self) -> str:
-        """The subject of the item: a newer item with the same key replaces it."""
+        """The subject of the item; a newer item with the same key replaces this one."""
 
     @property
     def size(self) -> int:
@@ -26,7 +26,7 @@
 
 
 class GossipQueue(Generic[T]):
-    """The items that one table still has to pass on, by how often each was sent. One item a key."""
+    """The items of one table that are still to be sent, by send count, with at most one item per key."""
 
     def __init__(self) -> None:
         self._items_by_send_count: list[dict[str, T]] = [{}]
@@ -36,10 +36,10 @@
         return len(self._send_counts)
 
     def add(self, item: T, send_count: int = 0) -> None:
-        """Pass this item on from now on.
+        """Queue an item, in place of one with the same key.
 
-        A `send_count` above 0 puts it behind items that were sent less often, and ends it sooner. Where the
-        queue is full, one of the most sent items is dropped.
+        A `send_count` above 0 puts the item behind items that were sent less often, and reduces how often it
+        is sent. If the queue is full, one of the most sent items is dropped.
         """
         self._drop(item.key)
         if len(self._send_counts) >= MAX_QUEUED_ITEMS:
@@ -59,17 +59,17 @@
             del self._items_by_send_count[send_count][key]
 
     def clear(self) -> None:
-        """Drop all items."""
+        """Drop all items; called once enough peers have the same table as this member."""
         self._items_by_send_count, self._send_counts = [{}], {}
 
     def take(self, max_bytes: int, cluster_size: int, exclude: Collection[T] = ()) -> tuple[T, ...]:
         """Return items for one message and count them as sent.
 
-        The least sent come first, and the newest of these: where not all can be sent in time, an old one is
-        left to anti-entropy.
+        Items that were sent least often come first, and of these the newest. If not all items can be sent in
+        time, old ones are left to anti-entropy.
 
         Args:
-            max_bytes: Space in the message.
+            max_bytes: Space for items in the message.
             cluster_size: Number of members, which limits how often an item is sent.
             exclude: Items that the receiver is known to have.
         """
@@ -97,5 +97,5 @@
 
 
 def transmission_limit(cluster_size: int) -> int:
-    """Return how often each member of a cluster of this size passes an item on."""
+    """Return how often each member of a cluster of this size sends an item."""
     return TRANSMISSION_FACTOR * math.ceil(math.log10(cluster_size + 1) + 0.001)
--- a/pipitshed/replication/merkle_tree.py
+++ b/pipitshed/replication/merkle_tree.py
@@ -1,7 +1,7 @@
-"""Digests of ranges of keys: a prefix tree over the hashes of keys, updated with each change.
+"""Digests of key ranges: a prefix tree over the hashes of keys, updated with each change.
 
-A node of the tree is named by a number: the root is 1, and the children of a node are 16 times its number
-and the 15 numbers after that. Each node has the number of items in its range and the sum of their hashes.
+Nodes are numbered: the root is 1, and the children of node n are 16 n to 16 n + 15. Each node stores the
+number of items in its range and the sum of their hashes.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from collections.abc import Iterator
 
 FANOUT = 16  # children of a node
-MAX_DEPTH = 3  # levels below the root, so at most 4,096 leaves; the items of a leaf are compared one by one
-ROOT = 1  # the root's node number
-FINGERPRINT_BYTES = 2  # length of the fingerprint by which one item of a range is compared
+MAX_DEPTH = 3  # levels below the root, so at most 4,096 leaves; items of a leaf are compared one by one
+ROOT = 1  # node number of the root
+FINGERPRINT_BYTES = 2  # of an item of a range that is compared item by item
 _BITS_PER_LEVEL = 4
 _HASH_BITS = 64
 _HASH_MASK = (1 << _HASH_BITS) - 1
@@ -27,7 +27,7 @@
 
 
 def is_valid_node(node: int) -> bool:
-    """Whether this is the number of a node; numbers from peers are checked by it."""
+    """Whether this is the number of a node; called for each number that a peer sends."""
     return 0 < node < FANOUT ** (MAX_DEPTH + 1) * 2 and (node.bit_length() - 1) % _BITS_PER_LEVEL == 0
 
 
@@ -44,19 +44,20 @@
 class MerkleTree:
     """The digests of a table's ranges.
 
-    A node has a sum of hashes and not their exclusive or, so that an item counted twice does not vanish.
+    A node stores the sum of hashes rather than their exclusive or, in which an item counted twice would
+    cancel out.
     """
 
     def __init__(self) -> None:
-        self._items: dict[str, tuple[int, int]] = {}  # by key: the hash of the key, the hash of its content
-        self._sorted_keys: list[tuple[int, str]] = []  # (hash of the key, key), in order
-        self._nodes: dict[int, tuple[int, int]] = {}  # by node: sum of content hashes, number of items
+        self._items: dict[str, tuple[int, int]] = {}  # hash of the key and hash of the content, by key
+        self._sorted_keys: list[tuple[int, str]] = []  # sorted (hash of the key, key)
+        self._nodes: dict[int, tuple[int, int]] = {}  # sum of content hashes and number of items, by node
 
     def __len__(self) -> int:
         return len(self._items)
 
     def put(self, key: str, content_hash: int) -> None:
-        """Set a key's content hash; with 0 the key stays in its range but changes no digest."""
+        """Set the content hash of a key; a key with hash 0 is counted, but changes no digest."""
         previous = self._items.get(key)
         key_hash = previous[0] if previous is not None else hash64(key.encode())
         if previous is None:
@@ -66,7 +67,7 @@
         self._add(key_hash, content_hash - previous_content_hash, previous is None)
 
     def drop(self, key: str) -> None:
-        """Remove a key."""
+        """Remove a key; raises KeyError if the tree does not have it."""
         key_hash, content_hash = self._items.pop(key)
         del self._sorted_keys[bisect_left(self._sorted_keys, (key_hash, key))]
         self._add(key_hash, -content_hash, -1)
@@ -83,11 +84,11 @@
                 del self._nodes[node]
 
     def digest(self) -> bytes:
-        """Return 8 bytes for the whole tree, equal where two trees have the same items."""
+        """Return 8 bytes for the whole tree; equal if two trees have the same items."""
         return self._nodes.get(ROOT, (0, 0))[0].to_bytes(8, "big")
 
     def node(self, node: int) -> tuple[int, int]:
-        """Return half of the bits of a node's sum, and its number of items."""
+        """Return the low 32 bits of a node's sum of hashes, and its number of items."""
         total, count = self._nodes.get(node, (0, 0))
         return total & _NODE_SUM_MASK, count
 
@@ -96,7 +97,7 @@
         return self._nodes.get(node, (0, 0))[1]
 
     def sample(self, rng: random.Random, max_count: int) -> list[str]:
-        """Return keys drawn at random."""
+        """Return up to `max_count` keys drawn at random."""
         drawn = rng.sample(self._sorted_keys, min(max_count, len(self._sorted_keys)))
         return [key for _, key in drawn]
 
@@ -111,7 +112,7 @@
             yield key
 
     def fingerprints(self, node: int, salt: int) -> Iterator[tuple[int, str]]:
-        """Iterate over (fingerprint, key) of each item in a node's range that counts in the digests.
+        """Iterate over (fingerprint, key) of the items in a node's range whose content hash is not 0.
 
         A fingerprint has 16 bits. It depends on the salt, so that two contents whose fingerprints collide
         under one salt differ under the next.
--- a/pipitshed/replication/messages.py
+++ b/pipitshed/replication/messages.py
@@ -1,4 +1,4 @@
-"""Messages of anti-entropy. Each fits a datagram; the transport frames, bounds and authenticates them."""
+"""Messages of anti-entropy. Each fits a datagram; the transport frames and authenticates it."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 from pipitshed.replication.merkle_tree import FINGERPRINT_BYTES
 
-UNPACKED_LIMIT_BYTES = 16_384  # of one packed part
-MESSAGE_LIMIT_BYTES = 1200  # fits a datagram of 1,400 bytes with the frame and the sender's member record
-MAX_RANGES = 72  # in one message
-MAX_FINGERPRINTS = 256  # in one message
+UNPACKED_LIMIT_BYTES = 16_384  # of the inflated items of one message
+MESSAGE_LIMIT_BYTES = 1200  # with the frame and the sender's record it fits a datagram of 1,400 bytes
+MAX_RANGES = 72  # per message
+MAX_FINGERPRINTS = 256  # per message
 Range = tuple[int, int, int]  # node number, sum of the hashes, number of items
 T = TypeVar("T")
 _encoder = msgspec.msgpack.Encoder()
@@ -22,16 +22,16 @@
 class Compare(msgspec.Struct, frozen=True, array_like=True, tag=20):
     """The sender's digests of these ranges.
 
-    The answer to it has those of them that differ, or their children where both sides have many items.
+    The answer has the ranges that differ, or their children if both sides have many items there.
     """
 
-    table: int  # index among the tables
+    table: int  # index of the table
     ranges: tuple[Range, ...]
     wants_answer: bool
 
 
 class FetchRequest(msgspec.Struct, frozen=True, array_like=True, tag=21):
-    """Fingerprints of all items that the sender has in these ranges: a request for those that it lacks."""
+    """A request for the items of these ranges that the sender lacks, by the fingerprints of those it has."""
 
     table: int
     ranges: tuple[int, ...]
@@ -40,30 +40,30 @@
 
 
 class Rows(msgspec.Struct, frozen=True, array_like=True, tag=22):
-    """Items that the receiver lacks: the answer to a `FetchRequest`, or an unrequested push (`fresh`)."""
+    """Items that the receiver lacks: the answer to a FetchRequest, a sample, or a push of fresh items."""
 
     table: int
     packed: bytes
     ranges: tuple[int, ...] = ()
-    salt: int = 0  # as in the request
-    requested_fingerprints: bytes = b""  # fingerprints of what the sender lacks itself
-    complete: bool = True  # whether these are all items that the ranges call for
+    salt: int = 0  # of the request
+    requested_fingerprints: bytes = b""  # fingerprints of items that the sender lacks itself
+    complete: bool = True  # whether these are all items that the receiver lacks in the ranges
     fresh: bool = False
 
     @property
     def is_sample(self) -> bool:
-        """Whether these are a few rows for a peer that has almost none, to begin with."""
+        """Whether these are the first few rows for a peer that has almost none."""
         return not self.ranges and not self.complete
 
 
 def pack(items: Sequence[Any]) -> bytes:
-    """Encode and deflate items: they are much alike, and deflating leaves a third to a half of the bytes."""
+    """Encode and deflate items; similar items shrink to between a third and a half of their bytes."""
     deflate = zlib.compressobj(1, wbits=-zlib.MAX_WBITS)
     return deflate.compress(_encoder.encode(items)) + deflate.flush()
 
 
 def unpack(packed: bytes, decoder: msgspec.msgpack.Decoder[tuple[T, ...]]) -> tuple[T, ...]:
-    """Return the items that were packed; none where they are damaged or inflate beyond the limit."""
+    """Return the packed items; none if they are damaged or inflate beyond the limit."""
     inflate = zlib.decompressobj(-zlib.MAX_WBITS)
     try:
         data = inflate.decompress(packed, UNPACKED_LIMIT_BYTES)
@@ -73,7 +73,7 @@
 
 
 def decode_fingerprints(fingerprints: bytes) -> set[int]:
-    """Return the fingerprints of a message."""
+    """Return the fingerprints that a message carries, at most twice `MAX_FINGERPRINTS`."""
     end = min(len(fingerprints), 2 * MAX_FINGERPRINTS * FINGERPRINT_BYTES)
     return {
         int.from_bytes(fingerprints[start : start + FINGERPRINT_BYTES], "big")
@@ -82,10 +82,10 @@
 
 
 def encode_fingerprints(fingerprints: Iterable[int]) -> bytes:
-    """Join fingerprints for a message."""
+    """Encode fingerprints for a message, each in `FINGERPRINT_BYTES` bytes."""
     return b"".join(fingerprint.to_bytes(FINGERPRINT_BYTES, "big") for fingerprint in fingerprints)
 
 
 def message_size(message: msgspec.Struct) -> int:
-    """Return the encoded size in bytes, without what the transport adds."""
+    """Return the encoded size in bytes, without the frame of the transport."""
     return len(_encoder.encode(message))
--- a/pipitshed/replication/peer_responder.py
+++ b/pipitshed/replication/peer_responder.py
@@ -1,4 +1,4 @@
-"""Answering peers in anti-entropy. Each message is answered by itself: no state of an exchange is stored."""
+"""Answers peers in anti-entropy. Each message is answered by itself; no state of an exchange is stored."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 )
 from pipitshed.replication.range_comparison import comparison_answer
 
-SAMPLE_ROWS = 5  # that a peer which has none is sent to begin with
-MIN_ANSWER_BYTES = 900  # an answer with less is not worth its headers
-MAX_DEFERRED_REQUESTS = 3  # that wait for the budget; more are not answered
-DEFERRED_RETRY_S = 0.05  # until a deferred request is tried again
+SAMPLE_ROWS = 5  # sent at first to a peer that has no rows
+MIN_ANSWER_BYTES = 900  # available for an answer; a smaller one is not worth its headers
+MAX_DEFERRED_REQUESTS = 3  # requests that wait for the budget; further ones are dropped
+DEFERRED_RETRY_S = 0.05  # delay before a deferred request is tried again
 NODE_BYTES = 4  # estimated size of a node number in a message
 
 
@@ -34,17 +34,15 @@
         self._tables = tables
         self._pacer = pacer
         self._rng = rng
-        self._deferred: dict[
-            tuple[int, Address], FetchRequest
-        ] = {}  # requests that the budget had no bytes for
+        self._deferred: dict[tuple[int, Address], FetchRequest] = {}  # waiting for the budget
         self._retry_at = float("inf")
 
     def next_due_at(self) -> float | None:
-        """Return when `handle_timeouts` has something to do."""
+        """Return the time at which deferred requests are retried; None if there are none."""
         return self._retry_at if self._deferred else None
 
     def handle_timeouts(self, now: float) -> list[OutgoingMessage]:
-        """Answer requests that waited for the budget."""
+        """Answer the deferred requests if their retry is due."""
         outgoing: list[OutgoingMessage] = []
         if self._deferred and now >= self._retry_at:
             deferred, self._deferred = self._deferred, {}
@@ -55,12 +53,12 @@
     def answer_comparison(
         self, now: float, peer: Address, request: Compare, differing: Sequence[Range]
     ) -> list[OutgoingMessage]:
-        """Answer a peer's digests, of which these differ."""
+        """Answer a peer's digests, given those of them that differ."""
         tree = self._tables[request.table].tree
         peer_is_empty = any(node == ROOT and count <= 1 for node, _, count in differing)
         answer: Compare | Rows
         if peer_is_empty and len(tree) > SAMPLE_ROWS:
-            # A whole cluster may join by one seed: it sends a few rows, and the rest comes from other peers.
+            # A whole cluster may join through one seed, so it sends a few rows and other peers send the rest.
             table = self._tables[request.table]
             sample = [table.get(key) for key in tree.sample(self._rng, SAMPLE_ROWS)]
             answer = Rows(request.table, pack(sample), complete=False)
@@ -69,7 +67,7 @@
         return self._admitted(now, peer, answer)
 
     def answer_fetch_request(self, now: float, peer: Address, request: FetchRequest) -> list[OutgoingMessage]:
-        """Answer a peer that sent the fingerprints of its items with the rows that it lacks."""
+        """Answer a peer's request with the rows whose fingerprints it did not list, or defer the request."""
         table = self._tables[request.table]
         peer_fingerprints = decode_fingerprints(request.fingerprints)
         nodes = tuple(node for node in request.ranges[:MAX_RANGES] if is_valid_node(node))
@@ -109,7 +107,7 @@
             count, packed = self._pacer.pack_rows(table, keys, min(MESSAGE_LIMIT_BYTES, available))
             answer = Rows(message.table, packed)
             if not count or not self._pacer.admit(now, message.table, answer):
-                break  # a later exchange finds the rest again
+                break  # a later exchange finds the remaining rows again
             outgoing.append(OutgoingMessage(peer, answer))
             del keys[:count]
         return outgoing
--- a/pipitshed/replication/replicator.py
+++ b/pipitshed/replication/replicator.py
@@ -1,4 +1,4 @@
-"""Replication of several tables: gossip with messages, pushes of fresh rows, and exchanges with peers."""
+"""Replication of several tables: gossip with messages, pushes of fresh rows, exchanges with peers."""
 
 from __future__ import annotations
 
@@ -17,41 +17,41 @@
 )
 from pipitshed.replication.messages import MESSAGE_LIMIT_BYTES, Compare, FetchRequest, Rows
 
-HEADER_BYTES = 50  # around a message: the headers of IP and UDP, and the transport's frame
-OVERHEAD_BYTES = HEADER_BYTES + 20  # and the structure that holds the items
-MAX_QUEUED_FOR_FETCHED = 8  # queued items from which on fetched ones are not passed on
-MAX_FETCHED_IN_ANSWER = 3  # items in one answer, up to which they are passed on
-FETCHED_TRANSMISSIONS = 4  # how often a fetched item is passed on
-LONG_QUEUE_ITEMS = 24  # queued items from which on a message has less space for them
-MIN_LONG_QUEUE_BYTES = 60
-AGREEING_PEERS_TO_CLEAR_QUEUE = 8  # in a row with the digest of this member: they know what is queued
-DIFFERENCE_LIFETIME_S = 2.0  # how long another digest that a peer sent counts
-SETTLE_S = 1.0  # without a change here, after which another digest is not just news in transit
-EXCHANGE_INTERVAL_S = 0.5  # between the starts of exchanges
-CATCH_UP_EXCHANGE_INTERVAL_S = 0.1  # the same while this member is far behind
-FAR_BEHIND_ITEMS = 8  # items missing, or gained from one answer, from which on this member is far behind
-BASE_CATCH_UP_EXCHANGES = 2  # at a time while far behind
-MAX_EXTRA_EXCHANGES = 6  # beyond these, by the number of missing items
+HEADER_BYTES = 50  # per message: headers of IP and UDP, and the transport's frame
+OVERHEAD_BYTES = HEADER_BYTES + 20  # with the message fields around the items
+MAX_QUEUED_FOR_FETCHED = 8  # with this many items queued, fetched items are not gossiped
+MAX_FETCHED_IN_ANSWER = 3  # fetched items are gossiped only if their answer has no more items
+FETCHED_TRANSMISSIONS = 4  # number of times a fetched item is gossiped
+LONG_QUEUE_ITEMS = 24  # with more items queued, a message gives them less space
+MIN_LONG_QUEUE_BYTES = 60  # least space in a message for a long queue
+AGREEING_PEERS_TO_CLEAR_QUEUE = 8  # peers in a row with this member's digest, so with its queued items
+DIFFERENCE_LIFETIME_S = 2.0  # time for which a differing digest of a peer counts
+SETTLE_S = 1.0  # without a local change, after which a differing digest is not just gossip in transit
+EXCHANGE_INTERVAL_S = 0.5  # minimum between the starts of exchanges
+CATCH_UP_EXCHANGE_INTERVAL_S = 0.1  # the same, while this member is far behind
+FAR_BEHIND_ITEMS = 8  # a member that lacks, or gains from one answer, this many items is far behind
+BASE_CATCH_UP_EXCHANGES = 2  # concurrent exchanges while far behind
+MAX_EXTRA_EXCHANGES = 6  # added to these by the number of missing items
 MAX_DIFFERING_PEERS = 64
-BOOTSTRAP_S = 3.0  # after which a table counts as caught up where no seed has caught up either
+BOOTSTRAP_S = 3.0  # after which a table counts as caught up if no seed has caught up either
 
 PeerSampler = Callable[[], list[Address]]  # returns a few live peers, drawn at random
 
 
 class ReplicatedTable(ComparableTable, Protocol):
-    """A table that is replicated."""
+    """The interface of a table that a Replicator replicates."""
 
     change_count: int
-    caught_up: bool  # whether it was compared with a peer that had caught up, or there is none
+    caught_up: bool  # whether it was compared with a peer that had caught up, or no such peer exists
 
 
 class Replicator:
-    """The tables of one member. Times are seconds of any monotonic clock."""
+    """Replicates the tables of one member. Times are seconds of any monotonic clock."""
 
     def __init__(
         self, tables: Sequence[ReplicatedTable], rng: random.Random, now: float, seeds: Sequence[Address]
     ) -> None:
-        """Create a replicator; a member without `seeds` is the first, so its tables have caught up."""
+        """Create a replicator; a member without `seeds` is the first one, so its tables are caught up."""
         self.tables = tables
         self.budget = BandwidthBudget(len(tables), now)
         self.anti_entropy = AntiEntropy(tables, self.budget, rng, OVERHEAD_BYTES)
@@ -60,15 +60,13 @@
         self._rng = rng
         self._started_at = now
         self._seeds = frozenset(seeds)
-        self._seeds_not_caught_up: list[set[Address]] = [
-            set() for _ in tables
-        ]  # that have not caught up either
-        self._differed_at: list[dict[Address, float]] = [{} for _ in tables]  # peers with another digest
+        self._seeds_not_caught_up: list[set[Address]] = [set() for _ in tables]  # by table
+        self._differed_at: list[dict[Address, float]] = [{} for _ in tables]  # peers with differing digests
         self._last_change = [(-1, now)] * len(tables)  # change count, and when it was first seen
         self._next_exchange_at = [now] * len(tables)
         self._far_behind_until = [float("-inf")] * len(tables)
-        self._fresh_keys: list[list[str]] = [[] for _ in tables]  # to be pushed
-        self._agreeing_peers = [0] * len(tables)  # in a row with the digest of this member
+        self._fresh_keys: list[list[str]] = [[] for _ in tables]  # keys of items to be pushed
+        self._agreeing_peers = [0] * len(tables)  # consecutive peers with this member's digest
         if not seeds:
             for table in tables:
                 table.caught_up = True
@@ -76,13 +74,13 @@
     # ---- digests
 
     def digests(self) -> tuple[bytes, ...]:
-        """Return the digests of the tables; empty for one that has not caught up, as it is incomplete."""
+        """Return the digests of the tables; empty for a table that has not caught up, so is incomplete."""
         return tuple(table.tree.digest() if table.caught_up else b"" for table in self.tables)
 
     def receive_digests(
         self, now: float, name: str, address: Address, digests: tuple[bytes, ...]
     ) -> list[OutgoingMessage]:
-        """Handle the digests of a peer."""
+        """Record the digests of a peer, and start exchanges for tables that differ."""
         self.peer_digests[name] = digests
         outgoing: list[OutgoingMessage] = []
         for index, (table, digest) in enumerate(zip(self.tables, digests, strict=False)):
@@ -106,34 +104,34 @@
         return outgoing
 
     def last_differed_at(self, index: int, address: Address) -> float:
-        """Return when a peer last sent another digest; minus infinity where it has agreed since."""
+        """Return when a peer last sent a differing digest; minus infinity if it has agreed since."""
         return self._differed_at[index].get(address, float("-inf"))
 
     def agrees_with(self, name: str) -> bool | None:
-        """Whether a peer sent the digest that the first table has here; None where it sent none."""
+        """Whether the peer's last digest of the first table equals this member's; None without one."""
         digests = self.peer_digests.get(name)
         return None if not digests else digests[0] == self.tables[0].tree.digest()
 
     # ---- gossip
 
     def queue_item(self, index: int, item: Any) -> None:
-        """Pass an item on from now on."""
+        """Queue an item for gossip."""
         self.queues[index].add(item)
         self._agreeing_peers[index] = 0
 
     def queue_fetched(
         self, now: float, index: int, item: Any, cluster_size: int, answer_item_count: int
     ) -> None:
-        """Pass on an item that anti-entropy brought, a few times and while few are queued.
+        """Queue an item that anti-entropy fetched for a few transmissions, if few items are queued.
 
-        Where many are missing here, other members know them, or fetch them as well.
+        If this member lacks many items, other members know them, or fetch them as well.
 
         Args:
             now: The time.
             index: The table.
             item: The item.
             cluster_size: Number of members.
-            answer_item_count: How many items came with it.
+            answer_item_count: Number of items in the answer.
         """
         if (
             answer_item_count <= MAX_FETCHED_IN_ANSWER
@@ -158,9 +156,9 @@
         Args:
             now: The time.
             max_bytes: Space in the message.
-            receiver: Name of the receiver. A table whose digest it has sent last is left out.
+            receiver: Name of the receiver. Tables whose digest it has sent last are left out.
             cluster_size: Number of members.
-            table_count: Only the first tables, so many, are considered.
+            table_count: Number of tables, from the first, that are considered.
             always_index: A table that is never left out; -1 for none.
             exclude: Items that the receiver has just sent, by table.
 
@@ -170,12 +168,12 @@
         chosen: list[Any] = [()] * len(self.tables)
         table_indexes = self._tables_to_send(receiver, table_count, always_index)
         spent_bytes = 0
-        # The shortest queue comes first and leaves space to the others: equal parts where all are long.
+        # The shortest queue comes first and leaves space to the others; long queues get equal parts.
         for position, index in enumerate(sorted(table_indexes, key=lambda index: len(self.queues[index]))):
             queue = self.queues[index]
             share = (max_bytes - spent_bytes) // (len(table_indexes) - position)
             share = min(share, self.budget.available_bytes(now, index, OVERHEAD_BYTES))
-            # Of a very long queue most items would reach members that know them: left to anti-entropy.
+            # Most items of a very long queue would reach members that know them; anti-entropy sends these.
             share = min(share, max(MIN_LONG_QUEUE_BYTES, max_bytes * LONG_QUEUE_ITEMS // len(queue)))
             chosen[index] = queue.take(share, cluster_size, exclude[index] if index < len(exclude) else ())
             used_bytes = sum(item.size for item in chosen[index])
@@ -184,7 +182,7 @@
         return chosen, spent_bytes
 
     def _tables_to_send(self, receiver: str, table_count: int, always_index: int) -> list[int]:
-        """Return the tables of which items are queued that the receiver may lack."""
+        """Return the indexes of tables with queued items that the receiver may lack."""
         for index, queue in enumerate(self.queues):
             if (
                 len(queue)
@@ -205,7 +203,7 @@
         ]
 
     def queue_fresh(self, now: float, index: int, items: Sequence[Any]) -> None:
-        """Pass on items that are new in the cluster, by push at once and with probes."""
+        """Queue items that are new in the cluster, for a push and for gossip with probes."""
         for item in items:
             self.queue_item(index, item)
         if not self._is_far_behind(now, index):
@@ -213,11 +211,11 @@
 
     @property
     def has_pushes(self) -> bool:
-        """Whether there is something to push."""
+        """Whether any items wait to be pushed."""
         return any(self._fresh_keys)
 
     def push_fresh(self, now: float, peers: Sequence[Address]) -> list[OutgoingMessage]:
-        """Push fresh items to these peers as far as the budget allows; the rest goes with probes."""
+        """Push fresh items to these peers as far as the budget allows; probes carry the rest."""
         outgoing: list[OutgoingMessage] = []
         pacer = self.anti_entropy.pacer
         for index, keys in enumerate(self._fresh_keys):
@@ -237,11 +235,11 @@
     def start_exchange_if_due(
         self, now: float, index: int, force: bool = False, sample_peers: PeerSampler | None = None
     ) -> list[OutgoingMessage]:
-        """Start an exchange with a peer that has recently sent another digest.
+        """Start an exchange with a peer that has recently sent a differing digest.
 
-        Unless `force` is set, a recent change here is waited out: the difference may be news in transit.
-        While this member is far behind, several exchanges run at a time, with sampled peers where no other
-        peer is known to differ.
+        Unless `force` is set, no exchange starts soon after a local change, as the difference may be gossip
+        in transit. While this member is far behind, several exchanges run concurrently, with sampled peers
+        if no peer is known to differ.
         """
         table = self.tables[index]
         if self._last_change[index][0] != table.change_count:
@@ -262,12 +260,12 @@
         return self.anti_entropy.start(now, index, self._rng.choice(peers))
 
     def _catch_up_exchanges(self, index: int) -> int:
-        """Return how many exchanges have something to request; more would request a little each."""
+        """Return the bound on concurrent exchanges; with more, each would request only a few items."""
         extra = self.anti_entropy.missing_count(index) // MAX_REQUESTED_ITEMS
         return BASE_CATCH_UP_EXCHANGES + min(MAX_EXTRA_EXCHANGES, extra)
 
     def _differing_peers(self, now: float, index: int) -> list[Address]:
-        """Return peers with another digest with which an exchange may start."""
+        """Return peers with a recent differing digest with which an exchange may start."""
         differed_at = self._differed_at[index]
         for peer in [peer for peer, when in differed_at.items() if now - when > DIFFERENCE_LIFETIME_S]:
             del differed_at[peer]
@@ -279,13 +277,13 @@
         return now < self._far_behind_until[index] or not self.tables[index].caught_up
 
     def start_exchange(self, now: float, index: int, address: Address) -> list[OutgoingMessage]:
-        """Start an exchange with this peer even if earlier ones have failed."""
+        """Start an exchange with this peer, even during a backoff from it."""
         if not self.anti_entropy.is_idle(index, address):
             return []
         return self.anti_entropy.start(now, index, address)
 
     def compare_random_range(self, now: float, address: Address) -> list[OutgoingMessage]:
-        """Compare a random range of a random table with a peer, whatever the digests are."""
+        """Compare a random range of a random table with a peer, even if no digest differs."""
         index = self._rng.randrange(len(self.tables))
         if not self.anti_entropy.may_start(now, index, address):
             return []
@@ -296,8 +294,8 @@
     ) -> list[OutgoingMessage]:
         """Handle a peer's request, or its answer to a comparison.
 
-        A table that has not caught up answers nobody: its missing rows would be taken for rows that do not
-        exist.
+        Requests for a table that has not caught up are not answered, as the peer would take missing rows for
+        rows that do not exist.
         """
         if not 0 <= message.table < len(self.tables):
             return []
@@ -320,14 +318,14 @@
         newer_keys: Sequence[str],
         sample_peers: PeerSampler,
     ) -> list[OutgoingMessage]:
-        """Handle a peer's rows that were applied.
+        """Handle a message with rows after its rows were applied.
 
         Args:
             now: The time.
             address: The sender.
-            message: Its message.
-            gained_count: How many of the rows were new here.
-            newer_keys: Keys of which this member has a newer row.
+            message: The message.
+            gained_count: Number of rows that were new to this member.
+            newer_keys: Keys for which this member has a newer row.
             sample_peers: Returns a few live peers.
         """
         far_behind = gained_count >= FAR_BEHIND_ITEMS or (gained_count > 0 and message.is_sample)
@@ -339,11 +337,11 @@
         return outgoing
 
     def handle_timeouts(self, now: float) -> list[OutgoingMessage]:
-        """Return what has come due of the exchanges."""
+        """Return the retries and postponed messages of exchanges that are due."""
         return self.anti_entropy.handle_timeouts(now)
 
     def apply_completed_exchanges(self, now: float) -> None:
-        """Mark tables as caught up for which an exchange was complete, or no seed has caught up."""
+        """Mark a table as caught up after a complete exchange, or if no seed has caught up."""
         completed, self.anti_entropy.completed = self.anti_entropy.completed, []
         for result in completed:
             if result.complete:
@@ -351,8 +349,8 @@
         if now - self._started_at < BOOTSTRAP_S:
             return
         for index, table in enumerate(self.tables):
-            # No seed has caught up, and no peer: the whole cluster has just started. With a silent seed it
-            # may be this part of it alone, while the rows in force are on the other side of a partition.
+            # If all seeds answer and neither they nor any peer have caught up, the whole cluster has just
+            # started. If a seed is silent, the rows in force may be on the other side of a partition.
             if (
                 not table.caught_up
                 and self._seeds_not_caught_up[index] == self._seeds
--- a/pipitshed/replication/row.py
+++ b/pipitshed/replication/row.py
@@ -1,4 +1,4 @@
-"""One small versioned row, and the order in which one row replaces another."""
+"""One small versioned row, and the order of precedence between two rows of one key."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 from pipitshed.replication.merkle_tree import hash64
 
-FORMAT_VERSION = 1  # of the rows that this program writes and reads
+FORMAT_VERSION = 1  # of rows that this program writes, and the highest that it reads
 KEY_LIMIT_BYTES = 128
 WRITER_LIMIT_BYTES = 64
 _encoder = msgspec.msgpack.Encoder()
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
-    """One row, with the version (term, number).
+    """One row, whose version is (term, number).
 
-    The row's only writer raises the number; a take-over by another writer raises the term. A format version
-    above `FORMAT_VERSION` comes from a newer program: such a row is stored and passed on unread.
+    A row has one writer, which raises the number; a take-over by another writer raises the term. A row with a
+    format version above `FORMAT_VERSION` comes from a newer program, and is stored and passed on unread.
     """
 
     key: str
@@ -39,11 +39,11 @@
 
     @property
     def content_hash(self) -> int:
-        """A 64-bit hash of all fields."""
+        """A 64-bit hash of all fields, for digests and for ties in `precedence`."""
         return hash64(_encoder.encode(self))
 
     def is_valid(self) -> bool:
-        """Whether all fields are within their bounds; rows from peers are checked by it."""
+        """Whether all fields are within their bounds; a table rejects other rows."""
         return (
             0 < len(self.key.encode()) <= KEY_LIMIT_BYTES
             and 0 < len(self.writer.encode()) <= WRITER_LIMIT_BYTES
@@ -54,8 +54,8 @@
 
 
 def precedence(row: Row) -> tuple[int, int, bool, int]:
-    """Return a sort key under which the row that replaces another is greater.
+    """Return a sort key: of two rows of one key, the one with the greater sort key replaces the other.
 
-    The order is total: of two contents under one version every member ends with the same one.
+    The order is total, so of two contents with one version all members keep the same one.
     """
     return row.term, row.number, row.deleted, row.content_hash
--- a/pipitshed/replication/row_fetch.py
+++ b/pipitshed/replication/row_fetch.py
@@ -1,4 +1,4 @@
-"""Choosing the ranges from which a request fetches what is missing here."""
+"""Selection of the ranges from which a request fetches the items that this member lacks."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 def fetch_request(
     exchange: Exchange, tree: MerkleTree, busy_nodes: Collection[int], rng: random.Random
 ) -> FetchRequest | None:
-    """Return a request for ranges that differ, as many as one answer may hold; None where there is none.
+    """Return a request for differing ranges, as many as one answer may hold; None if none is left.
 
     Args:
-        exchange: The exchange; ranges that agree by now are removed from it.
-        tree: The digests of the table here.
-        busy_nodes: Ranges that other exchanges are fetching.
-        rng: Draws the first range and the salt.
+        exchange: The exchange; ranges that no longer differ are removed from it.
+        tree: The digests of this member's table.
+        busy_nodes: Ranges that other exchanges are fetching, which are left out.
+        rng: The source of the first range and the salt.
     """
     _remove_equal_ranges(exchange, tree)
     nodes = list(exchange.nodes_to_fetch)
--- a/pipitshed/replication/row_table.py
+++ b/pipitshed/replication/row_table.py
@@ -1,6 +1,6 @@
 """A table of small versioned rows.
 
-Two tables that were given the same rows hold the same content, whatever the order in which the rows arrived.
+Two tables to which the same rows were applied have the same content, whatever the order of the rows.
 """
 
 from __future__ import annotations
@@ -14,31 +14,31 @@
 
 __all__ = ["FORMAT_VERSION", "NOT_COMPARED", "ApplyResult", "Row", "RowError", "RowTable"]
 
-# Why a write is refused, as operators read it.
-NOT_COMPARED = "not compared with a peer since the start: what is in force is not known here yet"
+# The reason for a rejected write that operators read.
+NOT_COMPARED = "not compared with a peer since the start: the rows in force are not known here yet"
 
 
 class ApplyResult(enum.Enum):
-    """What became of a row that was offered to a table."""
+    """The result of applying a row to a table; the values are keys of `RowTable.counts`."""
 
-    NEW = "new"  # it replaced the older row, or added a key
-    OLD = "old"  # the table has a newer one
-    SAME = "same"  # the table has this very row
-    CONFLICT = "conflict"  # the table has another content under the same version, which takes precedence
+    NEW = "new"  # the row replaced an older one, or added a key
+    OLD = "old"  # the table has a newer row
+    SAME = "same"  # the table has this exact row
+    CONFLICT = "conflict"  # the table has other content with the same version, which takes precedence
     TOO_LONG = "too-long"
     TOO_MANY = "too-many"
     INVALID = "unsound"
 
 
 class RowError(ValueError):
-    """A row can't be written; the text says why in one line."""
+    """A write was rejected; the text gives the reason to operators in one line."""
 
 
 class RowTable:
     """The newest row of each key.
 
-    A deleted row stays for good as an empty one, its tombstone, within the bound on rows: no peer that was
-    away, however long, brings the deleted row back. Once the bound is reached, new keys are rejected.
+    A deleted row is kept for good as a tombstone without a body, so that no peer brings the row back after a
+    long absence. Tombstones count toward the bound on rows, beyond which new keys are rejected.
     """
 
     def __init__(
@@ -48,15 +48,15 @@
 
         Args:
             name: The table's name, the same on all members.
-            max_rows: Bound on the number of rows, tombstones included.
-            max_bytes: Bound on the encoded size of all rows together.
+            max_rows: Bound on the number of rows, including tombstones.
+            max_bytes: Bound on the total encoded size of all rows.
             max_row_bytes: Bound on the encoded size of one row.
         """
         self.name = name
         self.max_rows, self.max_bytes, self.max_row_bytes = max_rows, max_bytes, max_row_bytes
         self.change_count = 0
-        self.counts: Counter[str] = Counter()  # rows offered, by `ApplyResult`; also `conflicts`, `writers`
-        self.caught_up = False  # whether it was compared with a peer since the start, or there is none
+        self.counts: Counter[str] = Counter()  # applied rows by `ApplyResult`; also `conflicts` and `writers`
+        self.caught_up = False  # whether it was compared with a peer since the start, or no peer exists
         self.tree = MerkleTree()
         self._rows: dict[str, Row] = {}
         self._bytes = 0
@@ -68,26 +68,26 @@
         return len(self._rows)
 
     def get(self, key: str) -> Row | None:
-        """Return the row of a key; its tombstone where it was deleted."""
+        """Return the row of a key, its tombstone if it was deleted, or None."""
         return self._rows.get(key)
 
     def digest(self) -> bytes:
-        """Return 8 bytes that are equal where two tables have the same content."""
+        """Return 8 bytes that are equal if two tables have the same content."""
         return self.tree.digest()
 
     def put(self, key: str, body: bytes, writer: str, take_over: bool = False) -> Row:
-        """Write a row; its number follows that of the current row, never a clock.
+        """Write a row, numbered one above the current row; no clock is used.
 
         Raises:
-            RowError: The row can't be written.
+            RowError: The write was rejected.
         """
         return self._write(key, body, writer, take_over, False)
 
     def delete(self, key: str, writer: str, take_over: bool = False) -> Row:
-        """Replace a row by its tombstone.
+        """Replace a row with its tombstone.
 
         Raises:
-            RowError: There is no such row, or another writer has it.
+            RowError: There is no such row, or it has another writer.
         """
         current = self._rows.get(key)
         if current is None or current.deleted:
@@ -96,7 +96,7 @@
 
     def _write(self, key: str, body: bytes, writer: str, take_over: bool, deleted: bool) -> Row:
         if not self.caught_up:
-            # A writer that has just started could put an old number under a new content.
+            # A writer that has just started could reuse an old version number for new content.
             raise RowError(NOT_COMPARED)
         current = self._rows.get(key)
         term, number = (current.term, current.number) if current is not None else (1, 0)
@@ -111,23 +111,23 @@
     @staticmethod
     def _check_writer(current: Row, writer: str) -> None:
         if current.writer != writer:
-            raise RowError(f"{current.key}: {current.writer} writes it; another has to take it over")
+            raise RowError(f"{current.key}: {current.writer} writes it; another writer has to take it over")
         if not current.readable:
             raise RowError(
-                f"{current.key}: of a newer program (form {current.format_version}); it has to be taken over"
+                f"{current.key}: of a newer program (format {current.format_version}); a take-over is needed"
             )
 
     def _rejection_reason(self, result: ApplyResult, row: Row) -> str:
         return {
             ApplyResult.TOO_LONG: f"{row.size} bytes, {self.max_row_bytes} at most",
-            ApplyResult.TOO_MANY: f"no room: {len(self)} rows and deleted ones of {self.max_rows}, "
-            f"{self._bytes} bytes of {self.max_bytes}",
+            ApplyResult.TOO_MANY: f"no room: {len(self)} of {self.max_rows} rows, deleted ones included, "
+            f"{self._bytes} of {self.max_bytes} bytes",
             ApplyResult.INVALID: f"its key has 1 to {KEY_LIMIT_BYTES} bytes, "
             f"its writer 1 to {WRITER_LIMIT_BYTES}",
         }[result]
 
     def apply(self, row: Row) -> ApplyResult:
-        """Store a row if it is newer than the current one of its key, and count the result."""
+        """Store a row if it takes precedence over the current one of its key, and count the result."""
         result = self._apply(row)
         self.counts[result.value] += 1
         return result
@@ -143,8 +143,8 @@
             if version == current_version:
                 self.counts["conflicts"] += 1
             if row.term == current.term and row.writer != current.writer:
-                # A row has one writer in each term. A violation is counted and ranked like any other row: if
-                # the first to arrive won, members would end with different rows.
+                # A row has one writer in each term. A violation is counted, and ordered like any other row:
+                # if the first row to arrive won, members would keep different rows.
                 self.counts["writers"] += 1
             if precedence(row) < precedence(current):
                 return ApplyResult.CONFLICT if version == current_version else ApplyResult.OLD
