--- a/pipitshed/membership/sync.py
+++ b/pipitshed/membership/sync.py
@@ -129,7 +129,7 @@
         self._outbox.send_admitted(outgoing)
 
     def _apply(self, now: float, message: Rows) -> tuple[int, list[str]]:
-        """Apply a peer's items; return the number of new ones, and the keys with newer items here."""
+        """Apply a peer's items; return the number of new ones, and the keys for which newer items exist."""
         if message.table == VIEW_INDEX:
             return self._apply_records(now, unpack(message.packed, _record_decoder))
         rows = unpack(message.packed, _row_decoder)
--- a/pipitshed/membership/timers.py
+++ b/pipitshed/membership/timers.py
@@ -13,7 +13,7 @@
     PROBE = enum.auto()  # probe the next member of the round
     INDIRECT_PING = enum.auto()  # no ack in time: ask helpers for indirect pings
     PROBE_TIMEOUT = enum.auto()  # no ack, direct or indirect: suspect the target
-    NACK = enum.auto()  # no ack to an indirect ping so far: tell the member that requested it
+    NACK = enum.auto()  # no ack to an indirect ping so far: notify the member that requested it
     SYNC = enum.auto()  # start exchanges with peers whose digests differ, or with a seed
     RECONNECT = enum.auto()  # start an exchange with a dead member
     PUSH = enum.auto()  # push fresh rows
--- a/pipitshed/membership/timing.py
+++ b/pipitshed/membership/timing.py
@@ -13,7 +13,7 @@
 
 
 class ProtocolTimings(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
-    """Timings of the protocol, in seconds unless said otherwise.
+    """Timings of the protocol, in seconds unless a field's comment gives another unit.
 
     All schedulers of a cluster should have the same timings. The field names are keys of the configuration
     file.
--- a/pipitshed/replication/commit_tracking.py
+++ b/pipitshed/replication/commit_tracking.py
@@ -79,7 +79,7 @@
     """Which members have applied a row, and which have not."""
 
     appliers: tuple[str, ...]
-    missing: tuple[tuple[str, str], ...]  # name, and the reason of one that rejects the row
+    missing: tuple[tuple[str, str], ...]  # name of the member, and its reason if it rejected the row
     superseded: Row | None = None  # the row that the table has instead
 
     @property
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -14,7 +14,7 @@
 from pipitshed.membership.view import MembershipView
 from pipitshed.testbed.virtual_view import Network
 
-SETTLE_LIMIT_S = 5.0  # seconds within which 20 schedulers agree after the last fault
+SETTLE_LIMIT_S = 5.0  # time within which 20 schedulers agree after the last fault
 
 
 def port_parity(address: Address) -> int:
@@ -198,7 +198,7 @@
 
 
 def test_a_shared_name_returns_to_the_earlier_process_once_the_later_one_dies() -> None:
-    """The earlier of two processes with the same name is out of the view while the later one lives."""
+    """The earlier of two processes with the same name is out of the view while the later one runs."""
     network = joined_network(9)
     earlier = next(node for node in network.nodes.values() if node.name == "n5")
     later = network.start(61, [0, 1], name="n5")
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -1,4 +1,4 @@
-"""Replication: a row written at one member reaches all within seconds, whatever has failed."""
+"""Replication: a row written at one member reaches all within seconds, also after failures."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 PEER_ADDRESS = ("127.0.0.1", 1)
 ROWS_DECODER = msgspec.msgpack.Decoder(tuple[Row, ...])
-SETTLE_LIMIT_S = 5.0  # seconds within which a change reaches every member
+SETTLE_LIMIT_S = 5.0  # time within which a change reaches every member
 MAX_BYTES_PER_S = 9000  # that a scheduler may send to its peers
 
 
