--- a/pipitshed/membership/probing.py
+++ b/pipitshed/membership/probing.py
@@ -11,7 +11,7 @@
 from pipitshed.membership.suspicion import MemberRecords
 from pipitshed.membership.timers import Timer
 
-RECENT_DIFFERENCE_S = 1.0  # a member that sent a differing view digest this recently is not probed
+RECENT_DIFFERENCE_S = 1.0  # a member that sent a differing view digest this recently is alive, so not probed
 NACK_FRACTION = 0.8  # of the ack timeout; a helper without an ack then sends a nack
 
 
