--- a/pipitshed/replication/peer_responder.py
+++ b/pipitshed/replication/peer_responder.py
@@ -1,29 +1,29 @@
-"""Answering peers in anti-entropy. Each message is answered by itself: no state of an exchange is stored."""
+"""Answers peers in anti-entropy. Each message is answered by itself; no state of an exchange is stored."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Sequence
 
-from pipitshed.replication.merkle_tree import ITEM_MARK_BYTES, ROOT, is_valid_node
+from pipitshed.replication.merkle_tree import FINGERPRINT_BYTES, ROOT, is_valid_node
 from pipitshed.replication.message_pacing import Address, ComparableTable, MessagePacer, OutgoingMessage
 from pipitshed.replication.messages import (
     MAX_RANGES,
     MESSAGE_LIMIT_BYTES,
     Compare,
-    Items,
+    FetchRequest,
     Range,
     Rows,
-    decode_marks,
-    encode_marks,
+    decode_fingerprints,
+    encode_fingerprints,
     pack,
 )
 from pipitshed.replication.range_comparison import comparison_answer
 
-SAMPLE_ROWS = 5  # that a peer which has none is sent to begin with
-MIN_ANSWER_BYTES = 900  # an answer with less is not worth its headers
-MAX_DEFERRED_REQUESTS = 3  # that wait for the budget; more are not answered
-DEFERRED_RETRY_S = 0.05  # until a deferred request is tried again
+SAMPLE_ROWS = 5  # sent at first to a peer that has no rows
+MIN_ANSWER_BYTES = 900  # available for an answer; a smaller one is not worth its headers
+MAX_DEFERRED_REQUESTS = 3  # requests that wait for the budget; further ones are dropped
+DEFERRED_RETRY_S = 0.05  # delay before a deferred request is tried again
 NODE_BYTES = 4  # estimated size of a node number in a message
 
 
@@ -34,31 +34,31 @@
         self._tables = tables
         self._pacer = pacer
         self._rng = rng
-        self._deferred: dict[tuple[int, Address], Items] = {}  # requests that the budget had no bytes for
+        self._deferred: dict[tuple[int, Address], FetchRequest] = {}  # waiting for the budget
         self._retry_at = float("inf")
 
     def next_due_at(self) -> float | None:
-        """Return when `handle_timeouts` has something to do."""
+        """Return the time at which deferred requests are retried; None if there are none."""
         return self._retry_at if self._deferred else None
 
     def handle_timeouts(self, now: float) -> list[OutgoingMessage]:
-        """Answer requests that waited for the budget."""
+        """Answer the deferred requests if their retry is due."""
         outgoing: list[OutgoingMessage] = []
         if self._deferred and now >= self._retry_at:
             deferred, self._deferred = self._deferred, {}
             for (_, peer), request in deferred.items():
-                outgoing += self.answer_items(now, peer, request)
+                outgoing += self.answer_fetch_request(now, peer, request)
         return outgoing
 
     def answer_comparison(
         self, now: float, peer: Address, request: Compare, differing: Sequence[Range]
     ) -> list[OutgoingMessage]:
-        """Answer a peer's digests, of which these differ."""
+        """Answer a peer's digests, given those of them that differ."""
         tree = self._tables[request.table].tree
         peer_is_empty = any(node == ROOT and count <= 1 for node, _, count in differing)
         answer: Compare | Rows
         if peer_is_empty and len(tree) > SAMPLE_ROWS:
-            # A whole cluster may join by one seed: it sends a few rows, and the rest comes from other peers.
+            # A whole cluster may join through one seed, so it sends a few rows and other peers send the rest.
             table = self._tables[request.table]
             sample = [table.get(key) for key in tree.sample(self._rng, SAMPLE_ROWS)]
             answer = Rows(request.table, pack(sample), complete=False)
@@ -66,26 +66,28 @@
             answer = comparison_answer(request.table, tree, differing)
         return self._admitted(now, peer, answer)
 
-    def answer_items(self, now: float, peer: Address, request: Items) -> list[OutgoingMessage]:
-        """Answer a peer that sent the marks of its items with the rows that it lacks."""
+    def answer_fetch_request(self, now: float, peer: Address, request: FetchRequest) -> list[OutgoingMessage]:
+        """Answer a peer's request with the rows whose fingerprints it did not list, or defer the request."""
         table = self._tables[request.table]
-        peer_marks = decode_marks(request.marks)
+        peer_fingerprints = decode_fingerprints(request.fingerprints)
         nodes = tuple(node for node in request.ranges[:MAX_RANGES] if is_valid_node(node))
-        own_marks = [pair for node in nodes for pair in table.tree.marks(node, request.salt)]
+        own_fingerprints = [pair for node in nodes for pair in table.tree.fingerprints(node, request.salt)]
         available = self._pacer.payload_bytes(now, request.table, MIN_ANSWER_BYTES)
         space = min(MESSAGE_LIMIT_BYTES, available) - NODE_BYTES * len(nodes)
         if space <= 0:
             self._defer(now, peer, request)
             return []
-        unknown_marks = sorted(peer_marks - {mark for mark, _ in own_marks})
-        requested_marks = encode_marks(unknown_marks[: space // 4 // ITEM_MARK_BYTES])
-        missing_keys = [key for mark, key in own_marks if mark not in peer_marks]
-        count, packed = self._pacer.pack_rows(table, missing_keys, space - len(requested_marks))
+        unknown_fingerprints = sorted(
+            peer_fingerprints - {fingerprint for fingerprint, _ in own_fingerprints}
+        )
+        requested_fingerprints = encode_fingerprints(unknown_fingerprints[: space // 4 // FINGERPRINT_BYTES])
+        missing_keys = [key for fingerprint, key in own_fingerprints if fingerprint not in peer_fingerprints]
+        count, packed = self._pacer.pack_rows(table, missing_keys, space - len(requested_fingerprints))
         complete = count == len(missing_keys)
-        answer = Rows(request.table, packed, nodes, request.salt, requested_marks, complete)
+        answer = Rows(request.table, packed, nodes, request.salt, requested_fingerprints, complete)
         return self._admitted(now, peer, answer)
 
-    def _defer(self, now: float, peer: Address, request: Items) -> None:
+    def _defer(self, now: float, peer: Address, request: FetchRequest) -> None:
         if len(self._deferred) < MAX_DEFERRED_REQUESTS:
             self._deferred[request.table, peer] = request
             self._retry_at = now + DEFERRED_RETRY_S
@@ -96,7 +98,7 @@
     def send_requested(
         self, now: float, peer: Address, message: Rows, newer_keys: Sequence[str]
     ) -> list[OutgoingMessage]:
-        """Send a peer the rows whose marks it has requested, and those of which it has an older version."""
+        """Send a peer the rows that it requested by fingerprint, and those of which it has older versions."""
         table, outgoing = self._tables[message.table], []
         min_bytes = MIN_ANSWER_BYTES + self._pacer.overhead_bytes
         keys = sorted(self._requested_keys(table, message) | set(newer_keys))
@@ -105,18 +107,18 @@
             count, packed = self._pacer.pack_rows(table, keys, min(MESSAGE_LIMIT_BYTES, available))
             answer = Rows(message.table, packed)
             if not count or not self._pacer.admit(now, message.table, answer):
-                break  # a later exchange finds the rest again
+                break  # a later exchange finds the remaining rows again
             outgoing.append(OutgoingMessage(peer, answer))
             del keys[:count]
         return outgoing
 
     @staticmethod
     def _requested_keys(table: ComparableTable, message: Rows) -> set[str]:
-        requested_marks = decode_marks(message.requested_marks)
+        requested_fingerprints = decode_fingerprints(message.requested_fingerprints)
         return {
             key
             for node in message.ranges[:MAX_RANGES]
-            if requested_marks and is_valid_node(node)
-            for mark, key in table.tree.marks(node, message.salt)
-            if mark in requested_marks
+            if requested_fingerprints and is_valid_node(node)
+            for fingerprint, key in table.tree.fingerprints(node, message.salt)
+            if fingerprint in requested_fingerprints
         }
