--- a/pipitshed/discovery/catalog/watch.py
+++ b/pipitshed/discovery/catalog/watch.py
@@ -13,7 +13,7 @@
 
 from pipitshed.discovery.catalog.size_limit import OversizedUpdate
 from pipitshed.discovery.catalog.update_parser import LineAssembler, decode_update
-from pipitshed.protocols.http import BadAnswerError, Reader
+from pipitshed.protocols.http import BadAnswerError, ResponseReader
 
 if TYPE_CHECKING:
     from pipitshed.discovery.catalog.client import CatalogClient
@@ -38,7 +38,7 @@
         self._client = client
         self._is_watch = is_watch
         self._size_limit_bytes = client.size_limit
-        self._reader = Reader(self, self._size_limit_bytes + READ_SIZE_BYTES)
+        self._reader = ResponseReader(self, self._size_limit_bytes + READ_SIZE_BYTES)
         self._transport: asyncio.Transport | None = None
         self._status = 0
         self._ended = False
--- a/pipitshed/protocols/http.py
+++ b/pipitshed/protocols/http.py
@@ -13,14 +13,14 @@
 LOOSE_LIMIT = HEAD_LIMIT + BODY_LIMIT  # bytes of an answer that are no part of its body, at one stretch
 INTERIM = 16  # answers of the kinds 1xx before the final one, and that one
 
-__all__ = ["BODY_LIMIT", "HEAD_LIMIT", "BadAnswerError", "Reader", "Taker"]
+__all__ = ["BODY_LIMIT", "HEAD_LIMIT", "BadAnswerError", "ResponseHandler", "ResponseReader"]
 
 
 class BadAnswerError(ValueError):
     """What has come in is no HTTP answer within the bounds."""
 
 
-class Taker(Protocol):
+class ResponseHandler(Protocol):
     """Who takes the parts of an answer as they come."""
 
     def head_came(self, status: int) -> None: ...
@@ -30,15 +30,15 @@
     def answer_ended(self, keep_alive: bool) -> None: ...
 
 
-class Reader:
-    """Parses answers; the decoded body stands in `buffer`, and the taker uses it up."""
+class ResponseReader:
+    """Parses answers; the decoded body stands in `buffer`, and the handler uses it up."""
 
-    __slots__ = ("buffer", "headers", "begun", "_taker", "_parser", "_in_head", "_loose", "_interim")
+    __slots__ = ("buffer", "headers", "begun", "_handler", "_parser", "_in_head", "_loose", "_interim")
 
-    def __init__(self, taker: Taker, limit: int) -> None:
+    def __init__(self, handler: ResponseHandler, limit: int) -> None:
         self.buffer = Buffer(limit)
         self.headers: dict[bytes, bytes] = {}
-        self._taker = taker
+        self._handler = handler
         self.begun = False  # an answer has begun, and not ended
         self._in_head = False
         self._loose = 0  # bytes since the last part of a body: heads, trailers, framing
@@ -75,15 +75,15 @@
 
     def on_headers_complete(self) -> None:
         self._in_head = False
-        self._taker.head_came(self._parser.get_status_code())
+        self._handler.head_came(self._parser.get_status_code())
 
     def on_body(self, data: bytes) -> None:
         self._loose = 0
         self.buffer.append(data)
-        self._taker.body_came()
+        self._handler.body_came()
 
     def on_message_complete(self) -> None:
         self.begun = False
         if self._parser.get_status_code() >= 200:
             self._interim = self._loose = 0
-            self._taker.answer_ended(self._parser.should_keep_alive())
+            self._handler.answer_ended(self._parser.should_keep_alive())
--- a/pipitshed/upstream/http/connection.py
+++ b/pipitshed/upstream/http/connection.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from pipitshed.protocols.address import Address
-from pipitshed.protocols.http import BODY_LIMIT, BadAnswerError, Reader
+from pipitshed.protocols.http import BODY_LIMIT, BadAnswerError, ResponseReader
 from pipitshed.proxy.attempt import Attempt
 from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.events import Outcome, ProgressKind
@@ -89,7 +89,7 @@
         self.idle_deadline = 0.0
         self.idle_endpoint: Endpoint | None = None  # for which the scheduler counts an idle connection
         self._client = client
-        self._reader = Reader(self, MAX_LINE_BYTES)
+        self._reader = ResponseReader(self, MAX_LINE_BYTES)
         self._transport: asyncio.Transport | None = None
         self._has_unsent_bytes = False
         self._is_sent_reported = True
