--- a/pipitshed/discovery/catalog/update_parser.py
+++ b/pipitshed/discovery/catalog/update_parser.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from pipitshed.protocols.http import BadAnswerError
+from pipitshed.protocols.http import MalformedResponseError
 
 _JSON_STRING = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"')  # holds no line break: JSON escapes them
 
@@ -43,14 +43,14 @@
     """Decode one update; None if the text ends before the update does.
 
     Raises:
-        BadAnswerError: If the text is no update.
+        MalformedResponseError: If the text is no update.
     """
     try:
         return _decode(text)
     except msgspec.DecodeError as error:
         if "truncated" in str(error):
             return None
-        raise BadAnswerError(f"invalid update: {error}") from None
+        raise MalformedResponseError(f"invalid update: {error}") from None
 
 
 class LineAssembler:
--- a/pipitshed/discovery/catalog/watch.py
+++ b/pipitshed/discovery/catalog/watch.py
@@ -13,7 +13,7 @@
 
 from pipitshed.discovery.catalog.size_limit import OversizedUpdate
 from pipitshed.discovery.catalog.update_parser import LineAssembler, decode_update
-from pipitshed.protocols.http import BadAnswerError, ResponseReader
+from pipitshed.protocols.http import MalformedResponseError, ResponseReader
 
 if TYPE_CHECKING:
     from pipitshed.discovery.catalog.client import CatalogClient
@@ -129,7 +129,7 @@
         self._received_bytes += len(data)
         try:
             self._reader.feed(data)
-        except BadAnswerError as error:
+        except MalformedResponseError as error:
             self._client.log_problem(str(error))
             self.fail()
         except Exception:
@@ -202,7 +202,7 @@
         text = self._assembler.add(line)
         if text is not None:
             if not self._accept_update(text):
-                raise BadAnswerError("invalid update: it is truncated")
+                raise MalformedResponseError("invalid update: it is truncated")
             self._set_timeout(WATCH_SILENCE_TIMEOUT_S)
 
     def _accept_update(self, text: bytes) -> bool:
--- a/pipitshed/protocols/http.py
+++ b/pipitshed/protocols/http.py
@@ -13,10 +13,10 @@
 LOOSE_LIMIT = HEAD_LIMIT + BODY_LIMIT  # bytes of an answer that are no part of its body, at one stretch
 INTERIM = 16  # answers of the kinds 1xx before the final one, and that one
 
-__all__ = ["BODY_LIMIT", "HEAD_LIMIT", "BadAnswerError", "ResponseHandler", "ResponseReader"]
+__all__ = ["BODY_LIMIT", "HEAD_LIMIT", "MalformedResponseError", "ResponseHandler", "ResponseReader"]
 
 
-class BadAnswerError(ValueError):
+class MalformedResponseError(ValueError):
     """What has come in is no HTTP answer within the bounds."""
 
 
@@ -46,25 +46,25 @@
         self._parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: bytes) -> None:
-        """Parse; BadAnswerError where it can't be."""
+        """Parse; MalformedResponseError where it can't be."""
         self._loose += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
             # The parser names the callback alone; what went wrong in it is the error's context.
             inner = error.__context__ if isinstance(error, httptools.HttpParserCallbackError) else None
-            if isinstance(inner, BadAnswerError | TooLongError):
-                raise BadAnswerError(str(inner)) from None
-            raise BadAnswerError(f"{error}: {inner!r}" if inner is not None else str(error)) from None
+            if isinstance(inner, MalformedResponseError | TooLongError):
+                raise MalformedResponseError(str(inner)) from None
+            raise MalformedResponseError(f"{error}: {inner!r}" if inner is not None else str(error)) from None
         # Guards against a peer that sends a head, trailers or framing without end: the parser keeps it all.
         if self._loose > LOOSE_LIMIT:
-            raise BadAnswerError("the head or the framing is too long")
+            raise MalformedResponseError("the head or the framing is too long")
 
     def on_message_begin(self) -> None:
         self.begun = True
         self._interim += 1
         if self._interim > INTERIM:
-            raise BadAnswerError("too many answers before the final one")
+            raise MalformedResponseError("too many answers before the final one")
         self.headers.clear()
         self.buffer.take_all()
         self._in_head = True
--- a/pipitshed/upstream/http/connection.py
+++ b/pipitshed/upstream/http/connection.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from pipitshed.protocols.address import Address
-from pipitshed.protocols.http import BODY_LIMIT, BadAnswerError, ResponseReader
+from pipitshed.protocols.http import BODY_LIMIT, MalformedResponseError, ResponseReader
 from pipitshed.proxy.attempt import Attempt
 from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.events import Outcome, ProgressKind
@@ -167,7 +167,7 @@
             return
         try:
             self._reader.feed(data)
-        except BadAnswerError:
+        except MalformedResponseError:
             if self.attempt is not None and data.startswith(HTTP2_SETTINGS_PREFIX):
                 self._client.on_wrong_interface(self.attempt.endpoint)
             self._finish(Outcome.RESET)
@@ -241,9 +241,11 @@
         try:
             line = _decode_line(text)
         except msgspec.DecodeError:
-            raise BadAnswerError("a line is not JSON") from None
+            raise MalformedResponseError("a line is not JSON") from None
         if line.id != attempt.context.request.id:
-            raise BadAnswerError("a line is for another request")  # whose result must not reach this client
+            raise MalformedResponseError(
+                "a line is for another request"
+            )  # whose result must not reach this client
         if line.state == "started":
             self._client.core.attempt_progressed(attempt, ProgressKind.STARTED)
         elif line.state == "running":
