--- a/pipitshed/discovery/catalog/watch.py
+++ b/pipitshed/discovery/catalog/watch.py
@@ -151,7 +151,7 @@
 
     # ---- what the HTTP reader reports
 
-    def head_came(self, status: int) -> None:
+    def head_received(self, status: int) -> None:
         """The response's head is complete."""
         self._status = status
         if status != _STATUS_OK:
@@ -159,7 +159,7 @@
         else:
             self._set_update_timeout()  # the first update follows at once
 
-    def body_came(self) -> None:
+    def body_received(self) -> None:
         """More of the body stands in the reader's buffer."""
         buffer, limit_bytes = self._reader.buffer, self._size_limit_bytes
         for line in buffer.lines() if self._is_watch else ():
@@ -176,7 +176,7 @@
         if self._oversized is not None and (not self._is_watch or len(buffer) > READ_SIZE_BYTES):
             self._oversized.skipped_bytes += len(buffer.take_all())
 
-    def answer_ended(self, _keep_alive: bool) -> None:
+    def response_ended(self, _keep_alive: bool) -> None:
         """The response is complete: the list of a fetch, or the unexpected end of a watch."""
         text = self._assembler.join(self._reader.buffer.take_all())
         is_complete = self._ended or (
--- a/pipitshed/protocols/http.py
+++ b/pipitshed/protocols/http.py
@@ -23,11 +23,11 @@
 class ResponseHandler(Protocol):
     """Who takes the parts of an answer as they come."""
 
-    def head_came(self, status: int) -> None: ...
+    def head_received(self, status: int) -> None: ...
 
-    def body_came(self) -> None: ...
+    def body_received(self) -> None: ...
 
-    def answer_ended(self, keep_alive: bool) -> None: ...
+    def response_ended(self, keep_alive: bool) -> None: ...
 
 
 class ResponseReader:
@@ -75,15 +75,15 @@
 
     def on_headers_complete(self) -> None:
         self._in_head = False
-        self._handler.head_came(self._parser.get_status_code())
+        self._handler.head_received(self._parser.get_status_code())
 
     def on_body(self, data: bytes) -> None:
         self._loose = 0
         self.buffer.append(data)
-        self._handler.body_came()
+        self._handler.body_received()
 
     def on_message_complete(self) -> None:
         self.begun = False
         if self._parser.get_status_code() >= 200:
             self._interim = self._loose = 0
-            self._handler.answer_ended(self._parser.should_keep_alive())
+            self._handler.response_ended(self._parser.should_keep_alive())
--- a/pipitshed/upstream/http/connection.py
+++ b/pipitshed/upstream/http/connection.py
@@ -192,11 +192,11 @@
 
     # ---- what the HTTP reader reports
 
-    def head_came(self, status: int) -> None:
+    def head_received(self, status: int) -> None:
         """The answer's head is complete."""
         self._status = status
 
-    def body_came(self) -> None:
+    def body_received(self) -> None:
         """More of the body stands in the reader's buffer."""
         if self._status != _STATUS_OK or self.attempt is None:
             return
@@ -204,7 +204,7 @@
             if text:
                 self._handle_line(text)
 
-    def answer_ended(self, keep_alive: bool) -> None:
+    def response_ended(self, keep_alive: bool) -> None:
         """Report the outcome, and make the connection idle if it can be used again."""
         if self.attempt is None and self.probed_endpoint is None:
             self.close()  # a second answer, while the connection is idle already
