--- a/pipitshed/frontends/gearman/connection.py
+++ b/pipitshed/frontends/gearman/connection.py
@@ -9,7 +9,7 @@
 from pipitshed.frontends.gearman.job import GearmanJob
 from pipitshed.protocols.buffer import Buffer, TooLongError
 from pipitshed.protocols.gearman import HEAD, PACKET_LIMIT, Kind, PacketError, pack, requests
-from pipitshed.protocols.http import BODY_LIMIT
+from pipitshed.protocols.http import BODY_LIMIT_BYTES
 from pipitshed.upstream.gearman import WORKER_KINDS, GearmanWorker
 
 if TYPE_CHECKING:
@@ -121,7 +121,7 @@
         function = frontend.functions.get(name.decode("latin-1"))
         if function is None:
             self._write_error(b"ERR_UNKNOWN_FUNCTION", b"no class for this function")
-        elif len(body) > BODY_LIMIT:
+        elif len(body) > BODY_LIMIT_BYTES:
             self._write_error(b"ERR_TOO_LARGE", b"a job holds at most 65536 bytes")
         elif frontend.closing:
             self._write_error(b"ERR_CLOSING", b"the scheduler is about to end")
--- a/pipitshed/frontends/http/connection.py
+++ b/pipitshed/frontends/http/connection.py
@@ -12,7 +12,7 @@
 from pipitshed.frontends.http.request_parser import SINGLE_VALUE_HEADERS, MalformedError
 from pipitshed.frontends.http.responses import response
 from pipitshed.protocols.buffer import Buffer, TooLongError
-from pipitshed.protocols.http import BODY_LIMIT, HEAD_LIMIT
+from pipitshed.protocols.http import BODY_LIMIT_BYTES, HEAD_LIMIT_BYTES
 from pipitshed.proxy.request import Request, RequestContext, TranslationFailure
 from pipitshed.scheduling.events import ProgressKind
 
@@ -23,7 +23,9 @@
 MAX_QUEUED_RESPONSES = 256  # waiting, with those 503; a client that sends more is disconnected
 FIRST_REQUEST_TIMEOUT_S = 2.5  # from connecting: connections that only send garbage must end within 3 s
 NEXT_REQUEST_TIMEOUT_S = 10.0  # from a later request's first byte to its end
-MAX_MESSAGE_BYTES = HEAD_LIMIT + 4 * BODY_LIMIT  # of a request with its chunk framing and trailers
+MAX_MESSAGE_BYTES = (
+    HEAD_LIMIT_BYTES + 4 * BODY_LIMIT_BYTES
+)  # of a request with its chunk framing and trailers
 MAX_LINGER_BYTES = 1024 * 1024  # of input discarded after the last response
 WRITE_TIMEOUT_S = 10.0  # for which a client may leave its responses unread
 
@@ -47,7 +49,7 @@
     def __init__(self, frontend: HttpFrontend) -> None:
         self._frontend = frontend
         self._parser = httptools.HttpRequestParser(self)
-        self._buffer = Buffer(BODY_LIMIT)
+        self._buffer = Buffer(BODY_LIMIT_BYTES)
         self._transport: asyncio.Transport | None = None
         self._resource = b""
         self._headers: dict[bytes, bytes] = {}
@@ -137,7 +139,7 @@
         self._message_bytes += len(data)
         try:
             self._parser.feed_data(data)
-            if self._head_bytes > HEAD_LIMIT:
+            if self._head_bytes > HEAD_LIMIT_BYTES:
                 raise MalformedError(431, "the head is too long")
             if self._message_bytes > MAX_MESSAGE_BYTES:
                 raise MalformedError(413, "the framing is too long")
@@ -210,12 +212,12 @@
         """The head is complete."""
         self._head_bytes = _IN_BODY
         # One that came whole in one read was never counted as incomplete.
-        if self._parsed_head_bytes > HEAD_LIMIT:
+        if self._parsed_head_bytes > HEAD_LIMIT_BYTES:
             raise MalformedError(431, "the head is too long")
         if self._parser.should_upgrade():
             raise MalformedError(400, "upgrades are not supported")  # the parser would not read the body
         length = self._headers.get(b"content-length", b"0")
-        if length.isdigit() and int(length) > BODY_LIMIT:
+        if length.isdigit() and int(length) > BODY_LIMIT_BYTES:
             raise MalformedError(413, "the body is too long")
         if self._headers.get(b"expect", b"").lower() == b"100-continue" and self._transport is not None:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
--- a/pipitshed/protocols/gearman.py
+++ b/pipitshed/protocols/gearman.py
@@ -7,11 +7,11 @@
 from collections.abc import Iterator
 
 from pipitshed.protocols.buffer import Buffer
-from pipitshed.protocols.http import BODY_LIMIT
+from pipitshed.protocols.http import BODY_LIMIT_BYTES
 
 HEAD = struct.Struct(">4sII")
 REQUEST, RESPONSE = b"\0REQ", b"\0RES"
-PACKET_LIMIT = BODY_LIMIT + 4096  # a body, and the names before it
+PACKET_LIMIT = BODY_LIMIT_BYTES + 4096  # a body, and the names before it
 
 
 class PacketError(ValueError):
--- a/pipitshed/protocols/grpc.py
+++ b/pipitshed/protocols/grpc.py
@@ -16,10 +16,10 @@
 from hpack import NeverIndexedHeaderTuple
 from hyperframe.frame import Frame, GoAwayFrame
 
-from pipitshed.protocols.http import BODY_LIMIT
+from pipitshed.protocols.http import BODY_LIMIT_BYTES
 
 PREFIX = struct.Struct(">BI")  # compressed or not, and the message's length
-MESSAGE_LIMIT = 4 * BODY_LIMIT  # bytes of one message
+MESSAGE_LIMIT = 4 * BODY_LIMIT_BYTES  # bytes of one message
 _KEPT = 256  # headers: classes, tenants, slots
 _FRAME_HEAD = 9  # bytes
 LONGEST_TIMEOUT = 99_999_999  # of any unit: eight digits
--- a/pipitshed/protocols/http.py
+++ b/pipitshed/protocols/http.py
@@ -8,12 +8,20 @@
 
 from pipitshed.protocols.buffer import Buffer, TooLongError
 
-HEAD_LIMIT = 16 * 1024
-BODY_LIMIT = 64 * 1024
-LOOSE_LIMIT = HEAD_LIMIT + BODY_LIMIT  # bytes of an answer that are no part of its body, at one stretch
+HEAD_LIMIT_BYTES = 16 * 1024
+BODY_LIMIT_BYTES = 64 * 1024
+LOOSE_LIMIT = (
+    HEAD_LIMIT_BYTES + BODY_LIMIT_BYTES
+)  # bytes of an answer that are no part of its body, at one stretch
 INTERIM = 16  # answers of the kinds 1xx before the final one, and that one
 
-__all__ = ["BODY_LIMIT", "HEAD_LIMIT", "MalformedResponseError", "ResponseHandler", "ResponseReader"]
+__all__ = [
+    "BODY_LIMIT_BYTES",
+    "HEAD_LIMIT_BYTES",
+    "MalformedResponseError",
+    "ResponseHandler",
+    "ResponseReader",
+]
 
 
 class MalformedResponseError(ValueError):
--- a/pipitshed/server/assembly.py
+++ b/pipitshed/server/assembly.py
@@ -276,7 +276,7 @@
 ) -> GearmanFrontend:
     """The frontend of Gearman's clients, with the client of its workers."""
     from pipitshed.frontends.gearman import GearmanFrontend
-    from pipitshed.protocols.http import BODY_LIMIT
+    from pipitshed.protocols.http import BODY_LIMIT_BYTES
     from pipitshed.upstream.gearman import GearmanWorkerClient, WorkerLocation
 
     functions = gearman_functions(parts, config, front)
@@ -287,7 +287,7 @@
         parts.forwarder,
         {name: function.job_class for name, function in functions.items()},
         location,
-        BODY_LIMIT,
+        BODY_LIMIT_BYTES,
         loop,
     )
     label = f"{config.name or 'pipitshed'}-{config.seed & INSTANCE_ID_MASK:08x}"
--- a/pipitshed/upstream/http/connection.py
+++ b/pipitshed/upstream/http/connection.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from pipitshed.protocols.address import Address
-from pipitshed.protocols.http import BODY_LIMIT, MalformedResponseError, ResponseReader
+from pipitshed.protocols.http import BODY_LIMIT_BYTES, MalformedResponseError, ResponseReader
 from pipitshed.proxy.attempt import Attempt
 from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.events import Outcome, ProgressKind
@@ -25,7 +25,7 @@
 
 ANSWER_END_TIMEOUT_S = 0.5  # from an attempt's outcome to the end of the answer that brought it
 SECOND_ANSWER_WINDOW_S = 0.05  # after an answer, in which a second one to the same request may still arrive
-MAX_LINE_BYTES = 4 * BODY_LIMIT  # JSON's escapes may make a result longer than its limit
+MAX_LINE_BYTES = 4 * BODY_LIMIT_BYTES  # JSON's escapes may make a result longer than its limit
 HTTP2_SETTINGS_PREFIX = b"\0\0"  # of a frame of less than 256 bytes; no HTTP/1.1 answer begins like this
 
 _STATUS_OK = 200
