--- a/pipitshed/frontends/gearman/connection.py
+++ b/pipitshed/frontends/gearman/connection.py
@@ -8,7 +8,7 @@
 
 from pipitshed.frontends.gearman.job import GearmanJob
 from pipitshed.protocols.buffer import Buffer, TooLongError
-from pipitshed.protocols.gearman import HEAD, PACKET_LIMIT, Kind, PacketError, pack, requests
+from pipitshed.protocols.gearman import HEAD, PACKET_LIMIT_BYTES, Kind, PacketError, pack, requests
 from pipitshed.protocols.http import BODY_LIMIT_BYTES
 from pipitshed.upstream.gearman import WORKER_KINDS, GearmanWorker
 
@@ -47,7 +47,7 @@
         self.worker: GearmanWorker | None = None
         self._frontend = frontend
         # One read, and a packet that had begun before it.
-        self._buffer = Buffer(HEAD.size + PACKET_LIMIT + _READ_SIZE_BYTES)
+        self._buffer = Buffer(HEAD.size + PACKET_LIMIT_BYTES + _READ_SIZE_BYTES)
         self._transport: asyncio.Transport | None = None
         self._jobs: dict[GearmanJob, None] = {}  # whose results the client waits for
         self._is_closing = False
--- a/pipitshed/protocols/gearman.py
+++ b/pipitshed/protocols/gearman.py
@@ -11,7 +11,7 @@
 
 HEAD = struct.Struct(">4sII")
 REQUEST, RESPONSE = b"\0REQ", b"\0RES"
-PACKET_LIMIT = BODY_LIMIT_BYTES + 4096  # a body, and the names before it
+PACKET_LIMIT_BYTES = BODY_LIMIT_BYTES + 4096  # a body, and the names before it
 
 
 class PacketError(ValueError):
@@ -124,7 +124,7 @@
         magic, number, length = HEAD.unpack(buffer.peek(HEAD.size))
         if magic != REQUEST:
             raise PacketError("not a request")
-        if length > PACKET_LIMIT:
+        if length > PACKET_LIMIT_BYTES:
             raise PacketError(f"a packet of {length} bytes is too long")
         if number not in Kind.__members__.values() or Kind(number) not in ARGUMENTS:
             raise PacketError(f"packet type {number} is not known here")
--- a/pipitshed/protocols/grpc.py
+++ b/pipitshed/protocols/grpc.py
@@ -19,7 +19,7 @@
 from pipitshed.protocols.http import BODY_LIMIT_BYTES
 
 PREFIX = struct.Struct(">BI")  # compressed or not, and the message's length
-MESSAGE_LIMIT = 4 * BODY_LIMIT_BYTES  # bytes of one message
+MESSAGE_LIMIT_BYTES = 4 * BODY_LIMIT_BYTES  # bytes of one message
 _KEPT = 256  # headers: classes, tenants, slots
 _FRAME_HEAD = 9  # bytes
 LONGEST_TIMEOUT = 99_999_999  # of any unit: eight digits
@@ -52,7 +52,7 @@
         compressed, length = PREFIX.unpack_from(buffer)
         if compressed:
             raise BadMessageError("a message is compressed, which was not offered")
-        if length > MESSAGE_LIMIT:
+        if length > MESSAGE_LIMIT_BYTES:
             raise BadMessageError(f"a message of {length} bytes is too long")
         if len(buffer) < PREFIX.size + length:
             return
--- a/pipitshed/upstream/grpc/connection.py
+++ b/pipitshed/upstream/grpc/connection.py
@@ -18,7 +18,7 @@
 import h2.exceptions
 import h2.settings
 
-from pipitshed.protocols.grpc import MESSAGE_LIMIT, Http2, frame
+from pipitshed.protocols.grpc import MESSAGE_LIMIT_BYTES, Http2, frame
 from pipitshed.proxy.attempt import Attempt
 from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.events import Outcome
@@ -32,7 +32,7 @@
 
 MAX_STREAMS = 256  # on one connection, whatever the worker permits
 MAX_UNREAD_BYTES = 1024 * 1024  # that a worker may leave unread before its connection is closed
-WINDOW_BYTES = 2 * MESSAGE_LIMIT  # flow control windows of a stream and of a connection
+WINDOW_BYTES = 2 * MESSAGE_LIMIT_BYTES  # flow control windows of a stream and of a connection
 MAX_HEADER_LIST_BYTES = 16 * 1024
 PROBE_TIMEOUT_S = 0.5
 MAX_KEEPALIVE_S = 600.0
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -24,7 +24,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from pipitshed.protocols.grpc import MESSAGE_LIMIT, frame
+from pipitshed.protocols.grpc import MESSAGE_LIMIT_BYTES, frame
 from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.actions import StartAttempt
 from pipitshed.upstream.grpc.connection import MAX_UNREAD_BYTES, GrpcConnection
@@ -74,7 +74,7 @@
     events,
     st.binary(max_size=40),
     st.just(b"\x01\x00\x00\x00\x02hi"),
-    st.just((MESSAGE_LIMIT + 1).to_bytes(5, "big")),
+    st.just((MESSAGE_LIMIT_BYTES + 1).to_bytes(5, "big")),
 )
 heads = st.sampled_from(
     [
