--- a/pipitshed/frontends/gearman/connection.py
+++ b/pipitshed/frontends/gearman/connection.py
@@ -8,7 +8,14 @@
 
 from pipitshed.frontends.gearman.job import GearmanJob
 from pipitshed.protocols.buffer import Buffer, TooLongError
-from pipitshed.protocols.gearman import HEAD, PACKET_LIMIT_BYTES, Kind, PacketError, pack, requests
+from pipitshed.protocols.gearman import (
+    PACKET_HEADER,
+    PACKET_LIMIT_BYTES,
+    PacketError,
+    PacketType,
+    encode_packet,
+    take_requests,
+)
 from pipitshed.protocols.http import BODY_LIMIT_BYTES
 from pipitshed.upstream.gearman import WORKER_KINDS, GearmanWorker
 
@@ -30,12 +37,12 @@
 
 
 _SUBMISSIONS = {
-    Kind.SUBMIT_JOB: _Submission(0, is_background=False),
-    Kind.SUBMIT_JOB_BG: _Submission(0, is_background=True),
-    Kind.SUBMIT_JOB_HIGH: _Submission(1, is_background=False),
-    Kind.SUBMIT_JOB_HIGH_BG: _Submission(1, is_background=True),
-    Kind.SUBMIT_JOB_LOW: _Submission(-1, is_background=False),
-    Kind.SUBMIT_JOB_LOW_BG: _Submission(-1, is_background=True),
+    PacketType.SUBMIT_JOB: _Submission(0, is_background=False),
+    PacketType.SUBMIT_JOB_BG: _Submission(0, is_background=True),
+    PacketType.SUBMIT_JOB_HIGH: _Submission(1, is_background=False),
+    PacketType.SUBMIT_JOB_HIGH_BG: _Submission(1, is_background=True),
+    PacketType.SUBMIT_JOB_LOW: _Submission(-1, is_background=False),
+    PacketType.SUBMIT_JOB_LOW_BG: _Submission(-1, is_background=True),
 }
 
 
@@ -47,7 +54,7 @@
         self.worker: GearmanWorker | None = None
         self._frontend = frontend
         # One read, and a packet that had begun before it.
-        self._buffer = Buffer(HEAD.size + PACKET_LIMIT_BYTES + _READ_SIZE_BYTES)
+        self._buffer = Buffer(PACKET_HEADER.size + PACKET_LIMIT_BYTES + _READ_SIZE_BYTES)
         self._transport: asyncio.Transport | None = None
         self._jobs: dict[GearmanJob, None] = {}  # whose results the client waits for
         self._is_closing = False
@@ -82,7 +89,7 @@
             return
         try:
             self._buffer.append(data)
-            for request in requests(self._buffer):
+            for request in take_requests(self._buffer):
                 if self._transport is None or self._transport.is_closing():
                     return
                 if isinstance(request, bytes):
@@ -91,25 +98,25 @@
                     self._handle_packet(*request)
         except (PacketError, TooLongError) as error:
             # Where the next packet begins is not known behind one that can't be parsed.
-            self.write(pack(Kind.ERROR, b"ERR_BAD_PACKET", str(error).encode()))
+            self.write(encode_packet(PacketType.ERROR, b"ERR_BAD_PACKET", str(error).encode()))
             self.close()
 
     # ---- packets
 
-    def _handle_packet(self, kind: Kind, arguments: list[bytes]) -> None:
+    def _handle_packet(self, kind: PacketType, arguments: list[bytes]) -> None:
         if kind in _SUBMISSIONS:
             self._submit(_SUBMISSIONS[kind], *arguments)
-        elif kind is Kind.ECHO_REQ:
-            self.write(pack(Kind.ECHO_RES, arguments[0]))
-        elif kind is Kind.OPTION_REQ:
+        elif kind is PacketType.ECHO_REQ:
+            self.write(encode_packet(PacketType.ECHO_RES, arguments[0]))
+        elif kind is PacketType.OPTION_REQ:
             if arguments[0] == b"exceptions":
                 self.wants_exceptions = True
-                self.write(pack(Kind.OPTION_RES, arguments[0]))
+                self.write(encode_packet(PacketType.OPTION_RES, arguments[0]))
             else:
                 self._write_error(b"ERR_UNKNOWN_OPTION", b"the server has no such option")
-        elif kind is Kind.GET_STATUS:
+        elif kind is PacketType.GET_STATUS:
             self.write(self._frontend.status(arguments[0]))
-        elif kind is Kind.GET_STATUS_UNIQUE:
+        elif kind is PacketType.GET_STATUS_UNIQUE:
             self.write(self._frontend.status_unique(arguments[0]))
         elif kind in WORKER_KINDS:
             if self.worker is None:
@@ -132,14 +139,14 @@
             job = GearmanJob(frontend, frontend.new_handle(), unique_id, connection)
             if connection is not None:
                 self._jobs[job] = None
-            self.write(pack(Kind.JOB_CREATED, job.handle))
+            self.write(encode_packet(PacketType.JOB_CREATED, job.handle))
             frontend.jobs[job.handle] = job
             # Not at once: where the client has gone already, its end is read before the next turn, and the
             # job does not start.
             frontend.loop.call_soon(frontend.submit, job, function, name, body, submission.priority)
 
     def _write_error(self, code: bytes, text: bytes) -> None:
-        self.write(pack(Kind.ERROR, code, text))
+        self.write(encode_packet(PacketType.ERROR, code, text))
 
     # ---- output and the end
 
--- a/pipitshed/frontends/gearman/frontend.py
+++ b/pipitshed/frontends/gearman/frontend.py
@@ -10,7 +10,7 @@
 from pipitshed.frontends.gearman.connection import GearmanConnection
 from pipitshed.frontends.gearman.job import GearmanJob
 from pipitshed.frontends.gearman.text_commands import run_command
-from pipitshed.protocols.gearman import Kind, pack
+from pipitshed.protocols.gearman import PacketType, encode_packet
 from pipitshed.proxy.deduplication import DeduplicationTable
 from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.proxy.request import Request
@@ -131,19 +131,21 @@
         """Whether a job is open, whether it is running, and the percentage that is done."""
         job = self.jobs.get(handle)
         if job is None:
-            return pack(Kind.STATUS_RES, handle, b"0", b"0", b"0", b"0")
+            return encode_packet(PacketType.STATUS_RES, handle, b"0", b"0", b"0", b"0")
         percent = b"%d" % round(job.share * 100)
-        return pack(Kind.STATUS_RES, handle, b"1", b"1" if job.is_started else b"0", percent, b"100")
+        return encode_packet(
+            PacketType.STATUS_RES, handle, b"1", b"1" if job.is_started else b"0", percent, b"100"
+        )
 
     def status_unique(self, unique_id: bytes) -> bytes:
         """The same for all jobs with a unique id, and how many clients wait for them."""
         jobs = [job for job in self.jobs.values() if job.unique_id == unique_id]
         if not jobs:
-            return pack(Kind.STATUS_RES_UNIQUE, unique_id, b"0", b"0", b"0", b"0", b"0")
+            return encode_packet(PacketType.STATUS_RES_UNIQUE, unique_id, b"0", b"0", b"0", b"0", b"0")
         percent = b"%d" % round(max(job.share for job in jobs) * 100)
         waiting = b"%d" % sum(job.connection is not None for job in jobs)
         running = b"1" if any(job.is_started for job in jobs) else b"0"
-        return pack(Kind.STATUS_RES_UNIQUE, unique_id, b"1", running, percent, b"100", waiting)
+        return encode_packet(PacketType.STATUS_RES_UNIQUE, unique_id, b"1", running, percent, b"100", waiting)
 
     def command(self, line: str) -> bytes:
         """Run an administrator's text command; the response to it."""
--- a/pipitshed/frontends/gearman/job.py
+++ b/pipitshed/frontends/gearman/job.py
@@ -5,7 +5,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from pipitshed.protocols.gearman import Kind, pack
+from pipitshed.protocols.gearman import PacketType, encode_packet
 from pipitshed.proxy.deduplication import DeduplicationEntry
 from pipitshed.proxy.request import TranslationFailure
 from pipitshed.scheduling.events import ProgressKind
@@ -37,24 +37,27 @@
 
     def succeeded(self, result: bytes) -> None:
         """Send the result."""
-        self._end(pack(Kind.WORK_COMPLETE, self.handle, result), is_done=True)
+        self._end(encode_packet(PacketType.WORK_COMPLETE, self.handle, result), is_done=True)
 
     def rejected(self, retry_after_ms: float) -> None:
         """Send a failure, and before it a warning that says when a retry is best: the job did not run."""
         text = b"retry-after %.3f" % (retry_after_ms / 1000)
-        self._end(pack(Kind.WORK_WARNING, self.handle, text), pack(Kind.WORK_FAIL, self.handle))
+        self._end(
+            encode_packet(PacketType.WORK_WARNING, self.handle, text),
+            encode_packet(PacketType.WORK_FAIL, self.handle),
+        )
 
     def failed(self) -> None:
         """Send a failure, and before it the worker's error if the client has asked for exceptions."""
         context = self.entry.context if self.entry is not None else None
-        packets = [pack(Kind.WORK_FAIL, self.handle)]
+        packets = [encode_packet(PacketType.WORK_FAIL, self.handle)]
         if (
             context is not None
             and context.last_error
             and self.connection
             and self.connection.wants_exceptions
         ):
-            packets.insert(0, pack(Kind.WORK_EXCEPTION, self.handle, context.last_error))
+            packets.insert(0, encode_packet(PacketType.WORK_EXCEPTION, self.handle, context.last_error))
         self._end(*packets)
 
     def untranslatable(self, _failure: TranslationFailure, _has_run: bool) -> None:
@@ -68,7 +71,7 @@
             self.share = share
             if self.connection is not None:
                 percent = b"%d" % round(share * 100)
-                self.connection.write(pack(Kind.WORK_STATUS, self.handle, percent, b"100"))
+                self.connection.write(encode_packet(PacketType.WORK_STATUS, self.handle, percent, b"100"))
 
     def _end(self, *packets: bytes, is_done: bool = False) -> None:
         self.frontend.ended(self)
--- a/pipitshed/protocols/gearman.py
+++ b/pipitshed/protocols/gearman.py
@@ -9,8 +9,8 @@
 from pipitshed.protocols.buffer import Buffer
 from pipitshed.protocols.http import BODY_LIMIT_BYTES
 
-HEAD = struct.Struct(">4sII")
-REQUEST, RESPONSE = b"\0REQ", b"\0RES"
+PACKET_HEADER = struct.Struct(">4sII")
+REQUEST_MAGIC, RESPONSE_MAGIC = b"\0REQ", b"\0RES"
 PACKET_LIMIT_BYTES = BODY_LIMIT_BYTES + 4096  # a body, and the names before it
 
 
@@ -18,7 +18,7 @@
     """What has come in is no packet of the protocol."""
 
 
-class Kind(enum.IntEnum):
+class PacketType(enum.IntEnum):
     """The packets that are spoken here, by their numbers in the protocol."""
 
     CAN_DO = 1
@@ -61,45 +61,45 @@
 
 
 # How many arguments a request has; the last one may hold NUL bytes.
-ARGUMENTS = {
-    Kind.CAN_DO: 1,
-    Kind.CANT_DO: 1,
-    Kind.RESET_ABILITIES: 0,
-    Kind.PRE_SLEEP: 0,
-    Kind.GRAB_JOB: 0,
-    Kind.SUBMIT_JOB: 3,
-    Kind.SUBMIT_JOB_BG: 3,
-    Kind.SUBMIT_JOB_HIGH: 3,
-    Kind.SUBMIT_JOB_HIGH_BG: 3,
-    Kind.SUBMIT_JOB_LOW: 3,
-    Kind.SUBMIT_JOB_LOW_BG: 3,
-    Kind.WORK_STATUS: 3,
-    Kind.WORK_COMPLETE: 2,
-    Kind.WORK_FAIL: 1,
-    Kind.WORK_EXCEPTION: 2,
-    Kind.WORK_DATA: 2,
-    Kind.WORK_WARNING: 2,
-    Kind.GET_STATUS: 1,
-    Kind.GET_STATUS_UNIQUE: 1,
-    Kind.ECHO_REQ: 1,
-    Kind.SET_CLIENT_ID: 1,
-    Kind.CAN_DO_TIMEOUT: 2,
-    Kind.ALL_YOURS: 0,
-    Kind.OPTION_REQ: 1,
-    Kind.GRAB_JOB_UNIQ: 0,
-    Kind.GRAB_JOB_ALL: 0,
+ARGUMENT_COUNTS = {
+    PacketType.CAN_DO: 1,
+    PacketType.CANT_DO: 1,
+    PacketType.RESET_ABILITIES: 0,
+    PacketType.PRE_SLEEP: 0,
+    PacketType.GRAB_JOB: 0,
+    PacketType.SUBMIT_JOB: 3,
+    PacketType.SUBMIT_JOB_BG: 3,
+    PacketType.SUBMIT_JOB_HIGH: 3,
+    PacketType.SUBMIT_JOB_HIGH_BG: 3,
+    PacketType.SUBMIT_JOB_LOW: 3,
+    PacketType.SUBMIT_JOB_LOW_BG: 3,
+    PacketType.WORK_STATUS: 3,
+    PacketType.WORK_COMPLETE: 2,
+    PacketType.WORK_FAIL: 1,
+    PacketType.WORK_EXCEPTION: 2,
+    PacketType.WORK_DATA: 2,
+    PacketType.WORK_WARNING: 2,
+    PacketType.GET_STATUS: 1,
+    PacketType.GET_STATUS_UNIQUE: 1,
+    PacketType.ECHO_REQ: 1,
+    PacketType.SET_CLIENT_ID: 1,
+    PacketType.CAN_DO_TIMEOUT: 2,
+    PacketType.ALL_YOURS: 0,
+    PacketType.OPTION_REQ: 1,
+    PacketType.GRAB_JOB_UNIQ: 0,
+    PacketType.GRAB_JOB_ALL: 0,
 }
 
 
-def pack(kind: Kind, *arguments: bytes, magic: bytes = RESPONSE) -> bytes:
+def encode_packet(kind: PacketType, *arguments: bytes, magic: bytes = RESPONSE_MAGIC) -> bytes:
     """One packet."""
     body = b"\0".join(arguments)
-    return HEAD.pack(magic, kind, len(body)) + body
+    return PACKET_HEADER.pack(magic, kind, len(body)) + body
 
 
-def split(kind: Kind, body: bytes) -> list[bytes]:
+def split_arguments(kind: PacketType, body: bytes) -> list[bytes]:
     """A request's arguments; PacketError where there are too few."""
-    count = ARGUMENTS[kind]
+    count = ARGUMENT_COUNTS[kind]
     if count == 0:
         if body:
             raise PacketError(f"{kind.name} has no arguments")
@@ -110,7 +110,7 @@
     return arguments
 
 
-def requests(buffer: Buffer) -> Iterator[tuple[Kind, list[bytes]] | bytes]:
+def take_requests(buffer: Buffer) -> Iterator[tuple[PacketType, list[bytes]] | bytes]:
     """The whole requests in the buffer, used up as they are taken: packets, or lines of text."""
     while len(buffer):
         if buffer.peek(1) != b"\0":
@@ -119,17 +119,17 @@
                 return
             yield line
             continue
-        if len(buffer) < HEAD.size:
+        if len(buffer) < PACKET_HEADER.size:
             return
-        magic, number, length = HEAD.unpack(buffer.peek(HEAD.size))
-        if magic != REQUEST:
+        magic, number, length = PACKET_HEADER.unpack(buffer.peek(PACKET_HEADER.size))
+        if magic != REQUEST_MAGIC:
             raise PacketError("not a request")
         if length > PACKET_LIMIT_BYTES:
             raise PacketError(f"a packet of {length} bytes is too long")
-        if number not in Kind.__members__.values() or Kind(number) not in ARGUMENTS:
+        if number not in PacketType.__members__.values() or PacketType(number) not in ARGUMENT_COUNTS:
             raise PacketError(f"packet type {number} is not known here")
-        if len(buffer) < HEAD.size + length:
+        if len(buffer) < PACKET_HEADER.size + length:
             return
-        buffer.take(HEAD.size)
-        kind = Kind(number)
-        yield kind, split(kind, buffer.take(length))
+        buffer.take(PACKET_HEADER.size)
+        kind = PacketType(number)
+        yield kind, split_arguments(kind, buffer.take(length))
--- a/pipitshed/protocols/http.py
+++ b/pipitshed/protocols/http.py
@@ -10,10 +10,10 @@
 
 HEAD_LIMIT_BYTES = 16 * 1024
 BODY_LIMIT_BYTES = 64 * 1024
-LOOSE_LIMIT = (
+NON_BODY_LIMIT_BYTES = (
     HEAD_LIMIT_BYTES + BODY_LIMIT_BYTES
 )  # bytes of an answer that are no part of its body, at one stretch
-INTERIM = 16  # answers of the kinds 1xx before the final one, and that one
+MAX_RESPONSE_HEADS = 16  # answers of the kinds 1xx before the final one, and that one
 
 __all__ = [
     "BODY_LIMIT_BYTES",
@@ -41,21 +41,30 @@
 class ResponseReader:
     """Parses answers; the decoded body stands in `buffer`, and the handler uses it up."""
 
-    __slots__ = ("buffer", "headers", "begun", "_handler", "_parser", "_in_head", "_loose", "_interim")
+    __slots__ = (
+        "buffer",
+        "headers",
+        "is_receiving",
+        "_handler",
+        "_parser",
+        "_in_head",
+        "_non_body_bytes",
+        "_response_heads",
+    )
 
     def __init__(self, handler: ResponseHandler, limit: int) -> None:
         self.buffer = Buffer(limit)
         self.headers: dict[bytes, bytes] = {}
         self._handler = handler
-        self.begun = False  # an answer has begun, and not ended
+        self.is_receiving = False  # a response has begun and has not ended
         self._in_head = False
-        self._loose = 0  # bytes since the last part of a body: heads, trailers, framing
-        self._interim = 0  # answers before the final one
+        self._non_body_bytes = 0  # bytes since the last part of a body: heads, trailers, framing
+        self._response_heads = 0  # answers before the final one
         self._parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: bytes) -> None:
         """Parse; MalformedResponseError where it can't be."""
-        self._loose += len(data)
+        self._non_body_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
@@ -65,13 +74,13 @@
                 raise MalformedResponseError(str(inner)) from None
             raise MalformedResponseError(f"{error}: {inner!r}" if inner is not None else str(error)) from None
         # Guards against a peer that sends a head, trailers or framing without end: the parser keeps it all.
-        if self._loose > LOOSE_LIMIT:
+        if self._non_body_bytes > NON_BODY_LIMIT_BYTES:
             raise MalformedResponseError("the head or the framing is too long")
 
     def on_message_begin(self) -> None:
-        self.begun = True
-        self._interim += 1
-        if self._interim > INTERIM:
+        self.is_receiving = True
+        self._response_heads += 1
+        if self._response_heads > MAX_RESPONSE_HEADS:
             raise MalformedResponseError("too many answers before the final one")
         self.headers.clear()
         self.buffer.take_all()
@@ -86,12 +95,12 @@
         self._handler.head_received(self._parser.get_status_code())
 
     def on_body(self, data: bytes) -> None:
-        self._loose = 0
+        self._non_body_bytes = 0
         self.buffer.append(data)
         self._handler.body_received()
 
     def on_message_complete(self) -> None:
-        self.begun = False
+        self.is_receiving = False
         if self._parser.get_status_code() >= 200:
-            self._interim = self._loose = 0
+            self._response_heads = self._non_body_bytes = 0
             self._handler.response_ended(self._parser.should_keep_alive())
--- a/pipitshed/testbed/clients.py
+++ b/pipitshed/testbed/clients.py
@@ -12,7 +12,7 @@
 from time import monotonic
 from urllib.parse import parse_qs, urlencode
 
-from pipitshed.protocols.gearman import HEAD, REQUEST, Kind, pack
+from pipitshed.protocols.gearman import PACKET_HEADER, REQUEST_MAGIC, PacketType, encode_packet
 from pipitshed.testbed.program import TENANTS
 
 KINDS = ("http-v0", "http-v1", "gearman-v0", "gearman-v1")
@@ -216,9 +216,9 @@
     writer: asyncio.StreamWriter
     handles: set[bytes] = field(default_factory=set)
 
-    async def packet(self) -> tuple[Kind, list[bytes]]:
-        _, number, length = HEAD.unpack(await self.reader.readexactly(HEAD.size))
-        return Kind(number), (await self.reader.readexactly(length)).split(b"\0")
+    async def packet(self) -> tuple[PacketType, list[bytes]]:
+        _, number, length = PACKET_HEADER.unpack(await self.reader.readexactly(PACKET_HEADER.size))
+        return PacketType(number), (await self.reader.readexactly(length)).split(b"\0")
 
 
 class GearmanClients:
@@ -232,7 +232,7 @@
         if self._free:
             return self._free.pop()
         link = _GearmanLink(*await asyncio.open_connection("127.0.0.1", self.port))
-        link.writer.write(pack(Kind.OPTION_REQ, b"exceptions", magic=REQUEST))
+        link.writer.write(encode_packet(PacketType.OPTION_REQ, b"exceptions", magic=REQUEST_MAGIC))
         await link.packet()
         return link
 
@@ -248,27 +248,29 @@
         link = await self._link()
         asked.sent = monotonic()
         function, unique = _FUNCTIONS[asked.kind, asked.job_class], b"k-" + asked.token.encode()
-        link.writer.write(pack(Kind.SUBMIT_JOB, function, unique, body(asked), magic=REQUEST))
+        link.writer.write(
+            encode_packet(PacketType.SUBMIT_JOB, function, unique, body(asked), magic=REQUEST_MAGIC)
+        )
         kept, handle = False, b""
         try:
             async with asyncio.timeout(asked.leave_after or asked.patience + asked.slack):
                 while not asked.outcome:
                     kind, arguments = await link.packet()
-                    if kind is Kind.JOB_CREATED:
+                    if kind is PacketType.JOB_CREATED:
                         handle = arguments[0]
                         continue
-                    if kind is Kind.ERROR:
+                    if kind is PacketType.ERROR:
                         asked.outcome, asked.detail = "failed", repr(arguments)
                     elif arguments[0] != handle:
-                        asked.answers += kind in (Kind.WORK_COMPLETE, Kind.WORK_FAIL)
-                    elif kind is Kind.WORK_WARNING:
+                        asked.answers += kind in (PacketType.WORK_COMPLETE, PacketType.WORK_FAIL)
+                    elif kind is PacketType.WORK_WARNING:
                         asked.detail = arguments[1].decode()
-                    elif kind is Kind.WORK_EXCEPTION:
+                    elif kind is PacketType.WORK_EXCEPTION:
                         asked.detail = arguments[1].decode("utf-8", "replace")
-                    elif kind is Kind.WORK_COMPLETE:
+                    elif kind is PacketType.WORK_COMPLETE:
                         asked.answers += 1
                         asked.outcome, asked.wrong = "served", judge(asked, arguments[1])
-                    elif kind is Kind.WORK_FAIL:
+                    elif kind is PacketType.WORK_FAIL:
                         asked.answers += 1
                         asked.outcome = (
                             "refused"
--- a/pipitshed/upstream/gearman.py
+++ b/pipitshed/upstream/gearman.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from pipitshed.protocols.gearman import Kind, PacketError, pack
+from pipitshed.protocols.gearman import PacketError, PacketType, encode_packet
 from pipitshed.proxy.attempt import Attempt
 from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.proxy.worker_client import Endpoint
@@ -18,28 +18,28 @@
 
 # The response to each kind of request for a job.
 _ASSIGNMENTS = {
-    Kind.GRAB_JOB: Kind.JOB_ASSIGN,
-    Kind.GRAB_JOB_UNIQ: Kind.JOB_ASSIGN_UNIQ,
-    Kind.GRAB_JOB_ALL: Kind.JOB_ASSIGN_ALL,
+    PacketType.GRAB_JOB: PacketType.JOB_ASSIGN,
+    PacketType.GRAB_JOB_UNIQ: PacketType.JOB_ASSIGN_UNIQ,
+    PacketType.GRAB_JOB_ALL: PacketType.JOB_ASSIGN_ALL,
 }
 
 # The packets that only workers send.
 WORKER_KINDS = frozenset(
     (
-        Kind.CAN_DO,
-        Kind.CAN_DO_TIMEOUT,
-        Kind.CANT_DO,
-        Kind.RESET_ABILITIES,
-        Kind.SET_CLIENT_ID,
-        Kind.PRE_SLEEP,
-        Kind.ALL_YOURS,
+        PacketType.CAN_DO,
+        PacketType.CAN_DO_TIMEOUT,
+        PacketType.CANT_DO,
+        PacketType.RESET_ABILITIES,
+        PacketType.SET_CLIENT_ID,
+        PacketType.PRE_SLEEP,
+        PacketType.ALL_YOURS,
         *_ASSIGNMENTS,
-        Kind.WORK_STATUS,
-        Kind.WORK_COMPLETE,
-        Kind.WORK_FAIL,
-        Kind.WORK_EXCEPTION,
-        Kind.WORK_DATA,
-        Kind.WORK_WARNING,
+        PacketType.WORK_STATUS,
+        PacketType.WORK_COMPLETE,
+        PacketType.WORK_FAIL,
+        PacketType.WORK_EXCEPTION,
+        PacketType.WORK_DATA,
+        PacketType.WORK_WARNING,
     )
 )
 
@@ -81,29 +81,29 @@
         self._partial_results: dict[bytes, bytes] = {}  # WORK_DATA so far, by handle
         self._is_asleep = False
 
-    def handle(self, kind: Kind, arguments: list[bytes]) -> None:
+    def handle(self, kind: PacketType, arguments: list[bytes]) -> None:
         """Handle one packet; PacketError if it is malformed."""
-        if kind in (Kind.CAN_DO, Kind.CAN_DO_TIMEOUT):
-            timeout_s = arguments[1] if kind is Kind.CAN_DO_TIMEOUT else b"0"
+        if kind in (PacketType.CAN_DO, PacketType.CAN_DO_TIMEOUT):
+            timeout_s = arguments[1] if kind is PacketType.CAN_DO_TIMEOUT else b"0"
             if not timeout_s.isdigit():
                 raise PacketError("CAN_DO_TIMEOUT needs whole seconds")
             if not self._is_retiring:
                 self.abilities[_text(arguments[0])] = float(timeout_s)
                 self.client.list_worker(self)
-        elif kind is Kind.CANT_DO:
+        elif kind is PacketType.CANT_DO:
             self.abilities.pop(_text(arguments[0]), None)
             self.client.list_worker(self)
-        elif kind is Kind.RESET_ABILITIES:
+        elif kind is PacketType.RESET_ABILITIES:
             self.abilities.clear()
             self.client.list_worker(self)
-        elif kind is Kind.SET_CLIENT_ID:
+        elif kind is PacketType.SET_CLIENT_ID:
             self.name = _text(arguments[0]) or "-"
-        elif kind is Kind.PRE_SLEEP:
+        elif kind is PacketType.PRE_SLEEP:
             self._is_asleep = True
             self._wake_up()
         elif kind in _ASSIGNMENTS:
             self._assign_job(_ASSIGNMENTS[kind])
-        elif kind is not Kind.ALL_YOURS:
+        elif kind is not PacketType.ALL_YOURS:
             self._handle_work(kind, arguments)
 
     def add(self, attempt: Attempt) -> None:
@@ -114,9 +114,9 @@
     def _wake_up(self) -> None:
         if self._is_asleep and self.waiting:
             self._is_asleep = False
-            self.connection.write(pack(Kind.NOOP))
+            self.connection.write(encode_packet(PacketType.NOOP))
 
-    def _assign_job(self, assignment: Kind) -> None:
+    def _assign_job(self, assignment: PacketType) -> None:
         """Send the waiting attempt of the highest priority, the oldest among equals."""
         core = self.client.core
         self._is_asleep = False
@@ -124,7 +124,7 @@
             self.waiting.remove(attempt)
             core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
         if not self.waiting:
-            self.connection.write(pack(Kind.NO_JOB))
+            self.connection.write(encode_packet(PacketType.NO_JOB))
             return
         attempt = max(self.waiting, key=lambda one: one.context.request.priority)
         self.waiting.remove(attempt)
@@ -133,47 +133,47 @@
         handle = self.client.new_handle()
         unique_id = (request.idempotency_key or request.id).encode("latin-1", "replace")
         extra_arguments = {
-            Kind.JOB_ASSIGN: (),
-            Kind.JOB_ASSIGN_UNIQ: (unique_id,),
-            Kind.JOB_ASSIGN_ALL: (unique_id, b""),
+            PacketType.JOB_ASSIGN: (),
+            PacketType.JOB_ASSIGN_UNIQ: (unique_id,),
+            PacketType.JOB_ASSIGN_ALL: (unique_id, b""),
         }[assignment]
         self.running[handle], attempt.transport_state = attempt, handle
         name = function.encode("latin-1")
-        self.connection.write(pack(assignment, handle, name, *extra_arguments, attempt.body))
+        self.connection.write(encode_packet(assignment, handle, name, *extra_arguments, attempt.body))
         core.attempt_sent(attempt)
         if timeout_s := self.abilities.get(function, 0.0):
             self.client.loop.call_later(timeout_s, core.attempt_timed_out, attempt)
         core.attempt_progressed(attempt, ProgressKind.STARTED)
 
-    def _handle_work(self, kind: Kind, arguments: list[bytes]) -> None:
+    def _handle_work(self, kind: PacketType, arguments: list[bytes]) -> None:
         """Handle progress, a part of a result, or the end of a job; ignore jobs that are over."""
         handle = arguments[0]
         attempt = self.running.get(handle)
         if attempt is None:
             return
         core = self.client.core
-        if kind is Kind.WORK_STATUS:
+        if kind is PacketType.WORK_STATUS:
             done, total = (_count(argument) for argument in arguments[1:])
             share = min(1.0, done / total) if total else 0.0
             core.attempt_progressed(attempt, ProgressKind.PROGRESS, share)
             return
-        if kind is Kind.WORK_DATA:
+        if kind is PacketType.WORK_DATA:
             result = self._partial_results.get(handle, b"") + arguments[1]
             if len(result) > self.client.body_limit:
                 raise PacketError("the result is too long")
             self._partial_results[handle] = result
             return
-        if kind is Kind.WORK_WARNING:
+        if kind is PacketType.WORK_WARNING:
             return
         # After WORK_EXCEPTION a WORK_FAIL may follow: the job is over by then, and it is ignored.
         del self.running[handle]
         if self._is_retiring:
             self._close_if_idle()
         result = self._partial_results.pop(handle, b"")
-        if kind is Kind.WORK_COMPLETE:
+        if kind is PacketType.WORK_COMPLETE:
             core.attempt_finished(attempt, Outcome.OK, result + arguments[1])
         else:
-            error = arguments[1] if kind is Kind.WORK_EXCEPTION else b""
+            error = arguments[1] if kind is PacketType.WORK_EXCEPTION else b""
             core.attempt_finished(attempt, Outcome.ERROR, error)
 
     def stop(self, handle: bytes) -> None:
--- a/pipitshed/upstream/http/connection.py
+++ b/pipitshed/upstream/http/connection.py
@@ -175,7 +175,7 @@
             return
         if self.attempt is None and self.probed_endpoint is None:
             # A second answer has begun behind the first: its rest must not meet the next request.
-            if self._reader.begun:
+            if self._reader.is_receiving:
                 self.close()
         elif self._is_outcome_reported and self._answer_end_timer is None:
             # The attempt's own timer ends with its outcome. Without this one, an answer that never ends would
--- a/tests/equivalence/test_same_transcripts.py
+++ b/tests/equivalence/test_same_transcripts.py
@@ -14,7 +14,7 @@
 
 from loopback import FRONT, GearmanPeer, HttpClient, Planner, Reader, Run, Writer, call, program, story
 
-from pipitshed.protocols.gearman import Kind
+from pipitshed.protocols.gearman import PacketType
 
 GOLDEN = Path(__file__).parent / "golden" / "transcripts.json"
 MASKS = [
@@ -131,13 +131,13 @@
     ):
         client = await GearmanPeer.to(running.gearman_port)
         for name, kind, arguments, answers in (
-            ("echo", Kind.ECHO_REQ, (b"here",), 1),
-            ("a job", Kind.SUBMIT_JOB, (b"plan_quote", b"u1", b"six"), 2),
-            ("a job in the background", Kind.SUBMIT_JOB_BG, (b"plan_quote", b"u2", b"six"), 1),
-            ("a job that fails", Kind.SUBMIT_JOB_HIGH, (b"plan_quote", b"u3", b"fail"), 3),
-            ("no such function", Kind.SUBMIT_JOB, (b"none", b"u4", b""), 1),
-            ("an option", Kind.OPTION_REQ, (b"exceptions",), 1),
-            ("a job that fails, with exceptions", Kind.SUBMIT_JOB, (b"plan_quote", b"u5", b"fail"), 3),
+            ("echo", PacketType.ECHO_REQ, (b"here",), 1),
+            ("a job", PacketType.SUBMIT_JOB, (b"plan_quote", b"u1", b"six"), 2),
+            ("a job in the background", PacketType.SUBMIT_JOB_BG, (b"plan_quote", b"u2", b"six"), 1),
+            ("a job that fails", PacketType.SUBMIT_JOB_HIGH, (b"plan_quote", b"u3", b"fail"), 3),
+            ("no such function", PacketType.SUBMIT_JOB, (b"none", b"u4", b""), 1),
+            ("an option", PacketType.OPTION_REQ, (b"exceptions",), 1),
+            ("a job that fails, with exceptions", PacketType.SUBMIT_JOB, (b"plan_quote", b"u5", b"fail"), 3),
         ):
             client.say(kind, *arguments)
             told = b""
@@ -158,11 +158,11 @@
         client = await HttpClient.to(running.port)
         client.ask("a1", body=b"six")
         head = await worker.reader.readexactly(12)
-        worker.say(Kind.GRAB_JOB_ALL)
+        worker.say(PacketType.GRAB_JOB_ALL)
         assign = await worker.reader.readexactly(12)
         arguments = await worker.reader.readexactly(int.from_bytes(assign[8:], "big"))
         transcript["gearman: to a worker"] = masked(head + assign[:8] + arguments)
-        worker.say(Kind.WORK_COMPLETE, arguments.split(b"\0")[0], b"plan of six")
+        worker.say(PacketType.WORK_COMPLETE, arguments.split(b"\0")[0], b"plan of six")
         transcript["gearman: from a worker"] = repr((await client.answer())[::2])
     return transcript
 
--- a/tests/frontends/test_gearman_frontend.py
+++ b/tests/frontends/test_gearman_frontend.py
@@ -7,17 +7,17 @@
 import pytest
 from loopback import FRONT, ONCE, GearmanPeer, HttpClient, Planner, Run, program, story
 
-from pipitshed.protocols.gearman import HEAD, REQUEST, Kind, pack
+from pipitshed.protocols.gearman import PACKET_HEADER, REQUEST_MAGIC, PacketType, encode_packet
 
 
 @story
 async def test_gearman_clients_reach_http_planners() -> None:
     async with Planner("p1") as planner, program(planner, front=FRONT) as running:
         client = await GearmanPeer.to(running.gearman_port)
-        for kind in (Kind.SUBMIT_JOB, Kind.SUBMIT_JOB_HIGH, Kind.SUBMIT_JOB_LOW):
+        for kind in (PacketType.SUBMIT_JOB, PacketType.SUBMIT_JOB_HIGH, PacketType.SUBMIT_JOB_LOW):
             handle = await client.submit(b"plan_quote", b"", kind.name.encode(), kind)
-            assert await client.expect(Kind.WORK_COMPLETE) == [handle, b"plan of " + kind.name.encode()]
-        await client.submit(b"book_pallet", b"k1", b"four", Kind.SUBMIT_JOB_BG)
+            assert await client.expect(PacketType.WORK_COMPLETE) == [handle, b"plan of " + kind.name.encode()]
+        await client.submit(b"book_pallet", b"k1", b"four", PacketType.SUBMIT_JOB_BG)
         run = await planner.wait_for(4)
         assert (run.headers["idempotency-key"], run.body) == ("k1", b"four")
         ids = {run.headers["x-request-id"] for run in planner.runs}
@@ -33,12 +33,12 @@
         client.ask("a1", body=b"six")
         handle, function, body = await worker.grab()
         assert (function, body) == (b"plan_quote", b"six")
-        worker.say(Kind.WORK_DATA, handle, b"plan of ")
-        worker.say(Kind.WORK_STATUS, handle, b"1", b"2")
-        worker.say(Kind.WORK_COMPLETE, handle, b"six")
+        worker.say(PacketType.WORK_DATA, handle, b"plan of ")
+        worker.say(PacketType.WORK_STATUS, handle, b"1", b"2")
+        worker.say(PacketType.WORK_COMPLETE, handle, b"six")
         assert (await client.answer())[::2] == (200, b"plan of six")
-        worker.say(Kind.GRAB_JOB_UNIQ)
-        await worker.expect(Kind.NO_JOB)
+        worker.say(PacketType.GRAB_JOB_UNIQ)
+        await worker.expect(PacketType.NO_JOB)
 
 
 @story
@@ -57,20 +57,20 @@
                 second = await GearmanPeer.to(running.gearman_port)
                 await second.register(function)
                 attempt, _, body = await second.grab()
-                second.say(Kind.WORK_COMPLETE, attempt, b"plan of " + body)
-                assert await client.expect(Kind.WORK_COMPLETE) == [handle, b"plan of six"]
-        assert await client.expect(Kind.WORK_FAIL) == [handle]
+                second.say(PacketType.WORK_COMPLETE, attempt, b"plan of " + body)
+                assert await client.expect(PacketType.WORK_COMPLETE) == [handle, b"plan of six"]
+        assert await client.expect(PacketType.WORK_FAIL) == [handle]
         other = await GearmanPeer.to(running.gearman_port)
         await other.register(b"book_pallet")
         again = await client.submit(b"book_pallet", b"b1", b"six")
-        assert await client.expect(Kind.WORK_FAIL) == [again]
+        assert await client.expect(PacketType.WORK_FAIL) == [again]
         assert await unwoken(other)
 
 
 async def unwoken(worker: GearmanPeer) -> bool:
     """Whether a sleeping worker has been left to sleep."""
-    worker.say(Kind.ECHO_REQ, b"still")
-    return (await worker.hear())[0] is Kind.ECHO_RES
+    worker.say(PacketType.ECHO_REQ, b"still")
+    return (await worker.hear())[0] is PacketType.ECHO_RES
 
 
 @story
@@ -80,12 +80,12 @@
         first, second, client = [await GearmanPeer.to(running.gearman_port) for _ in range(3)]
         await first.register(b"book_pallet")
         handle = await client.submit(b"book_pallet", b"b1", b"six")
-        await first.expect(Kind.NOOP)
+        await first.expect(PacketType.NOOP)
         await second.register(b"book_pallet")
         first.writer.transport.abort()
         attempt, _, _ = await second.grab()
-        second.say(Kind.WORK_COMPLETE, attempt, b"booked")
-        assert await client.expect(Kind.WORK_COMPLETE) == [handle, b"booked"]
+        second.say(PacketType.WORK_COMPLETE, attempt, b"booked")
+        assert await client.expect(PacketType.WORK_COMPLETE) == [handle, b"booked"]
 
 
 @story
@@ -97,12 +97,12 @@
         attempt, _, _ = await worker.grab()
         gone.writer.transport.abort()
         handles = [await client.submit(b"book_pallet", b"b1", b"six") for _ in range(2)]
-        worker.say(Kind.WORK_COMPLETE, attempt, b"booked")
-        worker.say(Kind.PRE_SLEEP)
-        answers = [await client.expect(Kind.WORK_COMPLETE) for _ in handles]
+        worker.say(PacketType.WORK_COMPLETE, attempt, b"booked")
+        worker.say(PacketType.PRE_SLEEP)
+        answers = [await client.expect(PacketType.WORK_COMPLETE) for _ in handles]
         assert answers == [[handle, b"booked"] for handle in handles]
         handle = await late.submit(b"book_pallet", b"b1", b"six")
-        assert await late.expect(Kind.WORK_COMPLETE) == [handle, b"booked"]
+        assert await late.expect(PacketType.WORK_COMPLETE) == [handle, b"booked"]
         assert await unwoken(worker)
 
 
@@ -112,26 +112,29 @@
         draining, other, client = [await GearmanPeer.to(running.gearman_port) for _ in range(3)]
         await draining.register(b"plan_quote", b"book_pallet")
         waiting = await client.submit(b"book_pallet", b"b0", b"six")
-        await draining.expect(Kind.NOOP)
+        await draining.expect(PacketType.NOOP)
         await other.register(b"book_pallet")
-        draining.say(Kind.CANT_DO, b"book_pallet")  # what waits there goes to the other
+        draining.say(PacketType.CANT_DO, b"book_pallet")  # what waits there goes to the other
         for number in range(5):
             attempt, _, _ = await other.grab()
-            other.say(Kind.WORK_COMPLETE, attempt, b"booked")
-            other.say(Kind.PRE_SLEEP)
-            assert await client.expect(Kind.WORK_COMPLETE) == [waiting, b"booked"]
+            other.say(PacketType.WORK_COMPLETE, attempt, b"booked")
+            other.say(PacketType.PRE_SLEEP)
+            assert await client.expect(PacketType.WORK_COMPLETE) == [waiting, b"booked"]
             waiting = await client.submit(b"book_pallet", b"b%d" % (number + 1), b"six")
         attempt, _, _ = await other.grab()
-        other.say(Kind.WORK_COMPLETE, attempt, b"booked")
-        draining.say(Kind.GRAB_JOB)
-        await draining.expect(Kind.NO_JOB)
+        other.say(PacketType.WORK_COMPLETE, attempt, b"booked")
+        draining.say(PacketType.GRAB_JOB)
+        await draining.expect(PacketType.NO_JOB)
 
 
 @pytest.mark.parametrize(
     ("function", "kinds"),
-    [(b"plan_quote", [Kind.WORK_WARNING, Kind.WORK_FAIL]), (b"book_pallet", [Kind.WORK_FAIL])],
+    [
+        (b"plan_quote", [PacketType.WORK_WARNING, PacketType.WORK_FAIL]),
+        (b"book_pallet", [PacketType.WORK_FAIL]),
+    ],
 )
-def test_the_answer_comes_before_the_deadline(function: bytes, kinds: list[Kind]) -> None:
+def test_the_answer_comes_before_the_deadline(function: bytes, kinds: list[PacketType]) -> None:
     """And the attempt ends with it: its worker's connection is closed."""
 
     @story
@@ -160,16 +163,19 @@
         await worker.register(b"plan_quote", b"book_pallet")
         await impatient.submit(b"plan_quote", b"q1", b"six")
         await worker.grab()
-        worker.say(Kind.PRE_SLEEP)
+        worker.say(PacketType.PRE_SLEEP)
         handle = await client.submit(b"book_pallet", b"b1", b"four")
         attempt, _, _ = await worker.grab()
-        assert [(await impatient.hear())[0] for _ in range(2)] == [Kind.WORK_WARNING, Kind.WORK_FAIL]
+        assert [(await impatient.hear())[0] for _ in range(2)] == [
+            PacketType.WORK_WARNING,
+            PacketType.WORK_FAIL,
+        ]
         assert await unwoken(worker)
-        worker.say(Kind.CAN_DO, b"plan_quote")  # it gets nothing new all the same
-        worker.say(Kind.GRAB_JOB)
-        await worker.expect(Kind.NO_JOB)
-        worker.say(Kind.WORK_COMPLETE, attempt, b"booked")
-        assert await client.expect(Kind.WORK_COMPLETE) == [handle, b"booked"]
+        worker.say(PacketType.CAN_DO, b"plan_quote")  # it gets nothing new all the same
+        worker.say(PacketType.GRAB_JOB)
+        await worker.expect(PacketType.NO_JOB)
+        worker.say(PacketType.WORK_COMPLETE, attempt, b"booked")
+        assert await client.expect(PacketType.WORK_COMPLETE) == [handle, b"booked"]
         assert await worker.reader.read() == b""
 
 
@@ -178,14 +184,14 @@
     """CAN_DO_TIMEOUT ends the attempt long before the class's deadline, and its worker's connection too."""
     async with program(front=FRONT) as running:
         worker, client = [await GearmanPeer.to(running.gearman_port) for _ in range(2)]
-        worker.say(Kind.CAN_DO_TIMEOUT, b"book_pallet", b"1")
+        worker.say(PacketType.CAN_DO_TIMEOUT, b"book_pallet", b"1")
         await worker.register()
         handle = await client.submit(b"book_pallet", b"b1", b"six")
-        await worker.expect(Kind.NOOP)
-        worker.say(Kind.GRAB_JOB_ALL)
-        assert (await worker.expect(Kind.JOB_ASSIGN_ALL))[1:] == [b"book_pallet", b"b1", b"", b"six"]
+        await worker.expect(PacketType.NOOP)
+        worker.say(PacketType.GRAB_JOB_ALL)
+        assert (await worker.expect(PacketType.JOB_ASSIGN_ALL))[1:] == [b"book_pallet", b"b1", b"", b"six"]
         begun = asyncio.get_running_loop().time()
-        assert await client.expect(Kind.WORK_FAIL) == [handle]
+        assert await client.expect(PacketType.WORK_FAIL) == [handle]
         assert asyncio.get_running_loop().time() - begun < 5
         assert await worker.reader.read() == b""
 
@@ -195,27 +201,27 @@
     async with Planner("p1") as planner, program(planner, front=FRONT) as running:
         for data in [
             b"\0RES" + bytes(8),
-            HEAD.pack(REQUEST, 999, 0),
-            HEAD.pack(REQUEST, 7, 1 << 30),
-            pack(Kind.SUBMIT_JOB, b"plan_quote", magic=REQUEST),
-            pack(Kind.NOOP, magic=REQUEST),
-            pack(Kind.CAN_DO_TIMEOUT, b"plan_quote", b"soon", magic=REQUEST),
+            PACKET_HEADER.pack(REQUEST_MAGIC, 999, 0),
+            PACKET_HEADER.pack(REQUEST_MAGIC, 7, 1 << 30),
+            encode_packet(PacketType.SUBMIT_JOB, b"plan_quote", magic=REQUEST_MAGIC),
+            encode_packet(PacketType.NOOP, magic=REQUEST_MAGIC),
+            encode_packet(PacketType.CAN_DO_TIMEOUT, b"plan_quote", b"soon", magic=REQUEST_MAGIC),
         ]:
             peer = await GearmanPeer.to(running.gearman_port)
             peer.writer.write(data)
-            assert (await peer.expect(Kind.ERROR))[0] == b"ERR_BAD_PACKET"
+            assert (await peer.expect(PacketType.ERROR))[0] == b"ERR_BAD_PACKET"
             assert await peer.reader.read() == b""
         client = await GearmanPeer.to(running.gearman_port)
-        whole = pack(Kind.SUBMIT_JOB, b"plan_quote", b"", b"a\0b", magic=REQUEST)
+        whole = encode_packet(PacketType.SUBMIT_JOB, b"plan_quote", b"", b"a\0b", magic=REQUEST_MAGIC)
         for place in range(len(whole)):
             client.writer.write(whole[place : place + 1])
             await asyncio.sleep(0)
-        [handle] = await client.expect(Kind.JOB_CREATED)
-        assert await client.expect(Kind.WORK_COMPLETE) == [handle, b"plan of a", b"b"]
-        client.say(Kind.SUBMIT_JOB, b"fly", b"", b"")
-        assert (await client.expect(Kind.ERROR))[0] == b"ERR_UNKNOWN_FUNCTION"
-        client.say(Kind.SUBMIT_JOB, b"plan_quote", b"", b"a" * 65_537)
-        assert (await client.expect(Kind.ERROR))[0] == b"ERR_TOO_LARGE"
+        [handle] = await client.expect(PacketType.JOB_CREATED)
+        assert await client.expect(PacketType.WORK_COMPLETE) == [handle, b"plan of a", b"b"]
+        client.say(PacketType.SUBMIT_JOB, b"fly", b"", b"")
+        assert (await client.expect(PacketType.ERROR))[0] == b"ERR_UNKNOWN_FUNCTION"
+        client.say(PacketType.SUBMIT_JOB, b"plan_quote", b"", b"a" * 65_537)
+        assert (await client.expect(PacketType.ERROR))[0] == b"ERR_TOO_LARGE"
 
 
 @story
@@ -223,26 +229,26 @@
     # The failed job is tried again until its time is over, at a worker that asks for none.
     async with program(front=FRONT.replace(" }", ", patience-s = 2.0 }")) as running:
         worker, client, admin = [await GearmanPeer.to(running.gearman_port) for _ in range(3)]
-        worker.say(Kind.SET_CLIENT_ID, b"depot-7")
+        worker.say(PacketType.SET_CLIENT_ID, b"depot-7")
         await worker.register(b"book_pallet")
-        client.say(Kind.OPTION_REQ, b"exceptions")
-        assert await client.expect(Kind.OPTION_RES) == [b"exceptions"]
+        client.say(PacketType.OPTION_REQ, b"exceptions")
+        assert await client.expect(PacketType.OPTION_RES) == [b"exceptions"]
         handle = await client.submit(b"book_pallet", b"b1", b"six")
         attempt, _, _ = await worker.grab()
-        worker.say(Kind.WORK_STATUS, attempt, b"1", b"4")
-        assert await client.expect(Kind.WORK_STATUS) == [handle, b"25", b"100"]
-        client.say(Kind.GET_STATUS, handle)
-        assert await client.expect(Kind.STATUS_RES) == [handle, b"1", b"1", b"25", b"100"]
+        worker.say(PacketType.WORK_STATUS, attempt, b"1", b"4")
+        assert await client.expect(PacketType.WORK_STATUS) == [handle, b"25", b"100"]
+        client.say(PacketType.GET_STATUS, handle)
+        assert await client.expect(PacketType.STATUS_RES) == [handle, b"1", b"1", b"25", b"100"]
         admin.writer.write(b"status\nworkers\nversion\nfly\n")
         lines = [(await admin.reader.readline()).decode().rstrip() for _ in range(7)]
         assert lines[:3] == ["plan_quote\t0\t0\t0", "book_pallet\t1\t1\t1", "."]
         assert lines[3:5] == ["- - depot-7 : book_pallet", "."] and lines[5].startswith("OK pipitshed")
         assert lines[6].startswith("ERR")
-        worker.say(Kind.WORK_EXCEPTION, attempt, b"no truck")
-        assert await client.expect(Kind.WORK_EXCEPTION) == [handle, b"no truck"]
-        assert await client.expect(Kind.WORK_FAIL) == [handle]
-        client.say(Kind.GET_STATUS, handle)
-        assert await client.expect(Kind.STATUS_RES) == [handle, b"0", b"0", b"0", b"0"]
+        worker.say(PacketType.WORK_EXCEPTION, attempt, b"no truck")
+        assert await client.expect(PacketType.WORK_EXCEPTION) == [handle, b"no truck"]
+        assert await client.expect(PacketType.WORK_FAIL) == [handle]
+        client.say(PacketType.GET_STATUS, handle)
+        assert await client.expect(PacketType.STATUS_RES) == [handle, b"0", b"0", b"0", b"0"]
 
 
 JOBS = [
@@ -268,16 +274,20 @@
         function = b"plan_quote" if name == "quote" else b"book_pallet"
         handle = await client.submit(function, b"g%d" % number, body)
         kind, arguments = await client.hear()
-        if kind is Kind.WORK_WARNING:
-            assert await client.expect(Kind.WORK_FAIL) == [handle]
+        if kind is PacketType.WORK_WARNING:
+            assert await client.expect(PacketType.WORK_FAIL) == [handle]
         assert arguments[0] == handle
         count[
             name,
             body,
-            {Kind.WORK_COMPLETE: "served", Kind.WORK_WARNING: "refused", Kind.WORK_FAIL: "failed"}[kind],
+            {
+                PacketType.WORK_COMPLETE: "served",
+                PacketType.WORK_WARNING: "refused",
+                PacketType.WORK_FAIL: "failed",
+            }[kind],
         ] += 1
-    client.say(Kind.ECHO_REQ, b"last")
-    count["one answer each", (await client.hear())[0] is Kind.ECHO_RES] += 1
+    client.say(PacketType.ECHO_REQ, b"last")
+    count["one answer each", (await client.hear())[0] is PacketType.ECHO_RES] += 1
 
 
 @story
@@ -297,20 +307,20 @@
         while True:
             worker = await GearmanPeer.to(port)
             try:
-                worker.say(Kind.CAN_DO, b"plan_quote")
-                worker.say(Kind.CAN_DO, b"book_pallet")
+                worker.say(PacketType.CAN_DO, b"plan_quote")
+                worker.say(PacketType.CAN_DO, b"book_pallet")
                 while True:
-                    worker.say(Kind.PRE_SLEEP)
-                    await worker.expect(Kind.NOOP)
-                    worker.say(Kind.GRAB_JOB_UNIQ)
-                    attempt, _, unique, body = await worker.expect(Kind.JOB_ASSIGN_UNIQ)
+                    worker.say(PacketType.PRE_SLEEP)
+                    await worker.expect(PacketType.NOOP)
+                    worker.say(PacketType.GRAB_JOB_UNIQ)
+                    attempt, _, unique, body = await worker.expect(PacketType.JOB_ASSIGN_UNIQ)
                     runs[unique.decode()] += 1
                     if body == b"lose":
                         break
                     if body == b"fail":
-                        worker.say(Kind.WORK_FAIL, attempt)
+                        worker.say(PacketType.WORK_FAIL, attempt)
                     elif body == b"serve":
-                        worker.say(Kind.WORK_COMPLETE, attempt, b"plan of " + body)
+                        worker.say(PacketType.WORK_COMPLETE, attempt, b"plan of " + body)
             except asyncio.IncompleteReadError:
                 pass  # a stalled job was given up
             worker.writer.transport.abort()
--- a/tests/frontends/test_rare_moments.py
+++ b/tests/frontends/test_rare_moments.py
@@ -15,7 +15,7 @@
 from pipitshed.frontends.http import HttpFrontend
 from pipitshed.frontends.http.connection import MAX_PIPELINED_REQUESTS, MAX_QUEUED_RESPONSES
 from pipitshed.frontends.listener import Listener
-from pipitshed.protocols.gearman import Kind
+from pipitshed.protocols.gearman import PacketType
 
 
 async def small(port: int) -> HttpClient:
@@ -84,14 +84,14 @@
         kept.ask("k0")
         assert (await kept.answer())[0] == 200
         gearman = await GearmanPeer.to(running.gearman_port)
-        gearman.say(Kind.ECHO_REQ, b"up")
-        await gearman.expect(Kind.ECHO_RES)
+        gearman.say(PacketType.ECHO_REQ, b"up")
+        await gearman.expect(PacketType.ECHO_RES)
         running.process.send_signal(signal.SIGSTOP)
         new = [await HttpClient.to(running.port) for _ in range(4)]
         for number, client in enumerate([kept, *new]):
             client.ask(f"gone{number}")
             client.writer.close()
-        gearman.say(Kind.SUBMIT_JOB, b"plan_quote", b"", b"gone")
+        gearman.say(PacketType.SUBMIT_JOB, b"plan_quote", b"", b"gone")
         gearman.writer.close()
         for client in [kept, *new]:
             await client.writer.wait_closed()
@@ -117,17 +117,17 @@
         run = await planner.wait_for(1)
         client.writer.transport.abort()
         other = await GearmanPeer.to(running.gearman_port)
-        other.say(Kind.GET_STATUS_UNIQUE, b"k1")
-        while (await other.expect(Kind.STATUS_RES_UNIQUE))[1] == b"1":  # until its end has been seen
-            other.say(Kind.GET_STATUS_UNIQUE, b"k1")
+        other.say(PacketType.GET_STATUS_UNIQUE, b"k1")
+        while (await other.expect(PacketType.STATUS_RES_UNIQUE))[1] == b"1":  # until its end has been seen
+            other.say(PacketType.GET_STATUS_UNIQUE, b"k1")
         planner.act = Run.serve
         run.writer.transport.abort()
         handle = await other.submit(b"plan_quote", b"q1", b"six")
-        assert await other.expect(Kind.WORK_COMPLETE) == [handle, b"plan of six"]
+        assert await other.expect(PacketType.WORK_COMPLETE) == [handle, b"plan of six"]
         ended = asyncio.get_running_loop().time() + 4.0  # its pauses are 2.5 s at most
         while asyncio.get_running_loop().time() < ended:
             handle = await other.submit(b"plan_quote", b"", b"six")
-            await other.expect(Kind.WORK_COMPLETE)
+            await other.expect(PacketType.WORK_COMPLETE)
         assert [run.body for run in planner.runs].count(b"six") == len(planner.runs)
         assert sum(run.headers.get("idempotency-key") == "k1" for run in planner.runs) == 1
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any, NoReturn
 
-from pipitshed.protocols.gearman import HEAD, REQUEST, Kind, pack
+from pipitshed.protocols.gearman import PACKET_HEADER, REQUEST_MAGIC, PacketType, encode_packet
 
 ROOT = Path(__file__).parent.parent
 PATIENCE = 20.0  # s after which a story that hangs has failed
@@ -353,39 +353,39 @@
     async def to(cls, port: int) -> GearmanPeer:
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
-    def say(self, kind: Kind, *arguments: bytes) -> None:
-        self.writer.write(pack(kind, *arguments, magic=REQUEST))
+    def say(self, kind: PacketType, *arguments: bytes) -> None:
+        self.writer.write(encode_packet(kind, *arguments, magic=REQUEST_MAGIC))
 
-    async def hear(self) -> tuple[Kind, list[bytes]]:
-        _, number, length = HEAD.unpack(await self.reader.readexactly(HEAD.size))
-        return Kind(number), (await self.reader.readexactly(length)).split(b"\0")
+    async def hear(self) -> tuple[PacketType, list[bytes]]:
+        _, number, length = PACKET_HEADER.unpack(await self.reader.readexactly(PACKET_HEADER.size))
+        return PacketType(number), (await self.reader.readexactly(length)).split(b"\0")
 
-    async def expect(self, kind: Kind) -> list[bytes]:
+    async def expect(self, kind: PacketType) -> list[bytes]:
         """The next packet's arguments; it must be of this kind."""
         heard, arguments = await self.hear()
         assert heard is kind, (heard, arguments)
         return arguments
 
     async def submit(
-        self, function: bytes, unique: bytes, body: bytes, kind: Kind = Kind.SUBMIT_JOB
+        self, function: bytes, unique: bytes, body: bytes, kind: PacketType = PacketType.SUBMIT_JOB
     ) -> bytes:
         """The handle of a new job."""
         self.say(kind, function, unique, body)
-        return (await self.expect(Kind.JOB_CREATED))[0]
+        return (await self.expect(PacketType.JOB_CREATED))[0]
 
     async def register(self, *functions: bytes) -> None:
         """Be a worker that sleeps; the ECHO shows that all of it has been read."""
         for function in functions:
-            self.say(Kind.CAN_DO, function)
-        self.say(Kind.PRE_SLEEP)
-        self.say(Kind.ECHO_REQ, b"ready")
-        await self.expect(Kind.ECHO_RES)
+            self.say(PacketType.CAN_DO, function)
+        self.say(PacketType.PRE_SLEEP)
+        self.say(PacketType.ECHO_REQ, b"ready")
+        await self.expect(PacketType.ECHO_RES)
 
     async def grab(self) -> list[bytes]:
         """Be woken and take a job: handle, function, data."""
-        await self.expect(Kind.NOOP)
-        self.say(Kind.GRAB_JOB)
-        return await self.expect(Kind.JOB_ASSIGN)
+        await self.expect(PacketType.NOOP)
+        self.say(PacketType.GRAB_JOB)
+        return await self.expect(PacketType.JOB_ASSIGN)
 
 
 FRONT = """
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -19,7 +19,7 @@
 from pipitshed.config.front import load_front
 from pipitshed.config.platform import load_platform_config
 from pipitshed.config.tenant_registry import TenantRegistry
-from pipitshed.protocols.gearman import Kind
+from pipitshed.protocols.gearman import PacketType
 from pipitshed.scheduling.actions import StartAttempt
 from pipitshed.scheduling.dispatcher import Dispatcher
 from pipitshed.scheduling.events import EndpointEntry, EndpointsUpdated, JobSubmitted, UpdateKind
@@ -232,7 +232,7 @@
                     assert (await client.answer())[0] == 200
                 for function in (b"plan_quote", b"plan_any"):
                     await gearman.submit(function, b"", b"six")
-                    await gearman.expect(Kind.WORK_COMPLETE)
+                    await gearman.expect(PacketType.WORK_COMPLETE)
 
             await ask()
             running.reload(_file(running.config.read_text(), tenants=[sur, norte, andes]))
--- a/tests/test_old_clients.py
+++ b/tests/test_old_clients.py
@@ -11,7 +11,7 @@
 from name_server import SERVICE, NameServer
 
 from pipitshed.cli.commands import main
-from pipitshed.protocols.gearman import Kind
+from pipitshed.protocols.gearman import PacketType
 from pipitshed.protocols.grpc import PREFIX
 from pipitshed.worker_api import planner_pb2 as pb
 
@@ -115,14 +115,14 @@
         assert (await client.answer())[0] == 200
         depot = await GearmanPeer.to(running.gearman_port)
         handle = await depot.submit(b"plan_quote", b"u1", JOB[:-1] + b',"hazard":"acid"}')
-        assert await depot.expect(Kind.WORK_FAIL) == [handle]
-        depot.say(Kind.OPTION_REQ, b"exceptions")
-        await depot.expect(Kind.OPTION_RES)
+        assert await depot.expect(PacketType.WORK_FAIL) == [handle]
+        depot.say(PacketType.OPTION_REQ, b"exceptions")
+        await depot.expect(PacketType.OPTION_RES)
         handle = await depot.submit(b"plan_quote", b"u2", JOB[:-1] + b',"hazard":"acid"}')
-        assert (await depot.expect(Kind.WORK_EXCEPTION))[1].startswith(b"hazard: ")
-        assert await depot.expect(Kind.WORK_FAIL) == [handle]
+        assert (await depot.expect(PacketType.WORK_EXCEPTION))[1].startswith(b"hazard: ")
+        assert await depot.expect(PacketType.WORK_FAIL) == [handle]
         handle = await depot.submit(b"book_pallet", b"u3", JOB)
-        assert (await depot.expect(Kind.WORK_COMPLETE))[1].startswith(b'{"booking_ref":"B-1"')
+        assert (await depot.expect(PacketType.WORK_COMPLETE))[1].startswith(b'{"booking_ref":"B-1"')
         assert [call.headers["x-class"] for call in planner.calls] == ["quote", "book"]
 
 
--- a/tests/upstream/test_attempt_races.py
+++ b/tests/upstream/test_attempt_races.py
@@ -11,7 +11,7 @@
 from attempt_rig import Rig, late_connections
 from loopback import Peer, Planner, Reader, Writer, story
 
-from pipitshed.protocols.gearman import Kind, pack
+from pipitshed.protocols.gearman import PacketType, encode_packet
 from pipitshed.scheduling.actions import StartAttempt
 from pipitshed.scheduling.events import (
     EndpointState,
@@ -207,14 +207,14 @@
         rig.core, {"plan": 0}, WorkerLocation(0, 0, 0, 1.0), 1000, asyncio.get_running_loop()
     )
     worker = carrier.worker(link)
-    worker.handle(Kind.CAN_DO, [b"plan"])
+    worker.handle(PacketType.CAN_DO, [b"plan"])
     exchange = rig.take("a1")
     rig.core._execute(StartAttempt(exchange.job_id, worker.endpoint.id, write_within_ms=1.0))
     passed = asyncio.Event()
     asyncio.get_running_loop().call_at(exchange.attempts[0].write_deadline_at + 0.001, passed.set)
     await passed.wait()
-    worker.handle(Kind.GRAB_JOB, [])
-    link.write.assert_called_once_with(pack(Kind.NO_JOB))
+    worker.handle(PacketType.GRAB_JOB, [])
+    link.write.assert_called_once_with(encode_packet(PacketType.NO_JOB))
     assert await rig.outcome() is Outcome.CONNECT_FAILED
     rig.core.withdraw(exchange)
 
