--- a/benchmarks/translation.py
+++ b/benchmarks/translation.py
@@ -23,7 +23,7 @@
 import h2.connection
 import h2.events
 
-from pipitshed.protocols.grpc import frame
+from pipitshed.protocols.grpc import frame_message
 from pipitshed.testbed.fleet.standins import Discovery
 from pipitshed.testbed.program import Running, scheduler
 from pipitshed.worker_api import planner_pb2 as pb
@@ -118,7 +118,7 @@
                 self.http2.send_data(
                     event.stream_id,
                     b"".join(
-                        frame(one.SerializeToString())
+                        frame_message(one.SerializeToString())
                         for one in (
                             pb.RunEvent(id=number, started=pb.Started()),
                             pb.RunEvent(id=number, running=pb.Running(share=0.5)),
--- a/pipitshed/protocols/grpc.py
+++ b/pipitshed/protocols/grpc.py
@@ -18,11 +18,11 @@
 
 from pipitshed.protocols.http import BODY_LIMIT_BYTES
 
-PREFIX = struct.Struct(">BI")  # compressed or not, and the message's length
+MESSAGE_PREFIX = struct.Struct(">BI")  # compressed or not, and the message's length
 MESSAGE_LIMIT_BYTES = 4 * BODY_LIMIT_BYTES  # bytes of one message
-_KEPT = 256  # headers: classes, tenants, slots
-_FRAME_HEAD = 9  # bytes
-LONGEST_TIMEOUT = 99_999_999  # of any unit: eight digits
+_MAX_CACHED_HEADERS = 256  # headers: classes, tenants, slots
+_FRAME_HEADER_BYTES = 9  # bytes
+MAX_TIMEOUT_VALUE = 99_999_999  # of any unit: eight digits
 
 
 class BadMessageError(ValueError):
@@ -39,43 +39,43 @@
     UNAVAILABLE = 14
 
 
-def frame(message: bytes) -> bytes:
+def frame_message(message: bytes) -> bytes:
     """One message with its prefix."""
-    return PREFIX.pack(0, len(message)) + message
+    return MESSAGE_PREFIX.pack(0, len(message)) + message
 
 
-def messages(buffer: bytearray) -> Iterator[bytes]:
+def take_messages(buffer: bytearray) -> Iterator[bytes]:
     """The whole messages in the buffer, used up as they are taken. BadMessageError where one is compressed or
     too long: told by the prefix, before it is kept.
     """
-    while len(buffer) >= PREFIX.size:
-        compressed, length = PREFIX.unpack_from(buffer)
+    while len(buffer) >= MESSAGE_PREFIX.size:
+        compressed, length = MESSAGE_PREFIX.unpack_from(buffer)
         if compressed:
             raise BadMessageError("a message is compressed, which was not offered")
         if length > MESSAGE_LIMIT_BYTES:
             raise BadMessageError(f"a message of {length} bytes is too long")
-        if len(buffer) < PREFIX.size + length:
+        if len(buffer) < MESSAGE_PREFIX.size + length:
             return
-        message = bytes(buffer[PREFIX.size : PREFIX.size + length])
-        del buffer[: PREFIX.size + length]
+        message = bytes(buffer[MESSAGE_PREFIX.size : MESSAGE_PREFIX.size + length])
+        del buffer[: MESSAGE_PREFIX.size + length]
         yield message
 
 
-def timeout_text(seconds: float) -> bytes:
+def encode_timeout(seconds: float) -> bytes:
     """The value of `grpc-timeout`, never rounded up; under a microsecond there is none left."""
-    micros = max(0, int(seconds * 1_000_000))
-    if micros <= LONGEST_TIMEOUT:
-        return b"%du" % micros
-    return b"%dm" % min(LONGEST_TIMEOUT, micros // 1000)
+    microseconds = max(0, int(seconds * 1_000_000))
+    if microseconds <= MAX_TIMEOUT_VALUE:
+        return b"%du" % microseconds
+    return b"%dm" % min(MAX_TIMEOUT_VALUE, microseconds // 1000)
 
 
-class _Frames(FrameBuffer):
+class _FrameBuffer(FrameBuffer):
     """Frames, whose length is judged by their heads: h2's own buffer waits for as many bytes as a head names,
     16 MB at most, before it finds them too many; so an HTTP/1.1 answer would never be known for none.
     """
 
     def __next__(self) -> Frame:
-        if len(self._data) >= _FRAME_HEAD:
+        if len(self._data) >= _FRAME_HEADER_BYTES:
             self._validate_frame_length(int.from_bytes(self._data[:3], "big"))
         return super().__next__()
 
@@ -88,8 +88,8 @@
     def __init__(self) -> None:
         super().__init__()
         hpack.Encoder.header_table_size.fset(self, 0)  # type: ignore[attr-defined]
-        self._first = super().encode([])  # tells the planner of the table's size, once
-        self._kept: dict[tuple[bytes, bytes], bytes] = {}
+        self._table_size_update = super().encode([])  # tells the planner of the table's size, once
+        self._encoded: dict[tuple[bytes, bytes], bytes] = {}
 
     @property
     def header_table_size(self) -> int:
@@ -100,18 +100,21 @@
         """The planner would allow more: it is not used."""
 
     def encode(self, headers: Iterable[Any], huffman: bool = False) -> bytes:
-        parts, self._first = [self._first], b""
+        parts, self._table_size_update = [self._table_size_update], b""
         for header in headers:
-            found = self._kept.get(header)
-            if found is None:
-                found = super().encode([header], huffman=False)
-                if not isinstance(header, NeverIndexedHeaderTuple) and len(self._kept) < _KEPT:
-                    self._kept[header] = found
-            parts.append(found)
+            encoded = self._encoded.get(header)
+            if encoded is None:
+                encoded = super().encode([header], huffman=False)
+                if (
+                    not isinstance(header, NeverIndexedHeaderTuple)
+                    and len(self._encoded) < _MAX_CACHED_HEADERS
+                ):
+                    self._encoded[header] = encoded
+            parts.append(encoded)
         return b"".join(parts)
 
 
-class Http2(h2.connection.H2Connection):
+class Http2Connection(h2.connection.H2Connection):
     """A client's connection that outlives GOAWAY.
 
     Source: RFC 9113, 6.8: streams up to the last id may still end. h2 itself closes the connection's state at
@@ -131,7 +134,7 @@
             )
         )
         self.encoder = _Encoder()
-        self.incoming_buffer = _Frames()
+        self.incoming_buffer = _FrameBuffer()
 
     def _receive_goaway_frame(self, frame: GoAwayFrame) -> tuple[list[Frame], list[h2.events.Event]]:
         event = h2.events.ConnectionTerminated()
--- a/pipitshed/upstream/grpc/client.py
+++ b/pipitshed/upstream/grpc/client.py
@@ -10,7 +10,7 @@
 
 from pipitshed import __version__
 from pipitshed.protocols.address import Address
-from pipitshed.protocols.grpc import timeout_text
+from pipitshed.protocols.grpc import encode_timeout
 from pipitshed.proxy.attempt import Attempt
 from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.proxy.worker_client import Endpoint
@@ -96,7 +96,7 @@
         headers = [
             *_FIXED_HEADERS,
             (b"x-class", self._classes[request.job_class].encode()),
-            NeverIndexedHeaderTuple(b"grpc-timeout", timeout_text(remaining_s)),
+            NeverIndexedHeaderTuple(b"grpc-timeout", encode_timeout(remaining_s)),
             NeverIndexedHeaderTuple(b"x-request-id", request.id.encode("latin-1")),
         ]
         if request.tenant_name:
--- a/pipitshed/upstream/grpc/connection.py
+++ b/pipitshed/upstream/grpc/connection.py
@@ -18,7 +18,7 @@
 import h2.exceptions
 import h2.settings
 
-from pipitshed.protocols.grpc import MESSAGE_LIMIT_BYTES, Http2, frame
+from pipitshed.protocols.grpc import MESSAGE_LIMIT_BYTES, Http2Connection, frame_message
 from pipitshed.proxy.attempt import Attempt
 from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.events import Outcome
@@ -55,7 +55,7 @@
         self.has_ended = False
         self.client = client
         self._loop = client.loop
-        self._http2 = Http2()
+        self._http2 = Http2Connection()
         self._transport: asyncio.Transport | None = None
         self.idle_reports = 0  # how often the scheduler counts this connection as an idle one
         self._unflushed: set[int] = set()  # streams whose last bytes may not have reached the kernel
@@ -186,7 +186,7 @@
                 self.queue.appendleft(attempt)
                 self.drain()
                 return
-            stream = GrpcStream(self, attempt, stream_id, frame(attempt.body))
+            stream = GrpcStream(self, attempt, stream_id, frame_message(attempt.body))
             self.streams[stream_id] = attempt.transport_state = stream
             remaining_s = attempt.deadline_at - self._loop.time()
             self._http2.send_headers(stream_id, self.client.metadata(attempt, remaining_s))
--- a/pipitshed/upstream/grpc/stream.py
+++ b/pipitshed/upstream/grpc/stream.py
@@ -8,7 +8,7 @@
 
 from google.protobuf.message import DecodeError
 
-from pipitshed.protocols.grpc import BadMessageError, messages
+from pipitshed.protocols.grpc import BadMessageError, take_messages
 from pipitshed.proxy.attempt import Attempt
 from pipitshed.scheduling.events import Outcome, ProgressKind
 from pipitshed.worker_api import planner_pb2
@@ -51,7 +51,7 @@
         """Handle the messages that are complete now."""
         self._buffer += data
         try:
-            for message in messages(self._buffer):
+            for message in take_messages(self._buffer):
                 event = planner_pb2.RunEvent.FromString(message)
                 if event.id != self.attempt.context.request.id:
                     raise BadMessageError("an event is for another request")
--- a/pipitshed/upstream/interface_probe.py
+++ b/pipitshed/upstream/interface_probe.py
@@ -14,7 +14,7 @@
 import h2.exceptions
 
 from pipitshed.protocols.address import Address
-from pipitshed.protocols.grpc import Http2
+from pipitshed.protocols.grpc import Http2Connection
 from pipitshed.scheduling.events import WorkerId
 
 CONNECT_TIMEOUT_S = 1.0
@@ -31,7 +31,7 @@
         self.result: asyncio.Future[int] = loop.create_future()
         self.transport: asyncio.Transport | None = None
         self._loop = loop
-        self._http2 = Http2()
+        self._http2 = Http2Connection()
         self._goaway_timer: asyncio.TimerHandle | None = None  # set by the worker's SETTINGS
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -16,7 +16,7 @@
 from loopback import SETTINGS
 
 from pipitshed.config.settings_parser import settings_from
-from pipitshed.protocols.grpc import frame
+from pipitshed.protocols.grpc import frame_message
 from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.proxy.request import Request
 from pipitshed.proxy.worker_client import Endpoint
@@ -47,7 +47,7 @@
         self.raw(pb.RunEvent(id=self.headers["x-request-id"], **kind).SerializeToString())
 
     def raw(self, message: bytes) -> None:
-        self.send(frame(message))
+        self.send(frame_message(message))
 
     def send(self, data: bytes) -> None:
         if not self.peer.answered(self.number):
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -24,7 +24,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from pipitshed.protocols.grpc import MESSAGE_LIMIT_BYTES, frame
+from pipitshed.protocols.grpc import MESSAGE_LIMIT_BYTES, frame_message
 from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.actions import StartAttempt
 from pipitshed.upstream.grpc.connection import MAX_UNREAD_BYTES, GrpcConnection
@@ -69,7 +69,7 @@
     st.just(pb.RunEvent(id="r1", done=pb.Done(offer=pb.Offer(price_cents=1, departs_ms=0)))),
     st.just(pb.RunEvent(id="r1", returned=pb.Returned())),
     st.just(pb.RunEvent(id="r1")),
-).map(lambda event: frame(event.SerializeToString()))
+).map(lambda event: frame_message(event.SerializeToString()))
 payloads = st.one_of(
     events,
     st.binary(max_size=40),
--- a/tests/test_old_clients.py
+++ b/tests/test_old_clients.py
@@ -12,7 +12,7 @@
 
 from pipitshed.cli.commands import main
 from pipitshed.protocols.gearman import PacketType
-from pipitshed.protocols.grpc import PREFIX
+from pipitshed.protocols.grpc import MESSAGE_PREFIX
 from pipitshed.worker_api import planner_pb2 as pb
 
 FORMS_FILE = Path(__file__).parent.parent / "deploy" / "translation.toml"
@@ -43,7 +43,7 @@
 
 
 def told(call: Call) -> pb.RunRequest:
-    return pb.RunRequest.FromString(call.body[PREFIX.size :])
+    return pb.RunRequest.FromString(call.body[MESSAGE_PREFIX.size :])
 
 
 @story
--- a/tests/upstream/test_grpc_client.py
+++ b/tests/upstream/test_grpc_client.py
@@ -8,7 +8,7 @@
 from grpc_peer import BOOK, Call, GrpcPlanner, bench
 from loopback import ONCE, SETTINGS, story
 
-from pipitshed.protocols.grpc import PREFIX, timeout_text
+from pipitshed.protocols.grpc import MESSAGE_PREFIX, encode_timeout
 from pipitshed.scheduling.events import EndpointState, ProgressKind
 from pipitshed.upstream.grpc.control_frames import MAX_FRAMES_PER_S, ControlFrameCounter
 from pipitshed.worker_api import planner_pb2 as pb
@@ -29,7 +29,7 @@
         assert (told["x-request-id"], told["x-class"], told["x-tenant"]) == ("r1", "book", "andes-retail")
         assert (told["idempotency-key"], told["x-slots"], told["x-memory"]) == ("k 1", "2", "1.5")
         assert told["grpc-timeout"].endswith("u") and int(told["grpc-timeout"][:-1]) <= 3_970_000
-        job = pb.RunRequest.FromString(call.body[PREFIX.size :])
+        job = pb.RunRequest.FromString(call.body[MESSAGE_PREFIX.size :])
         assert (job.book.origin, job.book.pallets, job.book.dock) == ("LIM", 2, "any")
         call.started()
         call.event(running=pb.Running(share=0.5))
@@ -43,8 +43,8 @@
 
 
 def test_the_time_left_is_never_rounded_up() -> None:
-    assert timeout_text(0.0000019) == b"1u" and timeout_text(-1.0) == b"0u"
-    assert timeout_text(99.9999999) == b"99999999u" and timeout_text(100.0009) == b"100000m"
+    assert encode_timeout(0.0000019) == b"1u" and encode_timeout(-1.0) == b"0u"
+    assert encode_timeout(99.9999999) == b"99999999u" and encode_timeout(100.0009) == b"100000m"
 
 
 @story
@@ -181,8 +181,8 @@
         (lambda call: (call.event(failed=pb.Failed(code="NO", text="road")), call.end(0)), "ERROR"),
         (lambda call: (call.event(returned=pb.Returned()), call.end(0)), "FULL"),
         (lambda call: call.event(returned=pb.Returned()), "FULL"),  # and never ends the stream
-        (lambda call: call.send(PREFIX.pack(1, 4) + b"gzip"), "RESET"),
-        (lambda call: call.send(PREFIX.pack(0, 2**31)), "RESET"),
+        (lambda call: call.send(MESSAGE_PREFIX.pack(1, 4) + b"gzip"), "RESET"),
+        (lambda call: call.send(MESSAGE_PREFIX.pack(0, 2**31)), "RESET"),
         (lambda call: call.raw(b"\xff\xff\xff"), "RESET"),
         (lambda call: call.raw(pb.RunEvent(id="a", done=pb.Done()).SerializeToString()), "RESET"),
         (lambda call: call.peer.transport.abort(), "RESET"),
@@ -243,7 +243,7 @@
         beside = made.ask("quote")
         assert (await beside.answer())[0] == "served" and not caller.told
         assert (await caller.answer())[0] == "served"
-        told = pb.RunRequest.FromString(planner.calls[-1].body[PREFIX.size :]).book.goods
+        told = pb.RunRequest.FromString(planner.calls[-1].body[MESSAGE_PREFIX.size :]).book.goods
         assert len(told) == body.count(b"sku") and {one.count for one in told} == {7}
 
 
