--- a/pipitshed/discovery/catalog/watch.py
+++ b/pipitshed/discovery/catalog/watch.py
@@ -162,7 +162,7 @@
     def body_received(self) -> None:
         """More of the body stands in the reader's buffer."""
         buffer, limit_bytes = self._reader.buffer, self._size_limit_bytes
-        for line in buffer.lines() if self._is_watch else ():
+        for line in buffer.take_lines() if self._is_watch else ():
             if self._ended:
                 return
             if self._oversized is None and self._assembler.size_bytes + len(line) > limit_bytes:
--- a/pipitshed/protocols/gearman.py
+++ b/pipitshed/protocols/gearman.py
@@ -114,7 +114,7 @@
     """The whole requests in the buffer, used up as they are taken: packets, or lines of text."""
     while len(buffer):
         if buffer.peek(1) != b"\0":
-            line = buffer.line()
+            line = buffer.take_line()
             if line is None:
                 return
             yield line
--- a/pipitshed/upstream/http/connection.py
+++ b/pipitshed/upstream/http/connection.py
@@ -200,7 +200,7 @@
         """More of the body stands in the reader's buffer."""
         if self._status != _STATUS_OK or self.attempt is None:
             return
-        while (text := self._reader.buffer.line()) is not None:
+        while (text := self._reader.buffer.take_line()) is not None:
             if text:
                 self._handle_line(text)
 
