--- a/pipitshed/cluster/config_file.py
+++ b/pipitshed/cluster/config_file.py
@@ -13,7 +13,7 @@
 from pipitshed.membership.members import NAME_LIMIT, Address
 from pipitshed.membership.timing import ProtocolTimings
 from pipitshed.protocols.address import parse_address
-from pipitshed.protocols.toml import line_at
+from pipitshed.protocols.toml import line_of_key
 
 SECRET_LIMIT_BYTES = 64  # the checksum takes the secret as its key, which can be no longer
 _KEY_PATH = re.compile(r" - at `\$\.?([^`]*)`")
@@ -34,7 +34,7 @@
     def __init__(self, path: Path, text: str, keys: tuple[str, ...], reason: str) -> None:
         self.keys = keys
         self.reason = reason
-        self.line = line_at(text, *keys) if keys else 1
+        self.line = line_of_key(text, *keys) if keys else 1
         super().__init__(f"{path}:{self.line}: {'.'.join(keys) or 'the file'}: {reason}")
 
 
--- a/pipitshed/config/front.py
+++ b/pipitshed/config/front.py
@@ -13,7 +13,7 @@
 from pipitshed.config.errors import ConfigError, FrontFileError
 from pipitshed.config.platform import Config
 from pipitshed.protocols.address import parse_address
-from pipitshed.protocols.toml import line_at
+from pipitshed.protocols.toml import line_of_key
 
 if TYPE_CHECKING:
     from pipitshed.translation.file import TranslationFile
@@ -137,7 +137,7 @@
 def _parse(path: Path, text: str, config: Config) -> FrontConfig:
     file = msgspec.convert(tomllib.loads(text), FrontFile)
     if mismatch := _find_mismatch(file, config):
-        line = line_at(text, *mismatch.keys)
+        line = line_of_key(text, *mismatch.keys)
         raise FrontFileError(path, line, mismatch.keys, mismatch.reason)
     return FrontConfig(
         listen=[parse_address(address) for address in file.gearman.listen],
--- a/pipitshed/placement/model.py
+++ b/pipitshed/placement/model.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from pipitshed.protocols.toml import line_of
+from pipitshed.protocols.toml import line_of_item
 
 LEAST, MOST = 1e-9, 1e9  # of every figure that is not 0
 
@@ -109,27 +109,35 @@
     for place, planner in enumerate(fleet.planners):
         where = f"planner {planner.id or place}"
         if not planner.id or planner.id in seen:
-            yield line_of(text, "planners", place, "id"), where, "has no id of its own"
+            yield line_of_item(text, "planners", place, "id"), where, "has no id of its own"
         seen.add(planner.id)
         for name in ("cores", "speed", "slots", "memory", "cap"):
             if not _figure(getattr(planner, name), name in ("slots", "memory")):
-                yield line_of(text, "planners", place, name), where, f"{name} is out of range"
+                yield line_of_item(text, "planners", place, name), where, f"{name} is out of range"
         if planner.pinned is not None and not 0 <= planner.pinned <= 1:
-            yield line_of(text, "planners", place, "pinned"), where, "pinned is not a part, 0 to 1"
+            yield line_of_item(text, "planners", place, "pinned"), where, "pinned is not a part, 0 to 1"
         if planner.excluded and planner.pinned:
-            yield line_of(text, "planners", place, "pinned"), where, "is excluded and pinned"
+            yield line_of_item(text, "planners", place, "pinned"), where, "is excluded and pinned"
     for place, one in enumerate(fleet.schedulers):
         if one.count < 0:
-            yield line_of(text, "schedulers", place, "count"), f"schedulers {one.zone}", "count is below 0"
+            yield (
+                line_of_item(text, "schedulers", place, "count"),
+                f"schedulers {one.zone}",
+                "count is below 0",
+            )
     for place, demand in enumerate(fleet.demand):
         where = f"demand {demand.job_class} {demand.tenant}".rstrip()
         for name in ("rate", "work", "slots", "memory", "wait"):
             if not _figure(getattr(demand, name), name not in ("work", "slots", "wait")):
-                yield line_of(text, "demand", place, name), where, f"{name} is out of range"
+                yield line_of_item(text, "demand", place, name), where, f"{name} is out of range"
         if demand.zone and demand.zone not in zones:
-            yield line_of(text, "demand", place, "zone"), where, f"there is no zone {demand.zone!r}"
+            yield line_of_item(text, "demand", place, "zone"), where, f"there is no zone {demand.zone!r}"
         if not demand.zone and not any(one.count > 0 for one in fleet.schedulers):
-            yield line_of(text, "demand", place), where, "names no zone, and no schedulers stand anywhere"
+            yield (
+                line_of_item(text, "demand", place),
+                where,
+                "names no zone, and no schedulers stand anywhere",
+            )
     total = sum(floor.share for floor in fleet.constraints.floors)
     if total > 1 + 1e-9 or any(not 0 <= floor.share <= 1 for floor in fleet.constraints.floors):
         yield 1, "constraints.floors", f"the shares add up to {total:g}: more than there is"
--- a/pipitshed/testbed/fleet/scenario.py
+++ b/pipitshed/testbed/fleet/scenario.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from pipitshed.membership.timing import ProtocolTimings
-from pipitshed.protocols.toml import line_of
+from pipitshed.protocols.toml import line_of_item
 from pipitshed.testbed.program import TENANTS
 
 Do = Literal[
@@ -150,13 +150,13 @@
     zones = {zone_of(place, made.fleet.zones) for place in range(made.fleet.processes)}
     for place, put in enumerate(made.put):
         if put.a not in names:
-            raise ScenarioError(f"line {line_of(text, 'put', place, 'a')}: there is no {put.a!r}")
+            raise ScenarioError(f"line {line_of_item(text, 'put', place, 'a')}: there is no {put.a!r}")
     for place, fault in enumerate(made.fault):
         known = zones if fault.do == "cut-zone" else names
         if unknown := [one for one in (*fault.a, *fault.b) if one not in known]:
-            raise ScenarioError(f"line {line_of(text, 'fault', place, 'a')}: there is no {unknown[0]!r}")
+            raise ScenarioError(f"line {line_of_item(text, 'fault', place, 'a')}: there is no {unknown[0]!r}")
         if fault.do != "roll" and fault.do != "join" and not fault.a:
-            raise ScenarioError(f"line {line_of(text, 'fault', place)}: `a` names nobody")
+            raise ScenarioError(f"line {line_of_item(text, 'fault', place)}: `a` names nobody")
     return made
 
 
--- a/pipitshed/translation/file.py
+++ b/pipitshed/translation/file.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from pipitshed.protocols.toml import line_of
+from pipitshed.protocols.toml import line_of_item
 from pipitshed.translation import steps
 from pipitshed.translation.steps import ClassSteps
 from pipitshed.translation.values import Field
@@ -107,7 +107,7 @@
         return
     for place, form in enumerate(file.forms):
         yield from (
-            (line_of(text, "forms", place, *path), f"form {form.version}: {'.'.join(path)}", why)
+            (line_of_item(text, "forms", place, *path), f"form {form.version}: {'.'.join(path)}", why)
             for path, why in _form_problems(form)
         )
     for which, version in [
@@ -137,7 +137,7 @@
     for place, step in enumerate(file.steps):
         if (step.lower, step.upper) not in pairwise(versions):
             yield (
-                line_of(text, "steps", place),
+                line_of_item(text, "steps", place),
                 f"step {step.lower} to {step.upper}",
                 "these are no neighbouring versions",
             )
@@ -145,7 +145,7 @@
         lower, upper = by_version[step.lower], by_version[step.upper]
         for path, why in _step_problems(step, lower, upper):
             yield (
-                line_of(text, "steps", place, *path),
+                line_of_item(text, "steps", place, *path),
                 f"step {step.lower} to {step.upper}: {'.'.join(path)}",
                 why,
             )
