--- a/pipitshed/frontends/http/__init__.py
+++ b/pipitshed/frontends/http/__init__.py
@@ -2,8 +2,7 @@
 
 from __future__ import annotations
 
-from pipitshed.frontends.http.frontend import STOPPING_LINGER_S as LINGER_ENDING
-from pipitshed.frontends.http.frontend import HttpFrontend
+from pipitshed.frontends.http.frontend import STOPPING_LINGER_S, HttpFrontend
 from pipitshed.frontends.http.request_parser import ClientForms, MalformedError, RequestParser
 
-__all__ = ["LINGER_ENDING", "ClientForms", "HttpFrontend", "MalformedError", "RequestParser"]
+__all__ = ["STOPPING_LINGER_S", "ClientForms", "HttpFrontend", "MalformedError", "RequestParser"]
--- a/pipitshed/proxy/endpoint_table.py
+++ b/pipitshed/proxy/endpoint_table.py
@@ -57,7 +57,7 @@
         workers_in_use: Callable[[], Container[WorkerId]] = _no_workers,
         on_interfaces_changed: Callable[[], None] = _ignore_interfaces,
     ) -> None:
-        self.repeats_count = False  # whether an unchanged entry is an update: where weights are live
+        self.publishes_unchanged = False  # whether an unchanged entry is an update: where weights are live
         self._post = post
         self._clock = clock
         self._workers_in_use = workers_in_use
@@ -125,7 +125,7 @@
                 entry = replace(entry, planned_weights=self._planned_weights.get(worker))
             if self._endpoints.get(worker) != endpoint:
                 self._endpoints[worker] = endpoint
-            if entry != listed.get(worker) or kind is UpdateKind.CACHED or self.repeats_count:
+            if entry != listed.get(worker) or kind is UpdateKind.CACHED or self.publishes_unchanged:
                 entries[worker] = entry
             else:
                 entries.pop(worker, None)  # replaces an earlier line of this update
--- a/pipitshed/proxy/forwarder.py
+++ b/pipitshed/proxy/forwarder.py
@@ -61,7 +61,7 @@
             workers_in_use=self._workers_in_use,
             on_interfaces_changed=self._interfaces_changed,
         )
-        self.endpoints.repeats_count = settings.weight_kind is WeightKind.LIVE
+        self.endpoints.publishes_unchanged = settings.weight_kind is WeightKind.LIVE
         self._requests = RequestLifecycle(
             self._turns, self.endpoints, self._stop_attempt, self.counters, loop
         )
@@ -84,7 +84,7 @@
     def apply_settings(self, settings: Settings) -> None:
         """Apply new settings; they hold every class that was ever applied, so that requests keep theirs."""
         self.settings = settings
-        self.endpoints.repeats_count = settings.weight_kind is WeightKind.LIVE
+        self.endpoints.publishes_unchanged = settings.weight_kind is WeightKind.LIVE
         self._attempts.max_attempts = settings.limits.max_attempts
         self._dispatcher.apply_settings(settings)
 
--- a/pipitshed/server/server.py
+++ b/pipitshed/server/server.py
@@ -15,7 +15,7 @@
 from pipitshed.config.class_registry import ClassRegistry
 from pipitshed.config.front import FrontConfig
 from pipitshed.config.platform import Config
-from pipitshed.frontends.http import LINGER_ENDING
+from pipitshed.frontends.http import STOPPING_LINGER_S
 from pipitshed.server.assembly import assemble, build_cluster_node
 from pipitshed.server.reload import SettingsReloader
 
@@ -155,7 +155,7 @@
     def _close_connections(self) -> None:
         """Close each connection with its next answer, and those that are not in use at once."""
         self.parts.http_frontend.draining = True
-        self.parts.http_frontend.linger = LINGER_ENDING
+        self.parts.http_frontend.linger = STOPPING_LINGER_S
         # A little later, what stood in the listeners' queues has its connection.
         self._loop.call_later(IDLE_POLL_S, self._end_when_idle)
 
