--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -67,9 +67,9 @@
 
     async def run() -> int:
         loop, settings = _CountedLoop(), settings_from(configured["settings"])
-        core, carrier = Forwarder(settings, 1, loop), _Carrier()  # type: ignore[arg-type]
-        core.attach_discovery(lambda watch: None)
-        core.endpoints.update(
+        forwarder, carrier = Forwarder(settings, 1, loop), _Carrier()  # type: ignore[arg-type]
+        forwarder.attach_discovery(lambda watch: None)
+        forwarder.endpoints.update(
             "capacity",
             UpdateKind.SNAPSHOT,
             1,
@@ -77,10 +77,10 @@
         )  # type: ignore[arg-type]
         await asyncio.sleep(0.01)
         before = set(loop.timers)
-        core.submit(Request("a", 2, PATIENCE_S * 1000, 0), Mock())
+        forwarder.submit(Request("a", 2, PATIENCE_S * 1000, 0), Mock())
         attempt = await carrier.carried
-        core.attempt_sent(attempt)
-        core.attempt_progressed(attempt, ProgressKind.STARTED)
+        forwarder.attempt_sent(attempt)
+        forwarder.attempt_progressed(attempt, ProgressKind.STARTED)
         await asyncio.sleep(0.01)
         return sum(not handle.cancelled() for handle in loop.timers if handle not in before)
 
--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -59,20 +59,20 @@
     """A scheduler's side of a watch: what is read goes through the program's own classes."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.core = Forwarder(
+        self.forwarder = Forwarder(
             Settings(
                 classes=(JobClass(latency_objective_ms=300.0, deadline_ms=5000.0),), zone_count=len(ZONES)
             ),
             1,
             loop,
         )
-        self.carrier = HttpWorkerClient(self.core, [], loop)
+        self.carrier = HttpWorkerClient(self.forwarder, [], loop)
         listing = EndpointParser(SOURCE, NameIndex(ZONES), NameIndex(["standard"]), self.carrier)
-        self.discovery = CatalogClient(("127.0.0.1", 1), listing, self.core.endpoints, loop)
+        self.discovery = CatalogClient(("127.0.0.1", 1), listing, self.forwarder.endpoints, loop)
         self.call = CatalogCall(self.discovery, True)
         self.call.data_received(HEAD)
         self.turns: list[float] = []  # s of CPU of each turn that did any of the list's work
-        self.core._turns._run_turn = self._timed(self.core._turns._run_turn)  # type: ignore[method-assign]
+        self.forwarder._turns._run_turn = self._timed(self.forwarder._turns._run_turn)  # type: ignore[method-assign]
         self.discovery._apply_pending = self._timed(self.discovery._apply_pending)  # type: ignore[method-assign]
 
     def _timed(self, work: Callable[..., None]) -> Callable[..., None]:
@@ -110,7 +110,7 @@
             await side.read(text, version)
             told[f"{name}_cpu_ms"] = (time.process_time() - begun) * 1000
             told[f"{name}_turn_ms"] = max(side.turns) * 1000
-        assert side.core.endpoints.ready() == planners
+        assert side.forwarder.endpoints.ready() == planners
         return told
 
     async def weighed() -> int:
@@ -132,13 +132,13 @@
 
     async def play() -> dict[str, Any]:
         side = Side(asyncio.get_running_loop())
-        table, now = side.core.endpoints, 0.0
+        table, now = side.forwarder.endpoints, 0.0
         table._clock = lambda: now
         await side.read(news(1, True, [planner_row(number) for number in range(planners)]), 1)
         tracemalloc.start()
         for number in range(replaced):
             now += DAY / replaced
-            side.core._turns.epoch_s += DAY / replaced  # the decisions' clock
+            side.forwarder._turns.epoch_s += DAY / replaced  # the decisions' clock
             version = 2 * number + 2
             await side.read(news(version, False, [planner_row(number, 0, "draining")]), version)
             version += 1
@@ -151,7 +151,7 @@
             "planners": planners,
             "replaced": replaced,
             "listed": table.size(),
-            "decisions": len(side.core._dispatcher.workers) - planners,
+            "decisions": len(side.forwarder._dispatcher.workers) - planners,
             "route_table": max(len(table._endpoints), len(table._leaving) + planners) - planners,
             "pool": len(side.carrier.pool._idle),
             "bytes": held,
--- a/pipitshed/frontends/gearman/frontend.py
+++ b/pipitshed/frontends/gearman/frontend.py
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        core: Forwarder,
+        forwarder: Forwarder,
         worker_client: GearmanWorkerClient,
         functions: Mapping[str, GearmanFunction],
         loop: asyncio.AbstractEventLoop,
@@ -44,7 +44,7 @@
         max_connections: int,
         shutdown: Callable[[], None],
     ) -> None:
-        self.core = core
+        self.forwarder = forwarder
         self.worker_client = worker_client
         self.functions = functions
         self.loop = loop
@@ -52,7 +52,7 @@
         self.connections: dict[GearmanConnection, None] = {}
         self.jobs: dict[bytes, GearmanJob] = {}
         self.closing = False  # no further jobs are accepted
-        self._deduplication = DeduplicationTable(core, loop)
+        self._deduplication = DeduplicationTable(forwarder, loop)
         self._max_connections = max_connections
         self._label = label.encode("latin-1", "replace")  # so that handles differ between starts
         self._handle_count = 0
--- a/pipitshed/frontends/http/connection.py
+++ b/pipitshed/frontends/http/connection.py
@@ -158,7 +158,7 @@
         if self._request_context is not None:
             context, self._request_context = self._request_context, None
             self._frontend.open_ids.discard(self._open_id)
-            self._frontend.core.withdraw(context)
+            self._frontend.forwarder.withdraw(context)
 
     # ---- timeouts
 
@@ -274,7 +274,7 @@
         self._is_last = True
         if self._request_context is not None:
             context = self._request_context
-            self._frontend.core.withdraw(context)
+            self._frontend.forwarder.withdraw(context)
             self._write(500 if context.may_have_run else 503)
 
     # ---- requests and responses
@@ -296,7 +296,7 @@
             else:
                 self._open_id = first.id
                 self._frontend.open_ids.add(first.id)
-                self._request_context = self._frontend.core.submit(first, self)
+                self._request_context = self._frontend.forwarder.submit(first, self)
 
     def _write(self, status: int, body: bytes = b"", extra_headers: str = "") -> None:
         if self._request_context is not None:
--- a/pipitshed/frontends/http/frontend.py
+++ b/pipitshed/frontends/http/frontend.py
@@ -22,13 +22,13 @@
 
     def __init__(
         self,
-        core: Forwarder,
+        forwarder: Forwarder,
         parser: RequestParser,
         max_connections: int,
         loop: asyncio.AbstractEventLoop,
         ready: Callable[[], bool],
     ) -> None:
-        self.core = core
+        self.forwarder = forwarder
         self.parser = parser
         self.loop = loop
         self.ready = ready
--- a/pipitshed/frontends/http/request_parser.py
+++ b/pipitshed/frontends/http/request_parser.py
@@ -89,12 +89,12 @@
 
     def __init__(
         self,
-        core: Forwarder,
+        forwarder: Forwarder,
         classes: Sequence[str],
         tenants: TenantNumbers,
         forms: ClientForms | None = None,
     ) -> None:
-        self._core = core
+        self._core = forwarder
         self._forms = forms
         self.apply_settings({name: index for index, name in enumerate(classes)}, tenants)
 
--- a/pipitshed/upstream/gearman.py
+++ b/pipitshed/upstream/gearman.py
@@ -118,11 +118,11 @@
 
     def _assign_job(self, assignment: PacketType) -> None:
         """Send the waiting attempt of the highest priority, the oldest among equals."""
-        core = self.client.core
+        forwarder = self.client.forwarder
         self._is_asleep = False
-        for attempt in [attempt for attempt in self.waiting if not core.may_begin(attempt)]:
+        for attempt in [attempt for attempt in self.waiting if not forwarder.may_begin(attempt)]:
             self.waiting.remove(attempt)
-            core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
+            forwarder.attempt_finished(attempt, Outcome.CONNECT_FAILED)
         if not self.waiting:
             self.connection.write(encode_packet(PacketType.NO_JOB))
             return
@@ -140,10 +140,10 @@
         self.running[handle], attempt.transport_state = attempt, handle
         name = function.encode("latin-1")
         self.connection.write(encode_packet(assignment, handle, name, *extra_arguments, attempt.body))
-        core.attempt_sent(attempt)
+        forwarder.attempt_sent(attempt)
         if timeout_s := self.abilities.get(function, 0.0):
-            self.client.loop.call_later(timeout_s, core.attempt_timed_out, attempt)
-        core.attempt_progressed(attempt, ProgressKind.STARTED)
+            self.client.loop.call_later(timeout_s, forwarder.attempt_timed_out, attempt)
+        forwarder.attempt_progressed(attempt, ProgressKind.STARTED)
 
     def _handle_work(self, kind: PacketType, arguments: list[bytes]) -> None:
         """Handle progress, a part of a result, or the end of a job; ignore jobs that are over."""
@@ -151,11 +151,11 @@
         attempt = self.running.get(handle)
         if attempt is None:
             return
-        core = self.client.core
+        forwarder = self.client.forwarder
         if kind is PacketType.WORK_STATUS:
             done, total = (_count(argument) for argument in arguments[1:])
             share = min(1.0, done / total) if total else 0.0
-            core.attempt_progressed(attempt, ProgressKind.PROGRESS, share)
+            forwarder.attempt_progressed(attempt, ProgressKind.PROGRESS, share)
             return
         if kind is PacketType.WORK_DATA:
             result = self._partial_results.get(handle, b"") + arguments[1]
@@ -171,10 +171,10 @@
             self._close_if_idle()
         result = self._partial_results.pop(handle, b"")
         if kind is PacketType.WORK_COMPLETE:
-            core.attempt_finished(attempt, Outcome.OK, result + arguments[1])
+            forwarder.attempt_finished(attempt, Outcome.OK, result + arguments[1])
         else:
             error = arguments[1] if kind is PacketType.WORK_EXCEPTION else b""
-            core.attempt_finished(attempt, Outcome.ERROR, error)
+            forwarder.attempt_finished(attempt, Outcome.ERROR, error)
 
     def stop(self, handle: bytes) -> None:
         """Give up an assigned job, which the protocol has no way to cancel.
@@ -204,9 +204,9 @@
         running, waiting = list(self.running.values()), self.waiting
         self.running, self.waiting = {}, []
         for attempt in running:
-            self.client.core.attempt_finished(attempt, Outcome.RESET)
+            self.client.forwarder.attempt_finished(attempt, Outcome.RESET)
         for attempt in waiting:
-            self.client.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
+            self.client.forwarder.attempt_finished(attempt, Outcome.CONNECT_FAILED)
 
 
 def _text(data: bytes) -> str:
@@ -228,13 +228,13 @@
 
     def __init__(
         self,
-        core: Forwarder,
+        forwarder: Forwarder,
         classes: Mapping[str, int],
         location: WorkerLocation,
         body_limit: int,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        self.core = core
+        self.forwarder = forwarder
         self.loop = loop
         self.body_limit = body_limit  # bytes of a result
         self.workers: dict[GearmanWorker, None] = {}
@@ -282,7 +282,7 @@
         if not worker.is_removed:
             for attempt in [attempt for attempt in worker.waiting if self.function(attempt, worker) is None]:
                 worker.waiting.remove(attempt)
-                self.core.attempt_finished(attempt, Outcome.REJECTED)
+                self.forwarder.attempt_finished(attempt, Outcome.REJECTED)
 
     def _update_endpoint(self, worker: GearmanWorker, job_classes: frozenset[int]) -> None:
         if worker.is_removed:
@@ -302,7 +302,7 @@
             state,
             job_classes,
         )
-        self.core.endpoints.update(SOURCE, UpdateKind.DELTA, 0, [(entry, worker.endpoint)])
+        self.forwarder.endpoints.update(SOURCE, UpdateKind.DELTA, 0, [(entry, worker.endpoint)])
 
     # ---- attempts
 
@@ -311,9 +311,9 @@
         worker: GearmanWorker = attempt.endpoint.address
         attempt.fully_sent = False
         if worker.is_removed:
-            self.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
+            self.forwarder.attempt_finished(attempt, Outcome.CONNECT_FAILED)
         elif self.function(attempt, worker) is None:
-            self.core.attempt_finished(attempt, Outcome.REJECTED)
+            self.forwarder.attempt_finished(attempt, Outcome.REJECTED)
         else:
             worker.add(attempt)
 
@@ -335,7 +335,7 @@
         """Report whether a worker's connection is up."""
         worker: GearmanWorker = endpoint.address
         outcome = Outcome.CONNECT_FAILED if worker.is_removed else Outcome.OK
-        self.core.probe_finished(endpoint, outcome, 0.0)
+        self.forwarder.probe_finished(endpoint, outcome, 0.0)
 
     def close_idle_connections(self, endpoint: Endpoint) -> None:
         """Do nothing: only the worker itself closes its connection."""
--- a/pipitshed/upstream/grpc/client.py
+++ b/pipitshed/upstream/grpc/client.py
@@ -35,14 +35,20 @@
     """Opens a connection to a worker when there is an attempt or a probe for it."""
 
     def __init__(
-        self, core: Forwarder, classes: Sequence[str], loop: asyncio.AbstractEventLoop, keepalive_s: float
+        self,
+        forwarder: Forwarder,
+        classes: Sequence[str],
+        loop: asyncio.AbstractEventLoop,
+        keepalive_s: float,
     ) -> None:
-        self.core = core
+        self.forwarder = forwarder
         self.loop = loop
         self.keepalive_s = keepalive_s  # silence, with attempts outstanding, after which a PING is sent
         self.on_wrong_interface: Callable[[Endpoint], None] = lambda _: None
-        self.on_drain: Callable[[Endpoint], None] = lambda endpoint: core.endpoints.mark_draining(endpoint.id)
-        limits = core.settings.limits
+        self.on_drain: Callable[[Endpoint], None] = lambda endpoint: forwarder.endpoints.mark_draining(
+            endpoint.id
+        )
+        limits = forwarder.settings.limits
         self.idle_timeout_s = limits.idle_timeout_ms / 1000 * (1 - IDLE_MARGIN_FRACTION)
         self.probe_count = 0
         self._classes = classes
@@ -114,7 +120,7 @@
         """The connection that opens new streams; it may not be up yet."""
         connection = self._connections.get(endpoint.address)
         if connection is None:
-            self.core.counters["connections"] += 1
+            self.forwarder.counters["connections"] += 1
             connection = self._connections[endpoint.address] = GrpcConnection(self, endpoint)
             self._all.add(connection)
             self._spawn(self._connect(connection))
--- a/pipitshed/upstream/grpc/connection.py
+++ b/pipitshed/upstream/grpc/connection.py
@@ -124,11 +124,11 @@
             outcome = Outcome.RESET if is_sent else Outcome.CONNECT_FAILED
             stream.report(stream.event_outcome or outcome)
         for attempt in queue:
-            self.client.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
+            self.client.forwarder.attempt_finished(attempt, Outcome.CONNECT_FAILED)
         for ping_data in list(self._probes):
             self._finish_probe(ping_data, Outcome.CONNECT_FAILED)
         for _ in range(self.idle_reports):
-            self.client.core.connection_lost(self.endpoint)
+            self.client.forwarder.connection_lost(self.endpoint)
 
     def close(self) -> None:
         """Close with a GOAWAY: no attempt is outstanding."""
@@ -146,7 +146,7 @@
         self.client.lost(self)
         queue, self.queue = list(self.queue), deque()
         for attempt in queue:
-            self.client.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
+            self.client.forwarder.attempt_finished(attempt, Outcome.CONNECT_FAILED)
 
     # ---- output
 
@@ -177,8 +177,8 @@
         max_streams = min(MAX_STREAMS, self._http2.remote_settings.max_concurrent_streams)
         while self.queue and not self.is_draining and not self.has_ended and len(self.streams) < max_streams:
             attempt = self.queue.popleft()
-            if not self.client.core.may_begin(attempt):
-                self.client.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
+            if not self.client.forwarder.may_begin(attempt):
+                self.client.forwarder.attempt_finished(attempt, Outcome.CONNECT_FAILED)
                 continue
             try:
                 stream_id = self._http2.get_next_available_stream_id()
@@ -214,7 +214,7 @@
                 stream.is_sent = is_last
         except h2.exceptions.ProtocolError:
             return  # the worker has ended the stream in this turn: the event that says so follows
-        self.client.core.attempt_sent(stream.attempt)
+        self.client.forwarder.attempt_sent(stream.attempt)
         self._unflushed.add(stream.stream_id)
 
     def _schedule_flush(self) -> None:
@@ -390,7 +390,7 @@
         started_at = self._probes.pop(ping_data, None)
         if started_at is not None:
             duration_ms = (self._loop.time() - started_at) * 1000
-            self.client.core.probe_finished(self.endpoint, outcome, duration_ms)
+            self.client.forwarder.probe_finished(self.endpoint, outcome, duration_ms)
             self._continue()
 
     def _send_keepalive_ping(self) -> None:
--- a/pipitshed/upstream/grpc/stream.py
+++ b/pipitshed/upstream/grpc/stream.py
@@ -65,12 +65,12 @@
             self.connection.close_stream(self)
 
     def _handle_event(self, event: planner_pb2.RunEvent) -> None:
-        kind, core = event.WhichOneof("event"), self.connection.client.core
+        kind, forwarder = event.WhichOneof("event"), self.connection.client.forwarder
         if kind == "started":
-            core.attempt_progressed(self.attempt, ProgressKind.STARTED)
+            forwarder.attempt_progressed(self.attempt, ProgressKind.STARTED)
         elif kind == "running":
             share = min(1.0, max(0.0, event.running.share))
-            core.attempt_progressed(self.attempt, ProgressKind.PROGRESS, share)
+            forwarder.attempt_progressed(self.attempt, ProgressKind.PROGRESS, share)
         elif kind == "done":
             self.event_outcome = Outcome.OK
             self.report(Outcome.OK, event.done.SerializeToString())
@@ -103,7 +103,7 @@
             connection = self.connection
             if outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED) and not connection.has_ended:
                 connection.idle_reports += 1
-            connection.client.core.attempt_finished(self.attempt, outcome, result, (), pushback_ms)
+            connection.client.forwarder.attempt_finished(self.attempt, outcome, result, (), pushback_ms)
 
     def release(self) -> None:
         """Stop the timer, and let go of the request's body."""
--- a/pipitshed/upstream/http/client.py
+++ b/pipitshed/upstream/http/client.py
@@ -25,21 +25,21 @@
 
     def __init__(
         self,
-        core: Forwarder,
+        forwarder: Forwarder,
         report_fields: Sequence[str],
         loop: asyncio.AbstractEventLoop,
         max_connections: Callable[[], float] = lambda: math.inf,
     ) -> None:
-        self.core = core
+        self.forwarder = forwarder
         self.loop = loop
         self.report_fields = report_fields  # of load reports, in the settings' order
         self.classes: Sequence[str] = ()  # names of the job classes, where messages are translated
         self.on_wrong_interface: Callable[[Endpoint], None] = lambda _: None
-        self.pool = IdlePool(core.settings.limits.idle_timeout_ms, loop)
+        self.pool = IdlePool(forwarder.settings.limits.idle_timeout_ms, loop)
         self._max_connections = max_connections
         self._connecting_count = 0
         self._open_connections: set[HttpWorkerConnection] = set()
-        self._connect_timeout_s = core.settings.limits.connect_timeout_ms / 1000
+        self._connect_timeout_s = forwarder.settings.limits.connect_timeout_ms / 1000
         self._tasks: set[asyncio.Task[None]] = set()
 
     def apply_settings(self, limits: Limits, report_fields: Sequence[str]) -> None:
@@ -54,9 +54,9 @@
         if connection is not None:
             self._write_attempt(connection, attempt)
         elif self.connections >= self._max_connections() and not self.close_oldest_idle():
-            self.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
+            self.forwarder.attempt_finished(attempt, Outcome.CONNECT_FAILED)
         else:
-            self.core.counters["connections"] += 1
+            self.forwarder.counters["connections"] += 1
             self._spawn(self._connect_for_attempt(attempt))
 
     def abort(self, attempt: Attempt) -> bool:
@@ -74,7 +74,7 @@
 
     def idempotency(self, attempt: Attempt) -> Idempotency:
         """The idempotency of an attempt's class."""
-        return self.core.settings.classes[attempt.context.request.job_class].idempotency
+        return self.forwarder.settings.classes[attempt.context.request.job_class].idempotency
 
     # ---- connections
 
@@ -135,14 +135,14 @@
         timeout_s = min(self._connect_timeout_s, attempt.deadline_at - self.loop.time())
         connection = await self._connect(attempt.endpoint.address, max(MIN_CONNECT_TIMEOUT_S, timeout_s))
         if connection is None:
-            self.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
-        elif self.core.may_begin(attempt):
+            self.forwarder.attempt_finished(attempt, Outcome.CONNECT_FAILED)
+        elif self.forwarder.may_begin(attempt):
             self._write_attempt(connection, attempt)
         else:
             # Aborted meanwhile, or too late to be written. Nothing was sent, so the next attempt may use the
             # connection.
             self.pool.put(connection)
-            self.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
+            self.forwarder.attempt_finished(attempt, Outcome.CONNECT_FAILED)
 
     async def _probe(self, endpoint: Endpoint) -> None:
         started_at = self.loop.time()
@@ -151,12 +151,12 @@
         )
         if connection is None:
             duration_ms = (self.loop.time() - started_at) * 1000
-            self.core.probe_finished(endpoint, Outcome.CONNECT_FAILED, duration_ms)
+            self.forwarder.probe_finished(endpoint, Outcome.CONNECT_FAILED, duration_ms)
             return
         connection.probed_endpoint, connection.probe_started_at = endpoint, started_at
         connection.write(_LOAD_REQUEST)
         await asyncio.sleep(PROBE_TIMEOUT_S)
         if connection.probed_endpoint is endpoint and connection.probe_started_at == started_at:
             duration_ms = (self.loop.time() - started_at) * 1000
-            self.core.probe_finished(endpoint, Outcome.TIMEOUT, duration_ms)
+            self.forwarder.probe_finished(endpoint, Outcome.TIMEOUT, duration_ms)
             connection.close()
--- a/pipitshed/upstream/http/connection.py
+++ b/pipitshed/upstream/http/connection.py
@@ -134,7 +134,7 @@
             and not self._is_outcome_reported
         ):
             self._is_sent_reported = True
-            self._client.core.attempt_sent(self.attempt)
+            self._client.forwarder.attempt_sent(self.attempt)
 
     @property
     def is_open(self) -> bool:
@@ -187,7 +187,7 @@
         self._finish(Outcome.CONNECT_FAILED if self._has_unsent_bytes else Outcome.RESET)
         self._cancel_timers()
         if self.idle_endpoint is not None:
-            self._client.core.connection_lost(self.idle_endpoint)
+            self._client.forwarder.connection_lost(self.idle_endpoint)
         self._client.lost(self)
 
     # ---- what the HTTP reader reports
@@ -247,9 +247,9 @@
                 "a line is for another request"
             )  # whose result must not reach this client
         if line.state == "started":
-            self._client.core.attempt_progressed(attempt, ProgressKind.STARTED)
+            self._client.forwarder.attempt_progressed(attempt, ProgressKind.STARTED)
         elif line.state == "running":
-            self._client.core.attempt_progressed(attempt, ProgressKind.PROGRESS, line.share)
+            self._client.forwarder.attempt_progressed(attempt, ProgressKind.PROGRESS, line.share)
         elif line.state in _OUTCOMES:
             report = ordered_report(line.load, self._client.report_fields)
             self._finish(_OUTCOMES[line.state], line.result.encode(), report)
@@ -270,11 +270,11 @@
         if self._is_outcome_reported:
             return
         self._is_outcome_reported = True
-        core = self._client.core
+        forwarder = self._client.forwarder
         if self.attempt is not None:
             if outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED):
                 self.idle_endpoint = self.attempt.endpoint
-            core.attempt_finished(self.attempt, outcome, result, report)
+            forwarder.attempt_finished(self.attempt, outcome, result, report)
         elif self.probed_endpoint is not None:
             duration_ms = (self._client.loop.time() - self.probe_started_at) * 1000
-            core.probe_finished(self.probed_endpoint, outcome, duration_ms, report)
+            forwarder.probe_finished(self.probed_endpoint, outcome, duration_ms, report)
--- a/tests/attempt_rig.py
+++ b/tests/attempt_rig.py
@@ -39,11 +39,11 @@
                 idempotency_window_ms=5000.0,
             ),
         )
-        self.core = Forwarder(
+        self.forwarder = Forwarder(
             settings(classes=classes, limits=Limits(may_cancel=False, max_attempts=3)), 1, loop
         )
-        self.core._turns.post = self._heard  # type: ignore[method-assign]
-        self.carrier = HttpWorkerClient(self.core, [], loop)
+        self.forwarder._turns.post = self._heard  # type: ignore[method-assign]
+        self.carrier = HttpWorkerClient(self.forwarder, [], loop)
         self.ended: asyncio.Queue[AttemptFinished] = asyncio.Queue()
 
     def _heard(self, event: Event) -> None:
@@ -54,14 +54,14 @@
     def lists(self, port: int, state: EndpointState = EndpointState.READY) -> None:
         [entry] = entries(1)
         target = Endpoint(entry.worker, self.carrier, ("127.0.0.1", port))
-        self.core.endpoints.update("test", UpdateKind.DELTA, 1, [(replace(entry, state=state), target)])
+        self.forwarder.endpoints.update("test", UpdateKind.DELTA, 1, [(replace(entry, state=state), target)])
         self.worker = entry.worker
 
     def take(self, name: str = "a1", body: bytes = b"pallets") -> RequestContext:
-        return self.core.submit(Request(name, 0, 9000.0, 0, body, "k-" + name), Mock())
+        return self.forwarder.submit(Request(name, 0, 9000.0, 0, body, "k-" + name), Mock())
 
     def send(self, exchange: RequestContext, write_within: float = 0.0) -> None:
-        self.core._execute(StartAttempt(exchange.job_id, self.worker, write_within_ms=write_within))
+        self.forwarder._execute(StartAttempt(exchange.job_id, self.worker, write_within_ms=write_within))
 
     async def outcome(self) -> Outcome:
         return (await self.ended.get()).outcome
--- a/tests/frontends/test_rare_moments.py
+++ b/tests/frontends/test_rare_moments.py
@@ -201,9 +201,9 @@
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        core, reading, transport = Mock(), Mock(), Mock()
+        forwarder, reading, transport = Mock(), Mock(), Mock()
         transport.is_closing.return_value = False
-        front = HttpFrontend(core, reading, 10, loop, lambda: True)
+        front = HttpFrontend(forwarder, reading, 10, loop, lambda: True)
         reading.request.side_effect = lambda *told: Mock(id="a")
         client = front.connection()
         client.connection_made(transport)
@@ -212,12 +212,12 @@
         client.data_received(b"POST /api HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
         for _ in range(3):
             await asyncio.sleep(0)  # the turn in which a request is handed in
-        assert not core.submit.called
+        assert not forwarder.submit.called
         client.resume_writing()
         transport.resume_reading.assert_called_once()
-        assert core.submit.call_count == 1
+        assert forwarder.submit.call_count == 1
         client.eof_received()
-        assert core.withdraw.call_count == 1
+        assert forwarder.withdraw.call_count == 1
         client.connection_lost(None)
         assert not front.connections and not front.closing and not front.open_ids
 
--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -233,14 +233,14 @@
 
     def __init__(self, settings: dict[str, Any], forms: str, keepalive: float) -> None:
         self.loop = asyncio.get_running_loop()
-        self.core = Forwarder(settings_from(SETTINGS | settings), 1, self.loop)
-        self.core.attach_translator(Translator(read(forms), ["quote", "book"]))
-        self.carrier = GrpcWorkerClient(self.core, ["quote", "book"], self.loop, keepalive)
-        self.core.endpoints.update("test", UpdateKind.CACHED, 0, [])
+        self.forwarder = Forwarder(settings_from(SETTINGS | settings), 1, self.loop)
+        self.forwarder.attach_translator(Translator(read(forms), ["quote", "book"]))
+        self.carrier = GrpcWorkerClient(self.forwarder, ["quote", "book"], self.loop, keepalive)
+        self.forwarder.endpoints.update("test", UpdateKind.CACHED, 0, [])
         self._ids = 0
 
     def list(self, *planners: GrpcPlanner, **changes: Any) -> None:
-        self.core.endpoints.update(
+        self.forwarder.endpoints.update(
             "test",
             UpdateKind.DELTA,
             1,
@@ -270,11 +270,11 @@
 
     def ask(self, job_class: str = "quote", body: bytes | None = None, **more: Any) -> Caller:
         caller = Caller()
-        caller.exchange = self.core.submit(self.request(job_class, body, **more), caller)
+        caller.exchange = self.forwarder.submit(self.request(job_class, body, **more), caller)
         return caller
 
     def leave(self, caller: Caller) -> None:
-        self.core.withdraw(caller.exchange)
+        self.forwarder.withdraw(caller.exchange)
 
 
 @contextlib.asynccontextmanager
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -97,7 +97,7 @@
     async def run() -> None:
         async with Planner("p1") as planner, late_connections() as up:
             rig, clock = Rig(), Clock()
-            table = rig.core.endpoints
+            table = rig.forwarder.endpoints
             table._clock = clock
             rig.lists(planner.port)
             [entry, other] = entries(2)
@@ -129,15 +129,15 @@
     """Its attempt holds its connection, and its outcome is told, whatever the table forgot."""
     async with Planner("p1", act=lambda run: run.say("started")) as planner:
         rig, clock = Rig(), Clock()
-        rig.core.endpoints._clock = clock
-        rig.core.endpoints._workers_in_use = lambda: ()  # even then
+        rig.forwarder.endpoints._clock = clock
+        rig.forwarder.endpoints._workers_in_use = lambda: ()  # even then
         rig.lists(planner.port)
         rig.send(rig.take("a1"))
         run = await planner.wait_for(1)
         rig.lists(planner.port, EndpointState.REMOVED)
         clock.now += 2 * FORGET_AFTER_S
-        rig.core.endpoints.update("test", UpdateKind.DELTA, 1, [])
-        assert rig.core.endpoints.endpoint(rig.worker) is None
+        rig.forwarder.endpoints.update("test", UpdateKind.DELTA, 1, [])
+        assert rig.forwarder.endpoints.endpoint(rig.worker) is None
         run.say("done", result="made")
         assert await rig.outcome() is Outcome.OK
 
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -28,19 +28,19 @@
 
     def __init__(self, **changes: Any) -> None:
         loop = asyncio.get_running_loop()
-        self.core = Forwarder(settings(**changes), 1, loop)
-        handle = self.core._dispatcher.handle
+        self.forwarder = Forwarder(settings(**changes), 1, loop)
+        handle = self.forwarder._dispatcher.handle
         self.told: list[list[EndpointsUpdated]] = []  # by turn
 
         def heard(now: float, events: Any) -> Any:
             self.told.append([event for event in events if isinstance(event, EndpointsUpdated)])
             return handle(now, events)
 
-        self.core._dispatcher.handle = heard  # type: ignore[method-assign]
+        self.forwarder._dispatcher.handle = heard  # type: ignore[method-assign]
         listing = EndpointParser("test", NameIndex(["lima-norte"]), NameIndex(["standard"]), Mock())
-        self.discovery = CatalogClient(("127.0.0.1", 1), listing, self.core.endpoints, loop)
+        self.discovery = CatalogClient(("127.0.0.1", 1), listing, self.forwarder.endpoints, loop)
         self.discovery.fetch = Mock()  # type: ignore[method-assign]
-        self.core.attach_discovery(self.discovery.fetch)
+        self.forwarder.attach_discovery(self.discovery.fetch)
         self.opened()
 
     def opened(self) -> None:
@@ -90,7 +90,7 @@
     assert [entry.worker for entry in change.entries] == [*names[:5], *names[6:], names[5]]
     assert {entry.state for entry in change.entries[:-1]} == {EndpointState.DRAINING}
     assert (change.entries[-1].state, change.entries[-1].started_at_ms) == (EndpointState.READY, 9.0)
-    assert rig.core.endpoints.ready() == 1400 - 656 and rig.core.endpoints.size() == 1400
+    assert rig.forwarder.endpoints.ready() == 1400 - 656 and rig.forwarder.endpoints.size() == 1400
 
 
 @rigged
@@ -117,7 +117,7 @@
         rig = Rig(weight_kind=weights)
         rig.read(news_of(1, True, rows(1500, "ready")))
         await rig.turns(lambda: len(rig.told) == 1)
-        before = dict(rig.core.endpoints._endpoints)
+        before = dict(rig.forwarder.endpoints._endpoints)
         again = rows(1499, "ready")
         again[7]["lifecycle"] = "draining"
         rig.read(news_of(2, True, again))
@@ -130,7 +130,7 @@
             b"s-00000007": EndpointState.DRAINING,
             b"s-000005db": EndpointState.REMOVED,
         }
-        assert all(before[worker] is target for worker, target in rig.core.endpoints._endpoints.items())
+        assert all(before[worker] is target for worker, target in rig.forwarder.endpoints._endpoints.items())
 
     asyncio.run(run())
 
@@ -142,12 +142,12 @@
     seen = set()
 
     def whole() -> bool:
-        seen.add(rig.core.endpoints.size())
+        seen.add(rig.forwarder.endpoints.size())
         return bool(rig.told)
 
     assert await rig.turns(whole) >= 4600 // ENTRIES_PER_TURN
     assert seen == {0, 4600} and rig.discovery.version == 2
-    assert rig.core.endpoints.ready() == 4599
+    assert rig.forwarder.endpoints.ready() == 4599
 
 
 @rigged
@@ -158,16 +158,16 @@
     rig.read(news_of(8, True, bad), news_of(9, False, rows(1, "ready")))
     await rig.turns(lambda: len(rig.told) == 1)
     assert [news.kind for news in rig.told[0]] == [UpdateKind.FETCH_FAILED]
-    assert rig.discovery.version == 0 and rig.core.endpoints.size() == 0
+    assert rig.discovery.version == 0 and rig.forwarder.endpoints.size() == 0
     rig.opened()
     rig.read(news_of(9, True, rows(3, "ready")))
-    assert rig.core.endpoints.ready() == 3 and rig.discovery.version == 9
+    assert rig.forwarder.endpoints.ready() == 3 and rig.discovery.version == 9
     rig.read(news_of(10, True, bad))
     rig.call.fail()  # and where the next call's news waits behind it, that is taken
     rig.opened()
     rig.read(news_of(11, False, rows(2)))
     await rig.turns(lambda: rig.discovery.version == 11)
-    assert rig.core.endpoints.size() == 3 and rig.core.endpoints.ready() == 1
+    assert rig.forwarder.endpoints.size() == 3 and rig.forwarder.endpoints.ready() == 1
 
 
 def test_what_is_counted_as_it_changes_agrees_with_a_count_of_the_whole_list() -> None:
--- a/tests/proxy/test_forwarder.py
+++ b/tests/proxy/test_forwarder.py
@@ -45,10 +45,10 @@
 
     async def run() -> None:
         asked = asyncio.Event()
-        core = Forwarder(settings(endpoints_polled=True), 1, HastyLoop())  # type: ignore[arg-type]
-        core.attach_discovery(lambda watch: asked.set())
+        forwarder = Forwarder(settings(endpoints_polled=True), 1, HastyLoop())  # type: ignore[arg-type]
+        forwarder.attach_discovery(lambda watch: asked.set())
         lines = [(entry, Endpoint(entry.worker, None, None)) for entry in entries(3)]  # type: ignore[arg-type]
-        core.endpoints.update("test", UpdateKind.CACHED, 1, lines)
+        forwarder.endpoints.update("test", UpdateKind.CACHED, 1, lines)
         await asyncio.wait_for(asked.wait(), 5)
 
     asyncio.run(run())
@@ -67,7 +67,7 @@
 
         async with Planner("p1", act=close) as planner:
             loop = asyncio.get_running_loop()
-            core = Forwarder(settings(), 1, loop)
+            forwarder = Forwarder(settings(), 1, loop)
             events: list[Event] = []
 
             def post(event: Event) -> None:
@@ -75,8 +75,8 @@
                 if isinstance(event, ConnectionLost):
                     lost.set()
 
-            core._turns.post = post  # type: ignore[method-assign]
-            carrier = HttpWorkerClient(core, [], loop)
+            forwarder._turns.post = post  # type: ignore[method-assign]
+            carrier = HttpWorkerClient(forwarder, [], loop)
             target = Endpoint(b"p1", carrier, ("127.0.0.1", planner.port))
             exchange = RequestContext(1, Request("a1", 0, 5000.0, 0), Mock(), loop.time() + 5)
             carrier.start(Attempt(exchange, 0, target, loop.time(), loop.time() + 5))
@@ -122,17 +122,17 @@
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        core = Forwarder(settings(), 1, loop)
+        forwarder = Forwarder(settings(), 1, loop)
         broken, usual = Mock(), Mock()
         broken.rejected.side_effect = RuntimeError("planted")
         done = asyncio.Event()
         usual.rejected.side_effect = lambda retry_after: done.set()
         first, second = [
-            core.submit(Request(name, 0, 5000.0, 0), client)
+            forwarder.submit(Request(name, 0, 5000.0, 0), client)
             for name, client in (("a1", broken), ("a2", usual))
         ]
-        core._dispatcher.handle = Mock(side_effect=RuntimeError("planted"))  # type: ignore[method-assign]
-        core._dispatcher.actions = [RejectRequest(first.job_id, 1.0), RejectRequest(second.job_id, 1.0)]
+        forwarder._dispatcher.handle = Mock(side_effect=RuntimeError("planted"))  # type: ignore[method-assign]
+        forwarder._dispatcher.actions = [RejectRequest(first.job_id, 1.0), RejectRequest(second.job_id, 1.0)]
         await asyncio.wait_for(done.wait(), 5)
         assert broken.rejected.called
 
@@ -157,19 +157,21 @@
 ) -> tuple[Mock, asyncio.Queue[str]]:
     """A request in progress at a silent worker, whose deadline passes while the loop stands still."""
     loop = asyncio.get_running_loop()
-    core = Forwarder(settings(effect), 1, loop)
+    forwarder = Forwarder(settings(effect), 1, loop)
     worker_client, client, answers = SilentClient(), Mock(), asyncio.Queue[str]()
     client.rejected.side_effect = lambda retry_after_ms: answers.put_nowait("rejected")
     client.failed.side_effect = lambda: answers.put_nowait("failed")
     [entry] = entries(1)
-    core.endpoints.update("test", UpdateKind.DELTA, 1, [(entry, Endpoint(entry.worker, worker_client, None))])  # type: ignore[arg-type]
+    forwarder.endpoints.update(
+        "test", UpdateKind.DELTA, 1, [(entry, Endpoint(entry.worker, worker_client, None))]
+    )  # type: ignore[arg-type]
     if translator is not None:
-        core.attach_translator(translator)
-    context = core.submit(Request("a1", 0, 130.0, 0, form_version=1), client)
+        forwarder.attach_translator(translator)
+    context = forwarder.submit(Request("a1", 0, 130.0, 0, form_version=1), client)
     if translator is None:
         attempt = await worker_client.taken.get()
-        core.attempt_sent(attempt)
-        core.attempt_progressed(attempt, ProgressKind.STARTED)
+        forwarder.attempt_sent(attempt)
+        forwarder.attempt_progressed(attempt, ProgressKind.STARTED)
         await asyncio.sleep(0)  # the dispatcher has been told
     time.sleep(context.deadline_at - time.monotonic() + held_up_s)  # noqa: ASYNC251
     return client, answers
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -159,13 +159,15 @@
             connection = GrpcConnection(world.carrier, Endpoint(b"p1", world.carrier, ("127.0.0.1", 1), 2))
             world.carrier._connections["127.0.0.1", 1] = connection
             world.carrier._all.add(connection)
-            world.core.endpoints._endpoints[b"p1"] = connection.endpoint
+            world.forwarder.endpoints._endpoints[b"p1"] = connection.endpoint
             transport = Transport()
             connection.connection_made(transport)  # type: ignore[arg-type]
             callers = [Caller(), Caller()]
             for caller in callers:
-                caller.exchange = world.core.submit(world.request("quote", QUOTE, form_version=None), caller)
-                world.core._attempts.start(StartAttempt(caller.exchange.job_id, b"p1"))
+                caller.exchange = world.forwarder.submit(
+                    world.request("quote", QUOTE, form_version=None), caller
+                )
+                world.forwarder._attempts.start(StartAttempt(caller.exchange.job_id, b"p1"))
             data = (made(SettingsFrame, 0) if greets else b"") + b"".join(parts)
             for place in range(0, len(data), piece):
                 if connection.has_ended or transport.closed:
--- a/tests/upstream/test_attempt_races.py
+++ b/tests/upstream/test_attempt_races.py
@@ -37,7 +37,7 @@
             exchange = rig.take("a1")
             rig.send(exchange, 30.0 if crossing == "the window ends" else 0.0)
             if crossing == "the client goes":
-                rig.core.withdraw(exchange)
+                rig.forwarder.withdraw(exchange)
             elif crossing == "the window ends":
                 loop = asyncio.get_running_loop()
                 passed = asyncio.Event()
@@ -55,8 +55,8 @@
             assert await rig.outcome() is Outcome.OK
             assert [run.headers["x-request-id"] for run in planner.runs] == ["a2"]
             if crossing != "the client goes":
-                rig.core.withdraw(exchange)
-            assert not rig.core._requests._contexts
+                rig.forwarder.withdraw(exchange)
+            assert not rig.forwarder._requests._contexts
 
     run()
 
@@ -204,19 +204,19 @@
     rig = Rig(Idempotency.IDEMPOTENT_WITH_KEY)
     link = Mock()
     carrier = GearmanWorkerClient(
-        rig.core, {"plan": 0}, WorkerLocation(0, 0, 0, 1.0), 1000, asyncio.get_running_loop()
+        rig.forwarder, {"plan": 0}, WorkerLocation(0, 0, 0, 1.0), 1000, asyncio.get_running_loop()
     )
     worker = carrier.worker(link)
     worker.handle(PacketType.CAN_DO, [b"plan"])
     exchange = rig.take("a1")
-    rig.core._execute(StartAttempt(exchange.job_id, worker.endpoint.id, write_within_ms=1.0))
+    rig.forwarder._execute(StartAttempt(exchange.job_id, worker.endpoint.id, write_within_ms=1.0))
     passed = asyncio.Event()
     asyncio.get_running_loop().call_at(exchange.attempts[0].write_deadline_at + 0.001, passed.set)
     await passed.wait()
     worker.handle(PacketType.GRAB_JOB, [])
     link.write.assert_called_once_with(encode_packet(PacketType.NO_JOB))
     assert await rig.outcome() is Outcome.CONNECT_FAILED
-    rig.core.withdraw(exchange)
+    rig.forwarder.withdraw(exchange)
 
 
 @story
@@ -244,7 +244,7 @@
         rig.send(exchange)
         await halted.wait()
         begun = asyncio.get_running_loop().time()
-        rig.core.withdraw(exchange)
+        rig.forwarder.withdraw(exchange)
         assert await rig.outcome() is Outcome.CONNECT_FAILED
         assert asyncio.get_running_loop().time() - begun < 0.1  # not at its deadline
         read.set()
@@ -259,7 +259,7 @@
     async with Planner("p1") as planner:
         rig = Rig()
         rig.lists(planner.port)
-        target = rig.core.endpoints.endpoint(rig.worker)
+        target = rig.forwarder.endpoints.endpoint(rig.worker)
         assert target is not None
         target.address = ("a" * 70 + ".example", 80)
         begun = asyncio.get_running_loop().time()
--- a/tests/upstream/test_grpc_client.py
+++ b/tests/upstream/test_grpc_client.py
@@ -78,7 +78,7 @@
         await planner.until(lambda: call.reset is not None)
         assert call.reset == CANCEL
         assert not early.told and not first.told and not waiting.told
-        assert made.core.active_count == 0 and made.core.counters["withdrawn"] == 3
+        assert made.forwarder.active_count == 0 and made.forwarder.counters["withdrawn"] == 3
         later = made.ask()
         (await planner.call(2)).done()
         assert (await later.answer())[0] == "served"
@@ -98,8 +98,8 @@
                 made.leave(caller)
                 call.done()
             await asyncio.sleep(0.05)
-            assert not caller.told and made.core.active_count == 0
-        assert made.core.counters["attempt CANCELLED"] + made.core.counters["attempt OK"] == 2
+            assert not caller.told and made.forwarder.active_count == 0
+        assert made.forwarder.counters["attempt CANCELLED"] + made.forwarder.counters["attempt OK"] == 2
         caller = made.ask()
         (await planner.call(3)).done()
         assert (await caller.answer())[0] == "served" and len(planner.peers) == 1
@@ -126,7 +126,7 @@
         late.done()
         other.done()
         assert (await beside.answer())[0] == "served"
-        assert made.core.counters["attempt RESET"] == 0 and not planner.peers[0].lost.is_set()
+        assert made.forwarder.counters["attempt RESET"] == 0 and not planner.peers[0].lost.is_set()
         made.leave(third)
 
 
@@ -139,8 +139,8 @@
         low, high = sorted(leaving.calls, key=lambda call: call.number)
         low.peer.goaway(low.number)
         await staying.call(1)  # the one above never ran: it may go anywhere
-        assert made.core.endpoints.interfaces() == {2}
-        assert made.core._dispatcher.workers[b"p1"].ready is False
+        assert made.forwarder.endpoints.interfaces() == {2}
+        assert made.forwarder._dispatcher.workers[b"p1"].ready is False
         for _ in range(20):
             assert (await made.ask().answer())[0] == "served"
         assert len(leaving.calls) == 2
@@ -163,7 +163,7 @@
         ]:
             made.list(planner, **changes)
             await asyncio.sleep(0.02)
-            assert made.core._dispatcher.workers[b"p1"].ready is ready, changes
+            assert made.forwarder._dispatcher.workers[b"p1"].ready is ready, changes
 
 
 @pytest.mark.parametrize(
@@ -199,7 +199,7 @@
             caller = made.ask("book", client_timeout_ms=2000.0)
             how, _ = await caller.answer()
             await asyncio.sleep(0.01)
-            assert made.core.counters[f"attempt {tally}"] >= 1, made.core.counters
+            assert made.forwarder.counters[f"attempt {tally}"] >= 1, made.forwarder.counters
             if tally in ("RESET", "ERROR", "TIMEOUT"):
                 assert len(planner.calls) == 1 and how == "failed"
             else:
@@ -217,7 +217,10 @@
         mute.settings = old.settings = None
         caller = made.ask("book", client_timeout_ms=600.0)
         assert (await caller.answer())[0] == "refused"
-        assert made.core.counters["attempt RESET"] == 0 and made.core.counters["attempt CONNECT_FAILED"] >= 1
+        assert (
+            made.forwarder.counters["attempt RESET"] == 0
+            and made.forwarder.counters["attempt CONNECT_FAILED"] >= 1
+        )
         made.carrier.on_wrong_interface = wrong.append
         made.list(mute, state=EndpointState.REMOVED)
         made.list(old)
@@ -228,7 +231,7 @@
         await old.peers[0].lost.wait()
         await asyncio.sleep(0.02)
         assert [target.id for target in wrong] == [b"old"]
-        assert made.core.counters["attempt RESET"] == 0
+        assert made.forwarder.counters["attempt RESET"] == 0
 
 
 @story
@@ -261,7 +264,11 @@
         made.list(other)
         stuck.cut()
         assert (await caller.answer())[0] == "served"
-        assert made.core.counters["attempt CONNECT_FAILED"] == 1 and not stuck.calls and len(other.calls) == 1
+        assert (
+            made.forwarder.counters["attempt CONNECT_FAILED"] == 1
+            and not stuck.calls
+            and len(other.calls) == 1
+        )
 
 
 @story
@@ -313,7 +320,7 @@
         made.list(other)
         begun = made.loop.time()
         assert (await caller.answer())[0] == "served"
-        assert 2.0 < made.loop.time() - begun < 4.0 and made.core.counters["attempt RESET"] == 1
+        assert 2.0 < made.loop.time() - begun < 4.0 and made.forwarder.counters["attempt RESET"] == 1
 
 
 @story
@@ -336,7 +343,7 @@
             seen, begun = len(planner.calls), made.loop.time()
             assert (await made.ask("quote", client_timeout_ms=4000.0).answer())[0] == "refused"
             assert len(planner.calls) == seen + 1 and made.loop.time() - begun < 1.0
-            made.list(planner, started_at_ms=made.core._turns.epoch_s * 1000 + len(planner.calls))
+            made.list(planner, started_at_ms=made.forwarder._turns.epoch_s * 1000 + len(planner.calls))
 
 
 @pytest.mark.parametrize("zone", [0, 1])
@@ -408,8 +415,8 @@
     async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, bench(newer, older) as made:
         made.list(older, interface=1)
         # The stand-in of interface 1 speaks gRPC as well: here it counts that alone the draw goes there.
-        made.core.endpoints._endpoints[b"p1"].interface = 1
+        made.forwarder.endpoints._endpoints[b"p1"].interface = 1
         for _ in range(10):
             made.ask("book", hazard)
         await older.call(10)
-        assert not newer.calls and made.core.counters["attempt MOOT"] == 0
+        assert not newer.calls and made.forwarder.counters["attempt MOOT"] == 0
