--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -72,7 +72,7 @@
         self.call = CatalogCall(self.discovery, True)
         self.call.data_received(HEAD)
         self.turns: list[float] = []  # s of CPU of each turn that did any of the list's work
-        self.forwarder._turns._run_turn = self._timed(self.forwarder._turns._run_turn)  # type: ignore[method-assign]
+        self.forwarder._dispatch_loop._run_turn = self._timed(self.forwarder._dispatch_loop._run_turn)  # type: ignore[method-assign]
         self.discovery._apply_pending = self._timed(self.discovery._apply_pending)  # type: ignore[method-assign]
 
     def _timed(self, work: Callable[..., None]) -> Callable[..., None]:
@@ -138,7 +138,7 @@
         tracemalloc.start()
         for number in range(replaced):
             now += DAY / replaced
-            side.forwarder._turns.epoch_s += DAY / replaced  # the decisions' clock
+            side.forwarder._dispatch_loop.epoch_s += DAY / replaced  # the decisions' clock
             version = 2 * number + 2
             await side.read(news(version, False, [planner_row(number, 0, "draining")]), version)
             version += 1
--- a/pipitshed/frontends/http/request_parser.py
+++ b/pipitshed/frontends/http/request_parser.py
@@ -94,7 +94,7 @@
         tenants: TenantNumbers,
         forms: ClientForms | None = None,
     ) -> None:
-        self._core = forwarder
+        self._forwarder = forwarder
         self._forms = forms
         self.apply_settings({name: index for index, name in enumerate(classes)}, tenants)
 
@@ -114,7 +114,7 @@
             raise MalformedError(400, "no X-Request-Id or Idempotency-Key that can be handed on")
         if job_class is None:
             raise MalformedError(400, "no such X-Class")
-        timeout_ms = self._core.settings.classes[job_class].deadline_ms
+        timeout_ms = self._forwarder.settings.classes[job_class].deadline_ms
         if b"x-deadline" in head:
             timeout_ms = min(timeout_ms, 1000 * _parse_number(head[b"x-deadline"], "X-Deadline"))
         extras: dict[bytes, float] = {}
--- a/pipitshed/proxy/attempt_runner.py
+++ b/pipitshed/proxy/attempt_runner.py
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        turns: DispatchLoop,
+        dispatch_loop: DispatchLoop,
         endpoints: EndpointTable,
         requests: RequestLifecycle,
         counters: Counter[str],
@@ -31,7 +31,7 @@
     ) -> None:
         self.max_attempts = max_attempts
         self.sent_counts: Counter[int] = Counter()  # attempts whose last byte was written, by class
-        self._turns = turns
+        self._dispatch_loop = dispatch_loop
         self._endpoints = endpoints
         self._requests = requests
         self._counters = counters
@@ -74,7 +74,7 @@
     def _supersede(self, action: StartAttempt, context: RequestContext | None) -> None:
         """Report an attempt that was not begun."""
         self._counters[f"attempt {member_name(Outcome.SUPERSEDED)}"] += 1
-        self._turns.post(
+        self._dispatch_loop.post(
             AttemptFinished(
                 action.job_id,
                 len(context.attempts) if context is not None else 0,
@@ -129,7 +129,7 @@
         """The worker has reported a job's start or progress."""
         if not attempt.finished:
             context = attempt.context
-            self._turns.post(
+            self._dispatch_loop.post(
                 AttemptProgressed(context.job_id, attempt.index, attempt.endpoint.id, kind, done_fraction)
             )
             if not context.answered:
@@ -163,7 +163,7 @@
             context.last_error = result
         if outcome is Outcome.OK and not context.answered:
             self._requests.succeed(context, endpoint.interface, result)
-        self._turns.post(
+        self._dispatch_loop.post(
             AttemptFinished(
                 context.job_id,
                 attempt.index,
--- a/pipitshed/proxy/forwarder.py
+++ b/pipitshed/proxy/forwarder.py
@@ -55,18 +55,23 @@
         self.settings = settings
         self.counters: Counter[str] = Counter()
         self._dispatcher = Dispatcher(settings, seed)
-        self._turns = DispatchLoop(self._dispatcher, self._execute, loop, decision_log)
+        self._dispatch_loop = DispatchLoop(self._dispatcher, self._execute, loop, decision_log)
         self.endpoints = EndpointTable(
-            self._turns.post_endpoint_update,
+            self._dispatch_loop.post_endpoint_update,
             workers_in_use=self._workers_in_use,
             on_interfaces_changed=self._interfaces_changed,
         )
         self.endpoints.publishes_unchanged = settings.weight_kind is WeightKind.LIVE
         self._requests = RequestLifecycle(
-            self._turns, self.endpoints, self._stop_attempt, self.counters, loop
+            self._dispatch_loop, self.endpoints, self._stop_attempt, self.counters, loop
         )
         self._attempts = AttemptRunner(
-            self._turns, self.endpoints, self._requests, self.counters, settings.limits.max_attempts, loop
+            self._dispatch_loop,
+            self.endpoints,
+            self._requests,
+            self.counters,
+            settings.limits.max_attempts,
+            loop,
         )
         self._fetch_endpoints: Callable[[bool], None] | None = None
 
@@ -94,7 +99,7 @@
 
     def close(self) -> None:
         """Write out the decision log."""
-        self._turns.close()
+        self._dispatch_loop.close()
 
     # ---- metrics
 
@@ -118,13 +123,13 @@
 
         They had no capacity or no connection a moment ago, or jobs went slowly there.
         """
-        return self._dispatcher.ejected_worker_count(self._turns.now_ms())
+        return self._dispatcher.ejected_worker_count(self._dispatch_loop.now_ms())
 
     # ---- from the dispatcher
 
     def _execute(self, action: Action) -> None:
         if isinstance(action, SetTimer):
-            self._turns.set_timer(action.token, action.delay_ms)
+            self._dispatch_loop.set_timer(action.token, action.delay_ms)
         elif isinstance(action, StartAttempt):
             self._attempts.start(action)
         elif isinstance(action, RejectRequest):
@@ -178,7 +183,7 @@
 
     def post(self, event: Event) -> None:
         """Have the dispatcher notified, together with all else that is ready by then."""
-        self._turns.post(event)
+        self._dispatch_loop.post(event)
 
     def may_begin(self, attempt: Attempt) -> bool:
         """Whether an attempt that waited for its connection may be written now."""
@@ -209,10 +214,10 @@
 
     def connection_lost(self, endpoint: Endpoint) -> None:
         """An idle connection, left open by an attempt that has ended, has closed."""
-        self._turns.post(ConnectionLost(endpoint.id))
+        self._dispatch_loop.post(ConnectionLost(endpoint.id))
 
     def probe_finished(
         self, endpoint: Endpoint, outcome: Outcome, elapsed_ms: float, report: Sequence[float] = ()
     ) -> None:
         """Report what a probe found."""
-        self._turns.post(ProbeFinished(endpoint.id, elapsed_ms, outcome, tuple(report)))
+        self._dispatch_loop.post(ProbeFinished(endpoint.id, elapsed_ms, outcome, tuple(report)))
--- a/pipitshed/proxy/request_lifecycle.py
+++ b/pipitshed/proxy/request_lifecycle.py
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        turns: DispatchLoop,
+        dispatch_loop: DispatchLoop,
         endpoints: EndpointTable,
         stop_attempt: Callable[[Attempt, Outcome], None],
         counters: Counter[str],
@@ -37,7 +37,7 @@
         self.translator: Translator | None = None  # where messages are translated
         self.answer_deadline_at = math.inf  # loop time by which requests submitted from now on are answered
         self.answered_counts: Counter[tuple[str, int]] = Counter()  # by how they ended, and class
-        self._turns = turns
+        self._dispatch_loop = dispatch_loop
         self._endpoints = endpoints
         self._stop_attempt = stop_attempt
         self._counters = counters
@@ -80,7 +80,7 @@
         compatible_interfaces: frozenset[int] | None = None,
     ) -> None:
         request = context.request
-        self._turns.post(
+        self._dispatch_loop.post(
             JobSubmitted(
                 context.job_id,
                 remaining_ms,
@@ -142,7 +142,7 @@
                 and (failure := self._translation_failure(context))
             ):
                 self._reject_untranslatable(context, failure)
-                self._turns.post(JobWithdrawn(context.job_id))
+                self._dispatch_loop.post(JobWithdrawn(context.job_id))
 
     def succeed(self, context: RequestContext, interface: int, result: bytes) -> None:
         """Give the requester a worker's result, in the client's form."""
@@ -171,7 +171,7 @@
     def withdraw(self, context: RequestContext) -> None:
         """End a request whose client has left: it gets no answer."""
         if self.finish(context.job_id, RequestEnd.WITHDRAWN):
-            self._turns.post(JobWithdrawn(context.job_id))
+            self._dispatch_loop.post(JobWithdrawn(context.job_id))
 
     def detach(self, context: RequestContext) -> None:
         """The clients have left, but the job must not run twice: what runs goes on, no attempt begins."""
@@ -204,7 +204,7 @@
             context.requester.failed()
         else:
             self.reject(context.job_id, OVERDUE_RETRY_AFTER_MS)
-        self._turns.post(JobWithdrawn(context.job_id))
+        self._dispatch_loop.post(JobWithdrawn(context.job_id))
 
     def finish(self, job_id: int, end: RequestEnd) -> RequestContext | None:
         """End a request; None where it has ended before, so that no second answer goes out."""
--- a/tests/attempt_rig.py
+++ b/tests/attempt_rig.py
@@ -42,7 +42,7 @@
         self.forwarder = Forwarder(
             settings(classes=classes, limits=Limits(may_cancel=False, max_attempts=3)), 1, loop
         )
-        self.forwarder._turns.post = self._heard  # type: ignore[method-assign]
+        self.forwarder._dispatch_loop.post = self._heard  # type: ignore[method-assign]
         self.carrier = HttpWorkerClient(self.forwarder, [], loop)
         self.ended: asyncio.Queue[AttemptFinished] = asyncio.Queue()
 
--- a/tests/proxy/test_forwarder.py
+++ b/tests/proxy/test_forwarder.py
@@ -75,7 +75,7 @@
                 if isinstance(event, ConnectionLost):
                     lost.set()
 
-            forwarder._turns.post = post  # type: ignore[method-assign]
+            forwarder._dispatch_loop.post = post  # type: ignore[method-assign]
             carrier = HttpWorkerClient(forwarder, [], loop)
             target = Endpoint(b"p1", carrier, ("127.0.0.1", planner.port))
             exchange = RequestContext(1, Request("a1", 0, 5000.0, 0), Mock(), loop.time() + 5)
@@ -163,8 +163,11 @@
     client.failed.side_effect = lambda: answers.put_nowait("failed")
     [entry] = entries(1)
     forwarder.endpoints.update(
-        "test", UpdateKind.DELTA, 1, [(entry, Endpoint(entry.worker, worker_client, None))]
-    )  # type: ignore[arg-type]
+        "test",
+        UpdateKind.DELTA,
+        1,
+        [(entry, Endpoint(entry.worker, worker_client, None))],  # type: ignore[arg-type]
+    )
     if translator is not None:
         forwarder.attach_translator(translator)
     context = forwarder.submit(Request("a1", 0, 130.0, 0, form_version=1), client)
--- a/tests/upstream/test_grpc_client.py
+++ b/tests/upstream/test_grpc_client.py
@@ -343,7 +343,9 @@
             seen, begun = len(planner.calls), made.loop.time()
             assert (await made.ask("quote", client_timeout_ms=4000.0).answer())[0] == "refused"
             assert len(planner.calls) == seen + 1 and made.loop.time() - begun < 1.0
-            made.list(planner, started_at_ms=made.forwarder._turns.epoch_s * 1000 + len(planner.calls))
+            made.list(
+                planner, started_at_ms=made.forwarder._dispatch_loop.epoch_s * 1000 + len(planner.calls)
+            )
 
 
 @pytest.mark.parametrize("zone", [0, 1])
