--- a/pipitshed/frontends/gearman/frontend.py
+++ b/pipitshed/frontends/gearman/frontend.py
@@ -132,7 +132,7 @@
         job = self.jobs.get(handle)
         if job is None:
             return encode_packet(PacketType.STATUS_RES, handle, b"0", b"0", b"0", b"0")
-        percent = b"%d" % round(job.share * 100)
+        percent = b"%d" % round(job.done_fraction * 100)
         return encode_packet(
             PacketType.STATUS_RES, handle, b"1", b"1" if job.is_started else b"0", percent, b"100"
         )
@@ -142,7 +142,7 @@
         jobs = [job for job in self.jobs.values() if job.unique_id == unique_id]
         if not jobs:
             return encode_packet(PacketType.STATUS_RES_UNIQUE, unique_id, b"0", b"0", b"0", b"0", b"0")
-        percent = b"%d" % round(max(job.share for job in jobs) * 100)
+        percent = b"%d" % round(max(job.done_fraction for job in jobs) * 100)
         waiting = b"%d" % sum(job.connection is not None for job in jobs)
         running = b"1" if any(job.is_started for job in jobs) else b"0"
         return encode_packet(PacketType.STATUS_RES_UNIQUE, unique_id, b"1", running, percent, b"100", waiting)
--- a/pipitshed/frontends/gearman/job.py
+++ b/pipitshed/frontends/gearman/job.py
@@ -20,7 +20,7 @@
 class GearmanJob:
     """One job handle. Several handles may share one request, by their unique id."""
 
-    __slots__ = ("frontend", "handle", "unique_id", "connection", "entry", "is_started", "share")
+    __slots__ = ("frontend", "handle", "unique_id", "connection", "entry", "is_started", "done_fraction")
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self.connection = connection  # None for a background job
         self.entry: DeduplicationEntry | None = None
         self.is_started = False
-        self.share = 0.0  # of the job that is done
+        self.done_fraction = 0.0  # of the job that is done
 
     def succeeded(self, result: bytes) -> None:
         """Send the result."""
@@ -64,13 +64,13 @@
         """Send a failure; the reason is the request's last error."""
         self.failed()
 
-    def progressed(self, kind: ProgressKind, share: float) -> None:
+    def progressed(self, kind: ProgressKind, done_fraction: float) -> None:
         """Send the share that is done."""
         self.is_started = True
         if kind is ProgressKind.PROGRESS:
-            self.share = share
+            self.done_fraction = done_fraction
             if self.connection is not None:
-                percent = b"%d" % round(share * 100)
+                percent = b"%d" % round(done_fraction * 100)
                 self.connection.write(encode_packet(PacketType.WORK_STATUS, self.handle, percent, b"100"))
 
     def _end(self, *packets: bytes, is_done: bool = False) -> None:
--- a/pipitshed/frontends/http/connection.py
+++ b/pipitshed/frontends/http/connection.py
@@ -345,7 +345,7 @@
         self._write(status, _encode_json(problem), "Content-Type: application/problem+json\r\n")
         self._process_queue()
 
-    def progressed(self, _kind: ProgressKind, _share: float) -> None:
+    def progressed(self, _kind: ProgressKind, _done_fraction: float) -> None:
         """Ignore progress: an HTTP client waits for the response alone."""
 
     # ---- the end
--- a/pipitshed/proxy/attempt_runner.py
+++ b/pipitshed/proxy/attempt_runner.py
@@ -140,8 +140,8 @@
         attempt: Attempt,
         outcome: Outcome,
         result: bytes = b"",
-        report: Sequence[float] = (),
-        pushback: float | None = None,
+        load_report: Sequence[float] = (),
+        pushback_ms: float | None = None,
     ) -> None:
         """Record the one outcome of an attempt; what is reported after it is ignored.
 
@@ -149,8 +149,8 @@
             attempt: The attempt that has ended.
             outcome: How it ended.
             result: The worker's result, or its error message.
-            report: The load that the worker reported with it.
-            pushback: How long (ms) the worker wants the next attempt to wait; negative for no retry.
+            load_report: The load that the worker reported with it.
+            pushback_ms: How long the worker wants the next attempt to wait; negative for no retry.
         """
         if attempt.finished:
             return
@@ -171,8 +171,8 @@
                 outcome,
                 (monotonic() - attempt.started_at) * 1000,
                 context.answered,
-                tuple(report),
-                pushback,
+                tuple(load_report),
+                pushback_ms,
             )
         )
         self._requests.forget_finished(context)
--- a/pipitshed/proxy/deduplication.py
+++ b/pipitshed/proxy/deduplication.py
@@ -37,26 +37,26 @@
         for requester in self._end():
             requester.succeeded(result)
 
-    def rejected(self, retry_after: float) -> None:
+    def rejected(self, retry_after_ms: float) -> None:
         """Reject all that wait."""
         for requester in self._end():
-            requester.rejected(retry_after)
+            requester.rejected(retry_after_ms)
 
     def failed(self) -> None:
         """Fail all that wait."""
         for requester in self._end():
             requester.failed()
 
-    def untranslatable(self, why: TranslationFailure, ran: bool) -> None:
+    def untranslatable(self, failure: TranslationFailure, has_run: bool) -> None:
         """Give all that wait the reason."""
         for requester in self._end():
-            requester.untranslatable(why, ran)
+            requester.untranslatable(failure, has_run)
 
-    def progressed(self, kind: ProgressKind, share: float) -> None:
+    def progressed(self, kind: ProgressKind, done_fraction: float) -> None:
         """Notify all that wait, and keep it for those that join later."""
-        self.last_progress[kind] = share
+        self.last_progress[kind] = done_fraction
         for requester in self.requesters:
-            requester.progressed(kind, share)
+            requester.progressed(kind, done_fraction)
 
     def _end(self) -> list[Requester]:
         self.ended = True
@@ -79,21 +79,21 @@
         """The key's entry, running or not."""
         return self._entries.get((job_class, key))
 
-    def submit(self, request: Request, client: Requester) -> DeduplicationEntry:
+    def submit(self, request: Request, requester: Requester) -> DeduplicationEntry:
         """Run it, join what runs already, or answer again what has run; the answer may come at once."""
         key = (request.job_class, request.idempotency_key) if request.idempotency_key else None
         entry = self._entries.get(key) if key is not None else None
         if entry is None:
-            entry = DeduplicationEntry(self, key, [client])
+            entry = DeduplicationEntry(self, key, [requester])
             if key is not None:
                 self._entries[key] = entry
             entry.context = self._forwarder.submit(request, entry)
         elif not entry.ended:
-            self._join(entry, client)
+            self._join(entry, requester)
         elif entry.result is not None:
-            client.succeeded(entry.result)
+            requester.succeeded(entry.result)
         else:
-            client.failed()  # it may have run, and must not run again
+            requester.failed()  # it may have run, and must not run again
         return entry
 
     def _join(self, entry: DeduplicationEntry, requester: Requester) -> None:
@@ -103,15 +103,15 @@
         for kind, done_fraction in entry.last_progress.items():
             requester.progressed(kind, done_fraction)
 
-    def withdraw(self, entry: DeduplicationEntry, client: Requester) -> None:
+    def withdraw(self, entry: DeduplicationEntry, requester: Requester) -> None:
         """Remove one client that has left.
 
         What may have run and must not run twice goes on without any, so that a client that comes back finds
         its result; all else ends with its last client.
         """
-        if client not in entry.requesters:
+        if requester not in entry.requesters:
             return
-        entry.requesters.remove(client)
+        entry.requesters.remove(requester)
         if entry.requesters or entry.context is None:
             return
         if self._must_not_run_again(entry):
--- a/pipitshed/proxy/endpoint_table.py
+++ b/pipitshed/proxy/endpoint_table.py
@@ -107,7 +107,7 @@
 
     # ---- updates from sources
 
-    def update(self, source: str, kind: UpdateKind, version: int, lines: Iterable[EndpointRow]) -> None:
+    def update(self, source: str, kind: UpdateKind, version: int, rows: Iterable[EndpointRow]) -> None:
         """Take in an update from one source.
 
         A snapshot becomes a change: it holds for its own source alone, and what that source no longer lists
@@ -116,7 +116,7 @@
         listed = self._listed.setdefault(source, {})
         entries: dict[WorkerId, EndpointEntry] = {}
         received: set[WorkerId] | None = set() if kind is UpdateKind.SNAPSHOT else None
-        for entry, endpoint in lines:
+        for entry, endpoint in rows:
             worker = entry.worker
             if received is not None:
                 received.add(worker)
--- a/pipitshed/proxy/forwarder.py
+++ b/pipitshed/proxy/forwarder.py
@@ -167,9 +167,9 @@
 
     # ---- from frontends
 
-    def submit(self, request: Request, client: Requester) -> RequestContext:
-        """Accept a request that has been read completely; from now on `client` gets one final answer."""
-        return self._requests.submit(request, client)
+    def submit(self, request: Request, requester: Requester) -> RequestContext:
+        """Accept a request that has been read completely; from now on `requester` gets one final answer."""
+        return self._requests.submit(request, requester)
 
     def withdraw(self, context: RequestContext) -> None:
         """End a request whose client has left: it gets no answer."""
@@ -206,18 +206,18 @@
         attempt: Attempt,
         outcome: Outcome,
         result: bytes = b"",
-        report: Sequence[float] = (),
-        pushback: float | None = None,
+        load_report: Sequence[float] = (),
+        pushback_ms: float | None = None,
     ) -> None:
         """Record the one outcome of an attempt; `AttemptRunner.finished` describes the arguments."""
-        self._attempts.finished(attempt, outcome, result, report, pushback)
+        self._attempts.finished(attempt, outcome, result, load_report, pushback_ms)
 
     def connection_lost(self, endpoint: Endpoint) -> None:
         """An idle connection, left open by an attempt that has ended, has closed."""
         self._dispatch_loop.post(ConnectionLost(endpoint.id))
 
     def probe_finished(
-        self, endpoint: Endpoint, outcome: Outcome, elapsed_ms: float, report: Sequence[float] = ()
+        self, endpoint: Endpoint, outcome: Outcome, elapsed_ms: float, load_report: Sequence[float] = ()
     ) -> None:
         """Report what a probe found."""
-        self._dispatch_loop.post(ProbeFinished(endpoint.id, elapsed_ms, outcome, tuple(report)))
+        self._dispatch_loop.post(ProbeFinished(endpoint.id, elapsed_ms, outcome, tuple(load_report)))
--- a/pipitshed/proxy/request.py
+++ b/pipitshed/proxy/request.py
@@ -67,16 +67,16 @@
     def succeeded(self, result: bytes) -> None:
         """The job is done; `result` is in the client's form."""
 
-    def rejected(self, retry_after: float) -> None:
+    def rejected(self, retry_after_ms: float) -> None:
         """The job has not run; the client may try again, best after this many ms."""
 
     def failed(self) -> None:
         """The job has failed, or may have run without a known result."""
 
-    def untranslatable(self, why: TranslationFailure, ran: bool) -> None:
+    def untranslatable(self, failure: TranslationFailure, has_run: bool) -> None:
         """The request fits no worker's form, or (where the job ran) the result doesn't fit the client's."""
 
-    def progressed(self, kind: ProgressKind, share: float) -> None:
+    def progressed(self, kind: ProgressKind, done_fraction: float) -> None:
         """The job has started, or this share of it is done."""
 
 
--- a/pipitshed/proxy/worker_client.py
+++ b/pipitshed/proxy/worker_client.py
@@ -21,10 +21,10 @@
         """Stop an attempt for good; return whether it may have run (not before it is written or assigned)."""
         ...
 
-    def probe(self, target: Endpoint) -> None:
+    def probe(self, endpoint: Endpoint) -> None:
         """Find out whether the endpoint's worker answers."""
 
-    def close_idle_connections(self, target: Endpoint) -> None:
+    def close_idle_connections(self, endpoint: Endpoint) -> None:
         """Close the endpoint's connections that carry nothing."""
 
 
