--- a/pipitshed/admin/frontend.py
+++ b/pipitshed/admin/frontend.py
@@ -8,8 +8,8 @@
 
 import httptools
 
-CALL_TIMEOUT_S = 2.0  # from connecting until a call is complete; then it is closed without an answer
-MAX_OPEN_CALLS = 16  # a new one closes the oldest
+REQUEST_TIMEOUT_S = 2.0  # from connecting until a call is complete; then it is closed without an answer
+MAX_CONNECTIONS = 16  # a new one closes the oldest
 HEAD_LIMIT_BYTES = 8 * 1024  # of a call; a call has no body
 LINGER_S = 1.0  # for which an answered call waits for the caller's close
 READY_PATH = b"/-/ready"
@@ -24,7 +24,7 @@
 }
 
 
-class _Call(asyncio.Protocol):
+class _AdminConnection(asyncio.Protocol):
     """One call: a connection with one request."""
 
     def __init__(self, frontend: AdminFrontend) -> None:
@@ -39,12 +39,12 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start the timer of the call."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's transports don't inherit from it
-        self._frontend.calls[self] = None
-        self._timer = self._frontend.loop.call_later(CALL_TIMEOUT_S, self.close)
+        self._frontend.connections[self] = None
+        self._timer = self._frontend.loop.call_later(REQUEST_TIMEOUT_S, self.close)
 
     def connection_lost(self, _exc: Exception | None) -> None:
         """The call is over."""
-        self._frontend.calls.pop(self, None)
+        self._frontend.connections.pop(self, None)
         if self._timer is not None:
             self._timer.cancel()
 
@@ -83,11 +83,11 @@
         elif path == READY_PATH:
             ready = self._frontend.ready()
             text = b"ready\n" if ready else b"not ready\n"
-            self._answer(200 if ready else 503, text, head=method == b"HEAD")
+            self._answer(200 if ready else 503, text, head_only=method == b"HEAD")
         else:
-            self._answer(200, self._frontend.metrics(), head=method == b"HEAD")
+            self._answer(200, self._frontend.metrics(), head_only=method == b"HEAD")
 
-    def _answer(self, status: int, body: bytes, extra: bytes = b"", head: bool = False) -> None:
+    def _answer(self, status: int, body: bytes, extra_headers: bytes = b"", head_only: bool = False) -> None:
         self._answered = True
         transport = self._transport
         if transport is None or transport.is_closing():
@@ -95,7 +95,7 @@
         transport.write(
             b"HTTP/1.1 %d %s\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: %d\r\n"
             b"%sConnection: close\r\n\r\n%s"
-            % (status, _REASONS[status].encode(), len(body), extra, b"" if head else body)
+            % (status, _REASONS[status].encode(), len(body), extra_headers, b"" if head_only else body)
         )
         # What the caller may still send is not read, and a close with bytes unread would reset the connection
         # before the answer arrives: the caller closes first, or the timer does.
@@ -119,15 +119,15 @@
         self.ready = ready
         self.metrics = metrics
         self.loop = loop
-        self.calls: dict[_Call, None] = {}  # the oldest first
+        self.connections: dict[_AdminConnection, None] = {}  # the oldest first
 
-    def connection(self) -> _Call:
+    def connection(self) -> _AdminConnection:
         """A new call; where there are too many, the oldest is closed."""
-        if len(self.calls) >= MAX_OPEN_CALLS:
-            next(iter(self.calls)).close()
-        return _Call(self)
+        if len(self.connections) >= MAX_CONNECTIONS:
+            next(iter(self.connections)).close()
+        return _AdminConnection(self)
 
     def close(self) -> None:
         """Close all calls."""
-        for call in list(self.calls):
-            call.close()
+        for connection in list(self.connections):
+            connection.close()
--- a/pipitshed/admin/metrics.py
+++ b/pipitshed/admin/metrics.py
@@ -10,14 +10,14 @@
 PREFIX = "scheduler"
 
 # The metric that counts requests that ended so; withdrawn ones are in none.
-BY_END: dict[str, str] = {
+METRIC_BY_END: dict[str, str] = {
     RequestEnd.SUCCEEDED: "answered",
     RequestEnd.REJECTED: "deferred",
     RequestEnd.FAILED: "errored",
     RequestEnd.UNTRANSLATABLE: "errored",
     RequestEnd.OVERDUE: "errored",
 }
-PER_CLASS = ("answered", "deferred", "errored", "sends")
+CLASS_METRICS = ("answered", "deferred", "errored", "sends")
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
     conf_invalid: int  # files rejected at SIGHUP
 
 
-def by_class(
+def counts_by_class(
     names: Sequence[str], ended: Mapping[tuple[str, int], int], sends: Mapping[int, int]
 ) -> dict[str, dict[str, int]]:
     """Count by metric and class name.
@@ -42,9 +42,9 @@
         ended: Requests by how they ended, and class number.
         sends: Attempts whose last byte was written, by class number.
     """
-    counts = {metric: dict.fromkeys(names, 0) for metric in PER_CLASS}
+    counts = {metric: dict.fromkeys(names, 0) for metric in CLASS_METRICS}
     for (end, class_number), count in ended.items():
-        metric = BY_END.get(end)
+        metric = METRIC_BY_END.get(end)
         if metric is not None and class_number < len(names):
             counts[metric][names[class_number]] += count
     for class_number, count in sends.items():
@@ -56,7 +56,7 @@
 def render(counts: Mapping[str, Mapping[str, int]], gauges: Gauges) -> bytes:
     """The text of `/-/metrics`: by class first, in the order of the names, then the totals and gauges."""
     lines: list[str] = []
-    for metric in PER_CLASS:
+    for metric in CLASS_METRICS:
         lines += [f"{PREFIX}.{metric}.{name}={count}" for name, count in counts.get(metric, {}).items()]
     lines.append(f"{PREFIX}.sends={sum(counts.get('sends', {}).values())}")
     lines += [f"{PREFIX}.{name}={value}" for name, value in _gauge_values(gauges)]
--- a/pipitshed/server/server.py
+++ b/pipitshed/server/server.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from pipitshed.admin.metrics import Gauges, by_class, count_lines, render
+from pipitshed.admin.metrics import Gauges, count_lines, counts_by_class, render
 from pipitshed.config.class_registry import ClassRegistry
 from pipitshed.config.front import FrontConfig
 from pipitshed.config.platform import Config
@@ -92,7 +92,7 @@
             self.reloader.invalid_count,
         )
         class_names = self.reloader.classes.names
-        text = render(by_class(class_names, forwarder.answered_counts, forwarder.sent_counts), gauges)
+        text = render(counts_by_class(class_names, forwarder.answered_counts, forwarder.sent_counts), gauges)
         if node is None:
             return text
         return text + node.lines() + count_lines(self._discovery_counters())
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -6,13 +6,13 @@
 
 from loopback import Catalog, HttpClient, Planner, Reader, Writer, call, figures, program, story
 
-from pipitshed.admin.metrics import Gauges, by_class, parse, render
+from pipitshed.admin.metrics import Gauges, counts_by_class, parse, render
 
 READY = b"GET /-/ready HTTP/1.1\r\nHost: mgmt\r\n\r\n"
 
 
 def test_figures_by_class_sum_a_name_that_stands_for_several_numbers() -> None:
-    counts = by_class(
+    counts = counts_by_class(
         ["quote", "book", "quote"],
         {
             ("served", 0): 3,
