--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -4,7 +4,7 @@
 import json
 import signal
 
-from loopback import Catalog, HttpClient, Planner, Reader, Writer, call, figures, program, story
+from loopback import Catalog, HttpClient, Planner, Reader, Writer, async_test, call, figures, program
 
 from pipitshed.admin.metrics import Gauges, counts_by_class, parse, render
 
@@ -45,7 +45,7 @@
     assert text.decode().splitlines()[0] == "scheduler.answered.quote=5"
 
 
-@story
+@async_test
 async def test_figures_count_what_clients_were_answered_and_what_planners_were_sent() -> None:
     """Served, refused and failed by class; attempts written whole; the list's size."""
     acts = iter([lambda run: run.serve(), lambda run: run.say("failed"), lambda run: run.serve()])
@@ -78,7 +78,7 @@
         assert told["scheduler.conf_loaded"] == told["scheduler.conf_invalid"] == 0
 
 
-@story
+@async_test
 async def test_a_job_under_way_counts_as_current() -> None:
     async with (
         Planner("p1", act=lambda run: run.say("started")) as planner,
@@ -93,7 +93,7 @@
         assert (await figures(running.mgmt_port))["scheduler.current"] == 0
 
 
-@story
+@async_test
 async def test_unknown_calls_get_a_4xx_and_what_cannot_be_read_a_400() -> None:
     class Silent(Catalog):
         async def serve(self, reader: Reader, writer: Writer) -> None:
@@ -113,7 +113,7 @@
         assert (await call(port, b"GET /-/ready?x=1 HTTP/1.1\r\n\r\n"))[0] == 503
 
 
-@story
+@async_test
 async def test_silent_callers_are_closed_and_hold_up_no_call() -> None:
     """Callers that connect and say nothing: the next call is answered at once, the oldest silent one is
     closed when too many stand, and each is closed by 2 s."""
@@ -132,7 +132,7 @@
             assert await reader.read() == b""
 
 
-@story
+@async_test
 async def test_files_at_sighup_are_counted_and_a_process_that_ends_is_not_ready() -> None:
     async with Planner("p1") as planner, program(planner, mgmt=True) as running:
         good = running.config.read_text()
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -13,7 +13,7 @@
 from click.testing import CliRunner
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from loopback import ROOT, SETTINGS, story
+from loopback import ROOT, SETTINGS, async_test
 
 from pipitshed.cli.commands import main
 from pipitshed.cluster import streams
@@ -210,7 +210,7 @@
     uvloop.run(asyncio.wait_for(run(), 20))
 
 
-@story
+@async_test
 async def test_schedulers_join_find_a_death_and_take_a_good_bye() -> None:
     fleets = await joined(4)
     await until(lambda: len({one.membership.view.digest() for one in fleets}) == 1)
@@ -224,7 +224,7 @@
         one.close()
 
 
-@story
+@async_test
 async def test_a_flood_of_forged_members_is_bounded_and_costs_no_member() -> None:
     """Without a secret a forger is believed, so what it may cost is bounded; with one it is dropped."""
     for secret in (b"", b"key"):
@@ -260,7 +260,7 @@
 
 def test_streams_that_say_nothing_or_too_much_are_ended(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(streams, "STREAM_TIMEOUT_S", 0.3)
-    story(_strange_streams)()
+    async_test(_strange_streams)()
 
 
 async def _strange_streams() -> None:
@@ -302,7 +302,7 @@
     assert result.exit_code == 2 and "can't listen" in result.output and result.output.count("\n") == 1
 
 
-@story
+@async_test
 async def test_show_and_leave_ask_any_scheduler() -> None:
     fleets = await joined(3)
     await until(lambda: all(row.agrees for row in fleets[1].shown().members))
--- a/tests/cluster/test_settings_fleet.py
+++ b/tests/cluster/test_settings_fleet.py
@@ -16,7 +16,7 @@
 
 import pytest
 from click.testing import CliRunner
-from loopback import FRONT, SETTINGS, Catalog, HttpClient, Planner, Program, Run, figures, program, story
+from loopback import FRONT, SETTINGS, Catalog, HttpClient, Planner, Program, Run, async_test, figures, program
 from test_peers import peers, until
 
 from pipitshed.cli.commands import main
@@ -112,7 +112,7 @@
     """A story that is told in a folder."""
 
     def test(tmp_path: Path) -> None:
-        story(lambda: body(tmp_path))()
+        async_test(lambda: body(tmp_path))()
 
     test.__name__, test.__doc__ = body.__name__, body.__doc__
     return test
--- a/tests/discovery/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -15,10 +15,10 @@
     Reader,
     Run,
     Writer,
+    async_test,
     call,
     healthy,
     program,
-    story,
 )
 
 TOLD_BY = 6.0  # s after which a change counts as told, whatever became of the calls
@@ -46,7 +46,7 @@
         await reader.read()
 
 
-@story
+@async_test
 async def test_a_drain_whose_news_trickles_in_is_known_before_it_counts_as_told() -> None:
     """Each byte used to renew the watch's patience: news cut into bytes was held back for ever."""
 
@@ -101,7 +101,7 @@
                 writer.write(piece)
                 await asyncio.sleep(0.1)
 
-    @story
+    @async_test
     async def run() -> None:
         async with Planner("p1") as planner, Trickling(planner) as catalog, program(planner, catalog=catalog):
             await catalog.watches.get()
@@ -110,7 +110,7 @@
     run()
 
 
-@story
+@async_test
 async def test_a_restarted_process_takes_no_jobs_before_it_has_had_the_list() -> None:
     """The failure met: schedulers of a lost zone came back 18 s later with the list that they had known, and
     sent their first jobs by it to planners that had gone 16 s before."""
@@ -142,7 +142,7 @@
         assert not gone.runs and len(here.runs) == 1
 
 
-@story
+@async_test
 async def test_lists_that_come_indented_are_read_whole_from_a_watch() -> None:
     """Lists may come indented: then a piece of news is many lines, and some end like a whole one."""
 
@@ -170,7 +170,7 @@
         assert len(catalog.asked) == 1 and catalog.watches.empty()
 
 
-@story
+@async_test
 async def test_what_is_no_list_is_a_failed_call_and_the_known_list_stands() -> None:
     """Bad bytes from discovery: the call has failed, and another one follows."""
 
@@ -189,7 +189,7 @@
         await catalog.watches.get()
 
 
-@story
+@async_test
 async def test_a_pushed_list_is_asked_for_at_once_and_again_well_within_the_grace() -> None:
     """Where lists are pushed, what the agent has counts from the first moment of a new process, and at once
     when it is back: a wait of half a second, and one that doubles, overran a grace of 600 ms."""
@@ -215,7 +215,7 @@
     assert max(gaps) < 0.3
 
 
-@story
+@async_test
 async def test_an_exception_between_two_calls_does_not_end_the_asking() -> None:
     """Whatever goes wrong inside: while no call is under way, the decisions are told that the last failed."""
     from pipitshed.discovery import catalog as module
@@ -243,7 +243,7 @@
         one.stop()
 
 
-@story
+@async_test
 async def test_a_job_is_not_lost_while_the_list_is_silent() -> None:
     """The list known so far stands while every call hangs."""
 
--- a/tests/discovery/test_catalog_size_limit.py
+++ b/tests/discovery/test_catalog_size_limit.py
@@ -7,7 +7,7 @@
 
 import pytest
 from catalog_updates import HEAD, Wide, chunk, news_of, rows
-from loopback import HttpClient, Planner, program, story
+from loopback import HttpClient, Planner, async_test, program
 
 from pipitshed.discovery.catalog import (
     CatalogClient,
@@ -21,7 +21,7 @@
 from pipitshed.proxy.endpoint_table import EndpointTable
 
 
-@story
+@async_test
 async def test_4600_planners_in_an_indented_list_are_taken_and_the_first_job_is_served() -> None:
     """The failure met: over a constant bound no list was taken, and the watch was opened again and again."""
     async with (
@@ -43,7 +43,7 @@
     """The list known serves on, the changes behind the long one are taken, and a call that follows asks from
     the version before it and brings no second line."""
 
-    @story
+    @async_test
     async def run() -> None:
         async with (
             Planner("p1") as old,
--- a/tests/discovery/test_catalog_snapshots.py
+++ b/tests/discovery/test_catalog_snapshots.py
@@ -6,7 +6,7 @@
 import re
 
 from catalog_updates import Wide, chunk, news_of
-from loopback import Catalog, HttpClient, Planner, Program, Reader, Writer, figures, program, story
+from loopback import Catalog, HttpClient, Planner, Program, Reader, Writer, async_test, figures, program
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -70,7 +70,7 @@
     return int(found[1]) if found else 0
 
 
-@story
+@async_test
 async def test_no_whole_list_follows_a_broken_silent_or_cut_watch_or_a_move() -> None:
     """One after a start that knows none of use; then each call names the version known, by changes too."""
     async with Planner("p1") as one, Planner("p2") as two:
@@ -113,7 +113,7 @@
     assert counted(running, "list changes") == 7 and counted(running, "list calls") >= 6
 
 
-@story
+@async_test
 async def test_a_start_with_a_known_list_asks_for_what_has_changed_since() -> None:
     async with Planner("p1") as one, Planner("p2") as two:
         versions = Versions(one, two, first=1)
@@ -125,7 +125,7 @@
     assert counted(running, "whole lists") == 0 and counted(running, "list changes") == 1
 
 
-@story
+@async_test
 async def test_a_whole_list_that_breaks_off_is_asked_for_again_and_no_other() -> None:
     """What came in half is no version that is known."""
     async with Planner("p1") as one, Versioned(Versions(one)) as catalog:
@@ -158,7 +158,7 @@
         "scheduler.whole_lists": 2,
     }
 
-    @story
+    @async_test
     async def run() -> None:
         async with (
             Planner("p1") as one,
@@ -171,7 +171,7 @@
     run()
 
 
-@story
+@async_test
 async def test_a_whole_list_that_takes_long_to_come_is_not_fetched_again() -> None:
     """Where many start together, discovery's line is full: given up 1.5 s after its first byte, the list was
     asked for again, and never came."""
--- a/tests/discovery/test_dns_sd.py
+++ b/tests/discovery/test_dns_sd.py
@@ -2,11 +2,11 @@
 
 import asyncio
 
-from loopback import HttpClient, Planner, program, story
+from loopback import HttpClient, Planner, async_test, program
 from name_server import SERVICE, NameServer
 
 
-@story
+@async_test
 async def test_records_fill_the_route_table_and_drains_are_kept() -> None:
     """A draining record and one that has vanished get nothing new from 1.5 s on; two rounds are less."""
     loop = asyncio.get_running_loop()
--- a/tests/discovery/test_worker_interfaces.py
+++ b/tests/discovery/test_worker_interfaces.py
@@ -6,7 +6,7 @@
 import pytest
 from grpc_peer import GrpcPlanner
 from interface_world import World, row
-from loopback import Planner, story
+from loopback import Planner, async_test
 
 from pipitshed.discovery.worker_interfaces import MAX_CONCURRENT_PROBES
 from pipitshed.scheduling.events import EndpointState
@@ -109,7 +109,7 @@
     assert world.entry("p1").state is EndpointState.READY
 
 
-@story
+@async_test
 async def test_sounding_tells_the_interfaces_apart() -> None:
     found: dict[bytes, int] = {}
     loop = asyncio.get_running_loop()
--- a/tests/equivalence/test_same_transcripts.py
+++ b/tests/equivalence/test_same_transcripts.py
@@ -12,7 +12,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from loopback import FRONT, GearmanPeer, HttpClient, Planner, Reader, Run, Writer, call, program, story
+from loopback import FRONT, GearmanPeer, HttpClient, Planner, Reader, Run, Writer, async_test, call, program
 
 from pipitshed.protocols.gearman import PacketType
 
@@ -205,7 +205,7 @@
         compare(await transcript())
 
     body.__name__ = transcript.__name__
-    return story(body)
+    return async_test(body)
 
 
 test_http_clients_and_workers_read_the_same_bytes = _golden(http_transcript)
--- a/tests/frontends/test_gearman_frontend.py
+++ b/tests/frontends/test_gearman_frontend.py
@@ -5,12 +5,12 @@
 from typing import Any
 
 import pytest
-from loopback import FRONT, ONCE, GearmanPeer, HttpClient, Planner, Run, program, story
+from loopback import FRONT, NON_IDEMPOTENT_BOOK, GearmanPeer, HttpClient, Planner, Run, async_test, program
 
 from pipitshed.protocols.gearman import PACKET_HEADER, REQUEST_MAGIC, PacketType, encode_packet
 
 
-@story
+@async_test
 async def test_gearman_clients_reach_http_planners() -> None:
     async with Planner("p1") as planner, program(planner, front=FRONT) as running:
         client = await GearmanPeer.to(running.gearman_port)
@@ -24,7 +24,7 @@
         assert len(ids) == 4
 
 
-@story
+@async_test
 async def test_http_clients_reach_gearman_workers() -> None:
     async with program(front=FRONT) as running:
         worker = await GearmanPeer.to(running.gearman_port)
@@ -41,11 +41,11 @@
         await worker.expect(PacketType.NO_JOB)
 
 
-@story
+@async_test
 async def test_a_worker_lost_mid_job_is_a_reset() -> None:
     """The quote goes to the next worker; the booking may have run, and where the class forbids a repeat it is
     run anew neither then nor for a resubmission."""
-    async with program(front=FRONT, settings=ONCE) as running:
+    async with program(front=FRONT, settings=NON_IDEMPOTENT_BOOK) as running:
         client = await GearmanPeer.to(running.gearman_port)
         for function, unique in [(b"plan_quote", b"q1"), (b"book_pallet", b"b1")]:
             worker = await GearmanPeer.to(running.gearman_port)
@@ -73,7 +73,7 @@
     return (await worker.hear())[0] is PacketType.ECHO_RES
 
 
-@story
+@async_test
 async def test_before_assignment_it_never_ran() -> None:
     """Woken but not assigned: another worker gets even the booking."""
     async with program(front=FRONT) as running:
@@ -88,7 +88,7 @@
         assert await client.expect(PacketType.WORK_COMPLETE) == [handle, b"booked"]
 
 
-@story
+@async_test
 async def test_a_resubmission_joins_the_running_job_and_finds_its_result() -> None:
     async with program(front=FRONT) as running:
         worker, gone, client, late = [await GearmanPeer.to(running.gearman_port) for _ in range(4)]
@@ -106,7 +106,7 @@
         assert await unwoken(worker)
 
 
-@story
+@async_test
 async def test_a_worker_that_withdraws_its_ability_gets_nothing_new() -> None:
     async with program(front=FRONT) as running:
         draining, other, client = [await GearmanPeer.to(running.gearman_port) for _ in range(3)]
@@ -137,7 +137,7 @@
 def test_the_answer_comes_before_the_deadline(function: bytes, kinds: list[PacketType]) -> None:
     """And the attempt ends with it: its worker's connection is closed."""
 
-    @story
+    @async_test
     async def run() -> None:
         async with program(front=FRONT.replace(" }", ", patience-s = 0.3 }")) as running:
             worker, client = [await GearmanPeer.to(running.gearman_port) for _ in range(2)]
@@ -152,13 +152,13 @@
     run()
 
 
-@story
+@async_test
 async def test_a_stalled_job_does_not_take_the_worker_s_other_jobs_with_it() -> None:
     """Guards against a booking that fails as its worker's connection is closed over another client's job."""
     patience = FRONT.replace(
         'plan_quote = { class = "quote"', 'plan_quote = { patience-s = 0.3, class = "quote"'
     )
-    async with program(front=patience, settings=ONCE) as running:
+    async with program(front=patience, settings=NON_IDEMPOTENT_BOOK) as running:
         worker, impatient, client = [await GearmanPeer.to(running.gearman_port) for _ in range(3)]
         await worker.register(b"plan_quote", b"book_pallet")
         await impatient.submit(b"plan_quote", b"q1", b"six")
@@ -179,7 +179,7 @@
         assert await worker.reader.read() == b""
 
 
-@story
+@async_test
 async def test_a_worker_has_as_long_as_it_said() -> None:
     """CAN_DO_TIMEOUT ends the attempt long before the class's deadline, and its worker's connection too."""
     async with program(front=FRONT) as running:
@@ -196,7 +196,7 @@
         assert await worker.reader.read() == b""
 
 
-@story
+@async_test
 async def test_bad_packets_are_said_so_and_closed_and_split_ones_are_put_together() -> None:
     async with Planner("p1") as planner, program(planner, front=FRONT) as running:
         for data in [
@@ -224,7 +224,7 @@
         assert (await client.expect(PacketType.ERROR))[0] == b"ERR_TOO_LARGE"
 
 
-@story
+@async_test
 async def test_status_options_and_text_commands() -> None:
     # The failed job is tried again until its time is over, at a worker that asks for none.
     async with program(front=FRONT.replace(" }", ", patience-s = 2.0 }")) as running:
@@ -290,7 +290,7 @@
     count["one answer each", (await client.hear())[0] is PacketType.ECHO_RES] += 1
 
 
-@story
+@async_test
 async def test_a_mixed_run_keeps_the_same_rules_at_both_fronts() -> None:
     """The same jobs from both fronts to an HTTP planner and a Gearman worker that act alike: the answers are
     the same in number and kind, and no key runs twice."""
@@ -326,7 +326,10 @@
             worker.writer.transport.abort()
 
     front = FRONT.replace(" }", ", patience-s = 1.0 }")
-    async with Planner("p1", act=act) as planner, program(planner, front=front, settings=ONCE) as running:
+    async with (
+        Planner("p1", act=act) as planner,
+        program(planner, front=front, settings=NON_IDEMPOTENT_BOOK) as running,
+    ):
         worker = asyncio.create_task(work(running.gearman_port))
         counts: dict[str, Counter[object]] = {"http": Counter(), "gearman": Counter()}
         await asyncio.gather(
--- a/tests/frontends/test_http_frontend.py
+++ b/tests/frontends/test_http_frontend.py
@@ -4,10 +4,10 @@
 import signal
 
 import pytest
-from loopback import SETTINGS, Catalog, HttpClient, Planner, Run, healthy, program, story
+from loopback import SETTINGS, Catalog, HttpClient, Planner, Run, async_test, healthy, program
 
 
-@story
+@async_test
 async def test_a_request_is_served_and_connections_are_kept() -> None:
     """Guards against the first failure met: uvloop's transports are none of asyncio's."""
     async with Planner("p1") as planner, program(planner) as running:
@@ -23,7 +23,7 @@
         assert len(planner.writers) == 1
 
 
-@story
+@async_test
 async def test_what_cannot_be_read_is_said_so_and_closed() -> None:
     """Malformed, too long or unknown: an answer, a close, and the next client is served."""
     async with Planner("p1") as planner, program(planner) as running:
@@ -55,7 +55,7 @@
 def test_a_head_that_comes_in_one_read_has_the_limit_of_one_in_pieces(header_bytes: int, status: int) -> None:
     """Guards against long heads that pass: only an incomplete one was held to its limit of 16 KiB."""
 
-    @story
+    @async_test
     async def run() -> None:
         async with Planner("p1") as planner, program(planner) as running:
             for count in (1, 4):  # one header, and several of the same length together
@@ -67,7 +67,7 @@
     run()
 
 
-@story
+@async_test
 async def test_turned_away_goes_elsewhere_and_a_keyed_job_that_was_lost_stays_in_its_zone() -> None:
     far = Planner("p2", "arequipa", lambda run: run.say("returned"))
     async with (
@@ -97,7 +97,7 @@
 def test_a_silent_planner_costs_no_answer(job_class: str, status: int) -> None:
     """The final answer comes before the deadline, and the attempt's connection is closed with it."""
 
-    @story
+    @async_test
     async def run() -> None:
         async with Planner("p1", act=lambda run: run.say("started")) as planner, program(planner) as running:
             client = await HttpClient.to(running.port)
@@ -111,7 +111,7 @@
     run()
 
 
-@story
+@async_test
 async def test_a_client_that_goes_takes_its_attempt_with_it() -> None:
     async with Planner("p1", act=lambda run: run.say("started")) as planner, program(planner) as running:
         client = await HttpClient.to(running.port)
@@ -124,7 +124,7 @@
         assert "withdrawn=1" in running.log[-1]
 
 
-@story
+@async_test
 async def test_a_drain_is_kept_and_a_watch_that_ends_is_asked_for_again() -> None:
     """What one watch said of a drain holds when it is cut off and the next is silent of it."""
     async with (
@@ -152,7 +152,7 @@
         assert len(old.runs) == seen
 
 
-@story
+@async_test
 async def test_sighup_follows_discovery_and_keeps_what_runs() -> None:
     """The failure met: SIGHUP ended the program (exit 129). A file that is no use must change nothing; one
     that names another discovery is followed at once, from the version known, under a job that runs."""
@@ -192,7 +192,7 @@
         assert len(old.runs) == seen and len(first.writers) == 1
 
 
-@story
+@async_test
 async def test_what_was_taken_is_answered_after_sigterm() -> None:
     """And until the front has noticed, new connections are still served; kept ones for longer, as a peer may
     not be back yet. What comes late is answered before SIGKILL; then clients are sent away."""
@@ -223,7 +223,7 @@
         assert await running.process.wait() == 0
 
 
-@story
+@async_test
 async def test_more_clients_than_descriptors() -> None:
     """Guards against the loss of the listener: the client that is idle for longest makes room."""
     async with Planner("p1") as planner, program(planner, sockets=40) as running:
@@ -239,7 +239,7 @@
         assert await clients[0].reader.read() == b""
 
 
-@story
+@async_test
 async def test_a_burst_of_clients_makes_room_once_for_each() -> None:
     """Guards against room made twice by one connection: in a burst accepted in one turn, each newcomer closed
     the same oldest connection, as it stood among the open ones until its end was told."""
@@ -257,7 +257,7 @@
             assert (await client.answer())[0] == 200
 
 
-@story
+@async_test
 async def test_a_watch_that_is_refused_or_falls_silent_is_asked_for_again() -> None:
     """A 503, then a watch without its heartbeat: both are failed list news, and another watch follows."""
 
@@ -286,7 +286,7 @@
         assert asyncio.get_running_loop().time() - silent_since > 2.0 and catalog.calls == 3
 
 
-@story
+@async_test
 async def test_a_watch_that_stops_in_the_middle_of_its_news_is_asked_again_at_once() -> None:
     """The failure met: half a line counted as a sign of life for 3 s and the next call was silent too, so a
     drain was learnt 7.5 s late. The second call here stops behind its head, the first inside a line."""
@@ -310,7 +310,7 @@
         assert asyncio.get_running_loop().time() - begun < 5.0
 
 
-@story
+@async_test
 async def test_an_idle_connection_is_closed_before_the_planner_closes_it() -> None:
     """Guards against a request written to a connection that the planner gives up just then."""
     limits = SETTINGS["permissions"] | {"idleClose": 1000.0}
@@ -331,7 +331,7 @@
     return ("POST /api HTTP/1.1\r\n" + "".join(f"{line}\r\n" for line in told) + "\r\n" + body).encode()
 
 
-@story
+@async_test
 async def test_what_could_be_read_in_two_ways_is_not_passed_on() -> None:
     """Told twice, a body of two lengths, names that can't be handed on unchanged: 400, and no planner hears
     of it. A trailer does not replace what the head said."""
@@ -359,7 +359,7 @@
         assert planner.runs[0].headers["x-request-id"] == "b1"
 
 
-@story
+@async_test
 async def test_clients_that_send_nothing_or_half_a_request_are_ended_in_time() -> None:
     """Each gets an error or a close within 3 s; one whose request runs for longer keeps its connection, even
     with the first bytes of another behind it."""
@@ -376,7 +376,7 @@
         assert (await usual.answer())[::2] == (200, b"late")
 
 
-@story
+@async_test
 async def test_an_id_that_is_open_is_not_taken_from_another_client() -> None:
     """Two copies at the planners would break the rule on duplicates: the later one is refused."""
     async with Planner("p1", act=lambda run: run.say("started")) as planner, program(planner) as running:
@@ -392,7 +392,7 @@
         assert (await other.answer())[0] == 200
 
 
-@story
+@async_test
 async def test_clients_that_only_connect_cost_a_usual_client_nothing() -> None:
     """Guards against eviction of kept connections: the oldest that never asked make room first."""
     async with Planner("p1") as planner, program(planner, sockets=40) as running:
@@ -405,7 +405,7 @@
         assert (await usual.answer())[0] == 200 and len(planner.runs) == 2
 
 
-@story
+@async_test
 async def test_a_request_in_pieces_with_whitespace_around_its_values_is_served() -> None:
     """Guards against values taken with the whitespace that trails them: 'quote ' is no class, and an id with
     a space can't be handed on. Written a few bytes at a time, with a chunked body, an extension and a
@@ -424,7 +424,7 @@
         assert planner.runs[0].headers["x-request-id"] == "a1"
 
 
-@story
+@async_test
 async def test_a_slow_usual_request_keeps_its_connection_while_halted_ones_make_room() -> None:
     """Guards against room made by the oldest connection that has not sent a whole request, whatever it does:
     a usual client that writes its request over two seconds lost it to a crowd, while those that halted half
@@ -453,7 +453,7 @@
         assert len(crowd) == 15
 
 
-@story
+@async_test
 async def test_a_client_that_halted_half_way_does_not_hold_the_end() -> None:
     """Guards against an end held until SIGKILL: after SIGTERM the program waited for every connection on
     which a request had begun, up to the longest deadline, also for one that sent nothing more."""
--- a/tests/frontends/test_rare_moments.py
+++ b/tests/frontends/test_rare_moments.py
@@ -10,7 +10,18 @@
 from typing import Any
 from unittest.mock import Mock
 
-from loopback import FRONT, Catalog, GearmanPeer, HttpClient, Planner, Reader, Run, Writer, program, story
+from loopback import (
+    FRONT,
+    Catalog,
+    GearmanPeer,
+    HttpClient,
+    Planner,
+    Reader,
+    Run,
+    Writer,
+    async_test,
+    program,
+)
 
 from pipitshed.frontends.http import HttpFrontend
 from pipitshed.frontends.http.connection import MAX_PIPELINED_REQUESTS, MAX_QUEUED_RESPONSES
@@ -28,7 +39,7 @@
     return HttpClient(reader, writer)
 
 
-@story
+@async_test
 async def test_a_client_that_goes_with_many_requests_waiting_is_seen_to_go() -> None:
     """Reading used to rest behind eight that waited, so its end was not seen, and they were sent on."""
     async with Planner("p1", act=lambda run: run.say("started")) as planner, program(planner) as running:
@@ -48,7 +59,7 @@
         assert sum(run.headers["x-request-id"].startswith("a") for run in planner.runs) == 1
 
 
-@story
+@async_test
 async def test_no_further_attempt_begins_for_a_client_that_has_gone() -> None:
     """It goes while its first attempt is out: that one is dropped, and none follows it."""
     async with (
@@ -75,7 +86,7 @@
         assert asked.count("a1") == 1
 
 
-@story
+@async_test
 async def test_a_request_that_is_read_after_its_client_has_gone_is_not_sent_on() -> None:
     """The program stands still while clients ask and go, on new connections, kept ones and Gearman's: request
     and end are there to be read at the same time, the request first."""
@@ -104,7 +115,7 @@
         assert asked == ["k0", "a0", "a1", "a2"]
 
 
-@story
+@async_test
 async def test_a_gearman_client_that_has_gone_gets_no_further_attempt() -> None:
     """A keyed job that may have run goes on for one that comes back; when its planner loses it, it is not
     sent again while nobody waits, and a client that comes back is told the end."""
@@ -132,7 +143,7 @@
         assert sum(run.headers.get("idempotency-key") == "k1" for run in planner.runs) == 1
 
 
-@story
+@async_test
 async def test_a_flood_of_requests_on_one_connection_is_answered_and_ended() -> None:
     """Each in its turn: a few are served, those beyond are refused, and one that sends on and on is ended."""
     async with Planner("p1") as planner, program(planner) as running:
@@ -160,7 +171,7 @@
         assert asyncio.get_running_loop().time() - begun < 6.0  # nothing of it is owed; the deadline is 15 s
 
 
-@story
+@async_test
 async def test_an_answer_outlives_what_comes_behind_its_request() -> None:
     """A close over unread bytes resets the connection: the part of the answer that a slow client had not
     taken was lost with it."""
@@ -181,7 +192,7 @@
         assert [run.headers["x-request-id"] for run in planner.runs] == ["a1", "b1", "b2"]
 
 
-@story
+@async_test
 async def test_a_request_in_the_instant_of_the_end_is_not_sent_on() -> None:
     """The program ends a resting connection while a request is on its way: the client sees the end, and what
     is read behind it is thrown away, not run."""
@@ -260,7 +271,7 @@
     asyncio.run(run())
 
 
-@story
+@async_test
 async def test_idle_clients_may_fill_the_descriptors_while_discovery_is_down() -> None:
     """The process may hold 64 descriptors, and 300 clients come while no call to discovery gets through: when
     it is back, its list is followed, and a usual client is served."""
@@ -299,7 +310,7 @@
         assert len(idle) == 300
 
 
-@story
+@async_test
 async def test_a_pool_of_many_planners_leaves_clients_and_discovery_their_descriptors() -> None:
     """One connection rests for each of fifty planners, and the process may hold 64: the longest at rest makes
     room for a client, an attempt, and discovery's call."""
@@ -322,7 +333,7 @@
         await catalog.watches.get()
 
 
-@story
+@async_test
 async def test_a_crowd_that_comes_at_once_makes_room_by_those_that_sent_nothing() -> None:
     """Guards against newcomers turned away for the descriptors of planners: each displaces an idle one."""
     async with Planner("p1") as planner, program(planner, sockets=40) as running:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -17,7 +17,7 @@
 from pipitshed.protocols.gearman import PACKET_HEADER, REQUEST_MAGIC, PacketType, encode_packet
 
 ROOT = Path(__file__).parent.parent
-PATIENCE = 20.0  # s after which a story that hangs has failed
+TEST_TIMEOUT_S = 20.0  # s after which a story that hangs has failed
 START_FAILURE_S = 2.0  # for which a program that fails to start is listened to
 SETTINGS: dict[str, Any] = {
     "areas": ["lima-norte", "arequipa"],
@@ -51,7 +51,7 @@
 }
 
 # The same, with a class `book` that nobody would drop a repeat of.
-ONCE = {"services": [SETTINGS["services"][0], SETTINGS["services"][1] | {"repeat": "fragile"}]}
+NON_IDEMPOTENT_BOOK = {"services": [SETTINGS["services"][0], SETTINGS["services"][1] | {"repeat": "fragile"}]}
 
 Reader, Writer = asyncio.StreamReader, asyncio.StreamWriter
 
@@ -399,7 +399,7 @@
 """
 
 
-def story(body: Callable[[], Awaitable[None]], limit_s: float = PATIENCE) -> Callable[[], None]:
+def async_test(body: Callable[[], Awaitable[None]], limit_s: float = TEST_TIMEOUT_S) -> Callable[[], None]:
     """A test that is a coroutine, with an end to its patience."""
 
     def test() -> None:
@@ -409,6 +409,6 @@
     return test
 
 
-def long_story(body: Callable[[], Awaitable[None]]) -> Callable[[], None]:
+def slow_async_test(body: Callable[[], Awaitable[None]]) -> Callable[[], None]:
     """A story that has to wait for the program for most of the usual limit."""
-    return story(body, 2 * PATIENCE)
+    return async_test(body, 2 * TEST_TIMEOUT_S)
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -11,7 +11,7 @@
 from grpc_peer import GrpcPlanner, bench
 from helpers import entries
 from interface_world import World, row
-from loopback import SETTINGS, Planner, Run, story
+from loopback import SETTINGS, Planner, Run, async_test
 
 from pipitshed.proxy.endpoint_table import FORGET_AFTER_S, EndpointTable
 from pipitshed.proxy.worker_client import Endpoint
@@ -93,7 +93,7 @@
 def test_an_attempt_whose_connection_comes_up_long_after_its_planner_left_is_not_written(again: bool) -> None:
     """Forgotten meanwhile, its planner would have counted as one that nothing is known against."""
 
-    @story
+    @async_test
     async def run() -> None:
         async with Planner("p1") as planner, late_connections() as up:
             rig, clock = Rig(), Clock()
@@ -124,7 +124,7 @@
     run()
 
 
-@story
+@async_test
 async def test_a_job_out_at_a_planner_that_was_replaced_is_answered() -> None:
     """Its attempt holds its connection, and its outcome is told, whatever the table forgot."""
     async with Planner("p1", act=lambda run: run.say("started")) as planner:
@@ -142,7 +142,7 @@
         assert await rig.outcome() is Outcome.OK
 
 
-@story
+@async_test
 async def test_the_pool_forgets_the_addresses_of_planners_that_were_replaced() -> None:
     """An empty list for each address that ever was."""
     rig = Rig()
@@ -157,7 +157,7 @@
     assert not rig.carrier.pool._idle and not rig.carrier.pool._by_age and not rig.carrier._open_connections
 
 
-@story
+@async_test
 async def test_a_connection_that_comes_up_for_nobody_is_closed_as_any_idle_one() -> None:
     """Its attempt may not begin any more, as the planner has left; nothing else would end the connection."""
     permissions = SETTINGS["permissions"] | {"idleClose": 100.0, "maxAttempts": 1}
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -11,7 +11,18 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from loopback import FRONT, SETTINGS, Catalog, GearmanPeer, HttpClient, Planner, Run, figures, program, story
+from loopback import (
+    FRONT,
+    SETTINGS,
+    Catalog,
+    GearmanPeer,
+    HttpClient,
+    Planner,
+    Run,
+    async_test,
+    figures,
+    program,
+)
 
 from pipitshed.config.class_registry import ClassRegistry
 from pipitshed.config.completeness import missing_key
@@ -149,7 +160,7 @@
     return json.dumps(told)
 
 
-@story
+@async_test
 async def test_classes_come_and_go_and_a_job_under_way_keeps_its_own() -> None:
     held: list[object] = []
     async with (
@@ -204,7 +215,7 @@
         assert set(tenants.by_name) == {name for name, _ in file}
 
 
-@story
+@async_test
 async def test_tenants_in_another_order_keep_their_counts_at_both_fronts() -> None:
     """Guards against jobs counted for another tenant after SIGHUP: for two seconds at the HTTP front, and for
     good at the Gearman front, whose functions kept a place in the first file."""
@@ -246,7 +257,7 @@
     assert told == [0, 1, 2, 0, 2] + [0, 1, 2, 0, 3]
 
 
-@story
+@async_test
 async def test_fewer_attempts_are_never_exceeded() -> None:
     def away(run: Run) -> None:
         run.say("returned")
@@ -268,7 +279,7 @@
         assert len(one.runs) + len(two.runs) == 4
 
 
-@story
+@async_test
 async def test_a_broken_file_changes_nothing_and_is_counted() -> None:
     async with (
         Planner("p1") as planner,
--- a/tests/server/test_run_as_shipped.py
+++ b/tests/server/test_run_as_shipped.py
@@ -12,7 +12,7 @@
 import tomllib
 from pathlib import Path
 
-from loopback import ROOT, SETTINGS, Catalog, Planner, story
+from loopback import ROOT, SETTINGS, Catalog, Planner, async_test
 
 RUN = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 # Of the registry, and no other; the last two are what uvloop asks for, and what an environment itself loads.
@@ -79,7 +79,7 @@
     return sorted(seen) + ["of no TCP/IPv4"] * len(inodes)
 
 
-@story
+@async_test
 async def test_what_run_starts_has_the_sockets_threads_and_packages_it_had() -> None:
     async with Planner("p1") as planner, Catalog(planner) as catalog:
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/server/test_signals.py
+++ b/tests/server/test_signals.py
@@ -19,10 +19,10 @@
     Planner,
     Reader,
     Writer,
+    async_test,
     call,
     healthy,
     program,
-    story,
 )
 
 CONFIG = json.dumps(
@@ -43,7 +43,7 @@
     """The program has begun to read its configuration, and is held there: a SIGHUP used to end it (129), a
     SIGTERM too, whatever stood in the queue of its listener by then."""
 
-    @story
+    @async_test
     async def run() -> None:
         pipe = tmp_path / "config.json"
         os.mkfifo(pipe)
@@ -82,7 +82,7 @@
     run()
 
 
-@story
+@async_test
 async def test_signals_during_the_end_neither_end_it_sooner_nor_hold_it() -> None:
     """A second SIGTERM, a SIGHUP with a file that is no use, and one with a file that is: what was taken is
     answered, and the exit code is 0."""
@@ -137,7 +137,7 @@
                 await asyncio.sleep(0.1)
             return took, used, served and operators == 200
 
-    @story
+    @async_test
     async def run() -> None:
         async with Planner("p1") as planner, Down() as down:
             if discovery == "is gone":
--- a/tests/server/test_upgrade.py
+++ b/tests/server/test_upgrade.py
@@ -5,7 +5,7 @@
 import signal
 import socket
 
-from loopback import SETTINGS, Catalog, HttpClient, Planner, call, program, story
+from loopback import SETTINGS, Catalog, HttpClient, Planner, async_test, call, program
 
 READY = b"GET /-/ready HTTP/1.1\r\nHost: mgmt\r\n\r\n"
 
@@ -16,7 +16,7 @@
         await asyncio.sleep(0.05)
 
 
-@story
+@async_test
 async def test_a_new_process_takes_over_the_passed_socket_and_nothing_is_refused() -> None:
     held = socket.socket(socket.AF_INET, socket.SOCK_STREAM)  # the platform's
     held.bind(("127.0.0.1", 0))
@@ -68,7 +68,7 @@
     held.close()
 
 
-@story
+@async_test
 async def test_a_connection_in_use_at_the_end_is_told_of_its_close() -> None:
     """Guards against a close without notice between two requests of a client that asks again and again: the
     next one crossed it, and the client had to send it once more elsewhere."""
@@ -94,7 +94,7 @@
         assert await running.process.wait() == 0
 
 
-@story
+@async_test
 async def test_without_a_passed_socket_the_program_binds_its_address() -> None:
     async with Planner("p1") as planner, program(planner, mgmt=True) as running:
         assert running.port != 0 and "(passed)" not in "".join(running.log)
@@ -103,7 +103,7 @@
         assert (await client.answer())[0] == 200
 
 
-@story
+@async_test
 async def test_the_end_comes_before_sigkill_where_all_deadlines_are_short() -> None:
     """SIGKILL comes the longest deadline and 0.7 s after SIGTERM. The figures of deployments with deadlines
     over 3 s, which both have had, would keep the program up for 2 s and lose what came in then."""
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -14,7 +14,7 @@
 from helpers import Bench, worker_id
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
-from loopback import PATIENCE, Catalog, HttpClient, Planner, Run, program
+from loopback import TEST_TIMEOUT_S, Catalog, HttpClient, Planner, Run, program
 
 from pipitshed.config.settings_parser import settings_from
 from pipitshed.scheduling.actions import Action, CancelAttempt, StartAttempt
@@ -236,4 +236,4 @@
 @settings(parent=REPRODUCIBLE, max_examples=6)
 @given(deployments())
 def test_a_scheduler_starts_answers_and_stops_in_each_deployment(told: dict[str, Any]) -> None:
-    asyncio.run(asyncio.wait_for(_calm(told), PATIENCE))
+    asyncio.run(asyncio.wait_for(_calm(told), TEST_TIMEOUT_S))
--- a/tests/test_old_clients.py
+++ b/tests/test_old_clients.py
@@ -7,7 +7,7 @@
 import pytest
 from click.testing import CliRunner
 from grpc_peer import Call, GrpcPlanner
-from loopback import FRONT, GearmanPeer, HttpClient, Planner, Run, program, story
+from loopback import FRONT, GearmanPeer, HttpClient, Planner, Run, async_test, program
 from name_server import SERVICE, NameServer
 
 from pipitshed.cli.commands import main
@@ -46,7 +46,7 @@
     return pb.RunRequest.FromString(call.body[MESSAGE_PREFIX.size :])
 
 
-@story
+@async_test
 async def test_the_oldest_terminals_reach_the_newest_planners() -> None:
     """The envelope that stands in the body is told as metadata; an unknown tenant keeps its name."""
     async with GrpcPlanner() as planner, program(Row("p1", planner.port), front=TRANSLATE) as running:
@@ -75,7 +75,7 @@
         assert len(planner.calls) == 1
 
 
-@story
+@async_test
 async def test_records_of_dns_sd_tell_the_interface() -> None:
     loop = asyncio.get_running_loop()
     _, server = await loop.create_datagram_endpoint(NameServer, local_addr=("127.0.0.1", 0))
@@ -94,7 +94,7 @@
     server.transport.close()
 
 
-@story
+@async_test
 async def test_a_refusal_is_final_and_names_field_value_and_reason() -> None:
     async with (
         GrpcPlanner() as planner,
@@ -126,7 +126,7 @@
         assert [call.headers["x-class"] for call in planner.calls] == ["quote", "book"]
 
 
-@story
+@async_test
 async def test_a_result_that_cannot_be_told_is_a_failure_that_says_so() -> None:
     def late(call: Call) -> None:
         call.event(done=pb.Done(offer=pb.Offer(price_cents=1, departs_ms=1_800_000_000_500)))
@@ -139,7 +139,7 @@
         assert status == 500 and json.loads(body)["field"] == "leaves" and len(planner.calls) == 1
 
 
-@story
+@async_test
 async def test_two_depots_that_use_one_id_at_once_are_told_apart() -> None:
     async with (
         GrpcPlanner(act=lambda call: None) as planner,
@@ -157,7 +157,7 @@
         assert (await second.answer())[2].startswith(b'{"price":1,')
 
 
-@story
+@async_test
 async def test_a_planner_comes_back_with_the_other_interface_while_attempts_are_out() -> None:
     """Its attempts break, its interface is found out anew, and the safe job is drawn again."""
     async with GrpcPlanner(act=lambda call: call.started()) as newer:
@@ -179,7 +179,7 @@
             old._server.close()
 
 
-@story
+@async_test
 async def test_without_the_section_nothing_is_translated_or_imported() -> None:
     """A body that is no JSON goes through as it came, and the old head is what it was, byte for byte."""
 
@@ -231,7 +231,7 @@
     assert code == 0 and json.loads(text)["$schema"].endswith("2020-12/schema")
 
 
-@story
+@async_test
 async def test_a_class_that_is_changed_while_messages_are_translated_is_still_known_by_name() -> None:
     """The failure met: a changed class has a number of its own, and the parts that translate knew only the
     numbers of the start."""
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -9,7 +9,7 @@
 
 import pytest
 from click.testing import CliRunner
-from loopback import HttpClient, Planner, long_story, program
+from loopback import HttpClient, Planner, program, slow_async_test
 
 from benchmarks.placement_proof import judge
 from pipitshed.cli.commands import main
@@ -267,7 +267,7 @@
             assert weights[b"p1"][0] <= STEP * 100_000 + 1e-6
 
 
-@long_story
+@slow_async_test
 async def test_serve_follows_a_plan_and_a_half_written_one_changes_nothing() -> None:
     folder = Path(__file__).parent / "made-plans"
     folder.mkdir(exist_ok=True)
--- a/tests/upstream/test_attempt_races.py
+++ b/tests/upstream/test_attempt_races.py
@@ -9,7 +9,7 @@
 
 import pytest
 from attempt_rig import Rig, late_connections
-from loopback import Peer, Planner, Reader, Writer, story
+from loopback import Peer, Planner, Reader, Writer, async_test
 
 from pipitshed.protocols.gearman import PacketType, encode_packet
 from pipitshed.scheduling.actions import StartAttempt
@@ -29,7 +29,7 @@
 def test_nothing_is_written_on_a_connection_that_comes_up_too_late(crossing: str) -> None:
     """It used to be written however late, unless it had been called off, which not all settings permit."""
 
-    @story
+    @async_test
     async def run() -> None:
         async with Planner("p1") as planner, late_connections() as up:
             rig = Rig(Idempotency.IDEMPOTENT_WITH_KEY)
@@ -89,7 +89,7 @@
 NOT_RUN = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-@story
+@async_test
 async def test_an_answer_whose_end_never_comes_costs_its_connection_soon() -> None:
     """`done` had been read, so the attempt was over, and no timer was left to end the connection."""
     async with Script(CHUNKED + DONE) as planner:
@@ -121,7 +121,7 @@
 def test_an_answer_that_never_ends_or_is_not_this_requests_is_a_reset(name: str, text: bytes) -> None:
     """Bad bytes from a planner: the outcome by the protocol's table, the connection never used again."""
 
-    @story
+    @async_test
     async def run() -> None:
         async with Script(text) as planner:
             rig = Rig()
@@ -147,7 +147,7 @@
     """A 503 names no request. One that comes just after the next request was written would be "never ran" of
     a job that runs: where that matters, it says nothing."""
 
-    @story
+    @async_test
     async def run() -> None:
         class Late(Peer):
             async def serve(self, reader: Reader, writer: Writer) -> None:
@@ -168,7 +168,7 @@
     run()
 
 
-@story
+@async_test
 async def test_half_a_second_answer_behind_the_first_ends_the_connection() -> None:
     """In one segment with the first answer's end: the rest of it would have met the next request."""
     async with Script(CHUNKED + DONE + END + NOT_RUN[:20], CHUNKED + DONE + END) as planner:
@@ -179,7 +179,7 @@
         assert await planner.ends.get() == 1
 
 
-@story
+@async_test
 async def test_an_answer_before_the_whole_request_is_out_ends_the_connection() -> None:
     """The rest of that request would stand before the next one."""
 
@@ -198,7 +198,7 @@
         assert not rig.carrier.pool._idle.get(("127.0.0.1", planner.port))
 
 
-@story
+@async_test
 async def test_a_worker_that_grabs_after_a_repeats_window_gets_nothing() -> None:
     """An attempt that waits for a Gearman worker is assigned when that asks, maybe after the window."""
     rig = Rig(Idempotency.IDEMPOTENT_WITH_KEY)
@@ -219,7 +219,7 @@
     rig.forwarder.withdraw(exchange)
 
 
-@story
+@async_test
 async def test_a_request_that_is_half_out_when_its_client_goes_is_not_finished() -> None:
     """Its last byte would be an attempt's beginning, and nothing called it off where settings permit none."""
     halted, read = asyncio.Event(), asyncio.Event()
@@ -253,7 +253,7 @@
         assert sum(got) < 32 * 1024 * 1024
 
 
-@story
+@async_test
 async def test_a_planner_at_an_address_that_can_be_none_is_one_that_could_not_be_reached() -> None:
     """The exception ended the task alone: the attempt waited for its deadline."""
     async with Planner("p1") as planner:
--- a/tests/upstream/test_grpc_client.py
+++ b/tests/upstream/test_grpc_client.py
@@ -6,7 +6,7 @@
 import h2.errors
 import pytest
 from grpc_peer import BOOK, Call, GrpcPlanner, bench
-from loopback import ONCE, SETTINGS, story
+from loopback import NON_IDEMPOTENT_BOOK, SETTINGS, async_test
 
 from pipitshed.protocols.grpc import MESSAGE_PREFIX, encode_timeout
 from pipitshed.scheduling.events import EndpointState, ProgressKind
@@ -20,7 +20,7 @@
     """The planner says nothing yet."""
 
 
-@story
+@async_test
 async def test_a_job_is_told_whole_and_its_result_comes_back() -> None:
     async with GrpcPlanner(act=silent) as planner, bench(planner) as made:
         caller = made.ask("book", slots=2.0, memory=1.5, idempotency_key="k 1", client_timeout_ms=4000.0)
@@ -47,7 +47,7 @@
     assert encode_timeout(99.9999999) == b"99999999u" and encode_timeout(100.0009) == b"100000m"
 
 
-@story
+@async_test
 async def test_many_attempts_share_one_connection_within_the_planners_limit() -> None:
     async with GrpcPlanner(act=silent, max_concurrent_streams=2) as planner, bench(planner) as made:
         callers = [made.ask("book") for _ in range(3)]
@@ -61,7 +61,7 @@
         assert [(await caller.answer())[0] for caller in callers] == ["served"] * 3
 
 
-@story
+@async_test
 async def test_a_client_that_goes_is_followed_wherever_its_request_is() -> None:
     """Waiting to be translated, waiting for a stream, and just written."""
     async with GrpcPlanner(act=silent, max_concurrent_streams=1) as planner, bench(planner) as made:
@@ -84,7 +84,7 @@
         assert (await later.answer())[0] == "served"
 
 
-@story
+@async_test
 async def test_a_cancel_that_races_the_last_event_leaves_one_outcome() -> None:
     """The client goes in the turn in which the result stands in the socket, in both orders."""
     async with GrpcPlanner(act=silent) as planner, bench(planner) as made:
@@ -105,7 +105,7 @@
         assert (await caller.answer())[0] == "served" and len(planner.peers) == 1
 
 
-@story
+@async_test
 async def test_a_late_answer_to_a_cancelled_attempt_leaves_the_others_alone() -> None:
     """Guards the connection: the head of an answer on a stream that was called off and is forgotten is no
     stream that the planner opens."""
@@ -130,7 +130,7 @@
         made.leave(third)
 
 
-@story
+@async_test
 async def test_goaway_splits_streams_by_its_last_id_and_is_word_of_a_drain() -> None:
     async with GrpcPlanner("p1", act=silent) as leaving, GrpcPlanner("p2") as staying, bench(leaving) as made:
         callers = [made.ask("book") for _ in range(2)]
@@ -149,7 +149,7 @@
         await low.peer.lost.wait()
 
 
-@story
+@async_test
 async def test_a_held_planner_comes_back_with_its_next_start_alone() -> None:
     async with GrpcPlanner(act=silent) as planner, bench(planner) as made:
         made.ask()
@@ -194,7 +194,7 @@
 
     async def run() -> None:
         # One attempt each: on a busy machine a later one may be out at the deadline, and have run.
-        alone = ONCE | {"permissions": SETTINGS["permissions"] | {"maxAttempts": 1}}
+        alone = NON_IDEMPOTENT_BOOK | {"permissions": SETTINGS["permissions"] | {"maxAttempts": 1}}
         async with GrpcPlanner(act=act) as planner, bench(planner, settings=alone) as made:
             caller = made.ask("book", client_timeout_ms=2000.0)
             how, _ = await caller.answer()
@@ -205,10 +205,10 @@
             else:
                 assert how == "refused"
 
-    story(run)()
+    async_test(run)()
 
 
-@story
+@async_test
 async def test_no_settings_no_request() -> None:
     """A planner that accepts and says nothing, and one that speaks HTTP/1.1: nothing of a request is written,
     so both prove that nothing ran."""
@@ -234,7 +234,7 @@
         assert made.forwarder.counters["attempt RESET"] == 0
 
 
-@story
+@async_test
 async def test_a_body_of_64_kib_goes_through_a_window_of_a_few_bytes() -> None:
     """A thousand frames of 64 bytes: the attempt beside it is not held up, and both are whole. (A window of
     one byte took 15 s of CPU in pure Python, the whole patience of the story.)"""
@@ -250,13 +250,13 @@
         assert len(told) == body.count(b"sku") and {one.count for one in told} == {7}
 
 
-@story
+@async_test
 async def test_a_request_cut_in_the_middle_of_its_body_never_ran() -> None:
     body = b'{"origin":"LIM","destination":"AQP","pallets":2,"remark":"' + b"x" * 3000 + b'"}'
     async with (
         GrpcPlanner("p1", initial_window_size=10) as stuck,
         GrpcPlanner("p2") as other,
-        bench(stuck, settings=ONCE) as made,
+        bench(stuck, settings=NON_IDEMPOTENT_BOOK) as made,
     ):
         stuck.opens = False
         caller = made.ask("book", body)
@@ -271,7 +271,7 @@
         )
 
 
-@story
+@async_test
 async def test_a_planner_that_floods_resets_is_left_and_the_rest_goes_on() -> None:
     def flood(call: Call) -> None:
         call.refuse(h2.errors.ErrorCodes.REFUSED_STREAM)
@@ -305,7 +305,7 @@
     assert not any(counter.is_flooding(50.0 + place / a_second) for place in range(10_000))
 
 
-@story
+@async_test
 async def test_a_silent_planner_is_asked_for_a_sign_of_life() -> None:
     def vanish(call: Call) -> None:
         call.peer.data_received = lambda data: None  # type: ignore[method-assign]
@@ -323,7 +323,7 @@
         assert 2.0 < made.loop.time() - begun < 4.0 and made.forwarder.counters["attempt RESET"] == 1
 
 
-@story
+@async_test
 async def test_pushback_is_heeded() -> None:
     """The next attempt waits as long as the planner says; a negative one is the last; one past the deadline
     is answered at once."""
@@ -365,10 +365,10 @@
             assert (await caller.answer())[0] == ("served" if zone == 0 else "failed")
             assert len(second.calls) == (1 if zone == 0 else 0)
 
-    story(run)()
+    async_test(run)()
 
 
-@story
+@async_test
 async def test_a_result_that_the_old_form_cannot_express_fails_once() -> None:
     """The job ran: even a quote, which is safe to repeat, is not run again for it."""
     async with GrpcPlanner(act=lambda call: call.done(truck="t" * 40)) as planner, bench(planner) as made:
@@ -378,7 +378,7 @@
         assert (await made.ask("quote").answer())[0] == "served"
 
 
-@story
+@async_test
 async def test_what_no_listed_planner_can_be_told_is_refused_at_once() -> None:
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
     async with GrpcPlanner() as planner, bench(planner) as made:
@@ -397,7 +397,7 @@
         assert made.loop.time() - begun < 0.5 and not planner.calls
 
 
-@story
+@async_test
 async def test_what_waits_is_refused_when_the_last_planner_that_could_be_told_has_gone() -> None:
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
     async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, bench(newer) as made:
@@ -410,7 +410,7 @@
         assert not newer.calls and not older.calls
 
 
-@story
+@async_test
 async def test_only_those_that_can_be_told_are_drawn() -> None:
     """Where both interfaces stand side by side, a wrong one costs no attempt."""
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
