--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -4,7 +4,17 @@
 import json
 import signal
 
-from loopback import Catalog, HttpClient, Planner, Reader, Writer, async_test, call, figures, program
+from loopback import (
+    Catalog,
+    HttpClient,
+    Planner,
+    Reader,
+    Writer,
+    admin_request,
+    async_test,
+    program,
+    read_metrics,
+)
 
 from pipitshed.admin.metrics import Gauges, counts_by_class, parse, render
 
@@ -48,14 +58,14 @@
 @async_test
 async def test_figures_count_what_clients_were_answered_and_what_planners_were_sent() -> None:
     """Served, refused and failed by class; attempts written whole; the list's size."""
-    acts = iter([lambda run: run.serve(), lambda run: run.say("failed"), lambda run: run.serve()])
+    acts = iter([lambda run: run.serve(), lambda run: run.send_event("failed"), lambda run: run.serve()])
     async with (
         Planner("p1", act=lambda run: next(acts)(run)) as planner,
         Catalog(planner) as catalog,
         program(catalog=catalog, mgmt=True, settings={"permissions": {"maxAttempts": 1}}) as running,
     ):
         await catalog.watches.get()
-        assert (await call(running.mgmt_port, READY))[0] == 200
+        assert (await admin_request(running.mgmt_port, READY))[0] == 200
         client = await HttpClient.to(running.port)
         seen = {"answered": 0, "deferred": 0, "errored": 0}
         for number in ("a1", "a2", "a3"):
@@ -64,7 +74,7 @@
             seen["answered" if status == 200 else "deferred" if status == 503 else "errored"] += 1
         client.ask("a4", "book", Idempotency_Key="k4", X_Deadline="0.001")
         await client.answer()
-        told = await figures(running.mgmt_port)
+        told = await read_metrics(running.mgmt_port)
         assert {name: told[f"scheduler.{name}.quote"] for name in seen} == seen
         assert seen["answered"] == 2
         assert told["scheduler.sends.quote"] == 3 and told["scheduler.sends"] == 3
@@ -81,16 +91,16 @@
 @async_test
 async def test_a_job_under_way_counts_as_current() -> None:
     async with (
-        Planner("p1", act=lambda run: run.say("started")) as planner,
+        Planner("p1", act=lambda run: run.send_event("started")) as planner,
         program(planner, mgmt=True) as running,
     ):
         client = await HttpClient.to(running.port)
         client.ask("a1")
         await planner.wait_for(1)
-        assert (await figures(running.mgmt_port))["scheduler.current"] == 1
-        planner.runs[0].say("done", result="x")
+        assert (await read_metrics(running.mgmt_port))["scheduler.current"] == 1
+        planner.runs[0].send_event("done", result="x")
         assert (await client.answer())[0] == 200
-        assert (await figures(running.mgmt_port))["scheduler.current"] == 0
+        assert (await read_metrics(running.mgmt_port))["scheduler.current"] == 0
 
 
 @async_test
@@ -105,12 +115,12 @@
         program(planner, catalog=silent, mgmt=True) as running,
     ):
         port = running.mgmt_port
-        assert (await call(port, b"GET /-/nothing HTTP/1.1\r\n\r\n"))[0] == 404
-        assert (await call(port, b"POST /-/ready HTTP/1.1\r\nContent-Length: 2\r\n\r\nno"))[0] == 405
-        assert (await call(port, b"DELETE /-/metrics HTTP/1.1\r\n\r\n"))[0] == 405
-        assert (await call(port, b"\x16\x03\x01 nonsense\r\n\r\n"))[0] == 400
+        assert (await admin_request(port, b"GET /-/nothing HTTP/1.1\r\n\r\n"))[0] == 404
+        assert (await admin_request(port, b"POST /-/ready HTTP/1.1\r\nContent-Length: 2\r\n\r\nno"))[0] == 405
+        assert (await admin_request(port, b"DELETE /-/metrics HTTP/1.1\r\n\r\n"))[0] == 405
+        assert (await admin_request(port, b"\x16\x03\x01 nonsense\r\n\r\n"))[0] == 400
         # Discovery has not answered, and the start was a moment ago.
-        assert (await call(port, b"GET /-/ready?x=1 HTTP/1.1\r\n\r\n"))[0] == 503
+        assert (await admin_request(port, b"GET /-/ready?x=1 HTTP/1.1\r\n\r\n"))[0] == 503
 
 
 @async_test
@@ -122,7 +132,7 @@
         assert await silent[0][0].read() == b""  # made room for the seventeenth
         loop = asyncio.get_running_loop()
         begun = loop.time()
-        assert (await call(running.mgmt_port, READY))[0] in (200, 503)
+        assert (await admin_request(running.mgmt_port, READY))[0] in (200, 503)
         assert loop.time() - begun < 0.5
         halfway, writer = await asyncio.open_connection("127.0.0.1", running.mgmt_port)
         writer.write(b"GET /-/metr")
@@ -140,13 +150,13 @@
         await running.logged("stays as it was")
         running.reload(good)
         await running.logged("read again")
-        told = await figures(running.mgmt_port)
+        told = await read_metrics(running.mgmt_port)
         assert (told["scheduler.conf_loaded"], told["scheduler.conf_invalid"]) == (1, 1)
         client = await HttpClient.to(running.port)
         client.ask("a1")
         await planner.wait_for(1)
         running.process.send_signal(signal.SIGTERM)
         await running.logged("no longer ready")
-        assert (await call(running.mgmt_port, READY))[0] == 503
+        assert (await admin_request(running.mgmt_port, READY))[0] == 503
         assert (await client.answer())[0] == 200
         assert json.loads(good)["mgmt"] == "127.0.0.1:0"
--- a/tests/cluster/test_settings_fleet.py
+++ b/tests/cluster/test_settings_fleet.py
@@ -16,7 +16,18 @@
 
 import pytest
 from click.testing import CliRunner
-from loopback import FRONT, SETTINGS, Catalog, HttpClient, Planner, Program, Run, async_test, figures, program
+from loopback import (
+    FRONT,
+    SETTINGS,
+    Catalog,
+    HttpClient,
+    Planner,
+    Program,
+    Run,
+    async_test,
+    program,
+    read_metrics,
+)
 from test_peers import peers, until
 
 from pipitshed.cli.commands import main
@@ -382,7 +393,7 @@
     held: list[Run] = []
 
     def hold(run: Run) -> None:
-        run.say("started")
+        run.send_event("started")
         held.append(run)
 
     hosts = own_hosts(2)
@@ -400,12 +411,12 @@
             await planner.wait_for(1)
             assert "in force at all 2 in touch" in await call("put", DEADLINE, "300", *peer)
             assert await given_up(first, "q2") and await given_up(second, "q3")
-            held[0].say("done", result="plan")
+            held[0].send_event("done", result="plan")
             assert (await under_way.answer())[0] == 200  # it kept its five seconds
             second.reload(second.config.read_text())
             await second.logged(f"{DEADLINE}: 300 stands (s2, 1.1); the file says 5000.0", 2)
             assert await given_up(second, "q4")
-            assert (await figures(second.mgmt_port))["scheduler.fleet.rows"] == 2
+            assert (await read_metrics(second.mgmt_port))["scheduler.fleet.rows"] == 2
         # Alone, before it has met anyone: it acts on what it held, and takes no change.
         async with program(catalog=catalog, command=words[1]) as alone:
             assert await given_up(alone, "q5")
--- a/tests/discovery/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -15,10 +15,10 @@
     Reader,
     Run,
     Writer,
+    admin_request,
     async_test,
-    call,
-    healthy,
     program,
+    wait_until_healthy,
 )
 
 TOLD_BY = 6.0  # s after which a change counts as told, whatever became of the calls
@@ -131,11 +131,11 @@
         Held(here) as catalog,
         program(gone, catalog=catalog) as running,
     ):
-        assert (await call(running.port, HEALTH))[0] == 503
+        assert (await admin_request(running.port, HEALTH))[0] == 503
         await catalog.called.wait()
-        assert (await call(running.port, HEALTH))[0] == 503
+        assert (await admin_request(running.port, HEALTH))[0] == 503
         catalog.go.set()
-        await healthy(running.port)
+        await wait_until_healthy(running.port)
         client = await HttpClient.to(running.port)
         client.ask("a1")
         assert (await client.answer())[0] == 200
--- a/tests/discovery/test_catalog_snapshots.py
+++ b/tests/discovery/test_catalog_snapshots.py
@@ -6,7 +6,7 @@
 import re
 
 from catalog_updates import Wide, chunk, news_of
-from loopback import Catalog, HttpClient, Planner, Program, Reader, Writer, async_test, figures, program
+from loopback import Catalog, HttpClient, Planner, Program, Reader, Writer, async_test, program, read_metrics
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -166,7 +166,7 @@
             program(catalog=catalog, mgmt=True) as running,
         ):
             await catalog.watches.get()
-            assert not any("list" in name for name in await figures(running.mgmt_port))
+            assert not any("list" in name for name in await read_metrics(running.mgmt_port))
 
     run()
 
--- a/tests/equivalence/test_same_transcripts.py
+++ b/tests/equivalence/test_same_transcripts.py
@@ -12,7 +12,18 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from loopback import FRONT, GearmanPeer, HttpClient, Planner, Reader, Run, Writer, async_test, call, program
+from loopback import (
+    FRONT,
+    GearmanPeer,
+    HttpClient,
+    Planner,
+    Reader,
+    Run,
+    Writer,
+    admin_request,
+    async_test,
+    program,
+)
 
 from pipitshed.protocols.gearman import PacketType
 
@@ -70,10 +81,10 @@
     @staticmethod
     def answer(run: Run) -> None:
         if run.body == b"full":
-            run.say("returned")
+            run.send_event("returned")
         elif run.body == b"fail":
-            run.say("started")
-            run.say("failed", result="no such flight")
+            run.send_event("started")
+            run.send_event("failed", result="no such flight")
         else:
             run.serve()
 
@@ -115,9 +126,11 @@
             writer.close()
             transcript[name] = masked(answer)
             transcript[f"{name}, sent on"] = masked(b"".join(planner.raw))
-        status, figures = await call(running.mgmt_port, b"GET /-/metrics HTTP/1.1\r\nHost: a\r\n\r\n")
+        status, figures = await admin_request(
+            running.mgmt_port, b"GET /-/metrics HTTP/1.1\r\nHost: a\r\n\r\n"
+        )
         transcript["figures"] = figures.decode()
-        status, ready = await call(running.mgmt_port, b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
+        status, ready = await admin_request(running.mgmt_port, b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
         transcript["ready"] = f"{status} {ready.decode()}"
     return transcript
 
@@ -139,7 +152,7 @@
             ("an option", PacketType.OPTION_REQ, (b"exceptions",), 1),
             ("a job that fails, with exceptions", PacketType.SUBMIT_JOB, (b"plan_quote", b"u5", b"fail"), 3),
         ):
-            client.say(kind, *arguments)
+            client.send(kind, *arguments)
             told = b""
             with contextlib.suppress(TimeoutError):
                 for _ in range(answers):
@@ -158,11 +171,11 @@
         client = await HttpClient.to(running.port)
         client.ask("a1", body=b"six")
         head = await worker.reader.readexactly(12)
-        worker.say(PacketType.GRAB_JOB_ALL)
+        worker.send(PacketType.GRAB_JOB_ALL)
         assign = await worker.reader.readexactly(12)
         arguments = await worker.reader.readexactly(int.from_bytes(assign[8:], "big"))
         transcript["gearman: to a worker"] = masked(head + assign[:8] + arguments)
-        worker.say(PacketType.WORK_COMPLETE, arguments.split(b"\0")[0], b"plan of six")
+        worker.send(PacketType.WORK_COMPLETE, arguments.split(b"\0")[0], b"plan of six")
         transcript["gearman: from a worker"] = repr((await client.answer())[::2])
     return transcript
 
--- a/tests/frontends/test_gearman_frontend.py
+++ b/tests/frontends/test_gearman_frontend.py
@@ -33,11 +33,11 @@
         client.ask("a1", body=b"six")
         handle, function, body = await worker.grab()
         assert (function, body) == (b"plan_quote", b"six")
-        worker.say(PacketType.WORK_DATA, handle, b"plan of ")
-        worker.say(PacketType.WORK_STATUS, handle, b"1", b"2")
-        worker.say(PacketType.WORK_COMPLETE, handle, b"six")
+        worker.send(PacketType.WORK_DATA, handle, b"plan of ")
+        worker.send(PacketType.WORK_STATUS, handle, b"1", b"2")
+        worker.send(PacketType.WORK_COMPLETE, handle, b"six")
         assert (await client.answer())[::2] == (200, b"plan of six")
-        worker.say(PacketType.GRAB_JOB_UNIQ)
+        worker.send(PacketType.GRAB_JOB_UNIQ)
         await worker.expect(PacketType.NO_JOB)
 
 
@@ -57,7 +57,7 @@
                 second = await GearmanPeer.to(running.gearman_port)
                 await second.register(function)
                 attempt, _, body = await second.grab()
-                second.say(PacketType.WORK_COMPLETE, attempt, b"plan of " + body)
+                second.send(PacketType.WORK_COMPLETE, attempt, b"plan of " + body)
                 assert await client.expect(PacketType.WORK_COMPLETE) == [handle, b"plan of six"]
         assert await client.expect(PacketType.WORK_FAIL) == [handle]
         other = await GearmanPeer.to(running.gearman_port)
@@ -69,8 +69,8 @@
 
 async def unwoken(worker: GearmanPeer) -> bool:
     """Whether a sleeping worker has been left to sleep."""
-    worker.say(PacketType.ECHO_REQ, b"still")
-    return (await worker.hear())[0] is PacketType.ECHO_RES
+    worker.send(PacketType.ECHO_REQ, b"still")
+    return (await worker.receive())[0] is PacketType.ECHO_RES
 
 
 @async_test
@@ -84,7 +84,7 @@
         await second.register(b"book_pallet")
         first.writer.transport.abort()
         attempt, _, _ = await second.grab()
-        second.say(PacketType.WORK_COMPLETE, attempt, b"booked")
+        second.send(PacketType.WORK_COMPLETE, attempt, b"booked")
         assert await client.expect(PacketType.WORK_COMPLETE) == [handle, b"booked"]
 
 
@@ -97,8 +97,8 @@
         attempt, _, _ = await worker.grab()
         gone.writer.transport.abort()
         handles = [await client.submit(b"book_pallet", b"b1", b"six") for _ in range(2)]
-        worker.say(PacketType.WORK_COMPLETE, attempt, b"booked")
-        worker.say(PacketType.PRE_SLEEP)
+        worker.send(PacketType.WORK_COMPLETE, attempt, b"booked")
+        worker.send(PacketType.PRE_SLEEP)
         answers = [await client.expect(PacketType.WORK_COMPLETE) for _ in handles]
         assert answers == [[handle, b"booked"] for handle in handles]
         handle = await late.submit(b"book_pallet", b"b1", b"six")
@@ -114,16 +114,16 @@
         waiting = await client.submit(b"book_pallet", b"b0", b"six")
         await draining.expect(PacketType.NOOP)
         await other.register(b"book_pallet")
-        draining.say(PacketType.CANT_DO, b"book_pallet")  # what waits there goes to the other
+        draining.send(PacketType.CANT_DO, b"book_pallet")  # what waits there goes to the other
         for number in range(5):
             attempt, _, _ = await other.grab()
-            other.say(PacketType.WORK_COMPLETE, attempt, b"booked")
-            other.say(PacketType.PRE_SLEEP)
+            other.send(PacketType.WORK_COMPLETE, attempt, b"booked")
+            other.send(PacketType.PRE_SLEEP)
             assert await client.expect(PacketType.WORK_COMPLETE) == [waiting, b"booked"]
             waiting = await client.submit(b"book_pallet", b"b%d" % (number + 1), b"six")
         attempt, _, _ = await other.grab()
-        other.say(PacketType.WORK_COMPLETE, attempt, b"booked")
-        draining.say(PacketType.GRAB_JOB)
+        other.send(PacketType.WORK_COMPLETE, attempt, b"booked")
+        draining.send(PacketType.GRAB_JOB)
         await draining.expect(PacketType.NO_JOB)
 
 
@@ -145,7 +145,7 @@
             begun = asyncio.get_running_loop().time()
             await client.submit(function, b"k1", b"six")
             await worker.grab()
-            assert [(await client.hear())[0] for _ in kinds] == kinds
+            assert [(await client.receive())[0] for _ in kinds] == kinds
             assert asyncio.get_running_loop().time() - begun < 0.3
             assert await worker.reader.read() == b""
 
@@ -163,18 +163,18 @@
         await worker.register(b"plan_quote", b"book_pallet")
         await impatient.submit(b"plan_quote", b"q1", b"six")
         await worker.grab()
-        worker.say(PacketType.PRE_SLEEP)
+        worker.send(PacketType.PRE_SLEEP)
         handle = await client.submit(b"book_pallet", b"b1", b"four")
         attempt, _, _ = await worker.grab()
-        assert [(await impatient.hear())[0] for _ in range(2)] == [
+        assert [(await impatient.receive())[0] for _ in range(2)] == [
             PacketType.WORK_WARNING,
             PacketType.WORK_FAIL,
         ]
         assert await unwoken(worker)
-        worker.say(PacketType.CAN_DO, b"plan_quote")  # it gets nothing new all the same
-        worker.say(PacketType.GRAB_JOB)
+        worker.send(PacketType.CAN_DO, b"plan_quote")  # it gets nothing new all the same
+        worker.send(PacketType.GRAB_JOB)
         await worker.expect(PacketType.NO_JOB)
-        worker.say(PacketType.WORK_COMPLETE, attempt, b"booked")
+        worker.send(PacketType.WORK_COMPLETE, attempt, b"booked")
         assert await client.expect(PacketType.WORK_COMPLETE) == [handle, b"booked"]
         assert await worker.reader.read() == b""
 
@@ -184,11 +184,11 @@
     """CAN_DO_TIMEOUT ends the attempt long before the class's deadline, and its worker's connection too."""
     async with program(front=FRONT) as running:
         worker, client = [await GearmanPeer.to(running.gearman_port) for _ in range(2)]
-        worker.say(PacketType.CAN_DO_TIMEOUT, b"book_pallet", b"1")
+        worker.send(PacketType.CAN_DO_TIMEOUT, b"book_pallet", b"1")
         await worker.register()
         handle = await client.submit(b"book_pallet", b"b1", b"six")
         await worker.expect(PacketType.NOOP)
-        worker.say(PacketType.GRAB_JOB_ALL)
+        worker.send(PacketType.GRAB_JOB_ALL)
         assert (await worker.expect(PacketType.JOB_ASSIGN_ALL))[1:] == [b"book_pallet", b"b1", b"", b"six"]
         begun = asyncio.get_running_loop().time()
         assert await client.expect(PacketType.WORK_FAIL) == [handle]
@@ -218,9 +218,9 @@
             await asyncio.sleep(0)
         [handle] = await client.expect(PacketType.JOB_CREATED)
         assert await client.expect(PacketType.WORK_COMPLETE) == [handle, b"plan of a", b"b"]
-        client.say(PacketType.SUBMIT_JOB, b"fly", b"", b"")
+        client.send(PacketType.SUBMIT_JOB, b"fly", b"", b"")
         assert (await client.expect(PacketType.ERROR))[0] == b"ERR_UNKNOWN_FUNCTION"
-        client.say(PacketType.SUBMIT_JOB, b"plan_quote", b"", b"a" * 65_537)
+        client.send(PacketType.SUBMIT_JOB, b"plan_quote", b"", b"a" * 65_537)
         assert (await client.expect(PacketType.ERROR))[0] == b"ERR_TOO_LARGE"
 
 
@@ -229,25 +229,25 @@
     # The failed job is tried again until its time is over, at a worker that asks for none.
     async with program(front=FRONT.replace(" }", ", patience-s = 2.0 }")) as running:
         worker, client, admin = [await GearmanPeer.to(running.gearman_port) for _ in range(3)]
-        worker.say(PacketType.SET_CLIENT_ID, b"depot-7")
+        worker.send(PacketType.SET_CLIENT_ID, b"depot-7")
         await worker.register(b"book_pallet")
-        client.say(PacketType.OPTION_REQ, b"exceptions")
+        client.send(PacketType.OPTION_REQ, b"exceptions")
         assert await client.expect(PacketType.OPTION_RES) == [b"exceptions"]
         handle = await client.submit(b"book_pallet", b"b1", b"six")
         attempt, _, _ = await worker.grab()
-        worker.say(PacketType.WORK_STATUS, attempt, b"1", b"4")
+        worker.send(PacketType.WORK_STATUS, attempt, b"1", b"4")
         assert await client.expect(PacketType.WORK_STATUS) == [handle, b"25", b"100"]
-        client.say(PacketType.GET_STATUS, handle)
+        client.send(PacketType.GET_STATUS, handle)
         assert await client.expect(PacketType.STATUS_RES) == [handle, b"1", b"1", b"25", b"100"]
         admin.writer.write(b"status\nworkers\nversion\nfly\n")
         lines = [(await admin.reader.readline()).decode().rstrip() for _ in range(7)]
         assert lines[:3] == ["plan_quote\t0\t0\t0", "book_pallet\t1\t1\t1", "."]
         assert lines[3:5] == ["- - depot-7 : book_pallet", "."] and lines[5].startswith("OK pipitshed")
         assert lines[6].startswith("ERR")
-        worker.say(PacketType.WORK_EXCEPTION, attempt, b"no truck")
+        worker.send(PacketType.WORK_EXCEPTION, attempt, b"no truck")
         assert await client.expect(PacketType.WORK_EXCEPTION) == [handle, b"no truck"]
         assert await client.expect(PacketType.WORK_FAIL) == [handle]
-        client.say(PacketType.GET_STATUS, handle)
+        client.send(PacketType.GET_STATUS, handle)
         assert await client.expect(PacketType.STATUS_RES) == [handle, b"0", b"0", b"0", b"0"]
 
 
@@ -273,7 +273,7 @@
     for number, (name, body) in enumerate(JOBS):
         function = b"plan_quote" if name == "quote" else b"book_pallet"
         handle = await client.submit(function, b"g%d" % number, body)
-        kind, arguments = await client.hear()
+        kind, arguments = await client.receive()
         if kind is PacketType.WORK_WARNING:
             assert await client.expect(PacketType.WORK_FAIL) == [handle]
         assert arguments[0] == handle
@@ -286,8 +286,8 @@
                 PacketType.WORK_FAIL: "failed",
             }[kind],
         ] += 1
-    client.say(PacketType.ECHO_REQ, b"last")
-    count["one answer each", (await client.hear())[0] is PacketType.ECHO_RES] += 1
+    client.send(PacketType.ECHO_REQ, b"last")
+    count["one answer each", (await client.receive())[0] is PacketType.ECHO_RES] += 1
 
 
 @async_test
@@ -298,29 +298,29 @@
 
     def act(run: Run) -> None:
         runs[run.headers.get("idempotency-key", "")] += 1
-        run.say("started")
+        run.send_event("started")
         if run.body != b"stall":
             ends = {b"serve": "done", b"lose": "lost", b"fail": "failed"}
-            run.say(ends[run.body], result="plan of " + run.body.decode())
+            run.send_event(ends[run.body], result="plan of " + run.body.decode())
 
     async def work(port: int) -> None:
         while True:
             worker = await GearmanPeer.to(port)
             try:
-                worker.say(PacketType.CAN_DO, b"plan_quote")
-                worker.say(PacketType.CAN_DO, b"book_pallet")
+                worker.send(PacketType.CAN_DO, b"plan_quote")
+                worker.send(PacketType.CAN_DO, b"book_pallet")
                 while True:
-                    worker.say(PacketType.PRE_SLEEP)
+                    worker.send(PacketType.PRE_SLEEP)
                     await worker.expect(PacketType.NOOP)
-                    worker.say(PacketType.GRAB_JOB_UNIQ)
+                    worker.send(PacketType.GRAB_JOB_UNIQ)
                     attempt, _, unique, body = await worker.expect(PacketType.JOB_ASSIGN_UNIQ)
                     runs[unique.decode()] += 1
                     if body == b"lose":
                         break
                     if body == b"fail":
-                        worker.say(PacketType.WORK_FAIL, attempt)
+                        worker.send(PacketType.WORK_FAIL, attempt)
                     elif body == b"serve":
-                        worker.say(PacketType.WORK_COMPLETE, attempt, b"plan of " + body)
+                        worker.send(PacketType.WORK_COMPLETE, attempt, b"plan of " + body)
             except asyncio.IncompleteReadError:
                 pass  # a stalled job was given up
             worker.writer.transport.abort()
--- a/tests/frontends/test_http_frontend.py
+++ b/tests/frontends/test_http_frontend.py
@@ -4,7 +4,7 @@
 import signal
 
 import pytest
-from loopback import SETTINGS, Catalog, HttpClient, Planner, Run, async_test, healthy, program
+from loopback import SETTINGS, Catalog, HttpClient, Planner, Run, async_test, program, wait_until_healthy
 
 
 @async_test
@@ -69,9 +69,9 @@
 
 @async_test
 async def test_turned_away_goes_elsewhere_and_a_keyed_job_that_was_lost_stays_in_its_zone() -> None:
-    far = Planner("p2", "arequipa", lambda run: run.say("returned"))
+    far = Planner("p2", "arequipa", lambda run: run.send_event("returned"))
     async with (
-        Planner("p1", act=lambda run: run.say("returned")) as near,
+        Planner("p1", act=lambda run: run.send_event("returned")) as near,
         far,
         program(near, far, settings={"weights": "off"}) as running,
     ):
@@ -81,8 +81,8 @@
         near.act = Run.serve
         far.act = Run.serve
         assert (await client.answer())[0] == 200
-        near.act = lambda run: run.say("lost")
-        far.act = lambda run: run.say("lost")
+        near.act = lambda run: run.send_event("lost")
+        far.act = lambda run: run.send_event("lost")
         client.ask("a2", "book", Idempotency_Key="k2", X_Deadline="0.5")
         status, _, _ = await client.answer()
         zones = {
@@ -99,7 +99,10 @@
 
     @async_test
     async def run() -> None:
-        async with Planner("p1", act=lambda run: run.say("started")) as planner, program(planner) as running:
+        async with (
+            Planner("p1", act=lambda run: run.send_event("started")) as planner,
+            program(planner) as running,
+        ):
             client = await HttpClient.to(running.port)
             begun = asyncio.get_running_loop().time()
             client.ask("a1", job_class, Idempotency_Key="k1", X_Deadline="0.300")
@@ -113,7 +116,10 @@
 
 @async_test
 async def test_a_client_that_goes_takes_its_attempt_with_it() -> None:
-    async with Planner("p1", act=lambda run: run.say("started")) as planner, program(planner) as running:
+    async with (
+        Planner("p1", act=lambda run: run.send_event("started")) as planner,
+        program(planner) as running,
+    ):
         client = await HttpClient.to(running.port)
         client.ask("a1")
         run = await planner.wait_for(1)
@@ -158,7 +164,7 @@
     that names another discovery is followed at once, from the version known, under a job that runs."""
 
     def act(run: Run) -> None:
-        run.say("started")
+        run.send_event("started")
 
     async with (
         Planner("p1", act=act) as old,
@@ -179,7 +185,7 @@
         watch = await second.watches.get()
         assert asyncio.get_running_loop().time() - begun < 1.0 and second.asked == [2]
         second.tell(watch, False, [old.line("draining")])
-        run.say("done", result="kept")
+        run.send_event("done", result="kept")
         assert (await client.answer())[::2] == (200, b"kept")
         old.act = Run.serve
         while not new.runs:  # until the news is in
@@ -196,7 +202,10 @@
 async def test_what_was_taken_is_answered_after_sigterm() -> None:
     """And until the front has noticed, new connections are still served; kept ones for longer, as a peer may
     not be back yet. What comes late is answered before SIGKILL; then clients are sent away."""
-    async with Planner("p1", act=lambda run: run.say("started")) as planner, program(planner) as running:
+    async with (
+        Planner("p1", act=lambda run: run.send_event("started")) as planner,
+        program(planner) as running,
+    ):
         idle, client, kept = [await HttpClient.to(running.port) for _ in range(3)]
         client.ask("a1")
         run = await planner.wait_for(1)
@@ -212,12 +221,12 @@
                 await asyncio.sleep(0.05)
             except ConnectionError:
                 break
-        planner.act = lambda run: run.say("started")
+        planner.act = lambda run: run.send_event("started")
         kept.ask("a3", "book", Idempotency_Key="k3", X_Deadline="15.000")
         assert await idle.reader.read() == b"" and await late.reader.read() == b""
         assert (await kept.answer())[0] == 500
         assert 2.5 < asyncio.get_running_loop().time() - told < 3.7
-        run.say("done", result="at last")
+        run.send_event("done", result="at last")
         status, headers, body = await client.answer()
         assert (status, body, headers["connection"]) == (200, b"at last", "close")
         assert await running.process.wait() == 0
@@ -228,7 +237,7 @@
     """Guards against the loss of the listener: the client that is idle for longest makes room."""
     async with Planner("p1") as planner, program(planner, sockets=40) as running:
         clients = []
-        await healthy(running.port)
+        await wait_until_healthy(running.port)
         for number in range(60):
             clients.append(await HttpClient.to(running.port))
             if number % 4 == 3:  # an answer shows that all before it have been let in
@@ -244,7 +253,7 @@
     """Guards against room made twice by one connection: in a burst accepted in one turn, each newcomer closed
     the same oldest connection, as it stood among the open ones until its end was told."""
     async with Planner("p1") as planner, program(planner, sockets=40) as running:
-        await healthy(running.port)
+        await wait_until_healthy(running.port)
         first = [await HttpClient.to(running.port) for _ in range(16)]  # the clients' part of 40
         health = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
         first[-1].writer.write(health)
@@ -363,7 +372,10 @@
 async def test_clients_that_send_nothing_or_half_a_request_are_ended_in_time() -> None:
     """Each gets an error or a close within 3 s; one whose request runs for longer keeps its connection, even
     with the first bytes of another behind it."""
-    async with Planner("p1", act=lambda run: run.say("started")) as planner, program(planner) as running:
+    async with (
+        Planner("p1", act=lambda run: run.send_event("started")) as planner,
+        program(planner) as running,
+    ):
         begun = asyncio.get_running_loop().time()
         silent, half, usual = [await HttpClient.to(running.port) for _ in range(3)]
         half.writer.write(post("X-Request-Id: a1")[:-1])
@@ -372,20 +384,23 @@
         assert (await half.answer())[0] == 408 and await half.reader.read() == b""
         assert await silent.reader.read() == b""
         assert asyncio.get_running_loop().time() - begun < 3.0
-        run.say("done", result="late")
+        run.send_event("done", result="late")
         assert (await usual.answer())[::2] == (200, b"late")
 
 
 @async_test
 async def test_an_id_that_is_open_is_not_taken_from_another_client() -> None:
     """Two copies at the planners would break the rule on duplicates: the later one is refused."""
-    async with Planner("p1", act=lambda run: run.say("started")) as planner, program(planner) as running:
+    async with (
+        Planner("p1", act=lambda run: run.send_event("started")) as planner,
+        program(planner) as running,
+    ):
         usual, other = await HttpClient.to(running.port), await HttpClient.to(running.port)
         usual.ask("a1")
         run = await planner.wait_for(1)
         other.ask("a1")
         assert (await other.answer())[0] == 409
-        run.say("done", result="mine")
+        run.send_event("done", result="mine")
         assert (await usual.answer())[::2] == (200, b"mine")
         planner.act = Run.serve
         other.ask("a1")
--- a/tests/frontends/test_rare_moments.py
+++ b/tests/frontends/test_rare_moments.py
@@ -42,7 +42,10 @@
 @async_test
 async def test_a_client_that_goes_with_many_requests_waiting_is_seen_to_go() -> None:
     """Reading used to rest behind eight that waited, so its end was not seen, and they were sent on."""
-    async with Planner("p1", act=lambda run: run.say("started")) as planner, program(planner) as running:
+    async with (
+        Planner("p1", act=lambda run: run.send_event("started")) as planner,
+        program(planner) as running,
+    ):
         client = await HttpClient.to(running.port)
         for number in range(40):
             client.ask(f"a{number}")
@@ -63,8 +66,8 @@
 async def test_no_further_attempt_begins_for_a_client_that_has_gone() -> None:
     """It goes while its first attempt is out: that one is dropped, and none follows it."""
     async with (
-        Planner("p1", act=lambda run: run.say("started")) as one,
-        Planner("p2", act=lambda run: run.say("started")) as two,
+        Planner("p1", act=lambda run: run.send_event("started")) as one,
+        Planner("p2", act=lambda run: run.send_event("started")) as two,
         program(one, two) as running,
     ):
         client = await HttpClient.to(running.port)
@@ -95,14 +98,14 @@
         kept.ask("k0")
         assert (await kept.answer())[0] == 200
         gearman = await GearmanPeer.to(running.gearman_port)
-        gearman.say(PacketType.ECHO_REQ, b"up")
+        gearman.send(PacketType.ECHO_REQ, b"up")
         await gearman.expect(PacketType.ECHO_RES)
         running.process.send_signal(signal.SIGSTOP)
         new = [await HttpClient.to(running.port) for _ in range(4)]
         for number, client in enumerate([kept, *new]):
             client.ask(f"gone{number}")
             client.writer.close()
-        gearman.say(PacketType.SUBMIT_JOB, b"plan_quote", b"", b"gone")
+        gearman.send(PacketType.SUBMIT_JOB, b"plan_quote", b"", b"gone")
         gearman.writer.close()
         for client in [kept, *new]:
             await client.writer.wait_closed()
@@ -120,7 +123,7 @@
     """A keyed job that may have run goes on for one that comes back; when its planner loses it, it is not
     sent again while nobody waits, and a client that comes back is told the end."""
     async with (
-        Planner("p1", act=lambda run: run.say("started")) as planner,
+        Planner("p1", act=lambda run: run.send_event("started")) as planner,
         program(planner, front=FRONT) as running,
     ):
         client = await GearmanPeer.to(running.gearman_port)
@@ -128,9 +131,9 @@
         run = await planner.wait_for(1)
         client.writer.transport.abort()
         other = await GearmanPeer.to(running.gearman_port)
-        other.say(PacketType.GET_STATUS_UNIQUE, b"k1")
+        other.send(PacketType.GET_STATUS_UNIQUE, b"k1")
         while (await other.expect(PacketType.STATUS_RES_UNIQUE))[1] == b"1":  # until its end has been seen
-            other.say(PacketType.GET_STATUS_UNIQUE, b"k1")
+            other.send(PacketType.GET_STATUS_UNIQUE, b"k1")
         planner.act = Run.serve
         run.writer.transport.abort()
         handle = await other.submit(b"plan_quote", b"q1", b"six")
@@ -175,12 +178,15 @@
 async def test_an_answer_outlives_what_comes_behind_its_request() -> None:
     """A close over unread bytes resets the connection: the part of the answer that a slow client had not
     taken was lost with it."""
-    async with Planner("p1", act=lambda run: run.say("started")) as planner, program(planner) as running:
+    async with (
+        Planner("p1", act=lambda run: run.send_event("started")) as planner,
+        program(planner) as running,
+    ):
         client, other = await small(running.port), await HttpClient.to(running.port)
         client.ask("a1", Connection="close")
         run = await planner.wait_for(1)
         planner.act = Run.serve
-        run.say("done", result="r" * 60_000)
+        run.send_event("done", result="r" * 60_000)
         other.ask("b1")  # when this is served, the answer before is written
         assert (await other.answer())[0] == 200
         client.ask("a2")
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -93,7 +93,7 @@
 
 @dataclass
 class Run:
-    """One request that came to a planner; `say` sends a line of its answer."""
+    """One request that came to a planner; `send_event` sends a line of its response."""
 
     headers: dict[str, str]
     body: bytes
@@ -110,7 +110,7 @@
         data = text.encode()
         self.writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
-    def say(self, state: str, **more: object) -> None:
+    def send_event(self, state: str, **more: object) -> None:
         line = {"id": self.headers["x-request-id"], "state": state} | more
         self.chunk(json.dumps(line) + "\n")
         if state not in ("started", "running"):
@@ -118,8 +118,8 @@
             self.ended.set()
 
     def serve(self) -> None:
-        self.say("started")
-        self.say("done", result=f"plan of {self.body.decode()}")
+        self.send_event("started")
+        self.send_event("done", result=f"plan of {self.body.decode()}")
 
 
 class Planner(Peer):
@@ -321,13 +321,13 @@
 HEALTH = b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
 
 
-async def healthy(port: int) -> None:
+async def wait_until_healthy(port: int) -> None:
     """Ask until the program takes jobs, as the platform's front does."""
-    while (await call(port, HEALTH))[0] != 200:
+    while (await admin_request(port, HEALTH))[0] != 200:
         await asyncio.sleep(0.02)
 
 
-async def call(port: int, request: bytes) -> tuple[int, bytes]:
+async def admin_request(port: int, request: bytes) -> tuple[int, bytes]:
     """One call at the operators' address: its status and body."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(request)
@@ -336,9 +336,9 @@
     return int(line.split()[1]), body
 
 
-async def figures(port: int) -> dict[str, int]:
+async def read_metrics(port: int) -> dict[str, int]:
     """What `/-/metrics` says, by name."""
-    status, body = await call(port, b"GET /-/metrics HTTP/1.1\r\nHost: mgmt\r\n\r\n")
+    status, body = await admin_request(port, b"GET /-/metrics HTTP/1.1\r\nHost: mgmt\r\n\r\n")
     assert status == 200, status
     return {name: int(value) for name, _, value in (line.partition("=") for line in body.decode().split())}
 
@@ -353,16 +353,16 @@
     async def to(cls, port: int) -> GearmanPeer:
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
-    def say(self, kind: PacketType, *arguments: bytes) -> None:
+    def send(self, kind: PacketType, *arguments: bytes) -> None:
         self.writer.write(encode_packet(kind, *arguments, magic=REQUEST_MAGIC))
 
-    async def hear(self) -> tuple[PacketType, list[bytes]]:
+    async def receive(self) -> tuple[PacketType, list[bytes]]:
         _, number, length = PACKET_HEADER.unpack(await self.reader.readexactly(PACKET_HEADER.size))
         return PacketType(number), (await self.reader.readexactly(length)).split(b"\0")
 
     async def expect(self, kind: PacketType) -> list[bytes]:
         """The next packet's arguments; it must be of this kind."""
-        heard, arguments = await self.hear()
+        heard, arguments = await self.receive()
         assert heard is kind, (heard, arguments)
         return arguments
 
@@ -370,21 +370,21 @@
         self, function: bytes, unique: bytes, body: bytes, kind: PacketType = PacketType.SUBMIT_JOB
     ) -> bytes:
         """The handle of a new job."""
-        self.say(kind, function, unique, body)
+        self.send(kind, function, unique, body)
         return (await self.expect(PacketType.JOB_CREATED))[0]
 
     async def register(self, *functions: bytes) -> None:
         """Be a worker that sleeps; the ECHO shows that all of it has been read."""
         for function in functions:
-            self.say(PacketType.CAN_DO, function)
-        self.say(PacketType.PRE_SLEEP)
-        self.say(PacketType.ECHO_REQ, b"ready")
+            self.send(PacketType.CAN_DO, function)
+        self.send(PacketType.PRE_SLEEP)
+        self.send(PacketType.ECHO_REQ, b"ready")
         await self.expect(PacketType.ECHO_RES)
 
     async def grab(self) -> list[bytes]:
         """Be woken and take a job: handle, function, data."""
         await self.expect(PacketType.NOOP)
-        self.say(PacketType.GRAB_JOB)
+        self.send(PacketType.GRAB_JOB)
         return await self.expect(PacketType.JOB_ASSIGN)
 
 
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -127,7 +127,7 @@
 @async_test
 async def test_a_job_out_at_a_planner_that_was_replaced_is_answered() -> None:
     """Its attempt holds its connection, and its outcome is told, whatever the table forgot."""
-    async with Planner("p1", act=lambda run: run.say("started")) as planner:
+    async with Planner("p1", act=lambda run: run.send_event("started")) as planner:
         rig, clock = Rig(), Clock()
         rig.forwarder.endpoints._clock = clock
         rig.forwarder.endpoints._workers_in_use = lambda: ()  # even then
@@ -138,7 +138,7 @@
         clock.now += 2 * FORGET_AFTER_S
         rig.forwarder.endpoints.update("test", UpdateKind.DELTA, 1, [])
         assert rig.forwarder.endpoints.endpoint(rig.worker) is None
-        run.say("done", result="made")
+        run.send_event("done", result="made")
         assert await rig.outcome() is Outcome.OK
 
 
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -20,8 +20,8 @@
     Planner,
     Run,
     async_test,
-    figures,
     program,
+    read_metrics,
 )
 
 from pipitshed.config.class_registry import ClassRegistry
@@ -187,7 +187,7 @@
         await running.logged("classes taken now: quote, rush")
         client.ask("b2", "book", Idempotency_Key="k2")
         assert (await client.answer())[0] == 400
-        told = await figures(running.mgmt_port)
+        told = await read_metrics(running.mgmt_port)
         assert told["scheduler.answered.book"] == 1 and told["scheduler.answered.rush"] == 1
         assert told["scheduler.conf_loaded"] == 1
 
@@ -260,7 +260,7 @@
 @async_test
 async def test_fewer_attempts_are_never_exceeded() -> None:
     def away(run: Run) -> None:
-        run.say("returned")
+        run.send_event("returned")
 
     async with (
         Planner("p1", act=away) as one,
@@ -303,7 +303,7 @@
         for number, text in enumerate(broken, 1):
             running.reload(text)
             await running.logged("stays as it was", number)
-        figures_now = await figures(running.mgmt_port)
+        figures_now = await read_metrics(running.mgmt_port)
         counted = (figures_now["scheduler.conf_invalid"], figures_now["scheduler.conf_loaded"])
         assert counted == (len(broken), 0)
         client = await HttpClient.to(running.port)
--- a/tests/server/test_signals.py
+++ b/tests/server/test_signals.py
@@ -19,10 +19,10 @@
     Planner,
     Reader,
     Writer,
+    admin_request,
     async_test,
-    call,
-    healthy,
     program,
+    wait_until_healthy,
 )
 
 CONFIG = json.dumps(
@@ -86,7 +86,10 @@
 async def test_signals_during_the_end_neither_end_it_sooner_nor_hold_it() -> None:
     """A second SIGTERM, a SIGHUP with a file that is no use, and one with a file that is: what was taken is
     answered, and the exit code is 0."""
-    async with Planner("p1", act=lambda run: run.say("started")) as planner, program(planner) as running:
+    async with (
+        Planner("p1", act=lambda run: run.send_event("started")) as planner,
+        program(planner) as running,
+    ):
         client = await HttpClient.to(running.port)
         client.ask("a1")
         run = await planner.wait_for(1)
@@ -98,7 +101,7 @@
         await running.logged("stays as it was")
         running.reload(told)
         await running.logged("read again")
-        run.say("done", result="kept")
+        run.send_event("done", result="kept")
         assert (await client.answer())[::2] == (200, b"kept")
         await running.logged("ended:")
 
@@ -126,14 +129,16 @@
         loop = asyncio.get_running_loop()
         begun = loop.time()
         async with program(planner, catalog=down, mgmt=True) as running:
-            await healthy(running.port)
+            await wait_until_healthy(running.port)
             took, used = loop.time() - begun, cpu_seconds(running.process.pid)
             client = await HttpClient.to(running.port)
             client.ask("a1")
             served = (await client.answer())[0] == 200
             operators = 503
             while served and operators != 200 and loop.time() - begun < 10:
-                operators, _ = await call(running.mgmt_port, b"GET /-/ready HTTP/1.1\r\nHost: mgmt\r\n\r\n")
+                operators, _ = await admin_request(
+                    running.mgmt_port, b"GET /-/ready HTTP/1.1\r\nHost: mgmt\r\n\r\n"
+                )
                 await asyncio.sleep(0.1)
             return took, used, served and operators == 200
 
--- a/tests/server/test_upgrade.py
+++ b/tests/server/test_upgrade.py
@@ -5,14 +5,14 @@
 import signal
 import socket
 
-from loopback import SETTINGS, Catalog, HttpClient, Planner, async_test, call, program
+from loopback import SETTINGS, Catalog, HttpClient, Planner, admin_request, async_test, program
 
 READY = b"GET /-/ready HTTP/1.1\r\nHost: mgmt\r\n\r\n"
 
 
 async def _ready(port: int) -> None:
     """Ask until the process says yes, as the platform does."""
-    while (await call(port, READY))[0] != 200:
+    while (await admin_request(port, READY))[0] != 200:
         await asyncio.sleep(0.05)
 
 
@@ -64,7 +64,7 @@
             keep_going.set()
             await load
             assert served_before > 0 and set(statuses) == {200}, statuses
-            assert (await call(new.mgmt_port, READY))[0] == 200
+            assert (await admin_request(new.mgmt_port, READY))[0] == 200
     held.close()
 
 
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -182,10 +182,10 @@
         if told["stats"]["source"] == "inline" and told["stats"]["fields"]:
             load = {"load": {name: 2.0 for name in told["stats"]["fields"]}}
         if told["familyInfo"]["tellsStart"]:
-            run.say("started")
+            run.send_event("started")
         if told["familyInfo"]["progress"]:
-            run.say("running", share=0.5)
-        run.say("done", result=f"plan of {run.body.decode()}", **load)
+            run.send_event("running", share=0.5)
+        run.send_event("done", result=f"plan of {run.body.decode()}", **load)
 
     return act
 
--- a/tests/test_old_clients.py
+++ b/tests/test_old_clients.py
@@ -80,7 +80,10 @@
     loop = asyncio.get_running_loop()
     _, server = await loop.create_datagram_endpoint(NameServer, local_addr=("127.0.0.1", 0))
     front = f'[dns-sd]\nserver = "127.0.0.1:{server.port}"\nservice = "{SERVICE}"\n{TRANSLATE}'
-    async with GrpcPlanner() as newer, Planner("p2", act=lambda run: run.say("done", result=PLAN)) as older:
+    async with (
+        GrpcPlanner() as newer,
+        Planner("p2", act=lambda run: run.send_event("done", result=PLAN)) as older,
+    ):
         server.add(Row("p1", newer.port), "interface=2")
         server.add(older, "interface=1")
         async with program(front=front, settings={"discovery": "pushed"}) as running:
@@ -116,7 +119,7 @@
         depot = await GearmanPeer.to(running.gearman_port)
         handle = await depot.submit(b"plan_quote", b"u1", JOB[:-1] + b',"hazard":"acid"}')
         assert await depot.expect(PacketType.WORK_FAIL) == [handle]
-        depot.say(PacketType.OPTION_REQ, b"exceptions")
+        depot.send(PacketType.OPTION_REQ, b"exceptions")
         await depot.expect(PacketType.OPTION_RES)
         handle = await depot.submit(b"plan_quote", b"u2", JOB[:-1] + b',"hazard":"acid"}')
         assert (await depot.expect(PacketType.WORK_EXCEPTION))[1].startswith(b"hazard: ")
@@ -167,7 +170,7 @@
             client.ask("a1", body=JOB, X_Deadline="8")
             await newer.call(1)
             newer._server.close()
-            old = Planner("p1", act=lambda run: run.say("done", result=PLAN))
+            old = Planner("p1", act=lambda run: run.send_event("done", result=PLAN))
             old._server = await asyncio.start_server(old._connected, "127.0.0.1", newer.port)
             old.writers = []
             newer.cut()
@@ -184,7 +187,7 @@
     """A body that is no JSON goes through as it came, and the old head is what it was, byte for byte."""
 
     def serve(run: Run) -> None:
-        run.say("done", result="plan")
+        run.send_event("done", result="plan")
 
     async with Planner("p1", act=serve) as planner, program(planner) as running:
         client = await HttpClient.to(running.port)
@@ -237,7 +240,7 @@
     numbers of the start."""
     async with (
         GrpcPlanner() as newer,
-        Planner("p2", act=lambda run: run.say("done", result=PLAN)) as older,
+        Planner("p2", act=lambda run: run.send_event("done", result=PLAN)) as older,
         program(Row("p1", newer.port, 2), Row("p2", older.port, 1), front=TRANSLATE) as running,
     ):
         config = json.loads(running.config.read_text())
