--- a/pipitshed/proxy/__init__.py
+++ b/pipitshed/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a request between frontends and upstream clients: attempts, endpoints, the one final answer."""
+"""Request handling between frontends and worker clients: attempts, endpoints and the one final answer."""
--- a/pipitshed/proxy/attempt.py
+++ b/pipitshed/proxy/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one endpoint."""
+"""The state of one attempt to run a request at one endpoint."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
     endpoint: Endpoint
     started_at: float  # loop time
     deadline_at: float  # loop time
-    body: bytes = b""  # in the endpoint's form
-    write_deadline_at: float = math.inf  # loop time from which it must not be written any more
-    fully_sent: bool = False  # its last byte is written, or a worker has it: it may have run
+    body: bytes = b""  # in the message form of the endpoint's interface
+    write_deadline_at: float = math.inf  # loop time after which the attempt must not be written
+    fully_sent: bool = False  # the last byte is written, or a worker was assigned the job: it may have run
     outcome: Outcome | None = None
     timeout_timer: asyncio.TimerHandle | None = None
-    transport_state: Any = None  # of the worker client alone
+    transport_state: Any = None  # private to the worker client
 
     @property
     def finished(self) -> bool:
@@ -35,5 +35,5 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the worker may have run the job, as far as is known now."""
+        """Whether the worker may have run the job, by what is known so far."""
         return self.outcome not in NOT_EXECUTED_OUTCOMES if self.outcome is not None else self.fully_sent
--- a/pipitshed/proxy/attempt_runner.py
+++ b/pipitshed/proxy/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Starts attempts at endpoints, and takes in what becomes of them."""
+"""Starts and stops attempts at endpoints, and records their progress and outcomes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AttemptRunner:
-    """Gives each attempt one outcome, and notifies the dispatcher and the request of it."""
+    """Records one outcome for each attempt, and notifies the dispatcher and the request."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._loop = loop
 
     def start(self, action: StartAttempt) -> None:
-        """Begin an attempt, unless its request, its worker or its time has gone meanwhile."""
+        """Start an attempt, unless its request has ended, its worker is gone or the deadline has passed."""
         context = self._requests.find(action.job_id)
         if context is not None and context.detached:
             self._requests.fail(action.job_id)
@@ -63,7 +63,7 @@
         elif endpoint.interface in translated.bodies:
             attempt.body = translated.bodies[endpoint.interface]
         else:
-            # The worker came back with another interface in this very turn.
+            # The worker's interface changed in the same loop iteration in which the dispatcher chose it.
             self.finished(attempt, Outcome.CONNECT_FAILED)
             return
         if action.write_within_ms > 0:
@@ -72,7 +72,7 @@
         endpoint.client.start(attempt)
 
     def _supersede(self, action: StartAttempt, context: RequestContext | None) -> None:
-        """Report an attempt that was not begun."""
+        """Report an attempt that was not started as SUPERSEDED."""
         self._counters[f"attempt {member_name(Outcome.SUPERSEDED)}"] += 1
         self._dispatch_loop.post(
             AttemptFinished(
@@ -88,8 +88,8 @@
     def may_begin(self, attempt: Attempt) -> bool:
         """Whether an attempt that waited for its connection may be written now.
 
-        Not where, while it waited, its request ended, its worker began to drain or left, or the time in
-        which a retry is permitted ran out.
+        False if, during the wait, the request ended, the worker started draining or was removed, or the
+        time within which a retry is permitted expired.
         """
         context = attempt.context
         return not (
@@ -101,17 +101,17 @@
         )
 
     def sent(self, attempt: Attempt) -> None:
-        """The attempt's last byte is written: from now on it may have run."""
+        """Record that the attempt's last byte is written: from now on the job may have run."""
         attempt.fully_sent = True
         self.sent_counts[attempt.context.request.job_class] += 1
 
     def timed_out(self, attempt: Attempt) -> None:
-        """The attempt's time is over."""
+        """Stop the attempt at its deadline, unless it has ended."""
         if not attempt.finished:
             self.stop(attempt, Outcome.TIMEOUT)
 
     def cancel(self, job_id: int, attempt_index: int) -> None:
-        """Stop an attempt that the dispatcher cancels."""
+        """Stop an attempt that the dispatcher has cancelled."""
         context = self._requests.find(job_id)
         if context is not None and not context.attempts[attempt_index].finished:
             self.stop(context.attempts[attempt_index], Outcome.CANCELLED)
@@ -119,14 +119,15 @@
     def stop(self, attempt: Attempt, outcome: Outcome) -> None:
         """Stop an attempt that has not ended.
 
-        Stopped before its last byte was written, or before a worker took it, it has never run, and the
-        outcome says so: a job that must not run twice may then go to any worker.
+        An attempt that is stopped before its last byte was written, or before a worker was assigned its job,
+        has not run. Its outcome is then CONNECT_FAILED, so that a job that must not run twice may go to any
+        other worker.
         """
         may_have_run = attempt.endpoint.client.abort(attempt)
         self.finished(attempt, outcome if may_have_run else Outcome.CONNECT_FAILED)
 
     def progressed(self, attempt: Attempt, kind: ProgressKind, done_fraction: float) -> None:
-        """The worker has reported a job's start or progress."""
+        """Pass the start or progress that a worker reported to the dispatcher and the requester."""
         if not attempt.finished:
             context = attempt.context
             self._dispatch_loop.post(
@@ -143,14 +144,14 @@
         load_report: Sequence[float] = (),
         pushback_ms: float | None = None,
     ) -> None:
-        """Record the one outcome of an attempt; what is reported after it is ignored.
+        """Record the one outcome of an attempt; any later report is ignored.
 
         Args:
             attempt: The attempt that has ended.
             outcome: How it ended.
-            result: The worker's result, or its error message.
-            load_report: The load that the worker reported with it.
-            pushback_ms: How long the worker wants the next attempt to wait; negative for no retry.
+            result: The worker's result, or its error message for ERROR.
+            load_report: The load that the worker reported with the outcome.
+            pushback_ms: The delay that the worker asks for before the next attempt; negative for no retry.
         """
         if attempt.finished:
             return
--- a/pipitshed/proxy/decision_log.py
+++ b/pipitshed/proxy/decision_log.py
@@ -1,7 +1,7 @@
-"""A log of the dispatcher's events and actions, one line each, for counting across a fleet.
+"""A log of the dispatcher's events and actions, one line each, for analysis across a fleet.
 
-It is off unless `LB_TRACE` names a file (or `-` for the standard error). Timers are left out: they are many
-and add nothing to the events that follow them.
+The log is off unless `LB_TRACE` names a file (or `-` for standard error). Timers are omitted: there are many
+of them, and the events that follow a timer show its effect.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 def format_line(now_ms: float, mark: str, item: object) -> str:
-    """Format `now mark Kind name=value ...`; fields that are empty or None are left out."""
+    """Format one line, `now_ms mark Name field=value ...`; fields that are empty or None are omitted."""
     published = CLASSES[type(item)]
     parts = [f"{now_ms:.1f}", mark, published.name]
     if dataclasses.is_dataclass(item):
@@ -57,24 +57,24 @@
 
 
 class DecisionLog:
-    """Writes the lines of each turn of the dispatch loop."""
+    """Writes the events and actions of each iteration of the dispatch loop."""
 
     def __init__(self, out: IO[str]) -> None:
         self._out = out
 
     @classmethod
     def named(cls, name: str) -> DecisionLog:
-        """Open the log by the value of `LB_TRACE`."""
+        """Open the log that the value of `LB_TRACE` names; OSError if the file can't be opened."""
         if name == STANDARD_ERROR_NAME:
             return cls(sys.stderr)
         return cls(open(name, "a", buffering=FILE_BUFFER_BYTES))  # noqa: SIM115
 
     def settings(self, raw: object) -> None:
-        """Write the settings as the configuration gave them; the first line."""
+        """Write the settings as they stand in the configuration; this is the first line of the log."""
         self._out.write(f"settings {msgspec.json.encode(raw).decode()}\n")
 
     def record(self, now_ms: float, events: Iterable[object], actions: Iterable[object]) -> None:
-        """Write one turn's events and actions."""
+        """Write the events and actions of one iteration."""
         write = self._out.write
         for event in events:
             if not isinstance(event, OMITTED):
@@ -84,5 +84,5 @@
                 write(format_line(now_ms, ACTION_MARK, action) + "\n")
 
     def close(self) -> None:
-        """Write out what is buffered."""
+        """Flush the buffered lines; the file stays open."""
         self._out.flush()
--- a/pipitshed/proxy/deduplication.py
+++ b/pipitshed/proxy/deduplication.py
@@ -1,7 +1,7 @@
-"""Requests by idempotency key, for frontends whose clients repeat requests by themselves.
+"""Deduplication of requests by idempotency key, for frontends whose clients resubmit requests.
 
-One key has one running request: who submits the same again joins it. Where the class forbids a second run
-within its window, what has ended is answered again as it ended.
+A key has at most one running request: a client that submits the same key again joins it. If the class forbids
+a second run within its window, a request that has ended is answered again with the same answer.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from pipitshed.scheduling.settings import Idempotency
 
 DeduplicationKey = tuple[int, str]  # job class and idempotency key
-CACHED_RESULT_BYTES = 16 * 1024 * 1024  # of results; of the oldest beyond it only that they ran is known
+CACHED_RESULT_BYTES = 16 * 1024 * 1024  # the oldest results beyond it are dropped; that the jobs ran is kept
 
 
 @dataclass(slots=True, eq=False)
 class DeduplicationEntry:
-    """One key's request and who waits for it; to the forwarder it is the request's requester."""
+    """One key's request and its waiting requesters; to the forwarder the entry is the requester."""
 
     table: DeduplicationTable
     key: DeduplicationKey | None
@@ -32,28 +32,28 @@
     last_progress: dict[ProgressKind, float] = field(default_factory=dict)
 
     def succeeded(self, result: bytes) -> None:
-        """Keep the result, and give it to all that wait."""
+        """Keep the result, and pass it to all waiting requesters."""
         self.result = result
         for requester in self._end():
             requester.succeeded(result)
 
     def rejected(self, retry_after_ms: float) -> None:
-        """Reject all that wait."""
+        """Reject all waiting requesters."""
         for requester in self._end():
             requester.rejected(retry_after_ms)
 
     def failed(self) -> None:
-        """Fail all that wait."""
+        """Fail all waiting requesters."""
         for requester in self._end():
             requester.failed()
 
     def untranslatable(self, failure: TranslationFailure, has_run: bool) -> None:
-        """Give all that wait the reason."""
+        """Pass the translation failure to all waiting requesters."""
         for requester in self._end():
             requester.untranslatable(failure, has_run)
 
     def progressed(self, kind: ProgressKind, done_fraction: float) -> None:
-        """Notify all that wait, and keep it for those that join later."""
+        """Notify all waiting requesters, and keep the progress for those that join later."""
         self.last_progress[kind] = done_fraction
         for requester in self.requesters:
             requester.progressed(kind, done_fraction)
@@ -66,21 +66,21 @@
 
 
 class DeduplicationTable:
-    """The entries of all keys that run, or have run within their class's window."""
+    """The entries of all keys whose request runs, or has run within the window of its class."""
 
     def __init__(self, forwarder: Forwarder, loop: asyncio.AbstractEventLoop) -> None:
         self._forwarder = forwarder
         self._loop = loop
         self._entries: dict[DeduplicationKey, DeduplicationEntry] = {}
-        self._cached: deque[DeduplicationEntry] = deque()  # with their results, the oldest first
+        self._cached: deque[DeduplicationEntry] = deque()  # entries that hold a result, the oldest first
         self._cached_bytes = 0
 
     def find(self, job_class: int, key: str) -> DeduplicationEntry | None:
-        """The key's entry, running or not."""
+        """The key's entry, whether its request runs or has ended."""
         return self._entries.get((job_class, key))
 
     def submit(self, request: Request, requester: Requester) -> DeduplicationEntry:
-        """Run it, join what runs already, or answer again what has run; the answer may come at once."""
+        """Run the request, join the running one with its key, or answer as the ended one was answered."""
         key = (request.job_class, request.idempotency_key) if request.idempotency_key else None
         entry = self._entries.get(key) if key is not None else None
         if entry is None:
@@ -93,7 +93,7 @@
         elif entry.result is not None:
             requester.succeeded(entry.result)
         else:
-            requester.failed()  # it may have run, and must not run again
+            requester.failed()  # the job may have run, and must not run again
         return entry
 
     def _join(self, entry: DeduplicationEntry, requester: Requester) -> None:
@@ -104,10 +104,10 @@
             requester.progressed(kind, done_fraction)
 
     def withdraw(self, entry: DeduplicationEntry, requester: Requester) -> None:
-        """Remove one client that has left.
+        """Remove a requester whose client has disconnected.
 
-        What may have run and must not run twice goes on without any, so that a client that comes back finds
-        its result; all else ends with its last client.
+        A job that may have run and must not run twice continues without a requester, so that a client that
+        reconnects gets its result. Any other job ends with its last requester.
         """
         if requester not in entry.requesters:
             return
@@ -130,7 +130,7 @@
         return job_class.idempotency is not Idempotency.IDEMPOTENT
 
     def finished(self, entry: DeduplicationEntry) -> None:
-        """Keep an entry that must not run again as long as its class says, and forget any other."""
+        """Keep an entry that must not run again until its window ends, and remove any other."""
         if entry.key is None or entry.context is None:
             return
         if not self._must_not_run_again(entry):
@@ -140,7 +140,7 @@
         if entry.result is not None:
             self._cached.append(entry)
             self._cached_bytes += len(entry.result)
-        # Results of up to 64 KiB for a whole window would exceed the memory limit.
+        # Results of up to 64 KiB each, kept for a whole window, would exceed the memory limit.
         while self._cached_bytes > CACHED_RESULT_BYTES:
             self._drop_result(self._cached.popleft())
 
--- a/pipitshed/proxy/dispatch_loop.py
+++ b/pipitshed/proxy/dispatch_loop.py
@@ -1,4 +1,4 @@
-"""Gathers the events that are ready, hands them to the dispatcher in one go, and has its actions executed."""
+"""Passes the events of each event loop iteration to the dispatcher in one batch, and executes its actions."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     UpdateKind,
 )
 
-TIMER_RETRY_S = 0.001  # after its due time, for a timer that fired early
+TIMER_RETRY_S = 0.001  # added to the due time of a timer that fired early
 
 log = logging.getLogger("pipitshed")
 
@@ -28,9 +28,9 @@
 class DispatchLoop:
     """The dispatcher's clock, its queue of events and its timers.
 
-    The clock is Unix time, as workers report their start in it, but advances with the monotonic clock, so
-    that a step of the system's clock moves no deadline. The event loop's own time would not do: uvloop's
-    stands still during a turn and has whole ms only.
+    The clock is Unix time, because workers report their start times in it, but it advances with the
+    monotonic clock, so that a step of the system clock moves no deadline. The event loop's time is
+    unsuitable: uvloop updates it once per iteration and in whole ms.
     """
 
     def __init__(
@@ -47,25 +47,25 @@
         self._decision_log = decision_log
         self._events: list[Event] = []
         self._turn_scheduled = False
-        self._endpoint_updates: list[EndpointsUpdated] = []  # of this turn, to be merged into one
-        self._first_update_index = 0  # where the first of them stands among the events
+        self._endpoint_updates: list[EndpointsUpdated] = []  # of this iteration, to be merged into one
+        self._first_update_index = 0  # index among the events of the first update
 
     def now_ms(self) -> float:
-        """The time by the dispatcher's clock."""
+        """The time of the dispatcher's clock: Unix time in ms."""
         return (self.epoch_s + monotonic()) * 1000
 
     def post(self, event: Event) -> None:
-        """Have the dispatcher notified, together with all else that is ready by then."""
+        """Queue an event; the dispatcher gets it with all others of this event loop iteration."""
         self._events.append(event)
         if not self._turn_scheduled:
             self._turn_scheduled = True
             self._loop.call_soon(self._run_turn)
 
     def post_endpoint_update(self, update: EndpointsUpdated | DiscoveryMoved) -> None:
-        """Post an update of the endpoint list, merged with the others of its turn.
+        """Post an update of the endpoint list, merged with the others of its iteration.
 
-        A lost zone may come as hundreds of changes in one turn: the dispatcher gets them as one, in the
-        place of the first.
+        A failed zone may arrive as hundreds of updates in one iteration: the dispatcher gets them as one, at
+        the position of the first.
         """
         if isinstance(update, DiscoveryMoved) or update.kind is not UpdateKind.DELTA:
             self._merge_endpoint_updates()
@@ -77,16 +77,16 @@
         self.post(update)
 
     def _merge_endpoint_updates(self) -> None:
-        """Make the updates so far one event; what comes from now on is another."""
+        """Merge the updates so far into one event; later updates start another."""
         if len(self._endpoint_updates) > 1:
             self._events[self._first_update_index] = merge_updates(self._endpoint_updates)
         self._endpoint_updates = []
 
     def _run_turn(self) -> None:
-        """Hand the events to the dispatcher, and execute its actions.
+        """Pass the events to the dispatcher, and execute its actions.
 
-        An exception in one event or action must not stop the others of this turn: a timer that is not set
-        would set no others, and the next step of a job would never come.
+        An exception in one event or action must not stop the others of this iteration: each timer sets the
+        next one, so after a lost timer the next step of a job would never be taken.
         """
         self._turn_scheduled = False
         if self._endpoint_updates:
@@ -112,15 +112,15 @@
         self._loop.call_at(due_at, self._timer_due, TimerFired(token), due_at)
 
     def _timer_due(self, event: TimerFired, due_at: float) -> None:
-        # uvloop rounds timers to whole ms and counts from the start of its turn, so that one may fire early.
-        # The dispatcher takes an early timer for an outdated one, and the next poll, or the next step of a
-        # job, would never come.
+        # uvloop rounds timers to whole ms and counts from the start of its iteration, so a timer may fire
+        # early. The dispatcher would ignore an early timer as outdated, and the next poll, or the next step
+        # of a job, would never be taken.
         if monotonic() < due_at:
             self._loop.call_at(due_at + TIMER_RETRY_S, self._timer_due, event, due_at)
         else:
             self.post(event)
 
     def close(self) -> None:
-        """Write out the decision log."""
+        """Flush the decision log, if there is one."""
         if self._decision_log is not None:
             self._decision_log.close()
--- a/pipitshed/proxy/endpoint_table.py
+++ b/pipitshed/proxy/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoint table: what all sources of discovery list now."""
+"""The endpoint table: the workers that the discovery sources list at present, and their addresses."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 )
 
 EndpointRow = tuple[EndpointEntry, Endpoint]
-FORGET_AFTER_S = 60.0  # for which a worker is known that no source lists; a turn's actions may name it
+FORGET_AFTER_S = 60.0  # after a worker's removal; pending actions of the dispatcher may still name it
 
 
 def merge_updates(updates: Sequence[EndpointsUpdated]) -> EndpointsUpdated:
-    """Merge changes that came one after the other: the last entry of each worker, in the order received."""
+    """Merge consecutive updates: keep the last entry of each worker, in the order received."""
     entries: dict[WorkerId, EndpointEntry] = {}
     for update in updates:
         for entry in update.entries:
@@ -37,17 +37,17 @@
 
 
 def _ignore_interfaces() -> None:
-    """For tables whose owner needs no word of changed interfaces."""
+    """Do nothing: for tables whose owner needs no notification."""
 
 
 class EndpointTable:
-    """What each source lists, and the endpoints of all that is listed or has been removed lately.
+    """The entries that each source lists, and the endpoints of all listed or recently removed workers.
 
     Args:
         post: Receives the updates for the dispatcher.
         clock: Monotonic time in s.
-        workers_in_use: The workers with attempts in flight, or waiting to begin.
-        on_interfaces_changed: Called when another set of interfaces is listed as ready.
+        workers_in_use: Returns the workers with attempts in flight, or waiting to start.
+        on_interfaces_changed: Called when the set of interfaces of ready workers has changed.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         workers_in_use: Callable[[], Container[WorkerId]] = _no_workers,
         on_interfaces_changed: Callable[[], None] = _ignore_interfaces,
     ) -> None:
-        self.publishes_unchanged = False  # whether an unchanged entry is an update: where weights are live
+        self.publishes_unchanged = False  # whether unchanged entries are published too: for live weights
         self._post = post
         self._clock = clock
         self._workers_in_use = workers_in_use
@@ -65,53 +65,53 @@
         self._on_forgotten: Callable[[WorkerId], None] | None = None
         self._endpoints: dict[WorkerId, Endpoint] = {}
         self._listed: dict[str, dict[WorkerId, EndpointEntry]] = {}  # by source
-        # Workers that have reported themselves that they drain: the start time for which that holds.
+        # Workers that reported that they drain, and the start time (ms) of the process that reported it.
         self._draining_marks: dict[WorkerId, float] = {}
         self._planned_weights: dict[WorkerId, tuple[float, ...]] | None = None  # by class
-        self._ready_counts: dict[int, int] = {}  # workers listed as ready, by their interface
-        self._interfaces = frozenset[int]()  # those with any, as last reported
-        self._leaving: set[WorkerId] = set()  # last reported as draining or removed
-        self._removed_at: dict[WorkerId, float] = {}  # listed by no source, the longest removed first
+        self._ready_counts: dict[int, int] = {}  # number of ready workers by interface
+        self._interfaces = frozenset[int]()  # of ready workers, as last reported to on_interfaces_changed
+        self._leaving: set[WorkerId] = set()  # workers last published as draining or removed
+        self._removed_at: dict[WorkerId, float] = {}  # clock time in s, the earliest first
 
     def attach_forgotten_listener(self, on_forgotten: Callable[[WorkerId], None]) -> None:
-        """Have a function called for each worker that is forgotten.
+        """Set the function that is called for each worker that is forgotten.
 
-        What needs that is made with this table, so that it can't be an argument of the constructor.
+        The listener's owner is constructed with this table, so that it can't be a constructor argument.
         """
         self._on_forgotten = on_forgotten
 
     def endpoint(self, worker: WorkerId) -> Endpoint | None:
-        """Where an attempt to this worker goes; also for a while after it was removed."""
+        """The worker's endpoint, also for at least FORGET_AFTER_S after its removal; None if unknown."""
         return self._endpoints.get(worker)
 
     def is_leaving(self, worker: WorkerId) -> bool:
-        """Whether the worker was last reported as draining or removed."""
+        """Whether the worker was last published as draining or removed."""
         return worker in self._leaving
 
     def ready(self) -> int:
-        """How many workers are listed as ready."""
+        """The number of entries listed as ready."""
         return sum(self._ready_counts.values())
 
     def size(self) -> int:
-        """How many workers are listed, by any source."""
+        """The number of distinct workers that any source lists."""
         first, *others = self._listed.values() or ({},)
         return len(first.keys() | set().union(*others)) if others else len(first)
 
     def interfaces(self) -> frozenset[int]:
-        """The interfaces of all that is listed as ready; 0 is one that is still being detected."""
+        """The interfaces of all ready workers; 0 means that one is still being detected."""
         return self._interfaces
 
     def entries(self) -> list[EndpointEntry]:
-        """All that is listed now."""
+        """The entries of all sources at present."""
         return [entry for listed in self._listed.values() for entry in listed.values()]
 
     # ---- updates from sources
 
     def update(self, source: str, kind: UpdateKind, version: int, rows: Iterable[EndpointRow]) -> None:
-        """Take in an update from one source.
+        """Apply an update from one source, and publish what it changes.
 
-        A snapshot becomes a change: it holds for its own source alone, and what that source no longer lists
-        is removed. Entries that are known already are not posted.
+        A snapshot is published as a delta: it applies to its own source alone, and workers that the source no
+        longer lists are removed. Unchanged entries are not published, unless `publishes_unchanged` is set.
         """
         listed = self._listed.setdefault(source, {})
         entries: dict[WorkerId, EndpointEntry] = {}
@@ -128,7 +128,7 @@
             if entry != listed.get(worker) or kind is UpdateKind.CACHED or self.publishes_unchanged:
                 entries[worker] = entry
             else:
-                entries.pop(worker, None)  # replaces an earlier line of this update
+                entries.pop(worker, None)  # a row of this update may stand before it for the same worker
         if received is not None:
             for worker, known in listed.items():
                 if worker not in received:
@@ -140,15 +140,15 @@
         self._forget_removed()
 
     def fetch_failed(self) -> None:
-        """Post that a call for the list has failed, or its watch has ended."""
+        """Publish that a fetch of the list has failed, or that its watch has ended."""
         self._post(EndpointsUpdated(UpdateKind.FETCH_FAILED))
 
     def discovery_moved(self) -> None:
-        """Post that a source that is polled has another address; what it has listed stands."""
+        """Publish that a polled source has a new address; its entries stay."""
         self._post(DiscoveryMoved())
 
     def set_planned_weights(self, weights: dict[WorkerId, tuple[float, ...]] | None) -> None:
-        """Use weights by class in place of the list's, or the list's own again."""
+        """Use weights by class in place of the listed ones; None restores the listed ones."""
         self._planned_weights = weights
         changed = []
         for listed in self._listed.values():
@@ -160,13 +160,13 @@
         if changed:
             self._publish(EndpointsUpdated(UpdateKind.DELTA, 0, tuple(changed)))
 
-    # ---- workers that report themselves that they drain
+    # ---- workers that report that they drain
 
     def mark_draining(self, worker: WorkerId) -> None:
-        """Take a worker's own report that it drains.
+        """Record that a worker itself reported that it drains.
 
-        Nothing new goes there, whatever its sources list, until they list a newer start of it, or the mark
-        is cleared.
+        Whatever the sources list, the worker counts as draining until they list a newer start time of it or
+        the mark is cleared.
         """
         found = [(listed, listed[worker]) for listed in self._listed.values() if worker in listed]
         if not found or worker in self._draining_marks:
@@ -179,27 +179,27 @@
         self._publish(EndpointsUpdated(UpdateKind.DELTA, 0, tuple(changed)))
 
     def is_marked_draining(self, worker: WorkerId) -> bool:
-        """Whether the worker's own report of a drain still counts."""
+        """Whether the worker's own report that it drains still applies."""
         return worker in self._draining_marks
 
     def clear_draining(self, worker: WorkerId) -> None:
-        """Drop the worker's own report of a drain; its source has to list it again."""
+        """Discard the worker's own report that it drains; the next row of its source applies."""
         self._draining_marks.pop(worker, None)
 
     def _with_draining_mark(self, entry: EndpointEntry) -> EndpointEntry:
-        """The entry with the worker's own report applied, which a newer start or a removal clears."""
+        """The entry with the worker's own report applied; a newer start or a removal clears the report."""
         marked_start_ms = self._draining_marks.get(entry.worker)
         if marked_start_ms is None:
             return entry
         if entry.state is EndpointState.REMOVED or entry.started_at_ms > marked_start_ms:
-            del self._draining_marks[entry.worker]  # it was the old process's
+            del self._draining_marks[entry.worker]  # the report came from the previous process
             return entry
         return replace(entry, state=EndpointState.DRAINING) if entry.state is EndpointState.READY else entry
 
-    # ---- the table itself
+    # ---- internal state
 
     def _set_entry(self, listed: dict[WorkerId, EndpointEntry], entry: EndpointEntry) -> None:
-        """Put one entry into a source's list, or take it out."""
+        """Store one entry in a source's list, or remove it, and update the counts."""
         removed = entry.state is EndpointState.REMOVED
         known = listed.pop(entry.worker, None) if removed else listed.get(entry.worker)
         if known is not None and known.state is EndpointState.READY:
@@ -227,9 +227,9 @@
             self._on_interfaces_changed()
 
     def _forget_removed(self) -> None:
-        """Forget workers that were removed a while ago: else memory would grow with each replaced one.
+        """Forget workers removed FORGET_AFTER_S ago, so that replaced ones don't accumulate in memory.
 
-        One with an attempt in flight stays: a connection to it that comes up late must find it removed.
+        A worker with an attempt in flight is kept: a connection to it that opens late must find it removed.
         """
         now = self._clock()
         due = [
--- a/pipitshed/proxy/forwarder.py
+++ b/pipitshed/proxy/forwarder.py
@@ -1,4 +1,4 @@
-"""The proxy's core: called by frontends, worker clients and discovery; executes the dispatcher's actions."""
+"""The central object of the proxy: frontends, worker clients and discovery call it."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class Forwarder:
-    """Joins the requests, their attempts, the endpoints and the dispatcher that decides on them."""
+    """Connects requests, attempts and endpoints with the dispatcher, and executes its actions."""
 
     def __init__(
         self,
@@ -76,56 +76,56 @@
         self._fetch_endpoints: Callable[[bool], None] | None = None
 
     def attach_discovery(self, fetch_endpoints: Callable[[bool], None]) -> None:
-        """Set what fetches the endpoint list: with True by a watch, else the whole list.
+        """Set the function that fetches the endpoint list: by a watch for True, else as a whole.
 
-        Discovery is made with the endpoint table of this object, and can't be an argument of it.
+        Discovery is constructed with this object's endpoint table, so it can't be a constructor argument.
         """
         self._fetch_endpoints = fetch_endpoints
 
     def attach_translator(self, translator: Translator) -> None:
-        """Have requests with a form version translated; the translator's parts need this object first."""
+        """Set the translator of requests with a form version; its construction needs this object."""
         self._requests.translator = translator
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply new settings; they hold every class that was ever applied, so that requests keep theirs."""
+        """Apply new settings; they contain every class ever applied, so that class numbers stay valid."""
         self.settings = settings
         self.endpoints.publishes_unchanged = settings.weight_kind is WeightKind.LIVE
         self._attempts.max_attempts = settings.limits.max_attempts
         self._dispatcher.apply_settings(settings)
 
     def set_answer_deadline(self, deadline_at: float) -> None:
-        """Have all that is submitted from now on answered by this loop time."""
+        """Limit the deadline of requests submitted from now on to this loop time."""
         self._requests.answer_deadline_at = deadline_at
 
     def close(self) -> None:
-        """Write out the decision log."""
+        """Flush the decision log."""
         self._dispatch_loop.close()
 
     # ---- metrics
 
     @property
     def active_count(self) -> int:
-        """How many requests wait for their answer."""
+        """The number of requests that wait for their answer."""
         return self._requests.active_count
 
     @property
     def answered_counts(self) -> Counter[tuple[str, int]]:
-        """Requests by how they ended (a `RequestEnd`), and class."""
+        """The number of ended requests, by `RequestEnd` and class number."""
         return self._requests.answered_counts
 
     @property
     def sent_counts(self) -> Counter[int]:
-        """Attempts whose last byte was written, by class."""
+        """The number of attempts whose last byte was written, by class number."""
         return self._attempts.sent_counts
 
     def ejected_count(self) -> int:
-        """How many ready workers the dispatcher passes over at present.
+        """The number of ready workers that the dispatcher excludes at present.
 
-        They had no capacity or no connection a moment ago, or jobs went slowly there.
+        A worker is excluded for a while after it had no capacity, accepted no connection or ran jobs slowly.
         """
         return self._dispatcher.ejected_worker_count(self._dispatch_loop.now_ms())
 
-    # ---- from the dispatcher
+    # ---- actions of the dispatcher
 
     def _execute(self, action: Action) -> None:
         if isinstance(action, SetTimer):
@@ -154,7 +154,7 @@
             elif endpoint is not None:
                 endpoint.client.close_idle_connections(endpoint)
 
-    # ---- late binding between the parts
+    # ---- callbacks between parts that are constructed after each other
 
     def _workers_in_use(self) -> set[WorkerId]:
         return self._requests.workers_in_use()
@@ -165,24 +165,24 @@
     def _stop_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
         self._attempts.stop(attempt, outcome)
 
-    # ---- from frontends
+    # ---- called by frontends
 
     def submit(self, request: Request, requester: Requester) -> RequestContext:
-        """Accept a request that has been read completely; from now on `requester` gets one final answer."""
+        """Accept a complete request; from now on `requester` gets exactly one final answer."""
         return self._requests.submit(request, requester)
 
     def withdraw(self, context: RequestContext) -> None:
-        """End a request whose client has left: it gets no answer."""
+        """End a request whose client has disconnected; its requester gets no answer."""
         self._requests.withdraw(context)
 
     def detach(self, context: RequestContext) -> None:
-        """The clients have left, but the job must not run twice: what runs goes on, no attempt begins."""
+        """Keep running attempts, but start no more: the clients have left, and the job must not run twice."""
         self._requests.detach(context)
 
-    # ---- from worker clients
+    # ---- called by worker clients
 
     def post(self, event: Event) -> None:
-        """Have the dispatcher notified, together with all else that is ready by then."""
+        """Queue an event for the dispatcher."""
         self._dispatch_loop.post(event)
 
     def may_begin(self, attempt: Attempt) -> bool:
@@ -190,15 +190,15 @@
         return self._attempts.may_begin(attempt)
 
     def attempt_sent(self, attempt: Attempt) -> None:
-        """The attempt's last byte is written: from now on it may have run."""
+        """Record that the attempt's last byte is written: from now on the job may have run."""
         self._attempts.sent(attempt)
 
     def attempt_timed_out(self, attempt: Attempt) -> None:
-        """The attempt's time is over."""
+        """Stop the attempt at its deadline, unless it has ended."""
         self._attempts.timed_out(attempt)
 
     def attempt_progressed(self, attempt: Attempt, kind: ProgressKind, done_fraction: float = 0.0) -> None:
-        """The worker has reported a job's start or progress."""
+        """Pass on a job's start or progress that the worker reported."""
         self._attempts.progressed(attempt, kind, done_fraction)
 
     def attempt_finished(
@@ -213,11 +213,11 @@
         self._attempts.finished(attempt, outcome, result, load_report, pushback_ms)
 
     def connection_lost(self, endpoint: Endpoint) -> None:
-        """An idle connection, left open by an attempt that has ended, has closed."""
+        """Report that an idle connection to the endpoint has closed."""
         self._dispatch_loop.post(ConnectionLost(endpoint.id))
 
     def probe_finished(
         self, endpoint: Endpoint, outcome: Outcome, elapsed_ms: float, load_report: Sequence[float] = ()
     ) -> None:
-        """Report what a probe found."""
+        """Report the outcome of a probe."""
         self._dispatch_loop.post(ProbeFinished(endpoint.id, elapsed_ms, outcome, tuple(load_report)))
--- a/pipitshed/proxy/published_names.py
+++ b/pipitshed/proxy/published_names.py
@@ -1,7 +1,7 @@
-"""The names that the decision log gives events, actions, their fields and values.
+"""The names of events, actions, their fields and values in the decision log.
 
-Operators' tools count these lines, so the names are part of the program's interface: they stay as they are
-when the code's names change. This module alone maps the code's names to them.
+Operators' tools parse these lines, so the names are part of the program's interface and stay unchanged when
+the names in the code change. This module alone maps the code's names to them.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
     name: str
     fields: dict[str, str]
-    unpublished: frozenset[str] = frozenset()  # fields that the trace leaves out
+    unpublished: frozenset[str] = frozenset()  # fields that the log omits
 
 
 CLASSES: dict[type, PublishedName] = {
--- a/pipitshed/proxy/request.py
+++ b/pipitshed/proxy/request.py
@@ -1,4 +1,4 @@
-"""A client's request, who waits for its answer, and how messages are translated for workers."""
+"""A client's request, its requester, and the interface of message translation."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """What a client wants done; `method` and `target` are handed on to the worker unchanged."""
+    """A job that a client requests; `method` and `target` are passed to the worker unchanged."""
 
     id: str
     job_class: int
-    client_timeout_ms: float  # how long the client waits, from when it sent the request
+    client_timeout_ms: float  # how long the client waits after sending the request
     tenant: int
     body: bytes = b""
     idempotency_key: str = ""  # the same for all retries of one request
     affinity_key: int = 0
     method: str = "POST"
     target: str = "/api"
-    function: str = ""  # the name by which the client called the work, where its protocol has one
-    priority: int = 0  # the higher goes first where attempts wait for one worker
+    function: str = ""  # the Gearman function; empty for other protocols
+    priority: int = 0  # higher values first among attempts that wait for one worker
     slots: float = 1.0
     memory: float = 0.0
     work_hint: float | None = None
     is_retry: bool = False
-    tenant_name: str = ""  # as the client gave it, also where the settings don't name it
-    form_version: int | None = None  # version of the message form; None where nothing is translated
+    tenant_name: str = ""  # as the client sent it, even if the settings don't contain it
+    form_version: int | None = None  # version of the message form; None without translation
 
 
 class TranslationFailure(Protocol):
-    """Why a message can't be expressed: the field, its value (shortened) and the reason."""
+    """Why a message can't be translated: the field, its (shortened) value and the reason."""
 
     field: str
     value: str
@@ -44,17 +44,17 @@
 
 
 class TranslatedRequest(Protocol):
-    """One request in the form of each interface that can express it."""
+    """One request in the form of each interface that supports it."""
 
     bodies: dict[int, bytes]  # by interface
     failures: dict[int, Any]  # by interface; the values are TranslationFailures
 
 
 class Translator(Protocol):
-    """Translates messages from one form into another, completely or not at all."""
+    """Translates messages between forms, completely or not at all."""
 
     def prepare(self, request: Request) -> TranslatedRequest:
-        """Translate a request into the form of every interface that can express it."""
+        """Translate a request into the form of every interface that supports it."""
         ...
 
     def answer(self, request: Request, interface: int, result: bytes) -> bytes | TranslationFailure:
@@ -62,22 +62,22 @@
 
 
 class Requester(Protocol):
-    """Waits for the one final answer to a request."""
+    """Receives the progress and the one final answer of a request."""
 
     def succeeded(self, result: bytes) -> None:
-        """The job is done; `result` is in the client's form."""
+        """Called when the job is done; `result` is in the client's form."""
 
     def rejected(self, retry_after_ms: float) -> None:
-        """The job has not run; the client may try again, best after this many ms."""
+        """Called when the job has not run and the client may retry after this delay."""
 
     def failed(self) -> None:
-        """The job has failed, or may have run without a known result."""
+        """Called when the job has failed, or may have run without a known result."""
 
     def untranslatable(self, failure: TranslationFailure, has_run: bool) -> None:
-        """The request fits no worker's form, or (where the job ran) the result doesn't fit the client's."""
+        """Called when the request, or the result if the job has run, can't be translated."""
 
     def progressed(self, kind: ProgressKind, done_fraction: float) -> None:
-        """The job has started, or this share of it is done."""
+        """Called when the job has started, or has reached this fraction (0 to 1)."""
 
 
 @dataclass(slots=True, eq=False)
@@ -89,11 +89,11 @@
     requester: Requester
     deadline_at: float  # loop time
     answered: bool = False
-    detached: bool = False  # its clients have left; what runs goes on, for one that comes back
-    last_error: bytes = b""  # the message of the last worker that failed
+    detached: bool = False  # its clients have left; running attempts continue for one that reconnects
+    last_error: bytes = b""  # the error message of the last worker that failed
     attempts: list[Attempt] = field(default_factory=list)
     deadline_timer: asyncio.TimerHandle | None = None
-    translated: TranslatedRequest | None = None  # where messages are translated
+    translated: TranslatedRequest | None = None  # None without translation
 
     @property
     def may_have_run(self) -> bool:
--- a/pipitshed/proxy/request_lifecycle.py
+++ b/pipitshed/proxy/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of requests: submitted, translated, and ended with one final answer."""
+"""The lifecycle of requests: submission, translation, and one final answer."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from pipitshed.proxy.request_end import SUBMITTED_COUNTER, RequestEnd
 from pipitshed.scheduling.events import JobSubmitted, JobWithdrawn, Outcome, WorkerId
 
-RESPONSE_MARGIN_MS = 30.0  # the final answer is out so long before the client gives up
-DEADLINE_GUARD_MS = 10.0  # after the dispatcher's own deadline; still before the client's
-OVERDUE_RETRY_AFTER_MS = 1000.0  # where no attempt ran and the dispatcher has not answered
+RESPONSE_MARGIN_MS = 30.0  # between the final answer and the client's own timeout
+DEADLINE_GUARD_MS = 10.0  # after the dispatcher's deadline; still before the client's timeout
+OVERDUE_RETRY_AFTER_MS = 1000.0  # if no attempt ran and the dispatcher has not answered
 
 log = logging.getLogger("pipitshed")
 
@@ -34,9 +34,9 @@
         counters: Counter[str],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        self.translator: Translator | None = None  # where messages are translated
-        self.answer_deadline_at = math.inf  # loop time by which requests submitted from now on are answered
-        self.answered_counts: Counter[tuple[str, int]] = Counter()  # by how they ended, and class
+        self.translator: Translator | None = None  # None without translation
+        self.answer_deadline_at = math.inf  # latest loop time of answers to new requests
+        self.answered_counts: Counter[tuple[str, int]] = Counter()  # by RequestEnd and class number
         self._dispatch_loop = dispatch_loop
         self._endpoints = endpoints
         self._stop_attempt = stop_attempt
@@ -47,21 +47,21 @@
         self._untranslated: deque[RequestContext] = deque()
 
     def find(self, job_id: int) -> RequestContext | None:
-        """The request of this job, unless it has ended and so have its attempts."""
+        """The request of this job; None once it and all its attempts have ended."""
         return self._contexts.get(job_id)
 
     def submit(self, request: Request, requester: Requester) -> RequestContext:
-        """Accept a request that has been read completely; from now on its requester gets one final answer."""
+        """Accept a complete request; from now on its requester gets exactly one final answer."""
         self._last_job_id += 1
         now = monotonic()
-        # Near the program's end there is less time than the client would give.
+        # During shutdown there may be less time than the client allows.
         remaining_ms = max(
             0.0, min(request.client_timeout_ms - RESPONSE_MARGIN_MS, (self.answer_deadline_at - now) * 1000)
         )
         context = RequestContext(self._last_job_id, request, requester, now + remaining_ms / 1000)
         self._contexts[context.job_id] = context
         self._counters[SUBMITTED_COUNTER] += 1
-        # Whatever the dispatcher does, the client gets an answer.
+        # The client gets an answer even if the dispatcher gives none.
         context.deadline_timer = self._loop.call_at(
             context.deadline_at + DEADLINE_GUARD_MS / 1000, self._deadline_passed, context
         )
@@ -96,15 +96,15 @@
         )
 
     def _translate_next(self) -> None:
-        """Translate the request that has waited longest; reject it where it fits no listed worker's form.
+        """Translate the request that has waited longest; reject it if it fits no ready worker.
 
-        One in each turn of the loop, so that a burst of long ones makes no timer late.
+        Only one is translated in each event loop iteration, so that a burst of long requests delays no timer.
         """
         context = self._untranslated.popleft()
         if self._untranslated:
             self._loop.call_soon(self._translate_next)
         if context.answered or self.translator is None:
-            return  # withdrawn meanwhile
+            return  # withdrawn while it waited
         translated = context.translated = self.translator.prepare(context.request)
         if failure := self._translation_failure(context):
             self._reject_untranslatable(context, failure)
@@ -114,7 +114,7 @@
             self._post_submitted(context, remaining_ms, compatible)
 
     def _translation_failure(self, context: RequestContext) -> TranslationFailure | None:
-        """Why the request fits no listed worker; None where it fits one, or one may yet be found to fit."""
+        """Why the request fits no ready worker; None if it fits one, or may fit one not yet known."""
         translated = context.translated
         if translated is None or not translated.failures:
             return None
@@ -132,7 +132,7 @@
             context.requester.untranslatable(failure, False)
 
     def interfaces_changed(self) -> None:
-        """Reject at once what waits for an attempt and fits none of the interfaces that are listed now."""
+        """Reject the requests that wait for their first attempt and fit no ready worker."""
         if self.translator is None:
             return
         for context in list(self._contexts.values()):
@@ -145,7 +145,7 @@
                 self._dispatch_loop.post(JobWithdrawn(context.job_id))
 
     def succeed(self, context: RequestContext, interface: int, result: bytes) -> None:
-        """Give the requester a worker's result, in the client's form."""
+        """End a request with a worker's result, translated into the client's form."""
         answer: bytes | TranslationFailure = result
         if context.translated is not None and self.translator is not None:
             answer = self.translator.answer(context.request, interface, result)
@@ -153,45 +153,45 @@
             self.finish(context.job_id, RequestEnd.SUCCEEDED)
             context.requester.succeeded(answer)
         else:
-            # The job ran: whatever its class, it is not run again for a result that can't be translated.
+            # The job has run; a result that can't be translated is no reason to run it again.
             self.finish(context.job_id, RequestEnd.FAILED)
             context.last_error = f"{answer.field}: {answer.reason}".encode()
             context.requester.untranslatable(answer, True)
 
     def reject(self, job_id: int, retry_after_ms: float) -> None:
-        """End a request that may be tried again."""
+        """End a request that the client may retry after this delay."""
         if context := self.finish(job_id, RequestEnd.REJECTED):
             context.requester.rejected(retry_after_ms)
 
     def fail(self, job_id: int) -> None:
-        """End a request without a result."""
+        """End a request that has failed or may have run."""
         if context := self.finish(job_id, RequestEnd.FAILED):
             context.requester.failed()
 
     def withdraw(self, context: RequestContext) -> None:
-        """End a request whose client has left: it gets no answer."""
+        """End a request whose client has disconnected; its requester gets no answer."""
         if self.finish(context.job_id, RequestEnd.WITHDRAWN):
             self._dispatch_loop.post(JobWithdrawn(context.job_id))
 
     def detach(self, context: RequestContext) -> None:
-        """The clients have left, but the job must not run twice: what runs goes on, no attempt begins."""
+        """Keep running attempts, but start no more: the clients have left, and the job must not run twice."""
         context.detached = True
         self._stop_unsent(context)
 
     def _stop_unsent(self, context: RequestContext) -> None:
         """Stop attempts that wait for a connection, a stream or a worker.
 
-        They have not run, so that this is permitted also where running jobs must not be cancelled.
+        They have not run, so this is permitted even if running jobs must not be cancelled.
         """
         for attempt in context.attempts:
             if not attempt.finished and not attempt.fully_sent:
                 self._stop_attempt(attempt, Outcome.CANCELLED)
 
     def _deadline_passed(self, context: RequestContext) -> None:
-        """Answer the request a turn later, if the dispatcher does not.
+        """Answer the request in the next event loop iteration, unless the dispatcher does so first.
 
-        Where the loop was held up over the deadline, the timers of the attempts and of the dispatcher have
-        fired just now: their events are posted, and the dispatcher takes them before the next callback.
+        If the loop was blocked past the deadline, the timers of the attempts and of the dispatcher fire in
+        this iteration too: their events are queued, and the dispatcher handles them before the callback.
         """
         self._loop.call_soon(self._answer_overdue, context)
 
@@ -207,7 +207,7 @@
         self._dispatch_loop.post(JobWithdrawn(context.job_id))
 
     def finish(self, job_id: int, end: RequestEnd) -> RequestContext | None:
-        """End a request; None where it has ended before, so that no second answer goes out."""
+        """Mark a request as ended; None if it had ended before, so that no second answer is sent."""
         context = self._contexts.get(job_id)
         if context is None or context.answered:
             return None
@@ -216,17 +216,17 @@
         self.answered_counts[end, context.request.job_class] += 1
         if context.deadline_timer is not None:
             context.deadline_timer.cancel()
-        self._stop_unsent(context)  # no attempt begins after the end
+        self._stop_unsent(context)  # no attempt may start after the end
         self.forget_finished(context)
         return context
 
     def forget_finished(self, context: RequestContext) -> None:
-        """Forget a request that has its answer and no attempt in flight."""
+        """Remove a request that is answered and has no attempt in flight."""
         if context.answered and all(attempt.finished for attempt in context.attempts):
             self._contexts.pop(context.job_id, None)
 
     def workers_in_use(self) -> set[WorkerId]:
-        """The workers with attempts in flight, or waiting to begin."""
+        """The workers with attempts in flight, or waiting to start."""
         return {
             attempt.endpoint.id
             for context in self._contexts.values()
@@ -236,5 +236,5 @@
 
     @property
     def active_count(self) -> int:
-        """How many requests wait for their answer."""
+        """The number of requests that wait for their answer."""
         return sum(not context.answered for context in self._contexts.values())
--- a/pipitshed/proxy/worker_client.py
+++ b/pipitshed/proxy/worker_client.py
@@ -1,4 +1,4 @@
-"""What the proxy needs of a worker client, and the endpoint that a client sends attempts to."""
+"""The interface between the proxy and a worker client, and the endpoint that attempts are sent to."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 
 class WorkerClient(Protocol):
-    """Sends attempts to endpoints of its protocol, and reports one outcome for each to the proxy."""
+    """Sends attempts to endpoints by one protocol, and reports one outcome for each to the forwarder."""
 
     def start(self, attempt: Attempt) -> None:
-        """Begin an attempt; it may wait for a connection first."""
+        """Start an attempt; it may wait for a connection first."""
 
     def abort(self, attempt: Attempt) -> bool:
-        """Stop an attempt for good; return whether it may have run (not before it is written or assigned)."""
+        """Stop an attempt; return whether it may have run, that is, was written or assigned to a worker."""
         ...
 
     def probe(self, endpoint: Endpoint) -> None:
-        """Find out whether the endpoint's worker answers."""
+        """Check whether the endpoint's worker answers; the outcome goes to `probe_finished`."""
 
     def close_idle_connections(self, endpoint: Endpoint) -> None:
-        """Close the endpoint's connections that carry nothing."""
+        """Close the endpoint's connections that carry no attempt."""
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """A worker's address and the client for it; the address is read by that client alone."""
+    """A worker's address and its client; only that client interprets the address."""
 
     id: WorkerId
     client: WorkerClient
     address: Any
-    interface: int = 1  # the worker interface that it speaks; 0 while that is being detected
+    interface: int = 1  # version of the worker interface; 0 until it is detected
