--- a/pipitshed/frontends/__init__.py
+++ b/pipitshed/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""The servers that clients connect to: HTTP and Gearman, and the listening sockets."""
+"""The servers that clients connect to, for HTTP and Gearman, and the listening sockets."""
--- a/pipitshed/frontends/gearman/__init__.py
+++ b/pipitshed/frontends/gearman/__init__.py
@@ -1,7 +1,7 @@
 """The Gearman front end: clients that submit jobs, workers that run them, and the text commands.
 
-All of them use the same address. What a worker sends goes to upstream.gearman. Clients' jobs go through the
-deduplication table, so that a job that is submitted again joins the one that runs already.
+All of them use the same address. Packets from workers are handled by upstream.gearman. Clients' jobs go
+through the deduplication table, so that a resubmitted job joins the one that is already running.
 """
 
 from __future__ import annotations
--- a/pipitshed/frontends/gearman/connection.py
+++ b/pipitshed/frontends/gearman/connection.py
@@ -1,4 +1,4 @@
-"""One Gearman connection: of a client, a worker or an administrator, as what it sends shows."""
+"""One Gearman connection, of a client, a worker or an administrator; its packets show which."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 if TYPE_CHECKING:
     from pipitshed.frontends.gearman.frontend import GearmanFrontend
 
-LINGER_S = 0.5  # for which input is discarded after the last packet
-MAX_UNREAD_BYTES = 1024 * 1024  # that a peer may leave unread before its connection is closed
-MAX_OPEN_JOBS = 4096  # of all connections
+LINGER_S = 0.5  # time after the last packet during which input is discarded
+MAX_UNREAD_BYTES = 1024 * 1024  # output that a peer may leave unread before its connection is closed
+MAX_OPEN_JOBS = 4096  # over all connections
 _READ_SIZE_BYTES = 256 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class _Submission:
-    """What the kind of a submission says of the job."""
+    """The priority and mode that the type of a SUBMIT_JOB packet encodes."""
 
     priority: int
     is_background: bool
@@ -47,28 +47,28 @@
 
 
 class GearmanConnection(asyncio.Protocol):
-    """One connection."""
+    """One connection from accept to close."""
 
     def __init__(self, frontend: GearmanFrontend) -> None:
         self.wants_exceptions = False
         self.worker: GearmanWorker | None = None
         self._frontend = frontend
-        # One read, and a packet that had begun before it.
+        # One read, and an incomplete packet left by the previous one.
         self._buffer = Buffer(PACKET_HEADER.size + PACKET_LIMIT_BYTES + _READ_SIZE_BYTES)
         self._transport: asyncio.Transport | None = None
-        self._jobs: dict[GearmanJob, None] = {}  # whose results the client waits for
+        self._jobs: dict[GearmanJob, None] = {}  # jobs whose results the client waits for
         self._is_closing = False
 
     # ---- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the connection."""
+        """Register the connection, and limit its unread output."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's transports do not inherit from it
         self._transport.set_write_buffer_limits(high=MAX_UNREAD_BYTES)
         self._frontend.connections[self] = None
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Withdraw the client's jobs, and end the worker's attempts."""
+        """Withdraw the client's jobs, or end the worker's attempts."""
         self._transport = None
         self._frontend.connections.pop(self, None)
         self._withdraw_jobs()
@@ -76,15 +76,15 @@
             self.worker.lost()
 
     def eof_received(self) -> None:
-        """Treat the peer as gone at once, even if it has not read everything yet."""
+        """Treat the peer as disconnected at once, even if output is still unread."""
         self._withdraw_jobs()
 
     def pause_writing(self) -> None:
-        """Close a peer that does not read, before what it is sent fills the memory."""
+        """Close the connection of a peer that does not read, before its output exhausts memory."""
         self.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Handle the packets and text commands that are complete."""
+        """Handle the complete packets and text commands."""
         if self._is_closing:
             return
         try:
@@ -97,7 +97,7 @@
                 else:
                     self._handle_packet(*request)
         except (PacketError, TooLongError) as error:
-            # Where the next packet begins is not known behind one that can't be parsed.
+            # After a packet that can't be parsed, the start of the next one is unknown.
             self.write(encode_packet(PacketType.ERROR, b"ERR_BAD_PACKET", str(error).encode()))
             self.close()
 
@@ -141,14 +141,14 @@
                 self._jobs[job] = None
             self.write(encode_packet(PacketType.JOB_CREATED, job.handle))
             frontend.jobs[job.handle] = job
-            # Not at once: where the client has gone already, its end is read before the next turn, and the
-            # job does not start.
+            # Deferred: if the client has already disconnected, its EOF is read before the next iteration, and
+            # the job is not started.
             frontend.loop.call_soon(frontend.submit, job, function, name, body, submission.priority)
 
     def _write_error(self, code: bytes, text: bytes) -> None:
         self.write(encode_packet(PacketType.ERROR, code, text))
 
-    # ---- output and the end
+    # ---- output and close
 
     def write(self, data: bytes) -> None:
         """Send packets, unless the connection is closing."""
@@ -156,7 +156,7 @@
             self._transport.write(data)
 
     def ended(self, job: GearmanJob) -> None:
-        """A job of this client has ended."""
+        """Forget a job of this client that has ended."""
         self._jobs.pop(job, None)
 
     def _withdraw_jobs(self) -> None:
@@ -165,10 +165,10 @@
             self._frontend.withdraw(job)
 
     def close(self) -> None:
-        """Close behind what is written.
+        """Close the connection after the pending output.
 
-        Input is discarded for a moment: closing with unread input would reset the connection, and the peer
-        would lose what it has not read, such as the error.
+        Input is discarded for LINGER_S: closing with unread input would reset the connection, and the peer
+        would lose output that it has not read, such as an error packet.
         """
         if self._transport is not None and not self._transport.is_closing() and not self._is_closing:
             self._is_closing = True
@@ -179,6 +179,6 @@
             self._frontend.loop.call_later(LINGER_S, self.abort)
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once, without sending the pending output."""
         if self._transport is not None:
             self._transport.abort()
--- a/pipitshed/frontends/gearman/frontend.py
+++ b/pipitshed/frontends/gearman/frontend.py
@@ -1,4 +1,4 @@
-"""All Gearman connections, and the open jobs by their handles."""
+"""The set of Gearman connections, and the open jobs by handle."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from pipitshed.scheduling.settings import TenantNumbers
 from pipitshed.upstream.gearman import GearmanWorkerClient
 
-_UNIQUE_ID_IS_DATA = b"-"  # as a unique id: the job's data stands for it
+_UNIQUE_ID_IS_DATA = b"-"  # as a unique id: derive the id from the job's data
 
 
 @dataclass(frozen=True, slots=True)
 class GearmanFunction:
-    """What the settings say of a Gearman function."""
+    """The class, tenant and timeout that the settings assign to a Gearman function."""
 
     job_class: int
     tenant: int
@@ -32,7 +32,7 @@
 
 
 class GearmanFrontend:
-    """Accepts Gearman connections within a limit, and submits their jobs."""
+    """Accepts a limited number of Gearman connections, and submits their jobs."""
 
     def __init__(
         self,
@@ -54,11 +54,11 @@
         self.closing = False  # no further jobs are accepted
         self._deduplication = DeduplicationTable(forwarder, loop)
         self._max_connections = max_connections
-        self._label = label.encode("latin-1", "replace")  # so that handles differ between starts
+        self._label = label.encode("latin-1", "replace")  # makes handles unique across restarts
         self._handle_count = 0
 
     def apply_tenants(self, tenants: TenantNumbers) -> None:
-        """Count the functions' jobs by these tenants' numbers from now on."""
+        """Replace the tenant numbers of the functions; they apply to jobs submitted from now on."""
         self.functions = {
             name: replace(function, tenant=tenants.number(function.tenant_name))
             for name, function in self.functions.items()
@@ -67,15 +67,15 @@
     # ---- connections
 
     def connection(self) -> GearmanConnection:
-        """A new connection."""
+        """Create the protocol of a new connection."""
         return GearmanConnection(self)
 
     def has_room(self, pending: int) -> bool:
-        """Whether another connection is accepted, besides `pending` ones that are accepted and not up yet."""
+        """Whether another connection may be accepted, with `pending` ones still being set up."""
         return len(self.connections) + pending < self._max_connections
 
     def close(self) -> None:
-        """Close all connections; no job is open."""
+        """Close all connections; called when no job is open."""
         for connection in list(self.connections):
             connection.close()
 
@@ -87,14 +87,14 @@
         return bool(self.jobs)
 
     def new_handle(self) -> bytes:
-        """A handle that no other job has."""
+        """Return a handle that no other job has."""
         self._handle_count += 1
         return b"H:%s:%d" % (self._label, self._handle_count)
 
     def submit(
         self, job: GearmanJob, function: GearmanFunction, name: bytes, body: bytes, priority: int
     ) -> None:
-        """Submit a job whose client is still there; its unique id is the idempotency key."""
+        """Submit a job unless its client has disconnected; the unique id is the idempotency key."""
         if job.handle not in self.jobs:
             return
         unique_id = job.unique_id
@@ -116,19 +116,19 @@
         job.entry = self._deduplication.submit(request, job)
 
     def ended(self, job: GearmanJob) -> None:
-        """A job has ended."""
+        """Forget a job that has ended."""
         self.jobs.pop(job.handle, None)
 
     def withdraw(self, job: GearmanJob) -> None:
-        """The client that waited for a job has gone."""
+        """Forget a job whose client has disconnected, and withdraw the client from its request."""
         self.jobs.pop(job.handle, None)
         if job.entry is not None:
             self._deduplication.withdraw(job.entry, job)
 
-    # ---- what clients and administrators ask
+    # ---- status and text commands
 
     def status(self, handle: bytes) -> bytes:
-        """Whether a job is open, whether it is running, and the percentage that is done."""
+        """The STATUS_RES packet of a handle: whether its job is open, whether it runs, and its percentage."""
         job = self.jobs.get(handle)
         if job is None:
             return encode_packet(PacketType.STATUS_RES, handle, b"0", b"0", b"0", b"0")
@@ -138,7 +138,7 @@
         )
 
     def status_unique(self, unique_id: bytes) -> bytes:
-        """The same for all jobs with a unique id, and how many clients wait for them."""
+        """The status packet of all jobs with a unique id, with the number of waiting clients."""
         jobs = [job for job in self.jobs.values() if job.unique_id == unique_id]
         if not jobs:
             return encode_packet(PacketType.STATUS_RES_UNIQUE, unique_id, b"0", b"0", b"0", b"0", b"0")
@@ -148,5 +148,5 @@
         return encode_packet(PacketType.STATUS_RES_UNIQUE, unique_id, b"1", running, percent, b"100", waiting)
 
     def command(self, line: str) -> bytes:
-        """Run an administrator's text command; the response to it."""
+        """Run an administrator's text command, and return the response."""
         return run_command(self, line)
--- a/pipitshed/frontends/gearman/job.py
+++ b/pipitshed/frontends/gearman/job.py
@@ -1,4 +1,4 @@
-"""A Gearman client's job: what the client is sent about it."""
+"""A Gearman client's job, and the packets that report its progress and end to the client."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class GearmanJob:
-    """One job handle. Several handles may share one request, by their unique id."""
+    """One job handle; several handles with the same unique id may share one request."""
 
     __slots__ = ("frontend", "handle", "unique_id", "connection", "entry", "is_started", "done_fraction")
 
@@ -33,14 +33,14 @@
         self.connection = connection  # None for a background job
         self.entry: DeduplicationEntry | None = None
         self.is_started = False
-        self.done_fraction = 0.0  # of the job that is done
+        self.done_fraction = 0.0  # as the worker last reported, 0 to 1
 
     def succeeded(self, result: bytes) -> None:
         """Send the result."""
         self._end(encode_packet(PacketType.WORK_COMPLETE, self.handle, result), is_done=True)
 
     def rejected(self, retry_after_ms: float) -> None:
-        """Send a failure, and before it a warning that says when a retry is best: the job did not run."""
+        """Send a warning with the retry delay in s, then a failure: the job has not run."""
         text = b"retry-after %.3f" % (retry_after_ms / 1000)
         self._end(
             encode_packet(PacketType.WORK_WARNING, self.handle, text),
@@ -48,7 +48,7 @@
         )
 
     def failed(self) -> None:
-        """Send a failure, and before it the worker's error if the client has asked for exceptions."""
+        """Send a failure, preceded by the worker's error if the client has requested exceptions."""
         context = self.entry.context if self.entry is not None else None
         packets = [encode_packet(PacketType.WORK_FAIL, self.handle)]
         if (
@@ -61,11 +61,11 @@
         self._end(*packets)
 
     def untranslatable(self, _failure: TranslationFailure, _has_run: bool) -> None:
-        """Send a failure; the reason is the request's last error."""
+        """Send a failure; the reason stands in the request's last_error."""
         self.failed()
 
     def progressed(self, kind: ProgressKind, done_fraction: float) -> None:
-        """Send the share that is done."""
+        """Send the progress as a percentage."""
         self.is_started = True
         if kind is ProgressKind.PROGRESS:
             self.done_fraction = done_fraction
@@ -79,5 +79,5 @@
             self.connection.write(b"".join(packets))
             self.connection.ended(self)
         elif not is_done:
-            # No client waits for a background job: only the log can say that it failed.
+            # No client waits for a background job, so its failure is reported in the log.
             log.warning("background job %s was not done", self.handle.decode("latin-1"))
--- a/pipitshed/frontends/gearman/text_commands.py
+++ b/pipitshed/frontends/gearman/text_commands.py
@@ -1,4 +1,4 @@
-"""Gearman's text commands for administrators."""
+"""The text commands of Gearman's administrative protocol."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def run_command(frontend: GearmanFrontend, line: str) -> bytes:
-    """Run the command on one line; the response to it."""
+    """Run one command line, and return the response."""
     words = line.split()
     name = words[0] if words else ""
     if name == "version":
@@ -28,7 +28,7 @@
             f"- - {worker.name} : {' '.join(worker.abilities)}" for worker in frontend.worker_client.workers
         )
     if name == "maxqueue" and len(words) > 1:
-        return _OK  # without effect: the scheduler itself limits what it accepts
+        return _OK  # accepted without effect: the scheduler limits its queue itself
     if name == "shutdown":
         frontend.shutdown()
         return _OK
--- a/pipitshed/frontends/http/connection.py
+++ b/pipitshed/frontends/http/connection.py
@@ -1,4 +1,4 @@
-"""One HTTP client's connection: requests come in, responses go out in the same order."""
+"""One HTTP client's connection: parses requests, and sends the responses in the same order."""
 
 from __future__ import annotations
 
@@ -19,32 +19,32 @@
 if TYPE_CHECKING:
     from pipitshed.frontends.http.frontend import HttpFrontend
 
-MAX_PIPELINED_REQUESTS = 8  # waiting behind the one in progress; further ones are answered 503
-MAX_QUEUED_RESPONSES = 256  # waiting, with those 503; a client that sends more is disconnected
-FIRST_REQUEST_TIMEOUT_S = 2.5  # from connecting: connections that only send garbage must end within 3 s
-NEXT_REQUEST_TIMEOUT_S = 10.0  # from a later request's first byte to its end
+MAX_PIPELINED_REQUESTS = 8  # queued after the one in progress; further ones are answered 503
+MAX_QUEUED_RESPONSES = 256  # including those 503; a client that sends more is disconnected
+FIRST_REQUEST_TIMEOUT_S = 2.5  # from connecting; a connection that sends only garbage must end within 3 s
+NEXT_REQUEST_TIMEOUT_S = 10.0  # from the first to the last byte of a later request
 MAX_MESSAGE_BYTES = (
     HEAD_LIMIT_BYTES + 4 * BODY_LIMIT_BYTES
-)  # of a request with its chunk framing and trailers
-MAX_LINGER_BYTES = 1024 * 1024  # of input discarded after the last response
-WRITE_TIMEOUT_S = 10.0  # for which a client may leave its responses unread
+)  # of a request, including chunk framing and trailers
+MAX_LINGER_BYTES = 1024 * 1024  # input that is discarded after the last response
+WRITE_TIMEOUT_S = 10.0  # time for which a client may leave its responses unread
 
 _HEALTH_PATH = b"/_health"
 _HEADER_FRAMING_BYTES = len(": \r\n")
-_IN_BODY = -1  # as the size of a head: the head is complete
+_IN_BODY = -1  # value of _head_bytes once the head is complete
 
 _encode_json = msgspec.json.encode
 
 
 def _error_status(error: BaseException | None) -> int:
-    """The status that answers input which can't be parsed."""
+    """The response status for input that can't be parsed."""
     if isinstance(error, MalformedError):
         return error.status
     return 413 if isinstance(error, TooLongError) else 400
 
 
 class HttpConnection(asyncio.Protocol):
-    """One client's connection."""
+    """One client's connection, from accept to close."""
 
     def __init__(self, frontend: HttpFrontend) -> None:
         self._frontend = frontend
@@ -53,29 +53,29 @@
         self._transport: asyncio.Transport | None = None
         self._resource = b""
         self._headers: dict[bytes, bytes] = {}
-        self._head_bytes = 0  # received of an incomplete head; _IN_BODY behind it
-        self._parsed_head_bytes = 0  # of the target and the headers that are parsed
-        self._message_bytes = 0  # of an incomplete request
+        self._head_bytes = 0  # received of an incomplete head; _IN_BODY after the head
+        self._parsed_head_bytes = 0  # of the parsed target and headers
+        self._message_bytes = 0  # received of an incomplete request
         self._is_receiving = False
         self.last_received_at = 0.0  # loop time
         self.last_responded_at = 0.0  # loop time
-        self._timer: asyncio.TimerHandle | None = None  # until the request must be complete
-        self._open_id = ""  # of the request in progress
-        # What is to be answered next, in order: a request, or the status of a response without one.
+        self._timer: asyncio.TimerHandle | None = None  # expires when the request must be complete
+        self._open_id = ""  # id of the request in progress
+        # To be answered in this order: a request, or the status of a response without a job.
         self._queue: deque[Request | int] = deque()
         self._request_context: RequestContext | None = None  # the request in progress
         self._is_last = False  # no further request is read
-        self._is_write_paused = False  # the client does not read: no further request starts
+        self._is_write_paused = False  # the client does not read, so no further request starts
         self._write_timer: asyncio.TimerHandle | None = None
 
     @property
     def is_receiving(self) -> bool:
-        """Whether a request has begun to arrive and is not complete."""
+        """Whether a request has arrived in part."""
         return self._is_receiving
 
     @property
     def is_idle(self) -> bool:
-        """Whether no response is outstanding and no request has begun to arrive."""
+        """Whether no response is outstanding and no part of a request has arrived."""
         return self._request_context is None and not self._queue and not self._is_receiving
 
     def idle_since(self) -> float:
@@ -91,7 +91,7 @@
         self._frontend.connected(self)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Withdraw what the client has asked for."""
+        """Withdraw the client's requests, and cancel the timers."""
         self._frontend.forget(self)
         self._frontend.closing.pop(self, None)
         self._cancel_timeout()
@@ -100,14 +100,14 @@
         self._withdraw()
 
     def eof_received(self) -> None:
-        """Treat the client as gone at once, even if it has not read all responses yet."""
+        """Treat the client as disconnected at once, even if responses are still unread."""
         self._withdraw()
         self.close()
 
     def pause_writing(self) -> None:
-        """Stop reading while the client does not read, or its responses would fill the memory.
+        """Stop reading while the client does not read, so that its responses can't exhaust memory.
 
-        No request starts meanwhile, as the end of the client would not be noticed.
+        No request starts in this state, because a disconnect of the client would not be noticed.
         """
         self._is_write_paused = True
         if self._transport is not None and not self._transport.is_closing():
@@ -115,7 +115,7 @@
             self._write_timer = self._frontend.loop.call_later(WRITE_TIMEOUT_S, self._transport.abort)
 
     def resume_writing(self) -> None:
-        """Read on, and start what waits."""
+        """Resume reading, and start queued requests."""
         self._is_write_paused = False
         if self._write_timer is not None:
             self._write_timer.cancel()
@@ -124,7 +124,7 @@
             self._process_queue()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has arrived; after the last request, discard it."""
+        """Parse input; after the last request, discard it."""
         if self._is_last:
             self._message_bytes += len(data)
             if self._message_bytes > MAX_LINGER_BYTES and self._transport is not None:
@@ -133,7 +133,7 @@
         self.last_received_at = self._frontend.loop.time()
         if self in self._frontend.unproven:
             self._frontend.received(self)
-        # The parser itself sets no limit: it would store a head without end.
+        # The parser has no limit of its own: it would store an endless head.
         if self._head_bytes >= 0:
             self._head_bytes += len(data)
         self._message_bytes += len(data)
@@ -146,13 +146,13 @@
         except httptools.HttpParserUpgrade:
             self._reject_input(400)
         except httptools.HttpParserError as error:
-            # The parser wraps what a callback raises, and keeps it as the context.
+            # The parser wraps an exception of a callback, and keeps it as the context.
             self._reject_input(_error_status(error.__context__))
         except (MalformedError, TooLongError) as error:
             self._reject_input(_error_status(error))
 
     def _withdraw(self) -> None:
-        """The client has gone: drop what waits, and withdraw the request in progress."""
+        """After a disconnect: discard the queued requests, and withdraw the one in progress."""
         self._is_last = True
         self._queue.clear()
         if self._request_context is not None:
@@ -168,7 +168,7 @@
             self._timer = None
 
     def time_out(self) -> None:
-        """Answer 408 to a request that has stalled, unless other responses are outstanding before it."""
+        """Answer a stalled request with 408, unless earlier responses are outstanding."""
         if self._request_context is None and not self._queue and not self._is_last:
             self._cancel_timeout()
             self._on_timeout()
@@ -183,7 +183,7 @@
     # ---- httptools callbacks
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Called by the parser: reset the state for a new request."""
         self._is_receiving = True
         self._resource = b""
         self._headers = {}
@@ -193,25 +193,25 @@
             self._timer = self._frontend.loop.call_later(NEXT_REQUEST_TIMEOUT_S, self._on_timeout)
 
     def on_url(self, url: bytes) -> None:
-        """A part of the request's target."""
+        """Called by the parser with a part of the request target."""
         self._resource += url
         self._parsed_head_bytes += len(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header, or a trailer, which is ignored."""
+        """Called by the parser with a header, or a trailer, which is ignored."""
         name = name.lower()
         if self._head_bytes < 0:
             return
         self._parsed_head_bytes += len(name) + len(value) + _HEADER_FRAMING_BYTES
         if name in SINGLE_VALUE_HEADERS and name in self._headers:
             raise MalformedError(400, f"{name.decode()} is repeated")
-        # Whitespace around a value is no part of it (RFC 9110, 5.5); the parser leaves it behind the value.
+        # Whitespace around a value is not part of it (RFC 9110, 5.5); the parser keeps what trails the value.
         self._headers[name] = value.strip(b" \t")
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Called by the parser: check the complete head."""
         self._head_bytes = _IN_BODY
-        # One that came whole in one read was never counted as incomplete.
+        # A head that arrived in one read was not checked as an incomplete one.
         if self._parsed_head_bytes > HEAD_LIMIT_BYTES:
             raise MalformedError(431, "the head is too long")
         if self._parser.should_upgrade():
@@ -223,13 +223,13 @@
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
+        """Called by the parser with a part of the body; TooLongError beyond the limit."""
         self._buffer.append(data)
 
     def on_message_complete(self) -> None:
-        """Queue the request, or the status that answers it."""
+        """Called by the parser: queue the request, or the status that answers it."""
         if self._is_last:
-            return  # in the same read as a flood of requests, or as the last request
+            return  # read together with the last request, or with those of a flood
         self._head_bytes = self._message_bytes = 0
         self._is_receiving = False
         self._cancel_timeout()
@@ -243,14 +243,14 @@
         elif verb != b"POST":
             self._queue.append(405)
         elif len(self._queue) >= MAX_PIPELINED_REQUESTS:
-            # A status takes less memory than a request. Reading goes on, so that the client's end is noticed.
+            # A status needs less memory than a request. Reading continues, so that a disconnect is noticed.
             self._queue.append(503)
             if len(self._queue) >= MAX_QUEUED_RESPONSES:
                 self._end_flood()
         else:
             self._queue.append(self._frontend.parser.request(verb, self._resource, self._headers, body))
-            # Not at once: where the client has gone already, its end is read before the next turn, and the
-            # request does not start.
+            # Deferred: if the client has already disconnected, its EOF is read before the next iteration, and
+            # the request is not started.
             self._frontend.loop.call_soon(self._process_queue)
             return
         self._process_queue()
@@ -261,14 +261,14 @@
         return 200 if self._frontend.ready() else 503
 
     def _reject_input(self, status: int) -> None:
-        """Answer input that can't be parsed, behind the responses that are outstanding, then close."""
+        """Answer input that can't be parsed, after the outstanding responses, then close."""
         if not self._is_last:
             self._is_last = True
             self._queue.append(status)
             self._process_queue()
 
     def _end_flood(self) -> None:
-        """End the connection of a client that sends without waiting: answer all its requests now."""
+        """Answer all requests of a client that floods the connection, and read no more of them."""
         for index, _ in enumerate(self._queue):
             self._queue[index] = 503
         self._is_last = True
@@ -280,7 +280,7 @@
     # ---- requests and responses
 
     def _process_queue(self) -> None:
-        """Answer or start what is next in order, until a request is in progress."""
+        """Answer or start the queued requests in order, until one is in progress."""
         while (
             self._request_context is None
             and self._queue
@@ -291,7 +291,7 @@
             if isinstance(first, int):
                 self._write(first)
             elif first.id in self._frontend.open_ids:
-                # Workers tell requests apart by the id: two open ones with the same id would be confused.
+                # Workers identify requests by the id: two open ones with the same id would be confused.
                 self._write(409)
             else:
                 self._open_id = first.id
@@ -317,19 +317,19 @@
         self._process_queue()
 
     def rejected(self, retry_after_ms: float) -> None:
-        """Respond that the job did not run, and when to retry."""
+        """Respond with 503 and Retry-After: the job has not run."""
         self._write(503, b"", f"Retry-After: {retry_after_ms / 1000:.3f}\r\n")
         self._process_queue()
 
     def failed(self) -> None:
-        """Respond that the job failed, or may have run."""
+        """Respond with 500: the job failed, or may have run."""
         self._write(500)
         self._process_queue()
 
     def untranslatable(self, failure: TranslationFailure, has_run: bool) -> None:
         """Respond with problem details (RFC 9457).
 
-        422 for a request, which a retry can't mend; 500 for the result of a job that ran.
+        The status is 422 for a request, as a retry can't succeed, and 500 for the result of a job that ran.
         """
         status = 500 if has_run else 422
         subject = "result" if has_run else "request"
@@ -346,15 +346,15 @@
         self._process_queue()
 
     def progressed(self, _kind: ProgressKind, _done_fraction: float) -> None:
-        """Ignore progress: an HTTP client waits for the response alone."""
+        """Ignore progress: an HTTP client gets only the response."""
 
-    # ---- the end
+    # ---- close
 
     def close(self) -> None:
-        """End the connection behind the responses that are written.
+        """Close the connection after the pending output.
 
-        Input is discarded for a moment. Closing with unread input would reset the connection, and the client
-        would lose responses that it has not read. After the shutdown no input becomes a request.
+        Input is discarded for the linger time: closing with unread input would reset the connection, and the
+        client would lose responses that it has not read. No input is parsed as a request any more.
         """
         transport = self._transport
         if transport is None or transport.is_closing() or self in self._frontend.closing:
@@ -373,13 +373,13 @@
         if self._transport is not None and self._transport.get_write_buffer_size() == 0:
             self._transport.abort()
         elif self._transport is not None:
-            # The client is slow to read the last responses.
+            # The client reads the last responses slowly.
             self._timer = self._frontend.loop.call_later(WRITE_TIMEOUT_S, self._transport.abort)
 
     def drop(self) -> None:
-        """End the connection at once: it is idle, or has sent no complete request."""
-        # Forgotten here and not in connection_lost, which comes a turn later: until then the same connection
-        # would be evicted again for each further one that connects.
+        """Close the connection at once: it is idle, or has sent no complete request."""
+        # Forgotten here rather than in connection_lost, which is called an iteration later: until then each
+        # further client that connects would evict the same connection again.
         self._frontend.forget(self)
         if self._transport is not None:
             self._transport.close()
--- a/pipitshed/frontends/http/frontend.py
+++ b/pipitshed/frontends/http/frontend.py
@@ -1,4 +1,4 @@
-"""All HTTP clients' connections: how many there may be, and which one closes when there are too many."""
+"""The set of HTTP clients' connections: their limit, and which one is evicted above it."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from pipitshed.frontends.http.request_parser import RequestParser
 from pipitshed.proxy.forwarder import Forwarder
 
-LINGER_S = 0.5  # for which input is discarded after the last response, so that the client can read that
-STOPPING_LINGER_S = 0.2  # the same while the program stops
-HARD_LIMIT_FACTOR = 1.5  # times the limit of connections, from which no new one is accepted
-STALLED_AFTER_S = 1.0  # without a byte, after which an incomplete request counts as stalled
-MAX_EVICTION_CANDIDATES = 8  # looked at for each new connection
+LINGER_S = 0.5  # input is discarded for this time after the last response, so that the client can read it
+STOPPING_LINGER_S = 0.2  # the same during shutdown
+HARD_LIMIT_FACTOR = 1.5  # times the connection limit; from here no new one is accepted
+STALLED_AFTER_S = 1.0  # time without a byte after which an incomplete request counts as stalled
+MAX_EVICTION_CANDIDATES = 8  # connections examined for each new one
 
 
 class HttpFrontend:
-    """Accepts clients' connections within a limit, and knows which requests are open."""
+    """Accepts a limited number of clients' connections, and tracks the ids of open requests."""
 
     def __init__(
         self,
@@ -32,24 +32,24 @@
         self.parser = parser
         self.loop = loop
         self.ready = ready
-        self.draining = False  # each response closes its connection
-        self.connections: dict[HttpConnection, None] = {}  # the one that responded last is last
-        # Those without a complete request so far; the one that has sent nothing for longest is first.
+        self.draining = False  # if set, each response closes its connection
+        self.connections: dict[HttpConnection, None] = {}  # in the order of their last responses
+        # Connections without a complete request so far, in the order of their last input.
         self.unproven: dict[HttpConnection, None] = {}
-        self.closing: dict[HttpConnection, None] = {}  # their last responses may still be on the way
+        self.closing: dict[HttpConnection, None] = {}  # closing; their last responses may still be in transit
         self.linger = LINGER_S
         self.open_ids: set[str] = set()
         self._max_connections = max_connections
 
     def connection(self) -> HttpConnection:
-        """A new client's connection."""
+        """Create the protocol of a new connection."""
         return HttpConnection(self)
 
     def connected(self, newcomer: HttpConnection) -> None:
-        """A connection is up; where there are too many, evict one.
+        """Register a new connection, and evict one if there are too many.
 
-        This is decided here and not when the connection is accepted: in a burst, several are accepted before
-        the first of them is up and counted.
+        This is decided here rather than on accept: in a burst, several connections are accepted before the
+        first of them is set up and counted.
         """
         newcomer.last_received_at = self.loop.time()
         self.connections[newcomer] = self.unproven[newcomer] = None
@@ -59,11 +59,11 @@
                 evicted.drop()
 
     def _eviction_candidate(self, newcomer: HttpConnection) -> HttpConnection | None:
-        """The connection to close for a new one.
+        """Choose the connection to close for a new one; None if there is none.
 
-        First one without a complete request that has sent nothing, or has stalled; then the one that is idle
-        for longest; then one that is still sending its first request. So clients that only hold connections
-        can't evict those that use theirs, nor those that write a request slowly.
+        The order is: one without a complete request that has sent nothing or has stalled, the one that is
+        idle for longest, one that is still sending its first request. So clients that only hold connections
+        can't evict those that use theirs, nor those that send a request slowly.
         """
         now, unproven = self.loop.time(), self.unproven
         for connection in islice(unproven, MAX_EVICTION_CANDIDATES):
@@ -75,35 +75,34 @@
         return idle or (first if first is not newcomer else None)
 
     def received(self, connection: HttpConnection) -> None:
-        """A connection without a complete request has sent something: others are evicted before it."""
+        """Move a connection that sent a part of its first request to the end of the eviction order."""
         del self.unproven[connection]
         self.unproven[connection] = None
 
     def has_room(self, pending: int) -> bool:
-        """Whether another connection is accepted, besides `pending` ones that are accepted and not up yet.
+        """Whether another connection may be accepted, with `pending` ones still being set up.
 
-        Busy connections are never evicted. Without this limit they would use up the descriptors that attempts
-        and discovery need.
+        Busy connections are never evicted: without this limit they would exhaust the descriptors that
+        attempts and discovery need.
         """
         count = len(self.connections) + len(self.closing) + pending
         return count < self._max_connections * HARD_LIMIT_FACTOR
 
     def forget(self, connection: HttpConnection) -> None:
-        """A connection carries no more requests."""
+        """Remove a connection that carries no more requests."""
         self.connections.pop(connection, None)
         self.unproven.pop(connection, None)
 
     def used(self, connection: HttpConnection) -> None:
-        """A connection has just carried a response."""
+        """Record a response on a connection, which moves it to the end of the eviction order."""
         connection.last_responded_at = self.loop.time()
         if self.connections.pop(connection, 0) is None:
             self.connections[connection] = None
 
     def close_idle(self, idle_for_s: float) -> None:
-        """Close connections that have been idle for so long, and those whose incomplete request has stalled.
+        """Close connections that have been idle for this time, and answer stalled requests with 408.
 
-        While the program stops, a client that stalled half way through a request would delay the exit until
-        SIGKILL.
+        Otherwise a client that stalls in the middle of a request would delay the shutdown until SIGKILL.
         """
         now = self.loop.time()
         for connection in list(self.connections):
--- a/pipitshed/frontends/http/request_parser.py
+++ b/pipitshed/frontends/http/request_parser.py
@@ -1,4 +1,4 @@
-"""A job request from the head and body of an HTTP request."""
+"""Builds a job request from the head and body of an HTTP request."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from pipitshed.proxy.request import Request
 from pipitshed.scheduling.settings import TenantNumbers
 
-MAX_ID_CHARS = 256  # of a request's id or its idempotency key
+MAX_ID_CHARS = 256  # of a request id or an idempotency key
 
-# Headers that must not be repeated: nobody could know which of the two values a worker would use.
+# Headers that must not be repeated: it would be ambiguous which value a worker uses.
 SINGLE_VALUE_HEADERS = frozenset(
     (
         b"x-request-id",
@@ -29,7 +29,7 @@
     )
 )
 
-# The fields that a client's message format may carry in the body, and the headers they stand for.
+# The headers that correspond to the envelope fields of a client's message format.
 _HEADER_OF_FIELD = {
     "id": b"x-request-id",
     "class": b"x-class",
@@ -45,13 +45,13 @@
 
 
 class ClientForms(Protocol):
-    """The message formats that clients use, where messages are translated."""
+    """The message formats of clients, for requests that are translated."""
 
     def client_form(self, content_type: str) -> int:
         """The version of the format that a content type names."""
 
     def envelope(self, form: int, body: bytes) -> dict[str, str]:
-        """The body's id, class, tenant, key and deadline, if any; ValueError if it can't be read."""
+        """The id, class, tenant, key and deadline in the body, if any; ValueError if it can't be read."""
 
 
 class MalformedError(ValueError):
@@ -73,7 +73,7 @@
 
 
 def _affinity_key(cookies: bytes) -> int:
-    """The session that the cookie `sid` names, as a number; 0 without one."""
+    """The value of the cookie `sid` as a number; 0 without the cookie."""
     for cookie in cookies.split(b";"):
         name, _, value = cookie.strip().partition(b"=")
         if name == _AFFINITY_COOKIE:
@@ -85,7 +85,7 @@
 
 
 class RequestParser:
-    """Turns a request's head and body into a Request, by the classes and tenants of the settings."""
+    """Builds a Request from a head and a body, with the classes and tenants of the settings."""
 
     def __init__(
         self,
@@ -99,17 +99,17 @@
         self.apply_settings({name: index for index, name in enumerate(classes)}, tenants)
 
     def apply_settings(self, classes: dict[str, int], tenants: TenantNumbers) -> None:
-        """Replace the numbers of the classes that are accepted, and the tenants."""
+        """Replace the accepted classes and the tenants, with their numbers."""
         self._classes = {name.encode(): number for name, number in classes.items()}
         self._tenants = {name.encode(): number for name, number in tenants.by_name.items()}
         self._unknown_tenant = tenants.unknown
 
     def request(self, verb: bytes, resource: bytes, head: dict[bytes, bytes], body: bytes) -> Request:
-        """The request; MalformedError if it can't be accepted."""
+        """Build the request; MalformedError if it can't be accepted."""
         form = self._merge_envelope(head, body) if self._forms is not None else None
         request_id, key = head.get(b"x-request-id", b""), head.get(b"idempotency-key", b"")
         job_class = self._classes.get(head.get(b"x-class", b""))
-        # The id and the key go to workers as they are: other characters could break the worker's protocol.
+        # Workers get the id and the key unchanged: other characters could break the worker's protocol.
         if not _PRINTABLE_ID.fullmatch(request_id) or (key and not _PRINTABLE_ID.fullmatch(key)):
             raise MalformedError(400, "no X-Request-Id or Idempotency-Key that can be handed on")
         if job_class is None:
@@ -127,7 +127,7 @@
             request_id.decode("latin-1"),
             job_class,
             timeout_ms,
-            # All tenants that the settings do not name share the number behind the others, without a quota.
+            # All tenants that the settings don't contain share the last number, without a quota.
             self._tenants.get(head.get(b"x-tenant", b""), self._unknown_tenant),
             body,
             key.decode("latin-1"),
@@ -143,9 +143,9 @@
         )
 
     def _merge_envelope(self, head: dict[bytes, bytes], body: bytes) -> int:
-        """Add what the body's envelope says to the headers; the version of the message format.
+        """Add the fields of the body's envelope to the headers, and return the version of the message format.
 
-        A field that stands in both must be the same in both: nobody could know which a worker would use.
+        A field in both must have the same value: otherwise it would be ambiguous which one a worker uses.
         """
         assert self._forms is not None
         form = self._forms.client_form(head.get(b"content-type", b"").decode("latin-1"))
--- a/pipitshed/frontends/http/responses.py
+++ b/pipitshed/frontends/http/responses.py
@@ -1,4 +1,4 @@
-"""The bytes of responses to HTTP clients."""
+"""Encodes responses to HTTP clients."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 def response(status: int, body: bytes, extra_headers: str, is_final: bool) -> bytes:
-    """One response.
+    """Encode one response.
 
     Args:
-        status: Its status.
-        body: Its body.
-        extra_headers: Whole lines, each with its end.
-        is_final: Whether it announces the close of its connection.
+        status: The status code.
+        body: The body.
+        extra_headers: Complete header lines, each with its CRLF.
+        is_final: Whether the connection closes after this response.
     """
     close = "Connection: close\r\n" if is_final else ""
     head = (
--- a/pipitshed/frontends/listener.py
+++ b/pipitshed/frontends/listener.py
@@ -1,4 +1,4 @@
-"""The sockets on which clients connect."""
+"""Listening sockets that accept clients' connections."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 
 ACCEPT_PAUSE_S = 0.05  # after a failed accept
-ACCEPTS_PER_TURN = 16  # so that those accepted before are up, and counted, before more are
-BACKLOG_COUNT = 1024  # connections that the system queues
+ACCEPTS_PER_TURN = 16  # so that accepted connections are set up and counted before more are accepted
+BACKLOG_COUNT = 1024  # connections that the kernel queues
 
 
 def _always_room(_pending_count: int) -> bool:
@@ -17,7 +17,7 @@
 
 
 class Listener:
-    """Accepts connections; the failure of one accept doesn't end it."""
+    """Accepts connections; it continues after a failed accept."""
 
     def __init__(
         self,
@@ -27,18 +27,18 @@
         has_room: Callable[[int], bool] = _always_room,
         passed: int | None = None,
     ) -> None:
-        """Listen.
+        """Start to listen; OSError if the address can't be bound.
 
         Args:
-            address: Where to bind.
-            factory: Makes the protocol of each connection.
+            address: The host and port to bind.
+            factory: Creates the protocol of each connection.
             loop: The event loop.
-            has_room: Whether one more connection is accepted beside so many that are not up yet.
+            has_room: Whether one more connection may be accepted, given the number of those being set up.
             passed: The descriptor of a listening socket to use in place of `address`.
         """
         if passed is not None:
-            # The platform has it open, and shares it with another process: what is queued is accepted by
-            # whichever is first, and closing it here leaves it open there.
+            # The platform holds the socket open and shares it with another process: either process accepts
+            # the queued connections, and closing the socket here leaves it open in the other.
             self._socket = socket.socket(fileno=passed)
             self.passed = True
         else:
@@ -53,34 +53,34 @@
         self._factory = factory
         self._has_room = has_room
         self._loop = loop
-        self._pending: set[asyncio.Task[object]] = set()  # accepted and not up yet
+        self._pending: set[asyncio.Task[object]] = set()  # accepted connections that are being set up
         self._open = True
         loop.add_reader(self._socket, self._readable)
 
     def _readable(self) -> None:
-        # A long queue accepted in one turn, before any of it is counted, would exhaust the descriptors.
+        # A long queue accepted in one iteration, before any of it is counted, would exhaust the descriptors.
         self._accept_up_to(ACCEPTS_PER_TURN)
 
     def _accept_up_to(self, limit: float) -> None:
         while self._open and limit > 0:
             if limit <= ACCEPTS_PER_TURN and self._pending and not self._has_room(len(self._pending)):
-                return  # those under way may make room first: the queue waits for the next turn
+                return  # connections being set up may evict others; accept the rest in a later iteration
             limit -= 1
             try:
                 accepted, _ = self._socket.accept()
             except (BlockingIOError, InterruptedError):
                 return
             except ConnectionError:
-                continue  # the client has closed it again
+                continue  # the client has already closed the connection
             except OSError:
-                # Descriptors have run out: it waits for some.
+                # No descriptors are left: retry after a pause.
                 self._loop.remove_reader(self._socket)
                 self._loop.call_later(ACCEPT_PAUSE_S, self._resume)
                 return
             self._connect(accepted)
 
     def _connect(self, accepted: socket.socket) -> None:
-        """Have the protocol started on a connection, or close it where there is no room."""
+        """Start the protocol on an accepted connection, or close it if there is no room."""
         if not self._has_room(len(self._pending)):
             accepted.close()
             return
@@ -92,14 +92,14 @@
     def _connected(self, task: asyncio.Task[object]) -> None:
         self._pending.discard(task)
         if not task.cancelled():
-            task.exception()  # the client has closed it; no request was read from it
+            task.exception()  # the client closed the connection before a request was read
 
     def _resume(self) -> None:
         if self._open:
             self._loop.add_reader(self._socket, self._readable)
 
     def close(self) -> None:
-        """Accept what is queued, then listen no more."""
+        """Accept the queued connections, then close the socket."""
         if self._open:
             self._accept_up_to(math.inf)
             self._open = False
