--- a/pipitshed/admin/__init__.py
+++ b/pipitshed/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' HTTP address: readiness and metrics."""
+"""The HTTP address for operators: readiness and metrics."""
--- a/pipitshed/admin/frontend.py
+++ b/pipitshed/admin/frontend.py
@@ -1,4 +1,4 @@
-"""The admin address: HTTP/1.1, one call per connection, `GET /-/ready` and `GET /-/metrics`."""
+"""The admin address: HTTP/1.1, one request per connection, `GET /-/ready` and `GET /-/metrics`."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 import httptools
 
-REQUEST_TIMEOUT_S = 2.0  # from connecting until a call is complete; then it is closed without an answer
-MAX_CONNECTIONS = 16  # a new one closes the oldest
-HEAD_LIMIT_BYTES = 8 * 1024  # of a call; a call has no body
-LINGER_S = 1.0  # for which an answered call waits for the caller's close
+REQUEST_TIMEOUT_S = 2.0  # from connecting; an incomplete request is then closed without a response
+MAX_CONNECTIONS = 16  # a new connection closes the oldest
+HEAD_LIMIT_BYTES = 8 * 1024  # of a request, which has no body
+LINGER_S = 1.0  # time after the response in which the client may close first
 READY_PATH = b"/-/ready"
 METRICS_PATH = b"/-/metrics"
 
@@ -25,7 +25,7 @@
 
 
 class _AdminConnection(asyncio.Protocol):
-    """One call: a connection with one request."""
+    """One connection, which carries one request."""
 
     def __init__(self, frontend: AdminFrontend) -> None:
         self._frontend = frontend
@@ -37,19 +37,19 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start the timer of the call."""
+        """Register the connection, and start its timeout."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's transports don't inherit from it
         self._frontend.connections[self] = None
         self._timer = self._frontend.loop.call_later(REQUEST_TIMEOUT_S, self.close)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """The call is over."""
+        """Unregister the connection, and cancel its timeout."""
         self._frontend.connections.pop(self, None)
         if self._timer is not None:
             self._timer.cancel()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come; a head that is too long or broken is answered with 400."""
+        """Parse input; a head that is too long or malformed is answered with 400."""
         if self._answered:
             return
         self._received_bytes += len(data)
@@ -62,9 +62,9 @@
             self._answer(400, b"")
 
     def eof_received(self) -> bool | None:
-        """Close when the caller does."""
+        """Close the connection when the client does."""
         if self._transport is not None:
-            self._transport.close()  # answered or not, the caller sends no more
+            self._transport.close()  # answered or not, the client sends no more
         return None
 
     def on_url(self, url: bytes) -> None:
@@ -72,7 +72,7 @@
         self._url += url
 
     def on_message_complete(self) -> None:
-        """Called by the parser when the request is complete: answer it."""
+        """Called by the parser when the request is complete; answers it."""
         if self._answered:
             return
         method, path = self._parser.get_method(), self._url.split(b"?")[0]
@@ -97,21 +97,21 @@
             b"%sConnection: close\r\n\r\n%s"
             % (status, _REASONS[status].encode(), len(body), extra_headers, b"" if head_only else body)
         )
-        # What the caller may still send is not read, and a close with bytes unread would reset the connection
-        # before the answer arrives: the caller closes first, or the timer does.
+        # Further input is not read, and a close with unread bytes would reset the connection before the
+        # response arrives: so the client closes first, or the timer does.
         transport.write_eof()
         if self._timer is not None:
             self._timer.cancel()
         self._timer = self._frontend.loop.call_later(LINGER_S, transport.close)
 
     def close(self) -> None:
-        """Close without waiting for anything."""
+        """Close at once, without sending the pending output."""
         if self._transport is not None:
             self._transport.abort()
 
 
 class AdminFrontend:
-    """All calls at the admin address."""
+    """All connections at the admin address."""
 
     def __init__(
         self, ready: Callable[[], bool], metrics: Callable[[], bytes], loop: asyncio.AbstractEventLoop
@@ -122,12 +122,12 @@
         self.connections: dict[_AdminConnection, None] = {}  # the oldest first
 
     def connection(self) -> _AdminConnection:
-        """A new call; where there are too many, the oldest is closed."""
+        """Create a new connection; at MAX_CONNECTIONS the oldest one is closed."""
         if len(self.connections) >= MAX_CONNECTIONS:
             next(iter(self.connections)).close()
         return _AdminConnection(self)
 
     def close(self) -> None:
-        """Close all calls."""
+        """Close all connections."""
         for connection in list(self.connections):
             connection.close()
--- a/pipitshed/admin/metrics.py
+++ b/pipitshed/admin/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics as the admin address gives them: one `name=value` line each. No I/O."""
+"""The text of the metrics that the admin address serves: one `name=value` line each. No I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 PREFIX = "scheduler"
 
-# The metric that counts requests that ended so; withdrawn ones are in none.
+# The metric that counts the requests with each end; withdrawn ones are not counted.
 METRIC_BY_END: dict[str, str] = {
     RequestEnd.SUCCEEDED: "answered",
     RequestEnd.REJECTED: "deferred",
@@ -22,24 +22,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Gauges:
-    """Values at the moment of the call; the field names are published."""
+    """Current values; the field names are published as metric names."""
 
     current: int  # requests that wait for their answer
-    cluster_size: int  # workers listed as ready or draining
-    cluster_unhealthy: int  # of them, those that the dispatcher passes over at present
-    conf_loaded: int  # files applied at SIGHUP
-    conf_invalid: int  # files rejected at SIGHUP
+    cluster_size: int  # listed workers, ready or draining
+    cluster_unhealthy: int  # those of them that the dispatcher excludes at present
+    conf_loaded: int  # configuration files applied at SIGHUP
+    conf_invalid: int  # configuration files rejected at SIGHUP
 
 
 def counts_by_class(
     names: Sequence[str], ended: Mapping[tuple[str, int], int], sends: Mapping[int, int]
 ) -> dict[str, dict[str, int]]:
-    """Count by metric and class name.
+    """Sum the counts by metric and class name.
 
     Args:
-        names: The name of each class number; a name that stands for several (of a class that a new file
-            changed) sums them.
-        ended: Requests by how they ended, and class number.
+        names: The name of each class number; the counts of numbers with the same name (of a class that a
+            new file changed) are added up.
+        ended: Ended requests by `RequestEnd` and class number.
         sends: Attempts whose last byte was written, by class number.
     """
     counts = {metric: dict.fromkeys(names, 0) for metric in CLASS_METRICS}
@@ -54,7 +54,7 @@
 
 
 def render(counts: Mapping[str, Mapping[str, int]], gauges: Gauges) -> bytes:
-    """The text of `/-/metrics`: by class first, in the order of the names, then the totals and gauges."""
+    """The text of `/-/metrics`: counts by class in the order of the names, then the total and the gauges."""
     lines: list[str] = []
     for metric in CLASS_METRICS:
         lines += [f"{PREFIX}.{metric}.{name}={count}" for name, count in counts.get(metric, {}).items()]
@@ -64,7 +64,7 @@
 
 
 def count_lines(counts: Mapping[str, int]) -> bytes:
-    """Further counts, such as those of discovery's calls; published beside the cluster's metrics alone."""
+    """The lines of further counts, such as discovery requests; published only with the cluster's metrics."""
     return "".join(
         f"{PREFIX}.{name.replace(' ', '_')}={count}\n" for name, count in sorted(counts.items())
     ).encode()
@@ -81,7 +81,7 @@
 
 
 def parse(text: bytes) -> dict[str, int]:
-    """The lines of a `/-/metrics` text, by name: for tests and for operators' scripts."""
+    """Parse a `/-/metrics` text into values by name, for tests and operators' scripts."""
     metrics = {}
     for line in text.decode().splitlines():
         name, _, value = line.partition("=")
--- a/pipitshed/protocols/__init__.py
+++ b/pipitshed/protocols/__init__.py
@@ -1,1 +1,1 @@
-"""Codecs and buffers that frontends, upstream clients and discovery share."""
+"""Protocol codecs and buffers shared by frontends, worker clients and discovery."""
--- a/pipitshed/protocols/address.py
+++ b/pipitshed/protocols/address.py
@@ -1,4 +1,4 @@
-"""Network addresses as settings and records write them."""
+"""Network addresses in the form `host:port` that settings and discovery records use."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Host and port of `host:port`; an IPv6 host stands in brackets. ValueError for any other text."""
+    """Split `host:port`, with an IPv6 host in brackets; ValueError for any other text."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or int(port) > _MAX_PORT:
         raise ValueError(f"{text!r} is not host:port")
--- a/pipitshed/protocols/gearman.py
+++ b/pipitshed/protocols/gearman.py
@@ -1,4 +1,4 @@
-"""Gearman's packets: twelve bytes of head, then arguments between NUL bytes."""
+"""Gearman packets: a header of 12 bytes, then arguments separated by NUL bytes."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from pipitshed.protocols.buffer import Buffer
 from pipitshed.protocols.http import BODY_LIMIT_BYTES
 
-PACKET_HEADER = struct.Struct(">4sII")
+PACKET_HEADER = struct.Struct(">4sII")  # magic, packet type, length of the arguments
 REQUEST_MAGIC, RESPONSE_MAGIC = b"\0REQ", b"\0RES"
-PACKET_LIMIT_BYTES = BODY_LIMIT_BYTES + 4096  # a body, and the names before it
+PACKET_LIMIT_BYTES = BODY_LIMIT_BYTES + 4096  # a job body, and the arguments before it
 
 
 class PacketError(ValueError):
-    """What has come in is no packet of the protocol."""
+    """The received bytes are not a valid packet."""
 
 
 class PacketType(enum.IntEnum):
-    """The packets that are spoken here, by their numbers in the protocol."""
+    """The supported packet types, by their numbers in the protocol."""
 
     CAN_DO = 1
     CANT_DO = 2
@@ -60,7 +60,7 @@
     STATUS_RES_UNIQUE = 42
 
 
-# How many arguments a request has; the last one may hold NUL bytes.
+# The number of arguments of each request; the last argument may contain NUL bytes.
 ARGUMENT_COUNTS = {
     PacketType.CAN_DO: 1,
     PacketType.CANT_DO: 1,
@@ -92,13 +92,13 @@
 
 
 def encode_packet(kind: PacketType, *arguments: bytes, magic: bytes = RESPONSE_MAGIC) -> bytes:
-    """One packet."""
+    """Encode one packet."""
     body = b"\0".join(arguments)
     return PACKET_HEADER.pack(magic, kind, len(body)) + body
 
 
 def split_arguments(kind: PacketType, body: bytes) -> list[bytes]:
-    """A request's arguments; PacketError where there are too few."""
+    """Split the arguments of a request; PacketError if their number is wrong."""
     count = ARGUMENT_COUNTS[kind]
     if count == 0:
         if body:
@@ -111,7 +111,7 @@
 
 
 def take_requests(buffer: Buffer) -> Iterator[tuple[PacketType, list[bytes]] | bytes]:
-    """The whole requests in the buffer, used up as they are taken: packets, or lines of text."""
+    """Consume the complete requests in the buffer: packets, or lines of text commands."""
     while len(buffer):
         if buffer.peek(1) != b"\0":
             line = buffer.take_line()
--- a/pipitshed/protocols/grpc.py
+++ b/pipitshed/protocols/grpc.py
@@ -1,4 +1,4 @@
-"""gRPC's framing over HTTP/2: prefixes, time-outs, statuses, and an h2 connection that bears GOAWAY."""
+"""gRPC framing over HTTP/2: message prefixes, timeouts, statuses, and a connection that survives GOAWAY."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 from pipitshed.protocols.http import BODY_LIMIT_BYTES
 
-MESSAGE_PREFIX = struct.Struct(">BI")  # compressed or not, and the message's length
-MESSAGE_LIMIT_BYTES = 4 * BODY_LIMIT_BYTES  # bytes of one message
-_MAX_CACHED_HEADERS = 256  # headers: classes, tenants, slots
-_FRAME_HEADER_BYTES = 9  # bytes
-MAX_TIMEOUT_VALUE = 99_999_999  # of any unit: eight digits
+MESSAGE_PREFIX = struct.Struct(">BI")  # compressed flag and message length
+MESSAGE_LIMIT_BYTES = 4 * BODY_LIMIT_BYTES  # of one message
+_MAX_CACHED_HEADERS = 256  # headers that repeat, such as classes, tenants and slots
+_FRAME_HEADER_BYTES = 9
+MAX_TIMEOUT_VALUE = 99_999_999  # eight digits, in any unit
 
 
 class BadMessageError(ValueError):
-    """A message that is compressed or too long."""
+    """A received message is compressed or too long."""
 
 
 class Status(enum.IntEnum):
-    """The statuses that mean something of their own here."""
+    """The status codes that are handled individually."""
 
     OK = 0
     CANCELLED = 1
@@ -40,20 +40,21 @@
 
 
 def frame_message(message: bytes) -> bytes:
-    """One message with its prefix."""
+    """Prefix one message with its length."""
     return MESSAGE_PREFIX.pack(0, len(message)) + message
 
 
 def take_messages(buffer: bytearray) -> Iterator[bytes]:
-    """The whole messages in the buffer, used up as they are taken. BadMessageError where one is compressed or
-    too long: told by the prefix, before it is kept.
+    """Consume the complete messages in the buffer.
+
+    BadMessageError if one is compressed or too long; the prefix shows that before the message is buffered.
     """
     while len(buffer) >= MESSAGE_PREFIX.size:
         compressed, length = MESSAGE_PREFIX.unpack_from(buffer)
         if compressed:
-            raise BadMessageError("a message is compressed, which was not offered")
+            raise BadMessageError("message is compressed, although no compression was offered")
         if length > MESSAGE_LIMIT_BYTES:
-            raise BadMessageError(f"a message of {length} bytes is too long")
+            raise BadMessageError(f"message of {length} bytes is too long")
         if len(buffer) < MESSAGE_PREFIX.size + length:
             return
         message = bytes(buffer[MESSAGE_PREFIX.size : MESSAGE_PREFIX.size + length])
@@ -62,7 +63,7 @@
 
 
 def encode_timeout(seconds: float) -> bytes:
-    """The value of `grpc-timeout`, never rounded up; under a microsecond there is none left."""
+    """The value of `grpc-timeout`, rounded down; less than a microsecond gives 0."""
     microseconds = max(0, int(seconds * 1_000_000))
     if microseconds <= MAX_TIMEOUT_VALUE:
         return b"%du" % microseconds
@@ -70,8 +71,10 @@
 
 
 class _FrameBuffer(FrameBuffer):
-    """Frames, whose length is judged by their heads: h2's own buffer waits for as many bytes as a head names,
-    16 MB at most, before it finds them too many; so an HTTP/1.1 answer would never be known for none.
+    """Rejects a frame that is too long as soon as its header is complete.
+
+    h2's own buffer first waits for the length that the header gives, up to 16 MB, so that an HTTP/1.1
+    response would never be recognised as invalid.
     """
 
     def __next__(self) -> Frame:
@@ -81,14 +84,15 @@
 
 
 class _Encoder(hpack.Encoder):
-    """Headers without a dynamic table: so what the library makes of one header is the same each time, and is
-    kept for those that come again. Some more bytes on the wire for a fifth of the time.
+    """Encodes headers without a dynamic table, so that the encoding of each header can be cached.
+
+    This takes a fifth of the time of the usual encoder, for a few more bytes on the wire.
     """
 
     def __init__(self) -> None:
         super().__init__()
         hpack.Encoder.header_table_size.fset(self, 0)  # type: ignore[attr-defined]
-        self._table_size_update = super().encode([])  # tells the planner of the table's size, once
+        self._table_size_update = super().encode([])  # sent once, with the first headers
         self._encoded: dict[tuple[bytes, bytes], bytes] = {}
 
     @property
@@ -97,7 +101,7 @@
 
     @header_table_size.setter
     def header_table_size(self, size: int) -> None:
-        """The planner would allow more: it is not used."""
+        """Ignore the larger table that the peer allows."""
 
     def encode(self, headers: Iterable[Any], huffman: bool = False) -> bytes:
         parts, self._table_size_update = [self._table_size_update], b""
@@ -115,10 +119,10 @@
 
 
 class Http2Connection(h2.connection.H2Connection):
-    """A client's connection that outlives GOAWAY.
+    """A client's connection that stays usable after GOAWAY.
 
-    Source: RFC 9113, 6.8: streams up to the last id may still end. h2 itself closes the connection's state at
-    the first GOAWAY and takes every later frame for an error, so this one method is its own.
+    By RFC 9113, 6.8, streams up to the last id may still end. h2 closes the connection's state at the first
+    GOAWAY and treats every later frame as an error, so the method that handles the frame is overridden.
     """
 
     def __init__(self) -> None:
@@ -128,7 +132,7 @@
                 header_encoding=None,
                 validate_outbound_headers=False,
                 normalize_outbound_headers=False,
-                # Of what a planner tells only a few headers are looked at, by name; none is handed on.
+                # Only a few response headers are read, by name; none is forwarded.
                 validate_inbound_headers=False,
                 normalize_inbound_headers=False,
             )
--- a/pipitshed/protocols/http.py
+++ b/pipitshed/protocols/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 answers as the egress and discovery read them."""
+"""A parser of HTTP/1.1 responses, for worker clients and discovery."""
 
 from __future__ import annotations
 
@@ -10,10 +10,8 @@
 
 HEAD_LIMIT_BYTES = 16 * 1024
 BODY_LIMIT_BYTES = 64 * 1024
-NON_BODY_LIMIT_BYTES = (
-    HEAD_LIMIT_BYTES + BODY_LIMIT_BYTES
-)  # bytes of an answer that are no part of its body, at one stretch
-MAX_RESPONSE_HEADS = 16  # answers of the kinds 1xx before the final one, and that one
+NON_BODY_LIMIT_BYTES = HEAD_LIMIT_BYTES + BODY_LIMIT_BYTES  # between two parts of a body
+MAX_RESPONSE_HEADS = 16  # of interim responses (1xx) and the final one
 
 __all__ = [
     "BODY_LIMIT_BYTES",
@@ -25,11 +23,11 @@
 
 
 class MalformedResponseError(ValueError):
-    """What has come in is no HTTP answer within the bounds."""
+    """The received bytes are not an HTTP response within the limits."""
 
 
 class ResponseHandler(Protocol):
-    """Who takes the parts of an answer as they come."""
+    """Receives the parts of a response as they arrive."""
 
     def head_received(self, status: int) -> None: ...
 
@@ -39,7 +37,7 @@
 
 
 class ResponseReader:
-    """Parses answers; the decoded body stands in `buffer`, and the handler uses it up."""
+    """Parses responses; the decoded body is in `buffer`, from which the handler consumes it."""
 
     __slots__ = (
         "buffer",
@@ -58,22 +56,22 @@
         self._handler = handler
         self.is_receiving = False  # a response has begun and has not ended
         self._in_head = False
-        self._non_body_bytes = 0  # bytes since the last part of a body: heads, trailers, framing
-        self._response_heads = 0  # answers before the final one
+        self._non_body_bytes = 0  # received since the last part of a body: heads, trailers, framing
+        self._response_heads = 0  # interim responses, and the final one
         self._parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: bytes) -> None:
-        """Parse; MalformedResponseError where it can't be."""
+        """Parse received bytes; MalformedResponseError if that fails."""
         self._non_body_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            # The parser names the callback alone; what went wrong in it is the error's context.
+            # The parser's error names only the callback; the callback's own exception is its context.
             inner = error.__context__ if isinstance(error, httptools.HttpParserCallbackError) else None
             if isinstance(inner, MalformedResponseError | TooLongError):
                 raise MalformedResponseError(str(inner)) from None
             raise MalformedResponseError(f"{error}: {inner!r}" if inner is not None else str(error)) from None
-        # Guards against a peer that sends a head, trailers or framing without end: the parser keeps it all.
+        # The parser stores heads, trailers and framing without a limit of its own.
         if self._non_body_bytes > NON_BODY_LIMIT_BYTES:
             raise MalformedResponseError("the head or the framing is too long")
 
@@ -81,13 +79,13 @@
         self.is_receiving = True
         self._response_heads += 1
         if self._response_heads > MAX_RESPONSE_HEADS:
-            raise MalformedResponseError("too many answers before the final one")
+            raise MalformedResponseError("too many interim responses")
         self.headers.clear()
         self.buffer.take_all()
         self._in_head = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self._in_head:  # a trailer: what the head said stands
+        if self._in_head:  # a trailer doesn't replace a header
             self.headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
--- a/pipitshed/protocols/toml.py
+++ b/pipitshed/protocols/toml.py
@@ -1,4 +1,4 @@
-"""Where a part of a TOML file stands: the library that reads it tells no lines."""
+"""Finds line numbers in a TOML file, as the parser of the standard library gives none."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 
 
 def line_of_key(text: str, *path: str) -> int:
-    """The line on which the deepest part of a place outside of lists of tables stands. 1 where nothing is."""
+    """The line of a key path outside arrays of tables, or of its longest prefix in the file; else 1."""
     return line_of_item(text, path[0], -1, *path[1:])
 
 
 def line_of_item(text: str, list_name: str, index: int, *path: str) -> int:
-    """The line on which the deepest part of a place stands that the text has: item `index` of a list of
-    tables (-1: a table by itself), then keys. 1 where nothing is found.
+    """The line of a key path in item `index` of an array of tables (-1: in a plain table).
+
+    If the file lacks the whole path, it is the line of its longest prefix there; 1 if there is none.
     """
     best_line, best_depth, item_index = 1, -1, -1
     table: list[str] = []
