--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -1,4 +1,4 @@
-"""Planners that are replaced are forgotten, and whatever is still owed of them is kept."""
+"""Removed workers are forgotten, but not while an attempt or a notification still depends on them."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 from attempt_rig import Rig, late_connections
 from grpc_peer import GrpcPlanner, bench
 from helpers import entries
-from interface_world import World, row
+from interface_world import World
+from interface_world import row as interface_row
 from loopback import SETTINGS, Planner, Run, async_test
 
 from pipitshed.proxy.endpoint_table import FORGET_AFTER_S, EndpointTable
 from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.events import EndpointEntry, EndpointState, Outcome, UpdateKind
 
-DAY, REPLACED, LISTED = 86_400.0, 433, 200
+DAY_S, REPLACED, LISTED = 86_400.0, 433, 200
 
 
 class Clock:
@@ -31,7 +32,7 @@
     return b"s-%06d" % number
 
 
-def line(
+def row(
     number: int, state: EndpointState = EndpointState.READY, port: int = 5000
 ) -> tuple[EndpointEntry, Endpoint]:
     return EndpointEntry(name(number), state=state), Endpoint(
@@ -39,59 +40,60 @@
     )
 
 
-def objects(table: EndpointTable) -> int:
-    """How many planners the table holds in any of its parts."""
+def largest_part(table: EndpointTable) -> int:
+    """The largest number of workers that any part of the table holds."""
     parts = (table._endpoints, table._leaving, table._removed_at, table._draining_marks)
     return max(sum(map(len, table._listed.values())), *map(len, parts))
 
 
-@pytest.mark.parametrize("whole", [False, True])
-def test_a_day_of_replacements_leaves_no_more_than_the_list_and_its_last_minute(whole: bool) -> None:
-    """433 more were held after one day, in each of the table's parts; by changes, and by whole lists."""
+@pytest.mark.parametrize("snapshots", [False, True])
+def test_replaced_workers_do_not_accumulate_over_a_day(snapshots: bool) -> None:
+    """Guards against a leak: after one day each part of the table held 433 replaced workers, by deltas and by
+    snapshots."""
     clock = Clock()
-    table = EndpointTable(lambda news: None, clock)
+    table = EndpointTable(lambda update: None, clock)
     forgotten: list[bytes] = []
     table.attach_forgotten_listener(forgotten.append)
-    table.update("test", UpdateKind.SNAPSHOT, 1, [line(number) for number in range(LISTED)])
+    table.update("test", UpdateKind.SNAPSHOT, 1, [row(number) for number in range(LISTED)])
     for number in range(REPLACED):
-        clock.now += DAY / REPLACED
+        clock.now += DAY_S / REPLACED
         table.mark_draining(name(number))
-        if whole:
+        if snapshots:
             first = number + 1
-            table.update("test", UpdateKind.SNAPSHOT, 2, [line(one) for one in range(first, first + LISTED)])
+            table.update("test", UpdateKind.SNAPSHOT, 2, [row(one) for one in range(first, first + LISTED)])
         else:
-            table.update("test", UpdateKind.DELTA, 2, [line(number, EndpointState.DRAINING)])
+            table.update("test", UpdateKind.DELTA, 2, [row(number, EndpointState.DRAINING)])
             table.update(
-                "test", UpdateKind.DELTA, 2, [line(number, EndpointState.REMOVED), line(number + LISTED)]
+                "test", UpdateKind.DELTA, 2, [row(number, EndpointState.REMOVED), row(number + LISTED)]
             )
-        assert objects(table) <= LISTED + 1
+        assert largest_part(table) <= LISTED + 1
     assert table.size() == table.ready() == LISTED
     assert forgotten == [name(number) for number in range(REPLACED - 1)]
 
 
-def test_a_name_that_comes_back_is_not_forgotten_and_has_its_new_address() -> None:
-    """Within the minute and after it, with the same or another address; and while another source lists it."""
+def test_a_worker_that_returns_is_not_forgotten_and_has_its_new_address() -> None:
+    """The worker returns before and after FORGET_AFTER_S, at another address or listed by another source."""
     clock = Clock()
-    table = EndpointTable(lambda news: None, clock)
+    table = EndpointTable(lambda update: None, clock)
     for after in (FORGET_AFTER_S - 1, FORGET_AFTER_S + 1):
-        table.update("test", UpdateKind.DELTA, 1, [line(1), line(2)])
-        table.update("other", UpdateKind.DELTA, 1, [line(2)])
+        table.update("test", UpdateKind.DELTA, 1, [row(1), row(2)])
+        table.update("other", UpdateKind.DELTA, 1, [row(2)])
         table.update(
-            "test", UpdateKind.DELTA, 1, [line(1, EndpointState.REMOVED), line(2, EndpointState.REMOVED)]
+            "test", UpdateKind.DELTA, 1, [row(1, EndpointState.REMOVED), row(2, EndpointState.REMOVED)]
         )
         assert table.is_leaving(name(1))
         clock.now += after
-        table.update("test", UpdateKind.DELTA, 2, [line(1, port=6000)])
+        table.update("test", UpdateKind.DELTA, 2, [row(1, port=6000)])
         clock.now += 2 * FORGET_AFTER_S
-        table.update("test", UpdateKind.DELTA, 2, [line(3)])
-        told = [table.endpoint(name(number)) for number in (1, 2)]
-        assert [one is not None and one.address[1] for one in told] == [6000, 5000]
+        table.update("test", UpdateKind.DELTA, 2, [row(3)])
+        endpoints = [table.endpoint(name(number)) for number in (1, 2)]
+        assert [one is not None and one.address[1] for one in endpoints] == [6000, 5000]
         assert not table.is_leaving(name(1))
 
 
 @pytest.mark.parametrize("again", [False, True])
-def test_an_attempt_whose_connection_comes_up_long_after_its_planner_left_is_not_written(again: bool) -> None:
-    """Forgotten meanwhile, its planner would have counted as one that nothing is known against."""
+def test_an_attempt_whose_connection_opens_after_its_worker_was_removed_is_not_written(again: bool) -> None:
+    """Guards against an attempt written to a worker that was forgotten, and so no longer known as leaving."""
 
     @async_test
     async def run() -> None:
@@ -104,7 +106,7 @@
             rig.send(rig.take("a1"))
             await asyncio.sleep(0)
             rig.lists(planner.port, EndpointState.REMOVED)
-            for _ in range(3):  # news of another planner, in which others would be forgotten
+            for _ in range(3):  # updates of another worker, during which the removed one would be forgotten
                 clock.now += 2 * FORGET_AFTER_S
                 table.update(
                     "test", UpdateKind.DELTA, 1, [(other, Endpoint(other.worker, rig.carrier, None))]
@@ -112,7 +114,7 @@
             assert table.is_leaving(entry.worker) and table.endpoint(entry.worker) is not None
             up()
             assert await rig.outcome() is Outcome.CONNECT_FAILED and not planner.runs
-            if again:  # it is back, and cold: what is held of it is of its new start
+            if again:  # the worker returns
                 rig.lists(planner.port)
                 rig.send(rig.take("a2"))
                 assert await rig.outcome() is Outcome.OK
@@ -125,12 +127,12 @@
 
 
 @async_test
-async def test_a_job_out_at_a_planner_that_was_replaced_is_answered() -> None:
-    """Its attempt holds its connection, and its outcome is told, whatever the table forgot."""
+async def test_a_job_at_a_worker_that_was_replaced_is_answered() -> None:
+    """The attempt keeps its connection, and its outcome is reported, although the table forgot the worker."""
     async with Planner("p1", act=lambda run: run.send_event("started")) as planner:
         rig, clock = Rig(), Clock()
         rig.forwarder.endpoints._clock = clock
-        rig.forwarder.endpoints._workers_in_use = lambda: ()  # even then
+        rig.forwarder.endpoints._workers_in_use = lambda: ()  # the worker is forgotten although it is in use
         rig.lists(planner.port)
         rig.send(rig.take("a1"))
         run = await planner.wait_for(1)
@@ -143,8 +145,8 @@
 
 
 @async_test
-async def test_the_pool_forgets_the_addresses_of_planners_that_were_replaced() -> None:
-    """An empty list for each address that ever was."""
+async def test_the_pool_forgets_the_addresses_of_workers_that_were_replaced() -> None:
+    """Guards against a leak: the pool kept an empty list for each address it had ever used."""
     rig = Rig()
     for number in range(12):
         async with Planner(f"p{number}", act=Run.serve) as planner:
@@ -152,14 +154,14 @@
             rig.send(rig.take(f"a{number}"))
             assert await rig.outcome() is Outcome.OK
             connection = next(iter(rig.carrier._open_connections))
-        while connection in rig.carrier._open_connections:  # the planner's end closes it
+        while connection in rig.carrier._open_connections:  # until the closed peer's EOF is read
             await asyncio.sleep(0)
     assert not rig.carrier.pool._idle and not rig.carrier.pool._by_age and not rig.carrier._open_connections
 
 
 @async_test
-async def test_a_connection_that_comes_up_for_nobody_is_closed_as_any_idle_one() -> None:
-    """Its attempt may not begin any more, as the planner has left; nothing else would end the connection."""
+async def test_a_connection_that_opens_without_an_attempt_is_closed_as_idle() -> None:
+    """The attempt may not start, because the worker was removed; nothing else would close the connection."""
     permissions = SETTINGS["permissions"] | {"idleClose": 100.0, "maxAttempts": 1}
     async with (
         GrpcPlanner("p1") as planner,
@@ -178,16 +180,16 @@
         made.leave(caller)
 
 
-def test_what_is_known_of_interfaces_is_forgotten_where_a_whole_list_leaves_a_planner_out() -> None:
-    """No row says `gone` then: the planner was known for ever, and asked again and again."""
+def test_an_interface_is_forgotten_when_a_snapshot_omits_its_worker() -> None:
+    """Guards against a worker that is probed forever: a snapshot has no row with `gone` for it."""
     world, clock = World(), Clock()
     world.table._clock = clock
     world.table.attach_forgotten_listener(world.interfaces.forget)
-    world.list(row("p1"), row("p2"))
-    world.table.update("test", UpdateKind.SNAPSHOT, 2, [world.listing.row(row("p2"))])
+    world.list(interface_row("p1"), interface_row("p2"))
+    world.table.update("test", UpdateKind.SNAPSHOT, 2, [world.listing.row(interface_row("p2"))])
     clock.now += 2 * FORGET_AFTER_S
-    world.list(row("p2"))
+    world.list(interface_row("p2"))
     assert list(world.interfaces._known) == [b"p2"]
-    world.list(row("p1", started=5.0))
+    world.list(interface_row("p1", started=5.0))
     world.interfaces.detected(b"p1", ("127.0.0.1", 7), 2)
     assert world.entry("p1").interface == 2
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Changes of the list: those of one turn are one to the decisions, and work goes by what has changed."""
+"""Updates of the endpoint list: those of one event loop iteration reach the dispatcher as one."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 
 
 class Rig:
-    """A watch into a core whose decisions are heard, without sockets."""
+    """A catalog watch that feeds a forwarder, without sockets; it records what the dispatcher receives."""
 
     def __init__(self, **changes: Any) -> None:
         loop = asyncio.get_running_loop()
         self.forwarder = Forwarder(settings(**changes), 1, loop)
         handle = self.forwarder._dispatcher.handle
-        self.told: list[list[EndpointsUpdated]] = []  # by turn
+        self.received: list[list[EndpointsUpdated]] = []  # by event loop iteration
 
-        def heard(now: float, events: Any) -> Any:
-            self.told.append([event for event in events if isinstance(event, EndpointsUpdated)])
+        def record(now: float, events: Any) -> Any:
+            self.received.append([event for event in events if isinstance(event, EndpointsUpdated)])
             return handle(now, events)
 
-        self.forwarder._dispatcher.handle = heard  # type: ignore[method-assign]
+        self.forwarder._dispatcher.handle = record  # type: ignore[method-assign]
         listing = EndpointParser("test", NameIndex(["lima-norte"]), NameIndex(["standard"]), Mock())
         self.discovery = CatalogClient(("127.0.0.1", 1), listing, self.forwarder.endpoints, loop)
         self.discovery.fetch = Mock()  # type: ignore[method-assign]
@@ -49,20 +49,20 @@
         self.call.data_received(HEAD)
 
     def read(self, *pieces: bytes) -> None:
-        """All of it in one read."""
+        """Pass all pieces to the watch in one read."""
         self.call.data_received(b"".join(chunk(piece) for piece in pieces))
 
-    async def turns(self, until: Callable[[], bool]) -> int:
-        """How many turns of the loop it took."""
+    async def run_until(self, condition: Callable[[], bool]) -> int:
+        """Run the event loop until the condition holds; return the number of iterations."""
         count = 0
-        while not until():
+        while not condition():
             await asyncio.sleep(0)
             count += 1
             assert count < 1000
         return count
 
 
-def rigged(body: Callable[[Rig], Any]) -> Callable[[], None]:
+def with_rig(body: Callable[[Rig], Any]) -> Callable[[], None]:
     async def run() -> None:
         await body(Rig())
 
@@ -73,18 +73,18 @@
     return test
 
 
-@rigged
+@with_rig
 async def test_a_lost_zone_in_one_read_is_one_change_to_the_decisions(rig: Rig) -> None:
-    """657 lines of one planner each: they used to make all pools anew 657 times."""
+    """Guards against 657 rebuilds of all worker pools for 657 updates of one worker each."""
     rig.read(news_of(1, True, rows(1400, "ready")))
-    await rig.turns(lambda: len(rig.told) == 1)
+    await rig.run_until(lambda: len(rig.received) == 1)
     lost = rows(657)
     rig.read(
-        *[news_of(2 + place, False, [row]) for place, row in enumerate(lost)],
+        *[news_of(2 + index, False, [row]) for index, row in enumerate(lost)],
         news_of(700, False, [lost[5] | {"lifecycle": "ready", "startedAtMs": 9}]),
     )
-    await rig.turns(lambda: len(rig.told) == 2)
-    [change] = rig.told[1]
+    await rig.run_until(lambda: len(rig.received) == 2)
+    [change] = rig.received[1]
     assert change.kind is UpdateKind.DELTA and change.version == 700 == rig.discovery.version
     names = [str(row["instanceId"]).encode() for row in lost]
     assert [entry.worker for entry in change.entries] == [*names[:5], *names[6:], names[5]]
@@ -93,37 +93,38 @@
     assert rig.forwarder.endpoints.ready() == 1400 - 656 and rig.forwarder.endpoints.size() == 1400
 
 
-@rigged
-async def test_a_failed_call_between_two_changes_of_a_turn_keeps_its_place(rig: Rig) -> None:
-    """The decisions count failures since the last news."""
+@with_rig
+async def test_a_failed_fetch_between_two_updates_of_an_iteration_keeps_its_position(rig: Rig) -> None:
+    """The dispatcher counts the failures since the last update."""
     one, two = rows(2, "ready")
     rig.read(news_of(1, False, [one]), news_of(2, False, [two]))
     rig.call.fail()
     rig.opened()
     rig.read(news_of(3, False, [one | {"weight": 2.0}]), news_of(4, False, [two | {"weight": 2.0}]))
-    await rig.turns(lambda: len(rig.told) == 1)
-    assert [(news.kind, news.version, len(news.entries)) for news in rig.told[0]] == [
+    await rig.run_until(lambda: len(rig.received) == 1)
+    assert [(update.kind, update.version, len(update.entries)) for update in rig.received[0]] == [
         (UpdateKind.DELTA, 2, 2),
         (UpdateKind.FETCH_FAILED, 0, 0),
         (UpdateKind.DELTA, 4, 2),
     ]
 
 
-@pytest.mark.parametrize("weights, told", [(WeightKind.ROUGH, 2), (WeightKind.LIVE, 1500)])
-def test_a_whole_list_tells_the_decisions_what_has_changed(weights: WeightKind, told: int) -> None:
-    """One changed and one gone, of 1,500. Live weights are smoothed with each telling, so all are told."""
+@pytest.mark.parametrize("weights, changed_count", [(WeightKind.ROUGH, 2), (WeightKind.LIVE, 1500)])
+def test_a_snapshot_passes_only_changes_to_the_dispatcher(weights: WeightKind, changed_count: int) -> None:
+    """Of 1,500 workers, one has changed and one is gone. Live weights are smoothed with each update, so with
+    them all entries are passed on."""
 
     async def run() -> None:
         rig = Rig(weight_kind=weights)
         rig.read(news_of(1, True, rows(1500, "ready")))
-        await rig.turns(lambda: len(rig.told) == 1)
+        await rig.run_until(lambda: len(rig.received) == 1)
         before = dict(rig.forwarder.endpoints._endpoints)
         again = rows(1499, "ready")
         again[7]["lifecycle"] = "draining"
         rig.read(news_of(2, True, again))
-        await rig.turns(lambda: len(rig.told) == 2)
-        [change] = rig.told[1]
-        assert len(change.entries) == told
+        await rig.run_until(lambda: len(rig.received) == 2)
+        [change] = rig.received[1]
+        assert len(change.entries) == changed_count
         assert {
             entry.worker: entry.state for entry in change.entries if entry.state is not EndpointState.READY
         } == {
@@ -135,46 +136,49 @@
     asyncio.run(run())
 
 
-@rigged
-async def test_a_long_list_takes_several_turns_and_comes_into_the_table_whole(rig: Rig) -> None:
-    """It stalled the loop, with all its timers, for 27 ms at 4,600; a part of it would draw all jobs."""
+@with_rig
+async def test_a_long_list_is_parsed_over_several_iterations_and_applied_as_a_whole(rig: Rig) -> None:
+    """Guards against a loop that is blocked for 27 ms by 4,600 workers, and against a part of the list in the
+    table, which would get all jobs."""
     rig.read(news_of(1, True, rows(4600, "ready")), news_of(2, False, [rows(1)[0]]))
     seen = set()
 
-    def whole() -> bool:
+    def is_received() -> bool:
         seen.add(rig.forwarder.endpoints.size())
-        return bool(rig.told)
+        return bool(rig.received)
 
-    assert await rig.turns(whole) >= 4600 // ENTRIES_PER_TURN
+    assert await rig.run_until(is_received) >= 4600 // ENTRIES_PER_TURN
     assert seen == {0, 4600} and rig.discovery.version == 2
     assert rig.forwarder.endpoints.ready() == 4599
 
 
-@rigged
-async def test_a_row_that_can_not_be_read_late_in_a_long_list_fails_the_call(rig: Rig) -> None:
-    """The list known stands, what came behind it is not taken, and the next call's news is."""
+@with_rig
+async def test_an_invalid_row_late_in_a_long_list_fails_the_fetch(rig: Rig) -> None:
+    """The known list stays, input after the invalid row is ignored, and the next fetch applies."""
     bad = rows(1500, "ready")
     bad[-1]["hostPort"] = "nowhere"
     rig.read(news_of(8, True, bad), news_of(9, False, rows(1, "ready")))
-    await rig.turns(lambda: len(rig.told) == 1)
-    assert [news.kind for news in rig.told[0]] == [UpdateKind.FETCH_FAILED]
+    await rig.run_until(lambda: len(rig.received) == 1)
+    assert [update.kind for update in rig.received[0]] == [UpdateKind.FETCH_FAILED]
     assert rig.discovery.version == 0 and rig.forwarder.endpoints.size() == 0
     rig.opened()
     rig.read(news_of(9, True, rows(3, "ready")))
     assert rig.forwarder.endpoints.ready() == 3 and rig.discovery.version == 9
     rig.read(news_of(10, True, bad))
-    rig.call.fail()  # and where the next call's news waits behind it, that is taken
+    rig.call.fail()  # an update of the next watch that waits behind a failed one is applied
     rig.opened()
     rig.read(news_of(11, False, rows(2)))
-    await rig.turns(lambda: rig.discovery.version == 11)
+    await rig.run_until(lambda: rig.discovery.version == 11)
     assert rig.forwarder.endpoints.size() == 3 and rig.forwarder.endpoints.ready() == 1
 
 
-def test_what_is_counted_as_it_changes_agrees_with_a_count_of_the_whole_list() -> None:
-    """Ready planners, their number and their interfaces, through changes of two sources, drains and plans."""
+def test_incremental_counts_agree_with_a_count_of_the_whole_list() -> None:
+    """Ready workers, list size and interfaces, over updates of two sources, drains and planned weights."""
     rng = random.Random(5)
-    sets: list[frozenset[int]] = []
-    table = EndpointTable(lambda news: None, on_interfaces_changed=lambda: sets.append(table.interfaces()))
+    reported: list[frozenset[int]] = []
+    table = EndpointTable(
+        lambda update: None, on_interfaces_changed=lambda: reported.append(table.interfaces())
+    )
     for _ in range(3000):
         source, worker = rng.choice("ab"), worker_id(rng.randrange(12))
         entry = EndpointEntry(
@@ -183,8 +187,8 @@
             started_at_ms=float(rng.randrange(3)),
             interface=rng.randrange(3),
         )
-        what = rng.random()
-        if what < 0.8:
+        choice = rng.random()
+        if choice < 0.8:
             line = (entry, Endpoint(worker, Mock(), None))
             more = (replace(entry, state=EndpointState.READY), line[1])
             table.update(
@@ -193,7 +197,7 @@
                 0,
                 [line, more][: rng.randrange(1, 3)],
             )
-        elif what < 0.9:
+        elif choice < 0.9:
             table.mark_draining(worker)
         else:
             table.set_planned_weights({worker: (rng.random(),)})
@@ -202,4 +206,4 @@
         assert table.ready() == len(ready)
         assert table.size() == len({entry.worker for entry in listed})
         assert table.interfaces() == {entry.interface for entry in ready}
-    assert len(sets) > 100 and all(a != b for a, b in zip(sets, sets[1:], strict=False))
+    assert len(reported) > 100 and all(a != b for a, b in zip(reported, reported[1:], strict=False))
--- a/tests/proxy/test_fleet_trace.py
+++ b/tests/proxy/test_fleet_trace.py
@@ -1,4 +1,4 @@
-"""The fleet's count from traces: a failing planner stands out, and so do schedulers that hear no news."""
+"""Statistics from a fleet's decision logs: they show a failing planner, and schedulers without updates."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from benchmarks.fleet_trace import count
 
-HEARS = """0.000 INFO listening on 127.0.0.1:5000
+WITH_UPDATES = """0.000 INFO listening on 127.0.0.1:5000
 0.1 100.0 > Send job=1 worker=s-a timeout=0.0
 0.2 100.1 < Finished job=1 attempt=0 worker=s-a outcome=OK elapsed=600.0 settled=True
 13.0 113.0 < ListNews kind=DELTA version=3 entries=s-b:READY:0:0
 14.0 114.0 < Submitted job=2 time_left=4970.0 job_class=0 tenant=0
 """
-BLIND = """0.1 100.0 > Send job=1 worker=s-b timeout=0.0
+WITHOUT_UPDATES = """0.1 100.0 > Send job=1 worker=s-b timeout=0.0
 0.2 100.0 < Finished job=1 attempt=0 worker=s-b outcome=ERROR elapsed=15.0 settled=False
 0.3 100.3 > Send job=2 worker=s-b timeout=0.0
 0.4 100.4 < Finished job=2 attempt=0 worker=s-b outcome=ERROR elapsed=12.0 settled=False
@@ -23,9 +23,9 @@
 """
 
 
-def test_a_failing_planner_and_blind_schedulers_are_counted(tmp_path: Path) -> None:
-    (tmp_path / "n0.log").write_text(HEARS)
-    (tmp_path / "n1.log").write_text(BLIND)
+def test_a_failing_planner_and_schedulers_without_updates_are_counted(tmp_path: Path) -> None:
+    (tmp_path / "n0.log").write_text(WITH_UPDATES)
+    (tmp_path / "n1.log").write_text(WITHOUT_UPDATES)
     report = count(tmp_path, after=12.0)
     assert report["sends"] == 3 and report["planners"] == 2
     assert report["failing"] == [("s-b", 2, 1.33)]
--- a/tests/proxy/test_forwarder.py
+++ b/tests/proxy/test_forwarder.py
@@ -1,4 +1,4 @@
-"""The core alone, between a loop and parties that are scripted."""
+"""The forwarder alone, with scripted clients and workers."""
 
 import asyncio
 import errno
@@ -29,8 +29,8 @@
 from pipitshed.upstream.http import HttpWorkerClient
 
 
-class HastyLoop:
-    """A loop whose timers come 2 ms early, as uvloop's may."""
+class EarlyTimerLoop:
+    """An event loop whose timers fire 2 ms early, as those of uvloop may."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -40,23 +40,23 @@
         return self._loop.call_at(when - 0.002, *call)
 
 
-def test_a_timer_that_fires_early_does_not_lose_the_watch() -> None:
-    """The failure met: the decisions take an early timer for an old one, and never ask again."""
+def test_a_timer_that_fires_early_does_not_stop_polling() -> None:
+    """Guards against a poll that never happens: the dispatcher ignores an early timer as outdated."""
 
     async def run() -> None:
-        asked = asyncio.Event()
-        forwarder = Forwarder(settings(endpoints_polled=True), 1, HastyLoop())  # type: ignore[arg-type]
-        forwarder.attach_discovery(lambda watch: asked.set())
-        lines = [(entry, Endpoint(entry.worker, None, None)) for entry in entries(3)]  # type: ignore[arg-type]
-        forwarder.endpoints.update("test", UpdateKind.CACHED, 1, lines)
-        await asyncio.wait_for(asked.wait(), 5)
+        fetched = asyncio.Event()
+        forwarder = Forwarder(settings(endpoints_polled=True), 1, EarlyTimerLoop())  # type: ignore[arg-type]
+        forwarder.attach_discovery(lambda watch: fetched.set())
+        rows = [(entry, Endpoint(entry.worker, None, None)) for entry in entries(3)]  # type: ignore[arg-type]
+        forwarder.endpoints.update("test", UpdateKind.CACHED, 1, rows)
+        await asyncio.wait_for(fetched.wait(), 5)
 
     asyncio.run(run())
 
 
-def test_the_decisions_hear_of_a_kept_connection_that_closes() -> None:
-    """The failure met: planners that closed right after an answer were drawn for connections long closed, and
-    each such draw opened one."""
+def test_the_dispatcher_is_notified_of_an_idle_connection_that_closes() -> None:
+    """Guards against workers that are selected for connections that have closed: workers that closed the
+    connection after each response were preferred, and each attempt opened a new one."""
 
     async def run() -> None:
         lost = asyncio.Event()
@@ -76,24 +76,24 @@
                     lost.set()
 
             forwarder._dispatch_loop.post = post  # type: ignore[method-assign]
-            carrier = HttpWorkerClient(forwarder, [], loop)
-            target = Endpoint(b"p1", carrier, ("127.0.0.1", planner.port))
-            exchange = RequestContext(1, Request("a1", 0, 5000.0, 0), Mock(), loop.time() + 5)
-            carrier.start(Attempt(exchange, 0, target, loop.time(), loop.time() + 5))
+            worker_client = HttpWorkerClient(forwarder, [], loop)
+            target = Endpoint(b"p1", worker_client, ("127.0.0.1", planner.port))
+            context = RequestContext(1, Request("a1", 0, 5000.0, 0), Mock(), loop.time() + 5)
+            worker_client.start(Attempt(context, 0, target, loop.time(), loop.time() + 5))
             await asyncio.wait_for(lost.wait(), 5)
             assert [type(event) for event in events] == [AttemptProgressed, AttemptFinished, ConnectionLost]
 
     asyncio.run(run())
 
 
-def test_a_failed_accept_does_not_lose_the_listener(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Out of descriptors for once: the client in the queue is served when there are some again."""
+def test_the_listener_continues_after_a_failed_accept(monkeypatch: pytest.MonkeyPatch) -> None:
+    """No descriptor is left once: the queued client is served as soon as there is one again."""
 
     async def run() -> None:
         failures = [OSError(errno.EMFILE, "too many open files")]
         accept = socket.socket.accept
 
-        def failing(self: socket.socket) -> Any:
+        def fail_once(self: socket.socket) -> Any:
             if failures:
                 raise failures.pop()
             return accept(self)
@@ -105,7 +105,7 @@
                 served.set()
                 transport.close()
 
-        monkeypatch.setattr(socket.socket, "accept", failing)
+        monkeypatch.setattr(socket.socket, "accept", fail_once)
         listener = Listener(("127.0.0.1", 0), Served, asyncio.get_running_loop())
         _, writer = await asyncio.open_connection(*listener.address)
         await asyncio.wait_for(served.wait(), 5)
@@ -116,31 +116,31 @@
     asyncio.run(run())
 
 
-def test_an_exception_in_one_action_or_event_leaves_the_others_of_its_turn() -> None:
-    """A client that raises, and an event that the decisions can't take: the other job of that turn is refused
-    all the same."""
+def test_an_exception_in_one_action_or_event_does_not_stop_the_others() -> None:
+    """A requester raises, and so does the dispatcher on an event: the other job of the iteration is still
+    rejected."""
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
         forwarder = Forwarder(settings(), 1, loop)
-        broken, usual = Mock(), Mock()
-        broken.rejected.side_effect = RuntimeError("planted")
+        failing, normal = Mock(), Mock()
+        failing.rejected.side_effect = RuntimeError("planted")
         done = asyncio.Event()
-        usual.rejected.side_effect = lambda retry_after: done.set()
+        normal.rejected.side_effect = lambda retry_after: done.set()
         first, second = [
             forwarder.submit(Request(name, 0, 5000.0, 0), client)
-            for name, client in (("a1", broken), ("a2", usual))
+            for name, client in (("a1", failing), ("a2", normal))
         ]
         forwarder._dispatcher.handle = Mock(side_effect=RuntimeError("planted"))  # type: ignore[method-assign]
         forwarder._dispatcher.actions = [RejectRequest(first.job_id, 1.0), RejectRequest(second.job_id, 1.0)]
         await asyncio.wait_for(done.wait(), 5)
-        assert broken.rejected.called
+        assert failing.rejected.called
 
     asyncio.run(run())
 
 
 class SilentClient:
-    """A worker client whose workers take each attempt and never answer it."""
+    """A worker client whose workers accept each attempt and never respond."""
 
     def __init__(self) -> None:
         self.taken: asyncio.Queue[Attempt] = asyncio.Queue()
@@ -152,10 +152,10 @@
         return attempt.fully_sent
 
 
-async def held_up_at_the_deadline(
-    effect: Idempotency, held_up_s: float, translator: Any = None
+async def blocked_at_the_deadline(
+    effect: Idempotency, blocked_s: float, translator: Any = None
 ) -> tuple[Mock, asyncio.Queue[str]]:
-    """A request in progress at a silent worker, whose deadline passes while the loop stands still."""
+    """A request at a silent worker whose deadline passes while the event loop is blocked."""
     loop = asyncio.get_running_loop()
     forwarder = Forwarder(settings(effect), 1, loop)
     worker_client, client, answers = SilentClient(), Mock(), asyncio.Queue[str]()
@@ -175,38 +175,38 @@
         attempt = await worker_client.taken.get()
         forwarder.attempt_sent(attempt)
         forwarder.attempt_progressed(attempt, ProgressKind.STARTED)
-        await asyncio.sleep(0)  # the dispatcher has been told
-    time.sleep(context.deadline_at - time.monotonic() + held_up_s)  # noqa: ASYNC251
+        await asyncio.sleep(0)  # the dispatcher handles the events
+    time.sleep(context.deadline_at - time.monotonic() + blocked_s)  # noqa: ASYNC251
     return client, answers
 
 
-@pytest.mark.parametrize("held_up_s", [0.005, 0.015, 0.04, 0.15])
+@pytest.mark.parametrize("blocked_s", [0.005, 0.015, 0.04, 0.15])
 @pytest.mark.parametrize(
     ("effect", "answer"),
     [(Idempotency.IDEMPOTENT, "rejected"), (Idempotency.NON_IDEMPOTENT, "failed")],
 )
-def test_a_loop_held_up_over_a_deadline_answers_as_the_dispatcher_would(
-    effect: Idempotency, answer: str, held_up_s: float
+def test_a_loop_blocked_past_a_deadline_answers_as_the_dispatcher_would(
+    effect: Idempotency, answer: str, blocked_s: float
 ) -> None:
-    """Guards against a 500 for a job that its client may repeat: both deadlines were due in one turn, and the
-    guard's came before the dispatcher's answer."""
+    """Guards against a 500 for a job that its client may retry: both deadlines were due in one iteration, and
+    the guard answered before the dispatcher."""
 
     async def run() -> None:
-        client, answers = await held_up_at_the_deadline(effect, held_up_s)
+        client, answers = await blocked_at_the_deadline(effect, blocked_s)
         assert await asyncio.wait_for(answers.get(), 5) == answer
-        await asyncio.sleep(0.05)  # an answer too many would come within the guard's time
+        await asyncio.sleep(0.05)  # a second answer would arrive within DEADLINE_GUARD_MS
         assert client.rejected.call_count + client.failed.call_count == 1
 
     asyncio.run(run())
 
 
 def test_a_request_that_never_reached_the_dispatcher_is_rejected_at_its_deadline() -> None:
-    """Guards against a 500 for a job that never ran: an exception ended its translation."""
+    """Guards against a 500 for a job that never ran, after an exception in its translation."""
 
     translator = Mock(prepare=Mock(side_effect=RuntimeError("planted")))
 
     async def run() -> None:
-        client, answers = await held_up_at_the_deadline(Idempotency.NON_IDEMPOTENT, 0.04, translator)
+        client, answers = await blocked_at_the_deadline(Idempotency.NON_IDEMPOTENT, 0.04, translator)
         assert await asyncio.wait_for(answers.get(), 5) == "rejected"
         assert client.failed.call_count == 0
 
