--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' address: ready or not, and figures that are true; callers that go silent cost nothing."""
+"""The admin address: readiness, correct metrics, and clients that send nothing."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 READY = b"GET /-/ready HTTP/1.1\r\nHost: mgmt\r\n\r\n"
 
 
-def test_figures_by_class_sum_a_name_that_stands_for_several_numbers() -> None:
+def test_counts_of_class_numbers_with_the_same_name_are_added_up() -> None:
     counts = counts_by_class(
         ["quote", "book", "quote"],
         {
@@ -35,8 +35,8 @@
         {0: 4, 1: 2, 2: 1},
     )
     text = render(counts, Gauges(5, 9, 1, 2, 1))
-    told = parse(text)
-    assert told == {
+    metrics = parse(text)
+    assert metrics == {
         "scheduler.answered.quote": 5,
         "scheduler.answered.book": 0,
         "scheduler.deferred.quote": 0,
@@ -56,8 +56,8 @@
 
 
 @async_test
-async def test_figures_count_what_clients_were_answered_and_what_planners_were_sent() -> None:
-    """Served, refused and failed by class; attempts written whole; the list's size."""
+async def test_metrics_count_responses_to_clients_and_attempts_to_planners() -> None:
+    """Served, rejected and failed requests by class, written attempts, and the size of the list."""
     acts = iter([lambda run: run.serve(), lambda run: run.send_event("failed"), lambda run: run.serve()])
     async with (
         Planner("p1", act=lambda run: next(acts)(run)) as planner,
@@ -74,22 +74,22 @@
             seen["answered" if status == 200 else "deferred" if status == 503 else "errored"] += 1
         client.ask("a4", "book", Idempotency_Key="k4", X_Deadline="0.001")
         await client.answer()
-        told = await read_metrics(running.mgmt_port)
-        assert {name: told[f"scheduler.{name}.quote"] for name in seen} == seen
+        metrics = await read_metrics(running.mgmt_port)
+        assert {name: metrics[f"scheduler.{name}.quote"] for name in seen} == seen
         assert seen["answered"] == 2
-        assert told["scheduler.sends.quote"] == 3 and told["scheduler.sends"] == 3
+        assert metrics["scheduler.sends.quote"] == 3 and metrics["scheduler.sends"] == 3
         assert (
-            told["scheduler.answered.book"]
-            + told["scheduler.deferred.book"]
-            + (told["scheduler.errored.book"])
+            metrics["scheduler.answered.book"]
+            + metrics["scheduler.deferred.book"]
+            + (metrics["scheduler.errored.book"])
             == 1
         )
-        assert told["scheduler.current"] == 0 and told["scheduler.cluster_size"] == 1
-        assert told["scheduler.conf_loaded"] == told["scheduler.conf_invalid"] == 0
+        assert metrics["scheduler.current"] == 0 and metrics["scheduler.cluster_size"] == 1
+        assert metrics["scheduler.conf_loaded"] == metrics["scheduler.conf_invalid"] == 0
 
 
 @async_test
-async def test_a_job_under_way_counts_as_current() -> None:
+async def test_a_running_job_counts_as_current() -> None:
     async with (
         Planner("p1", act=lambda run: run.send_event("started")) as planner,
         program(planner, mgmt=True) as running,
@@ -104,14 +104,14 @@
 
 
 @async_test
-async def test_unknown_calls_get_a_4xx_and_what_cannot_be_read_a_400() -> None:
-    class Silent(Catalog):
+async def test_unknown_requests_get_a_4xx_and_malformed_ones_a_400() -> None:
+    class SilentCatalog(Catalog):
         async def serve(self, reader: Reader, writer: Writer) -> None:
             await reader.read()
 
     async with (
         Planner("p1") as planner,
-        Silent() as silent,
+        SilentCatalog() as silent,
         program(planner, catalog=silent, mgmt=True) as running,
     ):
         port = running.mgmt_port
@@ -119,39 +119,39 @@
         assert (await admin_request(port, b"POST /-/ready HTTP/1.1\r\nContent-Length: 2\r\n\r\nno"))[0] == 405
         assert (await admin_request(port, b"DELETE /-/metrics HTTP/1.1\r\n\r\n"))[0] == 405
         assert (await admin_request(port, b"\x16\x03\x01 nonsense\r\n\r\n"))[0] == 400
-        # Discovery has not answered, and the start was a moment ago.
+        # Not ready: discovery has not answered, and the program has just started.
         assert (await admin_request(port, b"GET /-/ready?x=1 HTTP/1.1\r\n\r\n"))[0] == 503
 
 
 @async_test
-async def test_silent_callers_are_closed_and_hold_up_no_call() -> None:
-    """Callers that connect and say nothing: the next call is answered at once, the oldest silent one is
-    closed when too many stand, and each is closed by 2 s."""
+async def test_silent_clients_are_closed_and_delay_no_request() -> None:
+    """Clients that connect and send nothing: the next request is answered at once, the oldest silent client
+    is closed when there are too many, and each is closed after 2 s."""
     async with Planner("p1") as planner, program(planner, mgmt=True) as running:
         silent = [await asyncio.open_connection("127.0.0.1", running.mgmt_port) for _ in range(17)]
-        assert await silent[0][0].read() == b""  # made room for the seventeenth
+        assert await silent[0][0].read() == b""  # evicted for the 17th connection
         loop = asyncio.get_running_loop()
-        begun = loop.time()
+        started_at = loop.time()
         assert (await admin_request(running.mgmt_port, READY))[0] in (200, 503)
-        assert loop.time() - begun < 0.5
+        assert loop.time() - started_at < 0.5
         halfway, writer = await asyncio.open_connection("127.0.0.1", running.mgmt_port)
         writer.write(b"GET /-/metr")
         assert await halfway.read() == b""
-        assert 1.5 < loop.time() - begun < 3.0
+        assert 1.5 < loop.time() - started_at < 3.0
         for reader, _ in silent[1:]:
             assert await reader.read() == b""
 
 
 @async_test
-async def test_files_at_sighup_are_counted_and_a_process_that_ends_is_not_ready() -> None:
+async def test_files_at_sighup_are_counted_and_a_stopping_process_is_not_ready() -> None:
     async with Planner("p1") as planner, program(planner, mgmt=True) as running:
         good = running.config.read_text()
         running.reload('{"settings": ')
         await running.logged("stays as it was")
         running.reload(good)
         await running.logged("read again")
-        told = await read_metrics(running.mgmt_port)
-        assert (told["scheduler.conf_loaded"], told["scheduler.conf_invalid"]) == (1, 1)
+        metrics = await read_metrics(running.mgmt_port)
+        assert (metrics["scheduler.conf_loaded"], metrics["scheduler.conf_invalid"]) == (1, 1)
         client = await HttpClient.to(running.port)
         client.ask("a1")
         await planner.wait_for(1)
--- a/tests/frontends/test_gearman_frontend.py
+++ b/tests/frontends/test_gearman_frontend.py
@@ -1,4 +1,4 @@
-"""The Gearman front: old clients, old workers, and the same rules as before the HTTP front."""
+"""The Gearman front end: its clients and workers, and the same guarantees as at the HTTP front end."""
 
 import asyncio
 from collections import Counter
@@ -42,9 +42,9 @@
 
 
 @async_test
-async def test_a_worker_lost_mid_job_is_a_reset() -> None:
-    """The quote goes to the next worker; the booking may have run, and where the class forbids a repeat it is
-    run anew neither then nor for a resubmission."""
+async def test_a_worker_that_disconnects_during_a_job_is_a_reset() -> None:
+    """The quote goes to the next worker. The booking may have run, and its class forbids a second run: it is
+    neither retried nor run for a resubmission."""
     async with program(front=FRONT, settings=NON_IDEMPOTENT_BOOK) as running:
         client = await GearmanPeer.to(running.gearman_port)
         for function, unique in [(b"plan_quote", b"q1"), (b"book_pallet", b"b1")]:
@@ -64,18 +64,18 @@
         await other.register(b"book_pallet")
         again = await client.submit(b"book_pallet", b"b1", b"six")
         assert await client.expect(PacketType.WORK_FAIL) == [again]
-        assert await unwoken(other)
+        assert await is_still_asleep(other)
 
 
-async def unwoken(worker: GearmanPeer) -> bool:
-    """Whether a sleeping worker has been left to sleep."""
+async def is_still_asleep(worker: GearmanPeer) -> bool:
+    """Whether the worker has received no NOOP since it went to sleep."""
     worker.send(PacketType.ECHO_REQ, b"still")
     return (await worker.receive())[0] is PacketType.ECHO_RES
 
 
 @async_test
-async def test_before_assignment_it_never_ran() -> None:
-    """Woken but not assigned: another worker gets even the booking."""
+async def test_a_job_that_was_not_assigned_has_not_run() -> None:
+    """A worker that was woken but not assigned the job disconnects: another worker gets the booking."""
     async with program(front=FRONT) as running:
         first, second, client = [await GearmanPeer.to(running.gearman_port) for _ in range(3)]
         await first.register(b"book_pallet")
@@ -89,7 +89,7 @@
 
 
 @async_test
-async def test_a_resubmission_joins_the_running_job_and_finds_its_result() -> None:
+async def test_a_resubmission_joins_the_running_job_and_gets_its_result() -> None:
     async with program(front=FRONT) as running:
         worker, gone, client, late = [await GearmanPeer.to(running.gearman_port) for _ in range(4)]
         await worker.register(b"book_pallet")
@@ -103,18 +103,18 @@
         assert answers == [[handle, b"booked"] for handle in handles]
         handle = await late.submit(b"book_pallet", b"b1", b"six")
         assert await late.expect(PacketType.WORK_COMPLETE) == [handle, b"booked"]
-        assert await unwoken(worker)
+        assert await is_still_asleep(worker)
 
 
 @async_test
-async def test_a_worker_that_withdraws_its_ability_gets_nothing_new() -> None:
+async def test_a_worker_that_withdraws_its_ability_gets_no_new_jobs() -> None:
     async with program(front=FRONT) as running:
         draining, other, client = [await GearmanPeer.to(running.gearman_port) for _ in range(3)]
         await draining.register(b"plan_quote", b"book_pallet")
         waiting = await client.submit(b"book_pallet", b"b0", b"six")
         await draining.expect(PacketType.NOOP)
         await other.register(b"book_pallet")
-        draining.send(PacketType.CANT_DO, b"book_pallet")  # what waits there goes to the other
+        draining.send(PacketType.CANT_DO, b"book_pallet")  # its waiting job goes to the other worker
         for number in range(5):
             attempt, _, _ = await other.grab()
             other.send(PacketType.WORK_COMPLETE, attempt, b"booked")
@@ -134,31 +134,31 @@
         (b"book_pallet", [PacketType.WORK_FAIL]),
     ],
 )
-def test_the_answer_comes_before_the_deadline(function: bytes, kinds: list[PacketType]) -> None:
-    """And the attempt ends with it: its worker's connection is closed."""
+def test_the_response_arrives_before_the_deadline(function: bytes, kinds: list[PacketType]) -> None:
+    """The attempt ends at the same time: its worker's connection is closed."""
 
     @async_test
     async def run() -> None:
         async with program(front=FRONT.replace(" }", ", patience-s = 0.3 }")) as running:
             worker, client = [await GearmanPeer.to(running.gearman_port) for _ in range(2)]
             await worker.register(function)
-            begun = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             await client.submit(function, b"k1", b"six")
             await worker.grab()
             assert [(await client.receive())[0] for _ in kinds] == kinds
-            assert asyncio.get_running_loop().time() - begun < 0.3
+            assert asyncio.get_running_loop().time() - started_at < 0.3
             assert await worker.reader.read() == b""
 
     run()
 
 
 @async_test
-async def test_a_stalled_job_does_not_take_the_worker_s_other_jobs_with_it() -> None:
-    """Guards against a booking that fails as its worker's connection is closed over another client's job."""
-    patience = FRONT.replace(
+async def test_a_stalled_job_does_not_end_the_worker_s_other_jobs() -> None:
+    """Guards against a booking that fails because another client's job closes its worker's connection."""
+    front_toml = FRONT.replace(
         'plan_quote = { class = "quote"', 'plan_quote = { patience-s = 0.3, class = "quote"'
     )
-    async with program(front=patience, settings=NON_IDEMPOTENT_BOOK) as running:
+    async with program(front=front_toml, settings=NON_IDEMPOTENT_BOOK) as running:
         worker, impatient, client = [await GearmanPeer.to(running.gearman_port) for _ in range(3)]
         await worker.register(b"plan_quote", b"book_pallet")
         await impatient.submit(b"plan_quote", b"q1", b"six")
@@ -170,8 +170,8 @@
             PacketType.WORK_WARNING,
             PacketType.WORK_FAIL,
         ]
-        assert await unwoken(worker)
-        worker.send(PacketType.CAN_DO, b"plan_quote")  # it gets nothing new all the same
+        assert await is_still_asleep(worker)
+        worker.send(PacketType.CAN_DO, b"plan_quote")  # the worker still gets no new job
         worker.send(PacketType.GRAB_JOB)
         await worker.expect(PacketType.NO_JOB)
         worker.send(PacketType.WORK_COMPLETE, attempt, b"booked")
@@ -180,8 +180,8 @@
 
 
 @async_test
-async def test_a_worker_has_as_long_as_it_said() -> None:
-    """CAN_DO_TIMEOUT ends the attempt long before the class's deadline, and its worker's connection too."""
+async def test_can_do_timeout_limits_the_attempt() -> None:
+    """The timeout ends the attempt long before the class's deadline, and closes the connection."""
     async with program(front=FRONT) as running:
         worker, client = [await GearmanPeer.to(running.gearman_port) for _ in range(2)]
         worker.send(PacketType.CAN_DO_TIMEOUT, b"book_pallet", b"1")
@@ -190,14 +190,14 @@
         await worker.expect(PacketType.NOOP)
         worker.send(PacketType.GRAB_JOB_ALL)
         assert (await worker.expect(PacketType.JOB_ASSIGN_ALL))[1:] == [b"book_pallet", b"b1", b"", b"six"]
-        begun = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         assert await client.expect(PacketType.WORK_FAIL) == [handle]
-        assert asyncio.get_running_loop().time() - begun < 5
+        assert asyncio.get_running_loop().time() - started_at < 5
         assert await worker.reader.read() == b""
 
 
 @async_test
-async def test_bad_packets_are_said_so_and_closed_and_split_ones_are_put_together() -> None:
+async def test_bad_packets_get_an_error_and_split_ones_are_reassembled() -> None:
     async with Planner("p1") as planner, program(planner, front=FRONT) as running:
         for data in [
             b"\0RES" + bytes(8),
@@ -212,9 +212,9 @@
             assert (await peer.expect(PacketType.ERROR))[0] == b"ERR_BAD_PACKET"
             assert await peer.reader.read() == b""
         client = await GearmanPeer.to(running.gearman_port)
-        whole = encode_packet(PacketType.SUBMIT_JOB, b"plan_quote", b"", b"a\0b", magic=REQUEST_MAGIC)
-        for place in range(len(whole)):
-            client.writer.write(whole[place : place + 1])
+        packet = encode_packet(PacketType.SUBMIT_JOB, b"plan_quote", b"", b"a\0b", magic=REQUEST_MAGIC)
+        for offset in range(len(packet)):
+            client.writer.write(packet[offset : offset + 1])
             await asyncio.sleep(0)
         [handle] = await client.expect(PacketType.JOB_CREATED)
         assert await client.expect(PacketType.WORK_COMPLETE) == [handle, b"plan of a", b"b"]
@@ -226,7 +226,7 @@
 
 @async_test
 async def test_status_options_and_text_commands() -> None:
-    # The failed job is tried again until its time is over, at a worker that asks for none.
+    # The failed job is retried until its deadline, but its worker requests no further job.
     async with program(front=FRONT.replace(" }", ", patience-s = 2.0 }")) as running:
         worker, client, admin = [await GearmanPeer.to(running.gearman_port) for _ in range(3)]
         worker.send(PacketType.SET_CLIENT_ID, b"depot-7")
@@ -264,7 +264,7 @@
         client.ask(f"h{number}", name, body, Idempotency_Key=f"h{number}", X_Deadline="1.0")
         status, _, _ = await client.answer()
         count[name, body, {200: "served", 503: "refused", 500: "failed"}[status]] += 1
-    client.ask("last", "quote", b"serve")  # an answer too many would stand before this one's
+    client.ask("last", "quote", b"serve")  # a surplus response would precede this one's
     count["one answer each", (await client.answer())[2] == b"plan of serve"] += 1
 
 
@@ -291,9 +291,9 @@
 
 
 @async_test
-async def test_a_mixed_run_keeps_the_same_rules_at_both_fronts() -> None:
-    """The same jobs from both fronts to an HTTP planner and a Gearman worker that act alike: the answers are
-    the same in number and kind, and no key runs twice."""
+async def test_both_front_ends_give_the_same_guarantees() -> None:
+    """The same jobs from both front ends go to an HTTP planner and a Gearman worker that behave alike: the
+    responses are the same in number and kind, and no key runs twice."""
     runs: Counter[str] = Counter()
 
     def act(run: Run) -> None:
@@ -322,7 +322,7 @@
                     elif body == b"serve":
                         worker.send(PacketType.WORK_COMPLETE, attempt, b"plan of " + body)
             except asyncio.IncompleteReadError:
-                pass  # a stalled job was given up
+                pass  # the scheduler closed the connection after a stalled job
             worker.writer.transport.abort()
 
     front = FRONT.replace(" }", ", patience-s = 1.0 }")
--- a/tests/frontends/test_rare_moments.py
+++ b/tests/frontends/test_rare_moments.py
@@ -1,4 +1,4 @@
-"""The door's rare moments: clients that go, flood, do not read, or ask in the instant of a close."""
+"""Rare cases at the front ends: clients that disconnect, flood, don't read, or send during a close."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 from pipitshed.protocols.gearman import PacketType
 
 
-async def small(port: int) -> HttpClient:
-    """A client that takes little at a time."""
+async def client_with_small_buffer(port: int) -> HttpClient:
+    """A client with a receive buffer of 2 KiB."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     sock.setblocking(False)
@@ -40,8 +40,9 @@
 
 
 @async_test
-async def test_a_client_that_goes_with_many_requests_waiting_is_seen_to_go() -> None:
-    """Reading used to rest behind eight that waited, so its end was not seen, and they were sent on."""
+async def test_a_disconnect_with_many_queued_requests_is_noticed() -> None:
+    """Guards against queued requests that are sent for a client that is gone: reading used to pause behind
+    eight queued requests, so that the disconnect was not noticed."""
     async with (
         Planner("p1", act=lambda run: run.send_event("started")) as planner,
         program(planner) as running,
@@ -51,9 +52,9 @@
             client.ask(f"a{number}")
         run = await planner.wait_for(1)
         client.writer.transport.abort()
-        gone = asyncio.get_running_loop().time()
+        left_at = asyncio.get_running_loop().time()
         await run.dropped()
-        assert asyncio.get_running_loop().time() - gone < 0.3
+        assert asyncio.get_running_loop().time() - left_at < 0.3
         planner.act = Run.serve
         other = await HttpClient.to(running.port)
         for number in range(10):
@@ -63,8 +64,8 @@
 
 
 @async_test
-async def test_no_further_attempt_begins_for_a_client_that_has_gone() -> None:
-    """It goes while its first attempt is out: that one is dropped, and none follows it."""
+async def test_no_further_attempt_starts_for_a_client_that_disconnected() -> None:
+    """The client disconnects during the first attempt: that one is stopped, and no other follows."""
     async with (
         Planner("p1", act=lambda run: run.send_event("started")) as one,
         Planner("p2", act=lambda run: run.send_event("started")) as two,
@@ -79,22 +80,22 @@
         client.writer.transport.abort()
         run = first.pop().result()
         await run.dropped()
-        run.writer.transport.abort()  # where the settings allow, a broken one is drawn again
+        run.writer.transport.abort()  # the settings would permit a retry of a broken attempt
         one.act = two.act = Run.serve
         other = await HttpClient.to(running.port)
         for number in range(10):
             other.ask(f"b{number}")
             assert (await other.answer())[0] == 200
-        asked = [run.headers["x-request-id"] for planner in (one, two) for run in planner.runs]
-        assert asked.count("a1") == 1
+        sent_ids = [run.headers["x-request-id"] for planner in (one, two) for run in planner.runs]
+        assert sent_ids.count("a1") == 1
 
 
 @async_test
-async def test_a_request_that_is_read_after_its_client_has_gone_is_not_sent_on() -> None:
-    """The program stands still while clients ask and go, on new connections, kept ones and Gearman's: request
-    and end are there to be read at the same time, the request first."""
+async def test_a_request_that_is_read_after_its_client_disconnected_is_not_sent() -> None:
+    """The program is stopped while clients send requests and disconnect, on new, kept and Gearman
+    connections: afterwards it reads each request and its EOF in the same iteration, the request first."""
     async with Planner("p1") as planner, program(planner, front=FRONT) as running:
-        kept, usual = await HttpClient.to(running.port), await HttpClient.to(running.port)
+        kept, normal = await HttpClient.to(running.port), await HttpClient.to(running.port)
         kept.ask("k0")
         assert (await kept.answer())[0] == 200
         gearman = await GearmanPeer.to(running.gearman_port)
@@ -112,16 +113,16 @@
         await gearman.writer.wait_closed()
         running.process.send_signal(signal.SIGCONT)
         for number in range(3):
-            usual.ask(f"a{number}")
-            assert (await usual.answer())[0] == 200
-        asked = [run.headers["x-request-id"] for run in planner.runs]
-        assert asked == ["k0", "a0", "a1", "a2"]
+            normal.ask(f"a{number}")
+            assert (await normal.answer())[0] == 200
+        sent_ids = [run.headers["x-request-id"] for run in planner.runs]
+        assert sent_ids == ["k0", "a0", "a1", "a2"]
 
 
 @async_test
-async def test_a_gearman_client_that_has_gone_gets_no_further_attempt() -> None:
-    """A keyed job that may have run goes on for one that comes back; when its planner loses it, it is not
-    sent again while nobody waits, and a client that comes back is told the end."""
+async def test_a_gearman_client_that_disconnected_gets_no_further_attempt() -> None:
+    """A keyed job that may have run continues for a client that reconnects. When its planner fails, the job
+    is not sent again while no client waits, and a client that reconnects gets the failure."""
     async with (
         Planner("p1", act=lambda run: run.send_event("started")) as planner,
         program(planner, front=FRONT) as running,
@@ -132,14 +133,16 @@
         client.writer.transport.abort()
         other = await GearmanPeer.to(running.gearman_port)
         other.send(PacketType.GET_STATUS_UNIQUE, b"k1")
-        while (await other.expect(PacketType.STATUS_RES_UNIQUE))[1] == b"1":  # until its end has been seen
+        while (await other.expect(PacketType.STATUS_RES_UNIQUE))[
+            1
+        ] == b"1":  # until the disconnect is noticed
             other.send(PacketType.GET_STATUS_UNIQUE, b"k1")
         planner.act = Run.serve
         run.writer.transport.abort()
         handle = await other.submit(b"plan_quote", b"q1", b"six")
         assert await other.expect(PacketType.WORK_COMPLETE) == [handle, b"plan of six"]
-        ended = asyncio.get_running_loop().time() + 4.0  # its pauses are 2.5 s at most
-        while asyncio.get_running_loop().time() < ended:
+        deadline = asyncio.get_running_loop().time() + 4.0  # the retry delays are 2.5 s at most
+        while asyncio.get_running_loop().time() < deadline:
             handle = await other.submit(b"plan_quote", b"", b"six")
             await other.expect(PacketType.WORK_COMPLETE)
         assert [run.body for run in planner.runs].count(b"six") == len(planner.runs)
@@ -147,11 +150,12 @@
 
 
 @async_test
-async def test_a_flood_of_requests_on_one_connection_is_answered_and_ended() -> None:
-    """Each in its turn: a few are served, those beyond are refused, and one that sends on and on is ended."""
+async def test_a_flood_of_requests_on_one_connection_is_answered_and_closed() -> None:
+    """The requests are answered in order: the first few are served, the others rejected, and the connection
+    is closed."""
     async with Planner("p1") as planner, program(planner) as running:
         client = await HttpClient.to(running.port)
-        running.process.send_signal(signal.SIGSTOP)  # so that all of it is read at once
+        running.process.send_signal(signal.SIGSTOP)  # so that the whole flood is read at once
         for number in range(2 * MAX_QUEUED_RESPONSES):
             client.ask(f"a{number}", body=b"")
         await client.writer.drain()
@@ -161,33 +165,35 @@
             while True:
                 statuses.append((await client.answer())[0])
         assert set(statuses) <= {200, 503, 500} and len(statuses) >= MAX_QUEUED_RESPONSES
-        taken = {
+        served_ids = {
             f"a{number}" for number in range(MAX_PIPELINED_REQUESTS + 1)
-        }  # none of those behind the end in one read
-        assert {run.headers["x-request-id"] for run in planner.runs} <= taken
-        usual = await HttpClient.to(running.port)
-        usual.ask("b1")
-        assert (await usual.answer())[0] == 200
-        begun = asyncio.get_running_loop().time()
+        }  # no request after the last one
+        assert {run.headers["x-request-id"] for run in planner.runs} <= served_ids
+        normal = await HttpClient.to(running.port)
+        normal.ask("b1")
+        assert (await normal.answer())[0] == 200
+        started_at = asyncio.get_running_loop().time()
         running.process.send_signal(signal.SIGTERM)
         await running.logged("ended:")
-        assert asyncio.get_running_loop().time() - begun < 6.0  # nothing of it is owed; the deadline is 15 s
+        assert (
+            asyncio.get_running_loop().time() - started_at < 6.0
+        )  # no request is open; the deadline is 15 s
 
 
 @async_test
-async def test_an_answer_outlives_what_comes_behind_its_request() -> None:
-    """A close over unread bytes resets the connection: the part of the answer that a slow client had not
-    taken was lost with it."""
+async def test_a_response_is_sent_whole_although_more_input_follows_its_request() -> None:
+    """Guards against a truncated response: closing with unread input resets the connection, and a slow client
+    lost the part of the response that it had not read."""
     async with (
         Planner("p1", act=lambda run: run.send_event("started")) as planner,
         program(planner) as running,
     ):
-        client, other = await small(running.port), await HttpClient.to(running.port)
+        client, other = await client_with_small_buffer(running.port), await HttpClient.to(running.port)
         client.ask("a1", Connection="close")
         run = await planner.wait_for(1)
         planner.act = Run.serve
         run.send_event("done", result="r" * 60_000)
-        other.ask("b1")  # when this is served, the answer before is written
+        other.ask("b1")  # when this is served, the previous response is written
         assert (await other.answer())[0] == 200
         client.ask("a2")
         other.ask("b2")
@@ -199,36 +205,36 @@
 
 
 @async_test
-async def test_a_request_in_the_instant_of_the_end_is_not_sent_on() -> None:
-    """The program ends a resting connection while a request is on its way: the client sees the end, and what
-    is read behind it is thrown away, not run."""
+async def test_a_request_during_the_close_is_not_sent() -> None:
+    """The program closes an idle connection while a request is in transit: the client sees the close, and the
+    request is discarded."""
     async with Planner("p1") as planner, program(planner) as running:
         client = await HttpClient.to(running.port)
         client.ask("a1")
         assert (await client.answer())[0] == 200
         running.process.send_signal(signal.SIGTERM)
-        await client.reader.read()  # the program's end of it is shut
+        await client.reader.read()  # the program has closed its side
         client.ask("a2")
         await running.logged("ended:")
         assert [run.headers["x-request-id"] for run in planner.runs] == ["a1"]
 
 
-def test_nothing_is_taken_from_a_client_that_does_not_read() -> None:
-    """Its end would not be seen: reading from it rests, so no request of its begins meanwhile."""
+def test_no_request_starts_for_a_client_that_does_not_read() -> None:
+    """Reading from such a client is paused, so a disconnect would not be noticed."""
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
         forwarder, reading, transport = Mock(), Mock(), Mock()
         transport.is_closing.return_value = False
         front = HttpFrontend(forwarder, reading, 10, loop, lambda: True)
-        reading.request.side_effect = lambda *told: Mock(id="a")
+        reading.request.side_effect = lambda *arguments: Mock(id="a")
         client = front.connection()
         client.connection_made(transport)
         client.pause_writing()
         transport.pause_reading.assert_called_once()
         client.data_received(b"POST /api HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
         for _ in range(3):
-            await asyncio.sleep(0)  # the turn in which a request is handed in
+            await asyncio.sleep(0)  # the iteration in which a request is submitted
         assert not forwarder.submit.called
         client.resume_writing()
         transport.resume_reading.assert_called_once()
@@ -241,15 +247,15 @@
     asyncio.run(run())
 
 
-def test_a_backlog_is_not_taken_beyond_the_room_that_there_is() -> None:
-    """Two hundred clients stood in the queue when the loop came round: each was accepted before any was
-    counted, and the descriptors were gone."""
+def test_a_backlog_is_not_accepted_beyond_the_limit() -> None:
+    """Guards against exhausted descriptors: two hundred clients in the queue were accepted in one iteration,
+    before any of them was counted."""
 
     async def run() -> None:
         up: set[Any] = set()
         most = 0
 
-        class Held(asyncio.Protocol):
+        class CountingProtocol(asyncio.Protocol):
             def connection_made(self, transport: asyncio.BaseTransport) -> None:
                 nonlocal most
                 up.add(transport)
@@ -257,18 +263,18 @@
 
         served = asyncio.Event()
 
-        def room(pending: int) -> bool:
+        def has_room(pending: int) -> bool:
             if len(up) + pending >= 20:
                 served.set()
             return len(up) + pending < 20
 
-        listener = Listener(("127.0.0.1", 0), Held, asyncio.get_running_loop(), room)
-        crowd = [socket.create_connection(listener.address) for _ in range(200)]
+        listener = Listener(("127.0.0.1", 0), CountingProtocol, asyncio.get_running_loop(), has_room)
+        burst = [socket.create_connection(listener.address) for _ in range(200)]
         await asyncio.wait_for(served.wait(), 5)
         while listener._pending:
             await asyncio.sleep(0)
         assert most == 20
-        for sock in crowd:
+        for sock in burst:
             sock.close()
         for transport in up:
             transport.abort()
@@ -278,11 +284,11 @@
 
 
 @async_test
-async def test_idle_clients_may_fill_the_descriptors_while_discovery_is_down() -> None:
-    """The process may hold 64 descriptors, and 300 clients come while no call to discovery gets through: when
-    it is back, its list is followed, and a usual client is served."""
+async def test_discovery_recovers_while_idle_clients_use_the_descriptors() -> None:
+    """The process may open 64 descriptors, and 300 clients connect while discovery is down: once it is back,
+    its list is applied, and a normal client is served."""
 
-    class Down(Catalog):
+    class StoppableCatalog(Catalog):
         up = False
 
         async def serve(self, reader: Reader, writer: Writer) -> None:
@@ -294,21 +300,21 @@
     async with (
         Planner("p1") as old,
         Planner("p2") as new,
-        Down(old, new) as catalog,
+        StoppableCatalog(old, new) as catalog,
         program(old, catalog=catalog, sockets=64) as running,
     ):
         resource.prlimit(running.process.pid, resource.RLIMIT_NOFILE, (64, 64))
-        usual = await HttpClient.to(running.port)
-        usual.ask("a1")
-        assert (await usual.answer())[0] == 200
+        normal = await HttpClient.to(running.port)
+        normal.ask("a1")
+        assert (await normal.answer())[0] == 200
         idle = await asyncio.gather(*(HttpClient.to(running.port) for _ in range(300)))
-        usual.ask("a2")
-        assert (await usual.answer())[0] == 200
+        normal.ask("a2")
+        assert (await normal.answer())[0] == 200
         old.line = lambda lifecycle="draining": Planner.line(old, lifecycle)  # type: ignore[method-assign]
         catalog.up = True
-        back = asyncio.get_running_loop().time()
+        restored_at = asyncio.get_running_loop().time()
         await catalog.watches.get()
-        assert asyncio.get_running_loop().time() - back < 3.0
+        assert asyncio.get_running_loop().time() - restored_at < 3.0
         late = await HttpClient.to(running.port)
         while not new.runs:
             late.ask(f"b{len(old.runs)}")
@@ -317,9 +323,9 @@
 
 
 @async_test
-async def test_a_pool_of_many_planners_leaves_clients_and_discovery_their_descriptors() -> None:
-    """One connection rests for each of fifty planners, and the process may hold 64: the longest at rest makes
-    room for a client, an attempt, and discovery's call."""
+async def test_a_pool_of_many_planners_leaves_descriptors_for_clients_and_discovery() -> None:
+    """There is one idle connection to each of fifty planners, and the process may open 64 descriptors: the
+    longest idle ones are closed for clients, attempts and the discovery watch."""
     async with contextlib.AsyncExitStack() as stack:
         planners = [await stack.enter_async_context(Planner(f"p{number}")) for number in range(50)]
         catalog = await stack.enter_async_context(Catalog(*planners))
@@ -331,28 +337,29 @@
             client.ask(f"a{number}")
             assert (await client.answer())[0] == 200
         watch.transport.abort()
-        crowd = await asyncio.gather(*(HttpClient.to(running.port) for _ in range(16)))
-        for number, one in enumerate(crowd):
+        burst = await asyncio.gather(*(HttpClient.to(running.port) for _ in range(16)))
+        for number, one in enumerate(burst):
             one.ask(f"b{number}")
-        for one in crowd:
+        for one in burst:
             assert (await one.answer())[0] == 200
         await catalog.watches.get()
 
 
 @async_test
-async def test_a_crowd_that_comes_at_once_makes_room_by_those_that_sent_nothing() -> None:
-    """Guards against newcomers turned away for the descriptors of planners: each displaces an idle one."""
+async def test_a_burst_of_clients_evicts_those_that_sent_nothing() -> None:
+    """Guards against new clients that are refused to keep descriptors for planners: each evicts a silent
+    one."""
     async with Planner("p1") as planner, program(planner, sockets=40) as running:
         silent = [await HttpClient.to(running.port) for _ in range(15)]
-        usual = await HttpClient.to(running.port)
-        usual.ask("a1")
-        assert (await usual.answer())[0] == 200
-        running.process.send_signal(signal.SIGSTOP)  # so that all of them stand in the queue
-        crowd = [await HttpClient.to(running.port) for _ in range(15)]
-        for number, client in enumerate(crowd):
+        normal = await HttpClient.to(running.port)
+        normal.ask("a1")
+        assert (await normal.answer())[0] == 200
+        running.process.send_signal(signal.SIGSTOP)  # so that all of them are in the accept queue
+        burst = [await HttpClient.to(running.port) for _ in range(15)]
+        for number, client in enumerate(burst):
             client.ask(f"b{number}")
         running.process.send_signal(signal.SIGCONT)
-        for client in crowd:
+        for client in burst:
             assert (await client.answer())[0] == 200
         for client in silent:
             assert await client.reader.read() == b""
