--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small stand-in for clients, workers and clock, and a checker of the rules a dispatcher must keep."""
+"""A test harness that drives a dispatcher, and a checker of the rules that a dispatcher must keep."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     Settings,
 )
 
-UNRUN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.SUPERSEDED)
+NOT_EXECUTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.SUPERSEDED)
 
 
 def worker_id(number: int) -> WorkerId:
@@ -35,7 +35,7 @@
 
 
 def entries(count: int, **changes: object) -> tuple[EndpointEntry, ...]:
-    """Workers over two zones, in cells of three."""
+    """Worker entries in two zones, in cells of three."""
     return tuple(
         EndpointEntry(worker_id(n), zone=n % 2, cell=n // 3, **changes)  # type: ignore[arg-type]
         for n in range(1, count + 1)
@@ -65,8 +65,8 @@
 
 
 @dataclass
-class Held:
-    """A job as the checker sees it."""
+class TrackedJob:
+    """The checker's record of a job."""
 
     deadline: float
     cls: JobClass
@@ -76,27 +76,29 @@
 
 
 class Checker:
-    """Watches one dispatcher's events and actions; `faults` names each broken rule."""
+    """Checks one dispatcher's events and actions; `faults` names each broken rule."""
 
     def __init__(self, config: Settings) -> None:
         self.config = config
-        self.jobs: dict[int, Held] = {}
+        self.jobs: dict[int, TrackedJob] = {}
         self.listed: dict[WorkerId, EndpointEntry] = {}
         self.stop_at: dict[WorkerId, float] = {}
         self.faults: list[str] = []
 
     def event(self, now: float, event: Event) -> None:
         if isinstance(event, JobSubmitted):
-            self.jobs[event.job_id] = Held(now + event.remaining_ms, self.config.classes[event.job_class])
+            self.jobs[event.job_id] = TrackedJob(
+                now + event.remaining_ms, self.config.classes[event.job_class]
+            )
         elif isinstance(event, AttemptFinished):
-            held = self.jobs[event.job_id]
-            held.outcomes[event.attempt_index] = event.outcome
-            held.answered = held.answered or event.answered
+            tracked = self.jobs[event.job_id]
+            tracked.outcomes[event.attempt_index] = event.outcome
+            tracked.answered = tracked.answered or event.answered
         elif isinstance(event, EndpointsUpdated) and event.kind is not UpdateKind.FETCH_FAILED:
-            told = {entry.worker: entry for entry in event.entries}
-            for worker in set(self.listed) - set(told) if event.kind is not UpdateKind.DELTA else ():
+            listed = {entry.worker: entry for entry in event.entries}
+            for worker in set(self.listed) - set(listed) if event.kind is not UpdateKind.DELTA else ():
                 self.stop_at.setdefault(worker, now)
-            for worker, entry in told.items():
+            for worker, entry in listed.items():
                 self.listed[worker] = entry
                 if entry.state is EndpointState.READY:
                     self.stop_at.pop(worker, None)
@@ -107,61 +109,68 @@
         if isinstance(action, StartAttempt):
             self._send(now, self.jobs[action.job_id], action.worker)
         elif isinstance(action, RejectRequest):
-            held = self.jobs[action.job_id]
-            self._answer(now, held)
-            ran = self._may_have_run(held)
+            tracked = self.jobs[action.job_id]
+            self._answer(now, tracked)
+            ran = self._may_have_run(tracked)
             if ran and (
-                held.cls.idempotency is Idempotency.NON_IDEMPOTENT
+                tracked.cls.idempotency is Idempotency.NON_IDEMPOTENT
                 or (
-                    held.cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-                    and held.cls.deduplication_scope is not DeduplicationScope.ALL
+                    tracked.cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+                    and tracked.cls.deduplication_scope is not DeduplicationScope.ALL
                 )
             ):
                 self.faults.append("refused though it may have run")
         elif isinstance(action, FailRequest):
             self._answer(now, self.jobs[action.job_id])
 
-    def _may_have_run(self, held: Held) -> list[tuple[float, WorkerId]]:
-        return [sent for place, sent in enumerate(held.sends) if held.outcomes.get(place) not in UNRUN]
+    def _may_have_run(self, tracked: TrackedJob) -> list[tuple[float, WorkerId]]:
+        return [
+            sent
+            for index, sent in enumerate(tracked.sends)
+            if tracked.outcomes.get(index) not in NOT_EXECUTED
+        ]
 
-    def _answer(self, now: float, held: Held) -> None:
-        if held.answered:
+    def _answer(self, now: float, tracked: TrackedJob) -> None:
+        if tracked.answered:
             self.faults.append("answered twice")
-        held.answered = True
-        if now > held.deadline + self.config.guarantees.answer_slack_ms:
+        tracked.answered = True
+        if now > tracked.deadline + self.config.guarantees.answer_slack_ms:
             self.faults.append("answered late")
 
-    def _send(self, now: float, held: Held, worker: WorkerId) -> None:
-        if held.answered:
+    def _send(self, now: float, tracked: TrackedJob, worker: WorkerId) -> None:
+        if tracked.answered:
             self.faults.append("sent after the end")
         if worker not in self.listed:
             self.faults.append("sent to a worker never listed")
         elif now > self.stop_at.get(worker, now) + self.config.guarantees.drain_grace_ms:
             self.faults.append("sent to a drained worker")
-        if not self.config.limits.parallel_attempts and len(held.outcomes) < len(held.sends):
+        if not self.config.limits.parallel_attempts and len(tracked.outcomes) < len(tracked.sends):
             self.faults.append("two attempts at once")
-        for sent_at, first in self._may_have_run(held):
-            if held.cls.idempotency is Idempotency.NON_IDEMPOTENT:
+        for sent_at, first in self._may_have_run(tracked):
+            if tracked.cls.idempotency is Idempotency.NON_IDEMPOTENT:
                 self.faults.append("unsafe job repeated")
-            elif held.cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
+            elif tracked.cls.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
                 old, new = self.listed[first], self.listed[worker]
                 inside = {
                     DeduplicationScope.ALL: True,
                     DeduplicationScope.ZONE: old.zone == new.zone,
                     DeduplicationScope.CELL: old.cell == new.cell,
                 }
-                if not inside[held.cls.deduplication_scope] or now > sent_at + held.cls.idempotency_window_ms:
+                if (
+                    not inside[tracked.cls.deduplication_scope]
+                    or now > sent_at + tracked.cls.idempotency_window_ms
+                ):
                     self.faults.append("keyed job repeated outside its group or window")
-        held.sends.append((now, worker))
+        tracked.sends.append((now, worker))
 
     def close(self, now: float) -> None:
-        for held in self.jobs.values():
-            if not held.answered and now > held.deadline + self.config.guarantees.answer_slack_ms:
+        for tracked in self.jobs.values():
+            if not tracked.answered and now > tracked.deadline + self.config.guarantees.answer_slack_ms:
                 self.faults.append("never answered")
 
 
 class Bench:
-    """Drives one dispatcher by hand: a clock, its timers, and the checker."""
+    """Drives one dispatcher with a simulated clock (ms), its timers, and the checker."""
 
     def __init__(self, config: Settings, workers: tuple[EndpointEntry, ...] = (), seed: int = 1) -> None:
         self.config = config
@@ -188,7 +197,7 @@
         return actions
 
     def run(self, until: float) -> list[Action]:
-        """Fire the timers that come due, tick by tick."""
+        """Advance the clock tick by tick, and fire the timers that are due."""
         done: list[Action] = []
         while self.now < until:
             self.now += self.config.tick_ms
@@ -199,8 +208,10 @@
         return done
 
     def finish(self, send: StartAttempt, attempt: int, outcome: Outcome, **changes: object) -> list[Action]:
-        settled = bool(changes.pop("answered", outcome is Outcome.OK))
-        return self.feed(AttemptFinished(send.job_id, attempt, send.worker, outcome, 1.0, settled, **changes))  # type: ignore[arg-type]
+        answered = bool(changes.pop("answered", outcome is Outcome.OK))
+        return self.feed(
+            AttemptFinished(send.job_id, attempt, send.worker, outcome, 1.0, answered, **changes)  # type: ignore[arg-type]
+        )
 
 
 def sends_of(actions: list[Action]) -> list[StartAttempt]:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback sockets, and the program started between them: the one helper of the stories."""
+"""Scripted peers on loopback sockets, and the program started as a subprocess between them."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from pipitshed.protocols.gearman import PACKET_HEADER, REQUEST_MAGIC, PacketType, encode_packet
 
 ROOT = Path(__file__).parent.parent
-TEST_TIMEOUT_S = 20.0  # s after which a story that hangs has failed
-START_FAILURE_S = 2.0  # for which a program that fails to start is listened to
+TEST_TIMEOUT_S = 20.0  # after which a test that hangs fails
+START_FAILURE_S = 2.0  # to wait for the rest of the output of a program that failed to start
 SETTINGS: dict[str, Any] = {
     "areas": ["lima-norte", "arequipa"],
     "shapes": ["fast", "standard", "slow"],
@@ -50,14 +50,14 @@
     "tenants": [{"name": "andes-retail", "share": 1.0, "allowancePerS": 1000.0}],
 }
 
-# The same, with a class `book` that nobody would drop a repeat of.
+# Settings in which a second run of class `book` would not be deduplicated.
 NON_IDEMPOTENT_BOOK = {"services": [SETTINGS["services"][0], SETTINGS["services"][1] | {"repeat": "fragile"}]}
 
 Reader, Writer = asyncio.StreamReader, asyncio.StreamWriter
 
 
-async def _message(reader: Reader) -> tuple[str, dict[str, str], bytes]:
-    """One HTTP message: first line, headers with small names, body."""
+async def _read_message(reader: Reader) -> tuple[str, dict[str, str], bytes]:
+    """Read one HTTP message: first line, headers with lower-case names, body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = {
         name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:] if line)
@@ -66,7 +66,7 @@
 
 
 class Peer:
-    """A server at a port of its own; each connection goes to `serve`, and all of them end with the peer."""
+    """A server on a free port; `serve` handles each connection, and all are closed with the peer."""
 
     port = 0
 
@@ -93,7 +93,7 @@
 
 @dataclass
 class Run:
-    """One request that came to a planner; `send_event` sends a line of its response."""
+    """One request that a planner received; `send_event` sends a line of the response."""
 
     headers: dict[str, str]
     body: bytes
@@ -102,7 +102,7 @@
     ended: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def dropped(self) -> None:
-        """Wait until the scheduler closes the connection instead of taking the answer."""
+        """Wait until the scheduler closes the connection without reading the response."""
         with contextlib.suppress(ConnectionError):
             assert await self.reader.read() == b""
 
@@ -123,14 +123,14 @@
 
 
 class Planner(Peer):
-    """A planner; `act` is told of each request, and serves it at once where nothing else is scripted."""
+    """A planner; `act` is called with each request, and by default serves it at once."""
 
     def __init__(
         self, name: str, zone: str = "lima-norte", act: Callable[[Run], None] = Run.serve, kind: str = "fast"
     ) -> None:
         self.name, self.zone, self.act, self.kind = name, zone, act, kind
         self.runs: list[Run] = []
-        self.came = asyncio.Condition()
+        self.arrived = asyncio.Condition()
 
     def line(self, lifecycle: str = "ready") -> dict[str, object]:
         return {
@@ -146,35 +146,35 @@
 
     async def serve(self, reader: Reader, writer: Writer) -> None:
         while True:
-            line, headers, body = await _message(reader)
+            line, headers, body = await _read_message(reader)
             if not line.startswith("POST"):
-                return  # what a planner can't read, it closes on
+                return  # close the connection on malformed input
             run = Run(headers, body, reader, writer)
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             self.runs.append(run)
             self.act(run)
-            async with self.came:
-                self.came.notify_all()
+            async with self.arrived:
+                self.arrived.notify_all()
             await run.ended.wait()
 
     async def wait_for(self, count: int) -> Run:
-        """The run with this number, counted from one, once it has come."""
-        async with self.came:
-            await self.came.wait_for(lambda: len(self.runs) >= count)
+        """Wait for the run with this number, counted from one."""
+        async with self.arrived:
+            await self.arrived.wait_for(lambda: len(self.runs) >= count)
         return self.runs[count - 1]
 
 
 class Catalog(Peer):
-    """Discovery: answers each watch with the whole list, then with what `tell` says."""
+    """Discovery: sends each watch the whole list, then the updates passed to `tell`."""
 
     def __init__(self, *planners: Planner) -> None:
         self.planners = planners
         self.generation = 1
         self.watches: asyncio.Queue[Writer] = asyncio.Queue()
-        self.asked: list[int] = []  # the versions that watches asked from
+        self.asked: list[int] = []  # the versions from which watches were requested
 
     async def serve(self, reader: Reader, writer: Writer) -> None:
-        line, _, _ = await _message(reader)
+        line, _, _ = await _read_message(reader)
         self.asked.append(int(line.split()[1].rpartition("from=")[2] or 0))
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.tell(writer, True, [planner.line() for planner in self.planners])
@@ -189,7 +189,7 @@
 
 @dataclass
 class Program:
-    """The running program and where it listens."""
+    """The running program and its ports."""
 
     process: asyncio.subprocess.Process
     port: int
@@ -199,19 +199,19 @@
     mgmt_port: int = 0
 
     def reload(self, text: str) -> None:
-        """Replace the configuration file and tell the program."""
+        """Replace the configuration file, and send SIGHUP."""
         self.config.write_text(text)
         self.process.send_signal(signal.SIGHUP)
 
     async def logged(self, text: str, times: int = 1) -> None:
-        """Wait until the program has logged a line with this text, so many times."""
+        """Wait until the program has logged this many lines with this text."""
         while sum(text in line for line in self.log) < times:
             self.log.append((await self.process.stdout.readline()).decode())  # type: ignore[union-attr]
             assert self.log[-1], f"the program ended without {text!r}: {self.log}"
 
 
 async def _fail_start(running: Program) -> NoReturn:
-    """Fail with all that the program said; it is given a moment to say the rest."""
+    """Fail with the program's whole output, after START_FAILURE_S at most."""
     process = running.process
     with contextlib.suppress(TimeoutError):
         await asyncio.wait_for(process.wait(), START_FAILURE_S)
@@ -234,7 +234,7 @@
     env: dict[str, str] | None = None,
     pass_fds: tuple[int, ...] = (),
 ) -> AsyncIterator[Program]:
-    """The program, started as the deploy file does, with these planners known; it must end well."""
+    """Run the program as the deploy file does, with these known planners; it must exit with 0."""
     config = {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -246,7 +246,7 @@
     }
     if mgmt:
         config["mgmt"] = "127.0.0.1:0"
-    if catalog is None:  # the list that is known comes by way of discovery's part; no one is asked
+    if catalog is None:  # discovery is unreachable; the known list applies
         config["discovery"] = "127.0.0.1:1"
     with tempfile.TemporaryDirectory() as folder:
         path, front_path = Path(folder) / "config.json", Path(folder) / "front.toml"
@@ -267,19 +267,19 @@
         )
         running = Program(process, 0, 0, [], path)
         try:
-            for place in range(2 if "listen" in front else 1):
+            for listener in range(2 if "listen" in front else 1):
                 running.log.append("")
                 while "listening" not in running.log[-1]:
                     running.log.append((await process.stdout.readline()).decode())  # type: ignore[union-attr]
                     if not running.log[-1].startswith("INFO"):
                         await _fail_start(running)
                 port = int(running.log[-1].rpartition(":")[2].split()[0])
-                running.port, running.gearman_port = (port, 0) if place == 0 else (running.port, port)
+                running.port, running.gearman_port = (port, 0) if listener == 0 else (running.port, port)
             if mgmt:
                 await running.logged("operators' address on")
                 running.mgmt_port = int(running.log[-1].rpartition(":")[2])
             yield running
-            # One that has said that it has ended is past its handlers: another signal would kill it.
+            # After `ended:` the signal handlers are removed: another signal would kill the program.
             if process.returncode is None and not any("ended:" in line for line in running.log):
                 process.send_signal(signal.SIGTERM)
             rest, _ = await process.communicate()
@@ -292,7 +292,7 @@
 
 
 class HttpClient:
-    """A client's kept connection."""
+    """An HTTP client with one keep-alive connection."""
 
     def __init__(self, reader: Reader, writer: Writer) -> None:
         self.reader, self.writer = reader, writer
@@ -302,19 +302,19 @@
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     def ask(self, number: str, job_class: str = "quote", body: bytes = b"pallets", **headers: str) -> None:
-        told = {
+        all_headers = {
             "X-Request-Id": number,
             "X-Class": job_class,
             "X-Tenant": "andes-retail",
             "X-Deadline": "5.000",
             "Content-Length": str(len(body)),
         }
-        told |= {name.replace("_", "-"): value for name, value in headers.items()}
-        head = "".join(f"{name}: {value}\r\n" for name, value in told.items())
+        all_headers |= {name.replace("_", "-"): value for name, value in headers.items()}
+        head = "".join(f"{name}: {value}\r\n" for name, value in all_headers.items())
         self.writer.write(f"POST /api HTTP/1.1\r\nHost: service.internal\r\n{head}\r\n".encode() + body)
 
     async def answer(self) -> tuple[int, dict[str, str], bytes]:
-        line, headers, body = await _message(self.reader)
+        line, headers, body = await _read_message(self.reader)
         return int(line.split()[1]), headers, body
 
 
@@ -322,29 +322,29 @@
 
 
 async def wait_until_healthy(port: int) -> None:
-    """Ask until the program takes jobs, as the platform's front does."""
+    """Poll `/_health` until the program accepts jobs, as the platform's front does."""
     while (await admin_request(port, HEALTH))[0] != 200:
         await asyncio.sleep(0.02)
 
 
 async def admin_request(port: int, request: bytes) -> tuple[int, bytes]:
-    """One call at the operators' address: its status and body."""
+    """Send one request on a new connection; return the status and body of the response."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(request)
-    line, _, body = await _message(reader)
+    line, _, body = await _read_message(reader)
     writer.close()
     return int(line.split()[1]), body
 
 
 async def read_metrics(port: int) -> dict[str, int]:
-    """What `/-/metrics` says, by name."""
+    """The values of `/-/metrics` by name."""
     status, body = await admin_request(port, b"GET /-/metrics HTTP/1.1\r\nHost: mgmt\r\n\r\n")
     assert status == 200, status
     return {name: int(value) for name, _, value in (line.partition("=") for line in body.decode().split())}
 
 
 class GearmanPeer:
-    """A client, worker or administrator at the Gearman front."""
+    """A client, worker or administrator at the Gearman front end."""
 
     def __init__(self, reader: Reader, writer: Writer) -> None:
         self.reader, self.writer = reader, writer
@@ -361,20 +361,20 @@
         return PacketType(number), (await self.reader.readexactly(length)).split(b"\0")
 
     async def expect(self, kind: PacketType) -> list[bytes]:
-        """The next packet's arguments; it must be of this kind."""
-        heard, arguments = await self.receive()
-        assert heard is kind, (heard, arguments)
+        """Receive the next packet, which must be of this type; return its arguments."""
+        received, arguments = await self.receive()
+        assert received is kind, (received, arguments)
         return arguments
 
     async def submit(
         self, function: bytes, unique: bytes, body: bytes, kind: PacketType = PacketType.SUBMIT_JOB
     ) -> bytes:
-        """The handle of a new job."""
+        """Submit a job, and return its handle."""
         self.send(kind, function, unique, body)
         return (await self.expect(PacketType.JOB_CREATED))[0]
 
     async def register(self, *functions: bytes) -> None:
-        """Be a worker that sleeps; the ECHO shows that all of it has been read."""
+        """Register as a sleeping worker; the ECHO response shows that all packets were read."""
         for function in functions:
             self.send(PacketType.CAN_DO, function)
         self.send(PacketType.PRE_SLEEP)
@@ -382,7 +382,7 @@
         await self.expect(PacketType.ECHO_RES)
 
     async def grab(self) -> list[bytes]:
-        """Be woken and take a job: handle, function, data."""
+        """Wait for the wake-up, then grab a job: handle, function, data."""
         await self.expect(PacketType.NOOP)
         self.send(PacketType.GRAB_JOB)
         return await self.expect(PacketType.JOB_ASSIGN)
@@ -400,7 +400,7 @@
 
 
 def async_test(body: Callable[[], Awaitable[None]], limit_s: float = TEST_TIMEOUT_S) -> Callable[[], None]:
-    """A test that is a coroutine, with an end to its patience."""
+    """Turn a coroutine function into a test with a time limit."""
 
     def test() -> None:
         asyncio.run(asyncio.wait_for(body(), limit_s))  # type: ignore[arg-type]
@@ -410,5 +410,5 @@
 
 
 def slow_async_test(body: Callable[[], Awaitable[None]]) -> Callable[[], None]:
-    """A story that has to wait for the program for most of the usual limit."""
+    """An async_test with twice the time limit, for tests that wait most of the usual one."""
     return async_test(body, 2 * TEST_TIMEOUT_S)
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -1,6 +1,6 @@
-"""Whatever bytes a planner sends: no exception reaches the loop, one outcome an attempt, memory is bounded.
+"""For any bytes from a planner: no exception reaches the loop, one outcome per attempt, bounded memory.
 
-`PIPITSHED_FUZZ=100000 pytest tests/test_fuzz_frames.py` tries as many cases; CI tries a few hundred.
+`PIPITSHED_FUZZ=100000 pytest tests/test_fuzz_frames.py` runs that many cases; CI runs a few hundred.
 """
 
 import asyncio
@@ -34,7 +34,7 @@
 
 
 class Transport:
-    """A transport that keeps nothing and never takes long."""
+    """A transport that discards its output at once."""
 
     def __init__(self) -> None:
         self.written = 0
@@ -95,7 +95,7 @@
 streams = st.sampled_from([0, 1, 1, 1, 3, 2, 5])
 
 
-def made(kind: type[Frame], number: int, **fields: Any) -> bytes:
+def serialized(kind: type[Frame], number: int, **fields: Any) -> bytes:
     flags = fields.pop("flags", ())
     try:
         one = kind(number, flags=flags, **fields)
@@ -106,41 +106,43 @@
 
 frames = st.one_of(
     st.builds(
-        lambda number, data, flags: made(DataFrame, number, data=data, flags=flags),
+        lambda number, data, flags: serialized(DataFrame, number, data=data, flags=flags),
         streams,
         payloads,
         st.sampled_from([["END_STREAM"], []]),
     ),
     st.builds(
-        lambda number, data, flags: made(HeadersFrame, number, data=data, flags=flags),
+        lambda number, data, flags: serialized(HeadersFrame, number, data=data, flags=flags),
         streams,
         heads,
         st.sampled_from([["END_HEADERS"], ["END_HEADERS", "END_STREAM"], []]),
     ),
     st.builds(
-        lambda number, data: made(ContinuationFrame, number, data=data, flags=["END_HEADERS"]), streams, heads
+        lambda number, data: serialized(ContinuationFrame, number, data=data, flags=["END_HEADERS"]),
+        streams,
+        heads,
     ),
     st.builds(
-        lambda number, code: made(RstStreamFrame, number, error_code=code), streams, st.integers(0, 14)
+        lambda number, code: serialized(RstStreamFrame, number, error_code=code), streams, st.integers(0, 14)
     ),
     st.builds(
-        lambda last, code: made(GoAwayFrame, 0, last_stream_id=last, error_code=code),
+        lambda last, code: serialized(GoAwayFrame, 0, last_stream_id=last, error_code=code),
         st.sampled_from([0, 1, 3, 2**31 - 1]),
         st.integers(0, 14),
     ),
     st.builds(
-        lambda which, value: made(SettingsFrame, 0, settings={which: value}),
+        lambda which, value: serialized(SettingsFrame, 0, settings={which: value}),
         st.integers(1, 6),
         st.sampled_from([0, 1, 100, 2**14, 2**31 - 1, 2**32 - 1]),
     ),
-    st.just(made(SettingsFrame, 0, flags=["ACK"])),
-    st.just(made(PingFrame, 0, opaque_data=b"12345678")),
+    st.just(serialized(SettingsFrame, 0, flags=["ACK"])),
+    st.just(serialized(PingFrame, 0, opaque_data=b"12345678")),
     st.builds(
-        lambda number, size: made(WindowUpdateFrame, number, window_increment=size),
+        lambda number, size: serialized(WindowUpdateFrame, number, window_increment=size),
         streams,
         st.sampled_from([1, 2**31 - 1]),
     ),
-    st.just(made(PushPromiseFrame, 1, promised_stream_id=2, data=b"\x88", flags=["END_HEADERS"])),
+    st.just(serialized(PushPromiseFrame, 1, promised_stream_id=2, data=b"\x88", flags=["END_HEADERS"])),
     st.binary(max_size=30),
     st.just(b"HTTP/1.1 400 Bad Request\r\n\r\n"),
 )
@@ -148,13 +150,13 @@
 
 @settings(max_examples=CASES, deadline=None, suppress_health_check=list(HealthCheck))
 @given(st.lists(frames, max_size=12), st.booleans(), st.integers(1, 64), st.integers(0, 12))
-def test_any_frames_leave_one_outcome_for_each_attempt(
-    parts: list[bytes], greets: bool, piece: int, drop: int
+def test_any_frames_give_one_outcome_for_each_attempt(
+    parts: list[bytes], with_settings: bool, piece_bytes: int, leave_after: int
 ) -> None:
     async def run() -> None:
-        faults: list[Any] = []
+        errors: list[Any] = []
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _, context: faults.append(context))
+        loop.set_exception_handler(lambda _, context: errors.append(context))
         async with bench() as world:
             connection = GrpcConnection(world.carrier, Endpoint(b"p1", world.carrier, ("127.0.0.1", 1), 2))
             world.carrier._connections["127.0.0.1", 1] = connection
@@ -168,12 +170,12 @@
                     world.request("quote", QUOTE, form_version=None), caller
                 )
                 world.forwarder._attempts.start(StartAttempt(caller.exchange.job_id, b"p1"))
-            data = (made(SettingsFrame, 0) if greets else b"") + b"".join(parts)
-            for place in range(0, len(data), piece):
+            data = (serialized(SettingsFrame, 0) if with_settings else b"") + b"".join(parts)
+            for offset in range(0, len(data), piece_bytes):
                 if connection.has_ended or transport.closed:
                     break
-                connection.data_received(data[place : place + piece])
-                if place // piece == drop:
+                connection.data_received(data[offset : offset + piece_bytes])
+                if offset // piece_bytes == leave_after:
                     world.leave(callers[0])
             await asyncio.sleep(0)
             assert len(connection._http2.incoming_buffer._data) < 2**14 + 64
@@ -182,7 +184,7 @@
             await asyncio.sleep(0)
             for caller in callers:
                 assert all(attempt.finished for attempt in caller.exchange.attempts) and len(caller.told) <= 1
-            assert not connection.streams and not connection.queue and not faults, faults
+            assert not connection.streams and not connection.queue and not errors, errors
             for caller in callers:
                 world.leave(caller)
 
