--- a/pipitshed/frontends/http/connection.py
+++ b/pipitshed/frontends/http/connection.py
@@ -131,7 +131,7 @@
                 self._transport.abort()
             return
         self.last_received_at = self._frontend.loop.time()
-        if self in self._frontend.unproven:
+        if self in self._frontend.awaiting_first_request:
             self._frontend.received(self)
         # The parser has no limit of its own: it would store an endless head.
         if self._head_bytes >= 0:
@@ -233,7 +233,7 @@
         self._head_bytes = self._message_bytes = 0
         self._is_receiving = False
         self._cancel_timeout()
-        self._frontend.unproven.pop(self, None)
+        self._frontend.awaiting_first_request.pop(self, None)
         if not self._parser.should_keep_alive():
             self._is_last = True
         verb: bytes = self._parser.get_method()
--- a/pipitshed/frontends/http/frontend.py
+++ b/pipitshed/frontends/http/frontend.py
@@ -35,7 +35,7 @@
         self.draining = False  # if set, each response closes its connection
         self.connections: dict[HttpConnection, None] = {}  # in the order of their last responses
         # Connections without a complete request so far, in the order of their last input.
-        self.unproven: dict[HttpConnection, None] = {}
+        self.awaiting_first_request: dict[HttpConnection, None] = {}
         self.closing: dict[HttpConnection, None] = {}  # closing; their last responses may still be in transit
         self.linger = LINGER_S
         self.open_ids: set[str] = set()
@@ -45,39 +45,41 @@
         """Create the protocol of a new connection."""
         return HttpConnection(self)
 
-    def connected(self, newcomer: HttpConnection) -> None:
+    def connected(self, new_connection: HttpConnection) -> None:
         """Register a new connection, and evict one if there are too many.
 
         This is decided here rather than on accept: in a burst, several connections are accepted before the
         first of them is set up and counted.
         """
-        newcomer.last_received_at = self.loop.time()
-        self.connections[newcomer] = self.unproven[newcomer] = None
+        new_connection.last_received_at = self.loop.time()
+        self.connections[new_connection] = self.awaiting_first_request[new_connection] = None
         if len(self.connections) > self._max_connections:
-            evicted = self._eviction_candidate(newcomer)
+            evicted = self._eviction_candidate(new_connection)
             if evicted is not None:
                 evicted.drop()
 
-    def _eviction_candidate(self, newcomer: HttpConnection) -> HttpConnection | None:
+    def _eviction_candidate(self, new_connection: HttpConnection) -> HttpConnection | None:
         """Choose the connection to close for a new one; None if there is none.
 
         The order is: one without a complete request that has sent nothing or has stalled, the one that is
         idle for longest, one that is still sending its first request. So clients that only hold connections
         can't evict those that use theirs, nor those that send a request slowly.
         """
-        now, unproven = self.loop.time(), self.unproven
-        for connection in islice(unproven, MAX_EVICTION_CANDIDATES):
+        now, awaiting_first_request = self.loop.time(), self.awaiting_first_request
+        for connection in islice(awaiting_first_request, MAX_EVICTION_CANDIDATES):
             is_stalled = now - connection.last_received_at >= STALLED_AFTER_S
-            if connection is not newcomer and (not connection.is_receiving or is_stalled):
+            if connection is not new_connection and (not connection.is_receiving or is_stalled):
                 return connection
-        idle = next((one for one in self.connections if one.is_idle and one not in unproven), None)
-        first = next(iter(unproven))
-        return idle or (first if first is not newcomer else None)
+        idle = next(
+            (one for one in self.connections if one.is_idle and one not in awaiting_first_request), None
+        )
+        first = next(iter(awaiting_first_request))
+        return idle or (first if first is not new_connection else None)
 
     def received(self, connection: HttpConnection) -> None:
         """Move a connection that sent a part of its first request to the end of the eviction order."""
-        del self.unproven[connection]
-        self.unproven[connection] = None
+        del self.awaiting_first_request[connection]
+        self.awaiting_first_request[connection] = None
 
     def has_room(self, pending: int) -> bool:
         """Whether another connection may be accepted, with `pending` ones still being set up.
@@ -91,7 +93,7 @@
     def forget(self, connection: HttpConnection) -> None:
         """Remove a connection that carries no more requests."""
         self.connections.pop(connection, None)
-        self.unproven.pop(connection, None)
+        self.awaiting_first_request.pop(connection, None)
 
     def used(self, connection: HttpConnection) -> None:
         """Record a response on a connection, which moves it to the end of the eviction order."""
--- a/pipitshed/frontends/http/request_parser.py
+++ b/pipitshed/frontends/http/request_parser.py
@@ -111,9 +111,9 @@
         job_class = self._classes.get(head.get(b"x-class", b""))
         # Workers get the id and the key unchanged: other characters could break the worker's protocol.
         if not _PRINTABLE_ID.fullmatch(request_id) or (key and not _PRINTABLE_ID.fullmatch(key)):
-            raise MalformedError(400, "no X-Request-Id or Idempotency-Key that can be handed on")
+            raise MalformedError(400, "X-Request-Id or Idempotency-Key is missing or can't be forwarded")
         if job_class is None:
-            raise MalformedError(400, "no such X-Class")
+            raise MalformedError(400, "unknown X-Class")
         timeout_ms = self._forwarder.settings.classes[job_class].deadline_ms
         if b"x-deadline" in head:
             timeout_ms = min(timeout_ms, 1000 * _parse_number(head[b"x-deadline"], "X-Deadline"))
