--- a/pipitshed/frontends/gearman/connection.py
+++ b/pipitshed/frontends/gearman/connection.py
@@ -68,7 +68,7 @@
         self._frontend.connections[self] = None
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Withdraw the client's jobs, or end the worker's attempts."""
+        """Withdraw the client's jobs, and end the worker's attempts."""
         self._transport = None
         self._frontend.connections.pop(self, None)
         self._withdraw_jobs()
--- a/pipitshed/frontends/gearman/job.py
+++ b/pipitshed/frontends/gearman/job.py
@@ -61,7 +61,7 @@
         self._end(*packets)
 
     def untranslatable(self, _failure: TranslationFailure, _has_run: bool) -> None:
-        """Send a failure; the reason stands in the request's last_error."""
+        """Send a failure; the reason is in the request's last_error."""
         self.failed()
 
     def progressed(self, kind: ProgressKind, done_fraction: float) -> None:
--- a/pipitshed/frontends/http/frontend.py
+++ b/pipitshed/frontends/http/frontend.py
@@ -65,15 +65,13 @@
         idle for longest, one that is still sending its first request. So clients that only hold connections
         can't evict those that use theirs, nor those that send a request slowly.
         """
-        now, awaiting_first_request = self.loop.time(), self.awaiting_first_request
-        for connection in islice(awaiting_first_request, MAX_EVICTION_CANDIDATES):
+        now, candidates = self.loop.time(), self.awaiting_first_request
+        for connection in islice(candidates, MAX_EVICTION_CANDIDATES):
             is_stalled = now - connection.last_received_at >= STALLED_AFTER_S
             if connection is not new_connection and (not connection.is_receiving or is_stalled):
                 return connection
-        idle = next(
-            (one for one in self.connections if one.is_idle and one not in awaiting_first_request), None
-        )
-        first = next(iter(awaiting_first_request))
+        idle = next((one for one in self.connections if one.is_idle and one not in candidates), None)
+        first = next(iter(candidates))
         return idle or (first if first is not new_connection else None)
 
     def received(self, connection: HttpConnection) -> None:
--- a/pipitshed/proxy/decision_log.py
+++ b/pipitshed/proxy/decision_log.py
@@ -70,7 +70,7 @@
         return cls(open(name, "a", buffering=FILE_BUFFER_BYTES))  # noqa: SIM115
 
     def settings(self, raw: object) -> None:
-        """Write the settings as they stand in the configuration; this is the first line of the log."""
+        """Write the settings as the configuration contains them; this is the first line of the log."""
         self._out.write(f"settings {msgspec.json.encode(raw).decode()}\n")
 
     def record(self, now_ms: float, events: Iterable[object], actions: Iterable[object]) -> None:
--- a/pipitshed/proxy/endpoint_table.py
+++ b/pipitshed/proxy/endpoint_table.py
@@ -128,7 +128,7 @@
             if entry != listed.get(worker) or kind is UpdateKind.CACHED or self.publishes_unchanged:
                 entries[worker] = entry
             else:
-                entries.pop(worker, None)  # a row of this update may stand before it for the same worker
+                entries.pop(worker, None)  # the update may contain an earlier row of the worker
         if received is not None:
             for worker, known in listed.items():
                 if worker not in received:
