--- a/pipitshed/frontends/listener.py
+++ b/pipitshed/frontends/listener.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 ACCEPT_PAUSE_S = 0.05  # after a failed accept
-ACCEPTS_PER_TURN = 16  # so that accepted connections are set up and counted before more are accepted
+ACCEPTS_PER_ITERATION = 16  # so that accepted connections are set up and counted before more are accepted
 BACKLOG_COUNT = 1024  # connections that the kernel queues
 
 
@@ -59,11 +59,11 @@
 
     def _readable(self) -> None:
         # A long queue accepted in one iteration, before any of it is counted, would exhaust the descriptors.
-        self._accept_up_to(ACCEPTS_PER_TURN)
+        self._accept_up_to(ACCEPTS_PER_ITERATION)
 
     def _accept_up_to(self, limit: float) -> None:
         while self._open and limit > 0:
-            if limit <= ACCEPTS_PER_TURN and self._pending and not self._has_room(len(self._pending)):
+            if limit <= ACCEPTS_PER_ITERATION and self._pending and not self._has_room(len(self._pending)):
                 return  # connections being set up may evict others; accept the rest in a later iteration
             limit -= 1
             try:
--- a/pipitshed/protocols/toml.py
+++ b/pipitshed/protocols/toml.py
@@ -1,4 +1,4 @@
-"""Finds line numbers in a TOML file, as the parser of the standard library gives none."""
+"""Finds line numbers in a TOML file, as the TOML parser gives none."""
 
 from __future__ import annotations
 
