--- a/pipitshed/discovery/catalog/watch.py
+++ b/pipitshed/discovery/catalog/watch.py
@@ -13,7 +13,7 @@
 
 from pipitshed.discovery.catalog.size_limit import OversizedUpdate
 from pipitshed.discovery.catalog.update_parser import LineAssembler, decode_update
-from pipitshed.protocols.http import BadAnswerError, Reader
+from pipitshed.protocols.http import MalformedResponseError, ResponseReader
 
 if TYPE_CHECKING:
     from pipitshed.discovery.catalog.client import CatalogClient
@@ -38,7 +38,7 @@
         self._client = client
         self._is_watch = is_watch
         self._size_limit_bytes = client.size_limit
-        self._reader = Reader(self, self._size_limit_bytes + READ_SIZE_BYTES)
+        self._reader = ResponseReader(self, self._size_limit_bytes + READ_SIZE_BYTES)
         self._transport: asyncio.Transport | None = None
         self._status = 0
         self._ended = False
@@ -129,7 +129,7 @@
         self._received_bytes += len(data)
         try:
             self._reader.feed(data)
-        except BadAnswerError as error:
+        except MalformedResponseError as error:
             self._client.log_problem(str(error))
             self.fail()
         except Exception:
@@ -151,7 +151,7 @@
 
     # ---- what the HTTP reader reports
 
-    def head_came(self, status: int) -> None:
+    def head_received(self, status: int) -> None:
         """Check the response's status; called when its head is complete."""
         self._status = status
         if status != _STATUS_OK:
@@ -159,10 +159,10 @@
         else:
             self._set_update_timeout()  # the first update follows at once
 
-    def body_came(self) -> None:
+    def body_received(self) -> None:
         """Handle the reader's buffer: the lines of a watch, and updates beyond the size limit."""
         buffer, limit_bytes = self._reader.buffer, self._size_limit_bytes
-        for line in buffer.lines() if self._is_watch else ():
+        for line in buffer.take_lines() if self._is_watch else ():
             if self._ended:
                 return
             if self._oversized is None and self._assembler.size_bytes + len(line) > limit_bytes:
@@ -176,7 +176,7 @@
         if self._oversized is not None and (not self._is_watch or len(buffer) > READ_SIZE_BYTES):
             self._oversized.skipped_bytes += len(buffer.take_all())
 
-    def answer_ended(self, _keep_alive: bool) -> None:
+    def response_ended(self, _keep_alive: bool) -> None:
         """Handle the end of the response: the list of a fetch, or the unexpected end of a watch."""
         text = self._assembler.join(self._reader.buffer.take_all())
         is_complete = self._ended or (
@@ -202,7 +202,7 @@
         text = self._assembler.add(line)
         if text is not None:
             if not self._accept_update(text):
-                raise BadAnswerError("invalid update: truncated")
+                raise MalformedResponseError("invalid update: truncated")
             self._set_timeout(WATCH_SILENCE_TIMEOUT_S)
 
     def _accept_update(self, text: bytes) -> bool:
--- a/pipitshed/protocols/http.py
+++ b/pipitshed/protocols/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 answers as the egress and discovery read them."""
+"""A parser of HTTP/1.1 responses, for worker clients and discovery."""
 
 from __future__ import annotations
 
@@ -8,82 +8,97 @@
 
 from pipitshed.protocols.buffer import Buffer, TooLongError
 
-HEAD_LIMIT = 16 * 1024
-BODY_LIMIT = 64 * 1024
-LOOSE_LIMIT = HEAD_LIMIT + BODY_LIMIT  # bytes of an answer that are no part of its body, at one stretch
-INTERIM = 16  # answers of the kinds 1xx before the final one, and that one
+HEAD_LIMIT_BYTES = 16 * 1024
+BODY_LIMIT_BYTES = 64 * 1024
+NON_BODY_LIMIT_BYTES = HEAD_LIMIT_BYTES + BODY_LIMIT_BYTES  # between two parts of a body
+MAX_RESPONSE_HEADS = 16  # of interim responses (1xx) and the final one
 
-__all__ = ["BODY_LIMIT", "HEAD_LIMIT", "BadAnswerError", "Reader", "Taker"]
+__all__ = [
+    "BODY_LIMIT_BYTES",
+    "HEAD_LIMIT_BYTES",
+    "MalformedResponseError",
+    "ResponseHandler",
+    "ResponseReader",
+]
 
 
-class BadAnswerError(ValueError):
-    """What has come in is no HTTP answer within the bounds."""
+class MalformedResponseError(ValueError):
+    """The received bytes are not an HTTP response within the limits."""
 
 
-class Taker(Protocol):
-    """Who takes the parts of an answer as they come."""
+class ResponseHandler(Protocol):
+    """Receives the parts of a response as they arrive."""
 
-    def head_came(self, status: int) -> None: ...
+    def head_received(self, status: int) -> None: ...
 
-    def body_came(self) -> None: ...
+    def body_received(self) -> None: ...
 
-    def answer_ended(self, keep_alive: bool) -> None: ...
+    def response_ended(self, keep_alive: bool) -> None: ...
 
 
-class Reader:
-    """Parses answers; the decoded body stands in `buffer`, and the taker uses it up."""
+class ResponseReader:
+    """Parses responses; the decoded body is in `buffer`, from which the handler consumes it."""
 
-    __slots__ = ("buffer", "headers", "begun", "_taker", "_parser", "_in_head", "_loose", "_interim")
+    __slots__ = (
+        "buffer",
+        "headers",
+        "is_receiving",
+        "_handler",
+        "_parser",
+        "_in_head",
+        "_non_body_bytes",
+        "_response_heads",
+    )
 
-    def __init__(self, taker: Taker, limit: int) -> None:
+    def __init__(self, handler: ResponseHandler, limit: int) -> None:
         self.buffer = Buffer(limit)
         self.headers: dict[bytes, bytes] = {}
-        self._taker = taker
-        self.begun = False  # an answer has begun, and not ended
+        self._handler = handler
+        self.is_receiving = False  # a response has begun and has not ended
         self._in_head = False
-        self._loose = 0  # bytes since the last part of a body: heads, trailers, framing
-        self._interim = 0  # answers before the final one
+        self._non_body_bytes = 0  # received since the last part of a body: heads, trailers, framing
+        self._response_heads = 0  # interim responses, and the final one
         self._parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: bytes) -> None:
-        """Parse; BadAnswerError where it can't be."""
-        self._loose += len(data)
+        """Parse received bytes; MalformedResponseError if that fails."""
+        self._non_body_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            # The parser names the callback alone; what went wrong in it is the error's context.
+            # The parser's error names only the callback; the callback's own exception is its context.
             inner = error.__context__ if isinstance(error, httptools.HttpParserCallbackError) else None
-            if isinstance(inner, BadAnswerError | TooLongError):
-                raise BadAnswerError(str(inner)) from None
-            raise BadAnswerError(f"{error}: {inner!r}" if inner is not None else str(error)) from None
-        # Guards against a peer that sends a head, trailers or framing without end: the parser keeps it all.
-        if self._loose > LOOSE_LIMIT:
-            raise BadAnswerError("the head or the framing is too long")
+            if isinstance(inner, MalformedResponseError | TooLongError):
+                raise MalformedResponseError(str(inner)) from None
+            raise MalformedResponseError(f"{error}: {inner!r}" if inner is not None else str(error)) from None
+        # The parser stores heads, trailers and framing without a limit of its own.
+        if self._non_body_bytes > NON_BODY_LIMIT_BYTES:
+            raise MalformedResponseError("the head or the framing is too long")
 
     def on_message_begin(self) -> None:
-        self.begun = True
-        self._interim += 1
-        if self._interim > INTERIM:
-            raise BadAnswerError("too many answers before the final one")
+        self.is_receiving = True
+        self._response_heads += 1
+        if self._response_heads > MAX_RESPONSE_HEADS:
+            raise MalformedResponseError("too many interim responses")
         self.headers.clear()
         self.buffer.take_all()
         self._in_head = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self._in_head:  # a trailer: what the head said stands
+        if self._in_head:  # a trailer doesn't replace a header
             self.headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
         self._in_head = False
-        self._taker.head_came(self._parser.get_status_code())
+        self._handler.head_received(self._parser.get_status_code())
 
     def on_body(self, data: bytes) -> None:
-        self._loose = 0
+        self._non_body_bytes = 0
         self.buffer.append(data)
-        self._taker.body_came()
+        self._handler.body_received()
 
     def on_message_complete(self) -> None:
-        self.begun = False
+        self.is_receiving = False
         if self._parser.get_status_code() >= 200:
-            self._interim = self._loose = 0
-            self._taker.answer_ended(self._parser.should_keep_alive())
+            self._response_heads = self._non_body_bytes = 0
+            self._handler.response_ended(self._parser.should_keep_alive())
--- a/pipitshed/server/server.py
+++ b/pipitshed/server/server.py
@@ -11,11 +11,11 @@
 
 import uvloop
 
-from pipitshed.admin.metrics import Gauges, by_class, count_lines, render
+from pipitshed.admin.metrics import Gauges, count_lines, counts_by_class, render
 from pipitshed.config.class_registry import ClassRegistry
 from pipitshed.config.front import FrontConfig
 from pipitshed.config.platform import Config
-from pipitshed.frontends.http import LINGER_ENDING
+from pipitshed.frontends.http import STOPPING_LINGER_S
 from pipitshed.server.assembly import assemble, build_cluster_node
 from pipitshed.server.reload import SettingsReloader
 
@@ -92,7 +92,7 @@
             self.reloader.invalid_count,
         )
         class_names = self.reloader.classes.names
-        text = render(by_class(class_names, forwarder.answered_counts, forwarder.sent_counts), gauges)
+        text = render(counts_by_class(class_names, forwarder.answered_counts, forwarder.sent_counts), gauges)
         if node is None:
             return text
         return text + node.lines() + count_lines(self._discovery_counters())
@@ -155,7 +155,7 @@
     def _close_connections(self) -> None:
         """Close each connection with its next answer, and those that are not in use at once."""
         self.parts.http_frontend.draining = True
-        self.parts.http_frontend.linger = LINGER_ENDING
+        self.parts.http_frontend.linger = STOPPING_LINGER_S
         # A little later, what stood in the listeners' queues has its connection.
         self._loop.call_later(IDLE_POLL_S, self._end_when_idle)
 
--- a/pipitshed/upstream/grpc/client.py
+++ b/pipitshed/upstream/grpc/client.py
@@ -10,7 +10,7 @@
 
 from pipitshed import __version__
 from pipitshed.protocols.address import Address
-from pipitshed.protocols.grpc import timeout_text
+from pipitshed.protocols.grpc import encode_timeout
 from pipitshed.proxy.attempt import Attempt
 from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.proxy.worker_client import Endpoint
@@ -35,14 +35,20 @@
     """Opens a connection to a worker when there is an attempt or a probe for it."""
 
     def __init__(
-        self, core: Forwarder, classes: Sequence[str], loop: asyncio.AbstractEventLoop, keepalive_s: float
+        self,
+        forwarder: Forwarder,
+        classes: Sequence[str],
+        loop: asyncio.AbstractEventLoop,
+        keepalive_s: float,
     ) -> None:
-        self.core = core
+        self.forwarder = forwarder
         self.loop = loop
         self.keepalive_s = keepalive_s  # time without input, with attempts outstanding, before a PING
         self.on_wrong_interface: Callable[[Endpoint], None] = lambda _: None
-        self.on_drain: Callable[[Endpoint], None] = lambda endpoint: core.endpoints.mark_draining(endpoint.id)
-        limits = core.settings.limits
+        self.on_drain: Callable[[Endpoint], None] = lambda endpoint: forwarder.endpoints.mark_draining(
+            endpoint.id
+        )
+        limits = forwarder.settings.limits
         self.idle_timeout_s = limits.idle_timeout_ms / 1000 * (1 - IDLE_MARGIN_FRACTION)
         self.probe_count = 0
         self._classes = classes
@@ -97,7 +103,7 @@
         headers = [
             *_FIXED_HEADERS,
             (b"x-class", self._classes[request.job_class].encode()),
-            NeverIndexedHeaderTuple(b"grpc-timeout", timeout_text(remaining_s)),
+            NeverIndexedHeaderTuple(b"grpc-timeout", encode_timeout(remaining_s)),
             NeverIndexedHeaderTuple(b"x-request-id", request.id.encode("latin-1")),
         ]
         if request.tenant_name:
@@ -115,7 +121,7 @@
         """Return the worker's connection for new streams, which may still be connecting."""
         connection = self._connections.get(endpoint.address)
         if connection is None:
-            self.core.counters["connections"] += 1
+            self.forwarder.counters["connections"] += 1
             connection = self._connections[endpoint.address] = GrpcConnection(self, endpoint)
             self._all.add(connection)
             self._spawn(self._connect(connection))
--- a/pipitshed/upstream/grpc/connection.py
+++ b/pipitshed/upstream/grpc/connection.py
@@ -18,7 +18,7 @@
 import h2.exceptions
 import h2.settings
 
-from pipitshed.protocols.grpc import MESSAGE_LIMIT, Http2, frame
+from pipitshed.protocols.grpc import MESSAGE_LIMIT_BYTES, Http2Connection, frame_message
 from pipitshed.proxy.attempt import Attempt
 from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.events import Outcome
@@ -32,7 +32,7 @@
 
 MAX_STREAMS = 256  # per connection, even if the worker permits more
 MAX_UNREAD_BYTES = 1024 * 1024  # unsent bytes beyond which the connection to a slow reader is closed
-WINDOW_BYTES = 2 * MESSAGE_LIMIT  # flow control window of each stream and of the connection
+WINDOW_BYTES = 2 * MESSAGE_LIMIT_BYTES  # flow control window of each stream and of the connection
 MAX_HEADER_LIST_BYTES = 16 * 1024
 PROBE_TIMEOUT_S = 0.5
 MAX_KEEPALIVE_S = 600.0
@@ -55,7 +55,7 @@
         self.has_ended = False
         self.client = client
         self._loop = client.loop
-        self._http2 = Http2()
+        self._http2 = Http2Connection()
         self._transport: asyncio.Transport | None = None
         self.idle_reports = 0  # idle connections that the scheduler counts for this connection
         self._unflushed: set[int] = set()  # streams whose last bytes may not have reached the kernel
@@ -124,11 +124,11 @@
             outcome = Outcome.RESET if is_sent else Outcome.CONNECT_FAILED
             stream.report(stream.event_outcome or outcome)
         for attempt in queue:
-            self.client.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
+            self.client.forwarder.attempt_finished(attempt, Outcome.CONNECT_FAILED)
         for ping_data in list(self._probes):
             self._finish_probe(ping_data, Outcome.CONNECT_FAILED)
         for _ in range(self.idle_reports):
-            self.client.core.connection_lost(self.endpoint)
+            self.client.forwarder.connection_lost(self.endpoint)
 
     def close(self) -> None:
         """Send GOAWAY and close; called when no attempt is outstanding."""
@@ -146,7 +146,7 @@
         self.client.lost(self)
         queue, self.queue = list(self.queue), deque()
         for attempt in queue:
-            self.client.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
+            self.client.forwarder.attempt_finished(attempt, Outcome.CONNECT_FAILED)
 
     # ---- output
 
@@ -177,8 +177,8 @@
         max_streams = min(MAX_STREAMS, self._http2.remote_settings.max_concurrent_streams)
         while self.queue and not self.is_draining and not self.has_ended and len(self.streams) < max_streams:
             attempt = self.queue.popleft()
-            if not self.client.core.may_begin(attempt):
-                self.client.core.attempt_finished(attempt, Outcome.CONNECT_FAILED)
+            if not self.client.forwarder.may_begin(attempt):
+                self.client.forwarder.attempt_finished(attempt, Outcome.CONNECT_FAILED)
                 continue
             try:
                 stream_id = self._http2.get_next_available_stream_id()
@@ -186,7 +186,7 @@
                 self.queue.appendleft(attempt)
                 self.drain()
                 return
-            stream = GrpcStream(self, attempt, stream_id, frame(attempt.body))
+            stream = GrpcStream(self, attempt, stream_id, frame_message(attempt.body))
             self.streams[stream_id] = attempt.transport_state = stream
             remaining_s = attempt.deadline_at - self._loop.time()
             self._http2.send_headers(stream_id, self.client.metadata(attempt, remaining_s))
@@ -214,7 +214,7 @@
                 stream.is_sent = is_last
         except h2.exceptions.ProtocolError:
             return  # the worker has just ended the stream; the event for that follows
-        self.client.core.attempt_sent(stream.attempt)
+        self.client.forwarder.attempt_sent(stream.attempt)
         self._unflushed.add(stream.stream_id)
 
     def _schedule_flush(self) -> None:
@@ -390,7 +390,7 @@
         started_at = self._probes.pop(ping_data, None)
         if started_at is not None:
             duration_ms = (self._loop.time() - started_at) * 1000
-            self.client.core.probe_finished(self.endpoint, outcome, duration_ms)
+            self.client.forwarder.probe_finished(self.endpoint, outcome, duration_ms)
             self._continue()
 
     def _send_keepalive_ping(self) -> None:
--- a/pipitshed/upstream/grpc/stream.py
+++ b/pipitshed/upstream/grpc/stream.py
@@ -8,7 +8,7 @@
 
 from google.protobuf.message import DecodeError
 
-from pipitshed.protocols.grpc import BadMessageError, messages
+from pipitshed.protocols.grpc import BadMessageError, take_messages
 from pipitshed.proxy.attempt import Attempt
 from pipitshed.scheduling.events import Outcome, ProgressKind
 from pipitshed.worker_api import planner_pb2
@@ -51,7 +51,7 @@
         """Buffer received data, and handle each complete message."""
         self._buffer += data
         try:
-            for message in messages(self._buffer):
+            for message in take_messages(self._buffer):
                 event = planner_pb2.RunEvent.FromString(message)
                 if event.id != self.attempt.context.request.id:
                     raise BadMessageError("an event carries the id of another request")
@@ -65,12 +65,12 @@
             self.connection.close_stream(self)
 
     def _handle_event(self, event: planner_pb2.RunEvent) -> None:
-        kind, core = event.WhichOneof("event"), self.connection.client.core
+        kind, forwarder = event.WhichOneof("event"), self.connection.client.forwarder
         if kind == "started":
-            core.attempt_progressed(self.attempt, ProgressKind.STARTED)
+            forwarder.attempt_progressed(self.attempt, ProgressKind.STARTED)
         elif kind == "running":
             share = min(1.0, max(0.0, event.running.share))
-            core.attempt_progressed(self.attempt, ProgressKind.PROGRESS, share)
+            forwarder.attempt_progressed(self.attempt, ProgressKind.PROGRESS, share)
         elif kind == "done":
             self.event_outcome = Outcome.OK
             self.report(Outcome.OK, event.done.SerializeToString())
@@ -103,7 +103,7 @@
             connection = self.connection
             if outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED) and not connection.has_ended:
                 connection.idle_reports += 1
-            connection.client.core.attempt_finished(self.attempt, outcome, result, (), pushback_ms)
+            connection.client.forwarder.attempt_finished(self.attempt, outcome, result, (), pushback_ms)
 
     def release(self) -> None:
         """Stop the timer, and release the request's body."""
--- a/pipitshed/upstream/http/connection.py
+++ b/pipitshed/upstream/http/connection.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from pipitshed.protocols.address import Address
-from pipitshed.protocols.http import BODY_LIMIT, BadAnswerError, Reader
+from pipitshed.protocols.http import BODY_LIMIT_BYTES, MalformedResponseError, ResponseReader
 from pipitshed.proxy.attempt import Attempt
 from pipitshed.proxy.worker_client import Endpoint
 from pipitshed.scheduling.events import Outcome, ProgressKind
@@ -25,7 +25,7 @@
 
 ANSWER_END_TIMEOUT_S = 0.5  # from an attempt's outcome to the end of the answer that carried it
 SECOND_ANSWER_WINDOW_S = 0.05  # after an answer, within which a second one to the same request may arrive
-MAX_LINE_BYTES = 4 * BODY_LIMIT  # JSON escapes may make a line longer than the limit of its result
+MAX_LINE_BYTES = 4 * BODY_LIMIT_BYTES  # JSON escapes may make a line longer than the limit of its result
 HTTP2_SETTINGS_PREFIX = b"\0\0"  # of a SETTINGS frame under 256 bytes; no HTTP/1.1 answer begins so
 
 _STATUS_OK = 200
@@ -89,7 +89,7 @@
         self.idle_deadline = 0.0
         self.idle_endpoint: Endpoint | None = None  # whose idle connections the scheduler counts
         self._client = client
-        self._reader = Reader(self, MAX_LINE_BYTES)
+        self._reader = ResponseReader(self, MAX_LINE_BYTES)
         self._transport: asyncio.Transport | None = None
         self._has_unsent_bytes = False
         self._is_sent_reported = True
@@ -134,7 +134,7 @@
             and not self._is_outcome_reported
         ):
             self._is_sent_reported = True
-            self._client.core.attempt_sent(self.attempt)
+            self._client.forwarder.attempt_sent(self.attempt)
 
     @property
     def is_open(self) -> bool:
@@ -167,7 +167,7 @@
             return
         try:
             self._reader.feed(data)
-        except BadAnswerError:
+        except MalformedResponseError:
             if self.attempt is not None and data.startswith(HTTP2_SETTINGS_PREFIX):
                 self._client.on_wrong_interface(self.attempt.endpoint)
             self._finish(Outcome.RESET)
@@ -175,7 +175,7 @@
             return
         if self.attempt is None and self.probed_endpoint is None:
             # A second answer has begun after the first: its rest must not be taken for the next one.
-            if self._reader.begun:
+            if self._reader.is_receiving:
                 self.close()
         elif self._is_outcome_reported and self._answer_end_timer is None:
             # The attempt's own timer ends with its outcome. Without this timer, an answer that never ends
@@ -187,24 +187,24 @@
         self._finish(Outcome.CONNECT_FAILED if self._has_unsent_bytes else Outcome.RESET)
         self._cancel_timers()
         if self.idle_endpoint is not None:
-            self._client.core.connection_lost(self.idle_endpoint)
+            self._client.forwarder.connection_lost(self.idle_endpoint)
         self._client.lost(self)
 
     # ---- what the HTTP reader reports
 
-    def head_came(self, status: int) -> None:
+    def head_received(self, status: int) -> None:
         """Called when the answer's head is complete."""
         self._status = status
 
-    def body_came(self) -> None:
+    def body_received(self) -> None:
         """Handle the complete lines in the reader's buffer; called when it has received more of the body."""
         if self._status != _STATUS_OK or self.attempt is None:
             return
-        while (text := self._reader.buffer.line()) is not None:
+        while (text := self._reader.buffer.take_line()) is not None:
             if text:
                 self._handle_line(text)
 
-    def answer_ended(self, keep_alive: bool) -> None:
+    def response_ended(self, keep_alive: bool) -> None:
         """Report the outcome, and make the connection idle if it can be used again."""
         if self.attempt is None and self.probed_endpoint is None:
             self.close()  # a second answer, while the connection is idle already
@@ -241,14 +241,14 @@
         try:
             line = _decode_line(text)
         except msgspec.DecodeError:
-            raise BadAnswerError("a response line is not JSON") from None
+            raise MalformedResponseError("a response line is not JSON") from None
         if line.id != attempt.context.request.id:
             # Its result must not reach this request's client.
-            raise BadAnswerError("a response line carries the id of another request")
+            raise MalformedResponseError("a response line carries the id of another request")
         if line.state == "started":
-            self._client.core.attempt_progressed(attempt, ProgressKind.STARTED)
+            self._client.forwarder.attempt_progressed(attempt, ProgressKind.STARTED)
         elif line.state == "running":
-            self._client.core.attempt_progressed(attempt, ProgressKind.PROGRESS, line.share)
+            self._client.forwarder.attempt_progressed(attempt, ProgressKind.PROGRESS, line.share)
         elif line.state in _OUTCOMES:
             report = ordered_report(line.load, self._client.report_fields)
             self._finish(_OUTCOMES[line.state], line.result.encode(), report)
@@ -269,11 +269,11 @@
         if self._is_outcome_reported:
             return
         self._is_outcome_reported = True
-        core = self._client.core
+        forwarder = self._client.forwarder
         if self.attempt is not None:
             if outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED):
                 self.idle_endpoint = self.attempt.endpoint
-            core.attempt_finished(self.attempt, outcome, result, report)
+            forwarder.attempt_finished(self.attempt, outcome, result, report)
         elif self.probed_endpoint is not None:
             duration_ms = (self._client.loop.time() - self.probe_started_at) * 1000
-            core.probe_finished(self.probed_endpoint, outcome, duration_ms, report)
+            forwarder.probe_finished(self.probed_endpoint, outcome, duration_ms, report)
--- a/tests/attempt_rig.py
+++ b/tests/attempt_rig.py
@@ -39,11 +39,11 @@
                 idempotency_window_ms=5000.0,
             ),
         )
-        self.core = Forwarder(
+        self.forwarder = Forwarder(
             settings(classes=classes, limits=Limits(may_cancel=False, max_attempts=3)), 1, loop
         )
-        self.core._turns.post = self._record_event  # type: ignore[method-assign]
-        self.worker_client = HttpWorkerClient(self.core, [], loop)
+        self.forwarder._dispatch_loop.post = self._record_event  # type: ignore[method-assign]
+        self.worker_client = HttpWorkerClient(self.forwarder, [], loop)
         self.finished_attempts: asyncio.Queue[AttemptFinished] = asyncio.Queue()
 
     def _record_event(self, event: Event) -> None:
@@ -54,14 +54,16 @@
     def list_worker(self, port: int, state: EndpointState = EndpointState.READY) -> None:
         [entry] = entries(1)
         endpoint = Endpoint(entry.worker, self.worker_client, ("127.0.0.1", port))
-        self.core.endpoints.update("test", UpdateKind.DELTA, 1, [(replace(entry, state=state), endpoint)])
+        self.forwarder.endpoints.update(
+            "test", UpdateKind.DELTA, 1, [(replace(entry, state=state), endpoint)]
+        )
         self.worker = entry.worker
 
     def submit(self, name: str = "a1", body: bytes = b"pallets") -> RequestContext:
-        return self.core.submit(Request(name, 0, 9000.0, 0, body, "k-" + name), Mock())
+        return self.forwarder.submit(Request(name, 0, 9000.0, 0, body, "k-" + name), Mock())
 
     def start_attempt(self, context: RequestContext, write_within_ms: float = 0.0) -> None:
-        self.core._execute(StartAttempt(context.job_id, self.worker, write_within_ms=write_within_ms))
+        self.forwarder._execute(StartAttempt(context.job_id, self.worker, write_within_ms=write_within_ms))
 
     async def outcome(self) -> Outcome:
         return (await self.finished_attempts.get()).outcome
--- a/tests/discovery/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -15,10 +15,10 @@
     Reader,
     Run,
     Writer,
-    call,
-    healthy,
+    admin_request,
+    async_test,
     program,
-    story,
+    wait_until_healthy,
 )
 
 NOTIFIED_AFTER_S = 6.0  # s after which a change counts as known, whatever happened to the calls
@@ -46,7 +46,7 @@
         await reader.read()
 
 
-@story
+@async_test
 async def test_a_drain_update_that_trickles_in_is_applied_in_time() -> None:
     """Each byte renewed the watch's timeout, so an update that arrived byte by byte was delayed forever."""
 
@@ -105,7 +105,7 @@
                 writer.write(repeated_part)
                 await asyncio.sleep(0.1)
 
-    @story
+    @async_test
     async def run() -> None:
         async with (
             Planner("p1") as planner,
@@ -118,7 +118,7 @@
     run()
 
 
-@story
+@async_test
 async def test_a_restarted_process_accepts_no_jobs_before_it_has_the_list() -> None:
     """Schedulers of a failed zone restarted 18 s later with their cached list, and sent their first jobs to
     workers that had left 16 s before."""
@@ -139,18 +139,18 @@
         HeldCatalog(listed) as catalog,
         program(unlisted, catalog=catalog) as running,
     ):
-        assert (await call(running.port, HEALTH))[0] == 503
+        assert (await admin_request(running.port, HEALTH))[0] == 503
         await catalog.call_received.wait()
-        assert (await call(running.port, HEALTH))[0] == 503
+        assert (await admin_request(running.port, HEALTH))[0] == 503
         catalog.may_answer.set()
-        await healthy(running.port)
+        await wait_until_healthy(running.port)
         client = await HttpClient.to(running.port)
         client.ask("a1")
         assert (await client.answer())[0] == 200
         assert not unlisted.runs and len(listed.runs) == 1
 
 
-@story
+@async_test
 async def test_indented_updates_are_parsed_from_a_watch() -> None:
     """An indented update has many lines, and some of them end like a complete update."""
 
@@ -178,7 +178,7 @@
         assert len(catalog.asked) == 1 and catalog.watches.empty()
 
 
-@story
+@async_test
 async def test_an_invalid_update_fails_the_call_and_keeps_the_known_list() -> None:
     """After invalid bytes from the catalog the call counts as failed, and another one follows."""
 
@@ -197,7 +197,7 @@
         await catalog.watches.get()
 
 
-@story
+@async_test
 async def test_a_pushed_list_is_fetched_at_once_and_retried_within_the_grace_period() -> None:
     """Where lists are pushed, the agent's list counts as known from the start of a process, and as soon as
     the agent is back. A delay of half a second that doubles exceeded a grace period of 600 ms."""
@@ -223,7 +223,7 @@
     assert max(gaps) < 0.3
 
 
-@story
+@async_test
 async def test_an_exception_between_two_calls_does_not_stop_polling() -> None:
     """While no call is in progress for any reason, the scheduler is told that the last one failed."""
     from pipitshed.discovery import catalog as module
@@ -252,7 +252,7 @@
         client.stop()
 
 
-@story
+@async_test
 async def test_jobs_are_served_from_the_known_list_while_calls_hang() -> None:
     """The known list stays in use while every call hangs."""
 
--- a/tests/discovery/test_catalog_size_limit.py
+++ b/tests/discovery/test_catalog_size_limit.py
@@ -7,7 +7,7 @@
 
 import pytest
 from catalog_updates import HEAD, LargeCatalog, catalog_entries, chunk, update_bytes
-from loopback import HttpClient, Planner, program, story
+from loopback import HttpClient, Planner, async_test, program
 
 from pipitshed.discovery.catalog import (
     CatalogClient,
@@ -21,7 +21,7 @@
 from pipitshed.proxy.endpoint_table import EndpointTable
 
 
-@story
+@async_test
 async def test_an_indented_list_of_4600_workers_is_accepted() -> None:
     """With a constant size limit a longer list was never accepted, and the watch was reopened repeatedly."""
     async with (
@@ -43,7 +43,7 @@
     """The known list stays in use, the changes after the long update are applied, and the next call asks from
     the version before it without a second warning."""
 
-    @story
+    @async_test
     async def run() -> None:
         async with (
             Planner("p1") as old,
--- a/tests/discovery/test_catalog_snapshots.py
+++ b/tests/discovery/test_catalog_snapshots.py
@@ -6,7 +6,7 @@
 import re
 
 from catalog_updates import LargeCatalog, chunk, update_bytes
-from loopback import Catalog, HttpClient, Planner, Program, Reader, Writer, figures, program, story
+from loopback import Catalog, HttpClient, Planner, Program, Reader, Writer, async_test, program, read_metrics
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -70,7 +70,7 @@
     return int(found[1]) if found else 0
 
 
-@story
+@async_test
 async def test_no_snapshot_is_fetched_after_a_lost_watch_or_an_address_change() -> None:
     """The first call after a start without a usable list fetches one; later calls name the known version."""
     async with Planner("p1") as one, Planner("p2") as two:
@@ -113,7 +113,7 @@
     assert final_count(running, "list changes") == 7 and final_count(running, "list calls") >= 6
 
 
-@story
+@async_test
 async def test_a_start_with_a_cached_list_fetches_only_changes() -> None:
     async with Planner("p1") as one, Planner("p2") as two:
         versions = Versions(one, two, first=1)
@@ -125,7 +125,7 @@
     assert final_count(running, "whole lists") == 0 and final_count(running, "list changes") == 1
 
 
-@story
+@async_test
 async def test_a_truncated_snapshot_is_fetched_again() -> None:
     """A truncated update must not count as a known version."""
     async with Planner("p1") as one, VersionedCatalog(Versions(one)) as catalog:
@@ -158,7 +158,7 @@
         "scheduler.whole_lists": 2,
     }
 
-    @story
+    @async_test
     async def run() -> None:
         async with (
             Planner("p1") as one,
@@ -166,12 +166,12 @@
             program(catalog=catalog, mgmt=True) as running,
         ):
             await catalog.watches.get()
-            assert not any("list" in name for name in await figures(running.mgmt_port))
+            assert not any("list" in name for name in await read_metrics(running.mgmt_port))
 
     run()
 
 
-@story
+@async_test
 async def test_a_slow_snapshot_is_not_fetched_again() -> None:
     """When many schedulers start together, the catalog's link is saturated. A call that was aborted 1.5 s
     after its first byte fetched the list again, and never got it."""
--- a/tests/discovery/test_dns_sd.py
+++ b/tests/discovery/test_dns_sd.py
@@ -2,11 +2,11 @@
 
 import asyncio
 
-from loopback import HttpClient, Planner, program, story
+from loopback import HttpClient, Planner, async_test, program
 from name_server import SERVICE, NameServer
 
 
-@story
+@async_test
 async def test_records_fill_the_endpoint_table_and_drains_are_respected() -> None:
     """A worker that drains or disappears gets no new jobs after 1.5 s; two refreshes take less time."""
     loop = asyncio.get_running_loop()
--- a/tests/discovery/test_worker_interfaces.py
+++ b/tests/discovery/test_worker_interfaces.py
@@ -6,7 +6,7 @@
 import pytest
 from grpc_peer import GrpcPlanner
 from interface_registry_rig import RegistryRig, catalog_entry
-from loopback import Planner, story
+from loopback import Planner, async_test
 
 from pipitshed.discovery.worker_interfaces import MAX_CONCURRENT_PROBES
 from pipitshed.scheduling.events import EndpointState
@@ -111,7 +111,7 @@
     assert rig.entry("p1").state is EndpointState.READY
 
 
-@story
+@async_test
 async def test_the_prober_distinguishes_the_interfaces() -> None:
     detected: dict[bytes, int] = {}
     loop = asyncio.get_running_loop()
--- a/tests/equivalence/test_same_transcripts.py
+++ b/tests/equivalence/test_same_transcripts.py
@@ -12,9 +12,20 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from loopback import FRONT, GearmanPeer, HttpClient, Planner, Reader, Run, Writer, call, program, story
-
-from pipitshed.protocols.gearman import Kind
+from loopback import (
+    FRONT,
+    GearmanPeer,
+    HttpClient,
+    Planner,
+    Reader,
+    Run,
+    Writer,
+    admin_request,
+    async_test,
+    program,
+)
+
+from pipitshed.protocols.gearman import PacketType
 
 GOLDEN = Path(__file__).parent / "golden" / "transcripts.json"
 MASKS = [
@@ -70,10 +81,10 @@
     @staticmethod
     def answer(run: Run) -> None:
         if run.body == b"full":
-            run.say("returned")
+            run.send_event("returned")
         elif run.body == b"fail":
-            run.say("started")
-            run.say("failed", result="no such flight")
+            run.send_event("started")
+            run.send_event("failed", result="no such flight")
         else:
             run.serve()
 
@@ -115,9 +126,11 @@
             writer.close()
             transcript[name] = masked(answer)
             transcript[f"{name}, sent on"] = masked(b"".join(planner.received_bytes))
-        status, metrics = await call(running.mgmt_port, b"GET /-/metrics HTTP/1.1\r\nHost: a\r\n\r\n")
+        status, metrics = await admin_request(
+            running.mgmt_port, b"GET /-/metrics HTTP/1.1\r\nHost: a\r\n\r\n"
+        )
         transcript["figures"] = metrics.decode()
-        status, ready = await call(running.mgmt_port, b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
+        status, ready = await admin_request(running.mgmt_port, b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
         transcript["ready"] = f"{status} {ready.decode()}"
     return transcript
 
@@ -131,15 +144,15 @@
     ):
         client = await GearmanPeer.to(running.gearman_port)
         for name, kind, arguments, answers in (
-            ("echo", Kind.ECHO_REQ, (b"here",), 1),
-            ("a job", Kind.SUBMIT_JOB, (b"plan_quote", b"u1", b"six"), 2),
-            ("a job in the background", Kind.SUBMIT_JOB_BG, (b"plan_quote", b"u2", b"six"), 1),
-            ("a job that fails", Kind.SUBMIT_JOB_HIGH, (b"plan_quote", b"u3", b"fail"), 3),
-            ("no such function", Kind.SUBMIT_JOB, (b"none", b"u4", b""), 1),
-            ("an option", Kind.OPTION_REQ, (b"exceptions",), 1),
-            ("a job that fails, with exceptions", Kind.SUBMIT_JOB, (b"plan_quote", b"u5", b"fail"), 3),
+            ("echo", PacketType.ECHO_REQ, (b"here",), 1),
+            ("a job", PacketType.SUBMIT_JOB, (b"plan_quote", b"u1", b"six"), 2),
+            ("a job in the background", PacketType.SUBMIT_JOB_BG, (b"plan_quote", b"u2", b"six"), 1),
+            ("a job that fails", PacketType.SUBMIT_JOB_HIGH, (b"plan_quote", b"u3", b"fail"), 3),
+            ("no such function", PacketType.SUBMIT_JOB, (b"none", b"u4", b""), 1),
+            ("an option", PacketType.OPTION_REQ, (b"exceptions",), 1),
+            ("a job that fails, with exceptions", PacketType.SUBMIT_JOB, (b"plan_quote", b"u5", b"fail"), 3),
         ):
-            client.say(kind, *arguments)
+            client.send(kind, *arguments)
             received = b""
             with contextlib.suppress(TimeoutError):
                 for _ in range(answers):
@@ -158,11 +171,11 @@
         client = await HttpClient.to(running.port)
         client.ask("a1", body=b"six")
         head = await worker.reader.readexactly(12)
-        worker.say(Kind.GRAB_JOB_ALL)
+        worker.send(PacketType.GRAB_JOB_ALL)
         assign = await worker.reader.readexactly(12)
         arguments = await worker.reader.readexactly(int.from_bytes(assign[8:], "big"))
         transcript["gearman: to a worker"] = masked(head + assign[:8] + arguments)
-        worker.say(Kind.WORK_COMPLETE, arguments.split(b"\0")[0], b"plan of six")
+        worker.send(PacketType.WORK_COMPLETE, arguments.split(b"\0")[0], b"plan of six")
         transcript["gearman: from a worker"] = repr((await client.answer())[::2])
     return transcript
 
@@ -205,7 +218,7 @@
         compare(await transcript())
 
     body.__name__ = transcript.__name__
-    return story(body)
+    return async_test(body)
 
 
 test_http_clients_and_workers_read_the_same_bytes = _golden(http_transcript)
--- a/tests/grpc_peer.py
+++ b/tests/grpc_peer.py
@@ -16,7 +16,7 @@
 from loopback import SETTINGS
 
 from pipitshed.config.settings_parser import settings_from
-from pipitshed.protocols.grpc import frame
+from pipitshed.protocols.grpc import frame_message
 from pipitshed.proxy.forwarder import Forwarder
 from pipitshed.proxy.request import Request
 from pipitshed.proxy.worker_client import Endpoint
@@ -47,7 +47,7 @@
         self.raw(pb.RunEvent(id=self.headers["x-request-id"], **kind).SerializeToString())
 
     def raw(self, message: bytes) -> None:
-        self.send(frame(message))
+        self.send(frame_message(message))
 
     def send(self, data: bytes) -> None:
         if not self.peer.mark_response_started(self.stream_id):
@@ -233,14 +233,14 @@
 
     def __init__(self, settings: dict[str, Any], translation_toml: str, keepalive_s: float) -> None:
         self.loop = asyncio.get_running_loop()
-        self.core = Forwarder(settings_from(SETTINGS | settings), 1, self.loop)
-        self.core.attach_translator(Translator(read(translation_toml), ["quote", "book"]))
-        self.worker_client = GrpcWorkerClient(self.core, ["quote", "book"], self.loop, keepalive_s)
-        self.core.endpoints.update("test", UpdateKind.CACHED, 0, [])
+        self.forwarder = Forwarder(settings_from(SETTINGS | settings), 1, self.loop)
+        self.forwarder.attach_translator(Translator(read(translation_toml), ["quote", "book"]))
+        self.worker_client = GrpcWorkerClient(self.forwarder, ["quote", "book"], self.loop, keepalive_s)
+        self.forwarder.endpoints.update("test", UpdateKind.CACHED, 0, [])
         self._ids = 0
 
     def list_workers(self, *planners: GrpcPlanner, **changes: Any) -> None:
-        self.core.endpoints.update(
+        self.forwarder.endpoints.update(
             "test",
             UpdateKind.DELTA,
             1,
@@ -270,11 +270,11 @@
 
     def submit(self, job_class: str = "quote", body: bytes | None = None, **changes: Any) -> Caller:
         caller = Caller()
-        caller.context = self.core.submit(self.request(job_class, body, **changes), caller)
+        caller.context = self.forwarder.submit(self.request(job_class, body, **changes), caller)
         return caller
 
     def withdraw(self, caller: Caller) -> None:
-        self.core.withdraw(caller.context)
+        self.forwarder.withdraw(caller.context)
 
 
 @contextlib.asynccontextmanager
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -11,7 +11,18 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from loopback import FRONT, SETTINGS, Catalog, GearmanPeer, HttpClient, Planner, Run, figures, program, story
+from loopback import (
+    FRONT,
+    SETTINGS,
+    Catalog,
+    GearmanPeer,
+    HttpClient,
+    Planner,
+    Run,
+    async_test,
+    program,
+    read_metrics,
+)
 
 from pipitshed.config.class_registry import ClassRegistry
 from pipitshed.config.completeness import missing_key
@@ -19,7 +30,7 @@
 from pipitshed.config.front import load_front
 from pipitshed.config.platform import load_platform_config
 from pipitshed.config.tenant_registry import TenantRegistry
-from pipitshed.protocols.gearman import Kind
+from pipitshed.protocols.gearman import PacketType
 from pipitshed.scheduling.actions import StartAttempt
 from pipitshed.scheduling.dispatcher import Dispatcher
 from pipitshed.scheduling.events import EndpointEntry, EndpointsUpdated, JobSubmitted, UpdateKind
@@ -149,7 +160,7 @@
     return json.dumps(told)
 
 
-@story
+@async_test
 async def test_classes_come_and_go_and_a_job_under_way_keeps_its_own() -> None:
     held: list[object] = []
     async with (
@@ -176,7 +187,7 @@
         await running.logged("classes taken now: quote, rush")
         client.ask("b2", "book", Idempotency_Key="k2")
         assert (await client.answer())[0] == 400
-        told = await figures(running.mgmt_port)
+        told = await read_metrics(running.mgmt_port)
         assert told["scheduler.answered.book"] == 1 and told["scheduler.answered.rush"] == 1
         assert told["scheduler.conf_loaded"] == 1
 
@@ -204,7 +215,7 @@
         assert set(tenants.by_name) == {name for name, _ in file}
 
 
-@story
+@async_test
 async def test_tenants_in_another_order_keep_their_counts_at_both_fronts() -> None:
     """Guards against jobs counted for another tenant after SIGHUP: for two seconds at the HTTP front, and for
     good at the Gearman front, whose functions kept a place in the first file."""
@@ -232,7 +243,7 @@
                     assert (await client.answer())[0] == 200
                 for function in (b"plan_quote", b"plan_any"):
                     await gearman.submit(function, b"", b"six")
-                    await gearman.expect(Kind.WORK_COMPLETE)
+                    await gearman.expect(PacketType.WORK_COMPLETE)
 
             await ask()
             running.reload(_file(running.config.read_text(), tenants=[sur, norte, andes]))
@@ -246,10 +257,10 @@
     assert told == [0, 1, 2, 0, 2] + [0, 1, 2, 0, 3]
 
 
-@story
+@async_test
 async def test_fewer_attempts_are_never_exceeded() -> None:
     def away(run: Run) -> None:
-        run.say("returned")
+        run.send_event("returned")
 
     async with (
         Planner("p1", act=away) as one,
@@ -268,7 +279,7 @@
         assert len(one.runs) + len(two.runs) == 4
 
 
-@story
+@async_test
 async def test_a_broken_file_changes_nothing_and_is_counted() -> None:
     async with (
         Planner("p1") as planner,
@@ -292,7 +303,7 @@
         for number, text in enumerate(broken, 1):
             running.reload(text)
             await running.logged("stays as it was", number)
-        figures_now = await figures(running.mgmt_port)
+        figures_now = await read_metrics(running.mgmt_port)
         counted = (figures_now["scheduler.conf_invalid"], figures_now["scheduler.conf_loaded"])
         assert counted == (len(broken), 0)
         client = await HttpClient.to(running.port)
--- a/tests/test_old_clients.py
+++ b/tests/test_old_clients.py
@@ -7,12 +7,12 @@
 import pytest
 from click.testing import CliRunner
 from grpc_peer import Call, GrpcPlanner
-from loopback import FRONT, GearmanPeer, HttpClient, Planner, Run, program, story
+from loopback import FRONT, GearmanPeer, HttpClient, Planner, Run, async_test, program
 from name_server import SERVICE, NameServer
 
 from pipitshed.cli.commands import main
-from pipitshed.protocols.gearman import Kind
-from pipitshed.protocols.grpc import PREFIX
+from pipitshed.protocols.gearman import PacketType
+from pipitshed.protocols.grpc import MESSAGE_PREFIX
 from pipitshed.worker_api import planner_pb2 as pb
 
 FORMS_FILE = Path(__file__).parent.parent / "deploy" / "translation.toml"
@@ -43,10 +43,10 @@
 
 
 def told(call: Call) -> pb.RunRequest:
-    return pb.RunRequest.FromString(call.body[PREFIX.size :])
+    return pb.RunRequest.FromString(call.body[MESSAGE_PREFIX.size :])
 
 
-@story
+@async_test
 async def test_the_oldest_terminals_reach_the_newest_planners() -> None:
     """The envelope that stands in the body is told as metadata; an unknown tenant keeps its name."""
     async with GrpcPlanner() as planner, program(Row("p1", planner.port), front=TRANSLATE) as running:
@@ -75,12 +75,15 @@
         assert len(planner.calls) == 1
 
 
-@story
+@async_test
 async def test_records_of_dns_sd_tell_the_interface() -> None:
     loop = asyncio.get_running_loop()
     _, server = await loop.create_datagram_endpoint(NameServer, local_addr=("127.0.0.1", 0))
     front = f'[dns-sd]\nserver = "127.0.0.1:{server.port}"\nservice = "{SERVICE}"\n{TRANSLATE}'
-    async with GrpcPlanner() as newer, Planner("p2", act=lambda run: run.say("done", result=PLAN)) as older:
+    async with (
+        GrpcPlanner() as newer,
+        Planner("p2", act=lambda run: run.send_event("done", result=PLAN)) as older,
+    ):
         server.add(Row("p1", newer.port), "interface=2")
         server.add(older, "interface=1")
         async with program(front=front, settings={"discovery": "pushed"}) as running:
@@ -94,7 +97,7 @@
     server.transport.close()
 
 
-@story
+@async_test
 async def test_a_refusal_is_final_and_names_field_value_and_reason() -> None:
     async with (
         GrpcPlanner() as planner,
@@ -115,18 +118,18 @@
         assert (await client.answer())[0] == 200
         depot = await GearmanPeer.to(running.gearman_port)
         handle = await depot.submit(b"plan_quote", b"u1", JOB[:-1] + b',"hazard":"acid"}')
-        assert await depot.expect(Kind.WORK_FAIL) == [handle]
-        depot.say(Kind.OPTION_REQ, b"exceptions")
-        await depot.expect(Kind.OPTION_RES)
+        assert await depot.expect(PacketType.WORK_FAIL) == [handle]
+        depot.send(PacketType.OPTION_REQ, b"exceptions")
+        await depot.expect(PacketType.OPTION_RES)
         handle = await depot.submit(b"plan_quote", b"u2", JOB[:-1] + b',"hazard":"acid"}')
-        assert (await depot.expect(Kind.WORK_EXCEPTION))[1].startswith(b"hazard: ")
-        assert await depot.expect(Kind.WORK_FAIL) == [handle]
+        assert (await depot.expect(PacketType.WORK_EXCEPTION))[1].startswith(b"hazard: ")
+        assert await depot.expect(PacketType.WORK_FAIL) == [handle]
         handle = await depot.submit(b"book_pallet", b"u3", JOB)
-        assert (await depot.expect(Kind.WORK_COMPLETE))[1].startswith(b'{"booking_ref":"B-1"')
+        assert (await depot.expect(PacketType.WORK_COMPLETE))[1].startswith(b'{"booking_ref":"B-1"')
         assert [call.headers["x-class"] for call in planner.calls] == ["quote", "book"]
 
 
-@story
+@async_test
 async def test_a_result_that_cannot_be_told_is_a_failure_that_says_so() -> None:
     def late(call: Call) -> None:
         call.event(done=pb.Done(offer=pb.Offer(price_cents=1, departs_ms=1_800_000_000_500)))
@@ -139,7 +142,7 @@
         assert status == 500 and json.loads(body)["field"] == "leaves" and len(planner.calls) == 1
 
 
-@story
+@async_test
 async def test_two_depots_that_use_one_id_at_once_are_told_apart() -> None:
     async with (
         GrpcPlanner(act=lambda call: None) as planner,
@@ -157,7 +160,7 @@
         assert (await second.answer())[2].startswith(b'{"price":1,')
 
 
-@story
+@async_test
 async def test_a_planner_comes_back_with_the_other_interface_while_attempts_are_out() -> None:
     """Its attempts break, its interface is found out anew, and the safe job is drawn again."""
     async with GrpcPlanner(act=lambda call: call.started()) as newer:
@@ -167,7 +170,7 @@
             client.ask("a1", body=JOB, X_Deadline="8")
             await newer.call(1)
             newer._server.close()
-            old = Planner("p1", act=lambda run: run.say("done", result=PLAN))
+            old = Planner("p1", act=lambda run: run.send_event("done", result=PLAN))
             old._server = await asyncio.start_server(old._connected, "127.0.0.1", newer.port)
             old.writers = []
             newer.abort_connections()
@@ -179,12 +182,12 @@
             old._server.close()
 
 
-@story
+@async_test
 async def test_without_the_section_nothing_is_translated_or_imported() -> None:
     """A body that is no JSON goes through as it came, and the old head is what it was, byte for byte."""
 
     def serve(run: Run) -> None:
-        run.say("done", result="plan")
+        run.send_event("done", result="plan")
 
     async with Planner("p1", act=serve) as planner, program(planner) as running:
         client = await HttpClient.to(running.port)
@@ -231,13 +234,13 @@
     assert code == 0 and json.loads(text)["$schema"].endswith("2020-12/schema")
 
 
-@story
+@async_test
 async def test_a_class_that_is_changed_while_messages_are_translated_is_still_known_by_name() -> None:
     """The failure met: a changed class has a number of its own, and the parts that translate knew only the
     numbers of the start."""
     async with (
         GrpcPlanner() as newer,
-        Planner("p2", act=lambda run: run.say("done", result=PLAN)) as older,
+        Planner("p2", act=lambda run: run.send_event("done", result=PLAN)) as older,
         program(Row("p1", newer.port, 2), Row("p2", older.port, 1), front=TRANSLATE) as running,
     ):
         config = json.loads(running.config.read_text())
--- a/tests/upstream/test_attempt_races.py
+++ b/tests/upstream/test_attempt_races.py
@@ -11,9 +11,9 @@
 
 import pytest
 from attempt_rig import Rig, delayed_connections
-from loopback import Peer, Planner, Reader, Writer, story
+from loopback import Peer, Planner, Reader, Writer, async_test
 
-from pipitshed.protocols.gearman import Kind, pack
+from pipitshed.protocols.gearman import PacketType, encode_packet
 from pipitshed.scheduling.actions import StartAttempt
 from pipitshed.scheduling.events import (
     EndpointState,
@@ -31,7 +31,7 @@
 def test_nothing_is_written_on_a_connection_that_comes_up_too_late(change: str) -> None:
     """An attempt was written however late, unless it had been cancelled, which not all settings permit."""
 
-    @story
+    @async_test
     async def run() -> None:
         async with Planner("p1") as planner, delayed_connections() as allow_connections:
             rig = Rig(Idempotency.IDEMPOTENT_WITH_KEY)
@@ -39,7 +39,7 @@
             context = rig.submit("a1")
             rig.start_attempt(context, 30.0 if change == "the window ends" else 0.0)
             if change == "the client goes":
-                rig.core.withdraw(context)
+                rig.forwarder.withdraw(context)
             elif change == "the window ends":
                 loop = asyncio.get_running_loop()
                 window_ended = asyncio.Event()
@@ -57,8 +57,8 @@
             assert await rig.outcome() is Outcome.OK
             assert [run.headers["x-request-id"] for run in planner.runs] == ["a2"]
             if change != "the client goes":
-                rig.core.withdraw(context)
-            assert not rig.core._requests._contexts
+                rig.forwarder.withdraw(context)
+            assert not rig.forwarder._requests._contexts
 
     run()
 
@@ -91,7 +91,7 @@
 NOT_RUN = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-@story
+@async_test
 async def test_a_connection_is_closed_if_the_answer_does_not_end() -> None:
     """After `done` the attempt and its timer have ended: no timer was left to close the connection."""
     async with ScriptedWorker(CHUNKED + DONE) as planner:
@@ -123,7 +123,7 @@
 def test_an_invalid_or_unlimited_answer_is_a_reset(name: str, text: bytes) -> None:
     """Invalid bytes from a worker: the outcome follows the protocol's table, and the connection is closed."""
 
-    @story
+    @async_test
     async def run() -> None:
         async with ScriptedWorker(text) as planner:
             rig = Rig()
@@ -149,7 +149,7 @@
     """A 503 carries no request id. One that arrives just after the next request was written could be taken to
     say that this request did not run, while it does. If a second run is harmful, the 503 proves nothing."""
 
-    @story
+    @async_test
     async def run() -> None:
         class LateSecondAnswer(Peer):
             async def serve(self, reader: Reader, writer: Writer) -> None:
@@ -170,7 +170,7 @@
     run()
 
 
-@story
+@async_test
 async def test_a_partial_second_answer_closes_the_connection() -> None:
     """It arrives in one segment with the first answer's end; its rest would be read as the next answer."""
     async with ScriptedWorker(CHUNKED + DONE + END + NOT_RUN[:20], CHUNKED + DONE + END) as planner:
@@ -181,7 +181,7 @@
         assert await planner.closed.get() == 1
 
 
-@story
+@async_test
 async def test_an_answer_before_the_whole_request_is_sent_closes_the_connection() -> None:
     """Otherwise the rest of that request would be sent before the next one."""
 
@@ -200,28 +200,28 @@
         assert not rig.worker_client.pool._idle.get(("127.0.0.1", planner.port))
 
 
-@story
+@async_test
 async def test_a_gearman_worker_that_asks_after_the_retry_window_gets_no_job() -> None:
     """A Gearman worker asks for its jobs, so an attempt may be assigned only after its retry window."""
     rig = Rig(Idempotency.IDEMPOTENT_WITH_KEY)
     connection = Mock()
     worker_client = GearmanWorkerClient(
-        rig.core, {"plan": 0}, WorkerLocation(0, 0, 0, 1.0), 1000, asyncio.get_running_loop()
+        rig.forwarder, {"plan": 0}, WorkerLocation(0, 0, 0, 1.0), 1000, asyncio.get_running_loop()
     )
     worker = worker_client.worker(connection)
-    worker.handle(Kind.CAN_DO, [b"plan"])
+    worker.handle(PacketType.CAN_DO, [b"plan"])
     context = rig.submit("a1")
-    rig.core._execute(StartAttempt(context.job_id, worker.endpoint.id, write_within_ms=1.0))
+    rig.forwarder._execute(StartAttempt(context.job_id, worker.endpoint.id, write_within_ms=1.0))
     window_ended = asyncio.Event()
     asyncio.get_running_loop().call_at(context.attempts[0].write_deadline_at + 0.001, window_ended.set)
     await window_ended.wait()
-    worker.handle(Kind.GRAB_JOB, [])
-    connection.write.assert_called_once_with(pack(Kind.NO_JOB))
+    worker.handle(PacketType.GRAB_JOB, [])
+    connection.write.assert_called_once_with(encode_packet(PacketType.NO_JOB))
     assert await rig.outcome() is Outcome.CONNECT_FAILED
-    rig.core.withdraw(context)
+    rig.forwarder.withdraw(context)
 
 
-@story
+@async_test
 async def test_a_half_sent_request_is_aborted_when_its_client_disconnects() -> None:
     """With its last byte the attempt would start, and where settings forbid cancels nothing would stop it."""
     reading_paused, read = asyncio.Event(), asyncio.Event()
@@ -246,7 +246,7 @@
         rig.start_attempt(context)
         await reading_paused.wait()
         started_at = asyncio.get_running_loop().time()
-        rig.core.withdraw(context)
+        rig.forwarder.withdraw(context)
         assert await rig.outcome() is Outcome.CONNECT_FAILED
         assert asyncio.get_running_loop().time() - started_at < 0.1  # not at its deadline
         read.set()
@@ -255,13 +255,13 @@
         assert sum(received) < 32 * 1024 * 1024
 
 
-@story
+@async_test
 async def test_an_invalid_worker_address_counts_as_a_failed_connect() -> None:
     """The exception ended only the connecting task, and the attempt waited for its deadline."""
     async with Planner("p1") as planner:
         rig = Rig()
         rig.list_worker(planner.port)
-        endpoint = rig.core.endpoints.endpoint(rig.worker)
+        endpoint = rig.forwarder.endpoints.endpoint(rig.worker)
         assert endpoint is not None
         endpoint.address = ("a" * 70 + ".example", 80)
         started_at = asyncio.get_running_loop().time()
--- a/tests/upstream/test_grpc_client.py
+++ b/tests/upstream/test_grpc_client.py
@@ -6,9 +6,9 @@
 import h2.errors
 import pytest
 from grpc_peer import BOOK, Call, GrpcPlanner, forwarder_rig
-from loopback import ONCE, SETTINGS, story
+from loopback import NON_IDEMPOTENT_BOOK, SETTINGS, async_test
 
-from pipitshed.protocols.grpc import PREFIX, timeout_text
+from pipitshed.protocols.grpc import MESSAGE_PREFIX, encode_timeout
 from pipitshed.scheduling.events import EndpointState, ProgressKind
 from pipitshed.upstream.grpc.control_frames import MAX_FRAMES_PER_S, ControlFrameCounter
 from pipitshed.worker_api import planner_pb2 as pb
@@ -20,7 +20,7 @@
     """Send no response yet."""
 
 
-@story
+@async_test
 async def test_a_request_carries_all_fields_and_returns_the_result() -> None:
     async with GrpcPlanner(act=no_answer) as planner, forwarder_rig(planner) as rig:
         caller = rig.submit("book", slots=2.0, memory=1.5, idempotency_key="k 1", client_timeout_ms=4000.0)
@@ -33,7 +33,7 @@
         )
         assert (headers["idempotency-key"], headers["x-slots"], headers["x-memory"]) == ("k 1", "2", "1.5")
         assert headers["grpc-timeout"].endswith("u") and int(headers["grpc-timeout"][:-1]) <= 3_970_000
-        job = pb.RunRequest.FromString(call.body[PREFIX.size :])
+        job = pb.RunRequest.FromString(call.body[MESSAGE_PREFIX.size :])
         assert (job.book.origin, job.book.pallets, job.book.dock) == ("LIM", 2, "any")
         call.started()
         call.event(running=pb.Running(share=0.5))
@@ -47,11 +47,11 @@
 
 
 def test_the_timeout_is_never_rounded_up() -> None:
-    assert timeout_text(0.0000019) == b"1u" and timeout_text(-1.0) == b"0u"
-    assert timeout_text(99.9999999) == b"99999999u" and timeout_text(100.0009) == b"100000m"
+    assert encode_timeout(0.0000019) == b"1u" and encode_timeout(-1.0) == b"0u"
+    assert encode_timeout(99.9999999) == b"99999999u" and encode_timeout(100.0009) == b"100000m"
 
 
-@story
+@async_test
 async def test_attempts_share_one_connection_within_the_workers_stream_limit() -> None:
     async with GrpcPlanner(act=no_answer, max_concurrent_streams=2) as planner, forwarder_rig(planner) as rig:
         callers = [rig.submit("book") for _ in range(3)]
@@ -65,7 +65,7 @@
         assert [(await caller.outcome())[0] for caller in callers] == ["served"] * 3
 
 
-@story
+@async_test
 async def test_a_withdrawn_request_is_cancelled_in_each_state() -> None:
     """The states: waiting for translation, waiting for a stream, and sent."""
     async with GrpcPlanner(act=no_answer, max_concurrent_streams=1) as planner, forwarder_rig(planner) as rig:
@@ -82,13 +82,13 @@
         await planner.wait_until(lambda: call.reset_code is not None)
         assert call.reset_code == CANCEL
         assert not untranslated.outcomes and not first.outcomes and not waiting.outcomes
-        assert rig.core.active_count == 0 and rig.core.counters["withdrawn"] == 3
+        assert rig.forwarder.active_count == 0 and rig.forwarder.counters["withdrawn"] == 3
         later = rig.submit()
         (await planner.call(2)).done()
         assert (await later.outcome())[0] == "served"
 
 
-@story
+@async_test
 async def test_a_cancel_that_races_the_last_event_leaves_one_outcome() -> None:
     """The client disconnects in the turn of the event loop in which the result arrives, in both orders."""
     async with GrpcPlanner(act=no_answer) as planner, forwarder_rig(planner) as rig:
@@ -102,14 +102,14 @@
                 rig.withdraw(caller)
                 call.done()
             await asyncio.sleep(0.05)
-            assert not caller.outcomes and rig.core.active_count == 0
-        assert rig.core.counters["attempt CANCELLED"] + rig.core.counters["attempt OK"] == 2
+            assert not caller.outcomes and rig.forwarder.active_count == 0
+        assert rig.forwarder.counters["attempt CANCELLED"] + rig.forwarder.counters["attempt OK"] == 2
         caller = rig.submit()
         (await planner.call(3)).done()
         assert (await caller.outcome())[0] == "served" and len(planner.peers) == 1
 
 
-@story
+@async_test
 async def test_a_late_answer_to_a_cancelled_attempt_does_not_affect_others() -> None:
     """Response headers on a stream that was cancelled and removed must not be taken for a stream that the
     worker opens, which would end the connection."""
@@ -130,11 +130,11 @@
         late.done()
         other.done()
         assert (await concurrent.outcome())[0] == "served"
-        assert rig.core.counters["attempt RESET"] == 0 and not planner.peers[0].lost.is_set()
+        assert rig.forwarder.counters["attempt RESET"] == 0 and not planner.peers[0].lost.is_set()
         rig.withdraw(third)
 
 
-@story
+@async_test
 async def test_goaway_splits_streams_by_its_last_id_and_marks_the_worker_draining() -> None:
     async with (
         GrpcPlanner("p1", act=no_answer) as leaving,
@@ -147,8 +147,8 @@
         low, high = sorted(leaving.calls, key=lambda call: call.stream_id)
         low.peer.goaway(low.stream_id)
         await staying.call(1)  # the stream above the last id did not run: it may be retried anywhere
-        assert rig.core.endpoints.interfaces() == {2}
-        assert rig.core._dispatcher.workers[b"p1"].ready is False
+        assert rig.forwarder.endpoints.interfaces() == {2}
+        assert rig.forwarder._dispatcher.workers[b"p1"].ready is False
         for _ in range(20):
             assert (await rig.submit().outcome())[0] == "served"
         assert len(leaving.calls) == 2
@@ -157,7 +157,7 @@
         await low.peer.lost.wait()
 
 
-@story
+@async_test
 async def test_a_draining_worker_becomes_ready_only_with_its_next_start() -> None:
     async with GrpcPlanner(act=no_answer) as planner, forwarder_rig(planner) as rig:
         rig.submit()
@@ -171,7 +171,7 @@
         ]:
             rig.list_workers(planner, **changes)
             await asyncio.sleep(0.02)
-            assert rig.core._dispatcher.workers[b"p1"].ready is ready, changes
+            assert rig.forwarder._dispatcher.workers[b"p1"].ready is ready, changes
 
 
 @pytest.mark.parametrize(
@@ -189,8 +189,8 @@
         (lambda call: (call.event(failed=pb.Failed(code="NO", text="road")), call.end(0)), "ERROR"),
         (lambda call: (call.event(returned=pb.Returned()), call.end(0)), "FULL"),
         (lambda call: call.event(returned=pb.Returned()), "FULL"),  # and never ends the stream
-        (lambda call: call.send(PREFIX.pack(1, 4) + b"gzip"), "RESET"),
-        (lambda call: call.send(PREFIX.pack(0, 2**31)), "RESET"),
+        (lambda call: call.send(MESSAGE_PREFIX.pack(1, 4) + b"gzip"), "RESET"),
+        (lambda call: call.send(MESSAGE_PREFIX.pack(0, 2**31)), "RESET"),
         (lambda call: call.raw(b"\xff\xff\xff"), "RESET"),
         (lambda call: call.raw(pb.RunEvent(id="a", done=pb.Done()).SerializeToString()), "RESET"),
         (lambda call: call.peer.transport.abort(), "RESET"),
@@ -202,21 +202,21 @@
 
     async def run() -> None:
         # One attempt only: on a busy machine a later one may be outstanding at the deadline, and have run.
-        single_attempt = ONCE | {"permissions": SETTINGS["permissions"] | {"maxAttempts": 1}}
+        single_attempt = NON_IDEMPOTENT_BOOK | {"permissions": SETTINGS["permissions"] | {"maxAttempts": 1}}
         async with GrpcPlanner(act=act) as planner, forwarder_rig(planner, settings=single_attempt) as rig:
             caller = rig.submit("book", client_timeout_ms=2000.0)
             result_kind, _ = await caller.outcome()
             await asyncio.sleep(0.01)
-            assert rig.core.counters[f"attempt {expected}"] >= 1, rig.core.counters
+            assert rig.forwarder.counters[f"attempt {expected}"] >= 1, rig.forwarder.counters
             if expected in ("RESET", "ERROR", "TIMEOUT"):
                 assert len(planner.calls) == 1 and result_kind == "failed"
             else:
                 assert result_kind == "refused"
 
-    story(run)()
+    async_test(run)()
 
 
-@story
+@async_test
 async def test_no_request_is_sent_before_settings() -> None:
     """A worker that accepts the connection and stays silent, and one that speaks HTTP/1.1: no request is
     written, so it is certain that no job ran."""
@@ -225,7 +225,10 @@
         silent.settings = old.settings = None
         caller = rig.submit("book", client_timeout_ms=600.0)
         assert (await caller.outcome())[0] == "refused"
-        assert rig.core.counters["attempt RESET"] == 0 and rig.core.counters["attempt CONNECT_FAILED"] >= 1
+        assert (
+            rig.forwarder.counters["attempt RESET"] == 0
+            and rig.forwarder.counters["attempt CONNECT_FAILED"] >= 1
+        )
         rig.worker_client.on_wrong_interface = wrong_interface.append
         rig.list_workers(silent, state=EndpointState.REMOVED)
         rig.list_workers(old)
@@ -236,10 +239,10 @@
         await old.peers[0].lost.wait()
         await asyncio.sleep(0.02)
         assert [target.id for target in wrong_interface] == [b"old"]
-        assert rig.core.counters["attempt RESET"] == 0
+        assert rig.forwarder.counters["attempt RESET"] == 0
 
 
-@story
+@async_test
 async def test_a_body_of_64_kib_is_sent_through_a_window_of_64_bytes() -> None:
     """A thousand frames of 64 bytes do not delay a concurrent attempt, and both bodies arrive complete. A
     window of one byte takes 15 s of CPU time in pure Python, which is the test's whole time limit."""
@@ -251,17 +254,17 @@
         concurrent = rig.submit("quote")
         assert (await concurrent.outcome())[0] == "served" and not caller.outcomes
         assert (await caller.outcome())[0] == "served"
-        goods = pb.RunRequest.FromString(planner.calls[-1].body[PREFIX.size :]).book.goods
+        goods = pb.RunRequest.FromString(planner.calls[-1].body[MESSAGE_PREFIX.size :]).book.goods
         assert len(goods) == body.count(b"sku") and {one.count for one in goods} == {7}
 
 
-@story
+@async_test
 async def test_a_request_cut_off_in_its_body_counts_as_not_run() -> None:
     body = b'{"origin":"LIM","destination":"AQP","pallets":2,"remark":"' + b"x" * 3000 + b'"}'
     async with (
         GrpcPlanner("p1", initial_window_size=10) as blocked,
         GrpcPlanner("p2") as other,
-        forwarder_rig(blocked, settings=ONCE) as rig,
+        forwarder_rig(blocked, settings=NON_IDEMPOTENT_BOOK) as rig,
     ):
         blocked.returns_window = False
         caller = rig.submit("book", body)
@@ -270,11 +273,13 @@
         blocked.abort_connections()
         assert (await caller.outcome())[0] == "served"
         assert (
-            rig.core.counters["attempt CONNECT_FAILED"] == 1 and not blocked.calls and len(other.calls) == 1
+            rig.forwarder.counters["attempt CONNECT_FAILED"] == 1
+            and not blocked.calls
+            and len(other.calls) == 1
         )
 
 
-@story
+@async_test
 async def test_a_worker_that_floods_control_frames_is_disconnected() -> None:
     def flood(call: Call) -> None:
         call.reset_stream(h2.errors.ErrorCodes.REFUSED_STREAM)
@@ -308,7 +313,7 @@
     assert not any(counter.is_flooding(50.0 + index / per_second) for index in range(10_000))
 
 
-@story
+@async_test
 async def test_a_silent_worker_is_sent_a_keepalive_ping() -> None:
     def stop_reading(call: Call) -> None:
         call.peer.data_received = lambda data: None  # type: ignore[method-assign]
@@ -323,10 +328,10 @@
         rig.list_workers(other)
         started_at = rig.loop.time()
         assert (await caller.outcome())[0] == "served"
-        assert 2.0 < rig.loop.time() - started_at < 4.0 and rig.core.counters["attempt RESET"] == 1
+        assert 2.0 < rig.loop.time() - started_at < 4.0 and rig.forwarder.counters["attempt RESET"] == 1
 
 
-@story
+@async_test
 async def test_retry_pushback_is_respected() -> None:
     """The next attempt waits as long as the worker asks. A negative or invalid value forbids a retry, and a
     value beyond the deadline ends the request at once."""
@@ -346,7 +351,9 @@
             calls_before, started_at = len(planner.calls), rig.loop.time()
             assert (await rig.submit("quote", client_timeout_ms=4000.0).outcome())[0] == "refused"
             assert len(planner.calls) == calls_before + 1 and rig.loop.time() - started_at < 1.0
-            rig.list_workers(planner, started_at_ms=rig.core._turns.epoch_s * 1000 + len(planner.calls))
+            rig.list_workers(
+                planner, started_at_ms=rig.forwarder._dispatch_loop.epoch_s * 1000 + len(planner.calls)
+            )
 
 
 @pytest.mark.parametrize("zone", [0, 1])
@@ -366,10 +373,10 @@
             assert (await caller.outcome())[0] == ("served" if zone == 0 else "failed")
             assert len(second.calls) == (1 if zone == 0 else 0)
 
-    story(run)()
+    async_test(run)()
 
 
-@story
+@async_test
 async def test_a_result_that_the_old_form_cannot_express_fails_without_a_retry() -> None:
     """The job ran: not even a quote, which is safe to repeat, is run again."""
     async with (
@@ -382,7 +389,7 @@
         assert (await rig.submit("quote").outcome())[0] == "served"
 
 
-@story
+@async_test
 async def test_a_request_that_no_listed_worker_can_express_is_rejected_at_once() -> None:
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
     async with GrpcPlanner() as planner, forwarder_rig(planner) as rig:
@@ -401,7 +408,7 @@
         assert rig.loop.time() - started_at < 0.5 and not planner.calls
 
 
-@story
+@async_test
 async def test_a_waiting_request_is_rejected_when_the_last_compatible_worker_has_gone() -> None:
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
     async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, forwarder_rig(newer) as rig:
@@ -415,15 +422,15 @@
         assert not newer.calls and not older.calls
 
 
-@story
+@async_test
 async def test_only_compatible_workers_are_selected() -> None:
     """With workers of both interfaces, no attempt is spent on an incompatible one."""
     hazard = BOOK[:-1] + b',"hazard":"acid"}'
     async with GrpcPlanner("p2") as newer, GrpcPlanner("p1") as older, forwarder_rig(newer, older) as rig:
         rig.list_workers(older, interface=1)
         # The stand-in for interface 1 speaks gRPC as well: the test checks only which worker is selected.
-        rig.core.endpoints._endpoints[b"p1"].interface = 1
+        rig.forwarder.endpoints._endpoints[b"p1"].interface = 1
         for _ in range(10):
             rig.submit("book", hazard)
         await older.call(10)
-        assert not newer.calls and rig.core.counters["attempt MOOT"] == 0
+        assert not newer.calls and rig.forwarder.counters["attempt MOOT"] == 0
