--- a/pipitshed/cli/fleet.py
+++ b/pipitshed/cli/fleet.py
@@ -10,7 +10,7 @@
 
 from pipitshed.cli.client import request_or_exit, resolve_target, target_options
 from pipitshed.cli.text_table import duration, table_lines
-from pipitshed.cluster.messages import Leave, MemberRow, Show, Shown
+from pipitshed.cluster.messages import Leave, MemberRow, Show, ViewResponse
 
 WATCH_INTERVAL_S = 1.0
 LIVE_STATES = ("alive", "suspect")
@@ -31,7 +31,7 @@
     """Print the view of one scheduler: who lives, since when, who said so, and who agrees."""
     target = resolve_target(**target_values)
     while True:
-        view = request_or_exit(target, Show(), Shown)
+        view = request_or_exit(target, Show(), ViewResponse)
         click.echo(_as_json(view) if as_json else _as_text(view))
         if not watch:
             return
@@ -42,16 +42,16 @@
 @target_options
 def leave(**target_values: Any) -> None:
     """Let one scheduler leave the fleet in good order; it serves its clients on."""
-    view = request_or_exit(resolve_target(**target_values), Leave(), Shown)
+    view = request_or_exit(resolve_target(**target_values), Leave(), ViewResponse)
     click.echo(f"{view.name} has left the fleet, and serves on")
 
 
-def _as_json(view: Shown) -> str:
+def _as_json(view: ViewResponse) -> str:
     members = [msgspec.structs.asdict(member) for member in view.members]
     return msgspec.json.encode(msgspec.structs.asdict(view) | {"members": members}).decode()
 
 
-def _as_text(view: Shown) -> str:
+def _as_text(view: ViewResponse) -> str:
     live = [member for member in view.members if member.state in LIVE_STATES]
     agreeing = sum(member.agrees is True for member in live) - 1
     summary = f"{view.name}: view {view.number}, hash {view.digest}; "
--- a/pipitshed/cluster/messages.py
+++ b/pipitshed/cluster/messages.py
@@ -1,7 +1,7 @@
 """Messages between operators and a scheduler, and the union of all messages of a cluster.
 
 The tag of a message and the order of its fields are the wire format. `fleet show --json` and `settings show
---json` print the fields of `Shown`, `MemberRow` and `ShownRow` by their names.
+--json` print the fields of `ViewResponse`, `MemberRow` and `ShownRow` by their names.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 
 class Show(msgspec.Struct, frozen=True, array_like=True, tag=16):
-    """Request for the membership view; answered by `Shown`."""
+    """Request for the membership view; answered by `ViewResponse`."""
 
 
 class Leave(msgspec.Struct, frozen=True, array_like=True, tag=17):
-    """Request to leave the fleet in good order, and to go on serving; answered by `Shown`."""
+    """Request to leave the fleet in good order, and to go on serving; answered by `ViewResponse`."""
 
 
 class MemberRow(msgspec.Struct, frozen=True, array_like=True):
@@ -33,7 +33,7 @@
     agrees: bool | None  # whether its last answer had the same view; None where it has sent none
 
 
-class Shown(msgspec.Struct, frozen=True, array_like=True, tag=18):
+class ViewResponse(msgspec.Struct, frozen=True, array_like=True, tag=18):
     """A scheduler's membership view, in answer to `Show` and `Leave`."""
 
     name: str
@@ -127,5 +127,5 @@
 
 
 SettingsMessage = Put | ShowRows | AskForce | AskStatus | AppliedReport | AppliedQuery
-Answer = Shown | PutDone | ShownRows | Force | Status
+Answer = ViewResponse | PutDone | ShownRows | Force | Status
 ClusterMessage = Ping | Ack | IndirectPing | Nack | RepairMessage | Show | Leave | SettingsMessage | Answer
--- a/pipitshed/cluster/node.py
+++ b/pipitshed/cluster/node.py
@@ -15,7 +15,7 @@
 from pipitshed.cluster.config_file import ClusterConfig
 from pipitshed.cluster.datagrams import Datagrams
 from pipitshed.cluster.event_log import EventLog
-from pipitshed.cluster.messages import Answer, ClusterMessage, Leave, SettingsMessage, Show, Shown
+from pipitshed.cluster.messages import Answer, ClusterMessage, Leave, SettingsMessage, Show, ViewResponse
 from pipitshed.cluster.settings import ReplicatedSettings, Reply, SettingsTarget
 from pipitshed.cluster.streams import Streams
 from pipitshed.cluster.view_report import view_metrics, view_report
@@ -128,7 +128,7 @@
         self._execute(self.membership.disseminate(self._loop.time(), table_name, (row,)))
         self._schedule()
 
-    def shown(self) -> Shown:
+    def shown(self) -> ViewResponse:
         """The view, as `fleet show` prints it."""
         return view_report(self.membership, self._loop.time(), self.counts)
 
--- a/pipitshed/cluster/view_report.py
+++ b/pipitshed/cluster/view_report.py
@@ -5,17 +5,17 @@
 from collections import Counter
 from collections.abc import Mapping
 
-from pipitshed.cluster.messages import MemberRow, Shown
+from pipitshed.cluster.messages import MemberRow, ViewResponse
 from pipitshed.membership.members import MemberRecord, MemberState
 from pipitshed.membership.protocol import Membership
 
 FOR_S_DIGITS = 3
 
 
-def view_report(membership: Membership, now: float, counts: Mapping[str, int]) -> Shown:
+def view_report(membership: Membership, now: float, counts: Mapping[str, int]) -> ViewResponse:
     """The view of this scheduler at `now`, with its counters."""
     view = membership.view
-    return Shown(
+    return ViewResponse(
         name=membership.self_record.name,
         number=view.change_count,
         digest=view.digest(),
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -20,7 +20,7 @@
 from pipitshed.cluster.codec import DATAGRAM_LIMIT, FRAME_LIMIT, LENGTH, Codec, MessageRejectedError
 from pipitshed.cluster.config_file import ClusterConfig, ClusterConfigError, read
 from pipitshed.cluster.datagrams import UNKNOWN_SENDERS_BURST, UNKNOWN_SENDERS_PER_S, RateLimiter
-from pipitshed.cluster.messages import Show, Shown
+from pipitshed.cluster.messages import Show, ViewResponse
 from pipitshed.cluster.node import ClusterNode
 from pipitshed.membership.members import MemberRecord, MemberState
 from pipitshed.membership.messages import GOSSIP_LIMIT_BYTES, Ack, Ping, RepairMessage
@@ -285,7 +285,7 @@
         await asyncio.sleep(0)
     (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
     told = Codec("red").decode(await reader.readexactly(length))
-    assert isinstance(told, Shown) and [row.name for row in told.members] == ["s0"]
+    assert isinstance(told, ViewResponse) and [row.name for row in told.members] == ["s0"]
     fleet.close()
 
 
