--- a/pipitshed/cli/fleet.py
+++ b/pipitshed/cli/fleet.py
@@ -10,7 +10,7 @@
 
 from pipitshed.cli.client import request_or_exit, resolve_target, target_options
 from pipitshed.cli.text_table import duration, table_lines
-from pipitshed.cluster.messages import Leave, MemberRow, Show, ViewResponse
+from pipitshed.cluster.messages import Leave, MemberRow, ViewRequest, ViewResponse
 
 WATCH_INTERVAL_S = 1.0
 LIVE_STATES = ("alive", "suspect")
@@ -31,7 +31,7 @@
     """Print the view of one scheduler: who lives, since when, who said so, and who agrees."""
     target = resolve_target(**target_values)
     while True:
-        view = request_or_exit(target, Show(), ViewResponse)
+        view = request_or_exit(target, ViewRequest(), ViewResponse)
         click.echo(_as_json(view) if as_json else _as_text(view))
         if not watch:
             return
--- a/pipitshed/cluster/messages.py
+++ b/pipitshed/cluster/messages.py
@@ -12,7 +12,7 @@
 from pipitshed.replication.commit_tracking import AppliedQuery, AppliedReport
 
 
-class Show(msgspec.Struct, frozen=True, array_like=True, tag=16):
+class ViewRequest(msgspec.Struct, frozen=True, array_like=True, tag=16):
     """Request for the membership view; answered by `ViewResponse`."""
 
 
@@ -34,7 +34,7 @@
 
 
 class ViewResponse(msgspec.Struct, frozen=True, array_like=True, tag=18):
-    """A scheduler's membership view, in answer to `Show` and `Leave`."""
+    """A scheduler's membership view, in answer to `ViewRequest` and `Leave`."""
 
     name: str
     number: int  # the number of changes of the view
@@ -128,4 +128,6 @@
 
 SettingsMessage = Put | ShowRows | AskForce | AskStatus | AppliedReport | AppliedQuery
 Answer = ViewResponse | PutDone | ShownRows | Force | Status
-ClusterMessage = Ping | Ack | IndirectPing | Nack | RepairMessage | Show | Leave | SettingsMessage | Answer
+ClusterMessage = (
+    Ping | Ack | IndirectPing | Nack | RepairMessage | ViewRequest | Leave | SettingsMessage | Answer
+)
--- a/pipitshed/cluster/node.py
+++ b/pipitshed/cluster/node.py
@@ -15,7 +15,14 @@
 from pipitshed.cluster.config_file import ClusterConfig
 from pipitshed.cluster.datagrams import Datagrams
 from pipitshed.cluster.event_log import EventLog
-from pipitshed.cluster.messages import Answer, ClusterMessage, Leave, SettingsMessage, Show, ViewResponse
+from pipitshed.cluster.messages import (
+    Answer,
+    ClusterMessage,
+    Leave,
+    SettingsMessage,
+    ViewRequest,
+    ViewResponse,
+)
 from pipitshed.cluster.settings import ReplicatedSettings, Reply, SettingsTarget
 from pipitshed.cluster.streams import Streams
 from pipitshed.cluster.view_report import view_metrics, view_report
@@ -184,7 +191,7 @@
     def _handle_message(self, message: ClusterMessage, source: Address) -> None:
         if self._closed:
             return
-        if isinstance(message, Show):
+        if isinstance(message, ViewRequest):
             self._streams.answer(source, self._codec.encode(self.shown()))
         elif isinstance(message, Leave):
             self.leave()
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -20,7 +20,7 @@
 from pipitshed.cluster.codec import DATAGRAM_LIMIT, FRAME_LIMIT, LENGTH, Codec, MessageRejectedError
 from pipitshed.cluster.config_file import ClusterConfig, ClusterConfigError, read
 from pipitshed.cluster.datagrams import UNKNOWN_SENDERS_BURST, UNKNOWN_SENDERS_PER_S, RateLimiter
-from pipitshed.cluster.messages import Show, ViewResponse
+from pipitshed.cluster.messages import ViewRequest, ViewResponse
 from pipitshed.cluster.node import ClusterNode
 from pipitshed.membership.members import MemberRecord, MemberState
 from pipitshed.membership.messages import GOSSIP_LIMIT_BYTES, Ack, Ping, RepairMessage
@@ -83,9 +83,9 @@
     [(Codec("blue"), "cluster"), (Codec("red", b"another"), "checksum"), (Codec("red", b"key"), "")],
 )
 def test_another_cluster_and_a_forger_without_the_secret_are_refused(theirs: Codec, why: str) -> None:
-    data = theirs.encode(Show())
+    data = theirs.encode(ViewRequest())
     if not why:
-        assert Codec("red", b"key").decode(data) == Show()
+        assert Codec("red", b"key").decode(data) == ViewRequest()
         return
     with pytest.raises(MessageRejectedError, match="checksum" if why == "cluster" else why):
         Codec("red", b"key").decode(data)
@@ -94,7 +94,7 @@
 
 
 def test_a_newer_version_is_refused_by_name() -> None:
-    data = bytearray(Codec("red").encode(Show()))
+    data = bytearray(Codec("red").encode(ViewRequest()))
     data[2] += 1
     with pytest.raises(MessageRejectedError, match="version"):
         Codec("red").decode(bytes(data))
@@ -275,12 +275,12 @@
         await reader.readexactly(1)
     assert fleet.counts["dropped_size"] == 1
     reader, writer = await asyncio.open_connection(*fleet.address)
-    writer.write(streams.framed(Codec("blue").encode(Show())))
+    writer.write(streams.framed(Codec("blue").encode(ViewRequest())))
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
         await reader.readexactly(1)
     assert fleet.counts["dropped_cluster"] == 1
     reader, writer = await asyncio.open_connection(*fleet.address)
-    for byte in streams.framed(Codec("red").encode(Show())):
+    for byte in streams.framed(Codec("red").encode(ViewRequest())):
         writer.write(bytes([byte]))  # however it is cut
         await asyncio.sleep(0)
     (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
