--- a/pipitshed/cluster/messages.py
+++ b/pipitshed/cluster/messages.py
@@ -65,7 +65,7 @@
 
 
 class ShowRows(msgspec.Struct, frozen=True, array_like=True, tag=36):
-    """Request for the row of this key, or for all rows; answered by `ShownRows`."""
+    """Request for the row of this key, or for all rows; answered by `RowsResponse`."""
 
     key: str = ""
 
@@ -84,7 +84,7 @@
     refused: str  # the reason why it is rejected; empty where it is applied
 
 
-class ShownRows(msgspec.Struct, frozen=True, array_like=True, tag=37):
+class RowsResponse(msgspec.Struct, frozen=True, array_like=True, tag=37):
     """A scheduler's settings rows, in answer to `ShowRows`."""
 
     name: str
@@ -127,7 +127,7 @@
 
 
 SettingsMessage = Put | ShowRows | AskForce | AskStatus | AppliedReport | AppliedQuery
-Answer = ViewResponse | PutDone | ShownRows | Force | Status
+Answer = ViewResponse | PutDone | RowsResponse | Force | Status
 ClusterMessage = (
     Ping | Ack | IndirectPing | Nack | RepairMessage | ViewRequest | Leave | SettingsMessage | Answer
 )
--- a/pipitshed/cluster/settings_commands.py
+++ b/pipitshed/cluster/settings_commands.py
@@ -11,8 +11,8 @@
     Force,
     Put,
     PutDone,
+    RowsResponse,
     ShownRow,
-    ShownRows,
     ShowRows,
     Status,
 )
@@ -59,13 +59,13 @@
             return
         self._settings.row_written(row, reply)
 
-    def show(self, key: str) -> ShownRows:
+    def show(self, key: str) -> RowsResponse:
         """The row of this key, or all rows where it is empty."""
         row = self._table.get(key)
         rows = tuple(self._table) if not key else (row,) if row is not None else ()
         file, state = self._settings.target.file(), self._confirmations.state
         shown = tuple(_shown(row, file, state) for row in sorted(rows, key=lambda row: row.key))
-        return ShownRows(self._settings.name, shown)
+        return RowsResponse(self._settings.name, shown)
 
     def commit_status(self, message: AskForce) -> Force:
         """Whether all live members apply a row.
--- a/tests/cluster/test_settings_rig.py
+++ b/tests/cluster/test_settings_rig.py
@@ -10,7 +10,7 @@
 import pytest
 import uvloop
 
-from pipitshed.cluster.messages import ClusterMessage, Force, PutDone, ShownRows
+from pipitshed.cluster.messages import ClusterMessage, Force, PutDone, RowsResponse
 from pipitshed.cluster.messages import Put as PutRow
 from pipitshed.membership.timing import ProtocolTimings
 from pipitshed.replication.row_table import NOT_COMPARED
@@ -80,8 +80,8 @@
     class Scripted(Puts):
         async def _ask(self, process: Any, message: Any, wanted: Any) -> Any:
             asked.append(message)
-            if wanted is ShownRows:
-                return ShownRows("s1", ())
+            if wanted is RowsResponse:
+                return RowsResponse("s1", ())
             return PutDone("s1", answers.pop(0), 1, 1) if wanted is PutDone else Force(True, (), (), ())
 
     log: list[str] = []
