--- a/pipitshed/cli/settings.py
+++ b/pipitshed/cli/settings.py
@@ -13,7 +13,7 @@
 from pipitshed.cli.client import SchedulerTarget, request_or_exit, resolve_target, target_options
 from pipitshed.cli.settings_status import collect_status, status_json, status_text
 from pipitshed.cli.text_table import table_lines
-from pipitshed.cluster.messages import AskForce, Force, Put, PutDone, RowsResponse, ShownRow, ShowRows
+from pipitshed.cluster.messages import AskForce, Force, Put, PutDone, RowsRequest, RowsResponse, ShownRow
 
 EXIT_IN_FORCE = 0
 EXIT_REJECTED = 2
@@ -82,7 +82,7 @@
 @click.option("--json", "as_json", is_flag=True, help="As one JSON object.")
 def show(as_json: bool, **target_values: Any) -> None:
     """Print the rows that one scheduler holds: what is in force there, and what the file says."""
-    shown = request_or_exit(resolve_target(**target_values), ShowRows(), RowsResponse)
+    shown = request_or_exit(resolve_target(**target_values), RowsRequest(), RowsResponse)
     if as_json:
         rows = [msgspec.structs.asdict(row) for row in shown.rows]
         click.echo(json.dumps({"name": shown.name, "rows": rows}))
@@ -103,7 +103,7 @@
 
 def _write(target: SchedulerTarget, key: str, body: bytes | None, wait_s: float, take_over: bool) -> None:
     """Put or delete a row, print the outcome, and end the program with its exit code."""
-    rows = request_or_exit(target, ShowRows(key), RowsResponse).rows if key else ()
+    rows = request_or_exit(target, RowsRequest(key), RowsResponse).rows if key else ()
     version = (rows[0].term, rows[0].number) if rows else NO_ROW_VERSION
     done = request_or_exit(target, Put(key, body, version, take_over), PutDone)
     if done.why:
--- a/pipitshed/cluster/messages.py
+++ b/pipitshed/cluster/messages.py
@@ -64,7 +64,7 @@
     number: int = 0
 
 
-class ShowRows(msgspec.Struct, frozen=True, array_like=True, tag=36):
+class RowsRequest(msgspec.Struct, frozen=True, array_like=True, tag=36):
     """Request for the row of this key, or for all rows; answered by `RowsResponse`."""
 
     key: str = ""
@@ -85,7 +85,7 @@
 
 
 class RowsResponse(msgspec.Struct, frozen=True, array_like=True, tag=37):
-    """A scheduler's settings rows, in answer to `ShowRows`."""
+    """A scheduler's settings rows, in answer to `RowsRequest`."""
 
     name: str
     rows: tuple[ShownRow, ...]
@@ -126,7 +126,7 @@
     members: tuple[tuple[str, str, str], ...]  # name, peer address, state
 
 
-SettingsMessage = Put | ShowRows | AskForce | AskStatus | AppliedReport | AppliedQuery
+SettingsMessage = Put | RowsRequest | AskForce | AskStatus | AppliedReport | AppliedQuery
 Answer = ViewResponse | PutDone | RowsResponse | Force | Status
 ClusterMessage = (
     Ping | Ack | IndirectPing | Nack | RepairMessage | ViewRequest | Leave | SettingsMessage | Answer
--- a/pipitshed/cluster/settings_commands.py
+++ b/pipitshed/cluster/settings_commands.py
@@ -11,9 +11,9 @@
     Force,
     Put,
     PutDone,
+    RowsRequest,
     RowsResponse,
     ShownRow,
-    ShowRows,
     Status,
 )
 from pipitshed.config.errors import RowRejectedError
@@ -39,11 +39,13 @@
         self._table = settings.table
         self._confirmations = settings.confirmations
 
-    def handle(self, message: Put | ShowRows | AskForce | AskStatus, source: Address, reply: Reply) -> None:
+    def handle(
+        self, message: Put | RowsRequest | AskForce | AskStatus, source: Address, reply: Reply
+    ) -> None:
         """Answer one request, a `Put` only once its row is stored and applied."""
         if isinstance(message, Put):
             self.put(message, source, reply)
-        elif isinstance(message, ShowRows):
+        elif isinstance(message, RowsRequest):
             reply(self.show(message.key))
         elif isinstance(message, AskForce):
             reply(self.commit_status(message))
--- a/pipitshed/testbed/fleet/puts.py
+++ b/pipitshed/testbed/fleet/puts.py
@@ -10,7 +10,7 @@
 from pipitshed.cli.client import RequestError as AskError
 from pipitshed.cli.client import send_request as ask
 from pipitshed.cluster.codec import Codec
-from pipitshed.cluster.messages import AskForce, ClusterMessage, Force, PutDone, RowsResponse, ShowRows
+from pipitshed.cluster.messages import AskForce, ClusterMessage, Force, PutDone, RowsRequest, RowsResponse
 from pipitshed.cluster.messages import Put as PutRow
 from pipitshed.replication.row_table import NOT_COMPARED
 from pipitshed.testbed.fleet.processes import Process, Processes
@@ -86,7 +86,7 @@
 
     async def _put(self, process: Process, put: Put) -> PutDone:
         """Put a change once; where another process writes the row, it is taken over."""
-        held = (await self._ask(process, ShowRows(put.key), RowsResponse)).rows
+        held = (await self._ask(process, RowsRequest(put.key), RowsResponse)).rows
         over = (held[0].term, held[0].number) if held else (0, 0)
         other = bool(held) and held[0].writer != process.name
         return await self._ask(process, PutRow(put.key, put.value.encode(), over, other), PutDone)
