--- a/pipitshed/cli/settings.py
+++ b/pipitshed/cli/settings.py
@@ -13,7 +13,7 @@
 from pipitshed.cli.client import SchedulerTarget, request_or_exit, resolve_target, target_options
 from pipitshed.cli.settings_status import collect_status, status_json, status_text
 from pipitshed.cli.text_table import table_lines
-from pipitshed.cluster.messages import AskForce, Force, Put, PutDone, RowsRequest, RowsResponse, ShownRow
+from pipitshed.cluster.messages import AskForce, Force, Put, PutDone, RowDetails, RowsRequest, RowsResponse
 
 EXIT_IN_FORCE = 0
 EXIT_REJECTED = 2
@@ -146,7 +146,7 @@
     return text
 
 
-def _cells(row: ShownRow) -> tuple[str, ...]:
+def _cells(row: RowDetails) -> tuple[str, ...]:
     version = f"{row.term}.{row.number}"
     return row.key, _number_text(row.value), _number_text(row.file), version, row.writer, _remark(row)
 
@@ -155,7 +155,7 @@
     return "-" if value is None else f"{value:g}"
 
 
-def _remark(row: ShownRow) -> str:
+def _remark(row: RowDetails) -> str:
     if row.refused:
         return f"REFUSED ({row.asked[:MAX_SHOWN_VALUE]}): {row.refused}"
     return "deleted" if row.deleted else ""
--- a/pipitshed/cluster/messages.py
+++ b/pipitshed/cluster/messages.py
@@ -1,7 +1,7 @@
 """Messages between operators and a scheduler, and the union of all messages of a cluster.
 
 The tag of a message and the order of its fields are the wire format. `fleet show --json` and `settings show
---json` print the fields of `ViewResponse`, `MemberRow` and `ShownRow` by their names.
+--json` print the fields of `ViewResponse`, `MemberRow` and `RowDetails` by their names.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
     key: str = ""
 
 
-class ShownRow(msgspec.Struct, frozen=True, array_like=True):
+class RowDetails(msgspec.Struct, frozen=True, array_like=True):
     """One settings row as a scheduler holds it."""
 
     key: str
@@ -88,7 +88,7 @@
     """A scheduler's settings rows, in answer to `RowsRequest`."""
 
     name: str
-    rows: tuple[ShownRow, ...]
+    rows: tuple[RowDetails, ...]
 
 
 class AskForce(msgspec.Struct, frozen=True, array_like=True, tag=38):
--- a/pipitshed/cluster/settings_commands.py
+++ b/pipitshed/cluster/settings_commands.py
@@ -11,9 +11,9 @@
     Force,
     Put,
     PutDone,
+    RowDetails,
     RowsRequest,
     RowsResponse,
-    ShownRow,
     Status,
 )
 from pipitshed.config.errors import RowRejectedError
@@ -144,9 +144,9 @@
         )
 
 
-def _shown(row: Row, file: dict[str, Any], state: AppliedState) -> ShownRow:
+def _shown(row: Row, file: dict[str, Any], state: AppliedState) -> RowDetails:
     file_number, applied = file_value(file, row.key), state.applied.get(row.key)
-    return ShownRow(
+    return RowDetails(
         key=row.key,
         value=file_number if applied is None or applied.deleted else float(applied.body),
         file=file_number,
