--- a/pipitshed/cli/settings.py
+++ b/pipitshed/cli/settings.py
@@ -13,7 +13,15 @@
 from pipitshed.cli.client import SchedulerTarget, request_or_exit, resolve_target, target_options
 from pipitshed.cli.settings_status import collect_status, status_json, status_text
 from pipitshed.cli.text_table import table_lines
-from pipitshed.cluster.messages import AskForce, Force, Put, PutDone, RowDetails, RowsRequest, RowsResponse
+from pipitshed.cluster.messages import (
+    CommitStatusRequest,
+    Force,
+    Put,
+    PutDone,
+    RowDetails,
+    RowsRequest,
+    RowsResponse,
+)
 
 EXIT_IN_FORCE = 0
 EXIT_REJECTED = 2
@@ -111,12 +119,12 @@
         sys.exit(EXIT_REJECTED)
     value = body.decode() if body is not None else "deleted"
     click.echo(f"accepted by {done.name}: {key} = {value}, as {done.term}.{done.number}")
-    outcome = _wait_until_applied(target, AskForce(key, done.term, done.number), wait_s)
+    outcome = _wait_until_applied(target, CommitStatusRequest(key, done.term, done.number), wait_s)
     click.echo(_outcome_text(outcome))
     sys.exit(EXIT_IN_FORCE if outcome.in_force else EXIT_NOT_EVERYWHERE)
 
 
-def _wait_until_applied(target: SchedulerTarget, question: AskForce, wait_s: float) -> Force:
+def _wait_until_applied(target: SchedulerTarget, question: CommitStatusRequest, wait_s: float) -> Force:
     """Repeat the question until all apply the row, nobody can any more, or the time is up."""
     deadline = time.monotonic() + wait_s
     while True:
--- a/pipitshed/cluster/messages.py
+++ b/pipitshed/cluster/messages.py
@@ -91,7 +91,7 @@
     rows: tuple[RowDetails, ...]
 
 
-class AskForce(msgspec.Struct, frozen=True, array_like=True, tag=38):
+class CommitStatusRequest(msgspec.Struct, frozen=True, array_like=True, tag=38):
     """Question whether this row is applied by all live members; answered by `Force`."""
 
     key: str
@@ -126,7 +126,7 @@
     members: tuple[tuple[str, str, str], ...]  # name, peer address, state
 
 
-SettingsMessage = Put | RowsRequest | AskForce | AskStatus | AppliedReport | AppliedQuery
+SettingsMessage = Put | RowsRequest | CommitStatusRequest | AskStatus | AppliedReport | AppliedQuery
 Answer = ViewResponse | PutDone | RowsResponse | Force | Status
 ClusterMessage = (
     Ping | Ack | IndirectPing | Nack | RepairMessage | ViewRequest | Leave | SettingsMessage | Answer
--- a/pipitshed/cluster/settings_commands.py
+++ b/pipitshed/cluster/settings_commands.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING, Any
 
 from pipitshed.cluster.messages import (
-    AskForce,
     AskStatus,
+    CommitStatusRequest,
     Force,
     Put,
     PutDone,
@@ -40,14 +40,14 @@
         self._confirmations = settings.confirmations
 
     def handle(
-        self, message: Put | RowsRequest | AskForce | AskStatus, source: Address, reply: Reply
+        self, message: Put | RowsRequest | CommitStatusRequest | AskStatus, source: Address, reply: Reply
     ) -> None:
         """Answer one request, a `Put` only once its row is stored and applied."""
         if isinstance(message, Put):
             self.put(message, source, reply)
         elif isinstance(message, RowsRequest):
             reply(self.show(message.key))
-        elif isinstance(message, AskForce):
+        elif isinstance(message, CommitStatusRequest):
             reply(self.commit_status(message))
         else:
             reply(self.status())
@@ -69,7 +69,7 @@
         shown = tuple(_shown(row, file, state) for row in sorted(rows, key=lambda row: row.key))
         return RowsResponse(self._settings.name, shown)
 
-    def commit_status(self, message: AskForce) -> Force:
+    def commit_status(self, message: CommitStatusRequest) -> Force:
         """Whether all live members apply a row.
 
         Only a row that is still in the table can be applied by all: each live member must have confirmed
--- a/pipitshed/testbed/fleet/puts.py
+++ b/pipitshed/testbed/fleet/puts.py
@@ -10,7 +10,14 @@
 from pipitshed.cli.client import RequestError as AskError
 from pipitshed.cli.client import send_request as ask
 from pipitshed.cluster.codec import Codec
-from pipitshed.cluster.messages import AskForce, ClusterMessage, Force, PutDone, RowsRequest, RowsResponse
+from pipitshed.cluster.messages import (
+    ClusterMessage,
+    CommitStatusRequest,
+    Force,
+    PutDone,
+    RowsRequest,
+    RowsResponse,
+)
 from pipitshed.cluster.messages import Put as PutRow
 from pipitshed.replication.row_table import NOT_COMPARED
 from pipitshed.testbed.fleet.processes import Process, Processes
@@ -78,7 +85,7 @@
         version = done.term, done.number
         until = monotonic() + WITHIN
         while monotonic() < until:
-            force = await self._ask(process, AskForce(put.key, *version), Force)
+            force = await self._ask(process, CommitStatusRequest(put.key, *version), Force)
             if force.in_force or force.superseded:
                 return "in force" if force.in_force else "superseded", version
             await asyncio.sleep(LOOK)
--- a/tests/cluster/test_settings_fleet.py
+++ b/tests/cluster/test_settings_fleet.py
@@ -23,7 +23,7 @@
 from pipitshed.cluster import row_store as rowsfile
 from pipitshed.cluster import settings as fleet_rows
 from pipitshed.cluster.codec import Codec
-from pipitshed.cluster.messages import AskForce, ClusterMessage, Put, PutDone
+from pipitshed.cluster.messages import ClusterMessage, CommitStatusRequest, Put, PutDone
 from pipitshed.cluster.node import ClusterNode
 from pipitshed.config.front import load_front
 from pipitshed.config.platform import Config, load_platform_config, with_settings
@@ -246,7 +246,7 @@
         assert await put(SHARE, b"0.6", (1, 2)) == ""
         node.fleet.leave()
         assert "no longer in the fleet" in await put(SHARE, b"0.7", (1, 3))
-        rows.handle_message(AskForce(SHARE, 1, 2), ("127.0.0.1", 9))
+        rows.handle_message(CommitStatusRequest(SHARE, 1, 2), ("127.0.0.1", 9))
         assert answers[-1].superseded == "1.3 of s0" and not answers[-1].in_force
 
 
@@ -306,16 +306,16 @@
             rows.handle_message(
                 AppliedReport(name, life, 9, rows.table.digest(), (row.content_hash,)), two.fleet.address
             )
-            assert not rows.commands.commit_status(AskForce(SHARE, 1, 1)).in_force
+            assert not rows.commands.commit_status(CommitStatusRequest(SHARE, 1, 1)).in_force
         rows.handle_message(
             AppliedReport(me.name, me.instance_id, 9, b"", (row.content_hash,)), two.fleet.address
         )
-        await until(lambda: rows.commands.commit_status(AskForce(SHARE, 1, 1)).in_force)
+        await until(lambda: rows.commands.commit_status(CommitStatusRequest(SHARE, 1, 1)).in_force)
         one.fleet.membership.replicator.peer_digests.clear()  # as after a start
-        assert rows.commands.commit_status(AskForce(SHARE, 1, 1)).missing == (("s0", ""),)
-        await until(lambda: rows.commands.commit_status(AskForce(SHARE, 1, 1)).in_force)
+        assert rows.commands.commit_status(CommitStatusRequest(SHARE, 1, 1)).missing == (("s0", ""),)
+        await until(lambda: rows.commands.commit_status(CommitStatusRequest(SHARE, 1, 1)).in_force)
         rows.table.caught_up = False
-        assert not rows.commands.commit_status(AskForce(SHARE, 1, 1)).in_force
+        assert not rows.commands.commit_status(CommitStatusRequest(SHARE, 1, 1)).in_force
 
 
 def test_a_class_that_gearmans_functions_have_is_not_changed_by_row(tmp_path: Path) -> None:
