--- a/pipitshed/cli/settings.py
+++ b/pipitshed/cli/settings.py
@@ -15,7 +15,7 @@
 from pipitshed.cli.text_table import table_lines
 from pipitshed.cluster.messages import (
     CommitStatusRequest,
-    Force,
+    CommitStatusResponse,
     Put,
     PutDone,
     RowDetails,
@@ -124,18 +124,20 @@
     sys.exit(EXIT_IN_FORCE if outcome.in_force else EXIT_NOT_EVERYWHERE)
 
 
-def _wait_until_applied(target: SchedulerTarget, question: CommitStatusRequest, wait_s: float) -> Force:
+def _wait_until_applied(
+    target: SchedulerTarget, question: CommitStatusRequest, wait_s: float
+) -> CommitStatusResponse:
     """Repeat the question until all apply the row, nobody can any more, or the time is up."""
     deadline = time.monotonic() + wait_s
     while True:
-        answer = request_or_exit(target, question, Force)
+        answer = request_or_exit(target, question, CommitStatusResponse)
         all_reject = answer.missing and all(reason for _, reason in answer.missing)
         if answer.in_force or answer.superseded or all_reject or time.monotonic() >= deadline:
             return answer
         time.sleep(min(POLL_INTERVAL_S, max(0.0, deadline - time.monotonic())))
 
 
-def _outcome_text(outcome: Force) -> str:
+def _outcome_text(outcome: CommitStatusResponse) -> str:
     if outcome.superseded:
         return f"not in force: {outcome.superseded} has taken its place"
     if outcome.in_force:
--- a/pipitshed/cluster/messages.py
+++ b/pipitshed/cluster/messages.py
@@ -92,14 +92,14 @@
 
 
 class CommitStatusRequest(msgspec.Struct, frozen=True, array_like=True, tag=38):
-    """Question whether this row is applied by all live members; answered by `Force`."""
+    """Question whether this row is applied by all live members; answered by `CommitStatusResponse`."""
 
     key: str
     term: int
     number: int
 
 
-class Force(msgspec.Struct, frozen=True, array_like=True, tag=39):
+class CommitStatusResponse(msgspec.Struct, frozen=True, array_like=True, tag=39):
     """Which members apply a row, as far as the answering scheduler knows."""
 
     in_force: bool
@@ -127,7 +127,7 @@
 
 
 SettingsMessage = Put | RowsRequest | CommitStatusRequest | AskStatus | AppliedReport | AppliedQuery
-Answer = ViewResponse | PutDone | RowsResponse | Force | Status
+Answer = ViewResponse | PutDone | RowsResponse | CommitStatusResponse | Status
 ClusterMessage = (
     Ping | Ack | IndirectPing | Nack | RepairMessage | ViewRequest | Leave | SettingsMessage | Answer
 )
--- a/pipitshed/cluster/settings_commands.py
+++ b/pipitshed/cluster/settings_commands.py
@@ -8,7 +8,7 @@
 from pipitshed.cluster.messages import (
     AskStatus,
     CommitStatusRequest,
-    Force,
+    CommitStatusResponse,
     Put,
     PutDone,
     RowDetails,
@@ -69,7 +69,7 @@
         shown = tuple(_shown(row, file, state) for row in sorted(rows, key=lambda row: row.key))
         return RowsResponse(self._settings.name, shown)
 
-    def commit_status(self, message: CommitStatusRequest) -> Force:
+    def commit_status(self, message: CommitStatusRequest) -> CommitStatusResponse:
         """Whether all live members apply a row.
 
         Only a row that is still in the table can be applied by all: each live member must have confirmed
@@ -80,16 +80,16 @@
         row = self._table.get(message.key)
         if row is None or (row.term, row.number) != (message.term, message.number):
             successor = f"{row.term}.{row.number} of {row.writer}" if row is not None else "no row"
-            return Force(False, (), (), failed, successor)
+            return CommitStatusResponse(False, (), (), failed, successor)
         live = self._settings.live_instances()
         standing = self._confirmations.status(self._settings.loop.time(), row, live)
         self._settings.schedule()
         if not self._knows_cluster(live):
             missing = dict(standing.missing) | {self._settings.name: ""}
-            return Force(False, standing.appliers, tuple(missing.items()), failed)
+            return CommitStatusResponse(False, standing.appliers, tuple(missing.items()), failed)
         if standing.in_force:
             self._log_committed(row, standing, live, failed)
-        return Force(standing.in_force, standing.appliers, standing.missing, failed)
+        return CommitStatusResponse(standing.in_force, standing.appliers, standing.missing, failed)
 
     def status(self) -> Status:
         """What this scheduler applies, and the members that it knows."""
--- a/pipitshed/testbed/fleet/puts.py
+++ b/pipitshed/testbed/fleet/puts.py
@@ -13,7 +13,7 @@
 from pipitshed.cluster.messages import (
     ClusterMessage,
     CommitStatusRequest,
-    Force,
+    CommitStatusResponse,
     PutDone,
     RowsRequest,
     RowsResponse,
@@ -85,7 +85,7 @@
         version = done.term, done.number
         until = monotonic() + WITHIN
         while monotonic() < until:
-            force = await self._ask(process, CommitStatusRequest(put.key, *version), Force)
+            force = await self._ask(process, CommitStatusRequest(put.key, *version), CommitStatusResponse)
             if force.in_force or force.superseded:
                 return "in force" if force.in_force else "superseded", version
             await asyncio.sleep(LOOK)
--- a/tests/cluster/test_settings_rig.py
+++ b/tests/cluster/test_settings_rig.py
@@ -10,7 +10,7 @@
 import pytest
 import uvloop
 
-from pipitshed.cluster.messages import ClusterMessage, Force, PutDone, RowsResponse
+from pipitshed.cluster.messages import ClusterMessage, CommitStatusResponse, PutDone, RowsResponse
 from pipitshed.cluster.messages import Put as PutRow
 from pipitshed.membership.timing import ProtocolTimings
 from pipitshed.replication.row_table import NOT_COMPARED
@@ -82,7 +82,11 @@
             asked.append(message)
             if wanted is RowsResponse:
                 return RowsResponse("s1", ())
-            return PutDone("s1", answers.pop(0), 1, 1) if wanted is PutDone else Force(True, (), (), ())
+            return (
+                PutDone("s1", answers.pop(0), 1, 1)
+                if wanted is PutDone
+                else CommitStatusResponse(True, (), (), ())
+            )
 
     log: list[str] = []
     up = Mock(up=True)
