--- a/pipitshed/cluster/messages.py
+++ b/pipitshed/cluster/messages.py
@@ -109,12 +109,12 @@
     superseded: str = ""  # the row that has replaced it
 
 
-class AskStatus(msgspec.Struct, frozen=True, array_like=True, tag=40):
+class AppliedStatusRequest(msgspec.Struct, frozen=True, array_like=True, tag=40):
     """Request for the applied rows and the known members; answered by `Status`."""
 
 
 class Status(msgspec.Struct, frozen=True, array_like=True, tag=41):
-    """What a scheduler applies, in answer to `AskStatus`."""
+    """What a scheduler applies, in answer to `AppliedStatusRequest`."""
 
     name: str
     digest: str  # of the applied rows
@@ -126,7 +126,9 @@
     members: tuple[tuple[str, str, str], ...]  # name, peer address, state
 
 
-SettingsMessage = Put | RowsRequest | CommitStatusRequest | AskStatus | AppliedReport | AppliedQuery
+SettingsMessage = (
+    Put | RowsRequest | CommitStatusRequest | AppliedStatusRequest | AppliedReport | AppliedQuery
+)
 Answer = ViewResponse | PutDone | RowsResponse | CommitStatusResponse | Status
 ClusterMessage = (
     Ping | Ack | IndirectPing | Nack | RepairMessage | ViewRequest | Leave | SettingsMessage | Answer
--- a/pipitshed/cluster/settings_commands.py
+++ b/pipitshed/cluster/settings_commands.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from pipitshed.cluster.messages import (
-    AskStatus,
+    AppliedStatusRequest,
     CommitStatusRequest,
     CommitStatusResponse,
     Put,
@@ -40,7 +40,10 @@
         self._confirmations = settings.confirmations
 
     def handle(
-        self, message: Put | RowsRequest | CommitStatusRequest | AskStatus, source: Address, reply: Reply
+        self,
+        message: Put | RowsRequest | CommitStatusRequest | AppliedStatusRequest,
+        source: Address,
+        reply: Reply,
     ) -> None:
         """Answer one request, a `Put` only once its row is stored and applied."""
         if isinstance(message, Put):
