--- a/pipitshed/cli/settings_status.py
+++ b/pipitshed/cli/settings_status.py
@@ -8,7 +8,7 @@
 
 from pipitshed.cli.client import RequestError, SchedulerTarget, request_or_exit, send_request
 from pipitshed.cli.text_table import duration, table_lines
-from pipitshed.cluster.messages import AppliedStatusRequest, Status
+from pipitshed.cluster.messages import AppliedStatusRequest, AppliedStatusResponse
 from pipitshed.protocols.address import parse_address
 
 MAX_PARALLEL_REQUESTS = 16
@@ -41,7 +41,7 @@
 class ClusterStatus:
     """The status of all members, and that of the member that was asked first."""
 
-    first: Status
+    first: AppliedStatusResponse
     members: list[MemberStatus]
 
     @property
@@ -53,7 +53,7 @@
 
 def collect_status(target: SchedulerTarget) -> ClusterStatus:
     """Ask one scheduler for the members, and then each of them for its status."""
-    first = request_or_exit(target, AppliedStatusRequest(), Status)
+    first = request_or_exit(target, AppliedStatusRequest(), AppliedStatusResponse)
 
     def member_status(member: tuple[str, str, str]) -> MemberStatus:
         name, address, state = member
@@ -63,7 +63,9 @@
         if state not in LIVE_STATES:
             return _unanswered(unanswered, "" if state == LEFT_STATE else "out of touch")
         try:
-            answer = send_request(parse_address(address), target.codec, AppliedStatusRequest(), Status)
+            answer = send_request(
+                parse_address(address), target.codec, AppliedStatusRequest(), AppliedStatusResponse
+            )
         except RequestError as error:
             return _unanswered(unanswered, f"no answer: {error}")
         return _answered(unanswered, answer, first)
@@ -90,7 +92,9 @@
     return member
 
 
-def _answered(member: MemberStatus, answer: Status, first: Status) -> MemberStatus:
+def _answered(
+    member: MemberStatus, answer: AppliedStatusResponse, first: AppliedStatusResponse
+) -> MemberStatus:
     remarks = [f"refuses {key}: {reason}" for key, reason in answer.refused]
     if answer.unsaved:
         remarks.append(f"its rows are not kept: {answer.unsaved}")
--- a/pipitshed/cluster/messages.py
+++ b/pipitshed/cluster/messages.py
@@ -110,10 +110,10 @@
 
 
 class AppliedStatusRequest(msgspec.Struct, frozen=True, array_like=True, tag=40):
-    """Request for the applied rows and the known members; answered by `Status`."""
+    """Request for the applied rows and the known members; answered by `AppliedStatusResponse`."""
 
 
-class Status(msgspec.Struct, frozen=True, array_like=True, tag=41):
+class AppliedStatusResponse(msgspec.Struct, frozen=True, array_like=True, tag=41):
     """What a scheduler applies, in answer to `AppliedStatusRequest`."""
 
     name: str
@@ -129,7 +129,7 @@
 SettingsMessage = (
     Put | RowsRequest | CommitStatusRequest | AppliedStatusRequest | AppliedReport | AppliedQuery
 )
-Answer = ViewResponse | PutDone | RowsResponse | CommitStatusResponse | Status
+Answer = ViewResponse | PutDone | RowsResponse | CommitStatusResponse | AppliedStatusResponse
 ClusterMessage = (
     Ping | Ack | IndirectPing | Nack | RepairMessage | ViewRequest | Leave | SettingsMessage | Answer
 )
--- a/pipitshed/cluster/settings_commands.py
+++ b/pipitshed/cluster/settings_commands.py
@@ -7,6 +7,7 @@
 
 from pipitshed.cluster.messages import (
     AppliedStatusRequest,
+    AppliedStatusResponse,
     CommitStatusRequest,
     CommitStatusResponse,
     Put,
@@ -14,7 +15,6 @@
     RowDetails,
     RowsRequest,
     RowsResponse,
-    Status,
 )
 from pipitshed.config.errors import RowRejectedError
 from pipitshed.config.row_overlay import check, file_value
@@ -94,7 +94,7 @@
             self._log_committed(row, standing, live, failed)
         return CommitStatusResponse(standing.in_force, standing.appliers, standing.missing, failed)
 
-    def status(self) -> Status:
+    def status(self) -> AppliedStatusResponse:
         """What this scheduler applies, and the members that it knows."""
         settings, state = self._settings, self._confirmations.state
         view = settings.transport.membership.view
@@ -102,7 +102,7 @@
             (member.name, f"{member.host}:{member.port}", member.state.name.lower())
             for member in sorted(view, key=lambda member: member.name)
         )
-        return Status(
+        return AppliedStatusResponse(
             name=settings.name,
             digest=state.digest.hex(),
             rows=len(state.rows),
