--- a/pipitshed/cli/settings.py
+++ b/pipitshed/cli/settings.py
@@ -17,7 +17,7 @@
     CommitStatusRequest,
     CommitStatusResponse,
     Put,
-    PutDone,
+    PutResponse,
     RowDetails,
     RowsRequest,
     RowsResponse,
@@ -113,7 +113,7 @@
     """Put or delete a row, print the outcome, and end the program with its exit code."""
     rows = request_or_exit(target, RowsRequest(key), RowsResponse).rows if key else ()
     version = (rows[0].term, rows[0].number) if rows else NO_ROW_VERSION
-    done = request_or_exit(target, Put(key, body, version, take_over), PutDone)
+    done = request_or_exit(target, Put(key, body, version, take_over), PutResponse)
     if done.why:
         click.echo(f"refused by {done.name}: {done.why}", err=True)
         sys.exit(EXIT_REJECTED)
--- a/pipitshed/cluster/messages.py
+++ b/pipitshed/cluster/messages.py
@@ -47,7 +47,7 @@
 
 
 class Put(msgspec.Struct, frozen=True, array_like=True, tag=34):
-    """Request to write a settings row, or to delete it where there is no body; answered by `PutDone`."""
+    """Request to write a settings row, or to delete it where there is no body; answered by `PutResponse`."""
 
     key: str
     body: bytes | None
@@ -55,7 +55,7 @@
     take_over: bool = False  # replace a row that another scheduler writes
 
 
-class PutDone(msgspec.Struct, frozen=True, array_like=True, tag=35):
+class PutResponse(msgspec.Struct, frozen=True, array_like=True, tag=35):
     """The row is written and applied here; or it is not, and `why` is the reason."""
 
     name: str
@@ -129,7 +129,7 @@
 SettingsMessage = (
     Put | RowsRequest | CommitStatusRequest | AppliedStatusRequest | AppliedReport | AppliedQuery
 )
-Answer = ViewResponse | PutDone | RowsResponse | CommitStatusResponse | AppliedStatusResponse
+Answer = ViewResponse | PutResponse | RowsResponse | CommitStatusResponse | AppliedStatusResponse
 ClusterMessage = (
     Ping | Ack | IndirectPing | Nack | RepairMessage | ViewRequest | Leave | SettingsMessage | Answer
 )
--- a/pipitshed/cluster/settings.py
+++ b/pipitshed/cluster/settings.py
@@ -17,7 +17,7 @@
 from typing import TYPE_CHECKING, Any, Protocol, TypeVar
 
 from pipitshed.cluster import counters, row_store
-from pipitshed.cluster.messages import ClusterMessage, PutDone, SettingsMessage
+from pipitshed.cluster.messages import ClusterMessage, PutResponse, SettingsMessage
 from pipitshed.cluster.row_store import StoredRows
 from pipitshed.cluster.settings_commands import SettingsCommands
 from pipitshed.cluster.settings_log import log_overlay
@@ -272,7 +272,7 @@
     def _answer_pending(self, why: str) -> None:
         """Answer the changes that waited for this batch; `why` is empty where they are applied."""
         for pending in self._pending_replies:
-            pending.reply(PutDone(self.name, why, pending.row.term, pending.row.number))
+            pending.reply(PutResponse(self.name, why, pending.row.term, pending.row.number))
         self._pending_replies.clear()
 
     def _record_applied(
--- a/pipitshed/cluster/settings_commands.py
+++ b/pipitshed/cluster/settings_commands.py
@@ -11,7 +11,7 @@
     CommitStatusRequest,
     CommitStatusResponse,
     Put,
-    PutDone,
+    PutResponse,
     RowDetails,
     RowsRequest,
     RowsResponse,
@@ -60,7 +60,7 @@
         try:
             row = self._write(message, source)
         except (RowError, RowRejectedError) as error:
-            reply(PutDone(self._settings.name, str(error)))
+            reply(PutResponse(self._settings.name, str(error)))
             return
         self._settings.row_written(row, reply)
 
--- a/pipitshed/testbed/fleet/puts.py
+++ b/pipitshed/testbed/fleet/puts.py
@@ -14,7 +14,7 @@
     ClusterMessage,
     CommitStatusRequest,
     CommitStatusResponse,
-    PutDone,
+    PutResponse,
     RowsRequest,
     RowsResponse,
 )
@@ -91,12 +91,12 @@
             await asyncio.sleep(LOOK)
         return "not in force", version
 
-    async def _put(self, process: Process, put: Put) -> PutDone:
+    async def _put(self, process: Process, put: Put) -> PutResponse:
         """Put a change once; where another process writes the row, it is taken over."""
         held = (await self._ask(process, RowsRequest(put.key), RowsResponse)).rows
         over = (held[0].term, held[0].number) if held else (0, 0)
         other = bool(held) and held[0].writer != process.name
-        return await self._ask(process, PutRow(put.key, put.value.encode(), over, other), PutDone)
+        return await self._ask(process, PutRow(put.key, put.value.encode(), over, other), PutResponse)
 
     async def _ask(self, process: Process, message: ClusterMessage, wanted: type[_Told]) -> _Told:
         return await asyncio.to_thread(ask, process.real, self._codec, message, wanted)
--- a/tests/cluster/test_settings_fleet.py
+++ b/tests/cluster/test_settings_fleet.py
@@ -23,7 +23,7 @@
 from pipitshed.cluster import row_store as rowsfile
 from pipitshed.cluster import settings as fleet_rows
 from pipitshed.cluster.codec import Codec
-from pipitshed.cluster.messages import ClusterMessage, CommitStatusRequest, Put, PutDone
+from pipitshed.cluster.messages import ClusterMessage, CommitStatusRequest, Put, PutResponse
 from pipitshed.cluster.node import ClusterNode
 from pipitshed.config.front import load_front
 from pipitshed.config.platform import Config, load_platform_config, with_settings
@@ -211,7 +211,7 @@
             node.fleet.reply = Mock(return_value=answers.put_nowait)  # type: ignore[method-assign]
             node.fleet._handle_message(Put(SHARE, b"0.4", (0, 0)), (source, 9))
             answer = await answers.get()
-            assert isinstance(answer, PutDone) and (answer.why == "") is allowed is (node.share == 0.4)
+            assert isinstance(answer, PutResponse) and (answer.why == "") is allowed is (node.share == 0.4)
             assert allowed or "secret-file" in answer.why
     async with nodes(folder, {}) as [node]:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
--- a/tests/cluster/test_settings_rig.py
+++ b/tests/cluster/test_settings_rig.py
@@ -10,7 +10,7 @@
 import pytest
 import uvloop
 
-from pipitshed.cluster.messages import ClusterMessage, CommitStatusResponse, PutDone, RowsResponse
+from pipitshed.cluster.messages import ClusterMessage, CommitStatusResponse, PutResponse, RowsResponse
 from pipitshed.cluster.messages import Put as PutRow
 from pipitshed.membership.timing import ProtocolTimings
 from pipitshed.replication.row_table import NOT_COMPARED
@@ -83,8 +83,8 @@
             if wanted is RowsResponse:
                 return RowsResponse("s1", ())
             return (
-                PutDone("s1", answers.pop(0), 1, 1)
-                if wanted is PutDone
+                PutResponse("s1", answers.pop(0), 1, 1)
+                if wanted is PutResponse
                 else CommitStatusResponse(True, (), (), ())
             )
 
