--- a/pipitshed/cluster/node.py
+++ b/pipitshed/cluster/node.py
@@ -139,7 +139,7 @@
         """The view, as `fleet show` prints it."""
         return view_report(self.membership, self._loop.time(), self.counts)
 
-    def lines(self) -> bytes:
+    def metrics_lines(self) -> bytes:
         """The figures for `/-/metrics`."""
         settings_metrics = self.settings.metrics() if self.settings is not None else {}
         return view_metrics(self.membership, self.counts, settings_metrics)
--- a/pipitshed/server/server.py
+++ b/pipitshed/server/server.py
@@ -95,7 +95,7 @@
         text = render(by_class(class_names, forwarder.answered_counts, forwarder.sent_counts), gauges)
         if node is None:
             return text
-        return text + node.lines() + count_lines(self._discovery_counters())
+        return text + node.metrics_lines() + count_lines(self._discovery_counters())
 
     def _discovery_counters(self) -> Counter[str]:
         discovery = self.parts.discovery
