--- a/pipitshed/cluster/node.py
+++ b/pipitshed/cluster/node.py
@@ -135,7 +135,7 @@
         self._execute(self.membership.disseminate(self._loop.time(), table_name, (row,)))
         self._schedule()
 
-    def shown(self) -> ViewResponse:
+    def view_response(self) -> ViewResponse:
         """The view, as `fleet show` prints it."""
         return view_report(self.membership, self._loop.time(), self.counts)
 
@@ -192,10 +192,10 @@
         if self._closed:
             return
         if isinstance(message, ViewRequest):
-            self._streams.answer(source, self._codec.encode(self.shown()))
+            self._streams.answer(source, self._codec.encode(self.view_response()))
         elif isinstance(message, Leave):
             self.leave()
-            self._streams.answer(source, self._codec.encode(self.shown()))
+            self._streams.answer(source, self._codec.encode(self.view_response()))
         elif isinstance(message, SettingsMessage):
             if self.settings is not None:
                 self.settings.handle_message(message, source)
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -305,7 +305,7 @@
 @story
 async def test_show_and_leave_ask_any_scheduler() -> None:
     fleets = await joined(3)
-    await until(lambda: all(row.agrees for row in fleets[1].shown().members))
+    await until(lambda: all(row.agrees for row in fleets[1].view_response().members))
 
     async def call(*words_: str) -> str:
         result = await asyncio.to_thread(CliRunner().invoke, main, ["fleet", *words_])
