--- a/pipitshed/cluster/node.py
+++ b/pipitshed/cluster/node.py
@@ -93,7 +93,7 @@
         self._logged_digest = ""
         self._closed = False
         if self.settings is not None:
-            self.settings.begin()
+            self.settings.apply_stored_rows()
 
     async def start(self) -> None:
         """Listen, and join the cluster by a full exchange with a seed."""
--- a/pipitshed/cluster/settings.py
+++ b/pipitshed/cluster/settings.py
@@ -122,7 +122,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due_at = math.inf  # in the loop's time
 
-    def begin(self) -> None:
+    def apply_stored_rows(self) -> None:
         """Apply the rows that the file stored."""
         stored = row_store.read(self._path) if self._path is not None else StoredRows()
         for row in stored.rows:
