--- a/pipitshed/cluster/node.py
+++ b/pipitshed/cluster/node.py
@@ -123,7 +123,7 @@
         self.membership.replicator.budget.charge(self._loop.time(), len(data))
         self._datagrams.send(address, data)
 
-    def reply(self, source: Address) -> Reply | None:
+    def reply_function(self, source: Address) -> Reply | None:
         """A function that answers the message being handled, now or later; None where it was a datagram."""
         answer = self._streams.deferred_answer(source)
         return None if answer is None else lambda message: answer(self._codec.encode(message))
--- a/pipitshed/cluster/settings.py
+++ b/pipitshed/cluster/settings.py
@@ -69,7 +69,7 @@
     def send(self, address: Address, message: ClusterMessage) -> None:
         """Send a datagram."""
 
-    def reply(self, source: Address) -> Reply | None:
+    def reply_function(self, source: Address) -> Reply | None:
         """A function that answers the message being handled; None where it came as a datagram."""
 
     def disseminate(self, row: Row) -> None:
@@ -156,7 +156,7 @@
         if isinstance(message, AppliedQuery):
             self._send(message.sender, self.confirmations.answer_query(message))
             return
-        reply = self.transport.reply(source)
+        reply = self.transport.reply_function(source)
         if reply is None:
             self.transport.count(counters.DROPPED_SETTINGS_DATAGRAM)  # operators use a stream
         else:
--- a/tests/cluster/test_settings_fleet.py
+++ b/tests/cluster/test_settings_fleet.py
@@ -208,7 +208,7 @@
     ):
         async with nodes(folder, {}, secret=secret) as [node]:
             answers: asyncio.Queue[ClusterMessage] = asyncio.Queue()
-            node.fleet.reply = Mock(return_value=answers.put_nowait)  # type: ignore[method-assign]
+            node.fleet.reply_function = Mock(return_value=answers.put_nowait)  # type: ignore[method-assign]
             node.fleet._handle_message(Put(SHARE, b"0.4", (0, 0)), (source, 9))
             answer = await answers.get()
             assert isinstance(answer, PutResponse) and (answer.why == "") is allowed is (node.share == 0.4)
@@ -227,7 +227,7 @@
     async with nodes(folder, {}) as [node]:
         rows, answers = node.fleet.settings, list[Any]()
         assert rows is not None
-        node.fleet.reply = Mock(return_value=answers.append)  # type: ignore[method-assign]
+        node.fleet.reply_function = Mock(return_value=answers.append)  # type: ignore[method-assign]
 
         async def put(key: str, body: bytes, over: tuple[int, int]) -> str:
             answers.clear()
@@ -324,7 +324,7 @@
         front.write_text(FRONT)
         scheduler = Scheduler(made, load_front(front, made), asyncio.get_running_loop(), peers("s0"))
         rows, answers = scheduler.parts.cluster_node.settings, list[Any]()  # type: ignore[union-attr]
-        scheduler.parts.cluster_node.reply = Mock(return_value=answers.append)  # type: ignore[method-assign, union-attr]
+        scheduler.parts.cluster_node.reply_function = Mock(return_value=answers.append)  # type: ignore[method-assign, union-attr]
         rows.handle_message(Put(DEADLINE, b"300", (0, 0)), ("127.0.0.1", 9))  # type: ignore[union-attr]
         assert "Gearman's functions" in answers[0].why
         scheduler.parts.cluster_node.close()  # type: ignore[union-attr]
