--- a/pipitshed/cli/client.py
+++ b/pipitshed/cli/client.py
@@ -12,7 +12,7 @@
 import click
 
 from pipitshed.cli.options import fail
-from pipitshed.cluster.codec import FRAME_LIMIT, LENGTH, Codec, MessageRejectedError
+from pipitshed.cluster.codec import FRAME_LIMIT, LENGTH_PREFIX, Codec, MessageRejectedError
 from pipitshed.cluster.config_file import ClusterConfigError, first_line, read
 from pipitshed.cluster.messages import ClusterMessage
 from pipitshed.cluster.streams import framed
@@ -98,7 +98,7 @@
         with socket.create_connection(address, REQUEST_TIMEOUT_S) as connection:
             connection.settimeout(REQUEST_TIMEOUT_S)
             connection.sendall(framed(codec.encode(message)))
-            (length,) = LENGTH.unpack(_receive(connection, LENGTH.size))
+            (length,) = LENGTH_PREFIX.unpack(_receive(connection, LENGTH_PREFIX.size))
             if length > FRAME_LIMIT:
                 raise RequestError("the answer is longer than any can be")
             answer = codec.decode(_receive(connection, length))
--- a/pipitshed/cluster/streams.py
+++ b/pipitshed/cluster/streams.py
@@ -7,7 +7,7 @@
 from typing import cast
 
 from pipitshed.cluster import counters
-from pipitshed.cluster.codec import FRAME_LIMIT, LENGTH, Codec, MessageRejectedError
+from pipitshed.cluster.codec import FRAME_LIMIT, LENGTH_PREFIX, Codec, MessageRejectedError
 from pipitshed.cluster.messages import ClusterMessage
 from pipitshed.membership.members import Address
 from pipitshed.protocols.buffer import Buffer, TooLongError
@@ -18,7 +18,7 @@
 
 def framed(data: bytes) -> bytes:
     """A message as it stands on a stream."""
-    return LENGTH.pack(len(data)) + data
+    return LENGTH_PREFIX.pack(len(data)) + data
 
 
 class _Stream(asyncio.Protocol):
@@ -26,7 +26,7 @@
 
     def __init__(self, streams: Streams) -> None:
         self._streams = streams
-        self._buffer = Buffer(FRAME_LIMIT + LENGTH.size)
+        self._buffer = Buffer(FRAME_LIMIT + LENGTH_PREFIX.size)
         self._timeout: asyncio.TimerHandle | None = None
         self.transport: asyncio.Transport | None = None
         self.address: Address = ("", 0)
@@ -56,13 +56,13 @@
         self.abort()
 
     def _read_messages(self) -> None:
-        while len(self._buffer) >= LENGTH.size:
-            (length,) = LENGTH.unpack(self._buffer.peek(LENGTH.size))
+        while len(self._buffer) >= LENGTH_PREFIX.size:
+            (length,) = LENGTH_PREFIX.unpack(self._buffer.peek(LENGTH_PREFIX.size))
             if length > FRAME_LIMIT:
                 raise TooLongError(f"a message of {length} bytes")
-            if len(self._buffer) < LENGTH.size + length:
+            if len(self._buffer) < LENGTH_PREFIX.size + length:
                 return
-            self._buffer.take(LENGTH.size)
+            self._buffer.take(LENGTH_PREFIX.size)
             message = self._streams.codec.decode(self._buffer.take(length))
             self._streams.message_received(self, message)
 
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -17,7 +17,7 @@
 
 from pipitshed.cli.commands import main
 from pipitshed.cluster import streams
-from pipitshed.cluster.codec import DATAGRAM_LIMIT, FRAME_LIMIT, LENGTH, Codec, MessageRejectedError
+from pipitshed.cluster.codec import DATAGRAM_LIMIT, FRAME_LIMIT, LENGTH_PREFIX, Codec, MessageRejectedError
 from pipitshed.cluster.config_file import ClusterConfig, ClusterConfigError, read
 from pipitshed.cluster.datagrams import UNKNOWN_SENDERS_BURST, UNKNOWN_SENDERS_PER_S, RateLimiter
 from pipitshed.cluster.messages import ViewRequest, ViewResponse
@@ -270,7 +270,7 @@
     ends = await asyncio.gather(*(reader.read() for reader, _ in open_), return_exceptions=True)
     assert len(ends) == streams.MAX_STREAMS + 8  # all came to an end, by their time at the latest
     reader, writer = await asyncio.open_connection(*fleet.address)
-    writer.write(LENGTH.pack(FRAME_LIMIT + 1))
+    writer.write(LENGTH_PREFIX.pack(FRAME_LIMIT + 1))
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
         await reader.readexactly(1)
     assert fleet.counts["dropped_size"] == 1
@@ -283,7 +283,7 @@
     for byte in streams.framed(Codec("red").encode(ViewRequest())):
         writer.write(bytes([byte]))  # however it is cut
         await asyncio.sleep(0)
-    (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
+    (length,) = LENGTH_PREFIX.unpack(await reader.readexactly(LENGTH_PREFIX.size))
     told = Codec("red").decode(await reader.readexactly(length))
     assert isinstance(told, ViewResponse) and [row.name for row in told.members] == ["s0"]
     fleet.close()
