--- a/pipitshed/cli/client.py
+++ b/pipitshed/cli/client.py
@@ -15,7 +15,7 @@
 from pipitshed.cluster.codec import FRAME_LIMIT, LENGTH_PREFIX, Codec, MessageRejectedError
 from pipitshed.cluster.config_file import ClusterConfigError, first_line, read
 from pipitshed.cluster.messages import ClusterMessage
-from pipitshed.cluster.streams import framed
+from pipitshed.cluster.streams import with_length_prefix
 from pipitshed.membership.members import Address
 from pipitshed.protocols.address import parse_address
 
@@ -97,7 +97,7 @@
     try:
         with socket.create_connection(address, REQUEST_TIMEOUT_S) as connection:
             connection.settimeout(REQUEST_TIMEOUT_S)
-            connection.sendall(framed(codec.encode(message)))
+            connection.sendall(with_length_prefix(codec.encode(message)))
             (length,) = LENGTH_PREFIX.unpack(_receive(connection, LENGTH_PREFIX.size))
             if length > FRAME_LIMIT:
                 raise RequestError("the answer is longer than any can be")
--- a/pipitshed/cluster/streams.py
+++ b/pipitshed/cluster/streams.py
@@ -16,7 +16,7 @@
 MAX_STREAMS = 32  # open at once; further ones are closed
 
 
-def framed(data: bytes) -> bytes:
+def with_length_prefix(data: bytes) -> bytes:
     """A message as it stands on a stream."""
     return LENGTH_PREFIX.pack(len(data)) + data
 
@@ -69,7 +69,7 @@
     def answer(self, data: bytes) -> None:
         """Write the answer, and close the stream behind it."""
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(framed(data))
+            self.transport.write(with_length_prefix(data))
             self.transport.close()
 
     def abort(self) -> None:
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -275,12 +275,12 @@
         await reader.readexactly(1)
     assert fleet.counts["dropped_size"] == 1
     reader, writer = await asyncio.open_connection(*fleet.address)
-    writer.write(streams.framed(Codec("blue").encode(ViewRequest())))
+    writer.write(streams.with_length_prefix(Codec("blue").encode(ViewRequest())))
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
         await reader.readexactly(1)
     assert fleet.counts["dropped_cluster"] == 1
     reader, writer = await asyncio.open_connection(*fleet.address)
-    for byte in streams.framed(Codec("red").encode(ViewRequest())):
+    for byte in streams.with_length_prefix(Codec("red").encode(ViewRequest())):
         writer.write(bytes([byte]))  # however it is cut
         await asyncio.sleep(0)
     (length,) = LENGTH_PREFIX.unpack(await reader.readexactly(LENGTH_PREFIX.size))
