--- a/pipitshed/cli/client.py
+++ b/pipitshed/cli/client.py
@@ -13,7 +13,7 @@
 
 from pipitshed.cli.options import fail
 from pipitshed.cluster.codec import FRAME_LIMIT, LENGTH_PREFIX, Codec, MessageRejectedError
-from pipitshed.cluster.config_file import ClusterConfigError, first_line, read
+from pipitshed.cluster.config_file import ClusterConfigError, read, secret_from
 from pipitshed.cluster.messages import ClusterMessage
 from pipitshed.cluster.streams import with_length_prefix
 from pipitshed.membership.members import Address
@@ -70,7 +70,7 @@
             return SchedulerTarget(address, Codec(config.cluster, config.secret))
         if peer is None:
             raise ClusterConfigError("--peer or --fleet says which scheduler is asked")
-        secret = first_line(secret_file.read_bytes()) if secret_file is not None else b""
+        secret = secret_from(secret_file.read_bytes()) if secret_file is not None else b""
         return SchedulerTarget(parse_address(peer), Codec(cluster, secret))
     except (ClusterConfigError, ValueError, OSError) as error:
         fail(error)
--- a/pipitshed/cluster/config_file.py
+++ b/pipitshed/cluster/config_file.py
@@ -104,7 +104,7 @@
     )
 
 
-def first_line(data: bytes) -> bytes:
+def secret_from(data: bytes) -> bytes:
     """The secret in the data of a secret file."""
     return data.split(b"\n")[0].strip()
 
@@ -112,7 +112,7 @@
 def _read_secret(path: Path, text: str, secret_file: str) -> bytes:
     keys = ("secret-file",)
     try:
-        secret = first_line((path.parent / secret_file).read_bytes())
+        secret = secret_from((path.parent / secret_file).read_bytes())
     except OSError as error:
         raise InvalidKeyError(path, text, keys, str(error.strerror)) from None
     if not 0 < len(secret) <= SECRET_LIMIT_BYTES:
