--- a/pipitshed/cluster/event_log.py
+++ b/pipitshed/cluster/event_log.py
@@ -11,7 +11,7 @@
 
 
 class EventLog:
-    """An event log that writes nothing; `EventLog.to` opens one that does."""
+    """An event log that writes nothing; `EventLog.open` opens one that does."""
 
     def write(self, event: str, **fields: Any) -> None:
         """Write one event."""
@@ -20,7 +20,7 @@
         """Close the log."""
 
     @staticmethod
-    def to(path: Path | None) -> EventLog:
+    def open(path: Path | None) -> EventLog:
         """A log that appends to this file; without a file nothing is written, and no library is loaded."""
         return EventLog() if path is None else _FileEventLog(path)
 
--- a/pipitshed/cluster/node.py
+++ b/pipitshed/cluster/node.py
@@ -70,7 +70,7 @@
         self.counts: Counter[str] = Counter()
         self._sockets = peer_sockets.bind(config.listen)
         self.address: Address = self._sockets.address
-        self._events = EventLog.to(config.event_log)
+        self._events = EventLog.open(config.event_log)
         self_record = self._self_record(zone)
         self.settings: ReplicatedSettings | None = None
         if target is not None:
