--- a/pipitshed/cluster/settings.py
+++ b/pipitshed/cluster/settings.py
@@ -36,7 +36,7 @@
 MAX_ROWS = 4096
 MAX_TABLE_BYTES = 512 << 10
 MAX_ROW_BYTES = 300
-ALONE_AFTER_S = 10.0  # after the start a scheduler that has met no other accepts changes
+NO_PEERS_DELAY_S = 10.0  # after the start a scheduler that has met no other accepts changes
 RNG_SEED_BITS = 64
 
 log = logging.getLogger("pipitshed.fleet")
@@ -130,13 +130,13 @@
         if stored.rows:
             previously_applied = {row.key: row for row in stored.previously_applied}
             self._apply(tuple(self.table), self.table.digest(), previously_applied)
-        self.loop.call_later(ALONE_AFTER_S, self.accept_changes_alone)
+        self.loop.call_later(NO_PEERS_DELAY_S, self.accept_changes_without_peers)
 
-    def accept_changes_alone(self) -> None:
+    def accept_changes_without_peers(self) -> None:
         """Accept changes where no other scheduler was met: one whose seeds are gone never would otherwise."""
         if not self.table.caught_up and len(self.live_instances()) <= 1:
             log.warning(
-                "no other scheduler met in %.0f s: settings are taken as in a fleet of one", ALONE_AFTER_S
+                "no other scheduler met in %.0f s: settings are taken as in a fleet of one", NO_PEERS_DELAY_S
             )
             self.table.caught_up = True
 
--- a/tests/cluster/test_settings_fleet.py
+++ b/tests/cluster/test_settings_fleet.py
@@ -242,7 +242,7 @@
         assert "a value is" in await put(SHARE, b"1" * 5000, (1, 2))
         rows.table.caught_up = False
         assert "compared with a peer" in await put(SHARE, b"0.6", (1, 2))
-        rows.accept_changes_alone()
+        rows.accept_changes_without_peers()
         assert await put(SHARE, b"0.6", (1, 2)) == ""
         node.fleet.leave()
         assert "no longer in the fleet" in await put(SHARE, b"0.7", (1, 3))
