--- a/pipitshed/cluster/codec.py
+++ b/pipitshed/cluster/codec.py
@@ -1,4 +1,4 @@
-"""Encodes messages: a version, a checksum of all that follows, the name of the cluster, and MessagePack."""
+"""Encodes messages: magic bytes, a version, a checksum of the body, and the body with the cluster's name."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 VERSION = 2
 DATAGRAM_LIMIT = 1400  # bytes; a longer message goes over a stream
-FRAME_LIMIT = 1 << 20  # bytes of one message on a stream: some 10,000 members
+FRAME_LIMIT = 1 << 20  # bytes of one message on a stream; a view of about 10,000 members fits
 CHECKSUM_BYTES = 8
 LENGTH_PREFIX = struct.Struct("<I")  # before each message on a stream
 _MAGIC = b"PF"
@@ -22,7 +22,7 @@
 
 
 class RejectionReason(enum.Enum):
-    """Why bytes are no message of this cluster; the values are words of the counters."""
+    """Why received bytes were rejected; the values are parts of the counters' names."""
 
     UNKNOWN_FORMAT = "strange"
     VERSION = "version"
@@ -32,7 +32,7 @@
 
 
 class MessageRejectedError(ValueError):
-    """Bytes that are no message of this cluster; the text is the word of the reason."""
+    """Received bytes are no message of this cluster; the text is the value of the reason."""
 
     def __init__(self, reason: RejectionReason) -> None:
         super().__init__(reason.value)
@@ -53,12 +53,12 @@
         self._decoder = msgspec.msgpack.Decoder(tuple[str, ClusterMessage])
 
     def encode(self, message: ClusterMessage) -> bytes:
-        """The bytes of one message."""
+        """Return the message with its header, as it is sent."""
         body = self._encoder.encode((self._cluster, message))
         return _HEADER.pack(_MAGIC, VERSION, self._checksum(body)) + body
 
     def decode(self, data: bytes) -> ClusterMessage:
-        """The message in these bytes.
+        """Decode one message, and check its checksum and its cluster.
 
         Raises:
             MessageRejectedError: The bytes are no message of this cluster.
--- a/pipitshed/cluster/datagrams.py
+++ b/pipitshed/cluster/datagrams.py
@@ -11,14 +11,14 @@
 from pipitshed.cluster.messages import ClusterMessage
 from pipitshed.membership.members import Address
 
-UNKNOWN_SENDERS_PER_S = 200.0  # datagrams read from addresses of no known member, all together
+UNKNOWN_SENDERS_PER_S = 200.0  # datagrams read from all addresses that belong to no known member
 UNKNOWN_SENDERS_BURST = 400.0
-MEMBERS_PER_S = 4000.0  # datagrams read from known members, all together
+MEMBERS_PER_S = 4000.0  # datagrams read from all known members
 MEMBERS_BURST = 8000.0
 
 
 class RateLimiter:
-    """A token bucket: so many events a second, and so many at once."""
+    """A token bucket with a rate in events per second and a limit on events at once."""
 
     __slots__ = ("_rate_per_s", "_burst", "_tokens", "_updated_at")
 
@@ -29,7 +29,7 @@
         self._updated_at = 0.0
 
     def try_acquire(self, now: float) -> bool:
-        """Use up one token, if there is one; `now` is in seconds of any monotonic clock."""
+        """Take one token, if there is one; `now` is in seconds of any monotonic clock."""
         refill = (now - self._updated_at) * self._rate_per_s
         self._tokens = min(self._burst, self._tokens + refill)
         self._updated_at = now
@@ -67,8 +67,8 @@
         """Called by the event loop with each datagram."""
         address = (addr[0], addr[1])
         limiter = self._member_limiter if self._is_member(address) else self._unknown_sender_limiter
-        # A flood would keep the loop from all other work, so the excess is dropped before it is decoded.
-        # Members have a limit of their own: a flood from other addresses costs them no datagram.
+        # Decoding a flood would block the event loop, so the excess is dropped before it is decoded.
+        # Members have a separate limit, so that a flood from other addresses costs them no datagram.
         if not limiter.try_acquire(self._loop.time()):
             self._count(counters.DROPPED_RATE_LIMIT)
             return
@@ -84,11 +84,11 @@
         self._on_message(message, address)
 
     def error_received(self, _error: Exception) -> None:
-        """Called by the event loop, for example where nobody listens at an address; probes detect that."""
+        """Called by the event loop, for example if no process listens at an address; probes detect that."""
         self._count(counters.DATAGRAM_ERRORS)
 
     def send(self, address: Address, data: bytes) -> None:
-        """Send one datagram; it may be lost."""
+        """Send one datagram; delivery is not guaranteed."""
         if self._transport is not None and not self._transport.is_closing():
             self._count(counters.DATAGRAMS_OUT)
             self._transport.sendto(data, address)
--- a/pipitshed/cluster/peer_sockets.py
+++ b/pipitshed/cluster/peer_sockets.py
@@ -1,4 +1,4 @@
-"""Binds the two sockets of a peer address."""
+"""Binds the stream socket and the datagram socket of a peer address."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
     @property
     def address(self) -> Address:
-        """The address that both are bound to."""
+        """The address that both sockets are bound to."""
         address: Address = self.stream.getsockname()[:2]
         return address
 
     def close(self) -> None:
-        """Close both."""
+        """Close both sockets."""
         self.stream.close()
         self.datagram.close()
 
@@ -34,14 +34,14 @@
     """Bind both sockets; port 0 asks for any port that is free for both.
 
     Raises:
-        OSError: The address is taken.
+        OSError: The address is in use.
     """
     any_port = address[1] == 0
     for _ in range(ANY_PORT_ATTEMPTS - 1 if any_port else 0):
         try:
             return _bind_once(address)
         except OSError:
-            continue  # the stream's port was taken for datagrams
+            continue  # another datagram socket has the stream socket's port
     return _bind_once(address)
 
 
@@ -53,7 +53,7 @@
     try:
         sockets.stream.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sockets.stream.bind(address)
-        sockets.stream.listen(BACKLOG)  # only now a second process fails to bind the port
+        sockets.stream.listen(BACKLOG)  # a second process fails to bind the port only from here on
         sockets.datagram.bind((address[0], sockets.stream.getsockname()[1]))
     except OSError:
         sockets.close()
--- a/pipitshed/cluster/streams.py
+++ b/pipitshed/cluster/streams.py
@@ -1,4 +1,4 @@
-"""Streams on which operators send a scheduler one request each and read its answer."""
+"""Streams (TCP connections) on which an operator sends a scheduler a request and reads the answer."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from pipitshed.protocols.buffer import Buffer, TooLongError
 
 STREAM_TIMEOUT_S = 2.0  # from the start of a stream to the end of the answer
-MAX_STREAMS = 32  # open at once; further ones are closed
+MAX_STREAMS = 32  # open at once; further streams are closed
 
 
 def with_length_prefix(data: bytes) -> bytes:
-    """A message as it stands on a stream."""
+    """Return a message as it is written to a stream."""
     return LENGTH_PREFIX.pack(len(data)) + data
 
 
 class _Stream(asyncio.Protocol):
-    """One stream; it reads whole messages, and is closed after its timeout."""
+    """One stream: reads messages and passes them on, and closes itself after the timeout."""
 
     def __init__(self, streams: Streams) -> None:
         self._streams = streams
@@ -67,7 +67,7 @@
             self._streams.message_received(self, message)
 
     def answer(self, data: bytes) -> None:
-        """Write the answer, and close the stream behind it."""
+        """Write the answer, and close the stream after it."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(with_length_prefix(data))
             self.transport.close()
@@ -79,7 +79,7 @@
 
 
 class Streams:
-    """All streams of one scheduler, limited in number, size and time."""
+    """The open streams of one scheduler, with limits on their number, message size and duration."""
 
     def __init__(
         self,
@@ -96,11 +96,11 @@
         self._being_handled: dict[Address, _Stream] = {}
 
     def incoming(self) -> asyncio.Protocol:
-        """The protocol of a stream that an operator opens."""
+        """Return the protocol of a new stream; called by the event loop's server."""
         return _Stream(self)
 
     def opened(self, stream: _Stream) -> None:
-        """A stream was opened."""
+        """Register a stream, or close it if too many are open."""
         if len(self._open) >= MAX_STREAMS:
             # The new stream is closed, not the oldest: a flood of silent streams must not end requests that
             # are being answered.
@@ -110,11 +110,11 @@
         self._open.add(stream)
 
     def closed(self, stream: _Stream) -> None:
-        """A stream was closed."""
+        """Remove a stream that was closed."""
         self._open.discard(stream)
 
     def message_received(self, stream: _Stream, message: ClusterMessage) -> None:
-        """Handle a whole message; an answer to its address while it is handled goes back on the stream."""
+        """Handle a message; answers to its sender's address go to this stream while it is handled."""
         self.count(counters.STREAM_MESSAGES_IN)
         self._being_handled[stream.address] = stream
         try:
@@ -123,7 +123,7 @@
             del self._being_handled[stream.address]
 
     def answer(self, address: Address, data: bytes) -> bool:
-        """Answer the message that is being handled; False where it is not from this address."""
+        """Answer the message that is being handled; False if it is not from this address."""
         stream = self._being_handled.get(address)
         if stream is None:
             return False
@@ -131,11 +131,11 @@
         return True
 
     def deferred_answer(self, address: Address) -> Callable[[bytes], None] | None:
-        """A function that answers the message being handled later; None where it is not from this address."""
+        """Return a function that answers the handled message later; None if it is not from this address."""
         stream = self._being_handled.get(address)
         return stream.answer if stream is not None else None
 
     def close(self) -> None:
-        """Close all streams."""
+        """Close all streams at once; answers that were not sent are lost."""
         for stream in list(self._open):
             stream.abort()
