--- a/pipitshed/cluster/config_file.py
+++ b/pipitshed/cluster/config_file.py
@@ -1,4 +1,4 @@
-"""The operators' file of `serve --fleet`: who this scheduler is among its peers, and where it finds them."""
+"""Reads the file of `serve --fleet`: this scheduler's name, addresses, seeds and secret."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from pipitshed.protocols.address import parse_address
 from pipitshed.protocols.toml import line_at
 
-SECRET_LIMIT_BYTES = 64  # the checksum takes the secret as its key, which can be no longer
+SECRET_LIMIT_BYTES = 64  # the longest key that the checksum (BLAKE2b) accepts
 _KEY_PATH = re.compile(r" - at `\$\.?([^`]*)`")
 _UNKNOWN_FIELD = re.compile(r"unknown field `([^`]+)`")
 
 
 class ClusterConfigError(ValueError):
-    """The file cannot be used; the text says why in one line."""
+    """The file cannot be used; the text gives the reason in one line."""
 
 
 class InvalidKeyError(ClusterConfigError):
-    """One key of the file cannot be used.
+    """One key of the file has a value that cannot be used.
 
     Attributes:
-        keys: The path of the key; empty where the whole file is meant.
+        keys: The path of the key; empty if the error concerns the whole file.
     """
 
     def __init__(self, path: Path, text: str, keys: tuple[str, ...], reason: str) -> None:
@@ -39,24 +39,24 @@
 
 
 class ClusterFile(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
-    """The file as it is written."""
+    """The TOML file as operators write it."""
 
-    name: str  # one that no other scheduler of the fleet has; the same after a restart
-    listen: str  # the peer address: datagrams and streams
+    name: str  # unique among the schedulers of the fleet; the same after a restart
+    listen: str  # HOST:PORT of the datagram socket and of the stream socket
     zone: str = ""
-    advertise: str = ""  # where peers reach it, where that is not `listen`
-    cluster: str = "pipitshed"  # in every message; others are dropped
-    secret_file: str = ""  # beside this file: its first line keys every checksum, so that nobody can forge
-    seeds: list[str] = []  # peer addresses to join by
-    region: str = ""  # where it stands, beside the zone: few messages cross to another
-    rows_file: str = ""  # beside this file: keeps settings by row over a restart; written by the program
-    event_log: str = ""  # beside this file: JSON lines of what this view saw; needs the extra `fleet`
+    advertise: str = ""  # the HOST:PORT that peers use, if it differs from `listen`
+    cluster: str = "pipitshed"  # sent in every message; messages of other clusters are dropped
+    secret_file: str = ""  # relative to this file; its first line keys the checksums, against forged messages
+    seeds: list[str] = []  # peer addresses through which this scheduler joins
+    region: str = ""  # default: the zone's part before the first slash; few messages cross regions
+    rows_file: str = ""  # relative to this file; the program stores the settings rows in it
+    event_log: str = ""  # relative to this file; JSON lines of cluster events; needs the extra `fleet`
     scales: ProtocolTimings = msgspec.field(default_factory=ProtocolTimings)
 
 
 @dataclass(frozen=True)
 class ClusterConfig:
-    """What the file asks for."""
+    """The values of the file, with addresses parsed and paths resolved."""
 
     name: str
     zone: str
@@ -72,10 +72,10 @@
 
 
 def read(path: Path) -> ClusterConfig:
-    """Read the file.
+    """Read and validate the file.
 
     Raises:
-        ClusterConfigError: The file cannot be read or used; the text has the line and the key.
+        ClusterConfigError: The file cannot be read or used; the text names the line and the key.
     """
     try:
         text = path.read_text()
@@ -105,7 +105,7 @@
 
 
 def secret_from(data: bytes) -> bytes:
-    """The secret in the data of a secret file."""
+    """Return the secret in the content of a secret file: its first line without surrounding whitespace."""
     return data.split(b"\n")[0].strip()
 
 
@@ -116,21 +116,21 @@
     except OSError as error:
         raise InvalidKeyError(path, text, keys, str(error.strerror)) from None
     if not 0 < len(secret) <= SECRET_LIMIT_BYTES:
-        reason = f"its first line has {len(secret)} bytes, not 1 to {SECRET_LIMIT_BYTES}"
+        reason = f"the first line has {len(secret)} bytes, not 1 to {SECRET_LIMIT_BYTES}"
         raise InvalidKeyError(path, text, keys, reason)
     return secret
 
 
 @dataclass(frozen=True, slots=True)
 class _Fault:
-    """A key that cannot be used."""
+    """A key whose value cannot be used."""
 
     keys: tuple[str, ...]
     reason: str
 
 
 def _fault_of(error: msgspec.ValidationError) -> _Fault:
-    """The key that an error of the library names, and its text without the key."""
+    """Return the key that a validation error names, and the error's text without the key."""
     message = str(error)
     found = _KEY_PATH.search(message)
     parts = re.split(r"\.|\[", found[1]) if found and found[1] else []
@@ -141,7 +141,7 @@
 
 
 def _faults(file: ClusterFile) -> Iterator[_Fault]:
-    """The keys that cannot be used."""
+    """Yield the keys whose values cannot be used."""
     for key, name, required in (
         ("name", file.name, True),
         ("zone", file.zone, False),
@@ -149,9 +149,9 @@
         ("cluster", file.cluster, True),
     ):
         if required and not name:
-            yield _Fault((key,), "it is empty")
+            yield _Fault((key,), "must not be empty")
         if len(name.encode()) > NAME_LIMIT:
-            yield _Fault((key,), f"over {NAME_LIMIT} bytes")
+            yield _Fault((key,), f"longer than {NAME_LIMIT} bytes")
     yield from _address_faults(file)
     if (fault := file.scales.fault()) is not None:
         yield _Fault(("scales", fault[0]), fault[1])
