--- a/pipitshed/cluster/row_store.py
+++ b/pipitshed/cluster/row_store.py
@@ -23,11 +23,11 @@
     """The content of the file."""
 
     rows: tuple[Row, ...] = ()
-    previously_applied: tuple[Row, ...] = ()  # still applied where a newer row was rejected
+    previously_applied: tuple[Row, ...] = ()  # still applied because the newer row of the key was rejected
 
 
 def read(path: Path) -> StoredRows:
-    """Read what the last write stored; nothing where there is no file.
+    """Return the rows that were stored last; none if there is no file.
 
     A damaged file is logged and moved aside, so that the next write does not replace it.
     """
@@ -36,7 +36,7 @@
     except FileNotFoundError:
         return StoredRows()
     except OSError as error:
-        log.error("rows are not read: %s: %s", path, error.strerror)
+        log.error("settings rows not read: %s: %s", path, error.strerror)
         return StoredRows()
     try:
         return _decode(data)
@@ -46,7 +46,7 @@
 
 
 def write(path: Path, stored: StoredRows) -> None:
-    """Replace the file, as a whole or not at all.
+    """Replace the file atomically.
 
     Raises:
         OSError: The file cannot be written.
@@ -64,21 +64,21 @@
 def _decode(data: bytes) -> StoredRows:
     head, _, body = data.partition(b"\n")
     if head != MARK + _checksum(body):
-        raise ValueError("it is not whole, or of another version")
+        raise ValueError("damaged, or of another version")
     return msgspec.json.decode(body, type=StoredRows)
 
 
 def _move_aside(path: Path, reason: ValueError) -> None:
     aside = path.with_name(path.name + DAMAGED_SUFFIX)
-    log.error("rows are not read: %s: %s; it is left aside as %s", path, reason, aside.name)
+    log.error("settings rows not read: %s: %s; the file is moved aside as %s", path, reason, aside.name)
     try:
         os.replace(path, aside)
     except OSError as error:
-        log.error("%s can't be moved aside: %s", path, error.strerror)
+        log.error("cannot move %s: %s", path, error.strerror)
 
 
 def _sync_folder(path: Path) -> None:
-    """Make the new name of a file durable: without this it may be lost when the machine stops."""
+    """Sync the folder: without this the renaming of a file may be lost when the machine stops."""
     descriptor = os.open(path, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -87,5 +87,5 @@
 
 
 def _checksum(body: bytes) -> bytes:
-    """The checksum in hexadecimal digits."""
+    """Return the checksum in hexadecimal digits."""
     return hashlib.blake2b(body, digest_size=CHECKSUM_BYTES).hexdigest().encode()
--- a/tests/replication/test_settings_rows.py
+++ b/tests/replication/test_settings_rows.py
@@ -183,7 +183,7 @@
         path.write_bytes(data)
         caplog.clear()
         assert rowsfile.read(path) == StoredRows()
-        assert caplog.text.count("left aside") == 1 and not path.exists()
+        assert caplog.text.count("moved aside") == 1 and not path.exists()
         assert (tmp_path / "rows.damaged").read_bytes() == data
     path.mkdir()
     assert rowsfile.read(path) == StoredRows()
