--- a/pipitshed/cluster/settings.py
+++ b/pipitshed/cluster/settings.py
@@ -1,7 +1,7 @@
 """Replicated settings at one scheduler: the table of rows, its file, and the rows applied to the settings.
 
 Rows are applied a batch at a time. A batch is stored in the file first, so that no later start applies older
-rows; then it is applied in one go; then the members that wrote the rows are notified.
+rows; then it is applied in one step; then the members that wrote the rows are notified.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 MAX_ROWS = 4096
 MAX_TABLE_BYTES = 512 << 10
 MAX_ROW_BYTES = 300
-NO_PEERS_DELAY_S = 10.0  # after the start a scheduler that has met no other accepts changes
+NO_PEERS_DELAY_S = 10.0  # from the start until a scheduler that met no other accepts changes
 RNG_SEED_BITS = 64
 
 log = logging.getLogger("pipitshed.fleet")
@@ -49,8 +49,8 @@
     """The scheduler whose settings the rows change.
 
     Attributes:
-        file: Returns the file in force, as it was read.
-        apply: Applies the settings of that file with other values in them.
+        file: Returns the parsed content of the settings file in force.
+        apply: Applies the settings of that file with the values of rows in them.
         fixed_classes: Names of classes that cannot be changed while the scheduler runs.
     """
 
@@ -60,7 +60,7 @@
 
 
 class SettingsTransport(Protocol):
-    """What the settings need of the cluster node."""
+    """The methods of the cluster node that the settings use."""
 
     @property
     def membership(self) -> Membership:
@@ -70,13 +70,13 @@
         """Send a datagram."""
 
     def reply_function(self, source: Address) -> Reply | None:
-        """A function that answers the message being handled; None where it came as a datagram."""
+        """Return a function that answers the message being handled; None for a datagram."""
 
     def disseminate(self, row: Row) -> None:
         """Send a row that was written here to the other members."""
 
     def count(self, counter: str) -> None:
-        """Increment a counter."""
+        """Increment a counter of `fleet show` and `/-/metrics`."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,7 +88,7 @@
 
 
 class ReplicatedSettings:
-    """The replicated table of settings rows, and what of it is applied here."""
+    """The replicated table of settings rows, and the rows that this scheduler applies."""
 
     def __init__(
         self,
@@ -114,16 +114,16 @@
         self.store_error = ""
         self._path = config.rows_file
         self._live_instances: dict[str, int] = {}
-        self._live_instances_version = -1  # the number of changes of the view that they were made from
+        self._live_instances_version = -1  # change count of the view that they were computed from
         self._batch_in_progress = False
         self._batch_pending = False
         self._closed = False
         self._pending_replies: list[_PendingReply] = []
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_due_at = math.inf  # in the loop's time
+        self._timer_due_at = math.inf  # in seconds of the loop's clock
 
     def apply_stored_rows(self) -> None:
-        """Apply the rows that the file stored."""
+        """Apply the rows that the rows file has; called once at the start."""
         stored = row_store.read(self._path) if self._path is not None else StoredRows()
         for row in stored.rows:
             self.table.apply(row)
@@ -133,15 +133,16 @@
         self.loop.call_later(NO_PEERS_DELAY_S, self.accept_changes_without_peers)
 
     def accept_changes_without_peers(self) -> None:
-        """Accept changes where no other scheduler was met: one whose seeds are gone never would otherwise."""
+        """Accept changes if no other scheduler was met: one whose seeds are gone never would otherwise."""
         if not self.table.caught_up and len(self.live_instances()) <= 1:
             log.warning(
-                "no other scheduler met in %.0f s: settings are taken as in a fleet of one", NO_PEERS_DELAY_S
+                "no other scheduler answered within %.0f s; changes of settings are accepted without a peer",
+                NO_PEERS_DELAY_S,
             )
             self.table.caught_up = True
 
     def live_instances(self) -> dict[str, int]:
-        """The instance ids of the live members by name; made anew only where the view has changed."""
+        """Return the instance ids of the live members by name, cached until the view changes."""
         view = self.transport.membership.view
         if self._live_instances_version != view.change_count:
             self._live_instances = {member.name: member.instance_id for member in view.live_members()}
@@ -149,7 +150,7 @@
         return self._live_instances
 
     def handle_message(self, message: SettingsMessage, source: Address) -> None:
-        """Handle a message of another member or of an operator."""
+        """Handle a message from another member or from an operator."""
         if isinstance(message, AppliedReport):
             self.confirmations.receive_report(message, self.live_instances())
             return
@@ -158,18 +159,18 @@
             return
         reply = self.transport.reply_function(source)
         if reply is None:
-            self.transport.count(counters.DROPPED_SETTINGS_DATAGRAM)  # operators use a stream
+            self.transport.count(counters.DROPPED_SETTINGS_DATAGRAM)  # operators' requests come on streams
         else:
             self.commands.handle(message, source, reply)
 
     def rows_received(self, rows: Iterable[Row]) -> None:
-        """Rows of other members are in the table now."""
+        """Called after rows of other members were written to the table."""
         for row in rows:
             self._log_row_event("taken", row)
         self._schedule_batch()
 
     def row_written(self, row: Row, reply: Reply) -> None:
-        """A row was written here; it is answered once it is stored and applied."""
+        """Called after a row was written here; the reply is sent once the row is stored and applied."""
         self._log_row_event("delete" if row.deleted else "put", row)
         self.confirmations.watch(self.loop.time(), row)
         self._pending_replies.append(_PendingReply(row, reply))
@@ -177,9 +178,9 @@
         self._schedule_batch()
 
     def reapply_over(self, raw: dict[str, Any], apply: Callable[[dict[str, Any]], _Applied]) -> _Applied:
-        """Have the settings of a file that was read again applied, with the rows laid over them.
+        """Overlay a settings file that was read again with the rows, and pass the result to `apply`.
 
-        The rows are confirmed to their writers once `apply` has returned; what it raises is raised here.
+        The rows are confirmed to their writers once `apply` has returned; its exceptions are not caught.
         """
         state = self.confirmations.state
         if not state.rows:
@@ -191,7 +192,7 @@
         return result
 
     def metrics(self) -> dict[str, int]:
-        """The figures for `/-/metrics`."""
+        """Return the metrics of the rows for `/-/metrics`, by name."""
         figures = {f"rows_{name.replace('-', '_')}": count for name, count in self.table.counts.items()}
         return figures | {
             "rows": len(self.table),
@@ -200,7 +201,7 @@
         }
 
     def schedule(self) -> None:
-        """Wake up when a confirmation is to be sent or queried; an earlier wake-up stays."""
+        """Set the timer for the next confirmation to send or query; a timer that is due earlier is kept."""
         due_at = self.confirmations.next_due_at()
         if self._closed or due_at == math.inf:
             return
@@ -212,7 +213,7 @@
         self._timer = self.loop.call_at(due_at, self._handle_timer)
 
     def close(self) -> None:
-        """Apply nothing more."""
+        """Stop: no more rows are applied, and no more confirmations are sent."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -221,14 +222,14 @@
         self.events.write("row", do=action, key=row.key, term=row.term, number=row.number, writer=row.writer)
 
     def _schedule_batch(self) -> None:
-        """Apply the table in a later turn; rows that come until then are in the same batch."""
+        """Apply the table in a later turn of the event loop; rows that arrive until then join the batch."""
         self._batch_pending = True
         if not self._batch_in_progress and not self._closed:
             self._batch_in_progress = True
             self.loop.call_soon(self._store_batch)
 
     def _store_batch(self) -> None:
-        """Write the rows to the file, in a thread as a disk may be slow; they are applied afterwards."""
+        """Write the rows to the file in a thread, as the disk may be slow; they are applied afterwards."""
         self._batch_pending = False
         rows, digest = tuple(self.table), self.table.digest()
         if self._path is None:
@@ -249,7 +250,7 @@
             return
         error = writing.exception() if writing is not None else None
         if error is not None and str(error) != self.store_error:
-            log.error("rows are acted on, but not kept for the next start: %s", error)
+            log.error("settings rows are applied, but not stored for the next start: %s", error)
         self.store_error = str(error) if error is not None else ""
         self._apply(rows, digest, self.confirmations.state.applied)
         if self._batch_pending:
@@ -262,15 +263,15 @@
             if laid.applied != self.confirmations.state.applied:
                 self.target.apply(laid.raw["settings"])
         except Exception as error:
-            # Nothing is confirmed: as far as is known, this scheduler acts on what was applied before.
-            log.exception("rows could not be applied")
+            # The rows are not confirmed: as far as is known, the previous rows are still applied.
+            log.exception("settings rows could not be applied")
             self._answer_pending(f"written, but not applied here: {error}")
             return
         self._record_applied(raw, laid, rows, digest)
         self._answer_pending("")
 
     def _answer_pending(self, why: str) -> None:
-        """Answer the changes that waited for this batch; `why` is empty where they are applied."""
+        """Answer the changes that waited for this batch; `why` is empty if they are applied."""
         for pending in self._pending_replies:
             pending.reply(PutResponse(self.name, why, pending.row.term, pending.row.number))
         self._pending_replies.clear()
@@ -283,7 +284,7 @@
         digest: bytes,
         file_is_new: bool = False,
     ) -> None:
-        """Record applied rows; the writers of changed ones are notified, and the logs are written."""
+        """Record the applied rows, notify the writers of changed ones, and write the logs."""
         before = self.confirmations.state
         changed = [
             row
--- a/pipitshed/cluster/settings_commands.py
+++ b/pipitshed/cluster/settings_commands.py
@@ -1,4 +1,4 @@
-"""The operators' requests about settings rows: write one, show them, and ask whether they are applied."""
+"""Answers operators' requests about settings rows: write a row, show rows, and ask which are applied."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
             reply(self.status())
 
     def put(self, message: Put, source: Address, reply: Reply) -> None:
-        """Write or delete a row, or answer why it cannot be."""
+        """Write or delete a row; if it is rejected, answer with the reason."""
         try:
             row = self._write(message, source)
         except (RowError, RowRejectedError) as error:
@@ -65,7 +65,7 @@
         self._settings.row_written(row, reply)
 
     def show(self, key: str) -> RowsResponse:
-        """The row of this key, or all rows where it is empty."""
+        """Return the row of this key, or all rows if the key is empty."""
         row = self._table.get(key)
         rows = tuple(self._table) if not key else (row,) if row is not None else ()
         file, state = self._settings.target.file(), self._confirmations.state
@@ -73,10 +73,10 @@
         return RowsResponse(self._settings.name, shown)
 
     def commit_status(self, message: CommitStatusRequest) -> CommitStatusResponse:
-        """Whether all live members apply a row.
+        """Return whether all live members apply a row.
 
         Only a row that is still in the table can be applied by all: each live member must have confirmed
-        this very row, in its present instance.
+        exactly this row, in its current instance.
         """
         view = self._settings.transport.membership.view
         failed = tuple(sorted(member.name for member in view if member.state is MemberState.DEAD))
@@ -95,7 +95,7 @@
         return CommitStatusResponse(standing.in_force, standing.appliers, standing.missing, failed)
 
     def status(self) -> AppliedStatusResponse:
-        """What this scheduler applies, and the members that it knows."""
+        """Return the rows that this scheduler applies, and the members that it knows."""
         settings, state = self._settings, self._confirmations.state
         view = settings.transport.membership.view
         members = tuple(
@@ -115,14 +115,14 @@
 
     def _write(self, message: Put, source: Address) -> Row:
         if not self._settings.has_secret and not ipaddress.ip_address(source[0]).is_loopback:
-            raise RowError("without a secret-file settings are taken from this machine alone")
+            raise RowError("without a secret-file, changes of settings are accepted only from this machine")
         membership = self._settings.transport.membership
         if membership.superseded or membership.leaving:
             raise RowError("this scheduler is no longer in the fleet")
         current = self._table.get(message.key)
         version = (current.term, current.number) if current is not None else NO_ROW_VERSION
         if message.over != version:
-            raise RowError(f"{message.key} has changed meanwhile: look at it, and put it again")
+            raise RowError(f"{message.key} has changed meanwhile: show the row, and put it again")
         name, target = self._settings.name, self._settings.target
         if message.body is None:
             return self._table.delete(message.key, name, message.take_over)
@@ -130,7 +130,7 @@
         return self._table.put(message.key, message.body, name, message.take_over)
 
     def _knows_cluster(self, live: LiveInstances) -> bool:
-        """Whether this scheduler can speak for the cluster: one that has just started knows a part of it."""
+        """Whether this scheduler may answer for the cluster: one that just started knows a part of it."""
         agrees = self._settings.transport.membership.replicator.agrees_with
         return self._table.caught_up and (len(live) <= 1 or any(agrees(name) for name in live))
 
--- a/tests/cluster/test_settings_fleet.py
+++ b/tests/cluster/test_settings_fleet.py
@@ -403,7 +403,9 @@
             held[0].say("done", result="plan")
             assert (await under_way.answer())[0] == 200  # it kept its five seconds
             second.reload(second.config.read_text())
-            await second.logged(f"{DEADLINE}: 300 stands (s2, 1.1); the file says 5000.0", 2)
+            await second.logged(
+                f"{DEADLINE}: 300 applied (writer s2, version 1.1); value in the file: 5000.0", 2
+            )
             assert await given_up(second, "q4")
             assert (await figures(second.mgmt_port))["scheduler.fleet.rows"] == 2
         # Alone, before it has met anyone: it acts on what it held, and takes no change.
