--- a/pipitshed/cluster/__init__.py
+++ b/pipitshed/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduler's node in its cluster: transport, the event log, and settings that are replicated by row."""
+"""The cluster node: sockets between schedulers, an event log, and replicated settings rows."""
--- a/pipitshed/cluster/event_log.py
+++ b/pipitshed/cluster/event_log.py
@@ -1,4 +1,4 @@
-"""The event log: what one scheduler saw of its cluster, as JSON lines with the machine's monotonic time."""
+"""The event log of one scheduler: membership and settings events as JSON lines with their times."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from pathlib import Path
 from typing import Any
 
-TIME_DIGITS = 6  # of monotonic seconds
+TIME_DIGITS = 6  # decimals of monotonic seconds
 UNIX_TIME_DIGITS = 3
 
 
 class EventLog:
-    """An event log that writes nothing; `EventLog.open` opens one that does."""
+    """An event log that discards its events; `EventLog.open` opens one that writes to a file."""
 
     def write(self, event: str, **fields: Any) -> None:
         """Write one event."""
@@ -21,13 +21,13 @@
 
     @staticmethod
     def open(path: Path | None) -> EventLog:
-        """A log that appends to this file; without a file nothing is written, and no library is loaded."""
+        """Return a log that appends to this file; without one, a log that discards its events."""
         return EventLog() if path is None else _FileEventLog(path)
 
 
 class _FileEventLog(EventLog):
     def __init__(self, path: Path) -> None:
-        import structlog  # of the extra `fleet`
+        import structlog  # imported only here: it is part of the extra `fleet`
 
         self._file = path.open("a")
         self._logger = structlog.wrap_logger(
@@ -44,7 +44,7 @@
 
 
 def _add_times(_logger: object, _method: str, event: Any) -> Any:
-    """Add monotonic seconds, which all processes of a machine share, and Unix time."""
+    """Add the monotonic time, which all processes of a machine share, and Unix time, both in seconds."""
     times = {
         "t": round(time.monotonic(), TIME_DIGITS),
         "unix": round(time.time(), UNIX_TIME_DIGITS),
--- a/pipitshed/cluster/messages.py
+++ b/pipitshed/cluster/messages.py
@@ -17,37 +17,37 @@
 
 
 class Leave(msgspec.Struct, frozen=True, array_like=True, tag=17):
-    """Request to leave the fleet in good order, and to go on serving; answered by `ViewResponse`."""
+    """Request to leave the cluster and continue to serve clients; answered by `ViewResponse`."""
 
 
 class MemberRow(msgspec.Struct, frozen=True, array_like=True):
-    """One member as a view holds it."""
+    """One member in a scheduler's membership view."""
 
     name: str
     zone: str
     address: str
     state: str
     incarnation: int
-    for_s: float  # how long it has been in this state
+    for_s: float  # seconds since it entered this state
     said_by: str  # the member that reported this state
-    agrees: bool | None  # whether its last answer had the same view; None where it has sent none
+    agrees: bool | None  # whether its last answer reported the same view; None if it sent none
 
 
 class ViewResponse(msgspec.Struct, frozen=True, array_like=True, tag=18):
     """A scheduler's membership view, in answer to `ViewRequest` and `Leave`."""
 
     name: str
-    number: int  # the number of changes of the view
+    number: int  # how often the view has changed
     digest: str  # of the live members and their addresses
     health: int  # the local health score; 0 is healthy
-    displaced: bool  # another process has its name
+    displaced: bool  # another process holds this scheduler's name
     leaving: bool
     members: tuple[MemberRow, ...]
     counts: dict[str, int]  # counters by name, see `counters`
 
 
 class Put(msgspec.Struct, frozen=True, array_like=True, tag=34):
-    """Request to write a settings row, or to delete it where there is no body; answered by `PutResponse`."""
+    """Request to write a settings row, or to delete it if `body` is None; answered by `PutResponse`."""
 
     key: str
     body: bytes | None
@@ -56,7 +56,7 @@
 
 
 class PutResponse(msgspec.Struct, frozen=True, array_like=True, tag=35):
-    """The row is written and applied here; or it is not, and `why` is the reason."""
+    """Outcome of a `Put`: the row is written and applied at this scheduler, or `why` is the reason."""
 
     name: str
     why: str
@@ -71,17 +71,17 @@
 
 
 class RowDetails(msgspec.Struct, frozen=True, array_like=True):
-    """One settings row as a scheduler holds it."""
+    """One settings row in a scheduler's table."""
 
     key: str
-    value: float | None  # applied here
-    file: float | None  # the settings file's value
-    asked: str  # the row's own value, which is not applied where the row is rejected
+    value: float | None  # the value that this scheduler applies
+    file: float | None  # the value in the settings file
+    asked: str  # the value in the row, which is not applied if the row is rejected
     term: int
     number: int
     writer: str
     deleted: bool
-    refused: str  # the reason why it is rejected; empty where it is applied
+    refused: str  # why the row is rejected; empty if it is applied
 
 
 class RowsResponse(msgspec.Struct, frozen=True, array_like=True, tag=37):
@@ -92,7 +92,7 @@
 
 
 class CommitStatusRequest(msgspec.Struct, frozen=True, array_like=True, tag=38):
-    """Question whether this row is applied by all live members; answered by `CommitStatusResponse`."""
+    """Request whether all live members apply this row; answered by `CommitStatusResponse`."""
 
     key: str
     term: int
@@ -104,9 +104,9 @@
 
     in_force: bool
     acting: tuple[str, ...]
-    missing: tuple[tuple[str, str], ...]  # name, and the reason where the member rejects the row
-    out_of_touch: tuple[str, ...]  # members that have failed
-    superseded: str = ""  # the row that has replaced it
+    missing: tuple[tuple[str, str], ...]  # name, and the reason if the member rejects the row
+    out_of_touch: tuple[str, ...]  # names of dead members
+    superseded: str = ""  # version and writer of the row that replaced it
 
 
 class AppliedStatusRequest(msgspec.Struct, frozen=True, array_like=True, tag=40):
@@ -114,14 +114,14 @@
 
 
 class AppliedStatusResponse(msgspec.Struct, frozen=True, array_like=True, tag=41):
-    """What a scheduler applies, in answer to `AppliedStatusRequest`."""
+    """Which settings rows a scheduler applies, in answer to `AppliedStatusRequest`."""
 
     name: str
     digest: str  # of the applied rows
     rows: int  # how many rows are applied or rejected
-    for_s: float  # how long it has applied them
+    for_s: float  # seconds since the applied rows last changed
     caught_up: bool
-    unsaved: str  # why the rows could not be stored; empty where they were
+    unsaved: str  # why the rows could not be stored; empty if they were
     refused: tuple[tuple[str, str], ...]  # key and reason
     members: tuple[tuple[str, str, str], ...]  # name, peer address, state
 
--- a/pipitshed/cluster/node.py
+++ b/pipitshed/cluster/node.py
@@ -1,4 +1,4 @@
-"""A scheduler's node in its cluster: the membership protocol on sockets and on the event loop's clock."""
+"""The cluster node of a scheduler: runs the membership protocol on sockets and on the event loop's clock."""
 
 from __future__ import annotations
 
@@ -47,9 +47,9 @@
 
 
 class ClusterNode:
-    """One scheduler among its peers.
+    """The cluster node of one scheduler.
 
-    It takes no part in the handling of requests: where no peer answers, the scheduler goes on serving.
+    Clients' requests do not depend on it: if no peer answers, the scheduler continues to serve.
     """
 
     def __init__(
@@ -59,10 +59,10 @@
         loop: asyncio.AbstractEventLoop,
         target: SettingsTarget | None = None,
     ) -> None:
-        """Bind the peer address; settings rows change the settings of `target`.
+        """Bind the peer address; replicated settings rows change the settings of `target`.
 
         Raises:
-            OSError: The address is taken.
+            OSError: The address is in use.
         """
         self._loop = loop
         self._config = config
@@ -84,19 +84,19 @@
             (self.settings.table,) if self.settings is not None else (),
         )
         self._member_addresses: frozenset[Address] = frozenset()
-        self._member_addresses_version = -1  # the number of changes of the view that they were made from
+        self._member_addresses_version = -1  # change count of the view that they were computed from
         self._streams = Streams(self._codec, loop, self._handle_message, self.count)
         self._datagrams = Datagrams(self._codec, loop, self._handle_message, self._is_member, self.count)
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_due_at = math.inf  # uvloop's handle has no time where it is due at once
+        self._timer_due_at = math.inf  # stored here as uvloop's handle has no time if it is due at once
         self._logged_digest = ""
         self._closed = False
         if self.settings is not None:
             self.settings.apply_stored_rows()
 
     async def start(self) -> None:
-        """Listen, and join the cluster by a full exchange with a seed."""
+        """Open the sockets, and join the cluster by a full exchange with a seed."""
         sockets = self._sockets
         await self._loop.create_datagram_endpoint(lambda: self._datagrams, sock=sockets.datagram)
         self._server = await self._loop.create_server(self._streams.incoming, sock=sockets.stream)
@@ -110,7 +110,7 @@
             life=record.instance_id,
         )
         cluster = self._config.cluster
-        log.info("peer address on %s:%d, as %s in cluster %s", *self.address, record.name, cluster)
+        log.info("peer address %s:%d is open, name %s, cluster %s", *self.address, record.name, cluster)
         self._handle_timer()
 
     def count(self, counter: str) -> None:
@@ -118,13 +118,13 @@
         self.counts[counter] += 1
 
     def send(self, address: Address, message: ClusterMessage) -> None:
-        """Send a datagram whatever is left of the bandwidth budget, which it is charged to."""
+        """Send a datagram even if the bandwidth budget is used up, and charge its size to the budget."""
         data = self._codec.encode(message)
         self.membership.replicator.budget.charge(self._loop.time(), len(data))
         self._datagrams.send(address, data)
 
     def reply_function(self, source: Address) -> Reply | None:
-        """A function that answers the message being handled, now or later; None where it was a datagram."""
+        """Return a function that answers the message being handled, now or later; None for a datagram."""
         answer = self._streams.deferred_answer(source)
         return None if answer is None else lambda message: answer(self._codec.encode(message))
 
@@ -136,18 +136,18 @@
         self._schedule()
 
     def view_response(self) -> ViewResponse:
-        """The view, as `fleet show` prints it."""
+        """Return the membership view that `fleet show` prints."""
         return view_report(self.membership, self._loop.time(), self.counts)
 
     def metrics_lines(self) -> bytes:
-        """The figures for `/-/metrics`."""
+        """Return the metrics of the view, the node and the settings for `/-/metrics`."""
         settings_metrics = self.settings.metrics() if self.settings is not None else {}
         return view_metrics(self.membership, self.counts, settings_metrics)
 
     def leave(self) -> None:
-        """Announce that this scheduler leaves, and go on doing so until the node is closed."""
+        """Announce that this scheduler leaves, and repeat the announcement until the node is closed."""
         if not self.membership.leaving:
-            log.info("leaving the fleet in good order")
+            log.info("leaving the cluster; the other members are notified")
             self._events.write("leaving")
             self._execute(self.membership.leave(self._loop.time()))
             self._schedule()
@@ -167,7 +167,7 @@
         self._events.close()
 
     def _self_record(self, zone: str) -> MemberRecord:
-        """This scheduler's member record; `zone` counts where the file names none."""
+        """Return this scheduler's member record; `zone` is used if the file names none."""
         config = self._config
         host, port = config.advertise or self.address
         return MemberRecord(
@@ -209,7 +209,7 @@
         self._schedule()
 
     def _schedule(self) -> None:
-        """Wake up when the protocol has something to do; an earlier wake-up stays."""
+        """Set the timer for the protocol's next due time; a timer that is due earlier is kept."""
         due_at = self.membership.next_due_at()
         if self._closed or (self._timer is not None and self._timer_due_at <= due_at):
             return
@@ -219,14 +219,14 @@
         self._timer = self._loop.call_at(due_at, self._handle_timer)
 
     def _execute(self, instructions: list[Instruction]) -> None:
-        """Carry out what the membership protocol asks for."""
+        """Carry out the instructions of the membership protocol."""
         for instruction in instructions:
             if isinstance(instruction, SendMessage):
                 self._send_message(instruction)
             elif isinstance(instruction, MemberStateChanged):
                 self._log_state_change(instruction)
             elif isinstance(instruction, RowsChanged):
-                assert self.settings is not None  # it has the only table
+                assert self.settings is not None  # only the settings have a table of rows
                 self.settings.rows_received(instruction.rows)
             elif isinstance(instruction, Superseded):
                 self._log_superseded(instruction.by)
@@ -236,7 +236,7 @@
             self._log_view()
 
     def _send_message(self, instruction: SendMessage) -> None:
-        """Send a message on the stream that it answers, or else as a datagram."""
+        """Send a message on the stream whose request it answers, or else as a datagram."""
         data = self._codec.encode(instruction.message)
         if isinstance(instruction.message, RepairMessage):
             self.counts[counters.REPAIR_BYTES_OUT] += len(data)
@@ -253,7 +253,13 @@
         previous = previous_state.name.lower() if previous_state is not None else "unknown"
         is_suspicion = MemberState.SUSPECT in (member.state, previous_state)
         if not is_suspicion or member.is_departed:
-            log.info("%s is %s (%s before), says %s", member.name, state, previous, member.reported_by)
+            log.info(
+                "member %s is %s (previously %s), reported by %s",
+                member.name,
+                state,
+                previous,
+                member.reported_by,
+            )
         self._events.write(
             "member",
             name=member.name,
@@ -266,8 +272,8 @@
 
     def _log_superseded(self, other: MemberRecord) -> None:
         log.error(
-            "another process holds the name %s: %s:%d, started later by its clock; "
-            "this one is out of the view until that one is gone",
+            "another process has the same name %s at %s:%d, started later by its clock; "
+            "this process is not in the membership view until the other one is gone",
             other.name,
             other.host,
             other.port,
@@ -275,11 +281,11 @@
         self._events.write("displaced", by=f"{other.host}:{other.port}", life=other.instance_id)
 
     def _log_reinstated(self, other: MemberRecord) -> None:
-        log.warning("the process at %s:%d that held this name is gone", other.host, other.port)
+        log.warning("the other process with the same name at %s:%d is gone", other.host, other.port)
         self._events.write("reinstated", after=f"{other.host}:{other.port}", life=other.instance_id)
 
     def _log_view(self) -> None:
-        """Write the view to the event log where it has changed."""
+        """Write the view to the event log if it has changed."""
         view = self.membership.view
         digest = view.digest()
         if digest == self._logged_digest:
--- a/pipitshed/cluster/view_report.py
+++ b/pipitshed/cluster/view_report.py
@@ -1,4 +1,4 @@
-"""The membership view as operators see it: for `fleet show`, and as figures for `/-/metrics`."""
+"""The membership view in the forms that operators read: for `fleet show`, and as `/-/metrics` lines."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def view_report(membership: Membership, now: float, counts: Mapping[str, int]) -> ViewResponse:
-    """The view of this scheduler at `now`, with its counters."""
+    """Return this scheduler's view, with its counters; `now` is in seconds of the event loop's clock."""
     view = membership.view
     return ViewResponse(
         name=membership.self_record.name,
@@ -32,7 +32,7 @@
 def view_metrics(
     membership: Membership, counts: Mapping[str, int], settings_metrics: Mapping[str, int]
 ) -> bytes:
-    """The figures of the view, the node and its settings as lines for `/-/metrics`."""
+    """Return the metrics of the view, the node and its settings as lines for `/-/metrics`."""
     view = membership.view
     members_by_state = Counter(member.state for member in view)
     figures = {state.name.lower(): members_by_state[state] for state in MemberState}
@@ -56,7 +56,7 @@
 
 
 def _agrees(membership: Membership, member: MemberRecord) -> bool | None:
-    """Whether the member's last answer had the same view; None where it has departed or sent none."""
+    """Whether the member's last answer reported the same view; None if it departed or sent none."""
     if member.name == membership.self_record.name:
         return True
     return None if member.is_departed else membership.replicator.agrees_with(member.name)
