--- a/pipitshed/cluster/config_file.py
+++ b/pipitshed/cluster/config_file.py
@@ -83,12 +83,12 @@
     except OSError as error:
         raise ClusterConfigError(f"{path}: {error.strerror}") from None
     except msgspec.ValidationError as error:
-        fault = _fault_of(error)
-        raise InvalidKeyError(path, text, fault.keys, fault.reason) from None
+        invalid = _invalid_key_of(error)
+        raise InvalidKeyError(path, text, invalid.keys, invalid.reason) from None
     except (ValueError, UnicodeDecodeError) as error:
         raise ClusterConfigError(f"{path}: {error}") from None
-    if first_fault := next(_faults(file), None):
-        raise InvalidKeyError(path, text, first_fault.keys, first_fault.reason)
+    if first_invalid := next(_invalid_keys(file), None):
+        raise InvalidKeyError(path, text, first_invalid.keys, first_invalid.reason)
     return ClusterConfig(
         name=file.name,
         zone=file.zone,
@@ -122,14 +122,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Fault:
+class _InvalidKey:
     """A key whose value cannot be used."""
 
     keys: tuple[str, ...]
     reason: str
 
 
-def _fault_of(error: msgspec.ValidationError) -> _Fault:
+def _invalid_key_of(error: msgspec.ValidationError) -> _InvalidKey:
     """Return the key that a validation error names, and the error's text without the key."""
     message = str(error)
     found = _KEY_PATH.search(message)
@@ -137,10 +137,10 @@
     keys = tuple(part.rstrip("]") for part in parts if not part.startswith("...") and not part[:1].isdigit())
     if unknown := _UNKNOWN_FIELD.search(message):
         keys = (*keys, unknown[1])
-    return _Fault(keys, _KEY_PATH.sub("", message))
+    return _InvalidKey(keys, _KEY_PATH.sub("", message))
 
 
-def _faults(file: ClusterFile) -> Iterator[_Fault]:
+def _invalid_keys(file: ClusterFile) -> Iterator[_InvalidKey]:
     """Yield the keys whose values cannot be used."""
     for key, name, required in (
         ("name", file.name, True),
@@ -149,15 +149,15 @@
         ("cluster", file.cluster, True),
     ):
         if required and not name:
-            yield _Fault((key,), "must not be empty")
+            yield _InvalidKey((key,), "must not be empty")
         if len(name.encode()) > NAME_LIMIT:
-            yield _Fault((key,), f"longer than {NAME_LIMIT} bytes")
-    yield from _address_faults(file)
-    if (fault := file.scales.fault()) is not None:
-        yield _Fault(("scales", fault[0]), fault[1])
+            yield _InvalidKey((key,), f"longer than {NAME_LIMIT} bytes")
+    yield from _invalid_addresses(file)
+    if (scales_fault := file.scales.fault()) is not None:
+        yield _InvalidKey(("scales", scales_fault[0]), scales_fault[1])
 
 
-def _address_faults(file: ClusterFile) -> Iterator[_Fault]:
+def _invalid_addresses(file: ClusterFile) -> Iterator[_InvalidKey]:
     addresses = [("listen", file.listen)]
     if file.advertise:
         addresses.append(("advertise", file.advertise))
@@ -166,4 +166,4 @@
         try:
             parse_address(address)
         except ValueError as error:
-            yield _Fault((key,), str(error))
+            yield _InvalidKey((key,), str(error))
