--- a/pipitshed/cluster/row_store.py
+++ b/pipitshed/cluster/row_store.py
@@ -11,7 +11,7 @@
 
 from pipitshed.replication.row import Row
 
-MARK = b"pipitshed rows 1 "  # before the checksum; a file of another version is moved aside
+FILE_MAGIC = b"pipitshed rows 1 "  # before the checksum; a file of another version is moved aside
 CHECKSUM_BYTES = 16
 DAMAGED_SUFFIX = ".damaged"
 PARTIAL_SUFFIX = ".part"
@@ -54,7 +54,7 @@
     body = msgspec.json.encode(stored)
     partial = path.with_name(path.name + PARTIAL_SUFFIX)
     with partial.open("wb") as file:
-        file.write(MARK + _checksum(body) + b"\n" + body)
+        file.write(FILE_MAGIC + _checksum(body) + b"\n" + body)
         file.flush()
         os.fsync(file.fileno())
     os.replace(partial, path)
@@ -63,7 +63,7 @@
 
 def _decode(data: bytes) -> StoredRows:
     head, _, body = data.partition(b"\n")
-    if head != MARK + _checksum(body):
+    if head != FILE_MAGIC + _checksum(body):
         raise ValueError("damaged, or of another version")
     return msgspec.json.decode(body, type=StoredRows)
 
