--- a/pipitshed/cluster/settings.py
+++ b/pipitshed/cluster/settings.py
@@ -186,15 +186,15 @@
         if not state.rows:
             return apply(raw["settings"])
         rows = tuple(state.rows.values())
-        laid = overlay(raw, rows, state.applied, self.target.fixed_classes)
-        result = apply(laid.raw["settings"])
-        self._record_applied(raw, laid, rows, state.digest, file_is_new=True)
+        overlaid = overlay(raw, rows, state.applied, self.target.fixed_classes)
+        result = apply(overlaid.raw["settings"])
+        self._record_applied(raw, overlaid, rows, state.digest, file_is_new=True)
         return result
 
     def metrics(self) -> dict[str, int]:
         """Return the metrics of the rows for `/-/metrics`, by name."""
-        figures = {f"rows_{name.replace('-', '_')}": count for name, count in self.table.counts.items()}
-        return figures | {
+        metrics = {f"rows_{name.replace('-', '_')}": count for name, count in self.table.counts.items()}
+        return metrics | {
             "rows": len(self.table),
             "rows_refused": len(self.confirmations.state.rejected),
             "rows_unsaved": int(bool(self.store_error)),
@@ -258,16 +258,16 @@
 
     def _apply(self, rows: tuple[Row, ...], digest: bytes, previously_applied: Mapping[str, Row]) -> None:
         raw = self.target.file()
-        laid = overlay(raw, rows, previously_applied, self.target.fixed_classes)
+        overlaid = overlay(raw, rows, previously_applied, self.target.fixed_classes)
         try:
-            if laid.applied != self.confirmations.state.applied:
-                self.target.apply(laid.raw["settings"])
+            if overlaid.applied != self.confirmations.state.applied:
+                self.target.apply(overlaid.raw["settings"])
         except Exception as error:
             # The rows are not confirmed: as far as is known, the previous rows are still applied.
             log.exception("settings rows could not be applied")
             self._answer_pending(f"written, but not applied here: {error}")
             return
-        self._record_applied(raw, laid, rows, digest)
+        self._record_applied(raw, overlaid, rows, digest)
         self._answer_pending("")
 
     def _answer_pending(self, why: str) -> None:
@@ -279,7 +279,7 @@
     def _record_applied(
         self,
         raw: dict[str, Any],
-        laid: Overlay,
+        overlaid: Overlay,
         rows: tuple[Row, ...],
         digest: bytes,
         file_is_new: bool = False,
@@ -289,25 +289,26 @@
         changed = [
             row
             for row in rows
-            if row != before.rows.get(row.key) or laid.rejected.get(row.key) != before.rejected.get(row.key)
+            if row != before.rows.get(row.key)
+            or overlaid.rejected.get(row.key) != before.rejected.get(row.key)
         ]
         now = self.loop.time()
         if changed:
             self.applied_since = now
-        state = AppliedState(digest, {row.key: row for row in rows}, laid.applied, laid.rejected)
+        state = AppliedState(digest, {row.key: row for row in rows}, overlaid.applied, overlaid.rejected)
         self.confirmations.record_applied(now, state, changed, len(self.live_instances()))
-        self._log_applied_event(digest, laid, changed)
-        log_overlay(raw, laid, rows if file_is_new else changed)
+        self._log_applied_event(digest, overlaid, changed)
+        log_overlay(raw, overlaid, rows if file_is_new else changed)
         self.schedule()
 
-    def _log_applied_event(self, digest: bytes, laid: Overlay, changed: Iterable[Row]) -> None:
+    def _log_applied_event(self, digest: bytes, overlaid: Overlay, changed: Iterable[Row]) -> None:
         applied, rejected = [], []
         for row in changed:
-            if row.key in laid.applied:
-                newest = laid.applied[row.key]
+            if row.key in overlaid.applied:
+                newest = overlaid.applied[row.key]
                 applied.append([newest.key, newest.term, newest.number])
-            if row.key in laid.rejected:
-                rejected.append([row.key, laid.rejected[row.key]])
+            if row.key in overlaid.rejected:
+                rejected.append([row.key, overlaid.rejected[row.key]])
         self.events.write("acting", digest=digest.hex(), rows=applied, refused=rejected)
 
     def _send(self, name: str, message: AppliedReport | AppliedQuery) -> None:
