--- a/pipitshed/cluster/settings_commands.py
+++ b/pipitshed/cluster/settings_commands.py
@@ -27,7 +27,7 @@
     from pipitshed.cluster.settings import ReplicatedSettings, Reply
 
 MAX_SHOWN_VALUE_BYTES = 64
-FOR_S_DIGITS = 3
+DURATION_DIGITS = 3  # decimals of seconds
 NO_ROW_VERSION = (0, 0)
 
 
@@ -69,8 +69,8 @@
         row = self._table.get(key)
         rows = tuple(self._table) if not key else (row,) if row is not None else ()
         file, state = self._settings.target.file(), self._confirmations.state
-        shown = tuple(_shown(row, file, state) for row in sorted(rows, key=lambda row: row.key))
-        return RowsResponse(self._settings.name, shown)
+        details = tuple(_row_details(row, file, state) for row in sorted(rows, key=lambda row: row.key))
+        return RowsResponse(self._settings.name, details)
 
     def commit_status(self, message: CommitStatusRequest) -> CommitStatusResponse:
         """Return whether all live members apply a row.
@@ -85,14 +85,14 @@
             successor = f"{row.term}.{row.number} of {row.writer}" if row is not None else "no row"
             return CommitStatusResponse(False, (), (), failed, successor)
         live = self._settings.live_instances()
-        standing = self._confirmations.status(self._settings.loop.time(), row, live)
+        row_status = self._confirmations.status(self._settings.loop.time(), row, live)
         self._settings.schedule()
         if not self._knows_cluster(live):
-            missing = dict(standing.missing) | {self._settings.name: ""}
-            return CommitStatusResponse(False, standing.appliers, tuple(missing.items()), failed)
-        if standing.in_force:
-            self._log_committed(row, standing, live, failed)
-        return CommitStatusResponse(standing.in_force, standing.appliers, standing.missing, failed)
+            missing = dict(row_status.missing) | {self._settings.name: ""}
+            return CommitStatusResponse(False, row_status.appliers, tuple(missing.items()), failed)
+        if row_status.in_force:
+            self._log_committed(row, row_status, live, failed)
+        return CommitStatusResponse(row_status.in_force, row_status.appliers, row_status.missing, failed)
 
     def status(self) -> AppliedStatusResponse:
         """Return the rows that this scheduler applies, and the members that it knows."""
@@ -106,7 +106,7 @@
             name=settings.name,
             digest=state.digest.hex(),
             rows=len(state.rows),
-            for_s=round(settings.loop.time() - settings.applied_since, FOR_S_DIGITS),
+            for_s=round(settings.loop.time() - settings.applied_since, DURATION_DIGITS),
             caught_up=self._table.caught_up,
             unsaved=settings.store_error,
             refused=tuple(sorted(state.rejected.items())),
@@ -135,24 +135,24 @@
         return self._table.caught_up and (len(live) <= 1 or any(agrees(name) for name in live))
 
     def _log_committed(
-        self, row: Row, standing: CommitStatus, live: LiveInstances, failed: tuple[str, ...]
+        self, row: Row, row_status: CommitStatus, live: LiveInstances, failed: tuple[str, ...]
     ) -> None:
         self._settings.events.write(
             "in_force",
             key=row.key,
             term=row.term,
             number=row.number,
-            acting=[[name, live[name]] for name in standing.appliers],
+            acting=[[name, live[name]] for name in row_status.appliers],
             gone=failed,
         )
 
 
-def _shown(row: Row, file: dict[str, Any], state: AppliedState) -> RowDetails:
-    file_number, applied = file_value(file, row.key), state.applied.get(row.key)
+def _row_details(row: Row, file: dict[str, Any], state: AppliedState) -> RowDetails:
+    value_in_file, applied = file_value(file, row.key), state.applied.get(row.key)
     return RowDetails(
         key=row.key,
-        value=file_number if applied is None or applied.deleted else float(applied.body),
-        file=file_number,
+        value=value_in_file if applied is None or applied.deleted else float(applied.body),
+        file=value_in_file,
         asked=row.body[:MAX_SHOWN_VALUE_BYTES].decode("utf-8", "replace"),
         term=row.term,
         number=row.number,
--- a/pipitshed/cluster/view_report.py
+++ b/pipitshed/cluster/view_report.py
@@ -9,7 +9,7 @@
 from pipitshed.membership.members import MemberRecord, MemberState
 from pipitshed.membership.protocol import Membership
 
-FOR_S_DIGITS = 3
+DURATION_DIGITS = 3  # decimals of seconds
 
 
 def view_report(membership: Membership, now: float, counts: Mapping[str, int]) -> ViewResponse:
@@ -35,11 +35,11 @@
     """Return the metrics of the view, the node and its settings as lines for `/-/metrics`."""
     view = membership.view
     members_by_state = Counter(member.state for member in view)
-    figures = {state.name.lower(): members_by_state[state] for state in MemberState}
-    figures |= {"view_number": view.change_count, "health": membership.health.score}
-    figures |= dict(sorted(counts.items()))
-    figures |= dict(sorted(settings_metrics.items()))
-    return "".join(f"scheduler.fleet.{name}={value}\n" for name, value in figures.items()).encode()
+    metrics = {state.name.lower(): members_by_state[state] for state in MemberState}
+    metrics |= {"view_number": view.change_count, "health": membership.health.score}
+    metrics |= dict(sorted(counts.items()))
+    metrics |= dict(sorted(settings_metrics.items()))
+    return "".join(f"scheduler.fleet.{name}={value}\n" for name, value in metrics.items()).encode()
 
 
 def _member_row(membership: Membership, member: MemberRecord, now: float) -> MemberRow:
@@ -49,7 +49,7 @@
         address=f"{member.host}:{member.port}",
         state=member.state.name.lower(),
         incarnation=member.incarnation,
-        for_s=round(now - membership.view.since(member.name), FOR_S_DIGITS),
+        for_s=round(now - membership.view.since(member.name), DURATION_DIGITS),
         said_by=member.reported_by,
         agrees=_agrees(membership, member),
     )
