--- a/pipitshed/cluster/settings.py
+++ b/pipitshed/cluster/settings.py
@@ -193,8 +193,8 @@
 
     def metrics(self) -> dict[str, int]:
         """Return the metrics of the rows for `/-/metrics`, by name."""
-        metrics = {f"rows_{name.replace('-', '_')}": count for name, count in self.table.counts.items()}
-        return metrics | {
+        counts = {f"rows_{name.replace('-', '_')}": count for name, count in self.table.counts.items()}
+        return counts | {
             "rows": len(self.table),
             "rows_refused": len(self.confirmations.state.rejected),
             "rows_unsaved": int(bool(self.store_error)),
