--- a/benchmarks/capacity/letter.py
+++ b/benchmarks/capacity/letter.py
@@ -899,7 +899,7 @@
             "tests/membership/test_membership.py::"
             "test_two_halves_apart_for_a_minute_with_joins_and_deaths_settle_once_whole",
             "tests/replication/test_replication.py::test_sides_that_were_apart_hold_the_same_rows_soon_after_they_meet",
-            "tests/cluster/test_fleet_rig.py::test_halves_apart_with_a_join_and_a_death_in_each_are_one_again",
+            "tests/cluster/test_fleet_rig.py::test_partition_with_a_join_and_deaths_heals",
         ),
     ),
     Failure(
@@ -909,9 +909,7 @@
         JOIN_BYTES.at(SCHEDULERS),
         "bytes",
         JOIN_SETTLED.at(SCHEDULERS),
-        (
-            "tests/cluster/test_fleet_rig.py::test_half_the_fleet_killed_at_once_and_started_anew_without_disks",
-        ),
+        ("tests/cluster/test_fleet_rig.py::test_half_the_fleet_is_killed_and_restarted_without_disks",),
     ),
     Failure(
         "all restarted, a tenth at a time",
@@ -920,7 +918,7 @@
         WAVE_SECOND.at(SCHEDULERS),
         "bytes",
         WAVE_SETTLED.at(SCHEDULERS),
-        ("tests/cluster/test_fleet_rig.py::test_all_restarted_one_after_the_other",),
+        ("tests/cluster/test_fleet_rig.py::test_rolling_restart",),
     ),
     Failure(
         "all restarted, their lists",
--- a/tests/cluster/test_fleet_rig.py
+++ b/tests/cluster/test_fleet_rig.py
@@ -49,14 +49,14 @@
 
 
 @GROUPS[0]
-def test_a_one_way_cut_between_two_kills_nobody_and_costs_no_request() -> None:
+def test_one_way_partition_causes_no_death_and_no_failed_request() -> None:
     told = case(Fault(0.0, "cut-one-way", ("s1",), ("s2",), lasts=4.0), all_in_time=True)
     assert told["wrong"] == [] and told["false_deaths"] == 0
     assert told["links"]["lost"] > 0 and told["requests"] > 100
 
 
 @GROUPS[1]
-def test_one_that_stood_still_for_five_seconds_comes_back_and_judges_nobody() -> None:
+def test_process_paused_for_five_seconds_rejoins_and_declares_no_member_dead() -> None:
     with tempfile.TemporaryDirectory() as folder:
         scenario = Scenario("still", Shape(4, 2, 2, scales=FAST), Traffic(30.0), settle_within=SETTLE)
         told = uvloop.run(play(scenario, (Fault(0.0, "pause", ("s2",), lasts=5.0),), 1, Path(folder)))
@@ -66,19 +66,19 @@
 
 
 @GROUPS[0]
-def test_half_the_fleet_killed_at_once_and_started_anew_without_disks() -> None:
+def test_half_the_fleet_is_killed_and_restarted_without_disks() -> None:
     told = case(Fault(0.0, "kill", ("s1", "s3"), lasts=1.0, disk=False))
     assert told["wrong"] == []
 
 
 @GROUPS[1]
-def test_all_restarted_one_after_the_other() -> None:
+def test_rolling_restart() -> None:
     told = case(Fault(0.0, "roll", lasts=0.0), processes=3)
     assert told["wrong"] == [] and told["unanswered"] == 0
 
 
 @GROUPS[0]
-def test_halves_apart_with_a_join_and_a_death_in_each_are_one_again() -> None:
+def test_partition_with_a_join_and_deaths_heals() -> None:
     told = case(
         Fault(0.0, "cut-zone", ("zone-1",), lasts=6.0),
         Fault(1.0, "kill-for-good", ("s3",)),
@@ -90,26 +90,26 @@
 
 
 @GROUPS[1]
-def test_a_name_taken_while_its_holder_lives_goes_to_the_later_process() -> None:
+def test_name_in_use_goes_to_the_process_that_started_later() -> None:
     told = case(Fault(0.0, "double", ("s3",)))
     assert told["wrong"] == [] and told["displaced"] == 1
 
 
 @GROUPS[0]
-def test_a_member_that_flaps_and_one_whose_clock_stands_back_are_alive_in_the_end() -> None:
+def test_flapping_member_and_one_with_its_clock_set_back_end_alive() -> None:
     flaps = [Fault(at, "kill", ("s4",), lasts=0.1) for at in (0.0, 0.2, 0.4)]
     told = case(*flaps, Fault(0.1, "clock", ("s3",), lasts=1.5, amount=-3600.0))
     assert told["wrong"] == []
 
 
 @GROUPS[1]
-def test_the_seeds_all_dead_the_others_stay_together_and_take_them_back() -> None:
+def test_members_stay_joined_while_all_seeds_are_dead_and_accept_them_back() -> None:
     told = case(Fault(0.0, "kill", ("s1", "s2"), lasts=3.0), processes=5)
     assert told["wrong"] == []
 
 
 @GROUPS[0]
-def test_messages_lost_doubled_late_in_another_order_and_dripped_change_nothing() -> None:
+def test_lost_duplicated_reordered_delayed_and_throttled_messages_do_no_harm() -> None:
     everyone = ("s1", "s2", "s3", "s4")
     told = case(
         Fault(0.0, "duplicate", everyone, lasts=3.0, amount=0.5),
@@ -125,7 +125,7 @@
 
 
 @GROUPS[1]
-def test_alone_with_no_peer_a_scheduler_serves() -> None:
+def test_scheduler_without_reachable_peers_serves() -> None:
     told = case(Fault(0.0, "cut", ("s1", "s2", "s3"), lasts=2.0), processes=3, all_in_time=True)
     assert told["wrong"] == []
 
@@ -133,7 +133,7 @@
 # ---- the rig itself
 
 
-def test_the_same_scenario_and_seed_are_the_same_faults_and_a_script_plays_them_again() -> None:
+def test_same_scenario_and_seed_give_the_same_faults_and_a_script_repeats_them() -> None:
     scenario = Scenario("drawn", Shape(5), mix=Mix(8, 5.0, kinds={"cut": 1.0, "kill": 1.0, "loss": 1.0}))
     assert drawn(scenario, 3) == drawn(scenario, 3) != drawn(scenario, 4)
     again = read(script(scenario, drawn(scenario, 3)))
@@ -149,18 +149,18 @@
         ('name = "x"\n[fleet]\nprocesses = 90', "1 to 60"),
     ],
 )
-def test_a_scenario_that_cant_be_played_says_why(text: str, what: str) -> None:
+def test_invalid_scenario_is_rejected_with_the_reason(text: str, what: str) -> None:
     with pytest.raises(ScenarioError, match=what):
         read(text)
 
 
-def test_the_smallest_script_keeps_what_it_needs_to_fail() -> None:
+def test_shrunk_script_keeps_the_faults_that_the_failure_needs() -> None:
     faults = tuple(Fault(float(at), "cut", ("s1",)) for at in range(12))
     needed = {faults[2], faults[9]}
     assert set(smallest(faults, lambda some: needed <= set(some), 100)) == needed
 
 
-def test_what_comes_after_the_play_is_no_part_of_the_verdict(tmp_path: Path) -> None:
+def test_events_after_the_run_are_not_part_of_the_verdict(tmp_path: Path) -> None:
     """The failure met: all processes are told to end after the play, and a fleet of nobody agreed."""
     rig = [
         {"t": 1.0, "event": "spawn", "process": "s1", "place": 0, "start": 1, "events": "e1"},
@@ -182,7 +182,7 @@
     assert after is None and wrong == ["s2 holds another view: lacks ['s1'], has []"]
 
 
-def test_the_oracles_say_no_to_each_thing_that_they_look_for(tmp_path: Path) -> None:
+def test_oracles_reject_each_kind_of_violation(tmp_path: Path) -> None:
     """Logs made by hand, each with one fault in it."""
 
     def logs(**wrong: Any) -> oracles.Logs:
@@ -207,7 +207,7 @@
     ("job_class", "killed", "asked_again"),
     [("book", True, False), ("book", False, True), ("quote", True, True)],
 )
-def test_a_keyed_job_that_a_killed_scheduler_may_have_taken_is_not_asked_of_another(
+def test_keyed_job_that_a_killed_scheduler_may_have_accepted_is_not_retried(
     job_class: str, killed: bool, asked_again: bool
 ) -> None:
     """The failure met, twice on a busy machine: a scheduler was killed behind a request that it had
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -57,14 +57,14 @@
     )
     | st.builds(RepairMessage, st.builds(Rows, st.integers(0, 9), st.lists(words()).map(pack)), words())
 )
-def test_messages_come_back_as_they_were(message: Ping | Ack | RepairMessage) -> None:
+def test_encoded_messages_decode_to_the_same_messages(message: Ping | Ack | RepairMessage) -> None:
     codec = Codec("red", b"key")
     assert codec.decode(codec.encode(message)) == message
 
 
 @given(st.binary(max_size=60), st.integers(0, 10_000), st.integers(0, 255))
 @settings(max_examples=300)
-def test_damaged_and_strange_bytes_are_refused(junk: bytes, place: int, value: int) -> None:
+def test_damaged_and_arbitrary_bytes_are_rejected(junk: bytes, place: int, value: int) -> None:
     codec = Codec("red")
     data = bytearray(codec.encode(Ping(1, MemberRecord("a", "h", 1, "z", 1, 1), "b")))
     place %= len(data)
@@ -82,7 +82,7 @@
     ("theirs", "why"),
     [(Codec("blue"), "cluster"), (Codec("red", b"another"), "checksum"), (Codec("red", b"key"), "")],
 )
-def test_another_cluster_and_a_forger_without_the_secret_are_refused(theirs: Codec, why: str) -> None:
+def test_messages_of_another_cluster_or_without_the_secret_are_rejected(theirs: Codec, why: str) -> None:
     data = theirs.encode(ViewRequest())
     if not why:
         assert Codec("red", b"key").decode(data) == ViewRequest()
@@ -93,14 +93,14 @@
         Codec("red").decode(data)
 
 
-def test_a_newer_version_is_refused_by_name() -> None:
+def test_newer_version_is_rejected_with_its_own_reason() -> None:
     data = bytearray(Codec("red").encode(ViewRequest()))
     data[2] += 1
     with pytest.raises(MessageRejectedError, match="version"):
         Codec("red").decode(bytes(data))
 
 
-def test_rumours_fit_a_datagram_however_long_the_names() -> None:
+def test_gossip_with_the_longest_names_fits_a_datagram() -> None:
     rumours: GossipQueue[MemberRecord] = GossipQueue()
     long = [
         MemberRecord(
@@ -114,7 +114,7 @@
     assert told and len(Codec("c" * 64).encode(Ping(2**60, long[0], long[1].name, told))) <= DATAGRAM_LIMIT
 
 
-def test_an_allowance_is_so_many_a_second() -> None:
+def test_rate_limiter_enforces_burst_and_rate() -> None:
     allowance = RateLimiter(10.0, 20.0)
     assert sum(allowance.try_acquire(5.0) for _ in range(100)) == 20
     assert sum(allowance.try_acquire(5.0 + place / 100) for place in range(100)) in (9, 10)
@@ -139,9 +139,7 @@
         (GOOD + "[scales", 0, "peers.toml"),
     ],
 )
-def test_a_file_that_cant_be_used_is_told_with_line_and_key(
-    tmp_path: Path, text: str, line: int, what: str
-) -> None:
+def test_invalid_file_is_reported_with_line_and_key(tmp_path: Path, text: str, line: int, what: str) -> None:
     path = tmp_path / "peers.toml"
     path.write_text(text)
     with pytest.raises(ClusterConfigError) as error:
@@ -156,7 +154,7 @@
         assert result.exit_code == 2 and result.output.count("\n") == 1
 
 
-def test_the_shipped_file_and_the_schema_agree(tmp_path: Path) -> None:
+def test_shipped_file_and_schema_agree(tmp_path: Path) -> None:
     shipped = ROOT / "deploy" / "fleet.toml"
     assert read(shipped).cluster == "pipitshed"
     schema = json.loads(CliRunner().invoke(main, ["schema", "peers"]).output)
@@ -191,7 +189,7 @@
     return [word.name for word in fleet.membership.view.live_members()]
 
 
-def test_a_step_that_is_due_at_once_is_armed_again_without_an_exception() -> None:
+def test_timer_due_at_once_is_rescheduled_without_an_exception() -> None:
     """The failure met: SIGTERM in the turn in which a step was due; uvloop's handle of a call that is due at
     once tells no time, and the exception kept the program from its end."""
 
@@ -211,7 +209,7 @@
 
 
 @story
-async def test_schedulers_join_find_a_death_and_take_a_good_bye() -> None:
+async def test_schedulers_join_and_detect_a_death_and_a_departure() -> None:
     fleets = await joined(4)
     await until(lambda: len({one.membership.view.digest() for one in fleets}) == 1)
     fleets[3].close()  # no good-bye
@@ -225,7 +223,7 @@
 
 
 @story
-async def test_a_flood_of_forged_members_is_bounded_and_costs_no_member() -> None:
+async def test_flood_of_forged_members_is_limited_and_removes_no_member() -> None:
     """Without a secret a forger is believed, so what it may cost is bounded; with one it is dropped."""
     for secret in (b"", b"key"):
         fleets = await joined(3, secret)
@@ -258,7 +256,7 @@
             one.close()
 
 
-def test_streams_that_say_nothing_or_too_much_are_ended(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_and_oversized_streams_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(streams, "STREAM_TIMEOUT_S", 0.3)
     story(_strange_streams)()
 
@@ -289,7 +287,7 @@
     fleet.close()
 
 
-def test_the_port_taken_is_told_in_one_line(tmp_path: Path) -> None:
+def test_port_in_use_is_reported_in_one_line(tmp_path: Path) -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
         taken.bind(("127.0.0.1", 0))
         (tmp_path / "peers.toml").write_text(f'name = "s1"\nlisten = "127.0.0.1:{taken.getsockname()[1]}"\n')
@@ -303,7 +301,7 @@
 
 
 @story
-async def test_show_and_leave_ask_any_scheduler() -> None:
+async def test_show_and_leave_commands_work_at_any_scheduler() -> None:
     fleets = await joined(3)
     await until(lambda: all(row.agrees for row in fleets[1].view_response().members))
 
--- a/tests/cluster/test_settings_fleet.py
+++ b/tests/cluster/test_settings_fleet.py
@@ -119,7 +119,7 @@
 
 
 @told
-async def test_a_row_is_put_in_force_taken_over_deleted_and_shown(folder: Path) -> None:
+async def test_row_is_put_taken_over_deleted_and_shown(folder: Path) -> None:
     async with nodes(folder, {}, {}, {}) as (one, two, three):
         assert (await call("put", SHARE, "0.4", "--peer", two.peer)) == (
             f"0 accepted by s1: {SHARE} = 0.4, as 1.1\nin force at all 3 in touch\n"
@@ -141,7 +141,7 @@
 
 
 @told
-async def test_rows_are_not_confirmed_where_an_exception_kept_them_from_being_applied(folder: Path) -> None:
+async def test_rows_are_not_confirmed_if_applying_them_raised(folder: Path) -> None:
     """Guards against `in force` of a row that a scheduler does not act on: it was recorded, and so confirmed,
     before the settings were applied."""
     async with nodes(folder, {}, {}) as (one, two):
@@ -162,7 +162,7 @@
 
 
 @told
-async def test_what_a_scheduler_refuses_is_told_by_name(folder: Path) -> None:
+async def test_rejected_row_is_reported_with_member_and_reason(folder: Path) -> None:
     renamed = {"tenants": [{"name": "other", "share": 1.0, "allowancePerS": 5.0}]}
     async with nodes(folder, {}, {}) as (one, two):
         assert (await call("put", SHARE, "0.4", "--peer", one.peer)).startswith("0 ")
@@ -181,7 +181,7 @@
 
 
 @told
-async def test_nothing_is_in_force_while_one_that_lives_says_nothing(folder: Path) -> None:
+async def test_row_is_not_in_force_while_a_live_member_has_not_confirmed(folder: Path) -> None:
     async with nodes(folder, {}, {}, {}) as (one, two, three):
         three.fleet.send = lambda to, message: None  # type: ignore[method-assign]
         said = await call("put", SHARE, "0.4", "--wait", "1.5", "--peer", one.peer)
@@ -199,7 +199,7 @@
 
 
 @told
-async def test_settings_are_written_with_a_secret_or_from_this_machine(folder: Path) -> None:
+async def test_settings_changes_require_a_secret_or_a_local_sender(folder: Path) -> None:
     for secret, source, allowed in (
         (b"", "10.0.0.7", False),
         (b"", "127.0.0.9", True),
@@ -221,7 +221,7 @@
 
 
 @told
-async def test_a_change_that_crosses_another_or_comes_too_early_or_is_too_long_is_refused(
+async def test_conflicting_early_and_oversized_changes_are_rejected(
     folder: Path,
 ) -> None:
     async with nodes(folder, {}) as [node]:
@@ -251,7 +251,7 @@
 
 
 @told
-async def test_a_burst_is_one_batch_and_rows_are_kept_before_they_are_acted_on(folder: Path) -> None:
+async def test_burst_of_rows_is_one_batch_and_stored_before_it_is_applied(folder: Path) -> None:
     tenants = [{"name": f"t{place}", "share": 1.0} for place in range(20)]
     held, write = threading.Event(), rowsfile.write
 
@@ -293,7 +293,7 @@
 
 
 @told
-async def test_a_message_of_another_life_or_of_nobody_confirms_nothing(folder: Path) -> None:
+async def test_report_of_another_instance_or_unknown_member_confirms_nothing(folder: Path) -> None:
     async with nodes(folder, {}, {}) as (one, two):
         rows = one.fleet.settings
         assert rows is not None
@@ -318,7 +318,7 @@
         assert not rows.commands.commit_status(CommitStatusRequest(SHARE, 1, 1)).in_force
 
 
-def test_a_class_that_gearmans_functions_have_is_not_changed_by_row(tmp_path: Path) -> None:
+def test_class_of_gearman_functions_is_not_changed_by_a_row(tmp_path: Path) -> None:
     async def check() -> None:
         made, front = config(tmp_path), tmp_path / "front.toml"
         front.write_text(FRONT)
@@ -365,7 +365,7 @@
 
 
 @told
-async def test_a_start_that_fails_is_told_with_all_that_the_program_said(folder: Path) -> None:
+async def test_failed_start_is_reported_with_the_output_of_the_program(folder: Path) -> None:
     """Guards against a failed start whose reason is lost, as it was where another process had the port."""
     [host] = own_hosts(1)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
@@ -376,7 +376,7 @@
 
 
 @told
-async def test_rows_are_acted_on_by_processes_stand_over_a_file_read_anew_and_outlive_a_restart(
+async def test_processes_apply_rows_over_a_reloaded_file_and_after_a_restart(
     folder: Path,
 ) -> None:
     held: list[Run] = []
--- a/tests/cluster/test_settings_rig.py
+++ b/tests/cluster/test_settings_rig.py
@@ -43,7 +43,7 @@
 
 
 @GROUPS[0]
-def test_changes_while_their_writer_is_killed_and_another_lost_its_disk_and_its_clock() -> None:
+def test_changes_with_a_killed_writer_a_lost_disk_and_a_wrong_clock() -> None:
     puts = tuple(Put(at, "s1", SHARE, f"0.{place}") for place, at in enumerate((0.0, 0.4, 2.5, 3.0), 1))
     told = case(
         (*puts, Put(0.2, "s2", QUOTA, "80")),
@@ -55,7 +55,7 @@
 
 
 @GROUPS[1]
-def test_changes_in_both_halves_of_a_fleet_and_at_one_that_stands_still() -> None:
+def test_changes_in_both_halves_of_a_partition_and_at_a_paused_process() -> None:
     puts = (
         Put(0.5, "s1", SHARE, "0.1"),
         Put(3.0, "s2", SHARE, "0.2"),
@@ -71,7 +71,7 @@
     assert told["wrong"] == [] and told["puts_in_force"] >= 2
 
 
-def test_a_change_that_a_scheduler_has_just_started_too_late_for_is_put_again() -> None:
+def test_change_rejected_by_a_just_started_scheduler_is_put_again() -> None:
     """Guards against a play that counts on how soon a process is up: a put that is refused until the
     scheduler was compared with a peer is put again, as the operators' page says, and any other is not."""
     answers = [NOT_COMPARED, NOT_COMPARED, "", "has changed meanwhile"]
@@ -111,7 +111,7 @@
     return Logs([one, two], [], 30.0, 40.0, [])
 
 
-def test_in_force_is_wrong_where_one_named_or_one_in_touch_does_not_act() -> None:
+def test_in_force_is_rejected_if_a_named_or_reachable_member_does_not_apply_the_row() -> None:
     late = [(9.0, {SHARE: (1, 1)}), (20.1, {SHARE: (1, 2)})]
     assert row_oracles.exact(logs(), 6.0, 2) == []
     assert "s2 did not act on it" in row_oracles.exact(logs(acting=late), 6.0, 2)[0]
@@ -135,7 +135,7 @@
         assert (row_oracles.exact(held, 6.0, 2) == []) is excused, fault
 
 
-def test_going_back_is_wrong_in_one_life_and_over_a_restart_that_found_its_folder() -> None:
+def test_older_row_is_rejected_in_one_instance_and_after_a_restart_with_its_folder() -> None:
     assert row_oracles.backwards(logs()) == []
     back = [(9.0, {SHARE: (1, 2)}), (10.0, {SHARE: (1, 1)})]
     assert "went back" in row_oracles.backwards(logs(acting=back))[0]
@@ -161,7 +161,7 @@
         assert ("started with" in "".join(row_oracles.backwards(held))) is wrong, rows
 
 
-def test_in_the_end_all_act_on_the_same_rows_and_on_none_older_than_was_in_force() -> None:
+def test_all_apply_the_same_rows_at_the_end_and_none_older_than_one_in_force() -> None:
     assert row_oracles.settled(logs()) == []
     assert "s2 acts on" in row_oracles.settled(logs(acting=[]))[0]
     gone = logs(acting=[(9.0, {SHARE: (1, 1)})])
@@ -169,7 +169,7 @@
     assert row_oracles.settled(gone) == [f"{SHARE} (1, 2) was in force, and is gone"]
 
 
-def test_logs_are_read_on_and_half_a_line_is_left_for_the_next_look(tmp_path: Path) -> None:
+def test_logs_are_read_incrementally_in_whole_lines(tmp_path: Path) -> None:
     rig, events = tmp_path / "rig.jsonl", tmp_path / "e1"
     rig.write_text(
         json.dumps({"t": 1.0, "event": "spawn", "process": "s1", "place": 0, "start": 1, "events": "e1"})
@@ -187,7 +187,7 @@
     assert len(reading.look().instances[0].acting) == 2  # nothing twice
 
 
-def test_changes_are_drawn_by_the_seed_and_a_script_puts_them_again() -> None:
+def test_changes_are_drawn_by_the_seed_and_a_script_repeats_them() -> None:
     scenario = Scenario("drawn", Shape(5), put_mix=PutMix(8, 5.0))
     assert len(drawn_puts(scenario, 3)) == 8
     assert drawn_puts(scenario, 3) == drawn_puts(scenario, 3) != drawn_puts(scenario, 4)
