--- a/tests/cluster/test_fleet_rig.py
+++ b/tests/cluster/test_fleet_rig.py
@@ -30,7 +30,7 @@
 )
 
 # Three times as fast as the default, so that a case takes seconds.
-FAST = ProtocolTimings(period=0.1, ack_within=0.05, sync=0.6, sync_with_gone=1.0, tombstones=30.0)
+FAST_TIMINGS = ProtocolTimings(period=0.1, ack_within=0.05, sync=0.6, sync_with_gone=1.0, tombstones=30.0)
 SETTLE = 6.0  # s; what the cases below need is a second or two
 WANTED = 2000.0  # ms; what a request takes is under 200
 GROUPS = [pytest.mark.xdist_group("rig-1"), pytest.mark.xdist_group("rig-2")]  # two plays at a time
@@ -40,7 +40,7 @@
     """The verdict on these faults."""
     scenario = Scenario(
         "case",
-        Shape(processes, 2, 2, scales=FAST),
+        Shape(processes, 2, 2, scales=FAST_TIMINGS),
         Traffic(30.0, wanted_ms=WANTED),
         settle_within=SETTLE,
         **changes,
@@ -58,7 +58,7 @@
 @GROUPS[1]
 def test_process_paused_for_five_seconds_rejoins_and_declares_no_member_dead() -> None:
     with tempfile.TemporaryDirectory() as folder:
-        scenario = Scenario("still", Shape(4, 2, 2, scales=FAST), Traffic(30.0), settle_within=SETTLE)
+        scenario = Scenario("still", Shape(4, 2, 2, scales=FAST_TIMINGS), Traffic(30.0), settle_within=SETTLE)
         told = uvloop.run(play(scenario, (Fault(0.0, "pause", ("s2",), lasts=5.0),), 1, Path(folder)))
         assert told["wrong"] == [] and told["false_deaths"] == 0
         [woke] = [one for one in oracles.read(Path(folder)).instances if one.name == "s2"]
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -1,4 +1,4 @@
-"""The edge of the fleet's view: bytes from strangers, floods, streams that say nothing, and the commands."""
+"""The cluster node's sockets, file and commands: rejected bytes, floods, silent streams, and errors."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 from pipitshed.replication.gossip_queue import GossipQueue
 from pipitshed.replication.messages import Rows, pack
 
-FAST = ProtocolTimings(period=0.05, ack_within=0.02, sync=0.3, sync_with_gone=0.5, tombstones=30.0)
+FAST_TIMINGS = ProtocolTimings(period=0.05, ack_within=0.02, sync=0.3, sync_with_gone=0.5, tombstones=30.0)
 
 
-def words() -> st.SearchStrategy[MemberRecord]:
+def member_records() -> st.SearchStrategy[MemberRecord]:
     text = st.text("ab-é", min_size=1, max_size=9)
     return st.builds(
         MemberRecord,
@@ -47,15 +47,25 @@
 
 
 @given(
-    st.builds(Ping, st.integers(0, 2**40), words(), st.text(max_size=9), st.lists(words()).map(tuple))
+    st.builds(
+        Ping,
+        st.integers(0, 2**40),
+        member_records(),
+        st.text(max_size=9),
+        st.lists(member_records()).map(tuple),
+    )
     | st.builds(
         Ack,
         st.integers(0, 2**40),
-        words(),
-        st.lists(words()).map(tuple),
+        member_records(),
+        st.lists(member_records()).map(tuple),
         st.lists(st.binary(max_size=8), max_size=3).map(tuple),
     )
-    | st.builds(RepairMessage, st.builds(Rows, st.integers(0, 9), st.lists(words()).map(pack)), words())
+    | st.builds(
+        RepairMessage,
+        st.builds(Rows, st.integers(0, 9), st.lists(member_records()).map(pack)),
+        member_records(),
+    )
 )
 def test_encoded_messages_decode_to_the_same_messages(message: Ping | Ack | RepairMessage) -> None:
     codec = Codec("red", b"key")
@@ -64,32 +74,32 @@
 
 @given(st.binary(max_size=60), st.integers(0, 10_000), st.integers(0, 255))
 @settings(max_examples=300)
-def test_damaged_and_arbitrary_bytes_are_rejected(junk: bytes, place: int, value: int) -> None:
+def test_damaged_and_arbitrary_bytes_are_rejected(junk: bytes, position: int, value: int) -> None:
     codec = Codec("red")
     data = bytearray(codec.encode(Ping(1, MemberRecord("a", "h", 1, "z", 1, 1), "b")))
-    place %= len(data)
-    if data[place] != value:
-        data[place] = value
+    position %= len(data)
+    if data[position] != value:
+        data[position] = value
         with pytest.raises(MessageRejectedError):
             codec.decode(bytes(data))
     with pytest.raises(MessageRejectedError):
         codec.decode(junk)
     with pytest.raises(MessageRejectedError):
-        codec.decode(bytes(data[:place]))
+        codec.decode(bytes(data[:position]))
 
 
 @pytest.mark.parametrize(
-    ("theirs", "why"),
+    ("sender", "reason"),
     [(Codec("blue"), "cluster"), (Codec("red", b"another"), "checksum"), (Codec("red", b"key"), "")],
 )
-def test_messages_of_another_cluster_or_without_the_secret_are_rejected(theirs: Codec, why: str) -> None:
-    data = theirs.encode(ViewRequest())
-    if not why:
+def test_messages_of_another_cluster_or_without_the_secret_are_rejected(sender: Codec, reason: str) -> None:
+    data = sender.encode(ViewRequest())
+    if not reason:
         assert Codec("red", b"key").decode(data) == ViewRequest()
         return
-    with pytest.raises(MessageRejectedError, match="checksum" if why == "cluster" else why):
+    with pytest.raises(MessageRejectedError, match="checksum" if reason == "cluster" else reason):
         Codec("red", b"key").decode(data)
-    with pytest.raises(MessageRejectedError, match=why):
+    with pytest.raises(MessageRejectedError, match=reason):
         Codec("red").decode(data)
 
 
@@ -101,50 +111,52 @@
 
 
 def test_gossip_with_the_longest_names_fits_a_datagram() -> None:
-    rumours: GossipQueue[MemberRecord] = GossipQueue()
+    queue: GossipQueue[MemberRecord] = GossipQueue()
     long = [
         MemberRecord(
             f"{n:064d}", "255.255.255.255", 65535, "z" * 64, 2**62 - 1, 2**32 - 1, MemberState.DEAD, "s" * 64
         )
         for n in range(40)
     ]
-    for word in long:
-        rumours.add(word)
-    told = rumours.take(GOSSIP_LIMIT_BYTES, 40)
-    assert told and len(Codec("c" * 64).encode(Ping(2**60, long[0], long[1].name, told))) <= DATAGRAM_LIMIT
+    for record in long:
+        queue.add(record)
+    taken = queue.take(GOSSIP_LIMIT_BYTES, 40)
+    assert taken and len(Codec("c" * 64).encode(Ping(2**60, long[0], long[1].name, taken))) <= DATAGRAM_LIMIT
 
 
 def test_rate_limiter_enforces_burst_and_rate() -> None:
-    allowance = RateLimiter(10.0, 20.0)
-    assert sum(allowance.try_acquire(5.0) for _ in range(100)) == 20
-    assert sum(allowance.try_acquire(5.0 + place / 100) for place in range(100)) in (9, 10)
+    limiter = RateLimiter(10.0, 20.0)
+    assert sum(limiter.try_acquire(5.0) for _ in range(100)) == 20
+    assert sum(limiter.try_acquire(5.0 + number / 100) for number in range(100)) in (9, 10)
 
 
-GOOD = 'name = "s1"\nlisten = "127.0.0.1:7946"\nseeds = ["127.0.0.1:7947"]\n'
+VALID_FILE = 'name = "s1"\nlisten = "127.0.0.1:7946"\nseeds = ["127.0.0.1:7947"]\n'
 
 
 @pytest.mark.parametrize(
-    ("text", "line", "what"),
+    ("text", "line", "expected"),
     [
         ('name = "s1"', 1, "listen"),
-        (GOOD + 'zoom = "a"', 4, "zoom"),
-        (GOOD.replace('"127.0.0.1:7946"', '"here"'), 2, "listen: "),
-        (GOOD.replace('"127.0.0.1:7947"', '"there"'), 3, "seeds: "),
-        (GOOD.replace('"s1"', '""'), 1, "name: must not be empty"),
-        (GOOD + f'cluster = "{"c" * 65}"', 4, "cluster: longer than 64 bytes"),
-        (GOOD + '\n[scales]\nperiod = "soon"', 6, "scales.period"),
-        (GOOD + "\n[scales]\nperiod = 0.1\nack-within = 0.1", 7, "scales.ack-within"),
-        (GOOD + "\n[scales]\nhelpers = 2.5", 6, "scales.helpers"),
-        (GOOD + 'secret-file = "none"', 4, "secret-file: No such"),
-        (GOOD + "[scales", 0, "peers.toml"),
+        (VALID_FILE + 'zoom = "a"', 4, "zoom"),
+        (VALID_FILE.replace('"127.0.0.1:7946"', '"here"'), 2, "listen: "),
+        (VALID_FILE.replace('"127.0.0.1:7947"', '"there"'), 3, "seeds: "),
+        (VALID_FILE.replace('"s1"', '""'), 1, "name: must not be empty"),
+        (VALID_FILE + f'cluster = "{"c" * 65}"', 4, "cluster: longer than 64 bytes"),
+        (VALID_FILE + '\n[scales]\nperiod = "soon"', 6, "scales.period"),
+        (VALID_FILE + "\n[scales]\nperiod = 0.1\nack-within = 0.1", 7, "scales.ack-within"),
+        (VALID_FILE + "\n[scales]\nhelpers = 2.5", 6, "scales.helpers"),
+        (VALID_FILE + 'secret-file = "none"', 4, "secret-file: No such"),
+        (VALID_FILE + "[scales", 0, "peers.toml"),
     ],
 )
-def test_invalid_file_is_reported_with_line_and_key(tmp_path: Path, text: str, line: int, what: str) -> None:
+def test_invalid_file_is_reported_with_line_and_key(
+    tmp_path: Path, text: str, line: int, expected: str
+) -> None:
     path = tmp_path / "peers.toml"
     path.write_text(text)
     with pytest.raises(ClusterConfigError) as error:
         read(path)
-    assert what in str(error.value) and "\n" not in str(error.value)
+    assert expected in str(error.value) and "\n" not in str(error.value)
     assert not line or f"peers.toml:{line}: " in str(error.value), str(error.value)
     (tmp_path / "config.json").write_text(json.dumps({"listen": "127.0.0.1:0", "settings": SETTINGS}))
     for command in ("serve", "check"):
@@ -161,130 +173,132 @@
     assert {"name", "listen", "seeds", "scales"} <= set(schema["$defs"]["ClusterFile"]["properties"])
 
 
-# ---- on sockets
+# ---- Nodes on loopback sockets
 
 
-def peers(name: str, *seeds: tuple[str, int], secret: bytes = b"") -> ClusterConfig:
-    return ClusterConfig(name, "z", ("127.0.0.1", 0), None, "red", secret, list(seeds), None, FAST)
+def node_config(name: str, *seeds: tuple[str, int], secret: bytes = b"") -> ClusterConfig:
+    return ClusterConfig(name, "z", ("127.0.0.1", 0), None, "red", secret, list(seeds), None, FAST_TIMINGS)
 
 
-async def joined(count: int, secret: bytes = b"") -> list[ClusterNode]:
+async def start_cluster(count: int, secret: bytes = b"") -> list[ClusterNode]:
     loop = asyncio.get_running_loop()
-    fleets: list[ClusterNode] = []
+    nodes: list[ClusterNode] = []
     for number in range(count):
-        fleets.append(
-            ClusterNode(peers(f"s{number}", *(one.address for one in fleets[:2]), secret=secret), "", loop)
+        nodes.append(
+            ClusterNode(
+                node_config(f"s{number}", *(node.address for node in nodes[:2]), secret=secret), "", loop
+            )
         )
-        await fleets[-1].start()
-    await until(lambda: all(len(one.membership.view.live_members()) == count for one in fleets))
-    return fleets
+        await nodes[-1].start()
+    await wait_until(lambda: all(len(node.membership.view.live_members()) == count for node in nodes))
+    return nodes
 
 
-async def until(what: Callable[[], bool]) -> None:
-    while not what():
+async def wait_until(condition: Callable[[], bool]) -> None:
+    while not condition():
         await asyncio.sleep(0.01)
 
 
-def names(fleet: ClusterNode) -> list[str]:
-    return [word.name for word in fleet.membership.view.live_members()]
+def live_names(node: ClusterNode) -> list[str]:
+    return [record.name for record in node.membership.view.live_members()]
 
 
 def test_timer_due_at_once_is_rescheduled_without_an_exception() -> None:
-    """The failure met: SIGTERM in the turn in which a step was due; uvloop's handle of a call that is due at
-    once tells no time, and the exception kept the program from its end."""
+    """Guards against a program that survives SIGTERM in the turn in which a step is due: uvloop's handle
+    of a call that is due at once has no time, and reading that time raised an exception."""
 
     async def run() -> None:
-        [fleet] = await joined(1)
-        steps: list[float] = []
-        fleet.membership.next_due_at = lambda: 0.0  # type: ignore[method-assign]
-        fleet.membership.handle_timeouts = lambda now: steps.append(now) or []  # type: ignore[method-assign, func-returns-value]
-        fleet._timer = None
-        fleet._schedule()
-        fleet.leave()
-        fleet._schedule()
-        await until(lambda: bool(steps))
-        fleet.close()
+        [node] = await start_cluster(1)
+        timeouts: list[float] = []
+        node.membership.next_due_at = lambda: 0.0  # type: ignore[method-assign]
+        node.membership.handle_timeouts = lambda now: timeouts.append(now) or []  # type: ignore[method-assign, func-returns-value]
+        node._timer = None
+        node._schedule()
+        node.leave()
+        node._schedule()
+        await wait_until(lambda: bool(timeouts))
+        node.close()
 
     uvloop.run(asyncio.wait_for(run(), 20))
 
 
 @story
 async def test_schedulers_join_and_detect_a_death_and_a_departure() -> None:
-    fleets = await joined(4)
-    await until(lambda: len({one.membership.view.digest() for one in fleets}) == 1)
-    fleets[3].close()  # no good-bye
-    await until(lambda: all(names(one) == ["s0", "s1", "s2"] for one in fleets[:3]))
-    fleets[2].leave()
-    await until(lambda: all(names(one) == ["s0", "s1"] for one in fleets[:2]))
-    word = fleets[0].membership.view.get("s2")
-    assert word is not None and word.state is MemberState.LEFT
-    for one in fleets:
-        one.close()
+    nodes = await start_cluster(4)
+    await wait_until(lambda: len({node.membership.view.digest() for node in nodes}) == 1)
+    nodes[3].close()  # without announcing its departure
+    await wait_until(lambda: all(live_names(node) == ["s0", "s1", "s2"] for node in nodes[:3]))
+    nodes[2].leave()
+    await wait_until(lambda: all(live_names(node) == ["s0", "s1"] for node in nodes[:2]))
+    record = nodes[0].membership.view.get("s2")
+    assert record is not None and record.state is MemberState.LEFT
+    for node in nodes:
+        node.close()
 
 
 @story
 async def test_flood_of_forged_members_is_limited_and_removes_no_member() -> None:
-    """Without a secret a forger is believed, so what it may cost is bounded; with one it is dropped."""
+    """Without a secret forged members are accepted at a limited rate; with a secret they are dropped."""
     for secret in (b"", b"key"):
-        fleets = await joined(3, secret)
+        nodes = await start_cluster(3, secret)
         forger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         codec = Codec("red")
-        begun = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         for number in range(2000):
-            liar = MemberRecord(f"liar{number}", "127.0.0.9", 9, "z", 1, 1)
-            forger.sendto(codec.encode(Ping(number, liar, "s0")), fleets[0].address)
-            await asyncio.sleep(0)  # so that they are read, and do not end in the kernel's buffer
-            forger.sendto(b"PF" + bytes(40), fleets[0].address)
+            forged = MemberRecord(f"liar{number}", "127.0.0.9", 9, "z", 1, 1)
+            forger.sendto(codec.encode(Ping(number, forged, "s0")), nodes[0].address)
+            await asyncio.sleep(0)  # lets the node read them, so that the kernel's buffer drops none
+            forger.sendto(b"PF" + bytes(40), nodes[0].address)
             await asyncio.sleep(0)
         forger.close()
         await asyncio.sleep(0.5)
-        counts = fleets[0].counts
+        counts = nodes[0].counts
         dropped = sum(count for name, count in counts.items() if name.startswith("dropped_"))
-        # The limit is a rate, so the bound goes by how long the flood took on this machine.
-        flood_s = asyncio.get_running_loop().time() - begun
-        let_in = UNKNOWN_SENDERS_BURST + UNKNOWN_SENDERS_PER_S * flood_s
-        assert dropped > 1000 and len(fleets[0].membership.view) <= len(fleets) + let_in
+        # The limit is a rate, so the bound depends on how long the flood lasted on this machine.
+        flood_s = asyncio.get_running_loop().time() - started_at
+        admitted = UNKNOWN_SENDERS_BURST + UNKNOWN_SENDERS_PER_S * flood_s
+        assert dropped > 1000 and len(nodes[0].membership.view) <= len(nodes) + admitted
         if secret:
-            assert names(fleets[0]) == ["s0", "s1", "s2"] and counts["dropped_checksum"] > 0
-        assert {"s0", "s1", "s2"} <= set(names(fleets[1]))
+            assert live_names(nodes[0]) == ["s0", "s1", "s2"] and counts["dropped_checksum"] > 0
+        assert {"s0", "s1", "s2"} <= set(live_names(nodes[1]))
         assert all(
-            one.membership.view.get(name).state is not MemberState.DEAD  # type: ignore[union-attr]
-            for one in fleets
+            node.membership.view.get(name).state is not MemberState.DEAD  # type: ignore[union-attr]
+            for node in nodes
             for name in ("s0", "s1", "s2")
         )
-        for one in fleets:
-            one.close()
+        for node in nodes:
+            node.close()
 
 
 def test_silent_and_oversized_streams_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(streams, "STREAM_TIMEOUT_S", 0.3)
-    story(_strange_streams)()
+    story(_check_streams)()
 
 
-async def _strange_streams() -> None:
-    [fleet] = await joined(1)
-    open_ = [await asyncio.open_connection(*fleet.address) for _ in range(streams.MAX_STREAMS + 8)]
-    await until(lambda: fleet.counts["dropped_streams"] == 8)
-    ends = await asyncio.gather(*(reader.read() for reader, _ in open_), return_exceptions=True)
-    assert len(ends) == streams.MAX_STREAMS + 8  # all came to an end, by their time at the latest
-    reader, writer = await asyncio.open_connection(*fleet.address)
+async def _check_streams() -> None:
+    [node] = await start_cluster(1)
+    connections = [await asyncio.open_connection(*node.address) for _ in range(streams.MAX_STREAMS + 8)]
+    await wait_until(lambda: node.counts["dropped_streams"] == 8)
+    ends = await asyncio.gather(*(reader.read() for reader, _ in connections), return_exceptions=True)
+    assert len(ends) == streams.MAX_STREAMS + 8  # all were closed, at their timeout at the latest
+    reader, writer = await asyncio.open_connection(*node.address)
     writer.write(LENGTH_PREFIX.pack(FRAME_LIMIT + 1))
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
         await reader.readexactly(1)
-    assert fleet.counts["dropped_size"] == 1
-    reader, writer = await asyncio.open_connection(*fleet.address)
+    assert node.counts["dropped_size"] == 1
+    reader, writer = await asyncio.open_connection(*node.address)
     writer.write(streams.with_length_prefix(Codec("blue").encode(ViewRequest())))
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
         await reader.readexactly(1)
-    assert fleet.counts["dropped_cluster"] == 1
-    reader, writer = await asyncio.open_connection(*fleet.address)
+    assert node.counts["dropped_cluster"] == 1
+    reader, writer = await asyncio.open_connection(*node.address)
     for byte in streams.with_length_prefix(Codec("red").encode(ViewRequest())):
-        writer.write(bytes([byte]))  # however it is cut
+        writer.write(bytes([byte]))  # a frame may arrive in any pieces
         await asyncio.sleep(0)
     (length,) = LENGTH_PREFIX.unpack(await reader.readexactly(LENGTH_PREFIX.size))
-    told = Codec("red").decode(await reader.readexactly(length))
-    assert isinstance(told, ViewResponse) and [row.name for row in told.members] == ["s0"]
-    fleet.close()
+    view = Codec("red").decode(await reader.readexactly(length))
+    assert isinstance(view, ViewResponse) and [row.name for row in view.members] == ["s0"]
+    node.close()
 
 
 def test_port_in_use_is_reported_in_one_line(tmp_path: Path) -> None:
@@ -302,23 +316,25 @@
 
 @story
 async def test_show_and_leave_commands_work_at_any_scheduler() -> None:
-    fleets = await joined(3)
-    await until(lambda: all(row.agrees for row in fleets[1].view_response().members))
+    nodes = await start_cluster(3)
+    await wait_until(lambda: all(row.agrees for row in nodes[1].view_response().members))
 
-    async def call(*words_: str) -> str:
-        result = await asyncio.to_thread(CliRunner().invoke, main, ["fleet", *words_])
+    async def call(*arguments: str) -> str:
+        result = await asyncio.to_thread(CliRunner().invoke, main, ["fleet", *arguments])
         return f"{result.exit_code} {result.output}"
 
-    peer = f"127.0.0.1:{fleets[1].address[1]}"
+    peer = f"127.0.0.1:{nodes[1].address[1]}"
     shown = await call("show", "--peer", peer, "--cluster", "red")
     assert shown.startswith("0 s1: view ") and "2 of 2 others agree" in shown and shown.count("alive") == 3
-    told = json.loads((await call("show", "--peer", peer, "--cluster", "red", "--json"))[2:])
-    assert [row["name"] for row in told["members"]] == ["s0", "s1", "s2"] and told["digest"]
-    assert (await call("show", "--peer", peer)).startswith("1 pipitshed: ")  # another cluster
+    view = json.loads((await call("show", "--peer", peer, "--cluster", "red", "--json"))[2:])
+    assert [row["name"] for row in view["members"]] == ["s0", "s1", "s2"] and view["digest"]
+    assert (await call("show", "--peer", peer)).startswith(
+        "1 pipitshed: "
+    )  # the command names another cluster
     assert (await call("show")).startswith("2 ")
     assert "serves on" in await call("leave", "--peer", peer, "--cluster", "red")
-    await until(lambda: names(fleets[0]) == ["s0", "s2"])
-    fleets[2].close()
-    assert (await call("show", "--peer", f"127.0.0.1:{fleets[2].address[1]}", "--cluster", "red"))[0] == "1"
-    for one in fleets:
-        one.close()
+    await wait_until(lambda: live_names(nodes[0]) == ["s0", "s2"])
+    nodes[2].close()
+    assert (await call("show", "--peer", f"127.0.0.1:{nodes[2].address[1]}", "--cluster", "red"))[0] == "1"
+    for node in nodes:
+        node.close()
--- a/tests/cluster/test_settings_fleet.py
+++ b/tests/cluster/test_settings_fleet.py
@@ -17,7 +17,7 @@
 import pytest
 from click.testing import CliRunner
 from loopback import FRONT, SETTINGS, Catalog, HttpClient, Planner, Program, Run, figures, program, story
-from test_peers import peers, until
+from test_peers import node_config, wait_until
 
 from pipitshed.cli.commands import main
 from pipitshed.cluster import row_store as rowsfile
@@ -83,13 +83,13 @@
     loop, made = asyncio.get_running_loop(), list[Node]()
     for place, told in enumerate(settings):
         node = Node(config(folder, **told))
-        asked = peers(f"s{place}", *(one.fleet.address for one in made[:2]), secret=secret)
+        asked = node_config(f"s{place}", *(one.fleet.address for one in made[:2]), secret=secret)
         if rows_file:
             object.__setattr__(asked, "rows_file", folder / f"{rows_file}-{place}")
         node.fleet = ClusterNode(asked, "", loop, fleet_rows.SettingsTarget(node.raw, node.retune))
         made.append(node)
         await node.fleet.start()
-    await until(
+    await wait_until(
         lambda: all(
             len(one.fleet.membership.view.live_members()) == len(made) and one.fleet.settings.table.caught_up
             for one in made
@@ -186,12 +186,12 @@
         three.fleet.send = lambda to, message: None  # type: ignore[method-assign]
         said = await call("put", SHARE, "0.4", "--wait", "1.5", "--peer", one.peer)
         assert said.startswith("3 ") and "2 act on it; s2 has not said that it does" in said
-        await until(lambda: three.share == 0.4)  # though it acts on it
+        await wait_until(lambda: three.share == 0.4)  # though it acts on it
         del three.fleet.send
         force = await call("put", SHARE, "0.5", "--peer", one.peer)
         assert force.startswith("0 ") and "all 3" in force
         three.fleet.close()  # no good-bye
-        await until(lambda: len(one.fleet.membership.view.live_members()) == 2)
+        await wait_until(lambda: len(one.fleet.membership.view.live_members()) == 2)
         assert "in force at all 2 in touch; out of touch: s2" in await call(
             "put", SHARE, "0.6", "--peer", one.peer
         )
@@ -216,7 +216,7 @@
     async with nodes(folder, {}) as [node]:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(Codec("red").encode(Put(SHARE, b"0.4", (0, 0))), node.fleet.address)
-        await until(lambda: node.fleet.counts["dropped_settings"] == 1)
+        await wait_until(lambda: node.fleet.counts["dropped_settings"] == 1)
         assert len(node.fleet.settings.table) == 0  # type: ignore[union-attr]
 
 
@@ -232,7 +232,7 @@
         async def put(key: str, body: bytes, over: tuple[int, int]) -> str:
             answers.clear()
             rows.handle_message(Put(key, body, over), ("127.0.0.1", 9))
-            await until(lambda: bool(answers))
+            await wait_until(lambda: bool(answers))
             return str(answers[0].why)
 
         assert await put(SHARE, b"0.4", (0, 0)) == ""
@@ -268,11 +268,11 @@
             for place in range(20):
                 row = rows.table.put(f"tenant/t{place}/share", b"0.5", "s0")
                 one.fleet.disseminate(row)
-            await until(lambda: len(two.fleet.settings.table) == 20)  # type: ignore[union-attr]
+            await wait_until(lambda: len(two.fleet.settings.table) == 20)  # type: ignore[union-attr]
             assert one.share == two.share == 1.0 and not (folder / "rows-0").exists()
             held.set()
             for node in (one, two):
-                await until(
+                await wait_until(
                     lambda node=node: (
                         len(  # type: ignore[misc]
                             [tenant for tenant in node.config.settings.tenants if tenant.quota_share == 0.5]
@@ -310,10 +310,10 @@
         rows.handle_message(
             AppliedReport(me.name, me.instance_id, 9, b"", (row.content_hash,)), two.fleet.address
         )
-        await until(lambda: rows.commands.commit_status(CommitStatusRequest(SHARE, 1, 1)).in_force)
+        await wait_until(lambda: rows.commands.commit_status(CommitStatusRequest(SHARE, 1, 1)).in_force)
         one.fleet.membership.replicator.peer_digests.clear()  # as after a start
         assert rows.commands.commit_status(CommitStatusRequest(SHARE, 1, 1)).missing == (("s0", ""),)
-        await until(lambda: rows.commands.commit_status(CommitStatusRequest(SHARE, 1, 1)).in_force)
+        await wait_until(lambda: rows.commands.commit_status(CommitStatusRequest(SHARE, 1, 1)).in_force)
         rows.table.caught_up = False
         assert not rows.commands.commit_status(CommitStatusRequest(SHARE, 1, 1)).in_force
 
@@ -322,7 +322,7 @@
     async def check() -> None:
         made, front = config(tmp_path), tmp_path / "front.toml"
         front.write_text(FRONT)
-        scheduler = Scheduler(made, load_front(front, made), asyncio.get_running_loop(), peers("s0"))
+        scheduler = Scheduler(made, load_front(front, made), asyncio.get_running_loop(), node_config("s0"))
         rows, answers = scheduler.parts.cluster_node.settings, list[Any]()  # type: ignore[union-attr]
         scheduler.parts.cluster_node.reply_function = Mock(return_value=answers.append)  # type: ignore[method-assign, union-attr]
         rows.handle_message(Put(DEADLINE, b"300", (0, 0)), ("127.0.0.1", 9))  # type: ignore[union-attr]
--- a/tests/cluster/test_settings_rig.py
+++ b/tests/cluster/test_settings_rig.py
@@ -31,14 +31,14 @@
     script,
 )
 
-FAST = ProtocolTimings(period=0.1, ack_within=0.05, sync=0.6, sync_with_gone=1.0, tombstones=30.0)
+FAST_TIMINGS = ProtocolTimings(period=0.1, ack_within=0.05, sync=0.6, sync_with_gone=1.0, tombstones=30.0)
 SHARE, QUOTA = "tenant/andes-retail/share", "tenant/andes-retail/allowancePerS"
 GROUPS = [pytest.mark.xdist_group("rig-1"), pytest.mark.xdist_group("rig-2")]
 
 
 def case(puts: tuple[Put, ...], *faults: Fault, processes: int = 4) -> dict[str, Any]:
     """The verdict on these changes and faults."""
-    scenario = Scenario("case", Shape(processes, 2, 2, scales=FAST), Traffic(20.0), settle_within=6.0)
+    scenario = Scenario("case", Shape(processes, 2, 2, scales=FAST_TIMINGS), Traffic(20.0), settle_within=6.0)
     return uvloop.run(play(scenario, faults, 1, None, puts))
 
 
