--- a/tests/cluster/test_settings_fleet.py
+++ b/tests/cluster/test_settings_fleet.py
@@ -1,4 +1,4 @@
-"""Settings by row among schedulers on loopback: put, confirmed, refused, taken over, kept over a restart."""
+"""Replicated settings among schedulers on loopback: put, confirmed, rejected, taken over and stored."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from test_peers import node_config, wait_until
 
 from pipitshed.cli.commands import main
-from pipitshed.cluster import row_store as rowsfile
-from pipitshed.cluster import settings as fleet_rows
+from pipitshed.cluster import row_store
+from pipitshed.cluster import settings as replicated_settings
 from pipitshed.cluster.codec import Codec
 from pipitshed.cluster.messages import ClusterMessage, CommitStatusRequest, Put, PutResponse
 from pipitshed.cluster.node import ClusterNode
@@ -36,29 +36,29 @@
 
 @dataclass
 class Node:
-    """A scheduler's part in the fleet, and the settings that its rows change."""
+    """A scheduler's cluster node, and the settings that its rows change."""
 
     config: Config
-    fleet: ClusterNode = field(init=False)
-    retuned: list[Config] = field(default_factory=list)
-    broken: bool = False  # an exception comes while it takes settings
+    cluster_node: ClusterNode = field(init=False)
+    applied_configs: list[Config] = field(default_factory=list)
+    apply_fails: bool = False  # whether `apply` raises an exception
 
     def raw(self) -> dict[str, Any]:
         assert self.config.raw is not None
         return self.config.raw
 
     def read(self, config: Config) -> None:
-        """A file that is read anew."""
-        assert self.fleet.settings is not None and config.raw is not None
-        self.config = self.fleet.settings.reapply_over(
+        """Reload the settings file: `config` is its new content."""
+        assert self.cluster_node.settings is not None and config.raw is not None
+        self.config = self.cluster_node.settings.reapply_over(
             config.raw, lambda settings: with_settings(config, settings)
         )
 
-    def retune(self, settings: dict[str, Any]) -> None:
-        if self.broken:
+    def apply(self, settings: dict[str, Any]) -> None:
+        if self.apply_fails:
             raise RuntimeError("planted")
         self.config = with_settings(self.config, settings)
-        self.retuned.append(self.config)
+        self.applied_configs.append(self.config)
 
     @property
     def share(self) -> float:
@@ -66,7 +66,7 @@
 
     @property
     def peer(self) -> str:
-        return f"127.0.0.1:{self.fleet.address[1]}"
+        return f"127.0.0.1:{self.cluster_node.address[1]}"
 
 
 def config(folder: Path, **settings: object) -> Config:
@@ -79,37 +79,42 @@
 async def nodes(
     folder: Path, *settings: dict[str, object], secret: bytes = b"", rows_file: str = ""
 ) -> AsyncIterator[list[Node]]:
-    """As many as there are settings, joined and caught up."""
-    loop, made = asyncio.get_running_loop(), list[Node]()
-    for place, told in enumerate(settings):
-        node = Node(config(folder, **told))
-        asked = node_config(f"s{place}", *(one.fleet.address for one in made[:2]), secret=secret)
+    """Nodes in one cluster, one for each of `settings`, once all have met and caught up."""
+    loop, started = asyncio.get_running_loop(), list[Node]()
+    for index, changes in enumerate(settings):
+        node = Node(config(folder, **changes))
+        node_settings = node_config(
+            f"s{index}", *(member.cluster_node.address for member in started[:2]), secret=secret
+        )
         if rows_file:
-            object.__setattr__(asked, "rows_file", folder / f"{rows_file}-{place}")
-        node.fleet = ClusterNode(asked, "", loop, fleet_rows.SettingsTarget(node.raw, node.retune))
-        made.append(node)
-        await node.fleet.start()
+            object.__setattr__(node_settings, "rows_file", folder / f"{rows_file}-{index}")
+        node.cluster_node = ClusterNode(
+            node_settings, "", loop, replicated_settings.SettingsTarget(node.raw, node.apply)
+        )
+        started.append(node)
+        await node.cluster_node.start()
     await wait_until(
         lambda: all(
-            len(one.fleet.membership.view.live_members()) == len(made) and one.fleet.settings.table.caught_up
-            for one in made
+            len(member.cluster_node.membership.view.live_members()) == len(started)
+            and member.cluster_node.settings.table.caught_up
+            for member in started
         )
     )  # type: ignore[union-attr]
     try:
-        yield made
+        yield started
     finally:
-        for one in made:
-            one.fleet.close()
+        for member in started:
+            member.cluster_node.close()
 
 
-async def call(*words: str) -> str:
-    """The exit code of a command of the settings, and what it says."""
-    result = await asyncio.to_thread(CliRunner().invoke, main, ["settings", *words, "--cluster", "red"])
+async def call(*arguments: str) -> str:
+    """Run `pipitshed settings`; return its exit code and its output."""
+    result = await asyncio.to_thread(CliRunner().invoke, main, ["settings", *arguments, "--cluster", "red"])
     return f"{result.exit_code} {result.output}"
 
 
-def told(body: Callable[[Path], Any]) -> Callable[[Path], None]:
-    """A story that is told in a folder."""
+def with_folder(body: Callable[[Path], Any]) -> Callable[[Path], None]:
+    """Make a test of a coroutine that takes a folder."""
 
     def test(tmp_path: Path) -> None:
         story(lambda: body(tmp_path))()
@@ -118,87 +123,87 @@
     return test
 
 
-@told
+@with_folder
 async def test_row_is_put_taken_over_deleted_and_shown(folder: Path) -> None:
-    async with nodes(folder, {}, {}, {}) as (one, two, three):
-        assert (await call("put", SHARE, "0.4", "--peer", two.peer)) == (
+    async with nodes(folder, {}, {}, {}) as (s0, s1, s2):
+        assert (await call("put", SHARE, "0.4", "--peer", s1.peer)) == (
             f"0 accepted by s1: {SHARE} = 0.4, as 1.1\nin force at all 3 in touch\n"
         )
-        assert [node.share for node in (one, two, three)] == [0.4] * 3
-        assert f"2 refused by s0: {SHARE}: s1 writes" in await call("put", SHARE, "0.5", "--peer", one.peer)
-        assert "as 2.2\nin force" in await call("put", SHARE, "0.5", "--take-over", "--peer", one.peer)
-        assert "as 2.3\nin force" in await call("put", SHARE, "0.6", "--peer", one.peer)
-        shown = json.loads((await call("show", "--json", "--peer", three.peer))[2:])
+        assert [node.share for node in (s0, s1, s2)] == [0.4] * 3
+        assert f"2 refused by s0: {SHARE}: s1 writes" in await call("put", SHARE, "0.5", "--peer", s0.peer)
+        assert "as 2.2\nin force" in await call("put", SHARE, "0.5", "--take-over", "--peer", s0.peer)
+        assert "as 2.3\nin force" in await call("put", SHARE, "0.6", "--peer", s0.peer)
+        shown = json.loads((await call("show", "--json", "--peer", s2.peer))[2:])
         [row] = shown["rows"]
         assert shown["name"] == "s2" and (row["value"], row["file"], row["writer"]) == (0.6, 1.0, "s0")
-        assert (await call("delete", SHARE, "--peer", one.peer)).startswith("0 ")
-        assert [node.share for node in (one, two, three)] == [1.0] * 3
-        assert "deleted" in await call("show", "--peer", two.peer)
-        assert "2 refused by s0" in await call("delete", SHARE, "--peer", one.peer)
-        assert "as 2.5\nin force" in await call("put", SHARE, "0.7", "--peer", one.peer)
-        status = await call("status", "--peer", three.peer)
+        assert (await call("delete", SHARE, "--peer", s0.peer)).startswith("0 ")
+        assert [node.share for node in (s0, s1, s2)] == [1.0] * 3
+        assert "deleted" in await call("show", "--peer", s1.peer)
+        assert "2 refused by s0" in await call("delete", SHARE, "--peer", s0.peer)
+        assert "as 2.5\nin force" in await call("put", SHARE, "0.7", "--peer", s0.peer)
+        status = await call("status", "--peer", s2.peer)
         assert status.startswith("0 ") and status.count(" yes") == 3
 
 
-@told
+@with_folder
 async def test_rows_are_not_confirmed_if_applying_them_raised(folder: Path) -> None:
-    """Guards against `in force` of a row that a scheduler does not act on: it was recorded, and so confirmed,
+    """Guards against `in force` for a row that a scheduler does not apply: it was recorded, and so confirmed,
     before the settings were applied."""
-    async with nodes(folder, {}, {}) as (one, two):
-        two.broken = True
-        assert (await call("put", SHARE, "0.4", "--wait", "1", "--peer", one.peer)).startswith("3 ")
-        assert (one.share, two.share) == (0.4, 1.0)
+    async with nodes(folder, {}, {}) as (s0, s1):
+        s1.apply_fails = True
+        assert (await call("put", SHARE, "0.4", "--wait", "1", "--peer", s0.peer)).startswith("3 ")
+        assert (s0.share, s1.share) == (0.4, 1.0)
         assert "written, but not applied here: planted" in await call(
-            "put", DEADLINE, "4000", "--peer", two.peer
+            "put", DEADLINE, "4000", "--peer", s1.peer
         )
         with pytest.raises(RuntimeError, match="planted"):
-            two.fleet.settings.reapply_over(two.raw(), two.retune)  # type: ignore[union-attr]
-        status = await call("status", "--peer", one.peer)
+            s1.cluster_node.settings.reapply_over(s1.raw(), s1.apply)  # type: ignore[union-attr]
+        status = await call("status", "--peer", s0.peer)
         assert status.startswith("3 ")
-        two.broken = False
-        assert "in force at all 2" in await call("put", SHARE, "0.5", "--peer", one.peer)
-        assert (one.share, two.share) == (0.5, 0.5)
-        assert (await call("status", "--peer", one.peer)).startswith("0 ")
+        s1.apply_fails = False
+        assert "in force at all 2" in await call("put", SHARE, "0.5", "--peer", s0.peer)
+        assert (s0.share, s1.share) == (0.5, 0.5)
+        assert (await call("status", "--peer", s0.peer)).startswith("0 ")
 
 
-@told
+@with_folder
 async def test_rejected_row_is_reported_with_member_and_reason(folder: Path) -> None:
     renamed = {"tenants": [{"name": "other", "share": 1.0, "allowancePerS": 5.0}]}
-    async with nodes(folder, {}, {}) as (one, two):
-        assert (await call("put", SHARE, "0.4", "--peer", one.peer)).startswith("0 ")
-        two.read(config(folder, **renamed))
-        assert two.share == 1.0
-        said = await call("put", SHARE, "0.5", "--peer", one.peer)
-        assert said.startswith("3 ") and "s1 refuses it: the settings in force have no tenant" in said
-        status = json.loads((await call("status", "--json", "--peer", one.peer))[2:])
+    async with nodes(folder, {}, {}) as (s0, s1):
+        assert (await call("put", SHARE, "0.4", "--peer", s0.peer)).startswith("0 ")
+        s1.read(config(folder, **renamed))
+        assert s1.share == 1.0
+        output = await call("put", SHARE, "0.5", "--peer", s0.peer)
+        assert output.startswith("3 ") and "s1 refuses it: the settings in force have no tenant" in output
+        status = json.loads((await call("status", "--json", "--peer", s0.peer))[2:])
         assert [row["refused"] for row in status["members"]] == [
             [],
             [[SHARE, "the settings in force have no tenant 'andes-retail'"]],
         ]
-        two.read(config(folder))
-        assert two.share == 0.5
-        assert "2 refused by s0: a value is" in await call("put", SHARE, "none", "--peer", one.peer)
+        s1.read(config(folder))
+        assert s1.share == 0.5
+        assert "2 refused by s0: a value is" in await call("put", SHARE, "none", "--peer", s0.peer)
 
 
-@told
+@with_folder
 async def test_row_is_not_in_force_while_a_live_member_has_not_confirmed(folder: Path) -> None:
-    async with nodes(folder, {}, {}, {}) as (one, two, three):
-        three.fleet.send = lambda to, message: None  # type: ignore[method-assign]
-        said = await call("put", SHARE, "0.4", "--wait", "1.5", "--peer", one.peer)
-        assert said.startswith("3 ") and "2 act on it; s2 has not said that it does" in said
-        await wait_until(lambda: three.share == 0.4)  # though it acts on it
-        del three.fleet.send
-        force = await call("put", SHARE, "0.5", "--peer", one.peer)
-        assert force.startswith("0 ") and "all 3" in force
-        three.fleet.close()  # no good-bye
-        await wait_until(lambda: len(one.fleet.membership.view.live_members()) == 2)
+    async with nodes(folder, {}, {}, {}) as (s0, s1, s2):
+        s2.cluster_node.send = lambda to, message: None  # type: ignore[method-assign]
+        output = await call("put", SHARE, "0.4", "--wait", "1.5", "--peer", s0.peer)
+        assert output.startswith("3 ") and "2 act on it; s2 has not said that it does" in output
+        await wait_until(lambda: s2.share == 0.4)  # it applies the row, but does not confirm it
+        del s2.cluster_node.send
+        outcome = await call("put", SHARE, "0.5", "--peer", s0.peer)
+        assert outcome.startswith("0 ") and "all 3" in outcome
+        s2.cluster_node.close()  # without announcing its departure
+        await wait_until(lambda: len(s0.cluster_node.membership.view.live_members()) == 2)
         assert "in force at all 2 in touch; out of touch: s2" in await call(
-            "put", SHARE, "0.6", "--peer", one.peer
+            "put", SHARE, "0.6", "--peer", s0.peer
         )
-        assert "out of touch" in await call("status", "--peer", two.peer)
+        assert "out of touch" in await call("status", "--peer", s1.peer)
 
 
-@told
+@with_folder
 async def test_settings_changes_require_a_secret_or_a_local_sender(folder: Path) -> None:
     for secret, source, allowed in (
         (b"", "10.0.0.7", False),
@@ -208,26 +213,26 @@
     ):
         async with nodes(folder, {}, secret=secret) as [node]:
             answers: asyncio.Queue[ClusterMessage] = asyncio.Queue()
-            node.fleet.reply_function = Mock(return_value=answers.put_nowait)  # type: ignore[method-assign]
-            node.fleet._handle_message(Put(SHARE, b"0.4", (0, 0)), (source, 9))
+            node.cluster_node.reply_function = Mock(return_value=answers.put_nowait)  # type: ignore[method-assign]
+            node.cluster_node._handle_message(Put(SHARE, b"0.4", (0, 0)), (source, 9))
             answer = await answers.get()
             assert isinstance(answer, PutResponse) and (answer.why == "") is allowed is (node.share == 0.4)
             assert allowed or "secret-file" in answer.why
     async with nodes(folder, {}) as [node]:
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-            stranger.sendto(Codec("red").encode(Put(SHARE, b"0.4", (0, 0))), node.fleet.address)
-        await wait_until(lambda: node.fleet.counts["dropped_settings"] == 1)
-        assert len(node.fleet.settings.table) == 0  # type: ignore[union-attr]
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
+            sender.sendto(Codec("red").encode(Put(SHARE, b"0.4", (0, 0))), node.cluster_node.address)
+        await wait_until(lambda: node.cluster_node.counts["dropped_settings"] == 1)
+        assert len(node.cluster_node.settings.table) == 0  # type: ignore[union-attr]
 
 
-@told
+@with_folder
 async def test_conflicting_early_and_oversized_changes_are_rejected(
     folder: Path,
 ) -> None:
     async with nodes(folder, {}) as [node]:
-        rows, answers = node.fleet.settings, list[Any]()
+        rows, answers = node.cluster_node.settings, list[Any]()
         assert rows is not None
-        node.fleet.reply_function = Mock(return_value=answers.append)  # type: ignore[method-assign]
+        node.cluster_node.reply_function = Mock(return_value=answers.append)  # type: ignore[method-assign]
 
         async def put(key: str, body: bytes, over: tuple[int, int]) -> str:
             answers.clear()
@@ -236,7 +241,7 @@
             return str(answers[0].why)
 
         assert await put(SHARE, b"0.4", (0, 0)) == ""
-        assert "changed meanwhile" in await put(SHARE, b"0.4", (0, 0))  # a second one, or the same again
+        assert "changed meanwhile" in await put(SHARE, b"0.4", (0, 0))  # a repeated or a second change
         assert await put(SHARE, b"0.5", (1, 1)) == ""
         assert "a key is" in await put("k" * 5000, b"0.4", (0, 0))
         assert "a value is" in await put(SHARE, b"1" * 5000, (1, 2))
@@ -244,34 +249,34 @@
         assert "compared with a peer" in await put(SHARE, b"0.6", (1, 2))
         rows.accept_changes_without_peers()
         assert await put(SHARE, b"0.6", (1, 2)) == ""
-        node.fleet.leave()
+        node.cluster_node.leave()
         assert "no longer in the fleet" in await put(SHARE, b"0.7", (1, 3))
         rows.handle_message(CommitStatusRequest(SHARE, 1, 2), ("127.0.0.1", 9))
         assert answers[-1].superseded == "1.3 of s0" and not answers[-1].in_force
 
 
-@told
+@with_folder
 async def test_burst_of_rows_is_one_batch_and_stored_before_it_is_applied(folder: Path) -> None:
-    tenants = [{"name": f"t{place}", "share": 1.0} for place in range(20)]
-    held, write = threading.Event(), rowsfile.write
+    tenants = [{"name": f"t{index}", "share": 1.0} for index in range(20)]
+    may_write, write = threading.Event(), row_store.write
 
-    def slow(path: Path, kept: rowsfile.StoredRows) -> None:
-        held.wait(10.0)
-        write(path, kept)
+    def slow(path: Path, stored: row_store.StoredRows) -> None:
+        may_write.wait(10.0)
+        write(path, stored)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(rowsfile, "write", slow)
-        (folder / "rows-0").write_bytes(b"pipitshed rows 1 half of")  # left aside, and the start goes on
-        async with nodes(folder, {"tenants": tenants}, {"tenants": tenants}, rows_file="rows") as (one, two):
-            rows = one.fleet.settings
+        patch.setattr(row_store, "write", slow)
+        (folder / "rows-0").write_bytes(b"pipitshed rows 1 half of")  # moved aside; the start continues
+        async with nodes(folder, {"tenants": tenants}, {"tenants": tenants}, rows_file="rows") as (s0, s1):
+            rows = s0.cluster_node.settings
             assert rows is not None
-            for place in range(20):
-                row = rows.table.put(f"tenant/t{place}/share", b"0.5", "s0")
-                one.fleet.disseminate(row)
-            await wait_until(lambda: len(two.fleet.settings.table) == 20)  # type: ignore[union-attr]
-            assert one.share == two.share == 1.0 and not (folder / "rows-0").exists()
-            held.set()
-            for node in (one, two):
+            for index in range(20):
+                row = rows.table.put(f"tenant/t{index}/share", b"0.5", "s0")
+                s0.cluster_node.disseminate(row)
+            await wait_until(lambda: len(s1.cluster_node.settings.table) == 20)  # type: ignore[union-attr]
+            assert s0.share == s1.share == 1.0 and not (folder / "rows-0").exists()
+            may_write.set()
+            for node in (s0, s1):
                 await wait_until(
                     lambda node=node: (
                         len(  # type: ignore[misc]
@@ -280,38 +285,43 @@
                         == 20
                     )
                 )
-                assert len(node.retuned) <= 2  # what had come, and what came while that was written
-            assert len(rowsfile.read(folder / "rows-0").rows) == 20
+                assert len(node.applied_configs) <= 2  # the rows before the write, and those during it
+            assert len(row_store.read(folder / "rows-0").rows) == 20
             assert (folder / "rows-0.damaged").exists()
 
-            def full(path: Path, kept: rowsfile.StoredRows) -> None:
+            def full(path: Path, stored: row_store.StoredRows) -> None:
                 raise OSError("no room")
 
-            patch.setattr(rowsfile, "write", full)
-            assert (await call("put", "tenant/t0/share", "0.7", "--peer", one.peer)).startswith("0 ")
-            assert "its rows are not kept: no room" in await call("status", "--peer", two.peer)
+            patch.setattr(row_store, "write", full)
+            assert (await call("put", "tenant/t0/share", "0.7", "--peer", s0.peer)).startswith("0 ")
+            assert "its rows are not kept: no room" in await call("status", "--peer", s1.peer)
 
 
-@told
+@with_folder
 async def test_report_of_another_instance_or_unknown_member_confirms_nothing(folder: Path) -> None:
-    async with nodes(folder, {}, {}) as (one, two):
-        rows = one.fleet.settings
+    async with nodes(folder, {}, {}) as (s0, s1):
+        rows = s0.cluster_node.settings
         assert rows is not None
-        two.fleet.send = lambda to, message: None  # type: ignore[method-assign]
-        assert (await call("put", SHARE, "0.4", "--wait", "0", "--peer", one.peer)).startswith("3 ")
+        s1.cluster_node.send = lambda to, message: None  # type: ignore[method-assign]
+        assert (await call("put", SHARE, "0.4", "--wait", "0", "--peer", s0.peer)).startswith("3 ")
         row = rows.table.get(SHARE)
         assert row is not None
-        me = two.fleet.membership.self_record
-        for name, life in ((me.name, me.instance_id + 1), ("nobody", me.instance_id)):
+        member_record = s1.cluster_node.membership.self_record
+        for name, instance_id in (
+            (member_record.name, member_record.instance_id + 1),
+            ("nobody", member_record.instance_id),
+        ):
             rows.handle_message(
-                AppliedReport(name, life, 9, rows.table.digest(), (row.content_hash,)), two.fleet.address
+                AppliedReport(name, instance_id, 9, rows.table.digest(), (row.content_hash,)),
+                s1.cluster_node.address,
             )
             assert not rows.commands.commit_status(CommitStatusRequest(SHARE, 1, 1)).in_force
         rows.handle_message(
-            AppliedReport(me.name, me.instance_id, 9, b"", (row.content_hash,)), two.fleet.address
+            AppliedReport(member_record.name, member_record.instance_id, 9, b"", (row.content_hash,)),
+            s1.cluster_node.address,
         )
         await wait_until(lambda: rows.commands.commit_status(CommitStatusRequest(SHARE, 1, 1)).in_force)
-        one.fleet.membership.replicator.peer_digests.clear()  # as after a start
+        s0.cluster_node.membership.replicator.peer_digests.clear()  # as after a restart
         assert rows.commands.commit_status(CommitStatusRequest(SHARE, 1, 1)).missing == (("s0", ""),)
         await wait_until(lambda: rows.commands.commit_status(CommitStatusRequest(SHARE, 1, 1)).in_force)
         rows.table.caught_up = False
@@ -320,9 +330,11 @@
 
 def test_class_of_gearman_functions_is_not_changed_by_a_row(tmp_path: Path) -> None:
     async def check() -> None:
-        made, front = config(tmp_path), tmp_path / "front.toml"
+        made_config, front = config(tmp_path), tmp_path / "front.toml"
         front.write_text(FRONT)
-        scheduler = Scheduler(made, load_front(front, made), asyncio.get_running_loop(), node_config("s0"))
+        scheduler = Scheduler(
+            made_config, load_front(front, made_config), asyncio.get_running_loop(), node_config("s0")
+        )
         rows, answers = scheduler.parts.cluster_node.settings, list[Any]()  # type: ignore[union-attr]
         scheduler.parts.cluster_node.reply_function = Mock(return_value=answers.append)  # type: ignore[method-assign, union-attr]
         rows.handle_message(Put(DEADLINE, b"300", (0, 0)), ("127.0.0.1", 9))  # type: ignore[union-attr]
@@ -334,14 +346,14 @@
     asyncio.run(check())
 
 
-# ---- with real processes
+# ---- Scheduler processes
 
 
 PEER_PORT = 7946
 
 
-def fleet_file(folder: Path, name: str, host: str, *seeds: str) -> tuple[str, ...]:
-    """The words that start a scheduler of this name."""
+def serve_arguments(folder: Path, name: str, host: str, *seeds: str) -> tuple[str, ...]:
+    """Write the file of a scheduler of this name; return the arguments that start it."""
     path = folder / f"{name}.toml"
     path.write_text(
         f'name = "{name}"\nlisten = "{host}:{PEER_PORT}"\ncluster = "red"\n'
@@ -351,64 +363,64 @@
     return "serve", "--fleet", str(path)
 
 
-def own_hosts(count: int) -> list[str]:
-    """Loopback addresses that are this process's own: a port that was free a moment ago on the common one may
-    be anybody's when a scheduler listens there."""
+def private_hosts(count: int) -> list[str]:
+    """Loopback addresses that only this process uses: on 127.0.0.1, another process may take a free port
+    before the scheduler binds it."""
     return [f"{block()}.{number}" for number in range(1, count + 1)]
 
 
-async def given_up(running: Program, number: str) -> bool:
-    """Whether a request that no planner answers is given up long before the file's 5 s."""
+async def times_out_early(running: Program, number: str) -> bool:
+    """Whether a request that no planner answers fails well before the file's deadline of 5 s."""
     client, began = await HttpClient.to(running.port), monotonic()
     client.ask(number)
     return (await client.answer())[0] in (500, 503) and monotonic() - began < 3.0
 
 
-@told
+@with_folder
 async def test_failed_start_is_reported_with_the_output_of_the_program(folder: Path) -> None:
-    """Guards against a failed start whose reason is lost, as it was where another process had the port."""
-    [host] = own_hosts(1)
+    """Guards against a failed start without its reason, for example that another process has the port."""
+    [host] = private_hosts(1)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
         taken.bind((host, PEER_PORT))
         with pytest.raises(AssertionError, match="did not start .2.: .*can't listen: Address already in use"):
-            async with program(command=fleet_file(folder, "s1", host)):
+            async with program(command=serve_arguments(folder, "s1", host)):
                 pass
 
 
-@told
+@with_folder
 async def test_processes_apply_rows_over_a_reloaded_file_and_after_a_restart(
     folder: Path,
 ) -> None:
-    held: list[Run] = []
+    running_jobs: list[Run] = []
 
-    def hold(run: Run) -> None:
+    def hold_job(run: Run) -> None:
         run.say("started")
-        held.append(run)
+        running_jobs.append(run)
 
-    hosts = own_hosts(2)
-    words = [fleet_file(folder, "s1", hosts[0]), fleet_file(folder, "s2", hosts[1], hosts[0])]
+    hosts = private_hosts(2)
+    arguments = [serve_arguments(folder, "s1", hosts[0]), serve_arguments(folder, "s2", hosts[1], hosts[0])]
     peer = ("--peer", f"{hosts[1]}:{PEER_PORT}")
-    async with Planner("p1", act=hold) as planner, Catalog(planner) as catalog:
+    async with Planner("p1", act=hold_job) as planner, Catalog(planner) as catalog:
         async with (
-            program(catalog=catalog, command=words[0]) as first,
-            program(catalog=catalog, command=words[1], mgmt=True) as second,
+            program(catalog=catalog, command=arguments[0]) as first,
+            program(catalog=catalog, command=arguments[1], mgmt=True) as second,
         ):
-            while not (said := await call("put", SHARE, "0.5", *peer)).startswith("0 "):
-                assert "compared with a peer" in said, said
-            under_way = await HttpClient.to(second.port)
-            under_way.ask("q1")
+            while not (output := await call("put", SHARE, "0.5", *peer)).startswith("0 "):
+                assert "compared with a peer" in output, output
+            in_progress = await HttpClient.to(second.port)
+            in_progress.ask("q1")
             await planner.wait_for(1)
             assert "in force at all 2 in touch" in await call("put", DEADLINE, "300", *peer)
-            assert await given_up(first, "q2") and await given_up(second, "q3")
-            held[0].say("done", result="plan")
-            assert (await under_way.answer())[0] == 200  # it kept its five seconds
+            assert await times_out_early(first, "q2") and await times_out_early(second, "q3")
+            running_jobs[0].say("done", result="plan")
+            assert (await in_progress.answer())[0] == 200  # it kept its deadline of five seconds
             second.reload(second.config.read_text())
             await second.logged(
                 f"{DEADLINE}: 300 applied (writer s2, version 1.1); value in the file: 5000.0", 2
             )
-            assert await given_up(second, "q4")
+            assert await times_out_early(second, "q4")
             assert (await figures(second.mgmt_port))["scheduler.fleet.rows"] == 2
-        # Alone, before it has met anyone: it acts on what it held, and takes no change.
-        async with program(catalog=catalog, command=words[1]) as alone:
-            assert await given_up(alone, "q5")
+        # Before it has met another scheduler, it applies its stored rows and rejects changes.
+        async with program(catalog=catalog, command=arguments[1]) as alone:
+            assert await times_out_early(alone, "q5")
             assert "2 refused by s2: not compared with a peer" in await call("put", DEADLINE, "400", *peer)
