--- a/tests/cluster/test_fleet_rig.py
+++ b/tests/cluster/test_fleet_rig.py
@@ -1,4 +1,4 @@
-"""Several processes of the program with faults between them: each hard case of the fleet's view, for real."""
+"""Scheduler processes with injected faults: failures that the membership must handle, and the testbed."""
 
 from __future__ import annotations
 
@@ -29,20 +29,20 @@
     script,
 )
 
-# Three times as fast as the default, so that a case takes seconds.
+# Three times as fast as the defaults, so that a case takes seconds.
 FAST_TIMINGS = ProtocolTimings(period=0.1, ack_within=0.05, sync=0.6, sync_with_gone=1.0, tombstones=30.0)
-SETTLE = 6.0  # s; what the cases below need is a second or two
-WANTED = 2000.0  # ms; what a request takes is under 200
-GROUPS = [pytest.mark.xdist_group("rig-1"), pytest.mark.xdist_group("rig-2")]  # two plays at a time
+SETTLE_WITHIN_S = 6.0  # the cases below need one to two seconds
+WANTED_MS = 2000.0  # a request takes less than 200 ms
+GROUPS = [pytest.mark.xdist_group("rig-1"), pytest.mark.xdist_group("rig-2")]  # two runs at a time
 
 
-def case(*faults: Fault, processes: int = 4, **changes: Any) -> dict[str, Any]:
-    """The verdict on these faults."""
+def run_case(*faults: Fault, processes: int = 4, **changes: Any) -> dict[str, Any]:
+    """Run these faults; return the testbed's result."""
     scenario = Scenario(
         "case",
         Shape(processes, 2, 2, scales=FAST_TIMINGS),
-        Traffic(30.0, wanted_ms=WANTED),
-        settle_within=SETTLE,
+        Traffic(30.0, wanted_ms=WANTED_MS),
+        settle_within=SETTLE_WITHIN_S,
         **changes,
     )
     return uvloop.run(play(scenario, faults, 1))
@@ -50,68 +50,70 @@
 
 @GROUPS[0]
 def test_one_way_partition_causes_no_death_and_no_failed_request() -> None:
-    told = case(Fault(0.0, "cut-one-way", ("s1",), ("s2",), lasts=4.0), all_in_time=True)
-    assert told["wrong"] == [] and told["false_deaths"] == 0
-    assert told["links"]["lost"] > 0 and told["requests"] > 100
+    result = run_case(Fault(0.0, "cut-one-way", ("s1",), ("s2",), lasts=4.0), all_in_time=True)
+    assert result["wrong"] == [] and result["false_deaths"] == 0
+    assert result["links"]["lost"] > 0 and result["requests"] > 100
 
 
 @GROUPS[1]
 def test_process_paused_for_five_seconds_rejoins_and_declares_no_member_dead() -> None:
     with tempfile.TemporaryDirectory() as folder:
-        scenario = Scenario("still", Shape(4, 2, 2, scales=FAST_TIMINGS), Traffic(30.0), settle_within=SETTLE)
-        told = uvloop.run(play(scenario, (Fault(0.0, "pause", ("s2",), lasts=5.0),), 1, Path(folder)))
-        assert told["wrong"] == [] and told["false_deaths"] == 0
-        [woke] = [one for one in oracles.read(Path(folder)).instances if one.name == "s2"]
-        assert [death for death in woke.deaths if death[1] != "s2"] == []
+        scenario = Scenario(
+            "still", Shape(4, 2, 2, scales=FAST_TIMINGS), Traffic(30.0), settle_within=SETTLE_WITHIN_S
+        )
+        result = uvloop.run(play(scenario, (Fault(0.0, "pause", ("s2",), lasts=5.0),), 1, Path(folder)))
+        assert result["wrong"] == [] and result["false_deaths"] == 0
+        [paused] = [instance for instance in oracles.read(Path(folder)).instances if instance.name == "s2"]
+        assert [death for death in paused.deaths if death[1] != "s2"] == []
 
 
 @GROUPS[0]
 def test_half_the_fleet_is_killed_and_restarted_without_disks() -> None:
-    told = case(Fault(0.0, "kill", ("s1", "s3"), lasts=1.0, disk=False))
-    assert told["wrong"] == []
+    result = run_case(Fault(0.0, "kill", ("s1", "s3"), lasts=1.0, disk=False))
+    assert result["wrong"] == []
 
 
 @GROUPS[1]
 def test_rolling_restart() -> None:
-    told = case(Fault(0.0, "roll", lasts=0.0), processes=3)
-    assert told["wrong"] == [] and told["unanswered"] == 0
+    result = run_case(Fault(0.0, "roll", lasts=0.0), processes=3)
+    assert result["wrong"] == [] and result["unanswered"] == 0
 
 
 @GROUPS[0]
 def test_partition_with_a_join_and_deaths_heals() -> None:
-    told = case(
+    result = run_case(
         Fault(0.0, "cut-zone", ("zone-1",), lasts=6.0),
         Fault(1.0, "kill-for-good", ("s3",)),
         Fault(1.2, "kill-for-good", ("s4",)),
         Fault(1.5, "join", count=2),
         processes=5,
     )
-    assert told["wrong"] == []
+    assert result["wrong"] == []
 
 
 @GROUPS[1]
 def test_name_in_use_goes_to_the_process_that_started_later() -> None:
-    told = case(Fault(0.0, "double", ("s3",)))
-    assert told["wrong"] == [] and told["displaced"] == 1
+    result = run_case(Fault(0.0, "double", ("s3",)))
+    assert result["wrong"] == [] and result["displaced"] == 1
 
 
 @GROUPS[0]
 def test_flapping_member_and_one_with_its_clock_set_back_end_alive() -> None:
     flaps = [Fault(at, "kill", ("s4",), lasts=0.1) for at in (0.0, 0.2, 0.4)]
-    told = case(*flaps, Fault(0.1, "clock", ("s3",), lasts=1.5, amount=-3600.0))
-    assert told["wrong"] == []
+    result = run_case(*flaps, Fault(0.1, "clock", ("s3",), lasts=1.5, amount=-3600.0))
+    assert result["wrong"] == []
 
 
 @GROUPS[1]
 def test_members_stay_joined_while_all_seeds_are_dead_and_accept_them_back() -> None:
-    told = case(Fault(0.0, "kill", ("s1", "s2"), lasts=3.0), processes=5)
-    assert told["wrong"] == []
+    result = run_case(Fault(0.0, "kill", ("s1", "s2"), lasts=3.0), processes=5)
+    assert result["wrong"] == []
 
 
 @GROUPS[0]
 def test_lost_duplicated_reordered_delayed_and_throttled_messages_do_no_harm() -> None:
     everyone = ("s1", "s2", "s3", "s4")
-    told = case(
+    result = run_case(
         Fault(0.0, "duplicate", everyone, lasts=3.0, amount=0.5),
         Fault(0.0, "reorder", everyone, lasts=3.0, amount=0.4),
         Fault(0.0, "drip", ("s2",), lasts=3.0, amount=2000.0),
@@ -120,17 +122,17 @@
         Fault(0.5, "jitter", ("s4",), lasts=2.0, amount=0.03),
         all_in_time=True,
     )
-    assert told["wrong"] == []
-    assert told["links"]["doubled"] > 10 and told["links"]["reordered"] > 10
+    assert result["wrong"] == []
+    assert result["links"]["doubled"] > 10 and result["links"]["reordered"] > 10
 
 
 @GROUPS[1]
 def test_scheduler_without_reachable_peers_serves() -> None:
-    told = case(Fault(0.0, "cut", ("s1", "s2", "s3"), lasts=2.0), processes=3, all_in_time=True)
-    assert told["wrong"] == []
+    result = run_case(Fault(0.0, "cut", ("s1", "s2", "s3"), lasts=2.0), processes=3, all_in_time=True)
+    assert result["wrong"] == []
 
 
-# ---- the rig itself
+# ---- The testbed itself
 
 
 def test_same_scenario_and_seed_give_the_same_faults_and_a_script_repeats_them() -> None:
@@ -161,8 +163,8 @@
 
 
 def test_events_after_the_run_are_not_part_of_the_verdict(tmp_path: Path) -> None:
-    """The failure met: all processes are told to end after the play, and a fleet of nobody agreed."""
-    rig = [
+    """Guards against a verdict from after the run: all processes end then, and no member disagrees."""
+    testbed_events = [
         {"t": 1.0, "event": "spawn", "process": "s1", "place": 0, "start": 1, "events": "e1"},
         {"t": 1.0, "event": "spawn", "process": "s2", "place": 1, "start": 1, "events": "e2"},
         {"t": 5.0, "event": "over"},
@@ -170,12 +172,14 @@
         {"t": 9.1, "event": "term", "process": "s1", "place": 0, "start": 1},
         {"t": 9.1, "event": "term", "process": "s2", "place": 1, "start": 1},
     ]
-    (tmp_path / "rig.jsonl").write_text("\n".join(map(json.dumps, rig)))
+    (tmp_path / "rig.jsonl").write_text("\n".join(map(json.dumps, testbed_events)))
     for number, life in enumerate((11, 22), 1):
         name = f"s{number}"
         views = [(2.0, [[name, life]]), (6.5, [["s1", 11], ["s2", 22]]), (9.2, [[name, life]])]
         events = [{"t": 1.5, "event": "started", "life": life}] + [
-            {"t": when, "event": "view", "living": held} for when, held in views if number == 1 or when != 6.5
+            {"t": when, "event": "view", "living": living}
+            for when, living in views
+            if number == 1 or when != 6.5
         ]
         (tmp_path / f"e{number}").write_text("\n".join(map(json.dumps, events)))
     after, wrong = oracles.settled(oracles.read(tmp_path))
@@ -183,35 +187,35 @@
 
 
 def test_oracles_reject_each_kind_of_violation(tmp_path: Path) -> None:
-    """Logs made by hand, each with one fault in it."""
+    """Hand-made logs, each with one violation."""
 
     def logs(**wrong: Any) -> oracles.Logs:
-        one, two = oracles.Instance("s1", 0, 1, 11, 1.0), oracles.Instance("s2", 1, 1, 22, 1.0)
-        for instance in (one, two):
+        s1, s2 = oracles.Instance("s1", 0, 1, 11, 1.0), oracles.Instance("s2", 1, 1, 22, 1.0)
+        for instance in (s1, s2):
             instance.views.append((2.0, wrong.get(instance.name, {"s1": 11, "s2": 22})))
-        two.deaths += wrong.get("deaths", [])
-        two.away += wrong.get("away", [])
-        return oracles.Logs([one, two], [], 5.0, 9.0, [])
+        s2.deaths += wrong.get("deaths", [])
+        s2.away += wrong.get("away", [])
+        return oracles.Logs([s1, s2], [], 5.0, 9.0, [])
 
     assert oracles.settled(logs()) == (0.0, [])
     assert oracles.settled(oracles.Logs([], [], 5.0, 9.0, []))[1] == ["nobody lives"]
     assert "lacks ['s1']" in oracles.settled(logs(s2={"s2": 22}))[1][0]
-    assert "lacks ['s1']" in oracles.settled(logs(s2={"s1": 10, "s2": 22}))[1][0]  # of an earlier life
+    assert "lacks ['s1']" in oracles.settled(logs(s2={"s1": 10, "s2": 22}))[1][0]  # of an earlier instance
     assert "has ['s3']" in oracles.settled(logs(s1={"s1": 11, "s2": 22, "s3": 33}))[1][0]
     assert oracles.false_deaths(logs(deaths=[(3.0, "s1", 11)])) == 1
-    assert oracles.false_deaths(logs(deaths=[(3.0, "s1", 10)])) == 0  # it was dead
+    assert oracles.false_deaths(logs(deaths=[(3.0, "s1", 10)])) == 0  # that instance was dead
     assert oracles.false_deaths(logs(deaths=[(3.0, "s1", 11)], away=[(2.0, 4.0)])) == 0
 
 
 @pytest.mark.parametrize(
-    ("job_class", "killed", "asked_again"),
+    ("job_class", "killed", "retried"),
     [("book", True, False), ("book", False, True), ("quote", True, True)],
 )
 def test_keyed_job_that_a_killed_scheduler_may_have_accepted_is_not_retried(
-    job_class: str, killed: bool, asked_again: bool
+    job_class: str, killed: bool, retried: bool
 ) -> None:
-    """The failure met, twice on a busy machine: a scheduler was killed behind a request that it had
-    read from a kept connection and sent on; the rig took it for untaken, and the job ran in a second zone."""
+    """Guards against a job that runs in two zones: on a busy machine a scheduler was killed after it had read
+    a request from a kept connection and forwarded it; the testbed sent the request to a second scheduler."""
 
     async def run() -> None:
         heads: list[int] = []
@@ -235,16 +239,16 @@
             SimpleNamespace(place=place, starts=1, up=True, killed=0, real=("127.0.0.1", 0))
             for place in range(2)
         ]
-        rig = Play.__new__(Play)
-        rig.processes, rig.targets, rig._rng = SimpleNamespace(all=places), {}, random.Random(2)  # type: ignore
-        rig._clients = {
+        testbed = Play.__new__(Play)
+        testbed.processes, testbed.targets, testbed._rng = SimpleNamespace(all=places), {}, random.Random(2)  # type: ignore
+        testbed._clients = {
             place: HttpClients(server.sockets[0].getsockname()[1]) for place, server in enumerate(servers)
         }
         jobs = [Asked(token, "http-v1", job_class, token, "t", 1.0, 1) for token in ("a", "b")]
         for job in jobs:
-            await rig._asked(job, places[0])  # type: ignore[arg-type]
-        assert heads[:2] == [0, 0] and (len(heads) > 2) == asked_again
-        for clients in rig._clients.values():
+            await testbed._asked(job, places[0])  # type: ignore[arg-type]
+        assert heads[:2] == [0, 0] and (len(heads) > 2) == retried
+        for clients in testbed._clients.values():
             clients.close()
         for server in servers:
             server.close()
--- a/tests/cluster/test_settings_rig.py
+++ b/tests/cluster/test_settings_rig.py
@@ -1,4 +1,4 @@
-"""The rig's part for settings by row: its oracles, and plays with processes that are cut off and killed."""
+"""Replicated settings in the testbed: its oracles, and runs with partitioned and killed processes."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 GROUPS = [pytest.mark.xdist_group("rig-1"), pytest.mark.xdist_group("rig-2")]
 
 
-def case(puts: tuple[Put, ...], *faults: Fault, processes: int = 4) -> dict[str, Any]:
-    """The verdict on these changes and faults."""
+def run_case(puts: tuple[Put, ...], *faults: Fault, processes: int = 4) -> dict[str, Any]:
+    """Run these changes and faults; return the testbed's result."""
     scenario = Scenario("case", Shape(processes, 2, 2, scales=FAST_TIMINGS), Traffic(20.0), settle_within=6.0)
     return uvloop.run(play(scenario, faults, 1, None, puts))
 
@@ -45,13 +45,13 @@
 @GROUPS[0]
 def test_changes_with_a_killed_writer_a_lost_disk_and_a_wrong_clock() -> None:
     puts = tuple(Put(at, "s1", SHARE, f"0.{place}") for place, at in enumerate((0.0, 0.4, 2.5, 3.0), 1))
-    told = case(
+    result = run_case(
         (*puts, Put(0.2, "s2", QUOTA, "80")),
         Fault(0.6, "kill", ("s1",), lasts=0.8),
         Fault(0.7, "kill", ("s3",), lasts=0.5, disk=False),
         Fault(1.8, "clock", ("s2",), lasts=1.5, amount=-3000.0),
     )
-    assert told["wrong"] == [] and told["puts_in_force"] >= 3
+    assert result["wrong"] == [] and result["puts_in_force"] >= 3
 
 
 @GROUPS[1]
@@ -62,24 +62,24 @@
         Put(3.2, "s1", QUOTA, "70"),
         Put(6.0, "s3", SHARE, "0.3"),
     )
-    told = case(
+    result = run_case(
         puts,
         Fault(0.2, "cut-zone", ("zone-1",), lasts=4.0),
         Fault(5.0, "pause", ("s4",), lasts=2.5),
         processes=5,
     )
-    assert told["wrong"] == [] and told["puts_in_force"] >= 2
+    assert result["wrong"] == [] and result["puts_in_force"] >= 2
 
 
 def test_change_rejected_by_a_just_started_scheduler_is_put_again() -> None:
-    """Guards against a play that counts on how soon a process is up: a put that is refused until the
-    scheduler was compared with a peer is put again, as the operators' page says, and any other is not."""
+    """Guards against runs that depend on how fast a process starts: a change is put again if the scheduler
+    rejected it because it had not compared its rows with a peer yet, and after no other rejection."""
     answers = [NOT_COMPARED, NOT_COMPARED, "", "has changed meanwhile"]
-    asked: list[ClusterMessage] = []
+    messages: list[ClusterMessage] = []
 
     class Scripted(Puts):
         async def _ask(self, process: Any, message: Any, wanted: Any) -> Any:
-            asked.append(message)
+            messages.append(message)
             if wanted is RowsResponse:
                 return RowsResponse("s1", ())
             return (
@@ -91,48 +91,48 @@
     log: list[str] = []
     up = Mock(up=True)
     up.name = "s1"
-    puts = Scripted(Mock(all=[up]), lambda event, **told: log.append(event))
+    puts = Scripted(Mock(all=[up]), lambda event, **_fields: log.append(event))
     assert uvloop.run(puts.one(Put(0.0, "s1", SHARE, "0.1"))) == "in force"
-    assert sum(isinstance(message, PutRow) for message in asked) == 3 and log == ["put"]
+    assert sum(isinstance(message, PutRow) for message in messages) == 3 and log == ["put"]
     assert uvloop.run(puts.one(Put(0.0, "s1", SHARE, "0.1"))) == "refused" and not answers
 
 
-# ---- the oracles
+# ---- The oracles
 
 
 def logs(**changes: Any) -> Logs:
-    """Two that act on a row from 10 s on, which the first says is in force at 20 s; and changes of this."""
-    one, two = Instance("s1", 0, 1, 11, 1.0, started=1.5), Instance("s2", 1, 1, 22, 1.0, started=1.5)
-    one.acting = [(10.0, {SHARE: (1, 2)})]
-    one.in_force = [InForce(20.0, SHARE, (1, 2), changes.pop("said", {"s1": 11, "s2": 22}))]
-    two.acting = [(9.0, {SHARE: (1, 1)}), (10.0, {SHARE: (1, 2)})]
+    """Logs of s1 and s2, which apply a row at 10 s; s1 reports it in force at 20 s; `changes` are of s2."""
+    s1, s2 = Instance("s1", 0, 1, 11, 1.0, started=1.5), Instance("s2", 1, 1, 22, 1.0, started=1.5)
+    s1.acting = [(10.0, {SHARE: (1, 2)})]
+    s1.in_force = [InForce(20.0, SHARE, (1, 2), changes.pop("said", {"s1": 11, "s2": 22}))]
+    s2.acting = [(9.0, {SHARE: (1, 1)}), (10.0, {SHARE: (1, 2)})]
     for name, value in changes.items():
-        setattr(two, name, value)
-    return Logs([one, two], [], 30.0, 40.0, [])
+        setattr(s2, name, value)
+    return Logs([s1, s2], [], 30.0, 40.0, [])
 
 
 def test_in_force_is_rejected_if_a_named_or_reachable_member_does_not_apply_the_row() -> None:
     late = [(9.0, {SHARE: (1, 1)}), (20.1, {SHARE: (1, 2)})]
     assert row_oracles.exact(logs(), 6.0, 2) == []
     assert "s2 did not act on it" in row_oracles.exact(logs(acting=late), 6.0, 2)[0]
-    assert "s2 did not act" in row_oracles.exact(logs(life=23), 6.0, 2)[0]  # said of another life
+    assert "s2 did not act" in row_oracles.exact(logs(life=23), 6.0, 2)[0]  # reported of another instance
     alone = {"s1": 11}
-    assert row_oracles.exact(logs(said=alone), 6.0, 2) == []  # it acts, though it is not named
+    assert row_oracles.exact(logs(said=alone), 6.0, 2) == []  # it applies the row, though it is not named
     assert "without s2" in row_oracles.exact(logs(said=alone, acting=late), 6.0, 2)[0]
-    for excuse in ({"started": 16.0}, {"away": [(12.0, 15.0)]}, {"ended": 20.5}):
-        assert row_oracles.exact(logs(said=alone, acting=late, **excuse), 6.0, 2) == []
-    for excuse in ({"away": [(2.0, 13.0)]}, {"ended": 22.0}):
-        assert row_oracles.exact(logs(said=alone, acting=late, **excuse), 6.0, 2) != []
-    for fault, excused in (
+    for exemption in ({"started": 16.0}, {"away": [(12.0, 15.0)]}, {"ended": 20.5}):
+        assert row_oracles.exact(logs(said=alone, acting=late, **exemption), 6.0, 2) == []
+    for exemption in ({"away": [(2.0, 13.0)]}, {"ended": 22.0}):
+        assert row_oracles.exact(logs(said=alone, acting=late, **exemption), 6.0, 2) != []
+    for fault, exempt in (
         ({"do": "cut", "a": ["s2"], "t": 12.0, "for": 3.0}, True),
         ({"do": "cut", "a": ["s2"], "t": 2.0, "for": 3.0}, False),
         ({"do": "loss", "a": ["s3"], "b": ["s4"], "t": 19.0, "for": 3.0}, False),
         ({"do": "cut-zone", "a": ["zone-2"], "t": 19.0, "for": 3.0}, True),
         ({"do": "kill", "a": ["s4"], "t": 19.0}, False),
     ):
-        held = logs(said=alone, acting=late)
-        held.faults.append(fault)
-        assert (row_oracles.exact(held, 6.0, 2) == []) is excused, fault
+        changed_logs = logs(said=alone, acting=late)
+        changed_logs.faults.append(fault)
+        assert (row_oracles.exact(changed_logs, 6.0, 2) == []) is exempt, fault
 
 
 def test_older_row_is_rejected_in_one_instance_and_after_a_restart_with_its_folder() -> None:
@@ -145,8 +145,8 @@
         ({SHARE: (1, 1)}, True, True),
         ({SHARE: (2, 3)}, True, False),
     ):
-        held = logs()
-        held.instances.append(
+        changed_logs = logs()
+        changed_logs.instances.append(
             Instance(
                 "s2",
                 1,
@@ -158,7 +158,7 @@
                 acting=[(25.4, rows), (25.6, {SHARE: (1, 2)})][: 1 + (rows == {})],
             )
         )
-        assert ("started with" in "".join(row_oracles.backwards(held))) is wrong, rows
+        assert ("started with" in "".join(row_oracles.backwards(changed_logs))) is wrong, rows
 
 
 def test_all_apply_the_same_rows_at_the_end_and_none_older_than_one_in_force() -> None:
@@ -170,21 +170,21 @@
 
 
 def test_logs_are_read_incrementally_in_whole_lines(tmp_path: Path) -> None:
-    rig, events = tmp_path / "rig.jsonl", tmp_path / "e1"
-    rig.write_text(
+    testbed_log, events = tmp_path / "rig.jsonl", tmp_path / "e1"
+    testbed_log.write_text(
         json.dumps({"t": 1.0, "event": "spawn", "process": "s1", "place": 0, "start": 1, "events": "e1"})
         + "\n"
     )
     reading = oracles.Reading(tmp_path)
-    assert [one.name for one in reading.look().instances] == ["s1"]
+    assert [instance.name for instance in reading.look().instances] == ["s1"]
     line = json.dumps({"t": 2.0, "event": "acting", "rows": [[SHARE, 1, 1]], "refused": [["k", "no"]]}) + "\n"
     events.write_text(line[:20])
     assert reading.look().instances[0].acting == []
     with events.open("a") as log:
         log.write(line[20:] + line)
-    [one] = reading.look().instances
-    assert one.acting == [(2.0, {SHARE: (1, 1)})] * 2 and one.refused == [(2.0, "k", "no")] * 2
-    assert len(reading.look().instances[0].acting) == 2  # nothing twice
+    [instance] = reading.look().instances
+    assert instance.acting == [(2.0, {SHARE: (1, 1)})] * 2 and instance.refused == [(2.0, "k", "no")] * 2
+    assert len(reading.look().instances[0].acting) == 2  # no event is read twice
 
 
 def test_changes_are_drawn_by_the_seed_and_a_script_repeats_them() -> None:
