--- a/pipitshed/cli/client.py
+++ b/pipitshed/cli/client.py
@@ -12,10 +12,10 @@
 import click
 
 from pipitshed.cli.options import fail
-from pipitshed.cluster.codec import FRAME_LIMIT, LENGTH, Codec, MessageRejectedError
-from pipitshed.cluster.config_file import ClusterConfigError, first_line, read
+from pipitshed.cluster.codec import FRAME_LIMIT, LENGTH_PREFIX, Codec, MessageRejectedError
+from pipitshed.cluster.config_file import ClusterConfigError, read, secret_from
 from pipitshed.cluster.messages import ClusterMessage
-from pipitshed.cluster.streams import framed
+from pipitshed.cluster.streams import with_length_prefix
 from pipitshed.membership.members import Address
 from pipitshed.protocols.address import parse_address
 
@@ -70,7 +70,7 @@
             return SchedulerTarget(address, Codec(config.cluster, config.secret))
         if peer is None:
             raise ClusterConfigError("--peer or --fleet says which scheduler is asked")
-        secret = first_line(secret_file.read_bytes()) if secret_file is not None else b""
+        secret = secret_from(secret_file.read_bytes()) if secret_file is not None else b""
         return SchedulerTarget(parse_address(peer), Codec(cluster, secret))
     except (ClusterConfigError, ValueError, OSError) as error:
         fail(error)
@@ -97,8 +97,8 @@
     try:
         with socket.create_connection(address, REQUEST_TIMEOUT_S) as connection:
             connection.settimeout(REQUEST_TIMEOUT_S)
-            connection.sendall(framed(codec.encode(message)))
-            (length,) = LENGTH.unpack(_receive(connection, LENGTH.size))
+            connection.sendall(with_length_prefix(codec.encode(message)))
+            (length,) = LENGTH_PREFIX.unpack(_receive(connection, LENGTH_PREFIX.size))
             if length > FRAME_LIMIT:
                 raise RequestError("the answer is longer than any can be")
             answer = codec.decode(_receive(connection, length))
--- a/pipitshed/cli/settings.py
+++ b/pipitshed/cli/settings.py
@@ -13,7 +13,15 @@
 from pipitshed.cli.client import SchedulerTarget, request_or_exit, resolve_target, target_options
 from pipitshed.cli.settings_status import collect_status, status_json, status_text
 from pipitshed.cli.text_table import table_lines
-from pipitshed.cluster.messages import AskForce, Force, Put, PutDone, ShownRow, ShownRows, ShowRows
+from pipitshed.cluster.messages import (
+    CommitStatusRequest,
+    CommitStatusResponse,
+    Put,
+    PutResponse,
+    RowDetails,
+    RowsRequest,
+    RowsResponse,
+)
 
 EXIT_IN_FORCE = 0
 EXIT_REJECTED = 2
@@ -82,7 +90,7 @@
 @click.option("--json", "as_json", is_flag=True, help="As one JSON object.")
 def show(as_json: bool, **target_values: Any) -> None:
     """Print the rows that one scheduler holds: what is in force there, and what the file says."""
-    shown = request_or_exit(resolve_target(**target_values), ShowRows(), ShownRows)
+    shown = request_or_exit(resolve_target(**target_values), RowsRequest(), RowsResponse)
     if as_json:
         rows = [msgspec.structs.asdict(row) for row in shown.rows]
         click.echo(json.dumps({"name": shown.name, "rows": rows}))
@@ -103,31 +111,33 @@
 
 def _write(target: SchedulerTarget, key: str, body: bytes | None, wait_s: float, take_over: bool) -> None:
     """Put or delete a row, print the outcome, and end the program with its exit code."""
-    rows = request_or_exit(target, ShowRows(key), ShownRows).rows if key else ()
+    rows = request_or_exit(target, RowsRequest(key), RowsResponse).rows if key else ()
     version = (rows[0].term, rows[0].number) if rows else NO_ROW_VERSION
-    done = request_or_exit(target, Put(key, body, version, take_over), PutDone)
+    done = request_or_exit(target, Put(key, body, version, take_over), PutResponse)
     if done.why:
         click.echo(f"refused by {done.name}: {done.why}", err=True)
         sys.exit(EXIT_REJECTED)
     value = body.decode() if body is not None else "deleted"
     click.echo(f"accepted by {done.name}: {key} = {value}, as {done.term}.{done.number}")
-    outcome = _wait_until_applied(target, AskForce(key, done.term, done.number), wait_s)
+    outcome = _wait_until_applied(target, CommitStatusRequest(key, done.term, done.number), wait_s)
     click.echo(_outcome_text(outcome))
     sys.exit(EXIT_IN_FORCE if outcome.in_force else EXIT_NOT_EVERYWHERE)
 
 
-def _wait_until_applied(target: SchedulerTarget, question: AskForce, wait_s: float) -> Force:
+def _wait_until_applied(
+    target: SchedulerTarget, question: CommitStatusRequest, wait_s: float
+) -> CommitStatusResponse:
     """Repeat the question until all apply the row, nobody can any more, or the time is up."""
     deadline = time.monotonic() + wait_s
     while True:
-        answer = request_or_exit(target, question, Force)
+        answer = request_or_exit(target, question, CommitStatusResponse)
         all_reject = answer.missing and all(reason for _, reason in answer.missing)
         if answer.in_force or answer.superseded or all_reject or time.monotonic() >= deadline:
             return answer
         time.sleep(min(POLL_INTERVAL_S, max(0.0, deadline - time.monotonic())))
 
 
-def _outcome_text(outcome: Force) -> str:
+def _outcome_text(outcome: CommitStatusResponse) -> str:
     if outcome.superseded:
         return f"not in force: {outcome.superseded} has taken its place"
     if outcome.in_force:
@@ -146,7 +156,7 @@
     return text
 
 
-def _cells(row: ShownRow) -> tuple[str, ...]:
+def _cells(row: RowDetails) -> tuple[str, ...]:
     version = f"{row.term}.{row.number}"
     return row.key, _number_text(row.value), _number_text(row.file), version, row.writer, _remark(row)
 
@@ -155,7 +165,7 @@
     return "-" if value is None else f"{value:g}"
 
 
-def _remark(row: ShownRow) -> str:
+def _remark(row: RowDetails) -> str:
     if row.refused:
         return f"REFUSED ({row.asked[:MAX_SHOWN_VALUE]}): {row.refused}"
     return "deleted" if row.deleted else ""
--- a/pipitshed/testbed/fleet/puts.py
+++ b/pipitshed/testbed/fleet/puts.py
@@ -10,7 +10,14 @@
 from pipitshed.cli.client import RequestError as AskError
 from pipitshed.cli.client import send_request as ask
 from pipitshed.cluster.codec import Codec
-from pipitshed.cluster.messages import AskForce, ClusterMessage, Force, PutDone, ShownRows, ShowRows
+from pipitshed.cluster.messages import (
+    ClusterMessage,
+    CommitStatusRequest,
+    CommitStatusResponse,
+    PutResponse,
+    RowsRequest,
+    RowsResponse,
+)
 from pipitshed.cluster.messages import Put as PutRow
 from pipitshed.replication.row_table import NOT_COMPARED
 from pipitshed.testbed.fleet.processes import Process, Processes
@@ -78,18 +85,18 @@
         version = done.term, done.number
         until = monotonic() + WITHIN
         while monotonic() < until:
-            force = await self._ask(process, AskForce(put.key, *version), Force)
+            force = await self._ask(process, CommitStatusRequest(put.key, *version), CommitStatusResponse)
             if force.in_force or force.superseded:
                 return "in force" if force.in_force else "superseded", version
             await asyncio.sleep(LOOK)
         return "not in force", version
 
-    async def _put(self, process: Process, put: Put) -> PutDone:
+    async def _put(self, process: Process, put: Put) -> PutResponse:
         """Put a change once; where another process writes the row, it is taken over."""
-        held = (await self._ask(process, ShowRows(put.key), ShownRows)).rows
+        held = (await self._ask(process, RowsRequest(put.key), RowsResponse)).rows
         over = (held[0].term, held[0].number) if held else (0, 0)
         other = bool(held) and held[0].writer != process.name
-        return await self._ask(process, PutRow(put.key, put.value.encode(), over, other), PutDone)
+        return await self._ask(process, PutRow(put.key, put.value.encode(), over, other), PutResponse)
 
     async def _ask(self, process: Process, message: ClusterMessage, wanted: type[_Told]) -> _Told:
         return await asyncio.to_thread(ask, process.real, self._codec, message, wanted)
--- a/tests/replication/test_settings_rows.py
+++ b/tests/replication/test_settings_rows.py
@@ -201,7 +201,7 @@
         path.write_bytes(data)
         caplog.clear()
         assert row_store.read(path) == StoredRows()
-        assert caplog.text.count("left aside") == 1 and not path.exists()
+        assert caplog.text.count("moved aside") == 1 and not path.exists()
         assert (tmp_path / "rows.damaged").read_bytes() == data
     path.mkdir()
     assert row_store.read(path) == StoredRows()
