--- a/pipitshed/translation/codecs.py
+++ b/pipitshed/translation/codecs.py
@@ -1,6 +1,7 @@
-"""Bytes of a form to a record and back: form-encoded, JSON, protobuf.
+"""Codecs between the bytes of a message form and a record: form-encoded and JSON.
 
-Readers are strict: a field told twice, an unknown field, or text that is not UTF-8 is Unfit, never dropped.
+Decoding is strict: a repeated field, an unknown field, or text that is not UTF-8 raises UntranslatableError
+and is never dropped.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from pipitshed.translation.values import (
     Field,
     Record,
-    Unfit,
+    UntranslatableError,
     check_record,
     parse,
     parse_time,
@@ -32,10 +33,10 @@
     """One form of one message."""
 
     def decode(self, data: bytes) -> Record:
-        """The record; Unfit where the bytes are none of this form."""
+        """The record; UntranslatableError where the bytes are none of this form."""
 
     def encode(self, record: Record) -> bytes:
-        """The bytes; Unfit where the form can't express the record."""
+        """The bytes; UntranslatableError where the form can't express the record."""
 
 
 class FormCodec:
@@ -59,9 +60,9 @@
                 max_num_fields=MOST_FIELDS,
             )
         except UnicodeDecodeError:
-            raise Unfit(WHOLE, data[:32], "is not UTF-8") from None
+            raise UntranslatableError(WHOLE, data[:32], "is not UTF-8") from None
         except ValueError:
-            raise Unfit(WHOLE, data[:32], "is not form-encoded") from None
+            raise UntranslatableError(WHOLE, data[:32], "is not form-encoded") from None
 
     def decode(self, data: bytes) -> Record:
         record: Record = {}
@@ -70,13 +71,13 @@
                 continue
             field = self.fields.get(name)
             if not name:
-                raise Unfit(WHOLE, text, "has a field without a name")
+                raise UntranslatableError(WHOLE, text, "has a field without a name")
             if field is None:
-                raise Unfit(name, text, "is not a field of this form")
+                raise UntranslatableError(name, text, "is not a field of this form")
             if field.type == "texts":
                 record.setdefault(name, []).append(text)
             elif name in record:
-                raise Unfit(name, text, "is told twice")
+                raise UntranslatableError(name, text, "is told twice")
             else:
                 record[name] = parse(name, field, text)
         return check_record(self.fields, record)
@@ -99,12 +100,12 @@
     if len(record) != len(pairs):
         names = [name for name, _ in pairs]
         twice = next(name for place, name in enumerate(names) if name in names[:place])
-        raise Unfit(twice, record[twice], "is told twice")
+        raise UntranslatableError(twice, record[twice], "is told twice")
     return record
 
 
 def _no_constant(text: str) -> None:
-    raise Unfit(WHOLE, text, "is not a number")
+    raise UntranslatableError(WHOLE, text, "is not a number")
 
 
 # Of the libraries at hand only the standard one can be told of a name that stands twice.
@@ -121,14 +122,14 @@
     def decode(self, data: bytes) -> Record:
         try:
             value = _json_decoder.decode(data.decode("utf-8"))
-        except Unfit:
+        except UntranslatableError:
             raise
         except UnicodeDecodeError:
-            raise Unfit(WHOLE, data[:32], "is not UTF-8") from None
+            raise UntranslatableError(WHOLE, data[:32], "is not UTF-8") from None
         except (ValueError, RecursionError, ArithmeticError):
-            raise Unfit(WHOLE, data[:32], "is not JSON") from None
+            raise UntranslatableError(WHOLE, data[:32], "is not JSON") from None
         if not isinstance(value, dict):
-            raise Unfit(WHOLE, value, "is not a record")
+            raise UntranslatableError(WHOLE, value, "is not a record")
         # An empty list and none are the same: protobuf does not tell them apart.
         value = {name: held for name, held in value.items() if held != []}
         return check_record(self.fields, self._times(self.fields, value, parse_time))
--- a/pipitshed/translation/protobuf.py
+++ b/pipitshed/translation/protobuf.py
@@ -10,7 +10,14 @@
 from google.protobuf.unknown_fields import UnknownFieldSet
 
 from pipitshed.translation.codecs import WHOLE
-from pipitshed.translation.values import Field, Record, Unfit, check_record, parse_time, render_time
+from pipitshed.translation.values import (
+    Field,
+    Record,
+    UntranslatableError,
+    check_record,
+    parse_time,
+    render_time,
+)
 from pipitshed.worker_api import planner_pb2
 
 _D = pb.FieldDescriptor
@@ -97,15 +104,15 @@
         try:
             message.ParseFromString(data)
         except DecodeError:
-            raise Unfit(WHOLE, data[:32], "is not a message of this interface") from None
+            raise UntranslatableError(WHOLE, data[:32], "is not a message of this interface") from None
         return self.read(message)
 
     def read(self, message: Message) -> Record:
         """The record of a message that is parsed already."""
         if len(UnknownFieldSet(message)):
-            raise Unfit(WHOLE, "", "holds a field that this interface does not know")
+            raise UntranslatableError(WHOLE, "", "holds a field that this interface does not know")
         if not message.HasField(self._part):
-            raise Unfit(self._part, "", "is missing")
+            raise UntranslatableError(self._part, "", "is missing")
         return check_record(self.fields, _read(getattr(message, self._part), self._plan))
 
     def encode(self, record: Record) -> bytes:
@@ -164,7 +171,7 @@
 
 def _read(message: Any, plan: list[_Slot]) -> Record:
     if len(UnknownFieldSet(message)):
-        raise Unfit(WHOLE, "", "holds a field that this interface does not know")
+        raise UntranslatableError(WHOLE, "", "holds a field that this interface does not know")
     record: Record = {}
     for slot in plan:
         name, kind = slot.name, slot.field.type
@@ -178,7 +185,7 @@
             value = getattr(message, name)
             if kind == "choice":
                 if value not in slot.names:
-                    raise Unfit(name, value, "is a choice that this form does not know")
+                    raise UntranslatableError(name, value, "is a choice that this form does not know")
                 value = slot.names[value]
             elif kind == "time":
                 value = parse_time(name, slot.field, value)
@@ -206,4 +213,4 @@
             try:
                 setattr(message, name, value)
             except ValueError:
-                raise Unfit(name, value, "is out of the interface's range") from None
+                raise UntranslatableError(name, value, "is out of the interface's range") from None
--- a/pipitshed/translation/steps.py
+++ b/pipitshed/translation/steps.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from pipitshed.translation.values import EXACT, Field, Record, Unfit
+from pipitshed.translation.values import EXACT, Field, Record, UntranslatableError
 
 
 class Rule(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
@@ -166,14 +166,14 @@
             return [_up(self.inner, {}, item, f"{place}[{index}].") for index, item in enumerate(value)]
         if self.up:
             if value not in self.up:
-                raise Unfit(place, value, "has no counterpart in the newer form")
+                raise UntranslatableError(place, value, "has no counterpart in the newer form")
             return self.up[value]
         if self.scale != 1 or self.whole != self.source_whole:
             scaled = EXACT.multiply(Decimal(value), Decimal(self.scale))
             if not self.whole:
                 return scaled
             if scaled != scaled.to_integral_value():
-                raise Unfit(place, value, "is finer than the newer form can express")
+                raise UntranslatableError(place, value, "is finer than the newer form can express")
             return int(scaled)
         return value
 
@@ -182,25 +182,27 @@
             return [_down(self.inner, item, f"{place}[{index}].") for index, item in enumerate(value)]
         if self.down:
             if value not in self.down:
-                raise Unfit(place, value, "has no counterpart in the older form")
+                raise UntranslatableError(place, value, "has no counterpart in the older form")
             return self.down[value]
         if self.scale != 1 or self.whole != self.source_whole:
             if self.source_whole:
                 whole, rest = divmod(value, self.scale)
                 if rest:
-                    raise Unfit(place, value, "is finer than the older form can express")
+                    raise UntranslatableError(place, value, "is finer than the older form can express")
                 return int(whole)
             try:
                 return EXACT.divide(Decimal(value), Decimal(self.scale))
             except Inexact:
-                raise Unfit(place, value, "can't be expressed exactly by the older form") from None
+                raise UntranslatableError(
+                    place, value, "can't be expressed exactly by the older form"
+                ) from None
         return value
 
 
 def _up(movers: Sequence[_Mover], cannot: Mapping[str, str], record: Record, place: str = "") -> Record:
     for name, why in cannot.items():
         if name in record:
-            raise Unfit(place + name, record[name], why)
+            raise UntranslatableError(place + name, record[name], why)
     made: Record = {}
     for mover in movers:
         if mover.source and mover.source in record:
@@ -208,7 +210,9 @@
         elif mover.default is not None:
             made[mover.name] = mover.default
         elif mover.required:
-            raise Unfit(place + mover.name, "", mover.cannot or "is required by the newer form and not told")
+            raise UntranslatableError(
+                place + mover.name, "", mover.cannot or "is required by the newer form and not told"
+            )
     return made
 
 
@@ -221,7 +225,9 @@
         if mover.source:
             made[mover.source] = mover.turn_down(value, place + mover.name)
         elif mover.default is None or value != mover.default:
-            raise Unfit(place + mover.name, value, mover.cannot or "can't be expressed by the older form")
+            raise UntranslatableError(
+                place + mover.name, value, mover.cannot or "can't be expressed by the older form"
+            )
     return made
 
 
@@ -233,11 +239,11 @@
         self._cannot = dict(side.cannot)
 
     def up(self, record: Record) -> Record:
-        """The upper version's record; Unfit where it can't be expressed there."""
+        """The upper version's record; UntranslatableError where it can't be expressed there."""
         return _up(self._movers, self._cannot, record)
 
     def down(self, record: Record) -> Record:
-        """The lower version's record; Unfit where it can't be expressed there."""
+        """The lower version's record; UntranslatableError where it can't be expressed there."""
         return _down(self._movers, record)
 
     def lower_name(self, field: str) -> str:
@@ -267,18 +273,18 @@
         for place, step in enumerate(self._steps):
             try:
                 record = step.up(record)
-            except Unfit as unfit:
+            except UntranslatableError as unfit:
                 raise self.named_below(unfit, place) from None
         return record
 
-    def named_below(self, unfit: Unfit, steps: int | None = None) -> Unfit:
+    def named_below(self, unfit: UntranslatableError, steps: int | None = None) -> UntranslatableError:
         """A refusal by the name that the field has below the first so many steps: who is refused knows no
         other.
         """
         field = unfit.field
         for step in reversed(self._steps[:steps]):
             field = step.lower_name(field)
-        return Unfit(field, unfit.value, unfit.reason)
+        return UntranslatableError(field, unfit.value, unfit.reason)
 
     def down(self, record: Record) -> Record:
         for step in self._back:
--- a/pipitshed/translation/translator.py
+++ b/pipitshed/translation/translator.py
@@ -10,7 +10,7 @@
 from pipitshed.translation.codecs import Codec, FormCodec, JsonCodec
 from pipitshed.translation.file import Form, TranslationFile
 from pipitshed.translation.steps import Chain, Step
-from pipitshed.translation.values import Field, Record, Unfit
+from pipitshed.translation.values import Field, Record, UntranslatableError
 
 FORM_TYPE = "application/x-www-form-urlencoded"
 
@@ -20,7 +20,7 @@
     """One request in the form of each interface that can express it."""
 
     bodies: dict[int, bytes] = field(default_factory=dict)  # interface: body
-    failures: dict[int, Unfit] = field(default_factory=dict)  # interface: why it can't
+    failures: dict[int, UntranslatableError] = field(default_factory=dict)  # interface: why it can't
 
 
 # What HTTP headers and gRPC metadata carry unchanged: visible ASCII, with spaces inside alone.
@@ -82,17 +82,17 @@
         ]:
             if value and not _CARRIED.fullmatch(value):
                 # Guards the key above all: with characters left out, two keys could become one.
-                unfit = Unfit(name, value, "holds what neither a header nor metadata can carry")
+                unfit = UntranslatableError(name, value, "holds what neither a header nor metadata can carry")
                 return TranslatedRequest(failures=dict.fromkeys(self.interfaces, unfit))
         form = self.clients.http if request.form_version is None else request.form_version
         return self.bodies(form, self._classes[request.job_class], request.body, self.interfaces)
 
-    def answer(self, request: Request, interface: int, result: bytes) -> bytes | Unfit:
+    def answer(self, request: Request, interface: int, result: bytes) -> bytes | UntranslatableError:
         """A planner's result in the form of the request's client."""
         form = self.clients.http if request.form_version is None else request.form_version
         try:
             return self.result(form, self._classes[request.job_class], interface, result)
-        except Unfit as unfit:
+        except UntranslatableError as unfit:
             return unfit
 
     def bodies(self, form: int, job_class: str, body: bytes, interfaces: Iterable[int]) -> TranslatedRequest:
@@ -109,7 +109,7 @@
                 if record is None:
                     record = self._request(form, job_class).decode(body)
                 prepared.bodies[interface] = self._told(record, form, target, job_class)
-            except Unfit as unfit:
+            except UntranslatableError as unfit:
                 prepared.failures[interface] = unfit
         return prepared
 
@@ -118,14 +118,16 @@
         moved = self._move(record, form, target, job_class, True)
         try:
             return self._request(target, job_class).encode(moved)
-        except Unfit as unfit:
+        except UntranslatableError as unfit:
             chain = self._chains.get((form, target, job_class, True))
             raise chain.named_below(unfit) if chain is not None else unfit from None
 
     def _request(self, form: int, job_class: str) -> Codec:
         codec = self._requests.get((form, job_class))
         if codec is None:
-            raise Unfit("class", job_class, f"version {form} of the message form does not know this class")
+            raise UntranslatableError(
+                "class", job_class, f"version {form} of the message form does not know this class"
+            )
         return codec
 
     def _move(self, record: Record, form: int, target: int, job_class: str, request: bool) -> Record:
@@ -133,29 +135,33 @@
             return record
         chain = self._chains.get((min(form, target), max(form, target), job_class, request))
         if chain is None:
-            raise Unfit("class", job_class, f"no steps lead from version {form} to {target} for this class")
+            raise UntranslatableError(
+                "class", job_class, f"no steps lead from version {form} to {target} for this class"
+            )
         return chain.up(record) if form < target else chain.down(record)
 
     def convert(self, source: int, target: int, job_class: str, data: bytes, request: bool = True) -> bytes:
-        """One message from a version into another; Unfit where it can't be."""
+        """One message from a version into another; UntranslatableError where it can't be."""
         if request and (target, job_class) in self._requests:
             return self._told(self._request(source, job_class).decode(data), source, target, job_class)
         codecs = self._requests if request else self._results
         held, wanted = codecs.get((source, job_class)), codecs.get((target, job_class))
         if held is None or wanted is None:
-            raise Unfit("class", job_class, "one of the versions does not know this class")
+            raise UntranslatableError("class", job_class, "one of the versions does not know this class")
         return wanted.encode(self._move(held.decode(data), source, target, job_class, request))
 
     # ---- results
 
     def result(self, form: int, job_class: str, interface: int, data: bytes) -> bytes:
-        """A planner's result in its client's form; Unfit where that can't express it."""
+        """A planner's result in its client's form; UntranslatableError where that can't express it."""
         source = self.interfaces[interface]
         if source == form:
             return data
         held, wanted = self._results.get((source, job_class)), self._results.get((form, job_class))
         if held is None or wanted is None:
-            raise Unfit("class", job_class, f"version {form} of the message form does not know this class")
+            raise UntranslatableError(
+                "class", job_class, f"version {form} of the message form does not know this class"
+            )
         return wanted.encode(self._move(held.decode(data), source, form, job_class, False))
 
     # ---- the envelope of clients that carry it in the body
@@ -167,7 +173,7 @@
 
     def envelope(self, form: int, body: bytes) -> dict[str, str]:
         """What the body tells of id, class, tenant, key and deadline, where this form has them there.
-        Unfit where one is told twice.
+        UntranslatableError where one is told twice.
         """
         places = {
             place.removeprefix("field:"): name
@@ -180,7 +186,7 @@
         for name, text in FormCodec({}).pairs(body):
             if name in places:
                 if places[name] in told:
-                    raise Unfit(name, text, "is told twice")
+                    raise UntranslatableError(name, text, "is told twice")
                 told[places[name]] = text
         return told
 
--- a/pipitshed/translation/values.py
+++ b/pipitshed/translation/values.py
@@ -36,7 +36,7 @@
 _MICROSECOND = datetime.timedelta(microseconds=1)
 
 
-class Unfit(ValueError):  # noqa: N818 - the word that refusals use
+class UntranslatableError(ValueError):
     """A message that a form or a step can't express: a final answer, never a guess."""
 
     def __init__(self, field: str, value: object, reason: str) -> None:
@@ -45,9 +45,9 @@
         self.reason = reason
         super().__init__(f"{field}: {reason}")
 
-    def within(self, place: str) -> Unfit:
+    def within(self, place: str) -> UntranslatableError:
         """The same, of a field of a nested record."""
-        return Unfit(f"{place}.{self.field}", self.value, self.reason)
+        return UntranslatableError(f"{place}.{self.field}", self.value, self.reason)
 
 
 def shown(value: object) -> str:
@@ -72,44 +72,46 @@
 
 
 def check(name: str, field: Field, value: Any) -> Any:
-    """The value, if the field can hold it; Unfit where it can't."""
+    """The value, if the field can hold it; UntranslatableError where it can't."""
     kind = field.type
     if kind == "text":
         if not isinstance(value, str):
-            raise Unfit(name, value, "is not text")
+            raise UntranslatableError(name, value, "is not text")
         if len(value) > field.longest:
-            raise Unfit(name, value, f"is longer than {field.longest} characters")
+            raise UntranslatableError(name, value, f"is longer than {field.longest} characters")
         if not value.isascii() and _SURROGATE.search(value):
-            raise Unfit(name, value, "is not UTF-8")
+            raise UntranslatableError(name, value, "is not UTF-8")
     elif kind == "flag":
         if not isinstance(value, bool):
-            raise Unfit(name, value, "is neither true nor false")
+            raise UntranslatableError(name, value, "is neither true nor false")
     elif kind == "choice":
         if value not in field.choices or not isinstance(value, str):
-            raise Unfit(name, value, f"is not one of {', '.join(field.choices)}")
+            raise UntranslatableError(name, value, f"is not one of {', '.join(field.choices)}")
     elif kind in ("integer", "time"):
         if isinstance(value, bool) or not isinstance(value, int):
-            raise Unfit(name, value, "is not a whole number" if kind == "integer" else "is not a time")
+            raise UntranslatableError(
+                name, value, "is not a whole number" if kind == "integer" else "is not a time"
+            )
         _within(name, field, value)
     elif kind == "decimal":
         if isinstance(value, int) and not isinstance(value, bool):
             value = Decimal(value)
         if not isinstance(value, Decimal) or not value.is_finite():
-            raise Unfit(name, value, "is not a number")
+            raise UntranslatableError(name, value, "is not a number")
         if len(value.as_tuple().digits) > _DIGITS or not -_DIGITS < value.adjusted() < 19:
-            raise Unfit(name, value, "is out of range")
+            raise UntranslatableError(name, value, "is out of range")
         exponent = value.normalize(EXACT).as_tuple().exponent
         if isinstance(exponent, int) and -exponent > field.places:
-            raise Unfit(name, value, f"has more than {field.places} places")
+            raise UntranslatableError(name, value, f"has more than {field.places} places")
         _within(name, field, value)
     elif kind == "texts":
         if not isinstance(value, list):
-            raise Unfit(name, value, "is not a list")
+            raise UntranslatableError(name, value, "is not a list")
         for place, item in enumerate(value):
             check(f"{name}[{place}]", Field("text", longest=field.longest), item)
     else:
         if not isinstance(value, list):
-            raise Unfit(name, value, "is not a list")
+            raise UntranslatableError(name, value, "is not a list")
         for place, item in enumerate(value):
             check_record(field.fields, item, f"{name}[{place}]")
     return value
@@ -117,24 +119,24 @@
 
 def _within(name: str, field: Field, value: int | Decimal) -> None:
     if field.least is not None and value < field.least:
-        raise Unfit(name, value, f"is under {field.least}")
+        raise UntranslatableError(name, value, f"is under {field.least}")
     if field.most is not None and value > field.most:
-        raise Unfit(name, value, f"is over {field.most}")
+        raise UntranslatableError(name, value, f"is over {field.most}")
 
 
 def check_record(fields: dict[str, Field], record: Any, place: str = "") -> Record:
     """The record, if it has the fields it must have, no other, and each in its bounds."""
     prefix = f"{place}." if place else ""
     if not isinstance(record, dict):
-        raise Unfit(place or "the message", record, "is not a record")
+        raise UntranslatableError(place or "the message", record, "is not a record")
     for name, value in record.items():
         field = fields.get(name)
         if field is None:
-            raise Unfit(prefix + name, value, "is not a field of this form")
+            raise UntranslatableError(prefix + name, value, "is not a field of this form")
         record[name] = check(prefix + name, field, value)
     for name, field in fields.items():
         if field.required and name not in record:
-            raise Unfit(prefix + name, "", "is required and missing")
+            raise UntranslatableError(prefix + name, "", "is required and missing")
     return record
 
 
@@ -142,19 +144,22 @@
 
 
 def parse(name: str, field: Field, text: str) -> Any:
-    """A value from its text; Unfit where it is none of the field's type. Bounds are `check`'s."""
+    """Parse the text of a field's value; UntranslatableError where the text is not of the field's type.
+
+    Bounds are checked by `check`.
+    """
     kind = field.type
     if kind == "integer":
         if not _INTEGER.fullmatch(text):
-            raise Unfit(name, text, "is not a whole number")
+            raise UntranslatableError(name, text, "is not a whole number")
         return int(text)
     if kind == "decimal":
         if not _DECIMAL.fullmatch(text):
-            raise Unfit(name, text, "is not a decimal number")
+            raise UntranslatableError(name, text, "is not a decimal number")
         return Decimal(text)
     if kind == "flag":
         if text not in ("0", "1"):
-            raise Unfit(name, text, "is neither 0 nor 1")
+            raise UntranslatableError(name, text, "is neither 0 nor 1")
         return text == "1"
     if kind == "time":
         return parse_time(name, field, text)
@@ -177,35 +182,35 @@
     if field.unit == "rfc3339":
         found = _RFC3339.fullmatch(value) if isinstance(value, str) else None
         if found is None:
-            raise Unfit(name, value, "is not a time as RFC 3339 has it, to the microsecond")
+            raise UntranslatableError(name, value, "is not a time as RFC 3339 has it, to the microsecond")
         whole, part, zone = found.groups()
         try:
             moment = datetime.datetime.fromisoformat(
                 whole.upper() + (part or "") + ("+00:00" if zone in "Zz" else zone)
             )
         except ValueError:
-            raise Unfit(name, value, "is no date") from None
+            raise UntranslatableError(name, value, "is no date") from None
         return (moment - _EPOCH) // _MICROSECOND
     if isinstance(value, str):
         if not _INTEGER.fullmatch(value):
-            raise Unfit(name, value, "is not a whole number of Unix time")
+            raise UntranslatableError(name, value, "is not a whole number of Unix time")
         value = int(value)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise Unfit(name, value, "is not a whole number of Unix time")
+        raise UntranslatableError(name, value, "is not a whole number of Unix time")
     return value * _PER_UNIT[field.unit]
 
 
 def render_time(name: str, field: Field, value: int) -> str | int:
-    """A time in a form's own unit; Unfit where it is finer or farther than that."""
+    """A time in a form's own unit; UntranslatableError where it is finer or farther than that."""
     if field.unit == "rfc3339":
         try:
             moment = _EPOCH + value * _MICROSECOND
         except OverflowError:
-            raise Unfit(name, value, "is out of the years 1 to 9999") from None
+            raise UntranslatableError(name, value, "is out of the years 1 to 9999") from None
         text = moment.isoformat().removesuffix("+00:00")
         return (text.rstrip("0") if moment.microsecond else text) + "Z"
     whole, rest = divmod(value, _PER_UNIT[field.unit])
     if rest:
         unit = "a second" if field.unit == "unix-s" else "a millisecond"
-        raise Unfit(name, value, f"is finer than {unit}")
+        raise UntranslatableError(name, value, f"is finer than {unit}")
     return whole
--- a/tests/test_translation.py
+++ b/tests/test_translation.py
@@ -15,7 +15,7 @@
 from pipitshed.proxy.request import Request
 from pipitshed.translation.file import TranslationError, read
 from pipitshed.translation.translator import Translator
-from pipitshed.translation.values import Unfit
+from pipitshed.translation.values import UntranslatableError
 from pipitshed.worker_api import planner_pb2 as pb
 
 FILE = read(FORMS)
@@ -121,7 +121,7 @@
 ) -> None:
     name, value = wrong
     told = json.loads(as_json(job)) | {name: value}
-    with pytest.raises(Unfit) as caught:
+    with pytest.raises(UntranslatableError) as caught:
         TRANSLATOR.convert(1, 2, "quote", json.dumps(told).encode())
     assert caught.value.field.partition("[")[0] == name or caught.value.reason == "is not UTF-8"
     assert caught.value.reason and len(caught.value.value) <= 65
@@ -131,7 +131,7 @@
 def test_any_bytes_are_translated_or_refused(data: bytes, source: int, target: int, request: bool) -> None:
     try:
         TRANSLATOR.convert(source, target, "quote", data, request)
-    except Unfit as unfit:
+    except UntranslatableError as unfit:
         assert unfit.field and unfit.reason
 
 
@@ -160,7 +160,7 @@
         (pb.Done(offer=pb.Offer(departs_ms=0)).SerializeToString(), "price_cents"),
         (b"\xff\xff", "the message"),
     ]:
-        with pytest.raises(Unfit) as caught:
+        with pytest.raises(UntranslatableError) as caught:
             TRANSLATOR.result(1, "quote", 2, data)
         assert caught.value.field == field, data
 
@@ -230,7 +230,7 @@
     forms = read(
         FORMS.replace('dock = { default = "any" }', 'dock = { cannot = "old terminals know no docks" }')
     )
-    with pytest.raises(Unfit) as caught:
+    with pytest.raises(UntranslatableError) as caught:
         Translator(forms, ["quote", "book"]).convert(
             1, 2, "book", as_json({"origin": "a", "destination": "b", "pallets": 1})
         )
@@ -241,10 +241,10 @@
     """Over two steps: what the newest form can't hold is told by the oldest one's name."""
     old, new = 'weight_g = { type = "integer" }', 'weight_g = { type = "integer", most = 5 }'
     forms = read(FORMS.replace(old, new))
-    with pytest.raises(Unfit) as caught:
+    with pytest.raises(UntranslatableError) as caught:
         Translator(forms, ["quote", "book"]).convert(0, 2, "quote", b"from=a&to=b&plts=1&kg=2.5")
     assert (caught.value.field, caught.value.value) == ("kg", "2500")
     body = b'{"origin":"a","destination":"b","pallets":1,"goods":[{"sku":"a","count":4294967296}]}'
-    with pytest.raises(Unfit) as caught:
+    with pytest.raises(UntranslatableError) as caught:
         TRANSLATOR.convert(1, 2, "quote", body)
     assert caught.value.field == "goods[0].count"
