--- a/pipitshed/discovery/placement_plan.py
+++ b/pipitshed/discovery/placement_plan.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from pipitshed.placement.follow import EVERY, Follower
+from pipitshed.placement.follow import STEP_INTERVAL_S, Follower
 from pipitshed.placement.plan import PlanError, read
 from pipitshed.proxy.endpoint_table import EndpointTable
 
@@ -53,7 +53,7 @@
             log.info("plan %s: following plan number %d", self._path.name, plan.number)
 
     def _step(self) -> None:
-        self._timer = self._loop.call_later(EVERY, self._step)
+        self._timer = self._loop.call_later(STEP_INTERVAL_S, self._step)
         self.apply_weights()
 
     def apply_weights(self) -> None:
--- a/pipitshed/placement/follow.py
+++ b/pipitshed/placement/follow.py
@@ -14,7 +14,7 @@
 
 SCALE = 100_000.0
 STEP = 0.1  # part of a class's load that one step may shift
-EVERY = 1.0  # s between steps
+STEP_INTERVAL_S = 1.0  # s between steps
 
 Weights = dict[WorkerId, tuple[float, ...]]
 
