--- a/pipitshed/placement/follow.py
+++ b/pipitshed/placement/follow.py
@@ -13,7 +13,7 @@
 from pipitshed.scheduling.events import EndpointEntry, EndpointState, WorkerId
 
 SCALE = 100_000.0
-STEP = 0.1  # part of a class's load that one step may shift
+MAX_LOAD_SHIFT_PER_STEP = 0.1  # part of a class's load that one step may shift
 STEP_INTERVAL_S = 1.0  # s between steps
 
 Weights = dict[WorkerId, tuple[float, ...]]
@@ -123,8 +123,8 @@
             worker: staying.get(worker, 0.0) / total if total else new.get(worker, 0.0) for worker in ready
         }
         shift = sum(abs(new.get(worker, 0.0) - part) for worker, part in start.items()) / 2
-        if shift <= STEP:
+        if shift <= MAX_LOAD_SHIFT_PER_STEP:
             return {worker: new.get(worker, 0.0) for worker in ready}
         self.moving = True
-        part = STEP / shift
+        part = MAX_LOAD_SHIFT_PER_STEP / shift
         return {worker: held + part * (new.get(worker, 0.0) - held) for worker, held in start.items()}
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -15,7 +15,7 @@
 from pipitshed.cli.commands import main
 from pipitshed.placement import plan as plans
 from pipitshed.placement.explain import explain
-from pipitshed.placement.follow import STEP, Follower
+from pipitshed.placement.follow import MAX_LOAD_SHIFT_PER_STEP, Follower
 from pipitshed.placement.learn import learn
 from pipitshed.placement.model import Constraints, Demand, Fleet, FleetError, Floor, read
 from pipitshed.placement.model import Planner as Machine
@@ -209,7 +209,7 @@
         weights = follower.weights(entries, now) or {}
         parts = {worker.decode(): told[0] / 100_000 for worker, told in weights.items()}
         if last is not None and last.keys() == parts.keys():
-            assert sum(abs(parts[name] - last[name]) for name in parts) / 2 <= STEP + 1e-9
+            assert sum(abs(parts[name] - last[name]) for name in parts) / 2 <= MAX_LOAD_SHIFT_PER_STEP + 1e-9
             if max((abs(parts[name] - last[name]) for name in parts), default=0) < 1e-12:
                 break
         last = parts
@@ -264,7 +264,7 @@
     for turn in range(20):
         weights = follower.weights(both if turn % 2 else one, 1000.0) or {}
         if turn % 2:
-            assert weights[b"p1"][0] <= STEP * 100_000 + 1e-6
+            assert weights[b"p1"][0] <= MAX_LOAD_SHIFT_PER_STEP * 100_000 + 1e-6
 
 
 @long_story
