--- a/pipitshed/cli/place.py
+++ b/pipitshed/cli/place.py
@@ -15,7 +15,7 @@
 from pipitshed.placement.explain import explain as explain_resources
 from pipitshed.placement.learn import learn as learn_from_lines
 from pipitshed.placement.model import Fleet, FleetError, read
-from pipitshed.placement.plan import Place, Plan, PlanError
+from pipitshed.placement.plan import Plan, PlanError, PlannerEntry
 from pipitshed.placement.score import capacity, score
 from pipitshed.placement.solve import GOALS, Answer, solve
 
@@ -132,7 +132,7 @@
         time.time(),
         fleet.life_s,
         answer.units,
-        {worker.id: Place(worker.zone, worker.model, capacity(worker)) for worker in fleet.planners},
+        {worker.id: PlannerEntry(worker.zone, worker.model, capacity(worker)) for worker in fleet.planners},
         parts,
         dict(zip(GOALS, result.vector(), strict=True)),
         answer.exact,
--- a/pipitshed/placement/plan.py
+++ b/pipitshed/placement/plan.py
@@ -14,7 +14,7 @@
     """The plan can't be used; the text says why."""
 
 
-class Place(msgspec.Struct, frozen=True):
+class PlannerEntry(msgspec.Struct, frozen=True):
     """What the plan knows of one planner."""
 
     zone: str
@@ -30,7 +30,7 @@
     made: float  # Unix time, s
     life_s: float
     units: int
-    planners: dict[str, Place]
+    planners: dict[str, PlannerEntry]
     parts: dict[str, dict[str, int]]  # `zone/class`: planner: units; they add up to `units`
     goals: dict[str, float] = {}
     exact: bool = True
--- a/pipitshed/testbed/arms.py
+++ b/pipitshed/testbed/arms.py
@@ -13,7 +13,7 @@
 from pipitshed.placement import plan as plans
 from pipitshed.placement.model import Constraints, Demand, Planner
 from pipitshed.placement.model import Fleet as Told
-from pipitshed.placement.plan import Place, Plan
+from pipitshed.placement.plan import Plan, PlannerEntry
 from pipitshed.placement.score import capacity
 from pipitshed.placement.solve import solve
 from pipitshed.testbed.accounts import broken
@@ -49,7 +49,7 @@
             time.time(),
             told.life_s,
             answer.units,
-            {one.id: Place(one.zone, one.model, capacity(one)) for one in planners},
+            {one.id: PlannerEntry(one.zone, one.model, capacity(one)) for one in planners},
             answer.parts,
         )
     )
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -19,7 +19,7 @@
 from pipitshed.placement.learn import learn
 from pipitshed.placement.model import Constraints, Demand, Fleet, FleetError, Floor, read
 from pipitshed.placement.model import Planner as Machine
-from pipitshed.placement.plan import Place, Plan, PlanError
+from pipitshed.placement.plan import Plan, PlanError, PlannerEntry
 from pipitshed.placement.score import score
 from pipitshed.placement.solve import solve
 from pipitshed.scheduling.events import EndpointEntry, EndpointState
@@ -190,7 +190,7 @@
         made,
         100.0,
         sum(parts.values()),
-        {name: Place("a", "m", 4.0) for name in parts},
+        {name: PlannerEntry("a", "m", 4.0) for name in parts},
         {"a/quote": parts},
         **more,
     )  # type: ignore[arg-type]
@@ -274,7 +274,7 @@
     path = folder / "plan.json"
     now = time.time()
     parts = {"lima-norte/quote": {"p1": 0, "p2": 1000}}
-    places = {name: Place("lima-norte", "m", 4.0) for name in ("p1", "p2")}
+    places = {name: PlannerEntry("lima-norte", "m", 4.0) for name in ("p1", "p2")}
 
     def made(number: int, p1: int) -> bytes:
         held = {"lima-norte/quote": {"p1": p1, "p2": 1000 - p1}}
