--- a/pipitshed/placement/explain.py
+++ b/pipitshed/placement/explain.py
@@ -12,7 +12,7 @@
 
 
 @dataclass
-class Worth:
+class ResourceValue:
     """One resource of one planner, or of each of several that are alike."""
 
     planner: str
@@ -22,7 +22,7 @@
     one_more: float  # by which the worst use falls with one more core, slot or unit of memory there
 
 
-def explain(fleet: Fleet) -> list[Worth]:
+def explain(fleet: Fleet) -> list[ResourceValue]:
     """All resources, the most valuable first. The use is that of the linear program's best; the worth follows
     from its duals: a row's use is load over capacity, so one more of n changes it by use / n. Empty in a
     conflict.
@@ -31,13 +31,15 @@
     solution = Solver(built.program).solve(built.goals[:1])
     if solution is None:
         return []
-    found: dict[tuple[int, str], Worth] = {}
+    found: dict[tuple[int, str], ResourceValue] = {}
     used: dict[int, tuple[int, str]] = {}  # the column of a use: whose it is
     for number, (kind, resource) in built.use_rows.items():
         [column] = [one for one in built.program.rows[number].terms if one != built.worst]
         used[column] = kind, resource
         planner = built.shape.kinds[kind].planners[0]
-        found[kind, resource] = Worth(planner.id, resource, float(solution.values[column]), False, 0.0)
+        found[kind, resource] = ResourceValue(
+            planner.id, resource, float(solution.values[column]), False, 0.0
+        )
     for row, dual in zip(built.program.rows, solution.duals, strict=False):
         if abs(dual) < BINDS or built.worst not in row.terms:
             continue
