--- a/pipitshed/cli/place.py
+++ b/pipitshed/cli/place.py
@@ -71,7 +71,7 @@
         fail("the constraints can't all be met: `place solve` names the conflict")
     click.echo(f"{'planner':<20} {'resource':<8} {'use':>7}  worst use falls, by one more")
     for row in [row for row in rows if planner in (None, row.planner)][:max_rows]:
-        gain = f"{row.one_more:.5f}" if row.binds else "-"
+        gain = f"{row.gain_per_unit:.5f}" if row.binds else "-"
         click.echo(f"{row.planner:<20} {row.resource:<8} {row.use:>7.3f}  {gain}")
 
 
--- a/pipitshed/placement/explain.py
+++ b/pipitshed/placement/explain.py
@@ -19,7 +19,7 @@
     resource: str
     use: float  # part of its cap
     binds: bool
-    one_more: float  # by which the worst use falls with one more core, slot or unit of memory there
+    gain_per_unit: float  # by which the worst use falls with one more core, slot or unit of memory there
 
 
 def explain(fleet: Fleet) -> list[ResourceValue]:
@@ -56,6 +56,8 @@
                 if one != built.worst
             )
             worth.binds = True
-            worth.one_more += abs(float(dual)) * total / amount
+            worth.gain_per_unit += abs(float(dual)) * total / amount
     order = {name: place for place, name in enumerate(RESOURCES)}
-    return sorted(found.values(), key=lambda one: (-one.one_more, -one.use, one.planner, order[one.resource]))
+    return sorted(
+        found.values(), key=lambda one: (-one.gain_per_unit, -one.use, one.planner, order[one.resource])
+    )
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -148,7 +148,7 @@
             0
         ]
     )
-    assert gained / 0.01 == pytest.approx(top.one_more, rel=0.1)
+    assert gained / 0.01 == pytest.approx(top.gain_per_unit, rel=0.1)
 
 
 def test_learning_finds_speeds_and_work_with_their_uncertainty() -> None:
