--- a/pipitshed/cli/place.py
+++ b/pipitshed/cli/place.py
@@ -17,7 +17,7 @@
 from pipitshed.placement.model import Fleet, FleetError, read
 from pipitshed.placement.plan import Plan, PlanError, PlannerEntry
 from pipitshed.placement.score import capacity, score
-from pipitshed.placement.solve import GOALS, Answer, solve
+from pipitshed.placement.solve import GOALS, SolveResult, solve
 
 EXIT_CONSTRAINT_BROKEN = 1
 LEAST_SHOWN_MOVE = 1e-12  # smaller differences of fractions are rounding errors
@@ -123,7 +123,9 @@
         fail(f"{path}: {error}")
 
 
-def _make_plan(fleet: Fleet, answer: Answer, parts: dict[str, dict[str, int]], current: Plan | None) -> Plan:
+def _make_plan(
+    fleet: Fleet, answer: SolveResult, parts: dict[str, dict[str, int]], current: Plan | None
+) -> Plan:
     """The plan of the solver's answer, numbered after the current one."""
     result = score(fleet, parts, answer.units, current.parts if current is not None else None)
     return Plan(
--- a/pipitshed/placement/solve.py
+++ b/pipitshed/placement/solve.py
@@ -329,7 +329,7 @@
 
 
 @dataclass
-class Answer:
+class SolveResult:
     """A plan's parts, or why there is none."""
 
     parts: Parts | None
@@ -346,16 +346,16 @@
     before: Mapping[str, Mapping[str, int]] | None = None,
     basis: Any = None,
     whole: bool | None = None,
-) -> Answer:
+) -> SolveResult:
     """The plan by the goals in order, or the smallest set in conflict, with the plan that oversteps least."""
     built = build(fleet, before, whole)
     if not built.shape.groups:
-        return Answer({}, built.shape.units, [0.0] * len(GOALS), True)
+        return SolveResult({}, built.shape.units, [0.0] * len(GOALS), True)
     solver = Solver(built.program)
     solver.start(basis)
     solution = solver.solve(built.goals)
     if solution is not None:
-        return Answer(
+        return SolveResult(
             _parts(built, solution.values),
             built.shape.units,
             solution.goals[: len(GOALS)],
@@ -366,7 +366,7 @@
     short = {name: _short(built, name, conflict) for name in conflict}
     over, values = _relax(built)
     parts = _parts(built, values) if values is not None else None
-    return Answer(parts, built.shape.units, [], built.shape.exact, short, over)
+    return SolveResult(parts, built.shape.units, [], built.shape.exact, short, over)
 
 
 def _elastic(program: Program, names: set[str], hard: set[str]) -> tuple[Program, dict[str, list[int]]]:
