--- a/pipitshed/placement/brute.py
+++ b/pipitshed/placement/brute.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator, Mapping
 
 from pipitshed.placement.model import Fleet, groups
-from pipitshed.placement.program import HELD
+from pipitshed.placement.program import GOAL_TOLERANCE
 from pipitshed.placement.score import Score, score
 from pipitshed.placement.solve import Parts
 
@@ -48,5 +48,5 @@
         if not good:
             return None
         best = min(judged.vector()[goal] for _, judged in good)
-        good = [one for one in good if one[1].vector()[goal] <= best + HELD * max(1.0, abs(best))]
+        good = [one for one in good if one[1].vector()[goal] <= best + GOAL_TOLERANCE * max(1.0, abs(best))]
     return good[0]
--- a/pipitshed/placement/program.py
+++ b/pipitshed/placement/program.py
@@ -11,7 +11,7 @@
 import highspy
 import numpy as np
 
-HELD = 1e-7  # by which a later goal may worsen an earlier one, of its value or of 1
+GOAL_TOLERANCE = 1e-7  # by which a later goal may worsen an earlier one, of its value or of 1
 INFINITY = highspy.kHighsInf
 
 
@@ -161,7 +161,7 @@
                 index = np.array(list(goal), np.int32)
                 self._highs.addRow(
                     -INFINITY,
-                    best + HELD * max(1.0, abs(best)),
+                    best + GOAL_TOLERANCE * max(1.0, abs(best)),
                     len(index),
                     index,
                     np.array([goal[column] / scale for column in goal]),
