--- a/pipitshed/placement/brute.py
+++ b/pipitshed/placement/brute.py
@@ -11,7 +11,7 @@
 from pipitshed.placement.score import Score, score
 from pipitshed.placement.solve import Parts
 
-MOST = 200_000  # plans that are tried at most
+MAX_PLANS = 200_000  # plans that are tried at most
 
 
 def splits(units: int, places: int) -> Iterator[tuple[int, ...]]:
@@ -32,7 +32,7 @@
     """
     wanted = groups(fleet)
     names = sorted(planner.id for planner in fleet.planners)
-    if count(fleet.units, len(names), len(wanted)) > MOST:
+    if count(fleet.units, len(names), len(wanted)) > MAX_PLANS:
         raise OverflowError("too many plans")
     each = list(splits(fleet.units, len(names)))
     good: list[tuple[Parts, Score]] = []
