--- a/pipitshed/placement/model.py
+++ b/pipitshed/placement/model.py
@@ -11,7 +11,7 @@
 
 from pipitshed.protocols.toml import line_of
 
-MIN_FIGURE, MOST = 1e-9, 1e9  # of every figure that is not 0
+MIN_FIGURE, MAX_FIGURE = 1e-9, 1e9  # of every figure that is not 0
 
 
 class Planner(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
@@ -94,7 +94,7 @@
 
 
 def _figure(value: float, zero: bool = True) -> bool:
-    return math.isfinite(value) and ((zero and value == 0) or MIN_FIGURE <= value <= MOST)
+    return math.isfinite(value) and ((zero and value == 0) or MIN_FIGURE <= value <= MAX_FIGURE)
 
 
 def _problems(fleet: Fleet, text: str) -> Iterator[tuple[int, str, str]]:
