--- a/benchmarks/placement_proof.py
+++ b/benchmarks/placement_proof.py
@@ -15,7 +15,7 @@
 
 import click
 
-from pipitshed.placement.brute import MAX_PLANS, count, search
+from pipitshed.placement.brute import MAX_PLANS, plan_count, search
 from pipitshed.placement.model import Constraints, Demand, Fleet, Floor, Planner, groups
 from pipitshed.placement.program import Solver
 from pipitshed.placement.score import score
@@ -75,7 +75,7 @@
     ]
     floors = (Floor("x", rng.choice([0.2, 0.5])),) if rng.random() < 0.2 else ()
     units = 8
-    while count(units, size, classes) > MAX_PLANS // 40:
+    while plan_count(units, size, classes) > MAX_PLANS // 40:
         units -= 1
     return Fleet(
         planners,
--- a/pipitshed/placement/brute.py
+++ b/pipitshed/placement/brute.py
@@ -21,7 +21,7 @@
         yield tuple(ends[place + 1] - ends[place] - 1 for place in range(places))
 
 
-def count(units: int, places: int, groups_: int) -> int:
+def plan_count(units: int, places: int, groups_: int) -> int:
     """How many plans there are."""
     return int(math.comb(units + places - 1, places - 1) ** groups_)
 
@@ -32,7 +32,7 @@
     """
     wanted = groups(fleet)
     names = sorted(planner.id for planner in fleet.planners)
-    if count(fleet.units, len(names), len(wanted)) > MAX_PLANS:
+    if plan_count(fleet.units, len(names), len(wanted)) > MAX_PLANS:
         raise OverflowError("too many plans")
     each = list(splits(fleet.units, len(names)))
     good: list[tuple[Parts, Score]] = []
