--- a/pipitshed/placement/score.py
+++ b/pipitshed/placement/score.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from pipitshed.placement.model import Fleet, Group, Planner, groups, work_by_tenant
-from pipitshed.placement.solve import RESOURCES, all_cores, crossing, lateness, needs, room
+from pipitshed.placement.solve import RESOURCES, all_cores, crossing, lateness, needs, usable_resources
 
 CLOSE = 1e-6  # by which a use may overstep its bound: rounding
 
@@ -75,7 +75,7 @@
 def _uses(fleet: Fleet, made: Score, load: dict[str, dict[str, float]]) -> None:
     zones = sorted({planner.zone for planner in fleet.planners})
     for planner in fleet.planners:
-        have = room(planner)
+        have = usable_resources(planner)
         made.use[planner.id] = {}
         for name in RESOURCES:
             used = load[planner.id][name]
@@ -85,11 +85,11 @@
             if part > 1 + CLOSE:
                 made.broken[f"{name} of {planner.id}"] = part - 1
     for zone in zones if len(zones) > 1 else []:
-        rest = math.fsum(room(one)["cores"] for one in fleet.planners if one.zone != zone)
+        rest = math.fsum(usable_resources(one)["cores"] for one in fleet.planners if one.zone != zone)
         for name in RESOURCES:
             lost = math.fsum(load[one.id][name] for one in fleet.planners if one.zone == zone)
             for planner in fleet.planners:
-                have = room(planner)
+                have = usable_resources(planner)
                 if planner.zone == zone or have[name] <= 0 or not rest:
                     continue
                 part = (load[planner.id][name] + lost * have["cores"] / rest) / have[name]
@@ -126,7 +126,7 @@
         if planner.pinned is not None and abs(share - planner.pinned) > slack + CLOSE:
             made.broken[f"{planner.id} is pinned"] = abs(share - planner.pinned)
     asked = work_by_tenant(fleet)
-    have = math.fsum(room(planner)["cores"] for planner in fleet.planners if not planner.excluded)
+    have = math.fsum(usable_resources(planner)["cores"] for planner in fleet.planners if not planner.excluded)
     for floor in fleet.constraints.floors:
         kept = max(0.0, floor.share * have - asked.get(floor.tenant, 0.0))
         if kept > have - total + CLOSE * max(1.0, have):
@@ -135,4 +135,4 @@
 
 def capacity(planner: Planner) -> float:
     """What a planner can do, in s at speed 1 a second."""
-    return room(planner)["cores"]
+    return usable_resources(planner)["cores"]
--- a/pipitshed/placement/solve.py
+++ b/pipitshed/placement/solve.py
@@ -29,17 +29,19 @@
 
     planners: list[Planner]
     zone: str
-    room: dict[str, float]  # resource: the mean of it at a planner's cap, in s at speed 1 a second
+    usable_resources: dict[
+        str, float
+    ]  # resource: the mean of it at a planner's cap, in s at speed 1 a second
     typical: Planner
 
     def parts(self) -> list[tuple[str, float]]:
         """Each planner's part of what goes to the kind: by capacity."""
-        total = math.fsum(room(one)["cores"] for one in self.planners)
-        return [(one.id, room(one)["cores"] / total) for one in self.planners]
+        total = math.fsum(usable_resources(one)["cores"] for one in self.planners)
+        return [(one.id, usable_resources(one)["cores"] / total) for one in self.planners]
 
     @property
     def capacity(self) -> float:
-        return self.room["cores"]
+        return self.usable_resources["cores"]
 
 
 @dataclass
@@ -72,7 +74,7 @@
     return {"cores": group.work, "slots": group.slot_work, "memory": group.memory_work}
 
 
-def room(planner: Planner) -> dict[str, float]:
+def usable_resources(planner: Planner) -> dict[str, float]:
     """What a planner has of each."""
     return {
         "cores": planner.cores * planner.speed * planner.cap,
@@ -104,7 +106,9 @@
         by_key = {key: sorted(held, key=lambda one: one.id) for key, held in merged.items()}
     kinds = []
     for held in by_key.values():
-        mean = {name: math.fsum(room(one)[name] for one in held) / len(held) for name in RESOURCES}
+        mean = {
+            name: math.fsum(usable_resources(one)[name] for one in held) / len(held) for name in RESOURCES
+        }
         first = held[0]
         cores = math.fsum(one.cores for one in held) / len(held)
         cap = math.fsum(one.cap for one in held) / len(held)
@@ -197,9 +201,9 @@
     for k, kind in enumerate(made.kinds):
         for name in RESOURCES:
             terms = {
-                column: needs(made.groups[g])[name] / units / len(kind.planners) / kind.room[name]
+                column: needs(made.groups[g])[name] / units / len(kind.planners) / kind.usable_resources[name]
                 for (g, one), column in parts.items()
-                if one == k and needs(made.groups[g])[name] > 0 and kind.room[name] > 0
+                if one == k and needs(made.groups[g])[name] > 0 and kind.usable_resources[name] > 0
             }
             if not terms:
                 continue
@@ -280,9 +284,9 @@
             lost = program.column()
             program.row(load | {lost: -1.0}, 0, 0)
             for k, kind in enumerate(made.kinds):
-                if kind.zone == zone or kind.room[name] <= 0:
+                if kind.zone == zone or kind.usable_resources[name] <= 0:
                     continue
-                terms = {lost: made.moved(kind, zone) / kind.room[name]}
+                terms = {lost: made.moved(kind, zone) / kind.usable_resources[name]}
                 if (k, name) in used:
                     terms[used[k, name]] = 1.0
                 program.row(terms | {worst: -1.0}, -INFINITY, 0)
