--- a/pipitshed/placement/score.py
+++ b/pipitshed/placement/score.py
@@ -7,7 +7,14 @@
 from dataclasses import dataclass, field
 
 from pipitshed.placement.model import Fleet, Group, Planner, groups, work_by_tenant
-from pipitshed.placement.solve import RESOURCES, all_cores, crossing, lateness, needs, usable_resources
+from pipitshed.placement.solve import (
+    RESOURCES,
+    all_cores,
+    crossing,
+    lateness,
+    resource_demand,
+    usable_resources,
+)
 
 CLOSE = 1e-6  # by which a use may overstep its bound: rounding
 
@@ -50,7 +57,7 @@
                 continue
             if (planner.slots < group.slots or planner.memory < group.memory) and count:
                 made.broken[f"{name} can't hold a job of {group.name}"] = count / units
-            for resource, need in needs(group).items():
+            for resource, need in resource_demand(group).items():
                 load[name][resource] += need * count / units
             shares[name] += group.work * count / units / total
             made.crossing += group.rate * count / units * crossing(fleet, group, planner.zone)
--- a/pipitshed/placement/solve.py
+++ b/pipitshed/placement/solve.py
@@ -69,7 +69,7 @@
         return kind.capacity / rest if rest else 0.0
 
 
-def needs(group: Group) -> dict[str, float]:
+def resource_demand(group: Group) -> dict[str, float]:
     """What a group takes of each resource, in s at speed 1 a second."""
     return {"cores": group.work, "slots": group.slot_work, "memory": group.memory_work}
 
@@ -201,9 +201,12 @@
     for k, kind in enumerate(made.kinds):
         for name in RESOURCES:
             terms = {
-                column: needs(made.groups[g])[name] / units / len(kind.planners) / kind.usable_resources[name]
+                column: resource_demand(made.groups[g])[name]
+                / units
+                / len(kind.planners)
+                / kind.usable_resources[name]
                 for (g, one), column in parts.items()
-                if one == k and needs(made.groups[g])[name] > 0 and kind.usable_resources[name] > 0
+                if one == k and resource_demand(made.groups[g])[name] > 0 and kind.usable_resources[name] > 0
             }
             if not terms:
                 continue
@@ -275,9 +278,9 @@
     for zone in made.zones():
         for name in RESOURCES:
             load = {
-                column: needs(made.groups[g])[name] / units
+                column: resource_demand(made.groups[g])[name] / units
                 for (g, k), column in parts.items()
-                if made.kinds[k].zone == zone and needs(made.groups[g])[name] > 0
+                if made.kinds[k].zone == zone and resource_demand(made.groups[g])[name] > 0
             }
             if not load:
                 continue
