--- a/pipitshed/placement/score.py
+++ b/pipitshed/placement/score.py
@@ -9,8 +9,8 @@
 from pipitshed.placement.model import Fleet, Group, Planner, groups, work_by_tenant
 from pipitshed.placement.solve import (
     RESOURCES,
-    all_cores,
     crossing,
+    fleet_capacity,
     lateness,
     resource_demand,
     usable_resources,
@@ -116,7 +116,7 @@
         use = load[planner.id]["cores"] / (planner.cores * planner.speed)
         made.late += max(
             slope * use + at_zero
-            for slope, at_zero in lateness(planner, total / rate, wait, all_cores(fleet))
+            for slope, at_zero in lateness(planner, total / rate, wait, fleet_capacity(fleet))
         )
 
 
--- a/pipitshed/placement/solve.py
+++ b/pipitshed/placement/solve.py
@@ -144,7 +144,7 @@
     return chords
 
 
-def all_cores(fleet: Fleet) -> float:
+def fleet_capacity(fleet: Fleet) -> float:
     """What the whole fleet can do, in s at speed 1 a second."""
     return math.fsum(planner.cores * planner.speed for planner in fleet.planners)
 
@@ -236,7 +236,7 @@
         if (k, "cores") in used:
             late = program.column()
             late_columns.append(late)
-            for slope, at_zero in lateness(kind.typical, mean_work, wait, all_cores(fleet)):
+            for slope, at_zero in lateness(kind.typical, mean_work, wait, fleet_capacity(fleet)):
                 count = len(kind.planners)
                 program.row(
                     {used[k, "cores"]: slope * count * kind.typical.cap, late: -1.0},
