--- a/benchmarks/placement_proof.py
+++ b/benchmarks/placement_proof.py
@@ -102,8 +102,8 @@
     if best is None:
         return _smallest(seed, fleet, list(answer.conflict), answer.relaxed)
     judged = score(fleet, answer.parts or {}, answer.units, before)
-    if judged.broken:
-        return "fault", f"seed {seed}: broken {judged.broken}"
+    if judged.violations:
+        return "fault", f"seed {seed}: broken {judged.violations}"
     for ours, theirs in zip(judged.vector(), best[1].vector(), strict=True):
         if abs(ours - theirs) > CLOSE * max(1.0, abs(theirs)):
             return "fault", f"seed {seed}: {judged.vector()} against {best[1].vector()}"
--- a/pipitshed/cli/place.py
+++ b/pipitshed/cli/place.py
@@ -96,9 +96,9 @@
     result = score(model, checked.parts, checked.units)
     for name, value in zip(GOALS, result.vector(), strict=True):
         click.echo(f"{name:<12} {value:.6g}")
-    for name, excess in sorted(result.broken.items()):
+    for name, excess in sorted(result.violations.items()):
         click.echo(f"broken: {name}, by {excess:.4g}")
-    sys.exit(EXIT_CONSTRAINT_BROKEN if result.broken else 0)
+    sys.exit(EXIT_CONSTRAINT_BROKEN if result.violations else 0)
 
 
 @place.command("learn")
--- a/pipitshed/placement/brute.py
+++ b/pipitshed/placement/brute.py
@@ -42,7 +42,7 @@
             for group, split in zip(wanted, chosen, strict=True)
         }
         judged = score(fleet, parts, fleet.units, before)
-        if not judged.broken:
+        if not judged.violations:
             good.append((parts, judged))
     for goal in range(4):
         if not good:
--- a/pipitshed/placement/score.py
+++ b/pipitshed/placement/score.py
@@ -28,7 +28,7 @@
     crossing: float = 0.0  # cost of crossings a second
     movement: float = 0.0  # jobs a second that go elsewhere than before
     use: dict[str, dict[str, float]] = field(default_factory=dict)  # planner: resource: part of its cap
-    broken: dict[str, float] = field(default_factory=dict)  # constraint: by how much
+    violations: dict[str, float] = field(default_factory=dict)  # constraint: by how much
 
     def vector(self) -> tuple[float, float, float, float]:
         return self.worst, self.late, self.crossing, self.movement
@@ -49,14 +49,14 @@
     for group in wanted:
         held = parts.get(group.name, {})
         if sum(held.values()) != units:
-            made.broken[f"all of {group.name} is placed"] = abs(units - sum(held.values())) / units
+            made.violations[f"all of {group.name} is placed"] = abs(units - sum(held.values())) / units
         for name, count in held.items():
             planner = by_id.get(name)
             if planner is None:
-                made.broken[f"{name} is no planner of the fleet"] = count / units
+                made.violations[f"{name} is no planner of the fleet"] = count / units
                 continue
             if (planner.slots < group.slots or planner.memory < group.memory) and count:
-                made.broken[f"{name} can't hold a job of {group.name}"] = count / units
+                made.violations[f"{name} can't hold a job of {group.name}"] = count / units
             for resource, need in resource_demand(group).items():
                 load[name][resource] += need * count / units
             shares[name] += group.work * count / units / total
@@ -90,7 +90,7 @@
             made.use[planner.id][name] = part
             made.worst = max(made.worst, part)
             if part > 1 + CLOSE:
-                made.broken[f"{name} of {planner.id}"] = part - 1
+                made.violations[f"{name} of {planner.id}"] = part - 1
     for zone in zones if len(zones) > 1 else []:
         rest = math.fsum(usable_resources(one)["cores"] for one in fleet.planners if one.zone != zone)
         for name in RESOURCES:
@@ -102,7 +102,7 @@
                 part = (load[planner.id][name] + lost * have["cores"] / rest) / have[name]
                 made.worst = max(made.worst, part)
                 if fleet.constraints.headroom == "zone" and part > 1 + CLOSE:
-                    made.broken[f"{name} of {planner.id} without {zone}"] = part - 1
+                    made.violations[f"{name} of {planner.id} without {zone}"] = part - 1
 
 
 def _lates(
@@ -127,17 +127,17 @@
     for planner in fleet.planners:
         share = shares[planner.id]
         if share > fleet.constraints.most + CLOSE:
-            made.broken[f"most of {planner.id}"] = share - fleet.constraints.most
+            made.violations[f"most of {planner.id}"] = share - fleet.constraints.most
         if planner.excluded and share > CLOSE:
-            made.broken[f"{planner.id} is excluded"] = share
+            made.violations[f"{planner.id} is excluded"] = share
         if planner.pinned is not None and abs(share - planner.pinned) > slack + CLOSE:
-            made.broken[f"{planner.id} is pinned"] = abs(share - planner.pinned)
+            made.violations[f"{planner.id} is pinned"] = abs(share - planner.pinned)
     asked = work_by_tenant(fleet)
     have = math.fsum(usable_resources(planner)["cores"] for planner in fleet.planners if not planner.excluded)
     for floor in fleet.constraints.floors:
         kept = max(0.0, floor.share * have - asked.get(floor.tenant, 0.0))
         if kept > have - total + CLOSE * max(1.0, have):
-            made.broken[f"share of {floor.tenant}"] = kept - (have - total)
+            made.violations[f"share of {floor.tenant}"] = kept - (have - total)
 
 
 def capacity(planner: Planner) -> float:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -85,7 +85,7 @@
     assert solve(alone).parts == {"a/quote": {"p1": 12}}
     assert solve(fleet(Machine("p1", "a"), demand=())).parts == {}
     idle = fleet(Machine("p1", "a"), demand=(Demand("quote", 0.0, 0.5, zone="a"),))
-    assert solve(idle).parts == {} and not score(idle, {}, 12).broken
+    assert solve(idle).parts == {} and not score(idle, {}, 12).violations
     for scale in (1e-9, 1e-3, 1e6):
         pair = [
             Machine("p1", "a", cores=4 * scale, slots=32 * max(1, scale)),
