--- a/benchmarks/placement_scale.py
+++ b/benchmarks/placement_scale.py
@@ -72,8 +72,8 @@
         "kinds": len(made.kinds),
         "cold_s": round(cold, 3),
         "again_s": round(warm, 3),
-        "worst_use": round(judged.worst, 5),
-        "gap": round(judged.worst - first.goals[0], 6),
+        "worst_use": round(judged.worst_use, 5),
+        "gap": round(judged.worst_use - first.goals[0], 6),
         "conflict": len(first.conflict) + len(again.conflict),
         "peak_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024),
     }
--- a/pipitshed/cli/place.py
+++ b/pipitshed/cli/place.py
@@ -138,7 +138,7 @@
         parts,
         dict(zip(GOALS, result.vector(), strict=True)),
         answer.exact,
-        max(0.0, result.worst - answer.goals[0]) if answer.goals else 0.0,
+        max(0.0, result.worst_use - answer.goals[0]) if answer.goals else 0.0,
         answer.relaxed,
     )
 
--- a/pipitshed/placement/score.py
+++ b/pipitshed/placement/score.py
@@ -23,7 +23,7 @@
 class Score:
     """The goals' values and what the plan breaks."""
 
-    worst: float = 0.0  # use of the worst planner, of its cap, with any one zone lost
+    worst_use: float = 0.0  # use of the worst planner, of its cap, with any one zone lost
     late: float = 0.0  # late work, as a part of what the fleet can do, estimated
     crossing: float = 0.0  # cost of crossings a second
     movement: float = 0.0  # jobs a second that go elsewhere than before
@@ -31,7 +31,7 @@
     violations: dict[str, float] = field(default_factory=dict)  # constraint: by how much
 
     def vector(self) -> tuple[float, float, float, float]:
-        return self.worst, self.late, self.crossing, self.movement
+        return self.worst_use, self.late, self.crossing, self.movement
 
 
 def score(
@@ -88,7 +88,7 @@
             used = load[planner.id][name]
             part = used / have[name] if have[name] > 0 else math.inf if used else 0.0
             made.use[planner.id][name] = part
-            made.worst = max(made.worst, part)
+            made.worst_use = max(made.worst_use, part)
             if part > 1 + CLOSE:
                 made.violations[f"{name} of {planner.id}"] = part - 1
     for zone in zones if len(zones) > 1 else []:
@@ -100,7 +100,7 @@
                 if planner.zone == zone or have[name] <= 0 or not rest:
                     continue
                 part = (load[planner.id][name] + lost * have["cores"] / rest) / have[name]
-                made.worst = max(made.worst, part)
+                made.worst_use = max(made.worst_use, part)
                 if fleet.constraints.headroom == "zone" and part > 1 + CLOSE:
                     made.violations[f"{name} of {planner.id} without {zone}"] = part - 1
 
