--- a/pipitshed/placement/explain.py
+++ b/pipitshed/placement/explain.py
@@ -34,14 +34,14 @@
     found: dict[tuple[int, str], ResourceValue] = {}
     used: dict[int, tuple[int, str]] = {}  # the column of a use: whose it is
     for number, (kind, resource) in built.use_rows.items():
-        [column] = [one for one in built.program.rows[number].terms if one != built.worst]
+        [column] = [one for one in built.program.rows[number].terms if one != built.worst_use_column]
         used[column] = kind, resource
         planner = built.shape.kinds[kind].planners[0]
         found[kind, resource] = ResourceValue(
             planner.id, resource, float(solution.values[column]), False, 0.0
         )
     for row, dual in zip(built.program.rows, solution.duals, strict=False):
-        if abs(dual) < BINDS or built.worst not in row.terms:
+        if abs(dual) < BINDS or built.worst_use_column not in row.terms:
             continue
         for column in row.terms:
             if column not in used:
@@ -53,7 +53,7 @@
             total = sum(
                 float(solution.values[one]) * value / row.terms[column]
                 for one, value in row.terms.items()
-                if one != built.worst
+                if one != built.worst_use_column
             )
             worth.binds = True
             worth.gain_per_unit += abs(float(dual)) * total / amount
--- a/pipitshed/placement/solve.py
+++ b/pipitshed/placement/solve.py
@@ -163,7 +163,7 @@
     shape: Shape
     program: Program
     parts: dict[tuple[int, int], int]  # (group, kind): column of its units
-    worst: int
+    worst_use_column: int
     goals: list[dict[int, float]]
     use_rows: dict[int, tuple[int, str]] = field(default_factory=dict)  # row: kind, resource
 
@@ -186,7 +186,7 @@
             units,
             f"all of {group.name} is placed",
         )
-    worst = program.column()
+    worst_use_column = program.column()
     use_rows: dict[int, tuple[int, str]] = {}
     late_columns: list[int] = []
     total = made.work
@@ -214,7 +214,7 @@
             program.row(terms | {column: -1.0}, 0, 0)
             program.row({column: 1.0}, -INFINITY, 1.0, f"{name} of {_named(kind)}")
             use_rows[len(program.rows)] = (k, name)
-            program.row({column: 1.0, worst: -1.0}, -INFINITY, 0)
+            program.row({column: 1.0, worst_use_column: -1.0}, -INFINITY, 0)
         shares = (
             {
                 column: made.groups[g].work / units / len(kind.planners) / total
@@ -243,10 +243,10 @@
                     -INFINITY,
                     -at_zero * count,
                 )
-    _losses(made, program, parts, used, worst, units)
+    _losses(made, program, parts, used, worst_use_column, units)
     _floors(made, program)
     goals: list[dict[int, float]] = [
-        {worst: 1.0},
+        {worst_use_column: 1.0},
         dict.fromkeys(late_columns, 1.0),
         {
             column: made.groups[g].rate / units * crossing(fleet, made.groups[g], made.kinds[k].zone)
@@ -258,7 +258,7 @@
     goals.append(
         {column: k + 0.5 * ((g * len(made.kinds) + k + 1) * golden % 1.0) for (g, k), column in parts.items()}
     )
-    return Built(made, program, parts, worst, goals, use_rows)
+    return Built(made, program, parts, worst_use_column, goals, use_rows)
 
 
 def _named(kind: Kind) -> str:
@@ -271,7 +271,7 @@
     program: Program,
     parts: Mapping[tuple[int, int], int],
     used: Mapping[tuple[int, str], int],
-    worst: int,
+    worst_use_column: int,
     units: int,
 ) -> None:
     """Each planner's use with one zone lost, whose load moves to the others in proportion to capacity."""
@@ -292,7 +292,7 @@
                 terms = {lost: made.moved(kind, zone) / kind.usable_resources[name]}
                 if (k, name) in used:
                     terms[used[k, name]] = 1.0
-                program.row(terms | {worst: -1.0}, -INFINITY, 0)
+                program.row(terms | {worst_use_column: -1.0}, -INFINITY, 0)
                 if made.fleet.constraints.headroom == "zone":
                     program.row(terms, -INFINITY, 1.0, f"{name} of {_named(kind)} without {zone}")
 
