--- a/pipitshed/placement/score.py
+++ b/pipitshed/placement/score.py
@@ -9,7 +9,7 @@
 from pipitshed.placement.model import Fleet, Group, Planner, groups, work_by_tenant
 from pipitshed.placement.solve import (
     RESOURCES,
-    crossing,
+    crossing_cost,
     fleet_capacity,
     lateness,
     resource_demand,
@@ -60,7 +60,7 @@
             for resource, need in resource_demand(group).items():
                 load[name][resource] += need * count / units
             shares[name] += group.work * count / units / total
-            made.crossing += group.rate * count / units * crossing(fleet, group, planner.zone)
+            made.crossing += group.rate * count / units * crossing_cost(fleet, group, planner.zone)
     _uses(fleet, made, load)
     _lates(fleet, made, load, total, wanted)
     _constraints(fleet, made, shares, units, wanted, total)
--- a/pipitshed/placement/solve.py
+++ b/pipitshed/placement/solve.py
@@ -149,7 +149,7 @@
     return math.fsum(planner.cores * planner.speed for planner in fleet.planners)
 
 
-def crossing(fleet: Fleet, group: Group, zone: str) -> float:
+def crossing_cost(fleet: Fleet, group: Group, zone: str) -> float:
     """What one job of the group costs at a planner of that zone."""
     if zone == group.zone:
         return 0.0
@@ -249,7 +249,7 @@
         {worst_use_column: 1.0},
         dict.fromkeys(late_columns, 1.0),
         {
-            column: made.groups[g].rate / units * crossing(fleet, made.groups[g], made.kinds[k].zone)
+            column: made.groups[g].rate / units * crossing_cost(fleet, made.groups[g], made.kinds[k].zone)
             for (g, k), column in parts.items()
         },
     ]
