--- a/benchmarks/placement_scale.py
+++ b/benchmarks/placement_scale.py
@@ -20,7 +20,7 @@
 
 from pipitshed.placement.model import Constraints, Demand, Fleet, Planner, Schedulers
 from pipitshed.placement.score import score
-from pipitshed.placement.solve import shape, solve
+from pipitshed.placement.solve import reduce_fleet, solve
 
 SIZES = [(12, 2), (100, 2), (100, 8), (1000, 8), (1000, 40), (10_000, 8), (10_000, 40)]
 SPEEDS = {"fast": (1.4, 1.8), "standard": (0.85, 1.1), "slow": (0.51, 0.69)}
@@ -65,7 +65,7 @@
     again = solve(changed, first.parts, first.basis)
     warm = time.perf_counter() - begun
     judged = score(told, first.parts or {}, first.units)
-    made = shape(told)
+    made = reduce_fleet(told)
     return {
         "planners": size[0],
         "zones": size[1],
--- a/pipitshed/placement/explain.py
+++ b/pipitshed/placement/explain.py
@@ -36,7 +36,7 @@
     for number, (kind, resource) in built.use_rows.items():
         [column] = [one for one in built.program.rows[number].terms if one != built.worst_use_column]
         used[column] = kind, resource
-        planner = built.shape.kinds[kind].planners[0]
+        planner = built.reduced.kinds[kind].planners[0]
         found[kind, resource] = ResourceValue(
             planner.id, resource, float(solution.values[column]), False, 0.0
         )
@@ -48,7 +48,7 @@
                 continue
             kind, resource = used[column]
             worth = found[kind, resource]
-            planner = built.shape.kinds[kind].planners[0]
+            planner = built.reduced.kinds[kind].planners[0]
             amount = {"cores": planner.cores, "slots": planner.slots, "memory": planner.memory}[resource]
             total = sum(
                 float(solution.values[one]) * value / row.terms[column]
--- a/pipitshed/placement/solve.py
+++ b/pipitshed/placement/solve.py
@@ -45,7 +45,7 @@
 
 
 @dataclass
-class Shape:
+class ReducedFleet:
     """A fleet as the program sees it."""
 
     fleet: Fleet
@@ -83,7 +83,7 @@
     }
 
 
-def shape(fleet: Fleet, whole: bool | None = None) -> Shape:
+def reduce_fleet(fleet: Fleet, whole: bool | None = None) -> ReducedFleet:
     """Planners by kind, and whether whole units are solved for."""
     wanted = groups(fleet)
     columns = max(1, len(wanted)) * len(fleet.planners)
@@ -120,7 +120,7 @@
         )
         kinds.append(Kind(held, first.zone, mean, typical))
     units = fleet.units if exact else max(fleet.units, UNITS_EACH * len(fleet.planners))
-    return Shape(fleet, wanted, kinds, units, exact)
+    return ReducedFleet(fleet, wanted, kinds, units, exact)
 
 
 def lateness(planner: Planner, mean_work: float, wait: float, total: float) -> list[tuple[float, float]]:
@@ -160,7 +160,7 @@
 class Built:
     """The program with its columns by meaning."""
 
-    shape: Shape
+    reduced: ReducedFleet
     program: Program
     parts: dict[tuple[int, int], int]  # (group, kind): column of its units
     worst_use_column: int
@@ -172,7 +172,7 @@
     fleet: Fleet, before: Mapping[str, Mapping[str, int]] | None = None, whole: bool | None = None
 ) -> Built:
     """The program. Each part is a share of its group (0 to 1), or whole units of it."""
-    made = shape(fleet, whole)
+    made = reduce_fleet(fleet, whole)
     program, units = Program(), made.units if made.exact else 1
     parts: dict[tuple[int, int], int] = {}
     for g, group in enumerate(made.groups):
@@ -267,7 +267,7 @@
 
 
 def _losses(
-    made: Shape,
+    made: ReducedFleet,
     program: Program,
     parts: Mapping[tuple[int, int], int],
     used: Mapping[tuple[int, str], int],
@@ -297,7 +297,7 @@
                     program.row(terms, -INFINITY, 1.0, f"{name} of {_named(kind)} without {zone}")
 
 
-def _floors(made: Shape, program: Program) -> None:
+def _floors(made: ReducedFleet, program: Program) -> None:
     """Capacity beside the demand, so that each tenant could have its share of all work."""
     asked = work_by_tenant(made.fleet)
     total = math.fsum(
@@ -312,7 +312,7 @@
 
 
 def _movement(
-    made: Shape,
+    made: ReducedFleet,
     program: Program,
     parts: Mapping[tuple[int, int], int],
     before: Mapping[str, Mapping[str, int]],
@@ -356,24 +356,24 @@
 ) -> SolveResult:
     """The plan by the goals in order, or the smallest set in conflict, with the plan that oversteps least."""
     built = build(fleet, before, whole)
-    if not built.shape.groups:
-        return SolveResult({}, built.shape.units, [0.0] * len(GOALS), True)
+    if not built.reduced.groups:
+        return SolveResult({}, built.reduced.units, [0.0] * len(GOALS), True)
     solver = Solver(built.program)
     solver.start(basis)
     solution = solver.solve(built.goals)
     if solution is not None:
         return SolveResult(
             _parts(built, solution.values),
-            built.shape.units,
+            built.reduced.units,
             solution.goals[: len(GOALS)],
-            built.shape.exact,
+            built.reduced.exact,
             basis=solution.basis,
         )
     conflict = smallest_conflict(built.program)
     short = {name: _short(built, name, conflict) for name in conflict}
     over, values = _relax(built)
     parts = _parts(built, values) if values is not None else None
-    return SolveResult(parts, built.shape.units, [], built.shape.exact, short, over)
+    return SolveResult(parts, built.reduced.units, [], built.reduced.exact, short, over)
 
 
 def _elastic(program: Program, names: set[str], hard: set[str]) -> tuple[Program, dict[str, list[int]]]:
@@ -408,16 +408,16 @@
         return "more than it alone can give"
     scale = next(row.scale for row in program.rows if row.name == name)
     amount = solution.goals[0] * scale
-    for kind in built.shape.kinds:
+    for kind in built.reduced.kinds:
         for resource in RESOURCES:
             if f"{name} without ".startswith(f"{resource} of {_named(kind)} without "):
                 # A use is a part of the cap; what is missing grows by it.
                 first = kind.planners[0]
                 have = {"cores": first.cores, "slots": first.slots, "memory": first.memory}[resource]
                 return f"{amount * have * first.cap:.4g} {resource} in {kind.zone}"
-    for group in built.shape.groups:
+    for group in built.reduced.groups:
         if name == f"all of {group.name} is placed":
-            units = built.shape.units if built.shape.exact else 1
+            units = built.reduced.units if built.reduced.exact else 1
             return f"{amount / units * group.rate:.4g} jobs a second from {group.zone}"
     return f"{amount:.4g} s of cores a second" if name.startswith("share of") else f"{amount:.4g} of the load"
 
@@ -440,7 +440,7 @@
 
 def _parts(built: Built, values: Any) -> Parts:
     """Whole units by planner: alike planners get alike parts, and remainders go by size, then by id."""
-    made, parts = built.shape, {}
+    made, parts = built.reduced, {}
     for g, group in enumerate(made.groups):
         wanted: list[tuple[str, float]] = []
         for k, kind in enumerate(made.kinds):
