--- a/pipitshed/placement/program.py
+++ b/pipitshed/placement/program.py
@@ -35,14 +35,14 @@
     whole: list[bool] = field(default_factory=list)
     rows: list[Row] = field(default_factory=list)
 
-    def column(self, lower: float = 0.0, upper: float = INFINITY, whole: bool = False) -> int:
+    def add_column(self, lower: float = 0.0, upper: float = INFINITY, whole: bool = False) -> int:
         """A new column's number."""
         self.lower.append(lower)
         self.upper.append(upper)
         self.whole.append(whole)
         return len(self.lower) - 1
 
-    def row(self, terms: Mapping[int, float], lower: float, upper: float, name: str = "") -> None:
+    def add_row(self, terms: Mapping[int, float], lower: float, upper: float, name: str = "") -> None:
         """Add a row, scaled by its largest figure: fleets hold numbers from 1e-9 to 1e9."""
         most = max((abs(value) for value in terms.values()), default=0.0)
         scale = 1.0
--- a/pipitshed/placement/solve.py
+++ b/pipitshed/placement/solve.py
@@ -179,14 +179,14 @@
         for k, kind in enumerate(made.kinds):
             first = kind.planners[0]
             if first.slots >= group.slots and first.memory >= group.memory:
-                parts[g, k] = program.column(0, units, made.exact)
-        program.row(
+                parts[g, k] = program.add_column(0, units, made.exact)
+        program.add_row(
             {parts[g, k]: 1.0 for k in range(len(made.kinds)) if (g, k) in parts},
             units,
             units,
             f"all of {group.name} is placed",
         )
-    worst_use_column = program.column()
+    worst_use_column = program.add_column()
     use_rows: dict[int, tuple[int, str]] = {}
     late_columns: list[int] = []
     total = made.work
@@ -210,11 +210,11 @@
             }
             if not terms:
                 continue
-            column = used[k, name] = program.column()
-            program.row(terms | {column: -1.0}, 0, 0)
-            program.row({column: 1.0}, -INFINITY, 1.0, f"{name} of {_named(kind)}")
+            column = used[k, name] = program.add_column()
+            program.add_row(terms | {column: -1.0}, 0, 0)
+            program.add_row({column: 1.0}, -INFINITY, 1.0, f"{name} of {_named(kind)}")
             use_rows[len(program.rows)] = (k, name)
-            program.row({column: 1.0, worst_use_column: -1.0}, -INFINITY, 0)
+            program.add_row({column: 1.0, worst_use_column: -1.0}, -INFINITY, 0)
         shares = (
             {
                 column: made.groups[g].work / units / len(kind.planners) / total
@@ -225,20 +225,20 @@
             else {}
         )
         if shares and fleet.constraints.most < 1:
-            program.row(shares, -INFINITY, fleet.constraints.most, f"most of {_named(kind)}")
+            program.add_row(shares, -INFINITY, fleet.constraints.most, f"most of {_named(kind)}")
         if shares and kind.planners[0].excluded:
-            program.row(shares, -INFINITY, 0, f"{_named(kind)} is excluded")
+            program.add_row(shares, -INFINITY, 0, f"{_named(kind)} is excluded")
         pinned = kind.planners[0].pinned
         if pinned is not None and total:
             # Without any group that it can hold, nothing is what it carries.
             slack = max((group.work for group in made.groups), default=0.0) / units / total / 2 * made.exact
-            program.row(shares, pinned - slack, pinned + slack, f"{_named(kind)} is pinned")
+            program.add_row(shares, pinned - slack, pinned + slack, f"{_named(kind)} is pinned")
         if (k, "cores") in used:
-            late = program.column()
+            late = program.add_column()
             late_columns.append(late)
             for slope, at_zero in lateness(kind.typical, mean_work, wait, fleet_capacity(fleet)):
                 count = len(kind.planners)
-                program.row(
+                program.add_row(
                     {used[k, "cores"]: slope * count * kind.typical.cap, late: -1.0},
                     -INFINITY,
                     -at_zero * count,
@@ -284,17 +284,17 @@
             }
             if not load:
                 continue
-            lost = program.column()
-            program.row(load | {lost: -1.0}, 0, 0)
+            lost = program.add_column()
+            program.add_row(load | {lost: -1.0}, 0, 0)
             for k, kind in enumerate(made.kinds):
                 if kind.zone == zone or kind.usable_resources[name] <= 0:
                     continue
                 terms = {lost: made.moved(kind, zone) / kind.usable_resources[name]}
                 if (k, name) in used:
                     terms[used[k, name]] = 1.0
-                program.row(terms | {worst_use_column: -1.0}, -INFINITY, 0)
+                program.add_row(terms | {worst_use_column: -1.0}, -INFINITY, 0)
                 if made.fleet.constraints.headroom == "zone":
-                    program.row(terms, -INFINITY, 1.0, f"{name} of {_named(kind)} without {zone}")
+                    program.add_row(terms, -INFINITY, 1.0, f"{name} of {_named(kind)} without {zone}")
 
 
 def _floors(made: ReducedFleet, program: Program) -> None:
@@ -307,8 +307,8 @@
     for floor in made.fleet.constraints.floors:
         kept = max(0.0, floor.share * total - asked.get(floor.tenant, 0.0))
         if kept:
-            one = program.column(1.0, 1.0)
-            program.row({one: kept}, -INFINITY, total - work, f"share of {floor.tenant}")
+            one = program.add_column(1.0, 1.0)
+            program.add_row({one: kept}, -INFINITY, total - work, f"share of {floor.tenant}")
 
 
 def _movement(
@@ -325,9 +325,9 @@
         held = before.get(group.name, {})
         whole = sum(held.values()) or 1
         old = math.fsum(held.get(planner.id, 0) for planner in kind.planners) / whole * units
-        away = program.column()
-        program.row({column: 1.0, away: -1.0}, -INFINITY, old)
-        program.row({column: -1.0, away: -1.0}, -INFINITY, -old)
+        away = program.add_column()
+        program.add_row({column: 1.0, away: -1.0}, -INFINITY, old)
+        program.add_row({column: -1.0, away: -1.0}, -INFINITY, -old)
         goal[away] = group.rate / units / 2
     return goal
 
@@ -384,11 +384,11 @@
         terms = dict(row.terms)
         if row.name in names:
             if row.lower > -INFINITY:
-                under = made.column()
+                under = made.add_column()
                 terms[under] = 1.0
                 slacks.setdefault(row.name, []).append(under)
             if row.upper < INFINITY:
-                over = made.column()
+                over = made.add_column()
                 terms[over] = -1.0
                 slacks.setdefault(row.name, []).append(over)
         elif row.name and row.name not in hard:
