--- a/pipitshed/placement/program.py
+++ b/pipitshed/placement/program.py
@@ -32,14 +32,14 @@
 
     lower: list[float] = field(default_factory=list)
     upper: list[float] = field(default_factory=list)
-    whole: list[bool] = field(default_factory=list)
+    integer: list[bool] = field(default_factory=list)
     rows: list[Row] = field(default_factory=list)
 
-    def add_column(self, lower: float = 0.0, upper: float = INFINITY, whole: bool = False) -> int:
+    def add_column(self, lower: float = 0.0, upper: float = INFINITY, integer: bool = False) -> int:
         """A new column's number."""
         self.lower.append(lower)
         self.upper.append(upper)
-        self.whole.append(whole)
+        self.integer.append(integer)
         return len(self.lower) - 1
 
     def add_row(self, terms: Mapping[int, float], lower: float, upper: float, name: str = "") -> None:
@@ -86,7 +86,7 @@
         left_out = set(without)
         self.program = program
         self.rows = [row for row in program.rows if not row.name or row.name not in left_out]
-        self.mixed = any(program.whole)
+        self.mixed = any(program.integer)
         self._highs: Any = _quiet()
         for name, value in (
             ("log_to_console", False),
@@ -117,11 +117,11 @@
         if self.mixed:
             model.integrality_ = [
                 highspy.HighsVarType.kInteger if whole else highspy.HighsVarType.kContinuous
-                for whole in program.whole
+                for whole in program.integer
             ]
         return model
 
-    def start(self, basis: Any) -> None:
+    def set_start_basis(self, basis: Any) -> None:
         """Begin at the end of an earlier solve of a program of the same shape."""
         if (
             basis is not None
--- a/pipitshed/placement/solve.py
+++ b/pipitshed/placement/solve.py
@@ -359,7 +359,7 @@
     if not built.reduced.groups:
         return SolveResult({}, built.reduced.units, [0.0] * len(GOALS), True)
     solver = Solver(built.program)
-    solver.start(basis)
+    solver.set_start_basis(basis)
     solution = solver.solve(built.goals)
     if solution is not None:
         return SolveResult(
@@ -378,7 +378,7 @@
 
 def _elastic(program: Program, names: set[str], hard: set[str]) -> tuple[Program, dict[str, list[int]]]:
     """The program with slack for these constraints, of the others only `hard`."""
-    made = Program(list(program.lower), list(program.upper), list(program.whole))
+    made = Program(list(program.lower), list(program.upper), list(program.integer))
     slacks: dict[str, list[int]] = {}
     for row in program.rows:
         terms = dict(row.terms)
