--- a/pipitshed/translation/codecs.py
+++ b/pipitshed/translation/codecs.py
@@ -26,7 +26,7 @@
 )
 
 MOST_FIELDS = 1024  # of one form-encoded message
-WHOLE = "the message"  # what a refusal names where it is no single field
+WHOLE_MESSAGE = "the message"  # what a refusal names where it is no single field
 
 
 class Codec(Protocol):
@@ -60,9 +60,9 @@
                 max_num_fields=MOST_FIELDS,
             )
         except UnicodeDecodeError:
-            raise UntranslatableError(WHOLE, data[:32], "is not UTF-8") from None
+            raise UntranslatableError(WHOLE_MESSAGE, data[:32], "is not UTF-8") from None
         except ValueError:
-            raise UntranslatableError(WHOLE, data[:32], "is not form-encoded") from None
+            raise UntranslatableError(WHOLE_MESSAGE, data[:32], "is not form-encoded") from None
 
     def decode(self, data: bytes) -> Record:
         record: Record = {}
@@ -71,7 +71,7 @@
                 continue
             field = self.fields.get(name)
             if not name:
-                raise UntranslatableError(WHOLE, text, "has a field without a name")
+                raise UntranslatableError(WHOLE_MESSAGE, text, "has a field without a name")
             if field is None:
                 raise UntranslatableError(name, text, "is not a field of this form")
             if field.type == "texts":
@@ -105,7 +105,7 @@
 
 
 def _no_constant(text: str) -> None:
-    raise UntranslatableError(WHOLE, text, "is not a number")
+    raise UntranslatableError(WHOLE_MESSAGE, text, "is not a number")
 
 
 # Of the libraries at hand only the standard one can be told of a name that stands twice.
@@ -125,11 +125,11 @@
         except UntranslatableError:
             raise
         except UnicodeDecodeError:
-            raise UntranslatableError(WHOLE, data[:32], "is not UTF-8") from None
+            raise UntranslatableError(WHOLE_MESSAGE, data[:32], "is not UTF-8") from None
         except (ValueError, RecursionError, ArithmeticError):
-            raise UntranslatableError(WHOLE, data[:32], "is not JSON") from None
+            raise UntranslatableError(WHOLE_MESSAGE, data[:32], "is not JSON") from None
         if not isinstance(value, dict):
-            raise UntranslatableError(WHOLE, value, "is not a record")
+            raise UntranslatableError(WHOLE_MESSAGE, value, "is not a record")
         # An empty list and none are the same: protobuf does not tell them apart.
         value = {name: held for name, held in value.items() if held != []}
         return check_record(self.fields, self._times(self.fields, value, parse_time))
--- a/pipitshed/translation/protobuf.py
+++ b/pipitshed/translation/protobuf.py
@@ -9,7 +9,7 @@
 from google.protobuf.message import DecodeError, Message
 from google.protobuf.unknown_fields import UnknownFieldSet
 
-from pipitshed.translation.codecs import WHOLE
+from pipitshed.translation.codecs import WHOLE_MESSAGE
 from pipitshed.translation.values import (
     Field,
     Record,
@@ -104,13 +104,15 @@
         try:
             message.ParseFromString(data)
         except DecodeError:
-            raise UntranslatableError(WHOLE, data[:32], "is not a message of this interface") from None
+            raise UntranslatableError(
+                WHOLE_MESSAGE, data[:32], "is not a message of this interface"
+            ) from None
         return self.read(message)
 
     def read(self, message: Message) -> Record:
         """The record of a message that is parsed already."""
         if len(UnknownFieldSet(message)):
-            raise UntranslatableError(WHOLE, "", "holds a field that this interface does not know")
+            raise UntranslatableError(WHOLE_MESSAGE, "", "holds a field that this interface does not know")
         if not message.HasField(self._part):
             raise UntranslatableError(self._part, "", "is missing")
         return check_record(self.fields, _read(getattr(message, self._part), self._plan))
@@ -171,7 +173,7 @@
 
 def _read(message: Any, plan: list[_Slot]) -> Record:
     if len(UnknownFieldSet(message)):
-        raise UntranslatableError(WHOLE, "", "holds a field that this interface does not know")
+        raise UntranslatableError(WHOLE_MESSAGE, "", "holds a field that this interface does not know")
     record: Record = {}
     for slot in plan:
         name, kind = slot.name, slot.field.type
