--- a/pipitshed/translation/steps.py
+++ b/pipitshed/translation/steps.py
@@ -274,10 +274,10 @@
             try:
                 record = step.up(record)
             except UntranslatableError as unfit:
-                raise self.named_below(unfit, place) from None
+                raise self.with_lower_name(unfit, place) from None
         return record
 
-    def named_below(self, unfit: UntranslatableError, steps: int | None = None) -> UntranslatableError:
+    def with_lower_name(self, unfit: UntranslatableError, steps: int | None = None) -> UntranslatableError:
         """A refusal by the name that the field has below the first so many steps: who is refused knows no
         other.
         """
--- a/pipitshed/translation/translator.py
+++ b/pipitshed/translation/translator.py
@@ -120,7 +120,7 @@
             return self._request(target, job_class).encode(moved)
         except UntranslatableError as unfit:
             chain = self._chains.get((form, target, job_class, True))
-            raise chain.named_below(unfit) if chain is not None else unfit from None
+            raise chain.with_lower_name(unfit) if chain is not None else unfit from None
 
     def _request(self, form: int, job_class: str) -> Codec:
         codec = self._requests.get((form, job_class))
