--- a/pipitshed/placement/brute.py
+++ b/pipitshed/placement/brute.py
@@ -14,39 +14,43 @@
 MAX_PLANS = 200_000  # plans that are tried at most
 
 
-def splits(units: int, places: int) -> Iterator[tuple[int, ...]]:
+def splits(units: int, planner_count: int) -> Iterator[tuple[int, ...]]:
     """All ways to put so many units on so many places."""
-    for bars in itertools.combinations(range(units + places - 1), places - 1):
-        ends = (-1, *bars, units + places - 1)
-        yield tuple(ends[place + 1] - ends[place] - 1 for place in range(places))
+    for bars in itertools.combinations(range(units + planner_count - 1), planner_count - 1):
+        ends = (-1, *bars, units + planner_count - 1)
+        yield tuple(ends[index + 1] - ends[index] - 1 for index in range(planner_count))
 
 
-def plan_count(units: int, places: int, groups_: int) -> int:
+def plan_count(units: int, planner_count: int, group_count: int) -> int:
     """How many plans there are."""
-    return int(math.comb(units + places - 1, places - 1) ** groups_)
+    return int(math.comb(units + planner_count - 1, planner_count - 1) ** group_count)
 
 
 def search(fleet: Fleet, before: Mapping[str, Mapping[str, int]] | None = None) -> tuple[Parts, Score] | None:
     """The best plan by the goals in order, each with the tolerance of the solver; None where none keeps the
     constraints. OverflowError where there are more than MOST plans.
     """
-    wanted = groups(fleet)
+    job_groups = groups(fleet)
     names = sorted(planner.id for planner in fleet.planners)
-    if plan_count(fleet.units, len(names), len(wanted)) > MAX_PLANS:
+    if plan_count(fleet.units, len(names), len(job_groups)) > MAX_PLANS:
         raise OverflowError("too many plans")
-    each = list(splits(fleet.units, len(names)))
-    good: list[tuple[Parts, Score]] = []
-    for chosen in itertools.product(each, repeat=len(wanted)):
+    group_splits = list(splits(fleet.units, len(names)))
+    feasible: list[tuple[Parts, Score]] = []
+    for chosen in itertools.product(group_splits, repeat=len(job_groups)):
         parts = {
             group.name: {name: units for name, units in zip(names, split, strict=True) if units}
-            for group, split in zip(wanted, chosen, strict=True)
+            for group, split in zip(job_groups, chosen, strict=True)
         }
-        judged = score(fleet, parts, fleet.units, before)
-        if not judged.violations:
-            good.append((parts, judged))
+        result = score(fleet, parts, fleet.units, before)
+        if not result.violations:
+            feasible.append((parts, result))
     for goal in range(4):
-        if not good:
+        if not feasible:
             return None
-        best = min(judged.vector()[goal] for _, judged in good)
-        good = [one for one in good if one[1].vector()[goal] <= best + GOAL_TOLERANCE * max(1.0, abs(best))]
-    return good[0]
+        best = min(result.vector()[goal] for _, result in feasible)
+        feasible = [
+            candidate
+            for candidate in feasible
+            if candidate[1].vector()[goal] <= best + GOAL_TOLERANCE * max(1.0, abs(best))
+        ]
+    return feasible[0]
