--- a/pipitshed/placement/explain.py
+++ b/pipitshed/placement/explain.py
@@ -8,7 +8,7 @@
 from pipitshed.placement.program import Solver
 from pipitshed.placement.solve import RESOURCES, build
 
-BINDS = 1e-6
+MIN_DUAL = 1e-6
 
 
 @dataclass
@@ -31,33 +31,34 @@
     solution = Solver(built.program).solve(built.goals[:1])
     if solution is None:
         return []
-    found: dict[tuple[int, str], ResourceValue] = {}
-    used: dict[int, tuple[int, str]] = {}  # the column of a use: whose it is
-    for number, (kind, resource) in built.use_rows.items():
-        [column] = [one for one in built.program.rows[number].terms if one != built.worst_use_column]
-        used[column] = kind, resource
-        planner = built.reduced.kinds[kind].planners[0]
-        found[kind, resource] = ResourceValue(
+    values: dict[tuple[int, str], ResourceValue] = {}
+    use_columns: dict[int, tuple[int, str]] = {}  # the column of a use: whose it is
+    for row_index, (kind_index, resource) in built.use_rows.items():
+        [column] = [other for other in built.program.rows[row_index].terms if other != built.worst_use_column]
+        use_columns[column] = kind_index, resource
+        planner = built.reduced.kinds[kind_index].planners[0]
+        values[kind_index, resource] = ResourceValue(
             planner.id, resource, float(solution.values[column]), False, 0.0
         )
     for row, dual in zip(built.program.rows, solution.duals, strict=False):
-        if abs(dual) < BINDS or built.worst_use_column not in row.terms:
+        if abs(dual) < MIN_DUAL or built.worst_use_column not in row.terms:
             continue
         for column in row.terms:
-            if column not in used:
+            if column not in use_columns:
                 continue
-            kind, resource = used[column]
-            worth = found[kind, resource]
-            planner = built.reduced.kinds[kind].planners[0]
+            kind_index, resource = use_columns[column]
+            resource_value = values[kind_index, resource]
+            planner = built.reduced.kinds[kind_index].planners[0]
             amount = {"cores": planner.cores, "slots": planner.slots, "memory": planner.memory}[resource]
             total = sum(
-                float(solution.values[one]) * value / row.terms[column]
-                for one, value in row.terms.items()
-                if one != built.worst_use_column
+                float(solution.values[other]) * value / row.terms[column]
+                for other, value in row.terms.items()
+                if other != built.worst_use_column
             )
-            worth.binds = True
-            worth.gain_per_unit += abs(float(dual)) * total / amount
-    order = {name: place for place, name in enumerate(RESOURCES)}
+            resource_value.binds = True
+            resource_value.gain_per_unit += abs(float(dual)) * total / amount
+    order = {name: position for position, name in enumerate(RESOURCES)}
     return sorted(
-        found.values(), key=lambda one: (-one.gain_per_unit, -one.use, one.planner, order[one.resource])
+        values.values(),
+        key=lambda other: (-other.gain_per_unit, -other.use, other.planner, order[other.resource]),
     )
