--- a/pipitshed/placement/follow.py
+++ b/pipitshed/placement/follow.py
@@ -25,7 +25,7 @@
 
     zone: str
     classes: Sequence[str]  # by number; one that was changed stands here again by the same name
-    cold: float = 0.0  # ms for which a planner that has just started is cold
+    slow_start_ms: float = 0.0  # ms for which a planner that has just started is cold
     plan: Plan | None = None
     _fractions: dict[str, dict[WorkerId, float]] = field(default_factory=dict)  # by class: parts in force
     in_transition: bool = False  # the last step did not come to the plan's own parts yet
@@ -87,7 +87,7 @@
     ) -> dict[WorkerId, float]:
         """Guards cold planners: none is raised above what the list itself would give it."""
         cold_workers = [
-            worker for worker, entry in ready.items() if now * 1000 - entry.started_at_ms < self.cold
+            worker for worker, entry in ready.items() if now * 1000 - entry.started_at_ms < self.slow_start_ms
         ]
         listed_fractions = self._listed_fractions(ready) if cold_workers else {}
         return fractions | {
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -245,7 +245,7 @@
 
 
 def test_strangers_leavers_and_cold_planners() -> None:
-    follower = Follower("a", ["quote"], cold=5000.0)
+    follower = Follower("a", ["quote"], slow_start_ms=5000.0)
     listed = [entry("p1", 2.0), entry("p2", 1.0), entry("p3", 1.0)]
     follower.offer(plan({"p1": 6, "p2": 3}), 1000.0, listed)
     assert eased(follower, listed) == pytest.approx({"p1": 0.5, "p2": 0.25, "p3": 0.25})
