--- a/pipitshed/placement/explain.py
+++ b/pipitshed/placement/explain.py
@@ -60,5 +60,5 @@
     order = {name: position for position, name in enumerate(RESOURCES)}
     return sorted(
         values.values(),
-        key=lambda other: (-other.gain_per_unit, -other.use, other.planner, order[other.resource]),
+        key=lambda entry: (-entry.gain_per_unit, -entry.use, entry.planner, order[entry.resource]),
     )
--- a/pipitshed/placement/learn.py
+++ b/pipitshed/placement/learn.py
@@ -16,8 +16,8 @@
 
 import msgspec
 
-ROUNDS = 50
-SETTLED = 1e-9
+MAX_ROUNDS = 50
+CONVERGED_LOG_DIFFERENCE = 1e-9
 
 
 class _Line(msgspec.Struct):
@@ -39,7 +39,7 @@
     seen: int
 
 
-class Learnt(msgspec.Struct):
+class LearntEstimates(msgspec.Struct):
     """Speeds are relative: their geometric mean over planners is 1."""
 
     speed: dict[str, Estimate]
@@ -51,66 +51,81 @@
 _decode = msgspec.json.Decoder(_Line).decode
 
 
-def learn(lines: Iterable[bytes]) -> Learnt:
+def learn(lines: Iterable[bytes]) -> LearntEstimates:
     """The estimates; lines that are none of these are counted and passed over."""
     runs: list[tuple[str, str, float]] = []
-    asked: dict[str, int] = defaultdict(int)
+    job_counts: dict[str, int] = defaultdict(int)
     first, last, skipped = math.inf, -math.inf, 0
     for line in lines:
         try:
-            told = _decode(line)
+            parsed = _decode(line)
         except msgspec.MsgspecError:
             skipped += 1
             continue
-        if told.event != "attempt" or told.outcome != "OK" or not told.planner or not 0 < told.ran < math.inf:
+        if (
+            parsed.event != "attempt"
+            or parsed.outcome != "OK"
+            or not parsed.planner
+            or not 0 < parsed.ran < math.inf
+        ):
             skipped += 1
             continue
-        runs.append((told.planner, told.job_class, math.log(told.ran)))
-        asked[f"{told.job_class} {told.tenant}"] += 1
-        first, last = min(first, told.at), max(last, told.at)
+        runs.append((parsed.planner, parsed.job_class, math.log(parsed.ran)))
+        job_counts[f"{parsed.job_class} {parsed.tenant}"] += 1
+        first, last = min(first, parsed.at), max(last, parsed.at)
     by_planner: dict[str, list[tuple[str, float]]] = defaultdict(list)
     by_class: dict[str, list[tuple[str, float]]] = defaultdict(list)
-    for planner, job_class, took in runs:
-        by_planner[planner].append((job_class, took))
-        by_class[job_class].append((planner, took))
-    slow = dict.fromkeys(by_planner, 0.0)  # minus the logarithm of the speed
-    work = dict.fromkeys(by_class, 0.0)
-    for _ in range(ROUNDS):
-        before = dict(slow)
-        work = {
-            name: statistics.fmean(took - slow[planner] for planner, took in held)
-            for name, held in by_class.items()
+    for planner, job_class, log_duration in runs:
+        by_planner[planner].append((job_class, log_duration))
+        by_class[job_class].append((planner, log_duration))
+    log_slowness = dict.fromkeys(by_planner, 0.0)  # minus the logarithm of the speed
+    log_work = dict.fromkeys(by_class, 0.0)
+    for _ in range(MAX_ROUNDS):
+        before = dict(log_slowness)
+        log_work = {
+            name: statistics.fmean(log_duration - log_slowness[planner] for planner, log_duration in samples)
+            for name, samples in by_class.items()
         }
-        slow = {
-            name: statistics.fmean(took - work[job_class] for job_class, took in held)
-            for name, held in by_planner.items()
+        log_slowness = {
+            name: statistics.fmean(log_duration - log_work[job_class] for job_class, log_duration in samples)
+            for name, samples in by_planner.items()
         }
-        middle = statistics.fmean(slow.values()) if slow else 0.0
-        slow = {name: value - middle for name, value in slow.items()}
-        if all(abs(slow[name] - value) < SETTLED for name, value in before.items()):
+        mean = statistics.fmean(log_slowness.values()) if log_slowness else 0.0
+        log_slowness = {name: value - mean for name, value in log_slowness.items()}
+        if all(abs(log_slowness[name] - value) < CONVERGED_LOG_DIFFERENCE for name, value in before.items()):
             break
-    work = {
-        name: statistics.fmean(took - slow[planner] for planner, took in held)
-        for name, held in by_class.items()
+    log_work = {
+        name: statistics.fmean(log_duration - log_slowness[planner] for planner, log_duration in samples)
+        for name, samples in by_class.items()
     }
-    length = last - first
-    return Learnt(
+    duration_s = last - first
+    return LearntEstimates(
         {
-            name: _estimate(math.exp(-slow[name]), [took - work[job_class] for job_class, took in held])
-            for name, held in sorted(by_planner.items())
+            name: _estimate(
+                math.exp(-log_slowness[name]),
+                [log_duration - log_work[job_class] for job_class, log_duration in samples],
+            )
+            for name, samples in sorted(by_planner.items())
         },
         {
-            name: _estimate(math.exp(work[name]), [took - slow[planner] for planner, took in held])
-            for name, held in sorted(by_class.items())
+            name: _estimate(
+                math.exp(log_work[name]),
+                [log_duration - log_slowness[planner] for planner, log_duration in samples],
+            )
+            for name, samples in sorted(by_class.items())
         },
         {
-            name: Estimate(count / length if length > 0 else 0.0, math.exp(1.96 / math.sqrt(count)), count)
-            for name, count in sorted(asked.items())
+            name: Estimate(
+                count / duration_s if duration_s > 0 else 0.0, math.exp(1.96 / math.sqrt(count)), count
+            )
+            for name, count in sorted(job_counts.items())
         },
         skipped,
     )
 
 
 def _estimate(value: float, logarithms: list[float]) -> Estimate:
-    error = statistics.stdev(logarithms) / math.sqrt(len(logarithms)) if len(logarithms) > 1 else math.inf
-    return Estimate(value, math.exp(min(700.0, 1.96 * error)), len(logarithms))
+    standard_error = (
+        statistics.stdev(logarithms) / math.sqrt(len(logarithms)) if len(logarithms) > 1 else math.inf
+    )
+    return Estimate(value, math.exp(min(700.0, 1.96 * standard_error)), len(logarithms))
