--- a/pipitshed/placement/model.py
+++ b/pipitshed/placement/model.py
@@ -87,49 +87,49 @@
         fleet = msgspec.convert(tomllib.loads(text), Fleet)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise FleetError(str(error)) from None
-    found = [f"line {line}: {where}: {why}" for line, where, why in _problems(fleet, text)]
-    if found:
-        raise FleetError("\n".join(found))
+    problems = [f"line {line}: {location}: {problem}" for line, location, problem in _problems(fleet, text)]
+    if problems:
+        raise FleetError("\n".join(problems))
     return fleet
 
 
-def _figure(value: float, zero: bool = True) -> bool:
-    return math.isfinite(value) and ((zero and value == 0) or MIN_FIGURE <= value <= MAX_FIGURE)
+def _in_range(value: float, zero_allowed: bool = True) -> bool:
+    return math.isfinite(value) and ((zero_allowed and value == 0) or MIN_FIGURE <= value <= MAX_FIGURE)
 
 
 def _problems(fleet: Fleet, text: str) -> Iterator[tuple[int, str, str]]:
-    seen: set[str] = set()
-    zones = {planner.zone for planner in fleet.planners} | {one.zone for one in fleet.schedulers}
+    seen_ids: set[str] = set()
+    zones = {planner.zone for planner in fleet.planners} | {entry.zone for entry in fleet.schedulers}
     if not fleet.planners:
         yield 1, "planners", "there are none"
     if fleet.units < 1:
         yield 1, "units", "must be 1 or more"
-    if not _figure(fleet.life_s, False):
+    if not _in_range(fleet.life_s, False):
         yield 1, "life-s", "is out of range"
-    for place, planner in enumerate(fleet.planners):
-        where = f"planner {planner.id or place}"
-        if not planner.id or planner.id in seen:
-            yield line_of(text, "planners", place, "id"), where, "has no id of its own"
-        seen.add(planner.id)
+    for index, planner in enumerate(fleet.planners):
+        location = f"planner {planner.id or index}"
+        if not planner.id or planner.id in seen_ids:
+            yield line_of(text, "planners", index, "id"), location, "has no id of its own"
+        seen_ids.add(planner.id)
         for name in ("cores", "speed", "slots", "memory", "cap"):
-            if not _figure(getattr(planner, name), name in ("slots", "memory")):
-                yield line_of(text, "planners", place, name), where, f"{name} is out of range"
+            if not _in_range(getattr(planner, name), name in ("slots", "memory")):
+                yield line_of(text, "planners", index, name), location, f"{name} is out of range"
         if planner.pinned is not None and not 0 <= planner.pinned <= 1:
-            yield line_of(text, "planners", place, "pinned"), where, "pinned is not a part, 0 to 1"
+            yield line_of(text, "planners", index, "pinned"), location, "pinned is not a part, 0 to 1"
         if planner.excluded and planner.pinned:
-            yield line_of(text, "planners", place, "pinned"), where, "is excluded and pinned"
-    for place, one in enumerate(fleet.schedulers):
-        if one.count < 0:
-            yield line_of(text, "schedulers", place, "count"), f"schedulers {one.zone}", "count is below 0"
-    for place, demand in enumerate(fleet.demand):
-        where = f"demand {demand.job_class} {demand.tenant}".rstrip()
+            yield line_of(text, "planners", index, "pinned"), location, "is excluded and pinned"
+    for index, entry in enumerate(fleet.schedulers):
+        if entry.count < 0:
+            yield line_of(text, "schedulers", index, "count"), f"schedulers {entry.zone}", "count is below 0"
+    for index, demand in enumerate(fleet.demand):
+        location = f"demand {demand.job_class} {demand.tenant}".rstrip()
         for name in ("rate", "work", "slots", "memory", "wait"):
-            if not _figure(getattr(demand, name), name not in ("work", "slots", "wait")):
-                yield line_of(text, "demand", place, name), where, f"{name} is out of range"
+            if not _in_range(getattr(demand, name), name not in ("work", "slots", "wait")):
+                yield line_of(text, "demand", index, name), location, f"{name} is out of range"
         if demand.zone and demand.zone not in zones:
-            yield line_of(text, "demand", place, "zone"), where, f"there is no zone {demand.zone!r}"
-        if not demand.zone and not any(one.count > 0 for one in fleet.schedulers):
-            yield line_of(text, "demand", place), where, "names no zone, and no schedulers stand anywhere"
+            yield line_of(text, "demand", index, "zone"), location, f"there is no zone {demand.zone!r}"
+        if not demand.zone and not any(entry.count > 0 for entry in fleet.schedulers):
+            yield line_of(text, "demand", index), location, "names no zone, and no schedulers stand anywhere"
     total = sum(floor.share for floor in fleet.constraints.floors)
     if total > 1 + 1e-9 or any(not 0 <= floor.share <= 1 for floor in fleet.constraints.floors):
         yield 1, "constraints.floors", f"the shares add up to {total:g}: more than there is"
@@ -157,39 +157,43 @@
 
 def groups(fleet: Fleet) -> list[Group]:
     """All groups with any demand, by zone and class."""
-    parts: dict[tuple[str, str], list[tuple[Demand, float]]] = {}
-    counted = sum(one.count for one in fleet.schedulers)
+    rates_by_group: dict[tuple[str, str], list[tuple[Demand, float]]] = {}
+    scheduler_count = sum(entry.count for entry in fleet.schedulers)
     for demand in fleet.demand:
-        where = (
+        zone_fractions = (
             [(demand.zone, 1.0)]
             if demand.zone
-            else [(one.zone, one.count / counted) for one in fleet.schedulers if one.count > 0]
+            else [
+                (entry.zone, entry.count / scheduler_count) for entry in fleet.schedulers if entry.count > 0
+            ]
         )
-        for zone, part in where:
+        for zone, fraction in zone_fractions:
             if demand.rate > 0:
-                parts.setdefault((zone, demand.job_class), []).append((demand, demand.rate * part))
-    made = []
-    for (zone, job_class), held in sorted(parts.items()):
-        rate = math.fsum(one for _, one in held)
-        made.append(
+                rates_by_group.setdefault((zone, demand.job_class), []).append(
+                    (demand, demand.rate * fraction)
+                )
+    result = []
+    for (zone, job_class), demands in sorted(rates_by_group.items()):
+        rate = math.fsum(demand_rate for _, demand_rate in demands)
+        result.append(
             Group(
                 zone,
                 job_class,
                 rate,
-                math.fsum(one * demand.work for demand, one in held),
-                math.fsum(one * demand.work * demand.slots for demand, one in held),
-                math.fsum(one * demand.work * demand.memory for demand, one in held),
-                max(demand.slots for demand, _ in held),
-                max(demand.memory for demand, _ in held),
-                math.fsum(one * demand.wait for demand, one in held) / rate,
+                math.fsum(demand_rate * demand.work for demand, demand_rate in demands),
+                math.fsum(demand_rate * demand.work * demand.slots for demand, demand_rate in demands),
+                math.fsum(demand_rate * demand.work * demand.memory for demand, demand_rate in demands),
+                max(demand.slots for demand, _ in demands),
+                max(demand.memory for demand, _ in demands),
+                math.fsum(demand_rate * demand.wait for demand, demand_rate in demands) / rate,
             )
         )
-    return made
+    return result
 
 
 def work_by_tenant(fleet: Fleet) -> dict[str, float]:
     """What each tenant asks for, in s of cores at speed 1 a second."""
-    asked: dict[str, float] = {}
+    work: dict[str, float] = {}
     for demand in fleet.demand:
-        asked[demand.tenant] = asked.get(demand.tenant, 0.0) + demand.rate * demand.work
-    return asked
+        work[demand.tenant] = work.get(demand.tenant, 0.0) + demand.rate * demand.work
+    return work
