--- a/pipitshed/placement/plan.py
+++ b/pipitshed/placement/plan.py
@@ -39,15 +39,15 @@
     checksum: str = ""
 
 
-def _sum(plan: Plan) -> str:
-    bare = msgspec.structs.replace(plan, checksum="")
-    return hashlib.sha256(msgspec.json.encode(bare, order="sorted")).hexdigest()
+def _checksum(plan: Plan) -> str:
+    without_checksum = msgspec.structs.replace(plan, checksum="")
+    return hashlib.sha256(msgspec.json.encode(without_checksum, order="sorted")).hexdigest()
 
 
 def write(plan: Plan) -> bytes:
     """The file's bytes, with the checksum."""
-    sealed = msgspec.structs.replace(plan, checksum=_sum(plan))
-    return msgspec.json.format(msgspec.json.encode(sealed), indent=1) + b"\n"
+    with_checksum = msgspec.structs.replace(plan, checksum=_checksum(plan))
+    return msgspec.json.format(msgspec.json.encode(with_checksum), indent=1) + b"\n"
 
 
 def read(data: bytes) -> Plan:
@@ -58,17 +58,19 @@
         raise PlanError(f"is no plan: {error}") from None
     if plan.format != FORMAT:
         raise PlanError(f"is of format {plan.format}, not {FORMAT}")
-    if plan.checksum != _sum(plan):
+    if plan.checksum != _checksum(plan):
         raise PlanError("does not add up to its checksum: it is half written or was changed")
     if plan.units < 1 or not math.isfinite(plan.made) or not 0 < plan.life_s < math.inf:
         raise PlanError("has no units, no time or no life")
-    for group, held in plan.parts.items():
+    for group, units_by_planner in plan.parts.items():
         if (
             "/" not in group
-            or any(units < 0 for units in held.values())
-            or (not plan.relaxed and sum(held.values()) != plan.units)
+            or any(units < 0 for units in units_by_planner.values())
+            or (not plan.relaxed and sum(units_by_planner.values()) != plan.units)
         ):
             raise PlanError(f"{group} does not add up to {plan.units} units")
-        if unknown := held.keys() - plan.planners.keys():
-            raise PlanError(f"{group} names planners that the plan does not describe: {sorted(unknown)[0]}")
+        if unknown_planners := units_by_planner.keys() - plan.planners.keys():
+            raise PlanError(
+                f"{group} names planners that the plan does not describe: {sorted(unknown_planners)[0]}"
+            )
     return plan
