--- a/pipitshed/placement/program.py
+++ b/pipitshed/placement/program.py
@@ -44,11 +44,11 @@
 
     def add_row(self, terms: Mapping[int, float], lower: float, upper: float, name: str = "") -> None:
         """Add a row, scaled by its largest figure: fleets hold numbers from 1e-9 to 1e9."""
-        most = max((abs(value) for value in terms.values()), default=0.0)
+        largest = max((abs(value) for value in terms.values()), default=0.0)
         scale = 1.0
-        if most > 0 and not 1e-3 < most < 1e3:
-            terms, scale = {column: value / most for column, value in terms.items()}, most
-            lower, upper = lower / most, upper / most
+        if largest > 0 and not 1e-3 < largest < 1e3:
+            terms, scale = {column: value / largest for column, value in terms.items()}, largest
+            lower, upper = lower / largest, upper / largest
         self.rows.append(Row(terms, lower, upper, name, scale))
 
     def names(self) -> list[str]:
@@ -66,17 +66,17 @@
     basis: Any
 
 
-def _quiet() -> Any:
+def _new_silent_highs() -> Any:
     """HiGHS, whose constructor writes a banner to standard output before it can be told not to."""
     sys.stdout.flush()
-    held, nowhere = os.dup(1), os.open(os.devnull, os.O_WRONLY)
+    saved_stdout, null_device = os.dup(1), os.open(os.devnull, os.O_WRONLY)
     try:
-        os.dup2(nowhere, 1)
+        os.dup2(null_device, 1)
         return highspy.Highs()  # type: ignore[no-untyped-call]
     finally:
-        os.dup2(held, 1)
-        os.close(held)
-        os.close(nowhere)
+        os.dup2(saved_stdout, 1)
+        os.close(saved_stdout)
+        os.close(null_device)
 
 
 class Solver:
@@ -87,7 +87,7 @@
         self.program = program
         self.rows = [row for row in program.rows if not row.name or row.name not in left_out]
         self.mixed = any(program.integer)
-        self._highs: Any = _quiet()
+        self._highs: Any = _new_silent_highs()
         for name, value in (
             ("log_to_console", False),
             ("output_flag", False),
@@ -116,8 +116,8 @@
         model.a_matrix_.value_ = np.array([value for row in self.rows for value in row.terms.values()], float)
         if self.mixed:
             model.integrality_ = [
-                highspy.HighsVarType.kInteger if whole else highspy.HighsVarType.kContinuous
-                for whole in program.integer
+                highspy.HighsVarType.kInteger if integer else highspy.HighsVarType.kContinuous
+                for integer in program.integer
             ]
         return model
 
@@ -137,27 +137,27 @@
 
     def solve(self, goals: Sequence[Mapping[int, float]]) -> Solution | None:
         """The best by the first goal, among these by the second, and so on; None where nothing keeps all."""
-        found: list[float] = []
+        goal_values: list[float] = []
         columns = np.arange(len(self.program.lower), dtype=np.int32)
         solution = basis = None
-        for place, goal in enumerate(goals):
-            most = max((abs(value) for value in goal.values()), default=0.0)
-            scale = 1.0 if not most or 1e-4 < most < 1e4 else most
+        for position, goal in enumerate(goals):
+            largest = max((abs(value) for value in goal.values()), default=0.0)
+            scale = 1.0 if not largest or 1e-4 < largest < 1e4 else largest
             costs = np.zeros(len(columns))
             for column, value in goal.items():
                 costs[column] = value / scale
             self._highs.changeColsCost(len(columns), columns, costs)
             self._highs.run()
             if self._highs.getModelStatus() != highspy.HighsModelStatus.kOptimal:
-                if place == 0 or solution is None:
+                if position == 0 or solution is None:
                     return None
-                found.append(found[-1])
+                goal_values.append(goal_values[-1])
                 continue
             solution = self._highs.getSolution()
             basis = None if self.mixed else self._highs.getBasis()
             best = float(self._highs.getInfo().objective_function_value)
-            found.append(best * scale)
-            if place + 1 < len(goals) and goal:
+            goal_values.append(best * scale)
+            if position + 1 < len(goals) and goal:
                 index = np.array(list(goal), np.int32)
                 self._highs.addRow(
                     -INFINITY,
@@ -169,7 +169,7 @@
         if solution is None:
             return None
         duals = np.array(solution.row_dual) if not self.mixed else np.zeros(0)
-        return Solution(np.array(solution.col_value), found, duals, basis)
+        return Solution(np.array(solution.col_value), goal_values, duals, basis)
 
 
 def smallest_conflict(program: Program) -> list[str]:
@@ -177,15 +177,15 @@
     long as what remains is still in conflict, down to single ones (a deletion filter).
     """
     names = program.names()
-    kept, size = list(names), max(1, len(names) // 2)
+    kept, chunk_size = list(names), max(1, len(names) // 2)
     while True:
-        place = 0
-        while place < len(kept):
-            rest = kept[:place] + kept[place + size :]
-            if not Solver(program, set(names) - set(rest)).feasible():
-                kept = rest
+        start = 0
+        while start < len(kept):
+            remaining = kept[:start] + kept[start + chunk_size :]
+            if not Solver(program, set(names) - set(remaining)).feasible():
+                kept = remaining
             else:
-                place += size
-        if size == 1:
+                start += chunk_size
+        if chunk_size == 1:
             return kept
-        size = max(1, size // 2)
+        chunk_size = max(1, chunk_size // 2)
