--- a/pipitshed/placement/score.py
+++ b/pipitshed/placement/score.py
@@ -16,7 +16,7 @@
     usable_resources,
 )
 
-CLOSE = 1e-6  # by which a use may overstep its bound: rounding
+ROUNDING_TOLERANCE = 1e-6  # by which a use may overstep its bound: rounding
 
 
 @dataclass
@@ -41,103 +41,111 @@
     before: Mapping[str, Mapping[str, int]] | None = None,
 ) -> Score:
     """The score of these parts (group: planner: units)."""
-    made, wanted = Score(), groups(fleet)
+    result, job_groups = Score(), groups(fleet)
     by_id = {planner.id: planner for planner in fleet.planners}
     load = {planner.id: dict.fromkeys(RESOURCES, 0.0) for planner in fleet.planners}
-    total = math.fsum(group.work for group in wanted)
+    total = math.fsum(group.work for group in job_groups)
     shares = dict.fromkeys(by_id, 0.0)
-    for group in wanted:
-        held = parts.get(group.name, {})
-        if sum(held.values()) != units:
-            made.violations[f"all of {group.name} is placed"] = abs(units - sum(held.values())) / units
-        for name, count in held.items():
+    for group in job_groups:
+        units_by_planner = parts.get(group.name, {})
+        if sum(units_by_planner.values()) != units:
+            result.violations[f"all of {group.name} is placed"] = (
+                abs(units - sum(units_by_planner.values())) / units
+            )
+        for name, count in units_by_planner.items():
             planner = by_id.get(name)
             if planner is None:
-                made.violations[f"{name} is no planner of the fleet"] = count / units
+                result.violations[f"{name} is no planner of the fleet"] = count / units
                 continue
             if (planner.slots < group.slots or planner.memory < group.memory) and count:
-                made.violations[f"{name} can't hold a job of {group.name}"] = count / units
+                result.violations[f"{name} can't hold a job of {group.name}"] = count / units
             for resource, need in resource_demand(group).items():
                 load[name][resource] += need * count / units
             shares[name] += group.work * count / units / total
-            made.crossing += group.rate * count / units * crossing_cost(fleet, group, planner.zone)
-    _uses(fleet, made, load)
-    _lates(fleet, made, load, total, wanted)
-    _constraints(fleet, made, shares, units, wanted, total)
+            result.crossing += group.rate * count / units * crossing_cost(fleet, group, planner.zone)
+    _add_use(fleet, result, load)
+    _add_late_work(fleet, result, load, total, job_groups)
+    _add_violations(fleet, result, shares, units, job_groups, total)
     if before is not None:
-        for group in wanted:
-            held, old = parts.get(group.name, {}), before.get(group.name, {})
-            whole = sum(old.values()) or 1
-            made.movement += (
+        for group in job_groups:
+            units_by_planner, units_before = parts.get(group.name, {}), before.get(group.name, {})
+            total_before = sum(units_before.values()) or 1
+            result.movement += (
                 group.rate
                 / 2
                 * sum(
-                    abs(held.get(name, 0) / units - old.get(name, 0) / whole)
-                    for name in {*held, *old} & by_id.keys()
+                    abs(units_by_planner.get(name, 0) / units - units_before.get(name, 0) / total_before)
+                    for name in {*units_by_planner, *units_before} & by_id.keys()
                 )
             )
-    return made
+    return result
 
 
-def _uses(fleet: Fleet, made: Score, load: dict[str, dict[str, float]]) -> None:
+def _add_use(fleet: Fleet, result: Score, load: dict[str, dict[str, float]]) -> None:
     zones = sorted({planner.zone for planner in fleet.planners})
     for planner in fleet.planners:
-        have = usable_resources(planner)
-        made.use[planner.id] = {}
+        available = usable_resources(planner)
+        result.use[planner.id] = {}
         for name in RESOURCES:
             used = load[planner.id][name]
-            part = used / have[name] if have[name] > 0 else math.inf if used else 0.0
-            made.use[planner.id][name] = part
-            made.worst_use = max(made.worst_use, part)
-            if part > 1 + CLOSE:
-                made.violations[f"{name} of {planner.id}"] = part - 1
+            fraction = used / available[name] if available[name] > 0 else math.inf if used else 0.0
+            result.use[planner.id][name] = fraction
+            result.worst_use = max(result.worst_use, fraction)
+            if fraction > 1 + ROUNDING_TOLERANCE:
+                result.violations[f"{name} of {planner.id}"] = fraction - 1
     for zone in zones if len(zones) > 1 else []:
-        rest = math.fsum(usable_resources(one)["cores"] for one in fleet.planners if one.zone != zone)
+        remaining_capacity = math.fsum(
+            usable_resources(other)["cores"] for other in fleet.planners if other.zone != zone
+        )
         for name in RESOURCES:
-            lost = math.fsum(load[one.id][name] for one in fleet.planners if one.zone == zone)
+            lost_load = math.fsum(load[other.id][name] for other in fleet.planners if other.zone == zone)
             for planner in fleet.planners:
-                have = usable_resources(planner)
-                if planner.zone == zone or have[name] <= 0 or not rest:
+                available = usable_resources(planner)
+                if planner.zone == zone or available[name] <= 0 or not remaining_capacity:
                     continue
-                part = (load[planner.id][name] + lost * have["cores"] / rest) / have[name]
-                made.worst_use = max(made.worst_use, part)
-                if fleet.constraints.headroom == "zone" and part > 1 + CLOSE:
-                    made.violations[f"{name} of {planner.id} without {zone}"] = part - 1
+                fraction = (
+                    load[planner.id][name] + lost_load * available["cores"] / remaining_capacity
+                ) / available[name]
+                result.worst_use = max(result.worst_use, fraction)
+                if fleet.constraints.headroom == "zone" and fraction > 1 + ROUNDING_TOLERANCE:
+                    result.violations[f"{name} of {planner.id} without {zone}"] = fraction - 1
 
 
-def _lates(
-    fleet: Fleet, made: Score, load: dict[str, dict[str, float]], total: float, wanted: list[Group]
+def _add_late_work(
+    fleet: Fleet, result: Score, load: dict[str, dict[str, float]], total: float, job_groups: list[Group]
 ) -> None:
-    rate = math.fsum(group.rate for group in wanted)
+    rate = math.fsum(group.rate for group in job_groups)
     if not rate:
         return
-    wait = math.fsum(group.wait * group.rate for group in wanted) / rate
+    wait = math.fsum(group.wait * group.rate for group in job_groups) / rate
     for planner in fleet.planners:
         use = load[planner.id]["cores"] / (planner.cores * planner.speed)
-        made.late += max(
+        result.late += max(
             slope * use + at_zero
             for slope, at_zero in lateness(planner, total / rate, wait, fleet_capacity(fleet))
         )
 
 
-def _constraints(
-    fleet: Fleet, made: Score, shares: dict[str, float], units: int, wanted: list[Group], total: float
+def _add_violations(
+    fleet: Fleet, result: Score, shares: dict[str, float], units: int, job_groups: list[Group], total: float
 ) -> None:
-    slack = max((group.work for group in wanted), default=0.0) / units / total / 2 if total else 0.0
+    slack = max((group.work for group in job_groups), default=0.0) / units / total / 2 if total else 0.0
     for planner in fleet.planners:
         share = shares[planner.id]
-        if share > fleet.constraints.most + CLOSE:
-            made.violations[f"most of {planner.id}"] = share - fleet.constraints.most
-        if planner.excluded and share > CLOSE:
-            made.violations[f"{planner.id} is excluded"] = share
-        if planner.pinned is not None and abs(share - planner.pinned) > slack + CLOSE:
-            made.violations[f"{planner.id} is pinned"] = abs(share - planner.pinned)
-    asked = work_by_tenant(fleet)
-    have = math.fsum(usable_resources(planner)["cores"] for planner in fleet.planners if not planner.excluded)
+        if share > fleet.constraints.most + ROUNDING_TOLERANCE:
+            result.violations[f"most of {planner.id}"] = share - fleet.constraints.most
+        if planner.excluded and share > ROUNDING_TOLERANCE:
+            result.violations[f"{planner.id} is excluded"] = share
+        if planner.pinned is not None and abs(share - planner.pinned) > slack + ROUNDING_TOLERANCE:
+            result.violations[f"{planner.id} is pinned"] = abs(share - planner.pinned)
+    demanded = work_by_tenant(fleet)
+    allowed_capacity = math.fsum(
+        usable_resources(planner)["cores"] for planner in fleet.planners if not planner.excluded
+    )
     for floor in fleet.constraints.floors:
-        kept = max(0.0, floor.share * have - asked.get(floor.tenant, 0.0))
-        if kept > have - total + CLOSE * max(1.0, have):
-            made.violations[f"share of {floor.tenant}"] = kept - (have - total)
+        reserved = max(0.0, floor.share * allowed_capacity - demanded.get(floor.tenant, 0.0))
+        if reserved > allowed_capacity - total + ROUNDING_TOLERANCE * max(1.0, allowed_capacity):
+            result.violations[f"share of {floor.tenant}"] = reserved - (allowed_capacity - total)
 
 
 def capacity(planner: Planner) -> float:
