--- a/pipitshed/placement/solve.py
+++ b/pipitshed/placement/solve.py
@@ -12,10 +12,10 @@
 
 EXACT_COLUMNS = 64  # up to so many parts the program is solved in whole units
 EXACT_UNITS = 64
-ALIKE_FROM = 200  # planners from which those that differ by less than ALIKE count as alike
-ALIKE = 0.02
-LARGE = 2000  # parts from which a zone's planners that can hold the same jobs are one column
-UNITS_EACH = 16  # units a planner at least, so that no weight rounds to nothing
+ALIKE_MIN_PLANNERS = 200  # planners from which those that differ by less than ALIKE count as alike
+ALIKE_TOLERANCE = 0.02
+MAX_SEPARATE_PARTS = 2000  # parts from which a zone's planners that can hold the same jobs are one column
+MIN_UNITS_PER_PLANNER = 16  # units a planner at least, so that no weight rounds to nothing
 RESOURCES = ("cores", "slots", "memory")
 KNOTS = (0.0, 0.3, 0.5, 0.6, 0.7, 0.8, 0.85, 0.9, 0.95, 0.98, 1.0)  # of use; lateness is chords between
 GOALS = ("worst use", "late", "crossing", "movement")
@@ -36,8 +36,8 @@
 
     def parts(self) -> list[tuple[str, float]]:
         """Each planner's part of what goes to the kind: by capacity."""
-        total = math.fsum(usable_resources(one)["cores"] for one in self.planners)
-        return [(one.id, usable_resources(one)["cores"] / total) for one in self.planners]
+        total = math.fsum(usable_resources(planner)["cores"] for planner in self.planners)
+        return [(planner.id, usable_resources(planner)["cores"] / total) for planner in self.planners]
 
     @property
     def capacity(self) -> float:
@@ -60,13 +60,15 @@
 
     def zones(self) -> list[str]:
         """Zones that can be lost: others remain."""
-        named = sorted({kind.zone for kind in self.kinds})
-        return named if len(named) > 1 else []
+        zones = sorted({kind.zone for kind in self.kinds})
+        return zones if len(zones) > 1 else []
 
-    def moved(self, kind: Kind, lost: str) -> float:
+    def load_fraction_without(self, kind: Kind, lost_zone: str) -> float:
         """The part of a lost zone's load that one planner of the kind gets: in proportion to capacity."""
-        rest = math.fsum(one.capacity * len(one.planners) for one in self.kinds if one.zone != lost)
-        return kind.capacity / rest if rest else 0.0
+        remaining_capacity = math.fsum(
+            other.capacity * len(other.planners) for other in self.kinds if other.zone != lost_zone
+        )
+        return kind.capacity / remaining_capacity if remaining_capacity else 0.0
 
 
 def resource_demand(group: Group) -> dict[str, float]:
@@ -85,42 +87,47 @@
 
 def reduce_fleet(fleet: Fleet, whole: bool | None = None) -> ReducedFleet:
     """Planners by kind, and whether whole units are solved for."""
-    wanted = groups(fleet)
-    columns = max(1, len(wanted)) * len(fleet.planners)
+    job_groups = groups(fleet)
+    columns = max(1, len(job_groups)) * len(fleet.planners)
     exact = columns <= EXACT_COLUMNS and fleet.units <= EXACT_UNITS if whole is None else whole
-    by_key: dict[Any, list[Planner]] = {}
-    for planner in sorted(fleet.planners, key=lambda one: one.id):
+    planners_by_key: dict[Any, list[Planner]] = {}
+    for planner in sorted(fleet.planners, key=lambda member: member.id):
         figures: tuple[Any, ...] = (planner.cores, planner.speed, planner.slots, planner.memory, planner.cap)
-        if len(fleet.planners) >= ALIKE_FROM:
-            figures = tuple(round(math.log(max(value, 1e-12)) / math.log1p(ALIKE)) for value in figures)
-        alone = exact or planner.pinned is not None
-        key = (planner.zone, figures, planner.excluded, planner.id if alone else "")
-        by_key.setdefault(key, []).append(planner)
-    if len(by_key) * len(wanted) > LARGE:
+        if len(fleet.planners) >= ALIKE_MIN_PLANNERS:
+            figures = tuple(
+                round(math.log(max(value, 1e-12)) / math.log1p(ALIKE_TOLERANCE)) for value in figures
+            )
+        separate = exact or planner.pinned is not None
+        key = (planner.zone, figures, planner.excluded, planner.id if separate else "")
+        planners_by_key.setdefault(key, []).append(planner)
+    if len(planners_by_key) * len(job_groups) > MAX_SEPARATE_PARTS:
         merged: dict[Any, list[Planner]] = {}
-        for held in by_key.values():
-            first = held[0]
-            fits = tuple(first.slots >= group.slots and first.memory >= group.memory for group in wanted)
-            single = first.id if first.pinned is not None else ""
-            merged.setdefault((first.zone, fits, first.excluded, single), []).extend(held)
-        by_key = {key: sorted(held, key=lambda one: one.id) for key, held in merged.items()}
+        for planners in planners_by_key.values():
+            first = planners[0]
+            fits = tuple(first.slots >= group.slots and first.memory >= group.memory for group in job_groups)
+            planner_id = first.id if first.pinned is not None else ""
+            merged.setdefault((first.zone, fits, first.excluded, planner_id), []).extend(planners)
+        planners_by_key = {
+            key: sorted(planners, key=lambda member: member.id) for key, planners in merged.items()
+        }
     kinds = []
-    for held in by_key.values():
+    for planners in planners_by_key.values():
         mean = {
-            name: math.fsum(usable_resources(one)[name] for one in held) / len(held) for name in RESOURCES
+            name: math.fsum(usable_resources(member)[name] for member in planners) / len(planners)
+            for name in RESOURCES
         }
-        first = held[0]
-        cores = math.fsum(one.cores for one in held) / len(held)
-        cap = math.fsum(one.cap for one in held) / len(held)
+        first = planners[0]
+        cores = math.fsum(member.cores for member in planners) / len(planners)
+        cap = math.fsum(member.cap for member in planners) / len(planners)
         speed = mean["cores"] / cores / cap
         typical = (
             first
-            if len(held) == 1
+            if len(planners) == 1
             else Planner(first.id, first.zone, first.model, cores, speed, first.slots, first.memory, cap)
         )
-        kinds.append(Kind(held, first.zone, mean, typical))
-    units = fleet.units if exact else max(fleet.units, UNITS_EACH * len(fleet.planners))
-    return ReducedFleet(fleet, wanted, kinds, units, exact)
+        kinds.append(Kind(planners, first.zone, mean, typical))
+    units = fleet.units if exact else max(fleet.units, MIN_UNITS_PER_PLANNER * len(fleet.planners))
+    return ReducedFleet(fleet, job_groups, kinds, units, exact)
 
 
 def lateness(planner: Planner, mean_work: float, wait: float, total: float) -> list[tuple[float, float]]:
@@ -130,13 +137,22 @@
     cores = max(1.0, planner.cores)
     service = mean_work / planner.speed
 
-    def late(use: float) -> float:
+    def late_work(use: float) -> float:
         if use >= 1.0:
             use = 0.999
-        power: float = use ** (math.sqrt(2 * (cores + 1)) - 1)
-        return use * planner.cores * planner.speed / total * power / (cores * (1 - use)) * service / wait
+        waiting_factor: float = use ** (math.sqrt(2 * (cores + 1)) - 1)
+        return (
+            use
+            * planner.cores
+            * planner.speed
+            / total
+            * waiting_factor
+            / (cores * (1 - use))
+            * service
+            / wait
+        )
 
-    points = [(use, late(use)) for use in KNOTS]
+    points = [(use, late_work(use)) for use in KNOTS]
     chords, steepest = [], 0.0
     for (left, low), (right, high) in zip(points, points[1:], strict=False):
         steepest = max(steepest, (high - low) / (right - left))  # convex, whatever rounding says
@@ -157,7 +173,7 @@
 
 
 @dataclass
-class Built:
+class BuiltProgram:
     """The program with its columns by meaning."""
 
     reduced: ReducedFleet
@@ -170,18 +186,18 @@
 
 def build(
     fleet: Fleet, before: Mapping[str, Mapping[str, int]] | None = None, whole: bool | None = None
-) -> Built:
+) -> BuiltProgram:
     """The program. Each part is a share of its group (0 to 1), or whole units of it."""
-    made = reduce_fleet(fleet, whole)
-    program, units = Program(), made.units if made.exact else 1
+    reduced = reduce_fleet(fleet, whole)
+    program, units = Program(), reduced.units if reduced.exact else 1
     parts: dict[tuple[int, int], int] = {}
-    for g, group in enumerate(made.groups):
-        for k, kind in enumerate(made.kinds):
+    for g, group in enumerate(reduced.groups):
+        for k, kind in enumerate(reduced.kinds):
             first = kind.planners[0]
             if first.slots >= group.slots and first.memory >= group.memory:
-                parts[g, k] = program.add_column(0, units, made.exact)
+                parts[g, k] = program.add_column(0, units, reduced.exact)
         program.add_row(
-            {parts[g, k]: 1.0 for k in range(len(made.kinds)) if (g, k) in parts},
+            {parts[g, k]: 1.0 for k in range(len(reduced.kinds)) if (g, k) in parts},
             units,
             units,
             f"all of {group.name} is placed",
@@ -189,130 +205,141 @@
     worst_use_column = program.add_column()
     use_rows: dict[int, tuple[int, str]] = {}
     late_columns: list[int] = []
-    total = made.work
-    mean_work = total / math.fsum(group.rate for group in made.groups) if made.groups else 1.0
+    total = reduced.work
+    mean_work = total / math.fsum(group.rate for group in reduced.groups) if reduced.groups else 1.0
     wait = (
-        math.fsum(group.wait * group.rate for group in made.groups)
-        / math.fsum(group.rate for group in made.groups)
-        if made.groups
+        math.fsum(group.wait * group.rate for group in reduced.groups)
+        / math.fsum(group.rate for group in reduced.groups)
+        if reduced.groups
         else 1.0
     )
-    used: dict[tuple[int, str], int] = {}  # each planner's use of a resource, of its cap
-    for k, kind in enumerate(made.kinds):
+    use_columns: dict[tuple[int, str], int] = {}  # each planner's use of a resource, of its cap
+    for k, kind in enumerate(reduced.kinds):
         for name in RESOURCES:
             terms = {
-                column: resource_demand(made.groups[g])[name]
+                column: resource_demand(reduced.groups[g])[name]
                 / units
                 / len(kind.planners)
                 / kind.usable_resources[name]
-                for (g, one), column in parts.items()
-                if one == k and resource_demand(made.groups[g])[name] > 0 and kind.usable_resources[name] > 0
+                for (g, kind_index), column in parts.items()
+                if kind_index == k
+                and resource_demand(reduced.groups[g])[name] > 0
+                and kind.usable_resources[name] > 0
             }
             if not terms:
                 continue
-            column = used[k, name] = program.add_column()
+            column = use_columns[k, name] = program.add_column()
             program.add_row(terms | {column: -1.0}, 0, 0)
-            program.add_row({column: 1.0}, -INFINITY, 1.0, f"{name} of {_named(kind)}")
+            program.add_row({column: 1.0}, -INFINITY, 1.0, f"{name} of {_kind_name(kind)}")
             use_rows[len(program.rows)] = (k, name)
             program.add_row({column: 1.0, worst_use_column: -1.0}, -INFINITY, 0)
         shares = (
             {
-                column: made.groups[g].work / units / len(kind.planners) / total
-                for (g, one), column in parts.items()
-                if one == k
+                column: reduced.groups[g].work / units / len(kind.planners) / total
+                for (g, kind_index), column in parts.items()
+                if kind_index == k
             }
             if total
             else {}
         )
         if shares and fleet.constraints.most < 1:
-            program.add_row(shares, -INFINITY, fleet.constraints.most, f"most of {_named(kind)}")
+            program.add_row(shares, -INFINITY, fleet.constraints.most, f"most of {_kind_name(kind)}")
         if shares and kind.planners[0].excluded:
-            program.add_row(shares, -INFINITY, 0, f"{_named(kind)} is excluded")
+            program.add_row(shares, -INFINITY, 0, f"{_kind_name(kind)} is excluded")
         pinned = kind.planners[0].pinned
         if pinned is not None and total:
             # Without any group that it can hold, nothing is what it carries.
-            slack = max((group.work for group in made.groups), default=0.0) / units / total / 2 * made.exact
-            program.add_row(shares, pinned - slack, pinned + slack, f"{_named(kind)} is pinned")
-        if (k, "cores") in used:
-            late = program.add_column()
-            late_columns.append(late)
+            slack = (
+                max((group.work for group in reduced.groups), default=0.0) / units / total / 2 * reduced.exact
+            )
+            program.add_row(shares, pinned - slack, pinned + slack, f"{_kind_name(kind)} is pinned")
+        if (k, "cores") in use_columns:
+            late_column = program.add_column()
+            late_columns.append(late_column)
             for slope, at_zero in lateness(kind.typical, mean_work, wait, fleet_capacity(fleet)):
                 count = len(kind.planners)
                 program.add_row(
-                    {used[k, "cores"]: slope * count * kind.typical.cap, late: -1.0},
+                    {use_columns[k, "cores"]: slope * count * kind.typical.cap, late_column: -1.0},
                     -INFINITY,
                     -at_zero * count,
                 )
-    _losses(made, program, parts, used, worst_use_column, units)
-    _floors(made, program)
+    _add_zone_losses(reduced, program, parts, use_columns, worst_use_column, units)
+    _add_floors(reduced, program)
     goals: list[dict[int, float]] = [
         {worst_use_column: 1.0},
         dict.fromkeys(late_columns, 1.0),
         {
-            column: made.groups[g].rate / units * crossing_cost(fleet, made.groups[g], made.kinds[k].zone)
+            column: reduced.groups[g].rate
+            / units
+            * crossing_cost(fleet, reduced.groups[g], reduced.kinds[k].zone)
             for (g, k), column in parts.items()
         },
     ]
-    goals.append(_movement(made, program, parts, before, units) if before is not None else {})
+    goals.append(_add_movement(reduced, program, parts, before, units) if before is not None else {})
     golden = (math.sqrt(5) - 1) / 2
     goals.append(
-        {column: k + 0.5 * ((g * len(made.kinds) + k + 1) * golden % 1.0) for (g, k), column in parts.items()}
+        {
+            column: k + 0.5 * ((g * len(reduced.kinds) + k + 1) * golden % 1.0)
+            for (g, k), column in parts.items()
+        }
     )
-    return Built(made, program, parts, worst_use_column, goals, use_rows)
+    return BuiltProgram(reduced, program, parts, worst_use_column, goals, use_rows)
 
 
-def _named(kind: Kind) -> str:
+def _kind_name(kind: Kind) -> str:
     first = kind.planners[0].id
     return first if len(kind.planners) == 1 else f"each of {len(kind.planners)} like {first}"
 
 
-def _losses(
-    made: ReducedFleet,
+def _add_zone_losses(
+    reduced: ReducedFleet,
     program: Program,
     parts: Mapping[tuple[int, int], int],
-    used: Mapping[tuple[int, str], int],
+    use_columns: Mapping[tuple[int, str], int],
     worst_use_column: int,
     units: int,
 ) -> None:
     """Each planner's use with one zone lost, whose load moves to the others in proportion to capacity."""
-    for zone in made.zones():
+    for zone in reduced.zones():
         for name in RESOURCES:
             load = {
-                column: resource_demand(made.groups[g])[name] / units
+                column: resource_demand(reduced.groups[g])[name] / units
                 for (g, k), column in parts.items()
-                if made.kinds[k].zone == zone and resource_demand(made.groups[g])[name] > 0
+                if reduced.kinds[k].zone == zone and resource_demand(reduced.groups[g])[name] > 0
             }
             if not load:
                 continue
-            lost = program.add_column()
-            program.add_row(load | {lost: -1.0}, 0, 0)
-            for k, kind in enumerate(made.kinds):
+            lost_load_column = program.add_column()
+            program.add_row(load | {lost_load_column: -1.0}, 0, 0)
+            for k, kind in enumerate(reduced.kinds):
                 if kind.zone == zone or kind.usable_resources[name] <= 0:
                     continue
-                terms = {lost: made.moved(kind, zone) / kind.usable_resources[name]}
-                if (k, name) in used:
-                    terms[used[k, name]] = 1.0
+                terms = {
+                    lost_load_column: reduced.load_fraction_without(kind, zone) / kind.usable_resources[name]
+                }
+                if (k, name) in use_columns:
+                    terms[use_columns[k, name]] = 1.0
                 program.add_row(terms | {worst_use_column: -1.0}, -INFINITY, 0)
-                if made.fleet.constraints.headroom == "zone":
-                    program.add_row(terms, -INFINITY, 1.0, f"{name} of {_named(kind)} without {zone}")
+                if reduced.fleet.constraints.headroom == "zone":
+                    program.add_row(terms, -INFINITY, 1.0, f"{name} of {_kind_name(kind)} without {zone}")
 
 
-def _floors(made: ReducedFleet, program: Program) -> None:
+def _add_floors(reduced: ReducedFleet, program: Program) -> None:
     """Capacity beside the demand, so that each tenant could have its share of all work."""
-    asked = work_by_tenant(made.fleet)
+    demanded = work_by_tenant(reduced.fleet)
     total = math.fsum(
-        kind.capacity * len(kind.planners) for kind in made.kinds if not kind.planners[0].excluded
+        kind.capacity * len(kind.planners) for kind in reduced.kinds if not kind.planners[0].excluded
     )
-    work = made.work
-    for floor in made.fleet.constraints.floors:
-        kept = max(0.0, floor.share * total - asked.get(floor.tenant, 0.0))
-        if kept:
-            one = program.add_column(1.0, 1.0)
-            program.add_row({one: kept}, -INFINITY, total - work, f"share of {floor.tenant}")
+    work = reduced.work
+    for floor in reduced.fleet.constraints.floors:
+        reserved = max(0.0, floor.share * total - demanded.get(floor.tenant, 0.0))
+        if reserved:
+            reserve_column = program.add_column(1.0, 1.0)
+            program.add_row({reserve_column: reserved}, -INFINITY, total - work, f"share of {floor.tenant}")
 
 
-def _movement(
-    made: ReducedFleet,
+def _add_movement(
+    reduced: ReducedFleet,
     program: Program,
     parts: Mapping[tuple[int, int], int],
     before: Mapping[str, Mapping[str, int]],
@@ -321,14 +348,16 @@
     """The jobs a second that go elsewhere than by the plan in force."""
     goal: dict[int, float] = {}
     for (g, k), column in parts.items():
-        group, kind = made.groups[g], made.kinds[k]
-        held = before.get(group.name, {})
-        whole = sum(held.values()) or 1
-        old = math.fsum(held.get(planner.id, 0) for planner in kind.planners) / whole * units
-        away = program.add_column()
-        program.add_row({column: 1.0, away: -1.0}, -INFINITY, old)
-        program.add_row({column: -1.0, away: -1.0}, -INFINITY, -old)
-        goal[away] = group.rate / units / 2
+        group, kind = reduced.groups[g], reduced.kinds[k]
+        units_before = before.get(group.name, {})
+        total_before = sum(units_before.values()) or 1
+        old_value = (
+            math.fsum(units_before.get(planner.id, 0) for planner in kind.planners) / total_before * units
+        )
+        movement_column = program.add_column()
+        program.add_row({column: 1.0, movement_column: -1.0}, -INFINITY, old_value)
+        program.add_row({column: -1.0, movement_column: -1.0}, -INFINITY, -old_value)
+        goal[movement_column] = group.rate / units / 2
     return goal
 
 
@@ -363,58 +392,58 @@
     solution = solver.solve(built.goals)
     if solution is not None:
         return SolveResult(
-            _parts(built, solution.values),
+            _whole_units(built, solution.values),
             built.reduced.units,
             solution.goals[: len(GOALS)],
             built.reduced.exact,
             basis=solution.basis,
         )
     conflict = smallest_conflict(built.program)
-    short = {name: _short(built, name, conflict) for name in conflict}
-    over, values = _relax(built)
-    parts = _parts(built, values) if values is not None else None
-    return SolveResult(parts, built.reduced.units, [], built.reduced.exact, short, over)
+    shortfalls = {name: _shortfall(built, name, conflict) for name in conflict}
+    oversteps, values = _relax(built)
+    parts = _whole_units(built, values) if values is not None else None
+    return SolveResult(parts, built.reduced.units, [], built.reduced.exact, shortfalls, oversteps)
 
 
 def _elastic(program: Program, names: set[str], hard: set[str]) -> tuple[Program, dict[str, list[int]]]:
     """The program with slack for these constraints, of the others only `hard`."""
-    made = Program(list(program.lower), list(program.upper), list(program.integer))
+    elastic = Program(list(program.lower), list(program.upper), list(program.integer))
     slacks: dict[str, list[int]] = {}
     for row in program.rows:
         terms = dict(row.terms)
         if row.name in names:
             if row.lower > -INFINITY:
-                under = made.add_column()
-                terms[under] = 1.0
-                slacks.setdefault(row.name, []).append(under)
+                under_slack = elastic.add_column()
+                terms[under_slack] = 1.0
+                slacks.setdefault(row.name, []).append(under_slack)
             if row.upper < INFINITY:
-                over = made.add_column()
-                terms[over] = -1.0
-                slacks.setdefault(row.name, []).append(over)
+                over_slack = elastic.add_column()
+                terms[over_slack] = -1.0
+                slacks.setdefault(row.name, []).append(over_slack)
         elif row.name and row.name not in hard:
             continue
-        made.rows.append(Row(terms, row.lower, row.upper, row.name, row.scale))
-    return made, slacks
+        elastic.rows.append(Row(terms, row.lower, row.upper, row.name, row.scale))
+    return elastic, slacks
 
 
-def _short(built: Built, name: str, conflict: list[str]) -> str:
+def _shortfall(built: BuiltProgram, name: str, conflict: list[str]) -> str:
     """By how much this constraint alone would have to give, the conflict's others held, in its own words:
     cores, slots or units of memory of such a planner, jobs a second that find no place, parts of the load.
     """
     program = built.program
-    made, slacks = _elastic(program, {name}, set(conflict) - {name})
-    solution = Solver(made).solve([dict.fromkeys(slacks[name], 1.0)])
+    elastic, slacks = _elastic(program, {name}, set(conflict) - {name})
+    solution = Solver(elastic).solve([dict.fromkeys(slacks[name], 1.0)])
     if solution is None:
         return "more than it alone can give"
     scale = next(row.scale for row in program.rows if row.name == name)
     amount = solution.goals[0] * scale
     for kind in built.reduced.kinds:
         for resource in RESOURCES:
-            if f"{name} without ".startswith(f"{resource} of {_named(kind)} without "):
+            if f"{name} without ".startswith(f"{resource} of {_kind_name(kind)} without "):
                 # A use is a part of the cap; what is missing grows by it.
                 first = kind.planners[0]
-                have = {"cores": first.cores, "slots": first.slots, "memory": first.memory}[resource]
-                return f"{amount * have * first.cap:.4g} {resource} in {kind.zone}"
+                available = {"cores": first.cores, "slots": first.slots, "memory": first.memory}[resource]
+                return f"{amount * available * first.cap:.4g} {resource} in {kind.zone}"
     for group in built.reduced.groups:
         if name == f"all of {group.name} is placed":
             units = built.reduced.units if built.reduced.exact else 1
@@ -422,35 +451,36 @@
     return f"{amount:.4g} s of cores a second" if name.startswith("share of") else f"{amount:.4g} of the load"
 
 
-def _relax(built: Built) -> tuple[dict[str, float], Any]:
+def _relax(built: BuiltProgram) -> tuple[dict[str, float], Any]:
     """The least sum of oversteps, and among the plans with it the best by the goals."""
     program = built.program
     placed = {name for name in program.names() if name.endswith(" is placed")}
     for soft in (set(program.names()) - placed, set(program.names())):
-        made, slacks = _elastic(program, soft, set(program.names()) - soft)
-        columns = [column for held in slacks.values() for column in held]
-        solution = Solver(made).solve([dict.fromkeys(columns, 1.0), *built.goals])
+        elastic, slacks = _elastic(program, soft, set(program.names()) - soft)
+        columns = [column for slack_columns in slacks.values() for column in slack_columns]
+        solution = Solver(elastic).solve([dict.fromkeys(columns, 1.0), *built.goals])
         if solution is not None:
-            over = {
-                name: float(sum(solution.values[column] for column in held)) for name, held in slacks.items()
+            oversteps = {
+                name: float(sum(solution.values[column] for column in slack_columns))
+                for name, slack_columns in slacks.items()
             }
-            return {name: value for name, value in over.items() if value > 1e-7}, solution.values
+            return {name: value for name, value in oversteps.items() if value > 1e-7}, solution.values
     return {}, None
 
 
-def _parts(built: Built, values: Any) -> Parts:
+def _whole_units(built: BuiltProgram, values: Any) -> Parts:
     """Whole units by planner: alike planners get alike parts, and remainders go by size, then by id."""
-    made, parts = built.reduced, {}
-    for g, group in enumerate(made.groups):
-        wanted: list[tuple[str, float]] = []
-        for k, kind in enumerate(made.kinds):
+    reduced, parts = built.reduced, {}
+    for g, group in enumerate(reduced.groups):
+        targets: list[tuple[str, float]] = []
+        for k, kind in enumerate(reduced.kinds):
             if (g, k) in built.parts:
-                value = float(values[built.parts[g, k]]) * (1 if made.exact else made.units)
-                wanted += [(name, value * part) for name, part in kind.parts()]
-        units = {name: math.floor(value + 1e-6) for name, value in wanted}
-        missing = round(math.fsum(value for _, value in wanted)) - sum(units.values())
-        by_rest = sorted(wanted, key=lambda one: (-(one[1] - units[one[0]]), one[0]))
-        for name, _ in by_rest[: max(0, missing)]:
+                value = float(values[built.parts[g, k]]) * (1 if reduced.exact else reduced.units)
+                targets += [(name, value * fraction) for name, fraction in kind.parts()]
+        units = {name: math.floor(value + 1e-6) for name, value in targets}
+        missing = round(math.fsum(value for _, value in targets)) - sum(units.values())
+        by_remainder = sorted(targets, key=lambda target: (-(target[1] - units[target[0]]), target[0]))
+        for name, _ in by_remainder[: max(0, missing)]:
             units[name] += 1
         parts[group.name] = {name: count for name, count in sorted(units.items()) if count}
     return parts
