--- a/pipitshed/translation/codecs.py
+++ b/pipitshed/translation/codecs.py
@@ -25,7 +25,7 @@
     render_time,
 )
 
-MOST_FIELDS = 1024  # of one form-encoded message
+MAX_FORM_FIELDS = 1024  # of one form-encoded message
 WHOLE_MESSAGE = "the message"  # what a refusal names where it is no single field
 
 
@@ -42,9 +42,9 @@
 class FormCodec:
     """application/x-www-form-urlencoded; flags are 0 and 1. Nested records have no place in it."""
 
-    def __init__(self, fields: Mapping[str, Field], beside: frozenset[str] = frozenset()) -> None:
+    def __init__(self, fields: Mapping[str, Field], envelope_fields: frozenset[str] = frozenset()) -> None:
         self.fields = dict(fields)
-        self._beside = beside  # fields of the envelope, which are no part of the record
+        self._envelope_fields = envelope_fields  # fields of the envelope, which are no part of the record
 
     def pairs(self, data: bytes) -> list[tuple[str, str]]:
         """The names and values as they stand."""
@@ -57,7 +57,7 @@
                 strict_parsing=True,
                 encoding="utf-8",
                 errors="strict",
-                max_num_fields=MOST_FIELDS,
+                max_num_fields=MAX_FORM_FIELDS,
             )
         except UnicodeDecodeError:
             raise UntranslatableError(WHOLE_MESSAGE, data[:32], "is not UTF-8") from None
@@ -67,7 +67,7 @@
     def decode(self, data: bytes) -> Record:
         record: Record = {}
         for name, text in self.pairs(data):
-            if name in self._beside:
+            if name in self._envelope_fields:
                 continue
             field = self.fields.get(name)
             if not name:
@@ -95,12 +95,12 @@
         return urlencode(pairs).encode()
 
 
-def _once(pairs: list[tuple[str, Any]]) -> Record:
+def _reject_duplicates(pairs: list[tuple[str, Any]]) -> Record:
     record = dict(pairs)
     if len(record) != len(pairs):
         names = [name for name, _ in pairs]
-        twice = next(name for place, name in enumerate(names) if name in names[:place])
-        raise UntranslatableError(twice, record[twice], "is told twice")
+        repeated = next(name for index, name in enumerate(names) if name in names[:index])
+        raise UntranslatableError(repeated, record[repeated], "is told twice")
     return record
 
 
@@ -109,7 +109,9 @@
 
 
 # Of the libraries at hand only the standard one can be told of a name that stands twice.
-_json_decoder = json.JSONDecoder(object_pairs_hook=_once, parse_float=Decimal, parse_constant=_no_constant)
+_json_decoder = json.JSONDecoder(
+    object_pairs_hook=_reject_duplicates, parse_float=Decimal, parse_constant=_no_constant
+)
 _json_encode = msgspec.json.Encoder(decimal_format="number").encode
 
 
@@ -131,24 +133,24 @@
         if not isinstance(value, dict):
             raise UntranslatableError(WHOLE_MESSAGE, value, "is not a record")
         # An empty list and none are the same: protobuf does not tell them apart.
-        value = {name: held for name, held in value.items() if held != []}
-        return check_record(self.fields, self._times(self.fields, value, parse_time))
+        value = {name: item for name, item in value.items() if item != []}
+        return check_record(self.fields, self._convert_times(self.fields, value, parse_time))
 
     def encode(self, record: Record) -> bytes:
         check_record(self.fields, record)
-        return _json_encode(self._times(self.fields, record, render_time))
+        return _json_encode(self._convert_times(self.fields, record, render_time))
 
-    def _times(self, fields: Mapping[str, Field], record: Record, turn: Any) -> Record:
+    def _convert_times(self, fields: Mapping[str, Field], record: Record, convert: Any) -> Record:
         """The record with times in the other unit, also in nested records."""
-        turned = dict(record)
+        converted = dict(record)
         for name, field in fields.items():
             if name not in record:
                 continue
             if field.type == "time":
-                turned[name] = turn(name, field, record[name])
+                converted[name] = convert(name, field, record[name])
             elif field.type == "records" and isinstance(record[name], list):
-                turned[name] = [
-                    self._times(field.fields, item, turn) if isinstance(item, dict) else item
+                converted[name] = [
+                    self._convert_times(field.fields, item, convert) if isinstance(item, dict) else item
                     for item in record[name]
                 ]
-        return turned
+        return converted
