--- a/pipitshed/translation/file.py
+++ b/pipitshed/translation/file.py
@@ -94,9 +94,9 @@
         raise TranslationError(str(error)) from None
     except msgspec.ValidationError as error:
         raise TranslationError(str(error)) from None
-    found = [f"line {line}: {where}: {why}" for line, where, why in _problems(file, text)]
-    if found:
-        raise TranslationError("\n".join(found))
+    problems = [f"line {line}: {location}: {problem}" for line, location, problem in _problems(file, text)]
+    if problems:
+        raise TranslationError("\n".join(problems))
     return file
 
 
@@ -105,49 +105,52 @@
     if versions != sorted(set(versions)):
         yield 1, "forms", "versions must rise from one form to the next"
         return
-    for place, form in enumerate(file.forms):
+    for index, form in enumerate(file.forms):
         yield from (
-            (line_of(text, "forms", place, *path), f"form {form.version}: {'.'.join(path)}", why)
-            for path, why in _form_problems(form)
+            (line_of(text, "forms", index, *path), f"form {form.version}: {'.'.join(path)}", problem)
+            for path, problem in _form_problems(form)
         )
-    for which, version in [
+    for location, version in [
         ("interfaces.1", file.interfaces.http),
         ("interfaces.2", file.interfaces.grpc),
         ("clients.http", file.clients.http),
         ("clients.gearman", file.clients.gearman),
-        *((f"clients.content-types.{name}", one) for name, one in file.clients.content_types.items()),
+        *(
+            (f"clients.content-types.{name}", form_version)
+            for name, form_version in file.clients.content_types.items()
+        ),
     ]:
         if version not in versions:
-            yield 1, which, f"there is no form {version}"
+            yield 1, location, f"there is no form {version}"
     by_version = {form.version: form for form in file.forms}
-    for which, version, encoding in [
+    for location, version, encoding in [
         ("interfaces.1", file.interfaces.http, "json"),
         ("interfaces.2", file.interfaces.grpc, "protobuf"),
     ]:
         if version in by_version and by_version[version].encoding != encoding:
             yield (
                 1,
-                which,
+                location,
                 f"that interface speaks {encoding}, form {version} is {by_version[version].encoding}",
             )
-    have = [(step.lower, step.upper) for step in file.steps]
+    step_versions = [(step.lower, step.upper) for step in file.steps]
     for pair in pairwise(versions):
-        if have.count(pair) != 1:
-            yield 1, f"step {pair[0]} to {pair[1]}", f"there are {have.count(pair)} of it"
-    for place, step in enumerate(file.steps):
+        if step_versions.count(pair) != 1:
+            yield 1, f"step {pair[0]} to {pair[1]}", f"there are {step_versions.count(pair)} of it"
+    for index, step in enumerate(file.steps):
         if (step.lower, step.upper) not in pairwise(versions):
             yield (
-                line_of(text, "steps", place),
+                line_of(text, "steps", index),
                 f"step {step.lower} to {step.upper}",
                 "these are no neighbouring versions",
             )
             continue
         lower, upper = by_version[step.lower], by_version[step.upper]
-        for path, why in _step_problems(step, lower, upper):
+        for path, problem in _step_problems(step, lower, upper):
             yield (
-                line_of(text, "steps", place, *path),
+                line_of(text, "steps", index, *path),
                 f"step {step.lower} to {step.upper}: {'.'.join(path)}",
-                why,
+                problem,
             )
 
 
@@ -168,35 +171,38 @@
             ("request", message.request, message.request_message),
             ("result", message.result, message.result_message),
         ]:
-            where = ("classes", job_class, part)
-            yield from ((where + path, why) for path, why in _field_problems(form, fields))
+            path_prefix = ("classes", job_class, part)
+            yield from ((path_prefix + path, problem) for path, problem in _field_problems(form, fields))
             if form.encoding == "protobuf":
                 from pipitshed.translation.protobuf import problems
 
                 yield from (
-                    (where + tuple(name.split(".")), why) for name, why in problems(pb_message, fields)
+                    (path_prefix + tuple(name.split(".")), problem)
+                    for name, problem in problems(pb_message, fields)
                 )
 
 
 def _field_problems(form: Form, fields: dict[str, Field]) -> Iterator[tuple[tuple[str, ...], str]]:
-    beside = {place.removeprefix("field:") for place in form.envelope.values() if place.startswith("field:")}
+    envelope_fields = {
+        carrier.removeprefix("field:") for carrier in form.envelope.values() if carrier.startswith("field:")
+    }
     for name, field in fields.items():
         if form.encoding == "form" and field.type == "records":
             yield (name,), "a form-encoded message holds no nested records"
-        if name in beside:
+        if name in envelope_fields:
             yield (name,), "is a field of the envelope"
         if field.type == "choice" and not field.choices:
             yield (name,), "has no choices"
         if (field.type == "records") != bool(field.fields):
             yield (name,), "only records have fields, and must"
-        yield from (((name, *path), why) for path, why in _field_problems(form, field.fields))
+        yield from (((name, *path), problem) for path, problem in _field_problems(form, field.fields))
 
 
 def _step_problems(step: StepFile, lower: Form, upper: Form) -> Iterator[tuple[tuple[str, ...], str]]:
-    beside = {
+    envelope_fields = {
         name
         for form in (lower, upper)
-        for name in (place.rpartition(":")[2] for place in form.envelope.values())
+        for name in (carrier.rpartition(":")[2] for carrier in form.envelope.values())
     }
     for job_class in sorted(lower.classes.keys() & upper.classes.keys()):
         if job_class not in step.classes:
@@ -205,23 +211,23 @@
         if job_class not in lower.classes or job_class not in upper.classes:
             yield ("classes", job_class), "is not a class of both versions"
             continue
-        old, new = lower.classes[job_class], upper.classes[job_class]
-        for part, side, below, above in [
-            ("request", rules.request, old.request, new.request),
-            ("result", rules.result, old.result, new.result),
+        lower_message, upper_message = lower.classes[job_class], upper.classes[job_class]
+        for part, side, lower_fields, upper_fields in [
+            ("request", rules.request, lower_message.request, upper_message.request),
+            ("result", rules.result, lower_message.result, upper_message.result),
         ]:
             for name in side.cannot:
-                if name in beside:
+                if name in envelope_fields:
                     yield (
                         ("classes", job_class, part, "cannot", name),
                         "belongs to the envelope: a step must not lose key, class, tenant, id or deadline",
                     )
             for name, rule in side.rules.items():
-                if rule.source in beside or name in beside:
+                if rule.source in envelope_fields or name in envelope_fields:
                     yield (
                         ("classes", job_class, part, "rules", name),
                         "belongs to the envelope, which no step may touch",
                     )
-            for name, why in steps.problems(side, below, above):
-                if not {name, side.rules[name].source if name in side.rules else ""} & beside:
-                    yield ("classes", job_class, part, "rules", *name.split(".")), f"{name}: {why}"
+            for name, problem in steps.problems(side, lower_fields, upper_fields):
+                if not {name, side.rules[name].source if name in side.rules else ""} & envelope_fields:
+                    yield ("classes", job_class, part, "rules", *name.split(".")), f"{name}: {problem}"
