--- a/pipitshed/translation/protobuf.py
+++ b/pipitshed/translation/protobuf.py
@@ -20,20 +20,24 @@
 )
 from pipitshed.worker_api import planner_pb2
 
-_D = pb.FieldDescriptor
+_FieldDescriptor = pb.FieldDescriptor
 _RANGES = {
-    _D.TYPE_UINT32: (0, 2**32 - 1),
-    _D.TYPE_INT32: (-(2**31), 2**31 - 1),
-    _D.TYPE_UINT64: (0, 2**64 - 1),
-    _D.TYPE_INT64: (-(2**63), 2**63 - 1),
+    _FieldDescriptor.TYPE_UINT32: (0, 2**32 - 1),
+    _FieldDescriptor.TYPE_INT32: (-(2**31), 2**31 - 1),
+    _FieldDescriptor.TYPE_UINT64: (0, 2**64 - 1),
+    _FieldDescriptor.TYPE_INT64: (-(2**63), 2**63 - 1),
 }
 # What of our types a field of the interface may hold.
-_HOLDS = {_D.TYPE_STRING: "text", _D.TYPE_BOOL: "flag", _D.TYPE_ENUM: "choice"}
+_TYPE_NAMES = {
+    _FieldDescriptor.TYPE_STRING: "text",
+    _FieldDescriptor.TYPE_BOOL: "flag",
+    _FieldDescriptor.TYPE_ENUM: "choice",
+}
 
 
-def _prefix(enum: Any) -> str:
+def _enum_prefix(enum: Any) -> str:
     """Of an enum's names, as the style guide has it: HANDLING_ for Handling."""
-    name = "".join(f"_{char}" if char.isupper() and place else char for place, char in enumerate(enum.name))
+    name = "".join(f"_{char}" if char.isupper() and index else char for index, char in enumerate(enum.name))
     return name.upper() + "_"
 
 
@@ -48,44 +52,47 @@
 
 
 def _problems(descriptor: Any, fields: Mapping[str, Field]) -> list[tuple[str, str]]:
-    found: list[tuple[str, str]] = []
+    result: list[tuple[str, str]] = []
     for name, field in fields.items():
-        held = descriptor.fields_by_name.get(name)
-        if held is None:
-            found.append((name, f"{descriptor.name} has no such field"))
+        descriptor_field = descriptor.fields_by_name.get(name)
+        if descriptor_field is None:
+            result.append((name, f"{descriptor.name} has no such field"))
         elif field.type == "records":
-            if held.type != _D.TYPE_MESSAGE or not held.is_repeated:
-                found.append((name, f"{descriptor.name} holds no records there"))
+            if descriptor_field.type != _FieldDescriptor.TYPE_MESSAGE or not descriptor_field.is_repeated:
+                result.append((name, f"{descriptor.name} holds no records there"))
             else:
-                found += [
-                    (f"{name}.{inner}", why) for inner, why in _problems(held.message_type, field.fields)
+                result += [
+                    (f"{name}.{inner}", problem)
+                    for inner, problem in _problems(descriptor_field.message_type, field.fields)
                 ]
-        elif held.is_repeated != (field.type == "texts"):
-            found.append((name, f"{descriptor.name} holds {'a list' if held.is_repeated else 'one value'}"))
-        elif held.type in _RANGES:
+        elif descriptor_field.is_repeated != (field.type == "texts"):
+            result.append(
+                (name, f"{descriptor.name} holds {'a list' if descriptor_field.is_repeated else 'one value'}")
+            )
+        elif descriptor_field.type in _RANGES:
             if field.type not in ("integer", "time") or (field.type == "time" and field.unit == "rfc3339"):
-                found.append((name, f"{descriptor.name} holds a whole number, not {field.type}"))
-        elif _HOLDS.get(held.type) != ("text" if field.type == "texts" else field.type):
-            found.append((name, f"{descriptor.name} can't hold {field.type}"))
-        elif held.type == _D.TYPE_ENUM:
-            known = held.enum_type.values_by_name
-            found += [
-                (name, f"{held.enum_type.name} has no {choice!r}")
+                result.append((name, f"{descriptor.name} holds a whole number, not {field.type}"))
+        elif _TYPE_NAMES.get(descriptor_field.type) != ("text" if field.type == "texts" else field.type):
+            result.append((name, f"{descriptor.name} can't hold {field.type}"))
+        elif descriptor_field.type == _FieldDescriptor.TYPE_ENUM:
+            enum_values = descriptor_field.enum_type.values_by_name
+            result += [
+                (name, f"{descriptor_field.enum_type.name} has no {choice!r}")
                 for choice in field.choices
-                if _prefix(held.enum_type) + choice.upper() not in known
+                if _enum_prefix(descriptor_field.enum_type) + choice.upper() not in enum_values
             ]
-    found += [
+    result += [
         (name, f"a field of {descriptor.name} that the form does not name")
         for name in descriptor.fields_by_name
         if name not in fields
     ]
-    return found
+    return result
 
 
 def _descriptor(message: str) -> Any:
     outer, _, inner = message.partition(".")
-    found = planner_pb2.DESCRIPTOR.message_types_by_name.get(outer)
-    field = found.fields_by_name.get(inner) if found is not None else None
+    outer_message = planner_pb2.DESCRIPTOR.message_types_by_name.get(outer)
+    field = outer_message.fields_by_name.get(inner) if outer_message is not None else None
     return field.message_type if field is not None else None
 
 
@@ -96,8 +103,8 @@
         outer, _, self._part = message.partition(".")
         self._outer: type[Message] = getattr(planner_pb2, outer)
         descriptor = _descriptor(message)
-        self.fields = _bounded(descriptor, fields)
-        self._plan = _plan(descriptor, self.fields)
+        self.fields = _with_ranges(descriptor, fields)
+        self._field_plans = _field_plans(descriptor, self.fields)
 
     def decode(self, data: bytes) -> Record:
         message = self._outer()
@@ -115,50 +122,51 @@
             raise UntranslatableError(WHOLE_MESSAGE, "", "holds a field that this interface does not know")
         if not message.HasField(self._part):
             raise UntranslatableError(self._part, "", "is missing")
-        return check_record(self.fields, _read(getattr(message, self._part), self._plan))
+        return check_record(self.fields, _read_fields(getattr(message, self._part), self._field_plans))
 
     def encode(self, record: Record) -> bytes:
         check_record(self.fields, record)
         message = self._outer()
         part = getattr(message, self._part)
         part.SetInParent()
-        _write(part, record, self._plan)
+        _write_fields(part, record, self._field_plans)
         return message.SerializeToString()
 
 
-class _Slot:
+class _FieldPlan:
     """How one field is read and written."""
 
-    __slots__ = ("name", "field", "numbers", "names", "plan")
+    __slots__ = ("name", "field", "numbers", "names", "nested")
 
-    def __init__(self, held: Any, name: str, field: Field) -> None:
+    def __init__(self, descriptor_field: Any, name: str, field: Field) -> None:
         self.name, self.field = name, field
         self.numbers: dict[str, int] = {}
         self.names: dict[int, str] = {}
-        self.plan: list[_Slot] = []
+        self.nested: list[_FieldPlan] = []
         if field.type == "choice":
-            known = held.enum_type.values_by_name
+            enum_values = descriptor_field.enum_type.values_by_name
             self.numbers = {
-                choice: known[_prefix(held.enum_type) + choice.upper()].number for choice in field.choices
+                choice: enum_values[_enum_prefix(descriptor_field.enum_type) + choice.upper()].number
+                for choice in field.choices
             }
             self.names = {number: choice for choice, number in self.numbers.items()}
         elif field.type == "records":
-            self.plan = _plan(held.message_type, field.fields)
+            self.nested = _field_plans(descriptor_field.message_type, field.fields)
 
 
-def _plan(descriptor: Any, fields: Mapping[str, Field]) -> list[_Slot]:
-    return [_Slot(descriptor.fields_by_name[name], name, field) for name, field in fields.items()]
+def _field_plans(descriptor: Any, fields: Mapping[str, Field]) -> list[_FieldPlan]:
+    return [_FieldPlan(descriptor.fields_by_name[name], name, field) for name, field in fields.items()]
 
 
-def _bounded(descriptor: Any, fields: Mapping[str, Field]) -> dict[str, Field]:
+def _with_ranges(descriptor: Any, fields: Mapping[str, Field]) -> dict[str, Field]:
     """The fields with the bounds of the interface's own types, where the form states none narrower. A time's
     are checked when it is written, in its own unit.
     """
     bounded: dict[str, Field] = {}
     for name, field in fields.items():
-        held = descriptor.fields_by_name[name]
-        if field.type == "integer" and held.type in _RANGES:
-            least, most = _RANGES[held.type]
+        descriptor_field = descriptor.fields_by_name[name]
+        if field.type == "integer" and descriptor_field.type in _RANGES:
+            least, most = _RANGES[descriptor_field.type]
             field = Field(
                 "integer",
                 field.required,
@@ -166,52 +174,54 @@
                 most if field.most is None else min(most, field.most),
             )
         elif field.type == "records":
-            field = Field("records", field.required, fields=_bounded(held.message_type, field.fields))
+            field = Field(
+                "records", field.required, fields=_with_ranges(descriptor_field.message_type, field.fields)
+            )
         bounded[name] = field
     return bounded
 
 
-def _read(message: Any, plan: list[_Slot]) -> Record:
+def _read_fields(message: Any, field_plans: list[_FieldPlan]) -> Record:
     if len(UnknownFieldSet(message)):
         raise UntranslatableError(WHOLE_MESSAGE, "", "holds a field that this interface does not know")
     record: Record = {}
-    for slot in plan:
-        name, kind = slot.name, slot.field.type
+    for field_plan in field_plans:
+        name, kind = field_plan.name, field_plan.field.type
         if kind == "texts":
             if items := list(getattr(message, name)):
                 record[name] = items
         elif kind == "records":
-            if inner := [_read(item, slot.plan) for item in getattr(message, name)]:
+            if inner := [_read_fields(item, field_plan.nested) for item in getattr(message, name)]:
                 record[name] = inner
         elif message.HasField(name):
             value = getattr(message, name)
             if kind == "choice":
-                if value not in slot.names:
+                if value not in field_plan.names:
                     raise UntranslatableError(name, value, "is a choice that this form does not know")
-                value = slot.names[value]
+                value = field_plan.names[value]
             elif kind == "time":
-                value = parse_time(name, slot.field, value)
+                value = parse_time(name, field_plan.field, value)
             record[name] = value
     return record
 
 
-def _write(message: Any, record: Record, plan: list[_Slot]) -> None:
-    for slot in plan:
-        name, kind = slot.name, slot.field.type
+def _write_fields(message: Any, record: Record, field_plans: list[_FieldPlan]) -> None:
+    for field_plan in field_plans:
+        name, kind = field_plan.name, field_plan.field.type
         if name not in record:
             continue
         value = record[name]
         if kind == "texts":
             getattr(message, name).extend(value)
         elif kind == "records":
-            held = getattr(message, name)
+            messages = getattr(message, name)
             for item in value:
-                _write(held.add(), item, slot.plan)
+                _write_fields(messages.add(), item, field_plan.nested)
         else:
             if kind == "choice":
-                value = slot.numbers[value]
+                value = field_plan.numbers[value]
             elif kind == "time":
-                value = render_time(name, slot.field, value)
+                value = render_time(name, field_plan.field, value)
             try:
                 setattr(message, name, value)
             except ValueError:
