--- a/pipitshed/translation/steps.py
+++ b/pipitshed/translation/steps.py
@@ -42,13 +42,13 @@
     result: Side = Side()
 
 
-_PLACE = re.compile(r"([^.\[\]]+)(\[\d+\])?(?:\.(.+))?")
-_NUMBERS = ("integer", "decimal")
+_FIELD_PATH = re.compile(r"([^.\[\]]+)(\[\d+\])?(?:\.(.+))?")
+_NUMBER_TYPES = ("integer", "decimal")
 
 
 def problems(side: Side, lower: Mapping[str, Field], upper: Mapping[str, Field]) -> Iterator[tuple[str, str]]:
     """(field, reason) for each field of either version that the rules leave out or can't carry over."""
-    used: dict[str, str] = {}
+    targets: dict[str, str] = {}
     for name, rule in side.rules.items():
         target, source = upper.get(name), lower.get(rule.source)
         if target is None:
@@ -58,28 +58,28 @@
             if source is None:
                 yield name, f"comes from {rule.source!r}, which is not a field of the lower version"
                 continue
-            if rule.source in used:
-                yield name, f"{rule.source!r} goes to {used[rule.source]!r} already"
-            used[rule.source] = name
-            yield from _carries(name, rule, source, target)
+            if rule.source in targets:
+                yield name, f"{rule.source!r} goes to {targets[rule.source]!r} already"
+            targets[rule.source] = name
+            yield from _conversion_problems(name, rule, source, target)
         elif rule.default is None and not rule.cannot:
             yield name, "comes from nowhere: it needs `from`, `default` or `cannot`"
         if rule.default is not None:
-            yield from _default_fits(name, rule, target)
+            yield from _default_problems(name, rule, target)
     for name, field in upper.items():
         if name not in side.rules:
             yield name, "has no rule" + (", though the upper version requires it" if field.required else "")
     for name in lower:
-        if name not in used and name not in side.cannot:
+        if name not in targets and name not in side.cannot:
             yield name, "would be dropped: no rule takes it, and `cannot` gives no reason"
     for name in side.cannot:
         if name not in lower:
             yield name, "is not a field of the lower version"
-        elif name in used:
-            yield name, f"can't be expressed, yet goes to {used[name]!r}"
+        elif name in targets:
+            yield name, f"can't be expressed, yet goes to {targets[name]!r}"
 
 
-def _carries(name: str, rule: Rule, source: Field, target: Field) -> Iterator[tuple[str, str]]:
+def _conversion_problems(name: str, rule: Rule, source: Field, target: Field) -> Iterator[tuple[str, str]]:
     if target.required and not source.required and rule.default is None and not rule.cannot:
         yield name, "is required by the upper version alone: it needs `default`, or `cannot` with a reason"
     if rule.values:
@@ -92,21 +92,23 @@
                 yield name, f"{new!r} is not a choice of the upper version"
         if len(set(rule.values.values())) != len(rule.values):
             yield name, "two choices become one, and could not be told apart again"
-    elif source.type in _NUMBERS and target.type in _NUMBERS:
+    elif source.type in _NUMBER_TYPES and target.type in _NUMBER_TYPES:
         if rule.scale < 1:
             yield name, "scale is not a whole number from 1 on"
     elif source.type != target.type:
         yield name, f"{source.type} can't become {target.type}"
     elif source.type == "records":
         inner = Side(rule.fields, {})
-        yield from ((f"{name}.{field}", why) for field, why in problems(inner, source.fields, target.fields))
+        yield from (
+            (f"{name}.{field}", problem) for field, problem in problems(inner, source.fields, target.fields)
+        )
     elif source.type == "choice" and set(source.choices) - set(target.choices) and not rule.values:
-        missing = ", ".join(sorted(set(source.choices) - set(target.choices)))
-        yield name, f"the upper version has no {missing}: it needs `values`"
+        missing_choices = ", ".join(sorted(set(source.choices) - set(target.choices)))
+        yield name, f"the upper version has no {missing_choices}: it needs `values`"
 
 
-def _default_fits(name: str, rule: Rule, target: Field) -> Iterator[tuple[str, str]]:
-    held: dict[str, tuple[type, ...]] = {
+def _default_problems(name: str, rule: Rule, target: Field) -> Iterator[tuple[str, str]]:
+    python_types: dict[str, tuple[type, ...]] = {
         "text": (str,),
         "choice": (str,),
         "integer": (int,),
@@ -114,14 +116,14 @@
         "flag": (bool,),
     }
     if (
-        not isinstance(rule.default, held.get(target.type, ()))
+        not isinstance(rule.default, python_types.get(target.type, ()))
         or (target.type == "choice" and rule.default not in target.choices)
         or (target.type == "integer" and isinstance(rule.default, bool))
     ):
         yield name, f"{rule.default!r} is no {target.type} of the upper version"
 
 
-class _Mover:
+class _FieldConverter:
     """One rule, made ready."""
 
     __slots__ = (
@@ -132,18 +134,18 @@
         "down",
         "default",
         "cannot",
-        "inner",
-        "whole",
+        "nested",
+        "is_integer",
         "required",
-        "source_whole",
+        "source_is_integer",
     )
 
     def __init__(self, name: str, rule: Rule, lower: Mapping[str, Field], upper: Mapping[str, Field]) -> None:
         target, source = upper[name], lower.get(rule.source)
         self.name, self.source, self.cannot = name, rule.source, rule.cannot
         self.scale = rule.scale
-        self.whole = target.type == "integer"
-        self.source_whole = source is not None and source.type == "integer"
+        self.is_integer = target.type == "integer"
+        self.source_is_integer = source is not None and source.type == "integer"
         self.required = target.required
         self.default: Any = rule.default
         if target.type == "decimal" and rule.default is not None:
@@ -155,111 +157,120 @@
             for old, new in rule.values.items()
         }
         self.down = {new: old for old, new in self.up.items()}
-        self.inner: list[_Mover] = []
+        self.nested: list[_FieldConverter] = []
         if target.type == "records" and source is not None:
-            self.inner = [
-                _Mover(one, inner, source.fields, target.fields) for one, inner in rule.fields.items()
+            self.nested = [
+                _FieldConverter(nested_name, nested_rule, source.fields, target.fields)
+                for nested_name, nested_rule in rule.fields.items()
             ]
 
-    def turn_up(self, value: Any, place: str) -> Any:
-        if self.inner:
-            return [_up(self.inner, {}, item, f"{place}[{index}].") for index, item in enumerate(value)]
+    def convert_up(self, value: Any, path: str) -> Any:
+        if self.nested:
+            return [_up(self.nested, {}, item, f"{path}[{index}].") for index, item in enumerate(value)]
         if self.up:
             if value not in self.up:
-                raise UntranslatableError(place, value, "has no counterpart in the newer form")
+                raise UntranslatableError(path, value, "has no counterpart in the newer form")
             return self.up[value]
-        if self.scale != 1 or self.whole != self.source_whole:
+        if self.scale != 1 or self.is_integer != self.source_is_integer:
             scaled = EXACT.multiply(Decimal(value), Decimal(self.scale))
-            if not self.whole:
+            if not self.is_integer:
                 return scaled
             if scaled != scaled.to_integral_value():
-                raise UntranslatableError(place, value, "is finer than the newer form can express")
+                raise UntranslatableError(path, value, "is finer than the newer form can express")
             return int(scaled)
         return value
 
-    def turn_down(self, value: Any, place: str) -> Any:
-        if self.inner:
-            return [_down(self.inner, item, f"{place}[{index}].") for index, item in enumerate(value)]
+    def convert_down(self, value: Any, path: str) -> Any:
+        if self.nested:
+            return [_down(self.nested, item, f"{path}[{index}].") for index, item in enumerate(value)]
         if self.down:
             if value not in self.down:
-                raise UntranslatableError(place, value, "has no counterpart in the older form")
+                raise UntranslatableError(path, value, "has no counterpart in the older form")
             return self.down[value]
-        if self.scale != 1 or self.whole != self.source_whole:
-            if self.source_whole:
-                whole, rest = divmod(value, self.scale)
-                if rest:
-                    raise UntranslatableError(place, value, "is finer than the older form can express")
-                return int(whole)
+        if self.scale != 1 or self.is_integer != self.source_is_integer:
+            if self.source_is_integer:
+                quotient, remainder = divmod(value, self.scale)
+                if remainder:
+                    raise UntranslatableError(path, value, "is finer than the older form can express")
+                return int(quotient)
             try:
                 return EXACT.divide(Decimal(value), Decimal(self.scale))
             except Inexact:
                 raise UntranslatableError(
-                    place, value, "can't be expressed exactly by the older form"
+                    path, value, "can't be expressed exactly by the older form"
                 ) from None
         return value
 
 
-def _up(movers: Sequence[_Mover], cannot: Mapping[str, str], record: Record, place: str = "") -> Record:
-    for name, why in cannot.items():
+def _up(
+    converters: Sequence[_FieldConverter], cannot: Mapping[str, str], record: Record, path: str = ""
+) -> Record:
+    for name, reason in cannot.items():
         if name in record:
-            raise UntranslatableError(place + name, record[name], why)
-    made: Record = {}
-    for mover in movers:
-        if mover.source and mover.source in record:
-            made[mover.name] = mover.turn_up(record[mover.source], place + mover.source)
-        elif mover.default is not None:
-            made[mover.name] = mover.default
-        elif mover.required:
+            raise UntranslatableError(path + name, record[name], reason)
+    result: Record = {}
+    for converter in converters:
+        if converter.source and converter.source in record:
+            result[converter.name] = converter.convert_up(record[converter.source], path + converter.source)
+        elif converter.default is not None:
+            result[converter.name] = converter.default
+        elif converter.required:
             raise UntranslatableError(
-                place + mover.name, "", mover.cannot or "is required by the newer form and not told"
+                path + converter.name, "", converter.cannot or "is required by the newer form and not told"
             )
-    return made
+    return result
 
 
-def _down(movers: Sequence[_Mover], record: Record, place: str = "") -> Record:
-    made: Record = {}
-    for mover in movers:
-        if mover.name not in record:
+def _down(converters: Sequence[_FieldConverter], record: Record, path: str = "") -> Record:
+    result: Record = {}
+    for converter in converters:
+        if converter.name not in record:
             continue
-        value = record[mover.name]
-        if mover.source:
-            made[mover.source] = mover.turn_down(value, place + mover.name)
-        elif mover.default is None or value != mover.default:
+        value = record[converter.name]
+        if converter.source:
+            result[converter.source] = converter.convert_down(value, path + converter.name)
+        elif converter.default is None or value != converter.default:
             raise UntranslatableError(
-                place + mover.name, value, mover.cannot or "can't be expressed by the older form"
+                path + converter.name, value, converter.cannot or "can't be expressed by the older form"
             )
-    return made
+    return result
 
 
 class Step:
     """One message between two neighbouring versions."""
 
     def __init__(self, side: Side, lower: Mapping[str, Field], upper: Mapping[str, Field]) -> None:
-        self._movers = [_Mover(name, rule, lower, upper) for name, rule in side.rules.items()]
+        self._converters = [_FieldConverter(name, rule, lower, upper) for name, rule in side.rules.items()]
         self._cannot = dict(side.cannot)
 
     def up(self, record: Record) -> Record:
         """The upper version's record; UntranslatableError where it can't be expressed there."""
-        return _up(self._movers, self._cannot, record)
+        return _up(self._converters, self._cannot, record)
 
     def down(self, record: Record) -> Record:
         """The lower version's record; UntranslatableError where it can't be expressed there."""
-        return _down(self._movers, record)
+        return _down(self._converters, record)
 
     def lower_name(self, field: str) -> str:
         """The lower version's name of a field, such as `goods[2].sku`; the same where it has none."""
-        return _lower_name(self._movers, field)
+        return _lower_name(self._converters, field)
 
 
-def _lower_name(movers: Sequence[_Mover], field: str) -> str:
-    found = _PLACE.fullmatch(field)
-    if found is None:
+def _lower_name(converters: Sequence[_FieldConverter], field: str) -> str:
+    match = _FIELD_PATH.fullmatch(field)
+    if match is None:
         return field
-    name, index, inner = found.groups()
-    mover = next((one for one in movers if one.name == name and one.source), None)
-    if mover is None:
+    name, index, nested_path = match.groups()
+    converter = next(
+        (candidate for candidate in converters if candidate.name == name and candidate.source), None
+    )
+    if converter is None:
         return field
-    return mover.source + (index or "") + (f".{_lower_name(mover.inner, inner)}" if inner else "")
+    return (
+        converter.source
+        + (index or "")
+        + (f".{_lower_name(converter.nested, nested_path)}" if nested_path else "")
+    )
 
 
 class Chain:
@@ -267,26 +278,28 @@
 
     def __init__(self, steps: Sequence[Step]) -> None:
         self._steps = tuple(steps)
-        self._back = tuple(reversed(self._steps))
+        self._reversed = tuple(reversed(self._steps))
 
     def up(self, record: Record) -> Record:
-        for place, step in enumerate(self._steps):
+        for step_count, step in enumerate(self._steps):
             try:
                 record = step.up(record)
-            except UntranslatableError as unfit:
-                raise self.with_lower_name(unfit, place) from None
+            except UntranslatableError as error:
+                raise self.with_lower_name(error, step_count) from None
         return record
 
-    def with_lower_name(self, unfit: UntranslatableError, steps: int | None = None) -> UntranslatableError:
+    def with_lower_name(
+        self, error: UntranslatableError, step_count: int | None = None
+    ) -> UntranslatableError:
         """A refusal by the name that the field has below the first so many steps: who is refused knows no
         other.
         """
-        field = unfit.field
-        for step in reversed(self._steps[:steps]):
+        field = error.field
+        for step in reversed(self._steps[:step_count]):
             field = step.lower_name(field)
-        return UntranslatableError(field, unfit.value, unfit.reason)
+        return UntranslatableError(field, error.value, error.reason)
 
     def down(self, record: Record) -> Record:
-        for step in self._back:
+        for step in self._reversed:
             record = step.down(record)
         return record
