--- a/pipitshed/translation/translator.py
+++ b/pipitshed/translation/translator.py
@@ -12,7 +12,7 @@
 from pipitshed.translation.steps import Chain, Step
 from pipitshed.translation.values import Field, Record, UntranslatableError
 
-FORM_TYPE = "application/x-www-form-urlencoded"
+FORM_CONTENT_TYPE = "application/x-www-form-urlencoded"
 
 
 @dataclass(slots=True)
@@ -24,7 +24,7 @@
 
 
 # What HTTP headers and gRPC metadata carry unchanged: visible ASCII, with spaces inside alone.
-_CARRIED = re.compile(r"[!-~]([ -~]*[!-~])?")
+_HEADER_SAFE = re.compile(r"[!-~]([ -~]*[!-~])?")
 
 
 class Translator:
@@ -43,33 +43,43 @@
                 self._results[form.version, name] = _codec(form, message.result, message.result_message)
         self._chains: dict[tuple[int, int, str, bool], Chain | None] = {}
         for name in {name for form in file.forms for name in form.classes}:
-            for low in self.forms:
-                for high in self.forms:
-                    if low < high:
-                        self._chains[low, high, name, True] = self._chain(
-                            file, low, high, name, lambda steps: steps.request, lambda one: one.request
+            for lower in self.forms:
+                for upper in self.forms:
+                    if lower < upper:
+                        self._chains[lower, upper, name, True] = self._chain(
+                            file,
+                            lower,
+                            upper,
+                            name,
+                            lambda steps: steps.request,
+                            lambda message: message.request,
                         )
-                        self._chains[low, high, name, False] = self._chain(
-                            file, low, high, name, lambda steps: steps.result, lambda one: one.result
+                        self._chains[lower, upper, name, False] = self._chain(
+                            file,
+                            lower,
+                            upper,
+                            name,
+                            lambda steps: steps.result,
+                            lambda message: message.result,
                         )
 
     def _chain(
         self,
         file: TranslationFile,
-        low: int,
-        high: int,
+        lower: int,
+        upper: int,
         name: str,
         side: Callable[..., object],
         fields: Callable[..., object],
     ) -> Chain | None:
-        parts = []
-        for step in sorted(file.steps, key=lambda one: one.lower):
-            if low <= step.lower and step.upper <= high:
+        steps = []
+        for step in sorted(file.steps, key=lambda item: item.lower):
+            if lower <= step.lower and step.upper <= upper:
                 old, new = (self.forms[version].classes.get(name) for version in (step.lower, step.upper))
                 if old is None or new is None or name not in step.classes:
                     return None
-                parts.append(Step(side(step.classes[name]), fields(old), fields(new)))  # type: ignore[arg-type]
-        return Chain(parts)
+                steps.append(Step(side(step.classes[name]), fields(old), fields(new)))  # type: ignore[arg-type]
+        return Chain(steps)
 
     # ---- requests
 
@@ -80,10 +90,10 @@
             ("key", request.idempotency_key),
             ("tenant", request.tenant_name),
         ]:
-            if value and not _CARRIED.fullmatch(value):
+            if value and not _HEADER_SAFE.fullmatch(value):
                 # Guards the key above all: with characters left out, two keys could become one.
-                unfit = UntranslatableError(name, value, "holds what neither a header nor metadata can carry")
-                return TranslatedRequest(failures=dict.fromkeys(self.interfaces, unfit))
+                error = UntranslatableError(name, value, "holds what neither a header nor metadata can carry")
+                return TranslatedRequest(failures=dict.fromkeys(self.interfaces, error))
         form = self.clients.http if request.form_version is None else request.form_version
         return self.bodies(form, self._classes[request.job_class], request.body, self.interfaces)
 
@@ -92,8 +102,8 @@
         form = self.clients.http if request.form_version is None else request.form_version
         try:
             return self.result(form, self._classes[request.job_class], interface, result)
-        except UntranslatableError as unfit:
-            return unfit
+        except UntranslatableError as error:
+            return error
 
     def bodies(self, form: int, job_class: str, body: bytes, interfaces: Iterable[int]) -> TranslatedRequest:
         """The body for each of these interfaces, or why there is none. In its own form it goes unchanged."""
@@ -108,19 +118,19 @@
                     continue
                 if record is None:
                     record = self._request(form, job_class).decode(body)
-                prepared.bodies[interface] = self._told(record, form, target, job_class)
-            except UntranslatableError as unfit:
-                prepared.failures[interface] = unfit
+                prepared.bodies[interface] = self._encode_request(record, form, target, job_class)
+            except UntranslatableError as error:
+                prepared.failures[interface] = error
         return prepared
 
-    def _told(self, record: Record, form: int, target: int, job_class: str) -> bytes:
+    def _encode_request(self, record: Record, form: int, target: int, job_class: str) -> bytes:
         """A request's record in another form; a refusal names the field as its own form does."""
-        moved = self._move(record, form, target, job_class, True)
+        converted = self._convert_record(record, form, target, job_class, True)
         try:
-            return self._request(target, job_class).encode(moved)
-        except UntranslatableError as unfit:
+            return self._request(target, job_class).encode(converted)
+        except UntranslatableError as error:
             chain = self._chains.get((form, target, job_class, True))
-            raise chain.with_lower_name(unfit) if chain is not None else unfit from None
+            raise chain.with_lower_name(error) if chain is not None else error from None
 
     def _request(self, form: int, job_class: str) -> Codec:
         codec = self._requests.get((form, job_class))
@@ -130,7 +140,9 @@
             )
         return codec
 
-    def _move(self, record: Record, form: int, target: int, job_class: str, request: bool) -> Record:
+    def _convert_record(
+        self, record: Record, form: int, target: int, job_class: str, request: bool
+    ) -> Record:
         if form == target:
             return record
         chain = self._chains.get((min(form, target), max(form, target), job_class, request))
@@ -143,12 +155,16 @@
     def convert(self, source: int, target: int, job_class: str, data: bytes, request: bool = True) -> bytes:
         """One message from a version into another; UntranslatableError where it can't be."""
         if request and (target, job_class) in self._requests:
-            return self._told(self._request(source, job_class).decode(data), source, target, job_class)
+            return self._encode_request(
+                self._request(source, job_class).decode(data), source, target, job_class
+            )
         codecs = self._requests if request else self._results
-        held, wanted = codecs.get((source, job_class)), codecs.get((target, job_class))
-        if held is None or wanted is None:
+        source_codec, target_codec = codecs.get((source, job_class)), codecs.get((target, job_class))
+        if source_codec is None or target_codec is None:
             raise UntranslatableError("class", job_class, "one of the versions does not know this class")
-        return wanted.encode(self._move(held.decode(data), source, target, job_class, request))
+        return target_codec.encode(
+            self._convert_record(source_codec.decode(data), source, target, job_class, request)
+        )
 
     # ---- results
 
@@ -157,38 +173,43 @@
         source = self.interfaces[interface]
         if source == form:
             return data
-        held, wanted = self._results.get((source, job_class)), self._results.get((form, job_class))
-        if held is None or wanted is None:
+        source_codec, target_codec = (
+            self._results.get((source, job_class)),
+            self._results.get((form, job_class)),
+        )
+        if source_codec is None or target_codec is None:
             raise UntranslatableError(
                 "class", job_class, f"version {form} of the message form does not know this class"
             )
-        return wanted.encode(self._move(held.decode(data), source, form, job_class, False))
+        return target_codec.encode(
+            self._convert_record(source_codec.decode(data), source, form, job_class, False)
+        )
 
     # ---- the envelope of clients that carry it in the body
 
     def client_form(self, content_type: str) -> int:
         """The form in which an HTTP client speaks."""
-        kind = content_type.partition(";")[0].strip().lower()
-        return self.clients.content_types.get(kind, self.clients.http)
+        media_type = content_type.partition(";")[0].strip().lower()
+        return self.clients.content_types.get(media_type, self.clients.http)
 
     def envelope(self, form: int, body: bytes) -> dict[str, str]:
         """What the body tells of id, class, tenant, key and deadline, where this form has them there.
         UntranslatableError where one is told twice.
         """
-        places = {
-            place.removeprefix("field:"): name
-            for name, place in self.forms[form].envelope.items()
-            if place.startswith("field:")
+        names_by_field = {
+            carrier.removeprefix("field:"): name
+            for name, carrier in self.forms[form].envelope.items()
+            if carrier.startswith("field:")
         }
-        if not places:
+        if not names_by_field:
             return {}
-        told: dict[str, str] = {}
+        values: dict[str, str] = {}
         for name, text in FormCodec({}).pairs(body):
-            if name in places:
-                if places[name] in told:
+            if name in names_by_field:
+                if names_by_field[name] in values:
                     raise UntranslatableError(name, text, "is told twice")
-                told[places[name]] = text
-        return told
+                values[names_by_field[name]] = text
+        return values
 
 
 def _codec(form: Form, fields: dict[str, Field], message: str) -> Codec:
