--- a/pipitshed/placement/solve.py
+++ b/pipitshed/placement/solve.py
@@ -60,8 +60,8 @@
 
     def zones(self) -> list[str]:
         """Zones that can be lost: others remain."""
-        zones = sorted({kind.zone for kind in self.kinds})
-        return zones if len(zones) > 1 else []
+        names = sorted({kind.zone for kind in self.kinds})
+        return names if len(names) > 1 else []
 
     def load_fraction_without(self, kind: Kind, lost_zone: str) -> float:
         """The part of a lost zone's load that one planner of the kind gets: in proportion to capacity."""
