--- a/pipitshed/translation/values.py
+++ b/pipitshed/translation/values.py
@@ -23,12 +23,12 @@
 
 Record = dict[str, Any]
 TimeUnit = Literal["rfc3339", "unix-s", "unix-ms"]
-SHOWN = 64  # characters of a value that a refusal names
-_PER_UNIT = {"unix-s": 1_000_000, "unix-ms": 1_000}
+MAX_SHOWN_CHARS = 64  # characters of a value that a refusal names
+_MICROSECONDS_PER_UNIT = {"unix-s": 1_000_000, "unix-ms": 1_000}
 _INTEGER = re.compile(r"-?(0|[1-9][0-9]{0,18})")
 _DECIMAL = re.compile(r"-?(0|[1-9][0-9]{0,18})(\.[0-9]{1,12})?")
 _RFC3339 = re.compile(r"(\d{4}-\d\d-\d\d[Tt]\d\d:\d\d:\d\d)(\.\d{1,6})?([Zz]|[+-]\d\d:\d\d)")
-_DIGITS = 40  # of a decimal, all told
+_MAX_DIGITS = 40  # of a decimal, all told
 # Nothing is rounded on the way: what would be raises instead.
 EXACT = Context(prec=80, Emax=999_999, Emin=-999_999, traps=[Inexact, InvalidOperation])
 _SURROGATE = re.compile("[\ud800-\udfff]")
@@ -41,20 +41,22 @@
 
     def __init__(self, field: str, value: object, reason: str) -> None:
         self.field = field
-        self.value = shown(value)
+        self.value = excerpt(value)
         self.reason = reason
         super().__init__(f"{field}: {reason}")
 
-    def within(self, place: str) -> UntranslatableError:
+    def within(self, path: str) -> UntranslatableError:
         """The same, of a field of a nested record."""
-        return UntranslatableError(f"{place}.{self.field}", self.value, self.reason)
+        return UntranslatableError(f"{path}.{self.field}", self.value, self.reason)
 
 
-def shown(value: object) -> str:
+def excerpt(value: object) -> str:
     """A value as a refusal names it: short and printable."""
     text = value if isinstance(value, str) else str(value)
-    text = "".join(char if char.isprintable() else "\N{REPLACEMENT CHARACTER}" for char in text[: SHOWN + 1])
-    return text if len(text) <= SHOWN else text[:SHOWN] + "\N{HORIZONTAL ELLIPSIS}"
+    text = "".join(
+        char if char.isprintable() else "\N{REPLACEMENT CHARACTER}" for char in text[: MAX_SHOWN_CHARS + 1]
+    )
+    return text if len(text) <= MAX_SHOWN_CHARS else text[:MAX_SHOWN_CHARS] + "\N{HORIZONTAL ELLIPSIS}"
 
 
 class Field(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
@@ -92,43 +94,43 @@
             raise UntranslatableError(
                 name, value, "is not a whole number" if kind == "integer" else "is not a time"
             )
-        _within(name, field, value)
+        _check_bounds(name, field, value)
     elif kind == "decimal":
         if isinstance(value, int) and not isinstance(value, bool):
             value = Decimal(value)
         if not isinstance(value, Decimal) or not value.is_finite():
             raise UntranslatableError(name, value, "is not a number")
-        if len(value.as_tuple().digits) > _DIGITS or not -_DIGITS < value.adjusted() < 19:
+        if len(value.as_tuple().digits) > _MAX_DIGITS or not -_MAX_DIGITS < value.adjusted() < 19:
             raise UntranslatableError(name, value, "is out of range")
         exponent = value.normalize(EXACT).as_tuple().exponent
         if isinstance(exponent, int) and -exponent > field.places:
             raise UntranslatableError(name, value, f"has more than {field.places} places")
-        _within(name, field, value)
+        _check_bounds(name, field, value)
     elif kind == "texts":
         if not isinstance(value, list):
             raise UntranslatableError(name, value, "is not a list")
-        for place, item in enumerate(value):
-            check(f"{name}[{place}]", Field("text", longest=field.longest), item)
+        for index, item in enumerate(value):
+            check(f"{name}[{index}]", Field("text", longest=field.longest), item)
     else:
         if not isinstance(value, list):
             raise UntranslatableError(name, value, "is not a list")
-        for place, item in enumerate(value):
-            check_record(field.fields, item, f"{name}[{place}]")
+        for index, item in enumerate(value):
+            check_record(field.fields, item, f"{name}[{index}]")
     return value
 
 
-def _within(name: str, field: Field, value: int | Decimal) -> None:
+def _check_bounds(name: str, field: Field, value: int | Decimal) -> None:
     if field.least is not None and value < field.least:
         raise UntranslatableError(name, value, f"is under {field.least}")
     if field.most is not None and value > field.most:
         raise UntranslatableError(name, value, f"is over {field.most}")
 
 
-def check_record(fields: dict[str, Field], record: Any, place: str = "") -> Record:
+def check_record(fields: dict[str, Field], record: Any, path: str = "") -> Record:
     """The record, if it has the fields it must have, no other, and each in its bounds."""
-    prefix = f"{place}." if place else ""
+    prefix = f"{path}." if path else ""
     if not isinstance(record, dict):
-        raise UntranslatableError(place or "the message", record, "is not a record")
+        raise UntranslatableError(path or "the message", record, "is not a record")
     for name, value in record.items():
         field = fields.get(name)
         if field is None:
@@ -180,13 +182,13 @@
 def parse_time(name: str, field: Field, value: Any) -> int:
     """Microseconds of Unix time from a form's own unit."""
     if field.unit == "rfc3339":
-        found = _RFC3339.fullmatch(value) if isinstance(value, str) else None
-        if found is None:
+        match = _RFC3339.fullmatch(value) if isinstance(value, str) else None
+        if match is None:
             raise UntranslatableError(name, value, "is not a time as RFC 3339 has it, to the microsecond")
-        whole, part, zone = found.groups()
+        whole, fraction, zone = match.groups()
         try:
             moment = datetime.datetime.fromisoformat(
-                whole.upper() + (part or "") + ("+00:00" if zone in "Zz" else zone)
+                whole.upper() + (fraction or "") + ("+00:00" if zone in "Zz" else zone)
             )
         except ValueError:
             raise UntranslatableError(name, value, "is no date") from None
@@ -197,7 +199,7 @@
         value = int(value)
     if isinstance(value, bool) or not isinstance(value, int):
         raise UntranslatableError(name, value, "is not a whole number of Unix time")
-    return value * _PER_UNIT[field.unit]
+    return value * _MICROSECONDS_PER_UNIT[field.unit]
 
 
 def render_time(name: str, field: Field, value: int) -> str | int:
@@ -209,8 +211,8 @@
             raise UntranslatableError(name, value, "is out of the years 1 to 9999") from None
         text = moment.isoformat().removesuffix("+00:00")
         return (text.rstrip("0") if moment.microsecond else text) + "Z"
-    whole, rest = divmod(value, _PER_UNIT[field.unit])
-    if rest:
+    whole, remainder = divmod(value, _MICROSECONDS_PER_UNIT[field.unit])
+    if remainder:
         unit = "a second" if field.unit == "unix-s" else "a millisecond"
         raise UntranslatableError(name, value, f"is finer than {unit}")
     return whole
