--- a/pipitshed/placement/__init__.py
+++ b/pipitshed/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Plans: which part of each zone's jobs goes to each planner, solved ahead under constraints."""
+"""Placement plans: the fraction of each zone's jobs that each planner gets, solved in advance."""
--- a/pipitshed/placement/brute.py
+++ b/pipitshed/placement/brute.py
@@ -1,4 +1,4 @@
-"""Exhaustive search over all whole-unit plans of a small fleet: for proof alone."""
+"""Exhaustive search over all whole-unit plans of a small fleet; used only to check the solver."""
 
 from __future__ import annotations
 
@@ -11,29 +11,30 @@
 from pipitshed.placement.score import Score, score
 from pipitshed.placement.solve import Parts
 
-MAX_PLANS = 200_000  # plans that are tried at most
+MAX_PLANS = 200_000
 
 
 def splits(units: int, planner_count: int) -> Iterator[tuple[int, ...]]:
-    """All ways to put so many units on so many places."""
+    """Yield every way to split the units among the planners."""
     for bars in itertools.combinations(range(units + planner_count - 1), planner_count - 1):
         ends = (-1, *bars, units + planner_count - 1)
         yield tuple(ends[index + 1] - ends[index] - 1 for index in range(planner_count))
 
 
 def plan_count(units: int, planner_count: int, group_count: int) -> int:
-    """How many plans there are."""
+    """The number of plans that `search` has to score."""
     return int(math.comb(units + planner_count - 1, planner_count - 1) ** group_count)
 
 
 def search(fleet: Fleet, before: Mapping[str, Mapping[str, int]] | None = None) -> tuple[Parts, Score] | None:
-    """The best plan by the goals in order, each with the tolerance of the solver; None where none keeps the
-    constraints. OverflowError where there are more than MOST plans.
+    """The best plan by the goals in order, each with the solver's tolerance.
+
+    None if no plan satisfies the constraints. Raises OverflowError if there are more than MAX_PLANS plans.
     """
     job_groups = groups(fleet)
     names = sorted(planner.id for planner in fleet.planners)
     if plan_count(fleet.units, len(names), len(job_groups)) > MAX_PLANS:
-        raise OverflowError("too many plans")
+        raise OverflowError("the fleet has too many plans to search")
     group_splits = list(splits(fleet.units, len(names)))
     feasible: list[tuple[Parts, Score]] = []
     for chosen in itertools.product(group_splits, repeat=len(job_groups)):
--- a/pipitshed/placement/explain.py
+++ b/pipitshed/placement/explain.py
@@ -1,4 +1,4 @@
-"""What binds in a plan, and what one more core or slot would be worth there: the duals of its worst use."""
+"""Which resources bind in a plan, and the value of one more core or slot: the duals of the worst use."""
 
 from __future__ import annotations
 
@@ -8,31 +8,32 @@
 from pipitshed.placement.program import Solver
 from pipitshed.placement.solve import RESOURCES, build
 
-MIN_DUAL = 1e-6
+MIN_DUAL = 1e-6  # smaller duals are rounding errors
 
 
 @dataclass
 class ResourceValue:
-    """One resource of one planner, or of each of several that are alike."""
+    """One resource of one planner, or of each planner of a kind."""
 
     planner: str
     resource: str
-    use: float  # part of its cap
+    use: float  # as a fraction of what the planner's cap allows
     binds: bool
-    gain_per_unit: float  # by which the worst use falls with one more core, slot or unit of memory there
+    gain_per_unit: float  # decrease of the worst use for one more core, slot or unit of memory there
 
 
 def explain(fleet: Fleet) -> list[ResourceValue]:
-    """All resources, the most valuable first. The use is that of the linear program's best; the worth follows
-    from its duals: a row's use is load over capacity, so one more of n changes it by use / n. Empty in a
-    conflict.
+    """All resources, the most valuable first; empty if the constraints are in conflict.
+
+    The use is that of the linear program's optimum. The gain follows from its duals: a row's use is load over
+    capacity, so one more of n units changes the use by use / n.
     """
     built = build(fleet, whole=False)
     solution = Solver(built.program).solve(built.goals[:1])
     if solution is None:
         return []
     values: dict[tuple[int, str], ResourceValue] = {}
-    use_columns: dict[int, tuple[int, str]] = {}  # the column of a use: whose it is
+    use_columns: dict[int, tuple[int, str]] = {}  # column: the kind and the resource whose use it holds
     for row_index, (kind_index, resource) in built.use_rows.items():
         [column] = [other for other in built.program.rows[row_index].terms if other != built.worst_use_column]
         use_columns[column] = kind_index, resource
--- a/pipitshed/placement/follow.py
+++ b/pipitshed/placement/follow.py
@@ -1,7 +1,8 @@
-"""Route table and plan in, weights out: what a scheduler follows, without I/O and without the solver.
+"""Computes the weights by which a scheduler follows a plan; no I/O, and no import of the solver.
 
-A weight is a planner's part of the zone's jobs of one class, per hundred thousand. Between plans, and as
-planners come and go, weights are eased: no step shifts more than STEP of a class's load.
+A weight is a planner's fraction of the zone's jobs of one class, times 100,000. When the plan or the set of
+ready planners changes, the weights approach the new values in steps; no step shifts more than
+MAX_LOAD_SHIFT_PER_STEP of a class's load.
 """
 
 from __future__ import annotations
@@ -13,31 +14,34 @@
 from pipitshed.scheduling.events import EndpointEntry, EndpointState, WorkerId
 
 WEIGHT_SCALE = 100_000.0
-MAX_LOAD_SHIFT_PER_STEP = 0.1  # part of a class's load that one step may shift
-STEP_INTERVAL_S = 1.0  # s between steps
+MAX_LOAD_SHIFT_PER_STEP = 0.1  # as a fraction of one class's load
+STEP_INTERVAL_S = 1.0
 
 Weights = dict[WorkerId, tuple[float, ...]]
 
 
 @dataclass
 class Follower:
-    """The plan in force and how far it is eased in."""
+    """The current plan, and the fractions of each class's load that are in effect."""
 
     zone: str
-    classes: Sequence[str]  # by number; one that was changed stands here again by the same name
-    slow_start_ms: float = 0.0  # ms for which a planner that has just started is cold
+    classes: Sequence[str]  # names by class number; a changed class has a second number with the same name
+    slow_start_ms: float = 0.0  # time after its start during which a planner counts as cold
     plan: Plan | None = None
-    _fractions: dict[str, dict[WorkerId, float]] = field(default_factory=dict)  # by class: parts in force
-    in_transition: bool = False  # the last step did not come to the plan's own parts yet
+    _fractions: dict[str, dict[WorkerId, float]] = field(default_factory=dict)  # by class; now in effect
+    in_transition: bool = False  # whether the last step did not yet reach the plan's fractions
 
     def offer(self, plan: Plan, now: float, listed: Iterable[EndpointEntry]) -> None:
-        """Take a plan whole; PlanError with the reason, and the one in force stands. `now`: Unix time, s."""
+        """Adopt a plan. If it can't be used, raise PlanError with the reason and keep the current plan.
+
+        `now` is Unix time in s.
+        """
         if self.plan is not None and plan.number < self.plan.number:
-            raise PlanError(f"is number {plan.number}, older than {self.plan.number} in force")
+            raise PlanError(f"has number {plan.number}, older than {self.plan.number} of the current plan")
         if now > plan.made + plan.life_s:
-            raise PlanError("has outlived its life")
+            raise PlanError("has expired")
         if not any(group.startswith(f"{self.zone}/") for group in plan.parts):
-            raise PlanError(f"has nothing for zone {self.zone}")
+            raise PlanError(f"places no jobs of zone {self.zone}")
         listed_planners = {
             entry.worker.decode() for entry in listed if entry.state is not EndpointState.REMOVED
         }
@@ -48,12 +52,14 @@
             if units and group.startswith(f"{self.zone}/")
         }
         if listed_planners and not listed_planners & used_planners:
-            raise PlanError("is for another fleet: no planner that it uses is listed")
+            raise PlanError("is for another fleet: it uses no planner of the endpoint list")
         self.plan = plan
 
     def weights(self, entries: Iterable[EndpointEntry], now: float) -> Weights | None:
-        """The weights by class of each ready planner; None where the list's own count: no plan, or its life
-        is over. `now`: Unix time, s.
+        """Take one step, and return each ready planner's weights by class number.
+
+        None if there is no plan or the plan has expired: the endpoint list's weights apply then. `now` is
+        Unix time in s.
         """
         if self.plan is not None and now > self.plan.made + self.plan.life_s:
             self.plan = None
@@ -85,7 +91,7 @@
     def _limit_cold(
         self, fractions: dict[WorkerId, float], ready: Mapping[WorkerId, EndpointEntry], now: float
     ) -> dict[WorkerId, float]:
-        """Guards cold planners: none is raised above what the list itself would give it."""
+        """Limit cold planners to the fractions that the endpoint list's weights would give them."""
         cold_workers = [
             worker for worker, entry in ready.items() if now * 1000 - entry.started_at_ms < self.slow_start_ms
         ]
@@ -97,8 +103,10 @@
     def _planned_fractions(
         self, plan: Plan, job_class: str, ready: Mapping[WorkerId, EndpointEntry]
     ) -> dict[WorkerId, float]:
-        """The plan's parts among those that are ready. One that it does not know gets what its listed weight
-        is to those known, scaled to what the plan gives these.
+        """The plan's fractions for the planners that are ready.
+
+        A planner that the plan does not know gets a fraction in proportion to its listed weight, scaled by
+        the ratio of planned fraction to listed weight of the known planners.
         """
         units_by_planner = plan.parts.get(f"{self.zone}/{job_class}")
         if units_by_planner is None:
@@ -121,7 +129,7 @@
                 else ready[worker].weight
             )
         total = sum(fractions.values())
-        # What the plan wants nothing on, and nothing else is there: the list's weights, rather than nowhere.
+        # If the plan gives no jobs to any ready planner, the listed weights apply: jobs must go somewhere.
         return (
             {worker: fraction / total for worker, fraction in fractions.items()}
             if total
@@ -134,10 +142,13 @@
         new: Mapping[WorkerId, float],
         ready: Mapping[WorkerId, EndpointEntry],
     ) -> dict[WorkerId, float]:
-        """One step towards the new parts. What has left frees its part at once, in proportion."""
+        """One step from the old fractions towards the new ones.
+
+        The fraction of a planner that has left is shared out at once, in proportion.
+        """
         remaining = {worker: fraction for worker, fraction in old.items() if worker in ready}
         total = sum(remaining.values())
-        # One that has come meanwhile begins with nothing, and is raised by steps.
+        # A planner that has appeared meanwhile starts at 0.
         start = {
             worker: remaining.get(worker, 0.0) / total if total else new.get(worker, 0.0) for worker in ready
         }
--- a/pipitshed/placement/learn.py
+++ b/pipitshed/placement/learn.py
@@ -1,10 +1,10 @@
-"""Speeds and demand from the program's own structured log: a JSON line for each attempt that served its job.
+"""Estimates speeds and demand from the structured log: one JSON line for each attempt that served its job.
 
     {"event":"attempt","planner":"p1","class":"quote","tenant":"andes-retail","at":1.5,"ran":0.31,"outcome":"OK"}
 
-`at` and `ran` in s. The model is multiplicative: ran = work of the class / speed of the planner. Logarithms
-make it linear, and means over planners and classes in turn (alternating least squares) solve it. The
-uncertainty is the standard error of the mean of each planner's logarithms, told as a factor.
+`at` and `ran` are in s. The model is multiplicative: ran = work of the class / speed of the planner.
+Logarithms make it linear, and means over planners and classes in turn (alternating least squares) solve it.
+The uncertainty is the standard error of the mean of each planner's logarithms, given as a factor.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 
 
 class Estimate(msgspec.Struct):
-    """One figure, and the factor within which it lies with 95 of 100."""
+    """One figure with its 95 % confidence interval: from value / factor to value * factor."""
 
     value: float
     factor: float
-    seen: int
+    seen: int  # number of samples
 
 
 class LearntEstimates(msgspec.Struct):
@@ -45,14 +45,14 @@
     speed: dict[str, Estimate]
     work: dict[str, Estimate]  # s at speed 1, by class
     rate: dict[str, Estimate]  # jobs a second, by class and tenant
-    skipped: int  # lines that say nothing of it
+    skipped: int  # number of lines that are no attempt that served its job
 
 
 _decode = msgspec.json.Decoder(_Line).decode
 
 
 def learn(lines: Iterable[bytes]) -> LearntEstimates:
-    """The estimates; lines that are none of these are counted and passed over."""
+    """Estimate speeds, work and rates from the lines; other lines are counted and skipped."""
     runs: list[tuple[str, str, float]] = []
     job_counts: dict[str, int] = defaultdict(int)
     first, last, skipped = math.inf, -math.inf, 0
--- a/pipitshed/placement/model.py
+++ b/pipitshed/placement/model.py
@@ -1,4 +1,4 @@
-"""A fleet, its demand and its constraints, typed and checked; each problem with its line."""
+"""The fleet file: planners, demand and constraints, parsed and validated; errors name the line."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 from pipitshed.protocols.toml import line_of
 
-MIN_FIGURE, MAX_FIGURE = 1e-9, 1e9  # of every figure that is not 0
+MIN_FIGURE, MAX_FIGURE = 1e-9, 1e9  # bounds of every figure that is not 0
 
 
 class Planner(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
-    """One planner."""
+    """One planner: a worker as the fleet file describes it."""
 
     id: str
     zone: str
     model: str = "standard"
     cores: float = 4.0
-    speed: float = 1.0  # of a core; the yardstick is 1
+    speed: float = 1.0  # of one core, relative to a reference core
     slots: float = 8.0
     memory: float = 1e9  # units
-    cap: float = 1.0  # most of its cores, slots and memory that the plan may use
+    cap: float = 1.0  # largest fraction of its cores, slots and memory that the plan may use
     excluded: bool = False
-    pinned: float | None = None  # part of all the load (by work) that it carries, exactly
+    pinned: float | None = None  # exact fraction of the fleet's whole work that it must get
 
 
 class Schedulers(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
-    """The schedulers of one zone; jobs of a demand without a zone come in by their counts."""
+    """The schedulers of one zone. Demand without a zone arrives at the zones in proportion to the counts."""
 
     zone: str
     count: int = 1
@@ -40,49 +40,49 @@
     """The jobs of one class and tenant."""
 
     job_class: str = msgspec.field(name="class")
-    rate: float = 0.0  # jobs a second
-    work: float = 1.0  # s of a core at speed 1
+    rate: float = 0.0  # jobs per second
+    work: float = 1.0  # s of one core at speed 1, per job
     tenant: str = ""
-    slots: float = 1.0
-    memory: float = 0.0
-    wait: float = 1.0  # s that it may wait and still be in time
-    zone: str = ""  # where it comes in; none: by the counts of schedulers
+    slots: float = 1.0  # per job
+    memory: float = 0.0  # units per job
+    wait: float = 1.0  # s that a job may wait and still be in time
+    zone: str = ""  # where the jobs arrive; if empty, in proportion to the counts of schedulers
 
 
 class Floor(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
-    """A tenant's share: capacity for so much of all work is kept for it, whether it asks for it or not."""
+    """A tenant's guaranteed share of the fleet's capacity, reserved even while the tenant does not use it."""
 
     tenant: str
     share: float
 
 
 class Constraints(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
-    """What a plan must keep beside each planner's own figures."""
+    """The constraints that a plan must satisfy besides the capacity of each planner."""
 
-    headroom: Literal["none", "zone"] = "none"  # zone: with any one zone lost, the rest still carries all
-    most: float = 1.0  # part of all the load that one planner may carry
+    headroom: Literal["none", "zone"] = "none"  # zone: if any one zone fails, the others can carry all load
+    most: float = 1.0  # largest fraction of the fleet's whole work that one planner may get
     floors: tuple[Floor, ...] = ()
-    crossing: dict[str, float] = {}  # cost of a job that goes from one zone to another, by `a > b`
-    default_crossing: float = 1.0
+    crossing: dict[str, float] = {}  # cost per job that zone b runs for zone a, by `a > b`
+    default_crossing: float = 1.0  # cost per job for pairs of zones that `crossing` does not name
 
 
 class Fleet(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
-    """The whole file."""
+    """The content of a fleet file."""
 
     planners: tuple[Planner, ...]
     schedulers: tuple[Schedulers, ...] = ()
     demand: tuple[Demand, ...] = ()
     constraints: Constraints = Constraints()
-    units: int = 1000  # into which each group is split
-    life_s: float = 86_400.0  # how long a plan counts
+    units: int = 1000  # into which each group's jobs are divided
+    life_s: float = 86_400.0  # how long a plan is valid
 
 
 class FleetError(ValueError):
-    """The fleet can't be used; one line for each problem."""
+    """The fleet file is invalid. The message has one line for each problem."""
 
 
 def read(text: str) -> Fleet:
-    """The typed fleet."""
+    """Parse and validate the text of a fleet file; FleetError lists all problems."""
     try:
         fleet = msgspec.convert(tomllib.loads(text), Fleet)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
@@ -101,7 +101,7 @@
     seen_ids: set[str] = set()
     zones = {planner.zone for planner in fleet.planners} | {entry.zone for entry in fleet.schedulers}
     if not fleet.planners:
-        yield 1, "planners", "there are none"
+        yield 1, "planners", "the fleet has none"
     if fleet.units < 1:
         yield 1, "units", "must be 1 or more"
     if not _in_range(fleet.life_s, False):
@@ -109,15 +109,15 @@
     for index, planner in enumerate(fleet.planners):
         location = f"planner {planner.id or index}"
         if not planner.id or planner.id in seen_ids:
-            yield line_of(text, "planners", index, "id"), location, "has no id of its own"
+            yield line_of(text, "planners", index, "id"), location, "has no unique id"
         seen_ids.add(planner.id)
         for name in ("cores", "speed", "slots", "memory", "cap"):
             if not _in_range(getattr(planner, name), name in ("slots", "memory")):
                 yield line_of(text, "planners", index, name), location, f"{name} is out of range"
         if planner.pinned is not None and not 0 <= planner.pinned <= 1:
-            yield line_of(text, "planners", index, "pinned"), location, "pinned is not a part, 0 to 1"
+            yield line_of(text, "planners", index, "pinned"), location, "pinned is not a fraction from 0 to 1"
         if planner.excluded and planner.pinned:
-            yield line_of(text, "planners", index, "pinned"), location, "is excluded and pinned"
+            yield line_of(text, "planners", index, "pinned"), location, "is both excluded and pinned"
     for index, entry in enumerate(fleet.schedulers):
         if entry.count < 0:
             yield line_of(text, "schedulers", index, "count"), f"schedulers {entry.zone}", "count is below 0"
@@ -129,26 +129,30 @@
         if demand.zone and demand.zone not in zones:
             yield line_of(text, "demand", index, "zone"), location, f"there is no zone {demand.zone!r}"
         if not demand.zone and not any(entry.count > 0 for entry in fleet.schedulers):
-            yield line_of(text, "demand", index), location, "names no zone, and no schedulers stand anywhere"
+            yield line_of(text, "demand", index), location, "has no zone, and the fleet has no schedulers"
     total = sum(floor.share for floor in fleet.constraints.floors)
     if total > 1 + 1e-9 or any(not 0 <= floor.share <= 1 for floor in fleet.constraints.floors):
-        yield 1, "constraints.floors", f"the shares add up to {total:g}: more than there is"
+        yield (
+            1,
+            "constraints.floors",
+            f"the shares add up to {total:g}; each must be 0 to 1, all together 1 at most",
+        )
     if not 0 < fleet.constraints.most <= 1:
-        yield 1, "constraints.most", "is not a part, over 0 and up to 1"
+        yield 1, "constraints.most", "is not a fraction above 0 and up to 1"
 
 
 class Group(msgspec.Struct, frozen=True):
-    """The jobs of one class that come in at one zone: sums over tenants."""
+    """The jobs of one class that arrive at one zone, summed over tenants."""
 
     zone: str
     job_class: str
-    rate: float  # jobs a second
-    work: float  # s of cores at speed 1, a second
-    slot_work: float  # slots times s at speed 1, a second
-    memory_work: float  # memory units times s at speed 1, a second
-    slots: float  # most that one of its jobs takes
-    memory: float
-    wait: float  # s, the mean
+    rate: float  # jobs per second
+    work: float  # s of cores at speed 1, per second
+    slot_work: float  # slots times s at speed 1, per second
+    memory_work: float  # memory units times s at speed 1, per second
+    slots: float  # largest number of slots that one of its jobs takes
+    memory: float  # largest number of memory units that one of its jobs takes
+    wait: float  # mean wait that its jobs allow, in s
 
     @property
     def name(self) -> str:
@@ -156,7 +160,7 @@
 
 
 def groups(fleet: Fleet) -> list[Group]:
-    """All groups with any demand, by zone and class."""
+    """All groups with a rate above 0, sorted by zone and class."""
     rates_by_group: dict[tuple[str, str], list[tuple[Demand, float]]] = {}
     scheduler_count = sum(entry.count for entry in fleet.schedulers)
     for demand in fleet.demand:
@@ -192,7 +196,7 @@
 
 
 def work_by_tenant(fleet: Fleet) -> dict[str, float]:
-    """What each tenant asks for, in s of cores at speed 1 a second."""
+    """The work that each tenant demands, in s of cores at speed 1 per second."""
     work: dict[str, float] = {}
     for demand in fleet.demand:
         work[demand.tenant] = work.get(demand.tenant, 0.0) + demand.rate * demand.work
--- a/pipitshed/placement/program.py
+++ b/pipitshed/placement/program.py
@@ -1,4 +1,4 @@
-"""A linear or mixed-integer program on HiGHS, built by named rows and solved for one goal after another."""
+"""A linear or mixed-integer program for HiGHS, with named constraints and lexicographic goals."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 import highspy
 import numpy as np
 
-GOAL_TOLERANCE = 1e-7  # by which a later goal may worsen an earlier one, of its value or of 1
+GOAL_TOLERANCE = 1e-7  # by which a later goal may worsen an earlier one, times its value or 1
 INFINITY = highspy.kHighsInf
 
 
 @dataclass(slots=True)
 class Row:
-    """lower <= sum of terms <= upper, part of the named constraint `name` ("" for definitions)."""
+    """lower <= sum of terms <= upper; part of the constraint `name`, or a definition if the name is empty."""
 
-    terms: Mapping[int, float]
+    terms: Mapping[int, float]  # column: coefficient
     lower: float
     upper: float
     name: str = ""
-    scale: float = 1.0  # all three are so many times smaller than they were told
+    scale: float = 1.0  # by which terms, lower and upper were divided
 
 
 @dataclass
 class Program:
-    """Columns, rows and goals; `solve` may be called again with constraints left out or relaxed."""
+    """The columns and rows; the goals are passed to `Solver.solve`."""
 
     lower: list[float] = field(default_factory=list)
     upper: list[float] = field(default_factory=list)
@@ -36,14 +36,14 @@
     rows: list[Row] = field(default_factory=list)
 
     def add_column(self, lower: float = 0.0, upper: float = INFINITY, integer: bool = False) -> int:
-        """A new column's number."""
+        """Add a column, and return its number."""
         self.lower.append(lower)
         self.upper.append(upper)
         self.integer.append(integer)
         return len(self.lower) - 1
 
     def add_row(self, terms: Mapping[int, float], lower: float, upper: float, name: str = "") -> None:
-        """Add a row, scaled by its largest figure: fleets hold numbers from 1e-9 to 1e9."""
+        """Add a row, scaled by its largest coefficient: fleets hold numbers from 1e-9 to 1e9."""
         largest = max((abs(value) for value in terms.values()), default=0.0)
         scale = 1.0
         if largest > 0 and not 1e-3 < largest < 1e3:
@@ -52,22 +52,22 @@
         self.rows.append(Row(terms, lower, upper, name, scale))
 
     def names(self) -> list[str]:
-        """All named constraints, in the order of their first rows."""
+        """The names of all constraints, in the order of their first rows."""
         return list(dict.fromkeys(row.name for row in self.rows if row.name))
 
 
 @dataclass(slots=True)
 class Solution:
-    """What a solve came to."""
+    """The optimum that the solver found."""
 
-    values: np.ndarray[Any, np.dtype[np.float64]]
-    goals: list[float]
-    duals: np.ndarray[Any, np.dtype[np.float64]]  # of the last goal's rows; empty for a mixed program
-    basis: Any
+    values: np.ndarray[Any, np.dtype[np.float64]]  # by column
+    goals: list[float]  # the value of each goal
+    duals: np.ndarray[Any, np.dtype[np.float64]]  # by row, for the last goal; empty if mixed-integer
+    basis: Any  # None if mixed-integer
 
 
 def _new_silent_highs() -> Any:
-    """HiGHS, whose constructor writes a banner to standard output before it can be told not to."""
+    """Create HiGHS with stdout redirected: its constructor prints a banner before options can be set."""
     sys.stdout.flush()
     saved_stdout, null_device = os.dup(1), os.open(os.devnull, os.O_WRONLY)
     try:
@@ -80,7 +80,10 @@
 
 
 class Solver:
-    """One program inside HiGHS, kept between solves so that each starts where the last one ended."""
+    """One program loaded into HiGHS; each solve starts from the solution of the one before.
+
+    Constraints named in `without` are left out.
+    """
 
     def __init__(self, program: Program, without: Iterable[str] = ()) -> None:
         left_out = set(without)
@@ -122,7 +125,7 @@
         return model
 
     def set_start_basis(self, basis: Any) -> None:
-        """Begin at the end of an earlier solve of a program of the same shape."""
+        """Start from the basis of an earlier solution, if it has as many columns and rows as this program."""
         if (
             basis is not None
             and len(basis.col_status) == len(self.program.lower)
@@ -131,12 +134,12 @@
             self._highs.setBasis(basis)
 
     def feasible(self) -> bool:
-        """Whether anything keeps all rows."""
+        """Whether all rows can be satisfied together."""
         self._highs.run()
         return bool(self._highs.getModelStatus() == highspy.HighsModelStatus.kOptimal)
 
     def solve(self, goals: Sequence[Mapping[int, float]]) -> Solution | None:
-        """The best by the first goal, among these by the second, and so on; None where nothing keeps all."""
+        """Minimize the goals in order, each among the optima of those before; None if infeasible."""
         goal_values: list[float] = []
         columns = np.arange(len(self.program.lower), dtype=np.int32)
         solution = basis = None
@@ -173,8 +176,10 @@
 
 
 def smallest_conflict(program: Program) -> list[str]:
-    """Named constraints that can't be met together, none of which can be left out: chunks are left out as
-    long as what remains is still in conflict, down to single ones (a deletion filter).
+    """A minimal set of constraints that can't be met together: without any one of them the others can.
+
+    A deletion filter: it removes chunks of constraints while the remaining ones are still in conflict, down
+    to chunks of one.
     """
     names = program.names()
     kept, chunk_size = list(names), max(1, len(names) // 2)
--- a/pipitshed/placement/score.py
+++ b/pipitshed/placement/score.py
@@ -1,4 +1,4 @@
-"""What a plan comes to, from its parts alone: judges any plan, ours or hand-made, without the solver."""
+"""Scores any plan, solved or handwritten, from its parts alone; does not run the solver."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
     usable_resources,
 )
 
-ROUNDING_TOLERANCE = 1e-6  # by which a use may overstep its bound: rounding
+ROUNDING_TOLERANCE = 1e-6  # excess over a bound that counts as a rounding error
 
 
 @dataclass
 class Score:
-    """The goals' values and what the plan breaks."""
+    """The values of the goals, and the constraints that the plan violates."""
 
-    worst_use: float = 0.0  # use of the worst planner, of its cap, with any one zone lost
-    late: float = 0.0  # late work, as a part of what the fleet can do, estimated
-    crossing: float = 0.0  # cost of crossings a second
-    movement: float = 0.0  # jobs a second that go elsewhere than before
-    use: dict[str, dict[str, float]] = field(default_factory=dict)  # planner: resource: part of its cap
+    worst_use: float = 0.0  # highest use of any planner, as a fraction of its cap, with up to one zone lost
+    late: float = 0.0  # estimated late work, as a fraction of the fleet's capacity
+    crossing: float = 0.0  # cost of jobs that run in another zone, per second
+    movement: float = 0.0  # jobs per second that go to another planner than before
+    use: dict[str, dict[str, float]] = field(default_factory=dict)  # planner: resource: fraction of its cap
     violations: dict[str, float] = field(default_factory=dict)  # constraint: by how much
 
     def vector(self) -> tuple[float, float, float, float]:
@@ -40,7 +40,7 @@
     units: int,
     before: Mapping[str, Mapping[str, int]] | None = None,
 ) -> Score:
-    """The score of these parts (group: planner: units)."""
+    """The score of a plan with these parts (group: planner: units), compared with the parts `before`."""
     result, job_groups = Score(), groups(fleet)
     by_id = {planner.id: planner for planner in fleet.planners}
     load = {planner.id: dict.fromkeys(RESOURCES, 0.0) for planner in fleet.planners}
@@ -55,7 +55,7 @@
         for name, count in units_by_planner.items():
             planner = by_id.get(name)
             if planner is None:
-                result.violations[f"{name} is no planner of the fleet"] = count / units
+                result.violations[f"{name} is not a planner of the fleet"] = count / units
                 continue
             if (planner.slots < group.slots or planner.memory < group.memory) and count:
                 result.violations[f"{name} can't hold a job of {group.name}"] = count / units
@@ -149,5 +149,5 @@
 
 
 def capacity(planner: Planner) -> float:
-    """What a planner can do, in s at speed 1 a second."""
+    """A planner's capacity with its cap applied, in s at speed 1 per second."""
     return usable_resources(planner)["cores"]
--- a/pipitshed/placement/solve.py
+++ b/pipitshed/placement/solve.py
@@ -1,4 +1,4 @@
-"""From a fleet to a plan: the program, its goals in order, and what can't be met."""
+"""Solves a fleet for a plan: builds the linear program and its goals, and explains conflicts."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from pipitshed.placement.model import Fleet, Group, Planner, groups, work_by_tenant
 from pipitshed.placement.program import INFINITY, Program, Row, Solver, smallest_conflict
 
-EXACT_COLUMNS = 64  # up to so many parts the program is solved in whole units
+EXACT_COLUMNS = 64  # larger programs are solved in fractions instead of whole units
 EXACT_UNITS = 64
-ALIKE_MIN_PLANNERS = 200  # planners from which those that differ by less than ALIKE count as alike
+ALIKE_MIN_PLANNERS = 200  # fleets of this size merge planners whose figures differ by up to ALIKE_TOLERANCE
 ALIKE_TOLERANCE = 0.02
-MAX_SEPARATE_PARTS = 2000  # parts from which a zone's planners that can hold the same jobs are one column
-MIN_UNITS_PER_PLANNER = 16  # units a planner at least, so that no weight rounds to nothing
+MAX_SEPARATE_PARTS = 2000  # above it, all planners of a zone that can hold the same jobs share one column
+MIN_UNITS_PER_PLANNER = 16  # so that no weight rounds to 0
 RESOURCES = ("cores", "slots", "memory")
-KNOTS = (0.0, 0.3, 0.5, 0.6, 0.7, 0.8, 0.85, 0.9, 0.95, 0.98, 1.0)  # of use; lateness is chords between
+KNOTS = (0.0, 0.3, 0.5, 0.6, 0.7, 0.8, 0.85, 0.9, 0.95, 0.98, 1.0)  # of use, for the chords of `lateness`
 GOALS = ("worst use", "late", "crossing", "movement")
 
 Parts = dict[str, dict[str, int]]  # group: planner: units
@@ -25,17 +25,15 @@
 
 @dataclass
 class Kind:
-    """Planners that are alike: one column for each group."""
+    """Planners that are alike; the program has one column for each kind and group."""
 
     planners: list[Planner]
     zone: str
-    usable_resources: dict[
-        str, float
-    ]  # resource: the mean of it at a planner's cap, in s at speed 1 a second
-    typical: Planner
+    usable_resources: dict[str, float]  # mean over the planners, see `usable_resources`
+    typical: Planner  # has the mean figures
 
     def parts(self) -> list[tuple[str, float]]:
-        """Each planner's part of what goes to the kind: by capacity."""
+        """Each planner's fraction of the kind's jobs, in proportion to capacity."""
         total = math.fsum(usable_resources(planner)["cores"] for planner in self.planners)
         return [(planner.id, usable_resources(planner)["cores"] / total) for planner in self.planners]
 
@@ -46,25 +44,25 @@
 
 @dataclass
 class ReducedFleet:
-    """A fleet as the program sees it."""
+    """A fleet with similar planners merged into kinds."""
 
     fleet: Fleet
     groups: list[Group]
     kinds: list[Kind]
     units: int
-    exact: bool
+    exact: bool  # whether the program is solved in whole units
 
     @property
     def work(self) -> float:
         return math.fsum(group.work for group in self.groups)
 
     def zones(self) -> list[str]:
-        """Zones that can be lost: others remain."""
+        """The zones whose loss is considered; none if the fleet has only one zone."""
         names = sorted({kind.zone for kind in self.kinds})
         return names if len(names) > 1 else []
 
     def load_fraction_without(self, kind: Kind, lost_zone: str) -> float:
-        """The part of a lost zone's load that one planner of the kind gets: in proportion to capacity."""
+        """The fraction of a lost zone's load that one planner of the kind gets, in proportion to capacity."""
         remaining_capacity = math.fsum(
             other.capacity * len(other.planners) for other in self.kinds if other.zone != lost_zone
         )
@@ -72,12 +70,12 @@
 
 
 def resource_demand(group: Group) -> dict[str, float]:
-    """What a group takes of each resource, in s at speed 1 a second."""
+    """What a group needs of each resource: cores, slots or memory units times s at speed 1, per second."""
     return {"cores": group.work, "slots": group.slot_work, "memory": group.memory_work}
 
 
 def usable_resources(planner: Planner) -> dict[str, float]:
-    """What a planner has of each."""
+    """What the plan may use of a planner's resources, in the units of `resource_demand`."""
     return {
         "cores": planner.cores * planner.speed * planner.cap,
         "slots": planner.slots * planner.speed * planner.cap,
@@ -86,7 +84,7 @@
 
 
 def reduce_fleet(fleet: Fleet, whole: bool | None = None) -> ReducedFleet:
-    """Planners by kind, and whether whole units are solved for."""
+    """Merge similar planners into kinds. `whole` forces whole units or fractions; None decides by size."""
     job_groups = groups(fleet)
     columns = max(1, len(job_groups)) * len(fleet.planners)
     exact = columns <= EXACT_COLUMNS and fleet.units <= EXACT_UNITS if whole is None else whole
@@ -131,8 +129,10 @@
 
 
 def lateness(planner: Planner, mean_work: float, wait: float, total: float) -> list[tuple[float, float]]:
-    """Chords (slope, at 0) of the late work at a planner, as a part of what the fleet can do, over its use of
-    cores. The wait is Sakasegawa's approximation for M/M/c; what waits as long as it may counts as late.
+    """Chords (slope, value at 0) of a planner's late work over its use of cores.
+
+    Late work is a fraction of `total`, the fleet's capacity. The mean wait is Sakasegawa's approximation for
+    M/M/c; late work is the work times mean wait over allowed wait.
     """
     cores = max(1.0, planner.cores)
     service = mean_work / planner.speed
@@ -155,18 +155,18 @@
     points = [(use, late_work(use)) for use in KNOTS]
     chords, steepest = [], 0.0
     for (left, low), (right, high) in zip(points, points[1:], strict=False):
-        steepest = max(steepest, (high - low) / (right - left))  # convex, whatever rounding says
+        steepest = max(steepest, (high - low) / (right - left))  # keeps the chords convex despite rounding
         chords.append((steepest, low - steepest * left))
     return chords
 
 
 def fleet_capacity(fleet: Fleet) -> float:
-    """What the whole fleet can do, in s at speed 1 a second."""
+    """The capacity of the whole fleet without caps, in s at speed 1 per second."""
     return math.fsum(planner.cores * planner.speed for planner in fleet.planners)
 
 
 def crossing_cost(fleet: Fleet, group: Group, zone: str) -> float:
-    """What one job of the group costs at a planner of that zone."""
+    """The cost of running one job of the group in that zone; 0 in the group's own zone."""
     if zone == group.zone:
         return 0.0
     return fleet.constraints.crossing.get(f"{group.zone} > {zone}", fleet.constraints.default_crossing)
@@ -174,20 +174,20 @@
 
 @dataclass
 class BuiltProgram:
-    """The program with its columns by meaning."""
+    """The program, and what its columns and rows stand for."""
 
     reduced: ReducedFleet
     program: Program
-    parts: dict[tuple[int, int], int]  # (group, kind): column of its units
+    parts: dict[tuple[int, int], int]  # (group, kind): column of the part
     worst_use_column: int
-    goals: list[dict[int, float]]
+    goals: list[dict[int, float]]  # column: coefficient
     use_rows: dict[int, tuple[int, str]] = field(default_factory=dict)  # row: kind, resource
 
 
 def build(
     fleet: Fleet, before: Mapping[str, Mapping[str, int]] | None = None, whole: bool | None = None
 ) -> BuiltProgram:
-    """The program. Each part is a share of its group (0 to 1), or whole units of it."""
+    """Build the program. Each part is a fraction of its group (0 to 1), or a number of whole units of it."""
     reduced = reduce_fleet(fleet, whole)
     program, units = Program(), reduced.units if reduced.exact else 1
     parts: dict[tuple[int, int], int] = {}
@@ -213,7 +213,7 @@
         if reduced.groups
         else 1.0
     )
-    use_columns: dict[tuple[int, str], int] = {}  # each planner's use of a resource, of its cap
+    use_columns: dict[tuple[int, str], int] = {}  # (kind, resource): column of its use, a fraction of the cap
     for k, kind in enumerate(reduced.kinds):
         for name in RESOURCES:
             terms = {
@@ -248,7 +248,7 @@
             program.add_row(shares, -INFINITY, 0, f"{_kind_name(kind)} is excluded")
         pinned = kind.planners[0].pinned
         if pinned is not None and total:
-            # Without any group that it can hold, nothing is what it carries.
+            # If the planner can hold no group, there are no terms: the load is 0.
             slack = (
                 max((group.work for group in reduced.groups), default=0.0) / units / total / 2 * reduced.exact
             )
@@ -299,7 +299,7 @@
     worst_use_column: int,
     units: int,
 ) -> None:
-    """Each planner's use with one zone lost, whose load moves to the others in proportion to capacity."""
+    """Add each planner's use while one zone is lost and its load moves to the others by capacity."""
     for zone in reduced.zones():
         for name in RESOURCES:
             load = {
@@ -325,7 +325,7 @@
 
 
 def _add_floors(reduced: ReducedFleet, program: Program) -> None:
-    """Capacity beside the demand, so that each tenant could have its share of all work."""
+    """Add the constraints that reserve, besides the demand, what each tenant's share still lacks."""
     demanded = work_by_tenant(reduced.fleet)
     total = math.fsum(
         kind.capacity * len(kind.planners) for kind in reduced.kinds if not kind.planners[0].excluded
@@ -345,7 +345,7 @@
     before: Mapping[str, Mapping[str, int]],
     units: int,
 ) -> dict[int, float]:
-    """The jobs a second that go elsewhere than by the plan in force."""
+    """Add columns for the jobs per second that move to another kind; return the goal that sums them."""
     goal: dict[int, float] = {}
     for (g, k), column in parts.items():
         group, kind = reduced.groups[g], reduced.kinds[k]
@@ -361,20 +361,20 @@
     return goal
 
 
-# ---- from a solution to parts
+# ---- solving and explaining
 
 
 @dataclass
 class SolveResult:
-    """A plan's parts, or why there is none."""
+    """A plan's parts; in a conflict also the constraints that can't be met together."""
 
     parts: Parts | None
     units: int
-    goals: list[float]  # what the program reached for GOALS
+    goals: list[float]  # the program's optimum for each of GOALS
     exact: bool
-    conflict: dict[str, str] = field(default_factory=dict)  # constraint: what it is short of, alone
-    relaxed: dict[str, float] = field(default_factory=dict)  # constraint: by how much the plan oversteps it
-    basis: Any = None
+    conflict: dict[str, str] = field(default_factory=dict)  # constraint: by how much it alone falls short
+    relaxed: dict[str, float] = field(default_factory=dict)  # constraint: by how much the plan violates it
+    basis: Any = None  # start basis for a later `solve`
 
 
 def solve(
@@ -383,7 +383,11 @@
     basis: Any = None,
     whole: bool | None = None,
 ) -> SolveResult:
-    """The plan by the goals in order, or the smallest set in conflict, with the plan that oversteps least."""
+    """Find the best plan by the goals in order.
+
+    If the constraints can't all be met, the result has a minimal conflict and the plan with the least
+    violation. `before` are the current plan's parts; `whole` is passed to `reduce_fleet`.
+    """
     built = build(fleet, before, whole)
     if not built.reduced.groups:
         return SolveResult({}, built.reduced.units, [0.0] * len(GOALS), True)
@@ -406,7 +410,7 @@
 
 
 def _elastic(program: Program, names: set[str], hard: set[str]) -> tuple[Program, dict[str, list[int]]]:
-    """The program with slack for these constraints, of the others only `hard`."""
+    """A copy of the program with slack for the constraints `names`; of the others, only `hard` are kept."""
     elastic = Program(list(program.lower), list(program.upper), list(program.integer))
     slacks: dict[str, list[int]] = {}
     for row in program.rows:
@@ -427,20 +431,22 @@
 
 
 def _shortfall(built: BuiltProgram, name: str, conflict: list[str]) -> str:
-    """By how much this constraint alone would have to give, the conflict's others held, in its own words:
-    cores, slots or units of memory of such a planner, jobs a second that find no place, parts of the load.
+    """By how much this constraint would have to be relaxed if the others of the conflict are met.
+
+    In the constraint's own unit: cores, slots or units of memory of one planner, jobs per second that can't
+    be placed, or a fraction of the load.
     """
     program = built.program
     elastic, slacks = _elastic(program, {name}, set(conflict) - {name})
     solution = Solver(elastic).solve([dict.fromkeys(slacks[name], 1.0)])
     if solution is None:
-        return "more than it alone can give"
+        return "more than can be gained by relaxing it alone"
     scale = next(row.scale for row in program.rows if row.name == name)
     amount = solution.goals[0] * scale
     for kind in built.reduced.kinds:
         for resource in RESOURCES:
             if f"{name} without ".startswith(f"{resource} of {_kind_name(kind)} without "):
-                # A use is a part of the cap; what is missing grows by it.
+                # The use is a fraction of the cap, so the shortfall is multiplied by the cap.
                 first = kind.planners[0]
                 available = {"cores": first.cores, "slots": first.slots, "memory": first.memory}[resource]
                 return f"{amount * available * first.cap:.4g} {resource} in {kind.zone}"
@@ -452,7 +458,10 @@
 
 
 def _relax(built: BuiltProgram) -> tuple[dict[str, float], Any]:
-    """The least sum of oversteps, and among the plans with it the best by the goals."""
+    """The violations and column values of the plan with the least sum of violations, then the best goals.
+
+    The constraints that all jobs are placed are relaxed only if relaxing the others is not enough.
+    """
     program = built.program
     placed = {name for name in program.names() if name.endswith(" is placed")}
     for soft in (set(program.names()) - placed, set(program.names())):
@@ -469,7 +478,10 @@
 
 
 def _whole_units(built: BuiltProgram, values: Any) -> Parts:
-    """Whole units by planner: alike planners get alike parts, and remainders go by size, then by id."""
+    """Round to whole units: planners of a kind get parts by capacity.
+
+    Units that are left over go to the largest remainders, then by id.
+    """
     reduced, parts = built.reduced, {}
     for g, group in enumerate(reduced.groups):
         targets: list[tuple[str, float]] = []
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -107,7 +107,7 @@
 @pytest.mark.parametrize(
     ("old", "new", "what"),
     [
-        ('id = "planner-2"', 'id = "planner-1"', "no id of its own"),
+        ('id = "planner-2"', 'id = "planner-1"', "has no unique id"),
         ("speed = 0.55", "speed = 0.0", "speed"),
         ("speed = 0.55", "speed = 1e12", "speed"),
         ("share = 0.13", "share = 1.3", "add up to 1.3"),
@@ -235,7 +235,7 @@
     assert follower.weights(listed, 1000.0) is None
     follower.offer(plan({"p1": 9, "p2": 1}), 1000.0, listed)
     assert eased(follower, listed) == pytest.approx({"p1": 0.9, "p2": 0.1})
-    for number, made, why in [(0, 1000.0, "older"), (2, 800.0, "outlived")]:
+    for number, made, why in [(0, 1000.0, "older"), (2, 800.0, "expired")]:
         with pytest.raises(PlanError, match=why):
             follower.offer(plan({"p1": 1, "p2": 9}, number, made), 1000.0, listed)
     with pytest.raises(PlanError, match="another fleet"):
@@ -361,4 +361,4 @@
     assert code == 0 and "plan 7 followed" in text
     path.write_bytes(path.read_bytes()[:-20])
     code, text = check()
-    assert code == 2 and "is no plan" in text and text.count("\n") == 1
+    assert code == 2 and "is not a valid plan file" in text and text.count("\n") == 1
