--- a/pipitshed/translation/__init__.py
+++ b/pipitshed/translation/__init__.py
@@ -1,1 +1,1 @@
-"""Message forms with versions, and the steps between them. No I/O."""
+"""Translation of messages between versions of the message form; no I/O."""
--- a/pipitshed/translation/codecs.py
+++ b/pipitshed/translation/codecs.py
@@ -26,28 +26,28 @@
 )
 
 MAX_FORM_FIELDS = 1024  # of one form-encoded message
-WHOLE_MESSAGE = "the message"  # what a refusal names where it is no single field
+WHOLE_MESSAGE = "the message"  # the field that an error names if no single field is at fault
 
 
 class Codec(Protocol):
-    """One form of one message."""
+    """Decodes and encodes one class's requests or results in one form."""
 
     def decode(self, data: bytes) -> Record:
-        """The record; UntranslatableError where the bytes are none of this form."""
+        """Parse a message; UntranslatableError if it is not valid in this form."""
 
     def encode(self, record: Record) -> bytes:
-        """The bytes; UntranslatableError where the form can't express the record."""
+        """Serialize a record; UntranslatableError if the form can't express it."""
 
 
 class FormCodec:
-    """application/x-www-form-urlencoded; flags are 0 and 1. Nested records have no place in it."""
+    """application/x-www-form-urlencoded. Flags are 0 and 1; nested records are not supported."""
 
     def __init__(self, fields: Mapping[str, Field], envelope_fields: frozenset[str] = frozenset()) -> None:
         self.fields = dict(fields)
-        self._envelope_fields = envelope_fields  # fields of the envelope, which are no part of the record
+        self._envelope_fields = envelope_fields  # these are not part of the record
 
     def pairs(self, data: bytes) -> list[tuple[str, str]]:
-        """The names and values as they stand."""
+        """Parse the body into names and values without checking them against the form's fields."""
         if not data:
             return []
         try:
@@ -108,7 +108,7 @@
     raise UntranslatableError(WHOLE_MESSAGE, text, "is not a number")
 
 
-# Of the libraries at hand only the standard one can be told of a name that stands twice.
+# Of the JSON libraries in use, only the standard one can detect a repeated name.
 _json_decoder = json.JSONDecoder(
     object_pairs_hook=_reject_duplicates, parse_float=Decimal, parse_constant=_no_constant
 )
@@ -116,7 +116,7 @@
 
 
 class JsonCodec:
-    """One JSON object; decimals are read and written exactly."""
+    """One JSON object. Decimals are read and written exactly."""
 
     def __init__(self, fields: Mapping[str, Field]) -> None:
         self.fields = dict(fields)
@@ -132,7 +132,7 @@
             raise UntranslatableError(WHOLE_MESSAGE, data[:32], "is not JSON") from None
         if not isinstance(value, dict):
             raise UntranslatableError(WHOLE_MESSAGE, value, "is not a record")
-        # An empty list and none are the same: protobuf does not tell them apart.
+        # Empty lists are dropped: protobuf can't distinguish an empty list from a missing one.
         value = {name: item for name, item in value.items() if item != []}
         return check_record(self.fields, self._convert_times(self.fields, value, parse_time))
 
@@ -141,7 +141,7 @@
         return _json_encode(self._convert_times(self.fields, record, render_time))
 
     def _convert_times(self, fields: Mapping[str, Field], record: Record, convert: Any) -> Record:
-        """The record with times in the other unit, also in nested records."""
+        """A copy of the record with `convert` applied to its times, also in nested records."""
         converted = dict(record)
         for name, field in fields.items():
             if name not in record:
--- a/pipitshed/translation/file.py
+++ b/pipitshed/translation/file.py
@@ -1,4 +1,4 @@
-"""The translation file: forms, steps and interfaces, typed and checked, each problem with its line."""
+"""The translation file: forms, steps and interfaces, parsed and validated; errors name the line."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from pipitshed.translation.values import Field
 
 ENVELOPE = ("id", "class", "tenant", "key", "deadline")
-# How the two interfaces carry what no step may touch: published, so not for files to vary.
+# Where the two interfaces carry the envelope. Both are published, so a file can't choose other places.
 HTTP_ENVELOPE = {
     "id": "header:x-request-id",
     "class": "header:x-class",
@@ -33,12 +33,12 @@
 
 
 class Message(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
-    """One class's messages in one form."""
+    """The fields of one class's request and result in one form."""
 
     request: dict[str, Field]
     result: dict[str, Field]
-    request_message: str = ""  # of a protobuf form, such as RunRequest.quote
-    result_message: str = ""
+    request_message: str = ""  # only in protobuf forms, such as RunRequest.quote
+    result_message: str = ""  # only in protobuf forms
 
 
 class Form(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
@@ -46,12 +46,12 @@
 
     version: int
     encoding: Literal["form", "json", "protobuf"]
-    envelope: dict[str, str]
+    envelope: dict[str, str]  # name of ENVELOPE: where it is carried, such as `header:x-class`
     classes: dict[str, Message]
 
 
 class StepFile(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
-    """The step from one version to the next one."""
+    """The rules that translate between one version and the next."""
 
     lower: int = msgspec.field(name="from")
     upper: int = msgspec.field(name="to")
@@ -59,22 +59,22 @@
 
 
 class Interfaces(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
-    """The form in which planners of each interface take their jobs."""
+    """The version of the form that planners of each interface accept."""
 
     http: int = msgspec.field(default=1, name="1")  # interface 1: HTTP/1.1, JSON lines
     grpc: int = msgspec.field(default=2, name="2")  # interface 2: gRPC
 
 
 class Clients(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
-    """The form in which clients speak."""
+    """The version of the form that clients send."""
 
-    http: int = 1  # where no content type below says otherwise
+    http: int = 1  # for content types that `content_types` does not name
     content_types: dict[str, int] = {}
     gearman: int = 1
 
 
 class TranslationFile(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
-    """The whole file."""
+    """The content of a translation file."""
 
     forms: list[Form]
     steps: list[StepFile] = []
@@ -83,11 +83,11 @@
 
 
 class TranslationError(ValueError):
-    """The file can't be used; one line for each problem."""
+    """The translation file is invalid. The message has one line for each problem."""
 
 
 def read(text: str) -> TranslationFile:
-    """The typed file; TranslationError where it is none, or where anything would be lost."""
+    """Parse and validate a translation file; TranslationError if it is invalid or would lose any data."""
     try:
         file = msgspec.convert(tomllib.loads(text), TranslationFile)
     except tomllib.TOMLDecodeError as error:
@@ -103,7 +103,7 @@
 def _problems(file: TranslationFile, text: str) -> Iterator[tuple[int, str, str]]:
     versions = [form.version for form in file.forms]
     if versions != sorted(set(versions)):
-        yield 1, "forms", "versions must rise from one form to the next"
+        yield 1, "forms", "versions must increase from one form to the next"
         return
     for index, form in enumerate(file.forms):
         yield from (
@@ -121,7 +121,7 @@
         ),
     ]:
         if version not in versions:
-            yield 1, location, f"there is no form {version}"
+            yield 1, location, f"there is no form with version {version}"
     by_version = {form.version: form for form in file.forms}
     for location, version, encoding in [
         ("interfaces.1", file.interfaces.http, "json"),
@@ -131,18 +131,22 @@
             yield (
                 1,
                 location,
-                f"that interface speaks {encoding}, form {version} is {by_version[version].encoding}",
+                f"the interface uses {encoding}, but form {version} is {by_version[version].encoding}",
             )
     step_versions = [(step.lower, step.upper) for step in file.steps]
     for pair in pairwise(versions):
         if step_versions.count(pair) != 1:
-            yield 1, f"step {pair[0]} to {pair[1]}", f"there are {step_versions.count(pair)} of it"
+            yield (
+                1,
+                f"step {pair[0]} to {pair[1]}",
+                f"there are {step_versions.count(pair)} such steps, expected 1",
+            )
     for index, step in enumerate(file.steps):
         if (step.lower, step.upper) not in pairwise(versions):
             yield (
                 line_of(text, "steps", index),
                 f"step {step.lower} to {step.upper}",
-                "these are no neighbouring versions",
+                "these are not neighbouring versions",
             )
             continue
         lower, upper = by_version[step.lower], by_version[step.upper]
@@ -158,14 +162,14 @@
     expected = {"json": HTTP_ENVELOPE, "protobuf": GRPC_ENVELOPE}.get(form.encoding)
     for name in ENVELOPE:
         if name not in form.envelope:
-            yield ("envelope", name), f"this form has no place for the {name}: it would be lost"
+            yield ("envelope", name), f"this form has no place for the {name}, which would be lost"
         elif expected is not None and form.envelope[name] != expected[name]:
-            yield ("envelope", name), f"{form.encoding} carries it as {expected[name]!r}"
+            yield ("envelope", name), f"must be, as in all {form.encoding} forms, {expected[name]!r}"
         elif expected is None and not form.envelope[name].startswith(("field:", "header:")):
             yield ("envelope", name), "must be 'field:NAME' or 'header:NAME'"
     for name in form.envelope:
         if name not in ENVELOPE:
-            yield ("envelope", name), f"is none of {', '.join(ENVELOPE)}"
+            yield ("envelope", name), f"is not one of {', '.join(ENVELOPE)}"
     for job_class, message in form.classes.items():
         for part, fields, pb_message in [
             ("request", message.request, message.request_message),
@@ -188,13 +192,13 @@
     }
     for name, field in fields.items():
         if form.encoding == "form" and field.type == "records":
-            yield (name,), "a form-encoded message holds no nested records"
+            yield (name,), "a form-encoded message can't hold nested records"
         if name in envelope_fields:
-            yield (name,), "is a field of the envelope"
+            yield (name,), "is already a field of the envelope"
         if field.type == "choice" and not field.choices:
             yield (name,), "has no choices"
         if (field.type == "records") != bool(field.fields):
-            yield (name,), "only records have fields, and must"
+            yield (name,), "fields of type records must have `fields`, others must not"
         yield from (((name, *path), problem) for path, problem in _field_problems(form, field.fields))
 
 
@@ -206,10 +210,10 @@
     }
     for job_class in sorted(lower.classes.keys() & upper.classes.keys()):
         if job_class not in step.classes:
-            yield ("classes", job_class), "both versions have this class, the step does not"
+            yield ("classes", job_class), "both versions have this class, but the step does not"
     for job_class, rules in step.classes.items():
         if job_class not in lower.classes or job_class not in upper.classes:
-            yield ("classes", job_class), "is not a class of both versions"
+            yield ("classes", job_class), "is not a class in both versions"
             continue
         lower_message, upper_message = lower.classes[job_class], upper.classes[job_class]
         for part, side, lower_fields, upper_fields in [
@@ -220,13 +224,13 @@
                 if name in envelope_fields:
                     yield (
                         ("classes", job_class, part, "cannot", name),
-                        "belongs to the envelope: a step must not lose key, class, tenant, id or deadline",
+                        "belongs to the envelope: a step must not drop key, class, tenant, id or deadline",
                     )
             for name, rule in side.rules.items():
                 if rule.source in envelope_fields or name in envelope_fields:
                     yield (
                         ("classes", job_class, part, "rules", name),
-                        "belongs to the envelope, which no step may touch",
+                        "belongs to the envelope, which a step must not change",
                     )
             for name, problem in steps.problems(side, lower_fields, upper_fields):
                 if not {name, side.rules[name].source if name in side.rules else ""} & envelope_fields:
--- a/pipitshed/translation/protobuf.py
+++ b/pipitshed/translation/protobuf.py
@@ -1,4 +1,4 @@
-"""The protobuf form: records to the messages of docs/interfaces/planner.proto and back."""
+"""The codec of the protobuf form, for the messages of docs/interfaces/planner.proto."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     _FieldDescriptor.TYPE_UINT64: (0, 2**64 - 1),
     _FieldDescriptor.TYPE_INT64: (-(2**63), 2**63 - 1),
 }
-# What of our types a field of the interface may hold.
+# protobuf type: the field type of the form that it can hold
 _TYPE_NAMES = {
     _FieldDescriptor.TYPE_STRING: "text",
     _FieldDescriptor.TYPE_BOOL: "flag",
@@ -36,14 +36,15 @@
 
 
 def _enum_prefix(enum: Any) -> str:
-    """Of an enum's names, as the style guide has it: HANDLING_ for Handling."""
+    """The prefix of the enum's value names by the protobuf style guide: HANDLING_ for Handling."""
     name = "".join(f"_{char}" if char.isupper() and index else char for index, char in enumerate(enum.name))
     return name.upper() + "_"
 
 
 def problems(message: str, fields: Mapping[str, Field]) -> list[tuple[str, str]]:
-    """(field, reason) for each field that the interface's message, such as `RunRequest.quote`, does not
-    hold as the form has it; all of the message's fields must stand in the form.
+    """(field, problem) for each field that differs between the form and the interface's message.
+
+    `message` is a path such as `RunRequest.quote`. Every field of the message must be in the form.
     """
     descriptor = _descriptor(message)
     if descriptor is None:
@@ -59,7 +60,7 @@
             result.append((name, f"{descriptor.name} has no such field"))
         elif field.type == "records":
             if descriptor_field.type != _FieldDescriptor.TYPE_MESSAGE or not descriptor_field.is_repeated:
-                result.append((name, f"{descriptor.name} holds no records there"))
+                result.append((name, f"{descriptor.name} has no repeated message there"))
             else:
                 result += [
                     (f"{name}.{inner}", problem)
@@ -82,7 +83,7 @@
                 if _enum_prefix(descriptor_field.enum_type) + choice.upper() not in enum_values
             ]
     result += [
-        (name, f"a field of {descriptor.name} that the form does not name")
+        (name, f"is a field of {descriptor.name}, but not of the form")
         for name in descriptor.fields_by_name
         if name not in fields
     ]
@@ -97,7 +98,7 @@
 
 
 class ProtobufCodec:
-    """One message, as the part of a oneof: `RunRequest.quote` is the field `quote` of RunRequest."""
+    """Codec of one member of a oneof: `RunRequest.quote` is the field `quote` of RunRequest."""
 
     def __init__(self, message: str, fields: Mapping[str, Field]) -> None:
         outer, _, self._part = message.partition(".")
@@ -117,7 +118,7 @@
         return self.read(message)
 
     def read(self, message: Message) -> Record:
-        """The record of a message that is parsed already."""
+        """The record of a parsed message; UntranslatableError if it does not fit the form."""
         if len(UnknownFieldSet(message)):
             raise UntranslatableError(WHOLE_MESSAGE, "", "holds a field that this interface does not know")
         if not message.HasField(self._part):
@@ -134,7 +135,7 @@
 
 
 class _FieldPlan:
-    """How one field is read and written."""
+    """How one field is read and written: its enum numbers, and the plans of nested fields."""
 
     __slots__ = ("name", "field", "numbers", "names", "nested")
 
@@ -159,8 +160,9 @@
 
 
 def _with_ranges(descriptor: Any, fields: Mapping[str, Field]) -> dict[str, Field]:
-    """The fields with the bounds of the interface's own types, where the form states none narrower. A time's
-    are checked when it is written, in its own unit.
+    """The fields with their bounds narrowed to the ranges of the interface's integer types.
+
+    The range of a time is checked when it is written, as it is in the form's unit only then.
     """
     bounded: dict[str, Field] = {}
     for name, field in fields.items():
--- a/pipitshed/translation/steps.py
+++ b/pipitshed/translation/steps.py
@@ -1,8 +1,7 @@
-"""Steps between neighbouring versions, and chains of them: records up and down.
+"""Steps that convert records between neighbouring versions of the form, up or down, and chains of steps.
 
-A rule stands under the name of the upper version's field and says where it comes from in the lower one. It
-works both ways: what `up` makes of a record, `down` makes into the same record again, with stated defaults
-written out.
+A rule is keyed by the upper version's field and names its source in the lower version. Rules are reversible:
+`down` turns the result of `up` into the original record again, with the rules' defaults written out.
 """
 
 from __future__ import annotations
@@ -18,25 +17,25 @@
 
 
 class Rule(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
-    """One field of the upper version."""
+    """How one field of the upper version is derived from the lower version."""
 
-    source: str = msgspec.field(default="", name="from")  # the lower version's field; none: it knows none
-    scale: int = 1  # the upper value is so many times the lower one
-    values: dict[str, str] = {}  # lower choice (or true, false): upper choice; none twice
-    default: str | int | float | bool | None = None  # upper value where the lower side tells none
-    cannot: str = ""  # why the lower version can't express the field, or be given one
-    fields: dict[str, Rule] = {}  # of records
+    source: str = msgspec.field(default="", name="from")  # the lower version's field; empty if it has none
+    scale: int = 1  # upper value / lower value
+    values: dict[str, str] = {}  # lower choice (or true, false): upper choice; each upper choice only once
+    default: str | int | float | bool | None = None  # upper value if the lower record has none
+    cannot: str = ""  # reason in errors if the lower version can't express the field, or can't provide it
+    fields: dict[str, Rule] = {}  # of nested records
 
 
 class Side(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
-    """The rules for one message, by the upper version's fields."""
+    """The rules for one message: a class's request or result."""
 
-    rules: dict[str, Rule] = {}
-    cannot: dict[str, str] = {}  # lower fields that the upper version can't express, and why
+    rules: dict[str, Rule] = {}  # by the upper version's field
+    cannot: dict[str, str] = {}  # lower field that the upper version can't express: reason
 
 
 class ClassSteps(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
-    """The step for one class."""
+    """The rules of one step for one class."""
 
     request: Side = Side()
     result: Side = Side()
@@ -47,7 +46,7 @@
 
 
 def problems(side: Side, lower: Mapping[str, Field], upper: Mapping[str, Field]) -> Iterator[tuple[str, str]]:
-    """(field, reason) for each field of either version that the rules leave out or can't carry over."""
+    """(field, problem) for each field of either version that the rules omit or can't convert."""
     targets: dict[str, str] = {}
     for name, rule in side.rules.items():
         target, source = upper.get(name), lower.get(rule.source)
@@ -59,11 +58,11 @@
                 yield name, f"comes from {rule.source!r}, which is not a field of the lower version"
                 continue
             if rule.source in targets:
-                yield name, f"{rule.source!r} goes to {targets[rule.source]!r} already"
+                yield name, f"{rule.source!r} is already the source of {targets[rule.source]!r}"
             targets[rule.source] = name
             yield from _conversion_problems(name, rule, source, target)
         elif rule.default is None and not rule.cannot:
-            yield name, "comes from nowhere: it needs `from`, `default` or `cannot`"
+            yield name, "has no source: it needs `from`, `default` or `cannot`"
         if rule.default is not None:
             yield from _default_problems(name, rule, target)
     for name, field in upper.items():
@@ -71,17 +70,17 @@
             yield name, "has no rule" + (", though the upper version requires it" if field.required else "")
     for name in lower:
         if name not in targets and name not in side.cannot:
-            yield name, "would be dropped: no rule takes it, and `cannot` gives no reason"
+            yield name, "would be dropped: no rule uses it, and `cannot` gives no reason"
     for name in side.cannot:
         if name not in lower:
             yield name, "is not a field of the lower version"
         elif name in targets:
-            yield name, f"can't be expressed, yet goes to {targets[name]!r}"
+            yield name, f"is listed in `cannot`, but is the source of {targets[name]!r}"
 
 
 def _conversion_problems(name: str, rule: Rule, source: Field, target: Field) -> Iterator[tuple[str, str]]:
     if target.required and not source.required and rule.default is None and not rule.cannot:
-        yield name, "is required by the upper version alone: it needs `default`, or `cannot` with a reason"
+        yield name, "is required only by the upper version: it needs `default`, or `cannot` with a reason"
     if rule.values:
         lower = ("true", "false") if source.type == "flag" else source.choices
         upper = ("true", "false") if target.type == "flag" else target.choices
@@ -91,12 +90,12 @@
             if new not in upper:
                 yield name, f"{new!r} is not a choice of the upper version"
         if len(set(rule.values.values())) != len(rule.values):
-            yield name, "two choices become one, and could not be told apart again"
+            yield name, "two choices become one, and can't be told apart when converted back"
     elif source.type in _NUMBER_TYPES and target.type in _NUMBER_TYPES:
         if rule.scale < 1:
-            yield name, "scale is not a whole number from 1 on"
+            yield name, "scale must be 1 or more"
     elif source.type != target.type:
-        yield name, f"{source.type} can't become {target.type}"
+        yield name, f"{source.type} can't be converted to {target.type}"
     elif source.type == "records":
         inner = Side(rule.fields, {})
         yield from (
@@ -120,11 +119,11 @@
         or (target.type == "choice" and rule.default not in target.choices)
         or (target.type == "integer" and isinstance(rule.default, bool))
     ):
-        yield name, f"{rule.default!r} is no {target.type} of the upper version"
+        yield name, f"{rule.default!r} is not a valid {target.type} of the upper version"
 
 
 class _FieldConverter:
-    """One rule, made ready."""
+    """One rule, prepared for converting values in both directions."""
 
     __slots__ = (
         "name",
@@ -237,22 +236,22 @@
 
 
 class Step:
-    """One message between two neighbouring versions."""
+    """Converts the records of one message between two neighbouring versions."""
 
     def __init__(self, side: Side, lower: Mapping[str, Field], upper: Mapping[str, Field]) -> None:
         self._converters = [_FieldConverter(name, rule, lower, upper) for name, rule in side.rules.items()]
         self._cannot = dict(side.cannot)
 
     def up(self, record: Record) -> Record:
-        """The upper version's record; UntranslatableError where it can't be expressed there."""
+        """The upper version's record; UntranslatableError if that version can't express it."""
         return _up(self._converters, self._cannot, record)
 
     def down(self, record: Record) -> Record:
-        """The lower version's record; UntranslatableError where it can't be expressed there."""
+        """The lower version's record; UntranslatableError if that version can't express it."""
         return _down(self._converters, record)
 
     def lower_name(self, field: str) -> str:
-        """The lower version's name of a field, such as `goods[2].sku`; the same where it has none."""
+        """The lower version's path of a field such as `goods[2].sku`; unchanged if it has no such field."""
         return _lower_name(self._converters, field)
 
 
@@ -274,7 +273,7 @@
 
 
 class Chain:
-    """Steps one after the other, from a lower version to an upper one."""
+    """Consecutive steps between a lower version and an upper one."""
 
     def __init__(self, steps: Sequence[Step]) -> None:
         self._steps = tuple(steps)
@@ -291,8 +290,9 @@
     def with_lower_name(
         self, error: UntranslatableError, step_count: int | None = None
     ) -> UntranslatableError:
-        """A refusal by the name that the field has below the first so many steps: who is refused knows no
-        other.
+        """The error with the field's name in the chain's lowest version: the sender knows no other name.
+
+        `step_count` is the number of steps that the record has passed; None stands for all.
         """
         field = error.field
         for step in reversed(self._steps[:step_count]):
--- a/pipitshed/translation/translator.py
+++ b/pipitshed/translation/translator.py
@@ -1,4 +1,4 @@
-"""What the program asks: a request into the forms of the planners' interfaces, a result back into its own."""
+"""Translates requests into the forms of the planners' interfaces, and results into the clients' forms."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 class TranslatedRequest:
     """One request in the form of each interface that can express it."""
 
-    bodies: dict[int, bytes] = field(default_factory=dict)  # interface: body
-    failures: dict[int, UntranslatableError] = field(default_factory=dict)  # interface: why it can't
+    bodies: dict[int, bytes] = field(default_factory=dict)  # by interface
+    failures: dict[int, UntranslatableError] = field(default_factory=dict)  # by interface
 
 
-# What HTTP headers and gRPC metadata carry unchanged: visible ASCII, with spaces inside alone.
+# Values that HTTP headers and gRPC metadata carry unchanged: visible ASCII, and spaces except at the ends.
 _HEADER_SAFE = re.compile(r"[!-~]([ -~]*[!-~])?")
 
 
 class Translator:
-    """All codecs and chains of one translation file, made once."""
+    """The codecs and chains of one translation file, built at the start for all classes and versions."""
 
     def __init__(self, file: TranslationFile, classes: Sequence[str]) -> None:
         self._classes = classes
@@ -84,21 +84,21 @@
     # ---- requests
 
     def prepare(self, request: Request) -> TranslatedRequest:
-        """The request's body for each interface, or why there is none."""
+        """Translate a client's request into the form of every interface, or give the error by interface."""
         for name, value in [
             ("id", request.id),
             ("key", request.idempotency_key),
             ("tenant", request.tenant_name),
         ]:
             if value and not _HEADER_SAFE.fullmatch(value):
-                # Guards the key above all: with characters left out, two keys could become one.
+                # Dropping characters instead could make two idempotency keys equal.
                 error = UntranslatableError(name, value, "holds what neither a header nor metadata can carry")
                 return TranslatedRequest(failures=dict.fromkeys(self.interfaces, error))
         form = self.clients.http if request.form_version is None else request.form_version
         return self.bodies(form, self._classes[request.job_class], request.body, self.interfaces)
 
     def answer(self, request: Request, interface: int, result: bytes) -> bytes | UntranslatableError:
-        """A planner's result in the form of the request's client."""
+        """A planner's result in the form of the request's client, or the error."""
         form = self.clients.http if request.form_version is None else request.form_version
         try:
             return self.result(form, self._classes[request.job_class], interface, result)
@@ -106,14 +106,14 @@
             return error
 
     def bodies(self, form: int, job_class: str, body: bytes, interfaces: Iterable[int]) -> TranslatedRequest:
-        """The body for each of these interfaces, or why there is none. In its own form it goes unchanged."""
+        """Translate a body for each of these interfaces. A body in an interface's own form is not parsed."""
         prepared = TranslatedRequest()
         record: Record | None = None
         for interface in interfaces:
             target = self.interfaces[interface]
             try:
                 if target == form:
-                    # Unread, as it always was: what its own side makes of it is the planner's matter.
+                    # Passed through unparsed: the planner validates messages in its own form.
                     prepared.bodies[interface] = body
                     continue
                 if record is None:
@@ -124,7 +124,7 @@
         return prepared
 
     def _encode_request(self, record: Record, form: int, target: int, job_class: str) -> bytes:
-        """A request's record in another form; a refusal names the field as its own form does."""
+        """Encode a request's record in another form; an error names the field as the sender's form does."""
         converted = self._convert_record(record, form, target, job_class, True)
         try:
             return self._request(target, job_class).encode(converted)
@@ -153,7 +153,7 @@
         return chain.up(record) if form < target else chain.down(record)
 
     def convert(self, source: int, target: int, job_class: str, data: bytes, request: bool = True) -> bytes:
-        """One message from a version into another; UntranslatableError where it can't be."""
+        """Convert one message between versions; UntranslatableError if that is not possible."""
         if request and (target, job_class) in self._requests:
             return self._encode_request(
                 self._request(source, job_class).decode(data), source, target, job_class
@@ -169,7 +169,7 @@
     # ---- results
 
     def result(self, form: int, job_class: str, interface: int, data: bytes) -> bytes:
-        """A planner's result in its client's form; UntranslatableError where that can't express it."""
+        """A planner's result in the client's form; UntranslatableError if the form can't express it."""
         source = self.interfaces[interface]
         if source == form:
             return data
@@ -185,16 +185,17 @@
             self._convert_record(source_codec.decode(data), source, form, job_class, False)
         )
 
-    # ---- the envelope of clients that carry it in the body
+    # ---- clients' forms, and envelopes that are carried in the body
 
     def client_form(self, content_type: str) -> int:
-        """The form in which an HTTP client speaks."""
+        """The version of the form that an HTTP client uses, by its content type."""
         media_type = content_type.partition(";")[0].strip().lower()
         return self.clients.content_types.get(media_type, self.clients.http)
 
     def envelope(self, form: int, body: bytes) -> dict[str, str]:
-        """What the body tells of id, class, tenant, key and deadline, where this form has them there.
-        UntranslatableError where one is told twice.
+        """The id, class, tenant, key and deadline, as far as this form carries them in the body.
+
+        UntranslatableError if one of them is repeated.
         """
         names_by_field = {
             carrier.removeprefix("field:"): name
--- a/pipitshed/translation/values.py
+++ b/pipitshed/translation/values.py
@@ -1,6 +1,6 @@
-"""Typed fields and their values, as they stand between forms.
+"""The field types of message forms, and the values of records while they are translated.
 
-| type      | value between forms                    |
+| type      | value in a record                      |
 | --------- | -------------------------------------- |
 | `text`    | str                                    |
 | `integer` | int                                    |
@@ -23,13 +23,13 @@
 
 Record = dict[str, Any]
 TimeUnit = Literal["rfc3339", "unix-s", "unix-ms"]
-MAX_SHOWN_CHARS = 64  # characters of a value that a refusal names
+MAX_SHOWN_CHARS = 64  # of a value in an error
 _MICROSECONDS_PER_UNIT = {"unix-s": 1_000_000, "unix-ms": 1_000}
 _INTEGER = re.compile(r"-?(0|[1-9][0-9]{0,18})")
 _DECIMAL = re.compile(r"-?(0|[1-9][0-9]{0,18})(\.[0-9]{1,12})?")
 _RFC3339 = re.compile(r"(\d{4}-\d\d-\d\d[Tt]\d\d:\d\d:\d\d)(\.\d{1,6})?([Zz]|[+-]\d\d:\d\d)")
-_MAX_DIGITS = 40  # of a decimal, all told
-# Nothing is rounded on the way: what would be raises instead.
+_MAX_DIGITS = 40  # of a decimal, before and after the point together
+# Values are never rounded: an operation that would round raises Inexact.
 EXACT = Context(prec=80, Emax=999_999, Emin=-999_999, traps=[Inexact, InvalidOperation])
 _SURROGATE = re.compile("[\ud800-\udfff]")
 _EPOCH = datetime.datetime(1970, 1, 1, tzinfo=datetime.UTC)
@@ -37,7 +37,7 @@
 
 
 class UntranslatableError(ValueError):
-    """A message that a form or a step can't express: a final answer, never a guess."""
+    """A form or a step can't express a message. The job is refused for good; nothing is approximated."""
 
     def __init__(self, field: str, value: object, reason: str) -> None:
         self.field = field
@@ -46,12 +46,12 @@
         super().__init__(f"{field}: {reason}")
 
     def within(self, path: str) -> UntranslatableError:
-        """The same, of a field of a nested record."""
+        """The same error for a field of the nested record at this path."""
         return UntranslatableError(f"{path}.{self.field}", self.value, self.reason)
 
 
 def excerpt(value: object) -> str:
-    """A value as a refusal names it: short and printable."""
+    """A value shortened to MAX_SHOWN_CHARS printable characters, for errors."""
     text = value if isinstance(value, str) else str(value)
     text = "".join(
         char if char.isprintable() else "\N{REPLACEMENT CHARACTER}" for char in text[: MAX_SHOWN_CHARS + 1]
@@ -60,21 +60,21 @@
 
 
 class Field(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
-    """One field of a form; bounds are inclusive."""
+    """The type and the bounds of one field of a form; bounds are inclusive."""
 
     type: Literal["text", "integer", "decimal", "flag", "time", "choice", "texts", "records"]
     required: bool = False
     least: int | None = None
     most: int | None = None
-    places: int = 6  # of a decimal, behind its point
-    longest: int = 4096  # characters of a text
+    places: int = 6  # of a decimal, after the point
+    longest: int = 4096  # of a text, in characters
     unit: TimeUnit = "rfc3339"
     choices: tuple[str, ...] = ()
-    fields: dict[str, Field] = {}  # of records
+    fields: dict[str, Field] = {}  # of nested records
 
 
 def check(name: str, field: Field, value: Any) -> Any:
-    """The value, if the field can hold it; UntranslatableError where it can't."""
+    """Return the value if the field can hold it; otherwise raise UntranslatableError."""
     kind = field.type
     if kind == "text":
         if not isinstance(value, str):
@@ -127,7 +127,10 @@
 
 
 def check_record(fields: dict[str, Field], record: Any, path: str = "") -> Record:
-    """The record, if it has the fields it must have, no other, and each in its bounds."""
+    """Return the record if it has all required fields and no unknown ones, each within its bounds.
+
+    Raises UntranslatableError otherwise.
+    """
     prefix = f"{path}." if path else ""
     if not isinstance(record, dict):
         raise UntranslatableError(path or "the message", record, "is not a record")
@@ -142,7 +145,7 @@
     return record
 
 
-# ---- values as text, for forms that have nothing else
+# ---- values as text, for form-encoded messages
 
 
 def parse(name: str, field: Field, text: str) -> Any:
@@ -169,7 +172,7 @@
 
 
 def render(name: str, field: Field, value: Any) -> str:
-    """The text of a value that `parse` reads again as the same."""
+    """The text of a value; `parse` turns it into the same value again."""
     if field.type == "flag":
         return "1" if value else "0"
     if field.type == "decimal":
@@ -180,7 +183,7 @@
 
 
 def parse_time(name: str, field: Field, value: Any) -> int:
-    """Microseconds of Unix time from a form's own unit."""
+    """Convert a time from the form's unit to microseconds of Unix time."""
     if field.unit == "rfc3339":
         match = _RFC3339.fullmatch(value) if isinstance(value, str) else None
         if match is None:
@@ -203,7 +206,10 @@
 
 
 def render_time(name: str, field: Field, value: int) -> str | int:
-    """A time in a form's own unit; UntranslatableError where it is finer or farther than that."""
+    """Convert microseconds of Unix time to the form's unit.
+
+    Raises UntranslatableError if the unit is too coarse for the time, or the time is out of its range.
+    """
     if field.unit == "rfc3339":
         try:
             moment = _EPOCH + value * _MICROSECOND
