--- a/tests/test_translation.py
+++ b/tests/test_translation.py
@@ -1,5 +1,8 @@
-"""Forms and steps: what can be expressed comes back the same, all else is refused by its field, and a file
-that would lose anything is turned down by its line."""
+"""Translation between versions of the message form.
+
+Messages that both versions can express survive a round trip; all others are rejected with the field's name. A
+translation file that would lose data is rejected with its line.
+"""
 
 import json
 from datetime import UTC, datetime, timedelta
@@ -21,73 +24,73 @@
 FILE = read(FORMS)
 TRANSLATOR = Translator(FILE, ["quote", "book"])
 
-places = st.text(st.characters(codec="utf-8", exclude_categories=["Cs"]), max_size=32)
-kilos = st.decimals(0, 10**9, places=3).map(lambda value: value.normalize())
-moments = st.datetimes(datetime(1970, 1, 1), datetime(9999, 12, 31)).map(
+texts = st.text(st.characters(codec="utf-8", exclude_categories=["Cs"]), max_size=32)
+weights_kg = st.decimals(0, 10**9, places=3).map(lambda value: value.normalize())
+times = st.datetimes(datetime(1970, 1, 1), datetime(9999, 12, 31)).map(
     lambda value: value.replace(microsecond=value.microsecond // 1000 * 1000, tzinfo=UTC)
 )
 goods = st.lists(
-    st.fixed_dictionaries({"sku": places, "count": st.integers(1, 2**32 - 1)}), min_size=1, max_size=4
+    st.fixed_dictionaries({"sku": texts, "count": st.integers(1, 2**32 - 1)}), min_size=1, max_size=4
 )
-jobs = st.fixed_dictionaries(
-    {"origin": places, "destination": places, "pallets": st.integers(1, 2**32 - 1)},
+jobs_v1 = st.fixed_dictionaries(
+    {"origin": texts, "destination": texts, "pallets": st.integers(1, 2**32 - 1)},
     optional={
-        "weight_kg": kilos,
-        "cutoff": moments,
+        "weight_kg": weights_kg,
+        "cutoff": times,
         "fragile": st.booleans(),
-        "remark": places,
+        "remark": texts,
         "goods": goods,
     },
 )
-oldest = st.fixed_dictionaries(
-    {"from": places, "to": places, "plts": st.integers(1, 999)},
+jobs_v0 = st.fixed_dictionaries(
+    {"from": texts, "to": texts, "plts": st.integers(1, 999)},
     optional={
         "kg": st.decimals(0, 10**6, places=1),
         "by": st.integers(0, 253402300799),
         "frag": st.sampled_from([0, 1]),
-        "rem": places,
+        "rem": texts,
     },
 )
 
 
 def as_json(job: dict[str, Any]) -> bytes:
-    told = dict(job)
-    if "cutoff" in told:
-        told["cutoff"] = told["cutoff"].isoformat().replace("+00:00", "Z")
-    weight = told.pop("weight_kg", None)
-    text = json.dumps(told, ensure_ascii=False)
-    if weight is not None:  # exactly, and in plain digits
+    fields = dict(job)
+    if "cutoff" in fields:
+        fields["cutoff"] = fields["cutoff"].isoformat().replace("+00:00", "Z")
+    weight = fields.pop("weight_kg", None)
+    text = json.dumps(fields, ensure_ascii=False)
+    if weight is not None:  # json.dumps would write a float, which is not exact
         text = text[:-1] + f', "weight_kg": {weight:f}}}'
     return text.encode()
 
 
-@given(jobs, st.sampled_from(["quote", "book"]))
-def test_version_1_comes_back_the_same_after_up_and_down(job: dict[str, Any], job_class: str) -> None:
-    up = TRANSLATOR.convert(1, 2, job_class, as_json(job))
-    told = getattr(pb.RunRequest.FromString(up), job_class)
-    assert (told.origin, told.pallets) == (job["origin"], job["pallets"])
-    assert told.weight_g == job.get("weight_kg", 0) * 1000
-    back = json.loads(TRANSLATOR.convert(2, 1, job_class, up), parse_float=Decimal, parse_int=int)
-    if "cutoff" in back:
-        back["cutoff"] = datetime.fromisoformat(back["cutoff"])
-    assert back == job
+@given(jobs_v1, st.sampled_from(["quote", "book"]))
+def test_version_1_survives_conversion_up_and_down(job: dict[str, Any], job_class: str) -> None:
+    upper = TRANSLATOR.convert(1, 2, job_class, as_json(job))
+    upper_job = getattr(pb.RunRequest.FromString(upper), job_class)
+    assert (upper_job.origin, upper_job.pallets) == (job["origin"], job["pallets"])
+    assert upper_job.weight_g == job.get("weight_kg", 0) * 1000
+    round_trip = json.loads(TRANSLATOR.convert(2, 1, job_class, upper), parse_float=Decimal, parse_int=int)
+    if "cutoff" in round_trip:
+        round_trip["cutoff"] = datetime.fromisoformat(round_trip["cutoff"])
+    assert round_trip == job
 
 
-@given(oldest, st.sampled_from(["quote", "book"]))
-def test_version_0_comes_back_the_same_over_two_steps(job: dict[str, Any], job_class: str) -> None:
+@given(jobs_v0, st.sampled_from(["quote", "book"]))
+def test_version_0_survives_conversion_over_two_steps(job: dict[str, Any], job_class: str) -> None:
     text = urlencode(
         {name: f"{value:f}" if isinstance(value, Decimal) else value for name, value in job.items()}
     )
-    up = TRANSLATOR.convert(0, 2, job_class, text.encode())
-    back = dict(parse_qsl(TRANSLATOR.convert(2, 0, job_class, up).decode(), keep_blank_values=True))
-    assert {name: Decimal(value) if name == "kg" else value for name, value in back.items()} == {
+    upper = TRANSLATOR.convert(0, 2, job_class, text.encode())
+    round_trip = dict(parse_qsl(TRANSLATOR.convert(2, 0, job_class, upper).decode(), keep_blank_values=True))
+    assert {name: Decimal(value) if name == "kg" else value for name, value in round_trip.items()} == {
         name: value if name == "kg" else str(value) for name, value in job.items()
     }
 
 
 @settings(max_examples=300)
 @given(
-    jobs,
+    jobs_v1,
     st.sampled_from(
         [
             ("pallets", 0),
@@ -116,32 +119,32 @@
         ]
     ),
 )
-def test_what_cannot_be_expressed_is_refused_by_its_field(
-    job: dict[str, Any], wrong: tuple[str, Any]
+def test_inexpressible_values_are_rejected_by_field_name(
+    job: dict[str, Any], change: tuple[str, Any]
 ) -> None:
-    name, value = wrong
-    told = json.loads(as_json(job)) | {name: value}
+    name, value = change
+    changed = json.loads(as_json(job)) | {name: value}
     with pytest.raises(UntranslatableError) as caught:
-        TRANSLATOR.convert(1, 2, "quote", json.dumps(told).encode())
+        TRANSLATOR.convert(1, 2, "quote", json.dumps(changed).encode())
     assert caught.value.field.partition("[")[0] == name or caught.value.reason == "is not UTF-8"
     assert caught.value.reason and len(caught.value.value) <= 65
 
 
 @given(st.binary(max_size=200), st.sampled_from([0, 1, 2]), st.sampled_from([0, 1, 2]), st.booleans())
-def test_any_bytes_are_translated_or_refused(data: bytes, source: int, target: int, request: bool) -> None:
+def test_any_bytes_are_translated_or_rejected(data: bytes, source: int, target: int, request: bool) -> None:
     try:
         TRANSLATOR.convert(source, target, "quote", data, request)
-    except UntranslatableError as unfit:
-        assert unfit.field and unfit.reason
+    except UntranslatableError as error:
+        assert error.field and error.reason
 
 
 @given(st.text(max_size=20), st.text(max_size=20), st.text(max_size=20))
-def test_the_envelope_is_carried_whole_or_refused(number: str, key: str, tenant: str) -> None:
-    """No character of an id, a key or a tenant is left out, so no two keys become one."""
+def test_envelope_is_carried_unchanged_or_rejected(request_id: str, key: str, tenant: str) -> None:
+    """No character of an id, a key or a tenant is dropped; otherwise two keys could become equal."""
     prepared = TRANSLATOR.prepare(
-        Request(number, 0, 1000.0, 0, b"{}", key, tenant_name=tenant, form_version=1)
+        Request(request_id, 0, 1000.0, 0, b"{}", key, tenant_name=tenant, form_version=1)
     )
-    for name, value in [("id", number), ("key", key), ("tenant", tenant)]:
+    for name, value in [("id", request_id), ("key", key), ("tenant", tenant)]:
         carried = all(" " <= char <= "~" for char in value) and value == value.strip()
         if not carried:
             assert not prepared.bodies and prepared.failures[1].field in ("id", "key", "tenant"), name
@@ -149,13 +152,13 @@
 
 def test_unknown_protobuf_fields_and_choices_are_not_dropped() -> None:
     offer = pb.Offer(price_cents=1, departs_ms=0)
-    known = pb.Done(offer=offer).SerializeToString()
-    assert TRANSLATOR.result(1, "quote", 2, known) == b'{"price":0.01,"departs":"1970-01-01T00:00:00Z"}'
-    inner = offer.SerializeToString() + b"\x98\x06\x07"  # a field 99
+    message = pb.Done(offer=offer).SerializeToString()
+    assert TRANSLATOR.result(1, "quote", 2, message) == b'{"price":0.01,"departs":"1970-01-01T00:00:00Z"}'
+    offer_with_unknown_field = offer.SerializeToString() + b"\x98\x06\x07"  # field number 99
     for data, field in [
-        (known + b"\x98\x06\x07", "the message"),
-        (b"\x0a" + bytes([len(inner)]) + inner, "the message"),
-        (known + b"\x0a\x02\x18\x09", "lane"),
+        (message + b"\x98\x06\x07", "the message"),
+        (b"\x0a" + bytes([len(offer_with_unknown_field)]) + offer_with_unknown_field, "the message"),
+        (message + b"\x0a\x02\x18\x09", "lane"),
         (pb.Done(booking=pb.Booking()).SerializeToString(), "offer"),
         (pb.Done(offer=pb.Offer(departs_ms=0)).SerializeToString(), "price_cents"),
         (b"\xff\xff", "the message"),
@@ -165,14 +168,16 @@
         assert caught.value.field == field, data
 
 
-def test_times_keep_their_zone_and_are_never_rounded() -> None:
+def test_times_respect_their_zone_and_are_not_rounded() -> None:
     body = b'{"origin":"a","destination":"b","pallets":1,"cutoff":"2026-12-01T10:00:00.250-05:00"}'
-    told = pb.RunRequest.FromString(TRANSLATOR.convert(1, 2, "quote", body)).quote.cutoff_ms
-    assert timedelta(milliseconds=told) + datetime(1970, 1, 1) == datetime(2026, 12, 1, 15, 0, 0, 250_000)
+    cutoff_ms = pb.RunRequest.FromString(TRANSLATOR.convert(1, 2, "quote", body)).quote.cutoff_ms
+    assert timedelta(milliseconds=cutoff_ms) + datetime(1970, 1, 1) == datetime(
+        2026, 12, 1, 15, 0, 0, 250_000
+    )
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "what"),
+    ("old", "new", "message"),
     [
         ('key = "field:key"\n', "", "no place for the key"),
         ('tenant = "header:x-tenant"\n', "", "no place for the tenant"),
@@ -198,14 +203,14 @@
         ("[interfaces]", "[interfaces", "line"),
     ],
 )
-def test_a_file_that_would_lose_anything_is_turned_down_by_its_line(old: str, new: str, what: str) -> None:
+def test_file_that_would_lose_data_is_rejected_with_the_problem(old: str, new: str, message: str) -> None:
     assert old in FORMS
     with pytest.raises(TranslationError) as caught:
         read(FORMS.replace(old, new, 1))
-    assert what in str(caught.value), str(caught.value)
+    assert message in str(caught.value), str(caught.value)
 
 
-def test_the_line_is_the_one_at_fault() -> None:
+def test_problem_names_the_line_at_fault() -> None:
     text = FORMS.replace('dock = { default = "any" }', "dock = { default = 3 }")
     line = text.splitlines().index("dock = { default = 3 }") + 1
     with pytest.raises(TranslationError) as caught:
@@ -213,7 +218,7 @@
     assert str(caught.value).startswith(f"line {line}: step 1 to 2: classes.book.request.rules.dock")
 
 
-def test_a_step_may_not_touch_the_envelope() -> None:
+def test_step_must_not_change_the_envelope() -> None:
     text = FORMS.replace(
         "[steps.classes.book.request.cannot]\nhazard",
         '[steps.classes.book.request.cannot]\nidempotency-key = "none"\nhazard',
@@ -226,7 +231,7 @@
         read(text)
 
 
-def test_a_field_that_only_the_new_side_requires_is_refused_by_name_where_no_default_is_stated() -> None:
+def test_missing_field_without_default_is_rejected_by_name() -> None:
     forms = read(
         FORMS.replace('dock = { default = "any" }', 'dock = { cannot = "old terminals know no docks" }')
     )
@@ -237,8 +242,8 @@
     assert (caught.value.field, caught.value.reason) == ("dock", "old terminals know no docks")
 
 
-def test_a_refusal_names_the_field_as_its_client_does() -> None:
-    """Over two steps: what the newest form can't hold is told by the oldest one's name."""
+def test_rejection_names_the_field_as_the_client_does() -> None:
+    """A value that the newest form can't hold is named as in the oldest form, across two steps."""
     old, new = 'weight_g = { type = "integer" }', 'weight_g = { type = "integer", most = 5 }'
     forms = read(FORMS.replace(old, new))
     with pytest.raises(UntranslatableError) as caught:
