--- a/pipitshed/placement/learn.py
+++ b/pipitshed/placement/learn.py
@@ -44,8 +44,8 @@
 
     speed: dict[str, Estimate]
     work: dict[str, Estimate]  # s at speed 1, by class
-    rate: dict[str, Estimate]  # jobs a second, by class and tenant
-    skipped: int  # number of lines that are no attempt that served its job
+    rate: dict[str, Estimate]  # jobs per second, by class and tenant
+    skipped: int  # number of lines that don't report a successful attempt
 
 
 _decode = msgspec.json.Decoder(_Line).decode
--- a/pipitshed/placement/solve.py
+++ b/pipitshed/placement/solve.py
@@ -10,8 +10,8 @@
 from pipitshed.placement.model import Fleet, Group, Planner, groups, work_by_tenant
 from pipitshed.placement.program import INFINITY, Program, Row, Solver, smallest_conflict
 
-EXACT_COLUMNS = 64  # larger programs are solved in fractions instead of whole units
-EXACT_UNITS = 64
+EXACT_COLUMNS = 64  # programs with more columns are solved in fractions instead of whole units
+EXACT_UNITS = 64  # and so are fleets with more units
 ALIKE_MIN_PLANNERS = 200  # fleets of this size merge planners whose figures differ by up to ALIKE_TOLERANCE
 ALIKE_TOLERANCE = 0.02
 MAX_SEPARATE_PARTS = 2000  # above it, all planners of a zone that can hold the same jobs share one column
@@ -276,6 +276,7 @@
         },
     ]
     goals.append(_add_movement(reduced, program, parts, before, units) if before is not None else {})
+    # The last goal breaks ties: its distinct coefficients make the solver choose one of several equal plans.
     golden = (math.sqrt(5) - 1) / 2
     goals.append(
         {
