--- a/benchmarks/placement_proof.py
+++ b/benchmarks/placement_proof.py
@@ -15,7 +15,7 @@
 
 import click
 
-from pipitshed.placement.brute import MOST, count, search
+from pipitshed.placement.brute import MAX_PLANS, plan_count, search
 from pipitshed.placement.model import Constraints, Demand, Fleet, Floor, Planner, groups
 from pipitshed.placement.program import Solver
 from pipitshed.placement.score import score
@@ -75,7 +75,7 @@
     ]
     floors = (Floor("x", rng.choice([0.2, 0.5])),) if rng.random() < 0.2 else ()
     units = 8
-    while count(units, size, classes) > MOST // 40:
+    while plan_count(units, size, classes) > MAX_PLANS // 40:
         units -= 1
     return Fleet(
         planners,
@@ -102,8 +102,8 @@
     if best is None:
         return _smallest(seed, fleet, list(answer.conflict), answer.relaxed)
     judged = score(fleet, answer.parts or {}, answer.units, before)
-    if judged.broken:
-        return "fault", f"seed {seed}: broken {judged.broken}"
+    if judged.violations:
+        return "fault", f"seed {seed}: broken {judged.violations}"
     for ours, theirs in zip(judged.vector(), best[1].vector(), strict=True):
         if abs(ours - theirs) > CLOSE * max(1.0, abs(theirs)):
             return "fault", f"seed {seed}: {judged.vector()} against {best[1].vector()}"
--- a/pipitshed/cli/place.py
+++ b/pipitshed/cli/place.py
@@ -15,9 +15,9 @@
 from pipitshed.placement.explain import explain as explain_resources
 from pipitshed.placement.learn import learn as learn_from_lines
 from pipitshed.placement.model import Fleet, FleetError, read
-from pipitshed.placement.plan import Place, Plan, PlanError
+from pipitshed.placement.plan import Plan, PlanError, PlannerEntry
 from pipitshed.placement.score import capacity, score
-from pipitshed.placement.solve import GOALS, Answer, solve
+from pipitshed.placement.solve import GOALS, SolveResult, solve
 
 EXIT_CONSTRAINT_BROKEN = 1
 LEAST_SHOWN_MOVE = 1e-12  # smaller differences of fractions are rounding errors
@@ -71,7 +71,7 @@
         fail("the constraints can't all be met: `place solve` names the conflict")
     click.echo(f"{'planner':<20} {'resource':<8} {'use':>7}  worst use falls, by one more")
     for row in [row for row in rows if planner in (None, row.planner)][:max_rows]:
-        gain = f"{row.one_more:.5f}" if row.binds else "-"
+        gain = f"{row.gain_per_unit:.5f}" if row.binds else "-"
         click.echo(f"{row.planner:<20} {row.resource:<8} {row.use:>7.3f}  {gain}")
 
 
@@ -96,9 +96,9 @@
     result = score(model, checked.parts, checked.units)
     for name, value in zip(GOALS, result.vector(), strict=True):
         click.echo(f"{name:<12} {value:.6g}")
-    for name, excess in sorted(result.broken.items()):
+    for name, excess in sorted(result.violations.items()):
         click.echo(f"broken: {name}, by {excess:.4g}")
-    sys.exit(EXIT_CONSTRAINT_BROKEN if result.broken else 0)
+    sys.exit(EXIT_CONSTRAINT_BROKEN if result.violations else 0)
 
 
 @place.command("learn")
@@ -123,7 +123,9 @@
         fail(f"{path}: {error}")
 
 
-def _make_plan(fleet: Fleet, answer: Answer, parts: dict[str, dict[str, int]], current: Plan | None) -> Plan:
+def _make_plan(
+    fleet: Fleet, answer: SolveResult, parts: dict[str, dict[str, int]], current: Plan | None
+) -> Plan:
     """The plan of the solver's answer, numbered after the current one."""
     result = score(fleet, parts, answer.units, current.parts if current is not None else None)
     return Plan(
@@ -132,11 +134,11 @@
         time.time(),
         fleet.life_s,
         answer.units,
-        {worker.id: Place(worker.zone, worker.model, capacity(worker)) for worker in fleet.planners},
+        {worker.id: PlannerEntry(worker.zone, worker.model, capacity(worker)) for worker in fleet.planners},
         parts,
         dict(zip(GOALS, result.vector(), strict=True)),
         answer.exact,
-        max(0.0, result.worst - answer.goals[0]) if answer.goals else 0.0,
+        max(0.0, result.worst_use - answer.goals[0]) if answer.goals else 0.0,
         answer.relaxed,
     )
 
--- a/pipitshed/placement/explain.py
+++ b/pipitshed/placement/explain.py
@@ -1,4 +1,4 @@
-"""What binds in a plan, and what one more core or slot would be worth there: the duals of its worst use."""
+"""Which resources bind in a plan, and the value of one more core or slot: the duals of the worst use."""
 
 from __future__ import annotations
 
@@ -8,52 +8,58 @@
 from pipitshed.placement.program import Solver
 from pipitshed.placement.solve import RESOURCES, build
 
-BINDS = 1e-6
+MIN_DUAL = 1e-6  # smaller duals are rounding errors
 
 
 @dataclass
-class Worth:
-    """One resource of one planner, or of each of several that are alike."""
+class ResourceValue:
+    """One resource of one planner, or of each planner of a kind."""
 
     planner: str
     resource: str
-    use: float  # part of its cap
+    use: float  # as a fraction of what the planner's cap allows
     binds: bool
-    one_more: float  # by which the worst use falls with one more core, slot or unit of memory there
+    gain_per_unit: float  # decrease of the worst use for one more core, slot or unit of memory there
 
 
-def explain(fleet: Fleet) -> list[Worth]:
-    """All resources, the most valuable first. The use is that of the linear program's best; the worth follows
-    from its duals: a row's use is load over capacity, so one more of n changes it by use / n. Empty in a
-    conflict.
+def explain(fleet: Fleet) -> list[ResourceValue]:
+    """All resources, the most valuable first; empty if the constraints are in conflict.
+
+    The use is that of the linear program's optimum. The gain follows from its duals: a row's use is load over
+    capacity, so one more of n units changes the use by use / n.
     """
     built = build(fleet, whole=False)
     solution = Solver(built.program).solve(built.goals[:1])
     if solution is None:
         return []
-    found: dict[tuple[int, str], Worth] = {}
-    used: dict[int, tuple[int, str]] = {}  # the column of a use: whose it is
-    for number, (kind, resource) in built.use_rows.items():
-        [column] = [one for one in built.program.rows[number].terms if one != built.worst]
-        used[column] = kind, resource
-        planner = built.shape.kinds[kind].planners[0]
-        found[kind, resource] = Worth(planner.id, resource, float(solution.values[column]), False, 0.0)
+    values: dict[tuple[int, str], ResourceValue] = {}
+    use_columns: dict[int, tuple[int, str]] = {}  # column: the kind and the resource whose use it holds
+    for row_index, (kind_index, resource) in built.use_rows.items():
+        [column] = [other for other in built.program.rows[row_index].terms if other != built.worst_use_column]
+        use_columns[column] = kind_index, resource
+        planner = built.reduced.kinds[kind_index].planners[0]
+        values[kind_index, resource] = ResourceValue(
+            planner.id, resource, float(solution.values[column]), False, 0.0
+        )
     for row, dual in zip(built.program.rows, solution.duals, strict=False):
-        if abs(dual) < BINDS or built.worst not in row.terms:
+        if abs(dual) < MIN_DUAL or built.worst_use_column not in row.terms:
             continue
         for column in row.terms:
-            if column not in used:
+            if column not in use_columns:
                 continue
-            kind, resource = used[column]
-            worth = found[kind, resource]
-            planner = built.shape.kinds[kind].planners[0]
+            kind_index, resource = use_columns[column]
+            resource_value = values[kind_index, resource]
+            planner = built.reduced.kinds[kind_index].planners[0]
             amount = {"cores": planner.cores, "slots": planner.slots, "memory": planner.memory}[resource]
             total = sum(
-                float(solution.values[one]) * value / row.terms[column]
-                for one, value in row.terms.items()
-                if one != built.worst
+                float(solution.values[other]) * value / row.terms[column]
+                for other, value in row.terms.items()
+                if other != built.worst_use_column
             )
-            worth.binds = True
-            worth.one_more += abs(float(dual)) * total / amount
-    order = {name: place for place, name in enumerate(RESOURCES)}
-    return sorted(found.values(), key=lambda one: (-one.one_more, -one.use, one.planner, order[one.resource]))
+            resource_value.binds = True
+            resource_value.gain_per_unit += abs(float(dual)) * total / amount
+    order = {name: position for position, name in enumerate(RESOURCES)}
+    return sorted(
+        values.values(),
+        key=lambda entry: (-entry.gain_per_unit, -entry.use, entry.planner, order[entry.resource]),
+    )
--- a/pipitshed/placement/follow.py
+++ b/pipitshed/placement/follow.py
@@ -1,7 +1,8 @@
-"""Route table and plan in, weights out: what a scheduler follows, without I/O and without the solver.
+"""Computes the weights by which a scheduler follows a plan; no I/O, and no import of the solver.
 
-A weight is a planner's part of the zone's jobs of one class, per hundred thousand. Between plans, and as
-planners come and go, weights are eased: no step shifts more than STEP of a class's load.
+A weight is a planner's fraction of the zone's jobs of one class, times 100,000. When the plan or the set of
+ready planners changes, the weights approach the new values in steps; no step shifts more than
+MAX_LOAD_SHIFT_PER_STEP of a class's load.
 """
 
 from __future__ import annotations
@@ -12,119 +13,151 @@
 from pipitshed.placement.plan import Plan, PlanError
 from pipitshed.scheduling.events import EndpointEntry, EndpointState, WorkerId
 
-SCALE = 100_000.0
-STEP = 0.1  # part of a class's load that one step may shift
-EVERY = 1.0  # s between steps
+WEIGHT_SCALE = 100_000.0
+MAX_LOAD_SHIFT_PER_STEP = 0.1  # as a fraction of one class's load
+STEP_INTERVAL_S = 1.0
 
 Weights = dict[WorkerId, tuple[float, ...]]
 
 
 @dataclass
 class Follower:
-    """The plan in force and how far it is eased in."""
+    """The current plan, and the fractions of each class's load that are in effect."""
 
     zone: str
-    classes: Sequence[str]  # by number; one that was changed stands here again by the same name
-    cold: float = 0.0  # ms for which a planner that has just started is cold
+    classes: Sequence[str]  # names by class number; a changed class has a second number with the same name
+    slow_start_ms: float = 0.0  # time after its start during which a planner counts as cold
     plan: Plan | None = None
-    _eased: dict[str, dict[WorkerId, float]] = field(default_factory=dict)  # by class: parts in force
-    moving: bool = False  # the last step did not come to the plan's own parts yet
+    _fractions: dict[str, dict[WorkerId, float]] = field(default_factory=dict)  # by class; now in effect
+    in_transition: bool = False  # whether the last step did not yet reach the plan's fractions
 
     def offer(self, plan: Plan, now: float, listed: Iterable[EndpointEntry]) -> None:
-        """Take a plan whole; PlanError with the reason, and the one in force stands. `now`: Unix time, s."""
+        """Adopt a plan. If it can't be used, raise PlanError with the reason and keep the current plan.
+
+        `now` is Unix time in s.
+        """
         if self.plan is not None and plan.number < self.plan.number:
-            raise PlanError(f"is number {plan.number}, older than {self.plan.number} in force")
+            raise PlanError(f"has number {plan.number}, older than {self.plan.number} of the current plan")
         if now > plan.made + plan.life_s:
-            raise PlanError("has outlived its life")
+            raise PlanError("has expired")
         if not any(group.startswith(f"{self.zone}/") for group in plan.parts):
-            raise PlanError(f"has nothing for zone {self.zone}")
-        known = {entry.worker.decode() for entry in listed if entry.state is not EndpointState.REMOVED}
-        used = {
+            raise PlanError(f"places no jobs of zone {self.zone}")
+        listed_planners = {
+            entry.worker.decode() for entry in listed if entry.state is not EndpointState.REMOVED
+        }
+        used_planners = {
             name
-            for group, held in plan.parts.items()
-            for name, units in held.items()
+            for group, units_by_planner in plan.parts.items()
+            for name, units in units_by_planner.items()
             if units and group.startswith(f"{self.zone}/")
         }
-        if known and not known & used:
-            raise PlanError("is for another fleet: no planner that it uses is listed")
+        if listed_planners and not listed_planners & used_planners:
+            raise PlanError("is for another fleet: it uses no planner of the endpoint list")
         self.plan = plan
 
     def weights(self, entries: Iterable[EndpointEntry], now: float) -> Weights | None:
-        """The weights by class of each ready planner; None where the list's own count: no plan, or its life
-        is over. `now`: Unix time, s.
+        """Take one step, and return each ready planner's weights by class number.
+
+        None if there is no plan or the plan has expired: the endpoint list's weights apply then. `now` is
+        Unix time in s.
         """
         if self.plan is not None and now > self.plan.made + self.plan.life_s:
             self.plan = None
         if self.plan is None:
-            self._eased.clear()
+            self._fractions.clear()
             return None
         ready = {entry.worker: entry for entry in entries if entry.state is EndpointState.READY}
-        listed, names = self._listed(ready), dict.fromkeys(self.classes)
-        wanted = {name: self._warm(self._wanted(self.plan, name, ready), ready, now) for name in names}
-        self.moving = False
-        self._eased = {name: self._ease(self._eased.get(name, listed), wanted[name], ready) for name in names}
-        parts = [self._eased[name] for name in self.classes]
-        return {worker: tuple(SCALE * held.get(worker, 0.0) for held in parts) for worker in ready}
+        listed_fractions, class_names = self._listed_fractions(ready), dict.fromkeys(self.classes)
+        target = {
+            name: self._limit_cold(self._planned_fractions(self.plan, name, ready), ready, now)
+            for name in class_names
+        }
+        self.in_transition = False
+        self._fractions = {
+            name: self._next_step(self._fractions.get(name, listed_fractions), target[name], ready)
+            for name in class_names
+        }
+        fractions_by_class = [self._fractions[name] for name in self.classes]
+        return {
+            worker: tuple(WEIGHT_SCALE * fractions.get(worker, 0.0) for fractions in fractions_by_class)
+            for worker in ready
+        }
 
     @staticmethod
-    def _listed(ready: Mapping[WorkerId, EndpointEntry]) -> dict[WorkerId, float]:
+    def _listed_fractions(ready: Mapping[WorkerId, EndpointEntry]) -> dict[WorkerId, float]:
         total = sum(entry.weight for entry in ready.values()) or 1.0
         return {worker: entry.weight / total for worker, entry in ready.items()}
 
-    def _warm(
-        self, parts: dict[WorkerId, float], ready: Mapping[WorkerId, EndpointEntry], now: float
+    def _limit_cold(
+        self, fractions: dict[WorkerId, float], ready: Mapping[WorkerId, EndpointEntry], now: float
     ) -> dict[WorkerId, float]:
-        """Guards cold planners: none is raised above what the list itself would give it."""
-        cold = [worker for worker, entry in ready.items() if now * 1000 - entry.started_at_ms < self.cold]
-        listed = self._listed(ready) if cold else {}
-        return parts | {worker: min(parts[worker], listed[worker]) for worker in cold}
+        """Limit cold planners to the fractions that the endpoint list's weights would give them."""
+        cold_workers = [
+            worker for worker, entry in ready.items() if now * 1000 - entry.started_at_ms < self.slow_start_ms
+        ]
+        listed_fractions = self._listed_fractions(ready) if cold_workers else {}
+        return fractions | {
+            worker: min(fractions[worker], listed_fractions[worker]) for worker in cold_workers
+        }
 
-    def _wanted(
+    def _planned_fractions(
         self, plan: Plan, job_class: str, ready: Mapping[WorkerId, EndpointEntry]
     ) -> dict[WorkerId, float]:
-        """The plan's parts among those that are ready. One that it does not know gets what its listed weight
-        is to those known, scaled to what the plan gives these.
+        """The plan's fractions for the planners that are ready.
+
+        A planner that the plan does not know gets a fraction in proportion to its listed weight, scaled by
+        the ratio of planned fraction to listed weight of the known planners.
         """
-        held = plan.parts.get(f"{self.zone}/{job_class}")
-        if held is None:
-            return self._listed(ready)
-        parts: dict[WorkerId, float] = {}
-        known_weight = known_part = 0.0
-        strangers = []
+        units_by_planner = plan.parts.get(f"{self.zone}/{job_class}")
+        if units_by_planner is None:
+            return self._listed_fractions(ready)
+        fractions: dict[WorkerId, float] = {}
+        known_weight = known_fraction = 0.0
+        unknown_workers = []
         for worker, entry in ready.items():
             name = worker.decode("utf-8", "replace")
             if name in plan.planners:
-                parts[worker] = held.get(name, 0) / plan.units
+                fractions[worker] = units_by_planner.get(name, 0) / plan.units
                 known_weight += entry.weight
-                known_part += parts[worker]
+                known_fraction += fractions[worker]
             else:
-                strangers.append(worker)
-        for worker in strangers:
-            parts[worker] = (
-                ready[worker].weight * known_part / known_weight
-                if known_weight and known_part
+                unknown_workers.append(worker)
+        for worker in unknown_workers:
+            fractions[worker] = (
+                ready[worker].weight * known_fraction / known_weight
+                if known_weight and known_fraction
                 else ready[worker].weight
             )
-        total = sum(parts.values())
-        # What the plan wants nothing on, and nothing else is there: the list's weights, rather than nowhere.
-        return {worker: part / total for worker, part in parts.items()} if total else self._listed(ready)
+        total = sum(fractions.values())
+        # If the plan gives no jobs to any ready planner, the listed weights apply: jobs must go somewhere.
+        return (
+            {worker: fraction / total for worker, fraction in fractions.items()}
+            if total
+            else self._listed_fractions(ready)
+        )
 
-    def _ease(
+    def _next_step(
         self,
         old: Mapping[WorkerId, float],
         new: Mapping[WorkerId, float],
         ready: Mapping[WorkerId, EndpointEntry],
     ) -> dict[WorkerId, float]:
-        """One step towards the new parts. What has left frees its part at once, in proportion."""
-        staying = {worker: part for worker, part in old.items() if worker in ready}
-        total = sum(staying.values())
-        # One that has come meanwhile begins with nothing, and is raised by steps.
+        """One step from the old fractions towards the new ones.
+
+        The fraction of a planner that has left is shared out at once, in proportion.
+        """
+        remaining = {worker: fraction for worker, fraction in old.items() if worker in ready}
+        total = sum(remaining.values())
+        # A planner that has appeared meanwhile starts at 0.
         start = {
-            worker: staying.get(worker, 0.0) / total if total else new.get(worker, 0.0) for worker in ready
+            worker: remaining.get(worker, 0.0) / total if total else new.get(worker, 0.0) for worker in ready
         }
-        shift = sum(abs(new.get(worker, 0.0) - part) for worker, part in start.items()) / 2
-        if shift <= STEP:
+        load_shift = sum(abs(new.get(worker, 0.0) - fraction) for worker, fraction in start.items()) / 2
+        if load_shift <= MAX_LOAD_SHIFT_PER_STEP:
             return {worker: new.get(worker, 0.0) for worker in ready}
-        self.moving = True
-        part = STEP / shift
-        return {worker: held + part * (new.get(worker, 0.0) - held) for worker, held in start.items()}
+        self.in_transition = True
+        fraction = MAX_LOAD_SHIFT_PER_STEP / load_shift
+        return {
+            worker: start_fraction + fraction * (new.get(worker, 0.0) - start_fraction)
+            for worker, start_fraction in start.items()
+        }
--- a/pipitshed/placement/program.py
+++ b/pipitshed/placement/program.py
@@ -1,4 +1,4 @@
-"""A linear or mixed-integer program on HiGHS, built by named rows and solved for one goal after another."""
+"""A linear or mixed-integer program for HiGHS, with named constraints and lexicographic goals."""
 
 from __future__ import annotations
 
@@ -11,83 +11,86 @@
 import highspy
 import numpy as np
 
-HELD = 1e-7  # by which a later goal may worsen an earlier one, of its value or of 1
+GOAL_TOLERANCE = 1e-7  # by which a later goal may worsen an earlier one, times its value or 1
 INFINITY = highspy.kHighsInf
 
 
 @dataclass(slots=True)
 class Row:
-    """lower <= sum of terms <= upper, part of the named constraint `name` ("" for definitions)."""
+    """lower <= sum of terms <= upper; part of the constraint `name`, or a definition if the name is empty."""
 
-    terms: Mapping[int, float]
+    terms: Mapping[int, float]  # column: coefficient
     lower: float
     upper: float
     name: str = ""
-    scale: float = 1.0  # all three are so many times smaller than they were told
+    scale: float = 1.0  # by which terms, lower and upper were divided
 
 
 @dataclass
 class Program:
-    """Columns, rows and goals; `solve` may be called again with constraints left out or relaxed."""
+    """The columns and rows; the goals are passed to `Solver.solve`."""
 
     lower: list[float] = field(default_factory=list)
     upper: list[float] = field(default_factory=list)
-    whole: list[bool] = field(default_factory=list)
+    integer: list[bool] = field(default_factory=list)
     rows: list[Row] = field(default_factory=list)
 
-    def column(self, lower: float = 0.0, upper: float = INFINITY, whole: bool = False) -> int:
-        """A new column's number."""
+    def add_column(self, lower: float = 0.0, upper: float = INFINITY, integer: bool = False) -> int:
+        """Add a column, and return its number."""
         self.lower.append(lower)
         self.upper.append(upper)
-        self.whole.append(whole)
+        self.integer.append(integer)
         return len(self.lower) - 1
 
-    def row(self, terms: Mapping[int, float], lower: float, upper: float, name: str = "") -> None:
-        """Add a row, scaled by its largest figure: fleets hold numbers from 1e-9 to 1e9."""
-        most = max((abs(value) for value in terms.values()), default=0.0)
+    def add_row(self, terms: Mapping[int, float], lower: float, upper: float, name: str = "") -> None:
+        """Add a row, scaled by its largest coefficient: fleets hold numbers from 1e-9 to 1e9."""
+        largest = max((abs(value) for value in terms.values()), default=0.0)
         scale = 1.0
-        if most > 0 and not 1e-3 < most < 1e3:
-            terms, scale = {column: value / most for column, value in terms.items()}, most
-            lower, upper = lower / most, upper / most
+        if largest > 0 and not 1e-3 < largest < 1e3:
+            terms, scale = {column: value / largest for column, value in terms.items()}, largest
+            lower, upper = lower / largest, upper / largest
         self.rows.append(Row(terms, lower, upper, name, scale))
 
     def names(self) -> list[str]:
-        """All named constraints, in the order of their first rows."""
+        """The names of all constraints, in the order of their first rows."""
         return list(dict.fromkeys(row.name for row in self.rows if row.name))
 
 
 @dataclass(slots=True)
 class Solution:
-    """What a solve came to."""
+    """The optimum that the solver found."""
 
-    values: np.ndarray[Any, np.dtype[np.float64]]
-    goals: list[float]
-    duals: np.ndarray[Any, np.dtype[np.float64]]  # of the last goal's rows; empty for a mixed program
-    basis: Any
+    values: np.ndarray[Any, np.dtype[np.float64]]  # by column
+    goals: list[float]  # the value of each goal
+    duals: np.ndarray[Any, np.dtype[np.float64]]  # by row, for the last goal; empty if mixed-integer
+    basis: Any  # None if mixed-integer
 
 
-def _quiet() -> Any:
-    """HiGHS, whose constructor writes a banner to standard output before it can be told not to."""
+def _new_silent_highs() -> Any:
+    """Create HiGHS with stdout redirected: its constructor prints a banner before options can be set."""
     sys.stdout.flush()
-    held, nowhere = os.dup(1), os.open(os.devnull, os.O_WRONLY)
+    saved_stdout, null_device = os.dup(1), os.open(os.devnull, os.O_WRONLY)
     try:
-        os.dup2(nowhere, 1)
+        os.dup2(null_device, 1)
         return highspy.Highs()  # type: ignore[no-untyped-call]
     finally:
-        os.dup2(held, 1)
-        os.close(held)
-        os.close(nowhere)
+        os.dup2(saved_stdout, 1)
+        os.close(saved_stdout)
+        os.close(null_device)
 
 
 class Solver:
-    """One program inside HiGHS, kept between solves so that each starts where the last one ended."""
+    """One program loaded into HiGHS; each solve starts from the solution of the one before.
+
+    Constraints named in `without` are left out.
+    """
 
     def __init__(self, program: Program, without: Iterable[str] = ()) -> None:
         left_out = set(without)
         self.program = program
         self.rows = [row for row in program.rows if not row.name or row.name not in left_out]
-        self.mixed = any(program.whole)
-        self._highs: Any = _quiet()
+        self.mixed = any(program.integer)
+        self._highs: Any = _new_silent_highs()
         for name, value in (
             ("log_to_console", False),
             ("output_flag", False),
@@ -116,13 +119,13 @@
         model.a_matrix_.value_ = np.array([value for row in self.rows for value in row.terms.values()], float)
         if self.mixed:
             model.integrality_ = [
-                highspy.HighsVarType.kInteger if whole else highspy.HighsVarType.kContinuous
-                for whole in program.whole
+                highspy.HighsVarType.kInteger if integer else highspy.HighsVarType.kContinuous
+                for integer in program.integer
             ]
         return model
 
-    def start(self, basis: Any) -> None:
-        """Begin at the end of an earlier solve of a program of the same shape."""
+    def set_start_basis(self, basis: Any) -> None:
+        """Start from the basis of an earlier solution, if it has as many columns and rows as this program."""
         if (
             basis is not None
             and len(basis.col_status) == len(self.program.lower)
@@ -131,37 +134,37 @@
             self._highs.setBasis(basis)
 
     def feasible(self) -> bool:
-        """Whether anything keeps all rows."""
+        """Whether all rows can be satisfied together."""
         self._highs.run()
         return bool(self._highs.getModelStatus() == highspy.HighsModelStatus.kOptimal)
 
     def solve(self, goals: Sequence[Mapping[int, float]]) -> Solution | None:
-        """The best by the first goal, among these by the second, and so on; None where nothing keeps all."""
-        found: list[float] = []
+        """Minimize the goals in order, each among the optima of those before; None if infeasible."""
+        goal_values: list[float] = []
         columns = np.arange(len(self.program.lower), dtype=np.int32)
         solution = basis = None
-        for place, goal in enumerate(goals):
-            most = max((abs(value) for value in goal.values()), default=0.0)
-            scale = 1.0 if not most or 1e-4 < most < 1e4 else most
+        for position, goal in enumerate(goals):
+            largest = max((abs(value) for value in goal.values()), default=0.0)
+            scale = 1.0 if not largest or 1e-4 < largest < 1e4 else largest
             costs = np.zeros(len(columns))
             for column, value in goal.items():
                 costs[column] = value / scale
             self._highs.changeColsCost(len(columns), columns, costs)
             self._highs.run()
             if self._highs.getModelStatus() != highspy.HighsModelStatus.kOptimal:
-                if place == 0 or solution is None:
+                if position == 0 or solution is None:
                     return None
-                found.append(found[-1])
+                goal_values.append(goal_values[-1])
                 continue
             solution = self._highs.getSolution()
             basis = None if self.mixed else self._highs.getBasis()
             best = float(self._highs.getInfo().objective_function_value)
-            found.append(best * scale)
-            if place + 1 < len(goals) and goal:
+            goal_values.append(best * scale)
+            if position + 1 < len(goals) and goal:
                 index = np.array(list(goal), np.int32)
                 self._highs.addRow(
                     -INFINITY,
-                    best + HELD * max(1.0, abs(best)),
+                    best + GOAL_TOLERANCE * max(1.0, abs(best)),
                     len(index),
                     index,
                     np.array([goal[column] / scale for column in goal]),
@@ -169,23 +172,25 @@
         if solution is None:
             return None
         duals = np.array(solution.row_dual) if not self.mixed else np.zeros(0)
-        return Solution(np.array(solution.col_value), found, duals, basis)
+        return Solution(np.array(solution.col_value), goal_values, duals, basis)
 
 
 def smallest_conflict(program: Program) -> list[str]:
-    """Named constraints that can't be met together, none of which can be left out: chunks are left out as
-    long as what remains is still in conflict, down to single ones (a deletion filter).
+    """A minimal set of constraints that can't be met together: without any one of them the others can.
+
+    A deletion filter: it removes chunks of constraints while the remaining ones are still in conflict, down
+    to chunks of one.
     """
     names = program.names()
-    kept, size = list(names), max(1, len(names) // 2)
+    kept, chunk_size = list(names), max(1, len(names) // 2)
     while True:
-        place = 0
-        while place < len(kept):
-            rest = kept[:place] + kept[place + size :]
-            if not Solver(program, set(names) - set(rest)).feasible():
-                kept = rest
+        start = 0
+        while start < len(kept):
+            remaining = kept[:start] + kept[start + chunk_size :]
+            if not Solver(program, set(names) - set(remaining)).feasible():
+                kept = remaining
             else:
-                place += size
-        if size == 1:
+                start += chunk_size
+        if chunk_size == 1:
             return kept
-        size = max(1, size // 2)
+        chunk_size = max(1, chunk_size // 2)
--- a/pipitshed/translation/codecs.py
+++ b/pipitshed/translation/codecs.py
@@ -1,6 +1,7 @@
-"""Bytes of a form to a record and back: form-encoded, JSON, protobuf.
+"""Codecs between the bytes of a message form and a record: form-encoded and JSON.
 
-Readers are strict: a field told twice, an unknown field, or text that is not UTF-8 is Unfit, never dropped.
+Decoding is strict: a repeated field, an unknown field, or text that is not UTF-8 raises UntranslatableError
+and is never dropped.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from pipitshed.translation.values import (
     Field,
     Record,
-    Unfit,
+    UntranslatableError,
     check_record,
     parse,
     parse_time,
@@ -24,29 +25,29 @@
     render_time,
 )
 
-MOST_FIELDS = 1024  # of one form-encoded message
-WHOLE = "the message"  # what a refusal names where it is no single field
+MAX_FORM_FIELDS = 1024  # of one form-encoded message
+WHOLE_MESSAGE = "the message"  # the field that an error names if no single field is at fault
 
 
 class Codec(Protocol):
-    """One form of one message."""
+    """Decodes and encodes one class's requests or results in one form."""
 
     def decode(self, data: bytes) -> Record:
-        """The record; Unfit where the bytes are none of this form."""
+        """Parse a message; UntranslatableError if it is not valid in this form."""
 
     def encode(self, record: Record) -> bytes:
-        """The bytes; Unfit where the form can't express the record."""
+        """Serialize a record; UntranslatableError if the form can't express it."""
 
 
 class FormCodec:
-    """application/x-www-form-urlencoded; flags are 0 and 1. Nested records have no place in it."""
+    """application/x-www-form-urlencoded. Flags are 0 and 1; nested records are not supported."""
 
-    def __init__(self, fields: Mapping[str, Field], beside: frozenset[str] = frozenset()) -> None:
+    def __init__(self, fields: Mapping[str, Field], envelope_fields: frozenset[str] = frozenset()) -> None:
         self.fields = dict(fields)
-        self._beside = beside  # fields of the envelope, which are no part of the record
+        self._envelope_fields = envelope_fields  # these are not part of the record
 
     def pairs(self, data: bytes) -> list[tuple[str, str]]:
-        """The names and values as they stand."""
+        """Parse the body into names and values without checking them against the form's fields."""
         if not data:
             return []
         try:
@@ -56,27 +57,27 @@
                 strict_parsing=True,
                 encoding="utf-8",
                 errors="strict",
-                max_num_fields=MOST_FIELDS,
+                max_num_fields=MAX_FORM_FIELDS,
             )
         except UnicodeDecodeError:
-            raise Unfit(WHOLE, data[:32], "is not UTF-8") from None
+            raise UntranslatableError(WHOLE_MESSAGE, data[:32], "is not UTF-8") from None
         except ValueError:
-            raise Unfit(WHOLE, data[:32], "is not form-encoded") from None
+            raise UntranslatableError(WHOLE_MESSAGE, data[:32], "is not form-encoded") from None
 
     def decode(self, data: bytes) -> Record:
         record: Record = {}
         for name, text in self.pairs(data):
-            if name in self._beside:
+            if name in self._envelope_fields:
                 continue
             field = self.fields.get(name)
             if not name:
-                raise Unfit(WHOLE, text, "has a field without a name")
+                raise UntranslatableError(WHOLE_MESSAGE, text, "has a field without a name")
             if field is None:
-                raise Unfit(name, text, "is not a field of this form")
+                raise UntranslatableError(name, text, "is not a field of this form")
             if field.type == "texts":
                 record.setdefault(name, []).append(text)
             elif name in record:
-                raise Unfit(name, text, "is told twice")
+                raise UntranslatableError(name, text, "is told twice")
             else:
                 record[name] = parse(name, field, text)
         return check_record(self.fields, record)
@@ -94,26 +95,28 @@
         return urlencode(pairs).encode()
 
 
-def _once(pairs: list[tuple[str, Any]]) -> Record:
+def _reject_duplicates(pairs: list[tuple[str, Any]]) -> Record:
     record = dict(pairs)
     if len(record) != len(pairs):
         names = [name for name, _ in pairs]
-        twice = next(name for place, name in enumerate(names) if name in names[:place])
-        raise Unfit(twice, record[twice], "is told twice")
+        repeated = next(name for index, name in enumerate(names) if name in names[:index])
+        raise UntranslatableError(repeated, record[repeated], "is told twice")
     return record
 
 
 def _no_constant(text: str) -> None:
-    raise Unfit(WHOLE, text, "is not a number")
+    raise UntranslatableError(WHOLE_MESSAGE, text, "is not a number")
 
 
-# Of the libraries at hand only the standard one can be told of a name that stands twice.
-_json_decoder = json.JSONDecoder(object_pairs_hook=_once, parse_float=Decimal, parse_constant=_no_constant)
+# Of the JSON libraries in use, only the standard one can detect a repeated name.
+_json_decoder = json.JSONDecoder(
+    object_pairs_hook=_reject_duplicates, parse_float=Decimal, parse_constant=_no_constant
+)
 _json_encode = msgspec.json.Encoder(decimal_format="number").encode
 
 
 class JsonCodec:
-    """One JSON object; decimals are read and written exactly."""
+    """One JSON object. Decimals are read and written exactly."""
 
     def __init__(self, fields: Mapping[str, Field]) -> None:
         self.fields = dict(fields)
@@ -121,33 +124,33 @@
     def decode(self, data: bytes) -> Record:
         try:
             value = _json_decoder.decode(data.decode("utf-8"))
-        except Unfit:
+        except UntranslatableError:
             raise
         except UnicodeDecodeError:
-            raise Unfit(WHOLE, data[:32], "is not UTF-8") from None
+            raise UntranslatableError(WHOLE_MESSAGE, data[:32], "is not UTF-8") from None
         except (ValueError, RecursionError, ArithmeticError):
-            raise Unfit(WHOLE, data[:32], "is not JSON") from None
+            raise UntranslatableError(WHOLE_MESSAGE, data[:32], "is not JSON") from None
         if not isinstance(value, dict):
-            raise Unfit(WHOLE, value, "is not a record")
-        # An empty list and none are the same: protobuf does not tell them apart.
-        value = {name: held for name, held in value.items() if held != []}
-        return check_record(self.fields, self._times(self.fields, value, parse_time))
+            raise UntranslatableError(WHOLE_MESSAGE, value, "is not a record")
+        # Empty lists are dropped: protobuf can't distinguish an empty list from a missing one.
+        value = {name: item for name, item in value.items() if item != []}
+        return check_record(self.fields, self._convert_times(self.fields, value, parse_time))
 
     def encode(self, record: Record) -> bytes:
         check_record(self.fields, record)
-        return _json_encode(self._times(self.fields, record, render_time))
+        return _json_encode(self._convert_times(self.fields, record, render_time))
 
-    def _times(self, fields: Mapping[str, Field], record: Record, turn: Any) -> Record:
-        """The record with times in the other unit, also in nested records."""
-        turned = dict(record)
+    def _convert_times(self, fields: Mapping[str, Field], record: Record, convert: Any) -> Record:
+        """A copy of the record with `convert` applied to its times, also in nested records."""
+        converted = dict(record)
         for name, field in fields.items():
             if name not in record:
                 continue
             if field.type == "time":
-                turned[name] = turn(name, field, record[name])
+                converted[name] = convert(name, field, record[name])
             elif field.type == "records" and isinstance(record[name], list):
-                turned[name] = [
-                    self._times(field.fields, item, turn) if isinstance(item, dict) else item
+                converted[name] = [
+                    self._convert_times(field.fields, item, convert) if isinstance(item, dict) else item
                     for item in record[name]
                 ]
-        return turned
+        return converted
--- a/pipitshed/translation/steps.py
+++ b/pipitshed/translation/steps.py
@@ -1,8 +1,7 @@
-"""Steps between neighbouring versions, and chains of them: records up and down.
+"""Steps that convert records between neighbouring versions of the form, up or down, and chains of steps.
 
-A rule stands under the name of the upper version's field and says where it comes from in the lower one. It
-works both ways: what `up` makes of a record, `down` makes into the same record again, with stated defaults
-written out.
+A rule is keyed by the upper version's field and names its source in the lower version. Rules are reversible:
+`down` turns the result of `up` into the original record again, with the rules' defaults written out.
 """
 
 from __future__ import annotations
@@ -14,41 +13,41 @@
 
 import msgspec
 
-from pipitshed.translation.values import EXACT, Field, Record, Unfit
+from pipitshed.translation.values import EXACT, Field, Record, UntranslatableError
 
 
 class Rule(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
-    """One field of the upper version."""
+    """How one field of the upper version is derived from the lower version."""
 
-    source: str = msgspec.field(default="", name="from")  # the lower version's field; none: it knows none
-    scale: int = 1  # the upper value is so many times the lower one
-    values: dict[str, str] = {}  # lower choice (or true, false): upper choice; none twice
-    default: str | int | float | bool | None = None  # upper value where the lower side tells none
-    cannot: str = ""  # why the lower version can't express the field, or be given one
-    fields: dict[str, Rule] = {}  # of records
+    source: str = msgspec.field(default="", name="from")  # the lower version's field; empty if it has none
+    scale: int = 1  # upper value / lower value
+    values: dict[str, str] = {}  # lower choice (or true, false): upper choice; each upper choice only once
+    default: str | int | float | bool | None = None  # upper value if the lower record has none
+    cannot: str = ""  # reason in errors if the lower version can't express the field, or can't provide it
+    fields: dict[str, Rule] = {}  # of nested records
 
 
 class Side(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
-    """The rules for one message, by the upper version's fields."""
+    """The rules for one message: a class's request or result."""
 
-    rules: dict[str, Rule] = {}
-    cannot: dict[str, str] = {}  # lower fields that the upper version can't express, and why
+    rules: dict[str, Rule] = {}  # by the upper version's field
+    cannot: dict[str, str] = {}  # lower field that the upper version can't express: reason
 
 
 class ClassSteps(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
-    """The step for one class."""
+    """The rules of one step for one class."""
 
     request: Side = Side()
     result: Side = Side()
 
 
-_PLACE = re.compile(r"([^.\[\]]+)(\[\d+\])?(?:\.(.+))?")
-_NUMBERS = ("integer", "decimal")
+_FIELD_PATH = re.compile(r"([^.\[\]]+)(\[\d+\])?(?:\.(.+))?")
+_NUMBER_TYPES = ("integer", "decimal")
 
 
 def problems(side: Side, lower: Mapping[str, Field], upper: Mapping[str, Field]) -> Iterator[tuple[str, str]]:
-    """(field, reason) for each field of either version that the rules leave out or can't carry over."""
-    used: dict[str, str] = {}
+    """(field, problem) for each field of either version that the rules omit or can't convert."""
+    targets: dict[str, str] = {}
     for name, rule in side.rules.items():
         target, source = upper.get(name), lower.get(rule.source)
         if target is None:
@@ -58,30 +57,30 @@
             if source is None:
                 yield name, f"comes from {rule.source!r}, which is not a field of the lower version"
                 continue
-            if rule.source in used:
-                yield name, f"{rule.source!r} goes to {used[rule.source]!r} already"
-            used[rule.source] = name
-            yield from _carries(name, rule, source, target)
+            if rule.source in targets:
+                yield name, f"{rule.source!r} is already the source of {targets[rule.source]!r}"
+            targets[rule.source] = name
+            yield from _conversion_problems(name, rule, source, target)
         elif rule.default is None and not rule.cannot:
-            yield name, "comes from nowhere: it needs `from`, `default` or `cannot`"
+            yield name, "has no source: it needs `from`, `default` or `cannot`"
         if rule.default is not None:
-            yield from _default_fits(name, rule, target)
+            yield from _default_problems(name, rule, target)
     for name, field in upper.items():
         if name not in side.rules:
             yield name, "has no rule" + (", though the upper version requires it" if field.required else "")
     for name in lower:
-        if name not in used and name not in side.cannot:
-            yield name, "would be dropped: no rule takes it, and `cannot` gives no reason"
+        if name not in targets and name not in side.cannot:
+            yield name, "would be dropped: no rule uses it, and `cannot` gives no reason"
     for name in side.cannot:
         if name not in lower:
             yield name, "is not a field of the lower version"
-        elif name in used:
-            yield name, f"can't be expressed, yet goes to {used[name]!r}"
+        elif name in targets:
+            yield name, f"is listed in `cannot`, but is the source of {targets[name]!r}"
 
 
-def _carries(name: str, rule: Rule, source: Field, target: Field) -> Iterator[tuple[str, str]]:
+def _conversion_problems(name: str, rule: Rule, source: Field, target: Field) -> Iterator[tuple[str, str]]:
     if target.required and not source.required and rule.default is None and not rule.cannot:
-        yield name, "is required by the upper version alone: it needs `default`, or `cannot` with a reason"
+        yield name, "is required only by the upper version: it needs `default`, or `cannot` with a reason"
     if rule.values:
         lower = ("true", "false") if source.type == "flag" else source.choices
         upper = ("true", "false") if target.type == "flag" else target.choices
@@ -91,22 +90,24 @@
             if new not in upper:
                 yield name, f"{new!r} is not a choice of the upper version"
         if len(set(rule.values.values())) != len(rule.values):
-            yield name, "two choices become one, and could not be told apart again"
-    elif source.type in _NUMBERS and target.type in _NUMBERS:
+            yield name, "two choices become one, and can't be told apart when converted back"
+    elif source.type in _NUMBER_TYPES and target.type in _NUMBER_TYPES:
         if rule.scale < 1:
-            yield name, "scale is not a whole number from 1 on"
+            yield name, "scale must be 1 or more"
     elif source.type != target.type:
-        yield name, f"{source.type} can't become {target.type}"
+        yield name, f"{source.type} can't be converted to {target.type}"
     elif source.type == "records":
         inner = Side(rule.fields, {})
-        yield from ((f"{name}.{field}", why) for field, why in problems(inner, source.fields, target.fields))
+        yield from (
+            (f"{name}.{field}", problem) for field, problem in problems(inner, source.fields, target.fields)
+        )
     elif source.type == "choice" and set(source.choices) - set(target.choices) and not rule.values:
-        missing = ", ".join(sorted(set(source.choices) - set(target.choices)))
-        yield name, f"the upper version has no {missing}: it needs `values`"
+        missing_choices = ", ".join(sorted(set(source.choices) - set(target.choices)))
+        yield name, f"the upper version has no {missing_choices}: it needs `values`"
 
 
-def _default_fits(name: str, rule: Rule, target: Field) -> Iterator[tuple[str, str]]:
-    held: dict[str, tuple[type, ...]] = {
+def _default_problems(name: str, rule: Rule, target: Field) -> Iterator[tuple[str, str]]:
+    python_types: dict[str, tuple[type, ...]] = {
         "text": (str,),
         "choice": (str,),
         "integer": (int,),
@@ -114,15 +115,15 @@
         "flag": (bool,),
     }
     if (
-        not isinstance(rule.default, held.get(target.type, ()))
+        not isinstance(rule.default, python_types.get(target.type, ()))
         or (target.type == "choice" and rule.default not in target.choices)
         or (target.type == "integer" and isinstance(rule.default, bool))
     ):
-        yield name, f"{rule.default!r} is no {target.type} of the upper version"
+        yield name, f"{rule.default!r} is not a valid {target.type} of the upper version"
 
 
-class _Mover:
-    """One rule, made ready."""
+class _FieldConverter:
+    """One rule, prepared for converting values in both directions."""
 
     __slots__ = (
         "name",
@@ -132,18 +133,18 @@
         "down",
         "default",
         "cannot",
-        "inner",
-        "whole",
+        "nested",
+        "is_integer",
         "required",
-        "source_whole",
+        "source_is_integer",
     )
 
     def __init__(self, name: str, rule: Rule, lower: Mapping[str, Field], upper: Mapping[str, Field]) -> None:
         target, source = upper[name], lower.get(rule.source)
         self.name, self.source, self.cannot = name, rule.source, rule.cannot
         self.scale = rule.scale
-        self.whole = target.type == "integer"
-        self.source_whole = source is not None and source.type == "integer"
+        self.is_integer = target.type == "integer"
+        self.source_is_integer = source is not None and source.type == "integer"
         self.required = target.required
         self.default: Any = rule.default
         if target.type == "decimal" and rule.default is not None:
@@ -155,132 +156,150 @@
             for old, new in rule.values.items()
         }
         self.down = {new: old for old, new in self.up.items()}
-        self.inner: list[_Mover] = []
+        self.nested: list[_FieldConverter] = []
         if target.type == "records" and source is not None:
-            self.inner = [
-                _Mover(one, inner, source.fields, target.fields) for one, inner in rule.fields.items()
+            self.nested = [
+                _FieldConverter(nested_name, nested_rule, source.fields, target.fields)
+                for nested_name, nested_rule in rule.fields.items()
             ]
 
-    def turn_up(self, value: Any, place: str) -> Any:
-        if self.inner:
-            return [_up(self.inner, {}, item, f"{place}[{index}].") for index, item in enumerate(value)]
+    def convert_up(self, value: Any, path: str) -> Any:
+        if self.nested:
+            return [_up(self.nested, {}, item, f"{path}[{index}].") for index, item in enumerate(value)]
         if self.up:
             if value not in self.up:
-                raise Unfit(place, value, "has no counterpart in the newer form")
+                raise UntranslatableError(path, value, "has no counterpart in the newer form")
             return self.up[value]
-        if self.scale != 1 or self.whole != self.source_whole:
+        if self.scale != 1 or self.is_integer != self.source_is_integer:
             scaled = EXACT.multiply(Decimal(value), Decimal(self.scale))
-            if not self.whole:
+            if not self.is_integer:
                 return scaled
             if scaled != scaled.to_integral_value():
-                raise Unfit(place, value, "is finer than the newer form can express")
+                raise UntranslatableError(path, value, "is finer than the newer form can express")
             return int(scaled)
         return value
 
-    def turn_down(self, value: Any, place: str) -> Any:
-        if self.inner:
-            return [_down(self.inner, item, f"{place}[{index}].") for index, item in enumerate(value)]
+    def convert_down(self, value: Any, path: str) -> Any:
+        if self.nested:
+            return [_down(self.nested, item, f"{path}[{index}].") for index, item in enumerate(value)]
         if self.down:
             if value not in self.down:
-                raise Unfit(place, value, "has no counterpart in the older form")
+                raise UntranslatableError(path, value, "has no counterpart in the older form")
             return self.down[value]
-        if self.scale != 1 or self.whole != self.source_whole:
-            if self.source_whole:
-                whole, rest = divmod(value, self.scale)
-                if rest:
-                    raise Unfit(place, value, "is finer than the older form can express")
-                return int(whole)
+        if self.scale != 1 or self.is_integer != self.source_is_integer:
+            if self.source_is_integer:
+                quotient, remainder = divmod(value, self.scale)
+                if remainder:
+                    raise UntranslatableError(path, value, "is finer than the older form can express")
+                return int(quotient)
             try:
                 return EXACT.divide(Decimal(value), Decimal(self.scale))
             except Inexact:
-                raise Unfit(place, value, "can't be expressed exactly by the older form") from None
+                raise UntranslatableError(
+                    path, value, "can't be expressed exactly by the older form"
+                ) from None
         return value
 
 
-def _up(movers: Sequence[_Mover], cannot: Mapping[str, str], record: Record, place: str = "") -> Record:
-    for name, why in cannot.items():
+def _up(
+    converters: Sequence[_FieldConverter], cannot: Mapping[str, str], record: Record, path: str = ""
+) -> Record:
+    for name, reason in cannot.items():
         if name in record:
-            raise Unfit(place + name, record[name], why)
-    made: Record = {}
-    for mover in movers:
-        if mover.source and mover.source in record:
-            made[mover.name] = mover.turn_up(record[mover.source], place + mover.source)
-        elif mover.default is not None:
-            made[mover.name] = mover.default
-        elif mover.required:
-            raise Unfit(place + mover.name, "", mover.cannot or "is required by the newer form and not told")
-    return made
-
-
-def _down(movers: Sequence[_Mover], record: Record, place: str = "") -> Record:
-    made: Record = {}
-    for mover in movers:
-        if mover.name not in record:
+            raise UntranslatableError(path + name, record[name], reason)
+    result: Record = {}
+    for converter in converters:
+        if converter.source and converter.source in record:
+            result[converter.name] = converter.convert_up(record[converter.source], path + converter.source)
+        elif converter.default is not None:
+            result[converter.name] = converter.default
+        elif converter.required:
+            raise UntranslatableError(
+                path + converter.name, "", converter.cannot or "is required by the newer form and not told"
+            )
+    return result
+
+
+def _down(converters: Sequence[_FieldConverter], record: Record, path: str = "") -> Record:
+    result: Record = {}
+    for converter in converters:
+        if converter.name not in record:
             continue
-        value = record[mover.name]
-        if mover.source:
-            made[mover.source] = mover.turn_down(value, place + mover.name)
-        elif mover.default is None or value != mover.default:
-            raise Unfit(place + mover.name, value, mover.cannot or "can't be expressed by the older form")
-    return made
+        value = record[converter.name]
+        if converter.source:
+            result[converter.source] = converter.convert_down(value, path + converter.name)
+        elif converter.default is None or value != converter.default:
+            raise UntranslatableError(
+                path + converter.name, value, converter.cannot or "can't be expressed by the older form"
+            )
+    return result
 
 
 class Step:
-    """One message between two neighbouring versions."""
+    """Converts the records of one message between two neighbouring versions."""
 
     def __init__(self, side: Side, lower: Mapping[str, Field], upper: Mapping[str, Field]) -> None:
-        self._movers = [_Mover(name, rule, lower, upper) for name, rule in side.rules.items()]
+        self._converters = [_FieldConverter(name, rule, lower, upper) for name, rule in side.rules.items()]
         self._cannot = dict(side.cannot)
 
     def up(self, record: Record) -> Record:
-        """The upper version's record; Unfit where it can't be expressed there."""
-        return _up(self._movers, self._cannot, record)
+        """The upper version's record; UntranslatableError if that version can't express it."""
+        return _up(self._converters, self._cannot, record)
 
     def down(self, record: Record) -> Record:
-        """The lower version's record; Unfit where it can't be expressed there."""
-        return _down(self._movers, record)
+        """The lower version's record; UntranslatableError if that version can't express it."""
+        return _down(self._converters, record)
 
     def lower_name(self, field: str) -> str:
-        """The lower version's name of a field, such as `goods[2].sku`; the same where it has none."""
-        return _lower_name(self._movers, field)
+        """The lower version's path of a field such as `goods[2].sku`; unchanged if it has no such field."""
+        return _lower_name(self._converters, field)
 
 
-def _lower_name(movers: Sequence[_Mover], field: str) -> str:
-    found = _PLACE.fullmatch(field)
-    if found is None:
+def _lower_name(converters: Sequence[_FieldConverter], field: str) -> str:
+    match = _FIELD_PATH.fullmatch(field)
+    if match is None:
         return field
-    name, index, inner = found.groups()
-    mover = next((one for one in movers if one.name == name and one.source), None)
-    if mover is None:
+    name, index, nested_path = match.groups()
+    converter = next(
+        (candidate for candidate in converters if candidate.name == name and candidate.source), None
+    )
+    if converter is None:
         return field
-    return mover.source + (index or "") + (f".{_lower_name(mover.inner, inner)}" if inner else "")
+    return (
+        converter.source
+        + (index or "")
+        + (f".{_lower_name(converter.nested, nested_path)}" if nested_path else "")
+    )
 
 
 class Chain:
-    """Steps one after the other, from a lower version to an upper one."""
+    """Consecutive steps between a lower version and an upper one."""
 
     def __init__(self, steps: Sequence[Step]) -> None:
         self._steps = tuple(steps)
-        self._back = tuple(reversed(self._steps))
+        self._reversed = tuple(reversed(self._steps))
 
     def up(self, record: Record) -> Record:
-        for place, step in enumerate(self._steps):
+        for step_count, step in enumerate(self._steps):
             try:
                 record = step.up(record)
-            except Unfit as unfit:
-                raise self.named_below(unfit, place) from None
+            except UntranslatableError as error:
+                raise self.with_lower_name(error, step_count) from None
         return record
 
-    def named_below(self, unfit: Unfit, steps: int | None = None) -> Unfit:
-        """A refusal by the name that the field has below the first so many steps: who is refused knows no
-        other.
+    def with_lower_name(
+        self, error: UntranslatableError, step_count: int | None = None
+    ) -> UntranslatableError:
+        """The error with the field's name in the chain's lowest version: the sender knows no other name.
+
+        `step_count` is the number of steps that the record has passed; None stands for all.
         """
-        field = unfit.field
-        for step in reversed(self._steps[:steps]):
+        field = error.field
+        for step in reversed(self._steps[:step_count]):
             field = step.lower_name(field)
-        return Unfit(field, unfit.value, unfit.reason)
+        return UntranslatableError(field, error.value, error.reason)
 
     def down(self, record: Record) -> Record:
-        for step in self._back:
+        for step in self._reversed:
             record = step.down(record)
         return record
--- a/pipitshed/translation/values.py
+++ b/pipitshed/translation/values.py
@@ -1,6 +1,6 @@
-"""Typed fields and their values, as they stand between forms.
+"""The field types of message forms, and the values of records while they are translated.
 
-| type      | value between forms                    |
+| type      | value in a record                      |
 | --------- | -------------------------------------- |
 | `text`    | str                                    |
 | `integer` | int                                    |
@@ -23,138 +23,148 @@
 
 Record = dict[str, Any]
 TimeUnit = Literal["rfc3339", "unix-s", "unix-ms"]
-SHOWN = 64  # characters of a value that a refusal names
-_PER_UNIT = {"unix-s": 1_000_000, "unix-ms": 1_000}
+MAX_SHOWN_CHARS = 64  # of a value in an error
+_MICROSECONDS_PER_UNIT = {"unix-s": 1_000_000, "unix-ms": 1_000}
 _INTEGER = re.compile(r"-?(0|[1-9][0-9]{0,18})")
 _DECIMAL = re.compile(r"-?(0|[1-9][0-9]{0,18})(\.[0-9]{1,12})?")
 _RFC3339 = re.compile(r"(\d{4}-\d\d-\d\d[Tt]\d\d:\d\d:\d\d)(\.\d{1,6})?([Zz]|[+-]\d\d:\d\d)")
-_DIGITS = 40  # of a decimal, all told
-# Nothing is rounded on the way: what would be raises instead.
+_MAX_DIGITS = 40  # of a decimal, before and after the point together
+# Values are never rounded: an operation that would round raises Inexact.
 EXACT = Context(prec=80, Emax=999_999, Emin=-999_999, traps=[Inexact, InvalidOperation])
 _SURROGATE = re.compile("[\ud800-\udfff]")
 _EPOCH = datetime.datetime(1970, 1, 1, tzinfo=datetime.UTC)
 _MICROSECOND = datetime.timedelta(microseconds=1)
 
 
-class Unfit(ValueError):  # noqa: N818 - the word that refusals use
-    """A message that a form or a step can't express: a final answer, never a guess."""
+class UntranslatableError(ValueError):
+    """A form or a step can't express a message. The job is refused for good; nothing is approximated."""
 
     def __init__(self, field: str, value: object, reason: str) -> None:
         self.field = field
-        self.value = shown(value)
+        self.value = excerpt(value)
         self.reason = reason
         super().__init__(f"{field}: {reason}")
 
-    def within(self, place: str) -> Unfit:
-        """The same, of a field of a nested record."""
-        return Unfit(f"{place}.{self.field}", self.value, self.reason)
+    def within(self, path: str) -> UntranslatableError:
+        """The same error for a field of the nested record at this path."""
+        return UntranslatableError(f"{path}.{self.field}", self.value, self.reason)
 
 
-def shown(value: object) -> str:
-    """A value as a refusal names it: short and printable."""
+def excerpt(value: object) -> str:
+    """A value shortened to MAX_SHOWN_CHARS printable characters, for errors."""
     text = value if isinstance(value, str) else str(value)
-    text = "".join(char if char.isprintable() else "\N{REPLACEMENT CHARACTER}" for char in text[: SHOWN + 1])
-    return text if len(text) <= SHOWN else text[:SHOWN] + "\N{HORIZONTAL ELLIPSIS}"
+    text = "".join(
+        char if char.isprintable() else "\N{REPLACEMENT CHARACTER}" for char in text[: MAX_SHOWN_CHARS + 1]
+    )
+    return text if len(text) <= MAX_SHOWN_CHARS else text[:MAX_SHOWN_CHARS] + "\N{HORIZONTAL ELLIPSIS}"
 
 
 class Field(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, frozen=True):
-    """One field of a form; bounds are inclusive."""
+    """The type and the bounds of one field of a form; bounds are inclusive."""
 
     type: Literal["text", "integer", "decimal", "flag", "time", "choice", "texts", "records"]
     required: bool = False
     least: int | None = None
     most: int | None = None
-    places: int = 6  # of a decimal, behind its point
-    longest: int = 4096  # characters of a text
+    places: int = 6  # of a decimal, after the point
+    longest: int = 4096  # of a text, in characters
     unit: TimeUnit = "rfc3339"
     choices: tuple[str, ...] = ()
-    fields: dict[str, Field] = {}  # of records
+    fields: dict[str, Field] = {}  # of nested records
 
 
 def check(name: str, field: Field, value: Any) -> Any:
-    """The value, if the field can hold it; Unfit where it can't."""
+    """Return the value if the field can hold it; otherwise raise UntranslatableError."""
     kind = field.type
     if kind == "text":
         if not isinstance(value, str):
-            raise Unfit(name, value, "is not text")
+            raise UntranslatableError(name, value, "is not text")
         if len(value) > field.longest:
-            raise Unfit(name, value, f"is longer than {field.longest} characters")
+            raise UntranslatableError(name, value, f"is longer than {field.longest} characters")
         if not value.isascii() and _SURROGATE.search(value):
-            raise Unfit(name, value, "is not UTF-8")
+            raise UntranslatableError(name, value, "is not UTF-8")
     elif kind == "flag":
         if not isinstance(value, bool):
-            raise Unfit(name, value, "is neither true nor false")
+            raise UntranslatableError(name, value, "is neither true nor false")
     elif kind == "choice":
         if value not in field.choices or not isinstance(value, str):
-            raise Unfit(name, value, f"is not one of {', '.join(field.choices)}")
+            raise UntranslatableError(name, value, f"is not one of {', '.join(field.choices)}")
     elif kind in ("integer", "time"):
         if isinstance(value, bool) or not isinstance(value, int):
-            raise Unfit(name, value, "is not a whole number" if kind == "integer" else "is not a time")
-        _within(name, field, value)
+            raise UntranslatableError(
+                name, value, "is not a whole number" if kind == "integer" else "is not a time"
+            )
+        _check_bounds(name, field, value)
     elif kind == "decimal":
         if isinstance(value, int) and not isinstance(value, bool):
             value = Decimal(value)
         if not isinstance(value, Decimal) or not value.is_finite():
-            raise Unfit(name, value, "is not a number")
-        if len(value.as_tuple().digits) > _DIGITS or not -_DIGITS < value.adjusted() < 19:
-            raise Unfit(name, value, "is out of range")
+            raise UntranslatableError(name, value, "is not a number")
+        if len(value.as_tuple().digits) > _MAX_DIGITS or not -_MAX_DIGITS < value.adjusted() < 19:
+            raise UntranslatableError(name, value, "is out of range")
         exponent = value.normalize(EXACT).as_tuple().exponent
         if isinstance(exponent, int) and -exponent > field.places:
-            raise Unfit(name, value, f"has more than {field.places} places")
-        _within(name, field, value)
+            raise UntranslatableError(name, value, f"has more than {field.places} places")
+        _check_bounds(name, field, value)
     elif kind == "texts":
         if not isinstance(value, list):
-            raise Unfit(name, value, "is not a list")
-        for place, item in enumerate(value):
-            check(f"{name}[{place}]", Field("text", longest=field.longest), item)
+            raise UntranslatableError(name, value, "is not a list")
+        for index, item in enumerate(value):
+            check(f"{name}[{index}]", Field("text", longest=field.longest), item)
     else:
         if not isinstance(value, list):
-            raise Unfit(name, value, "is not a list")
-        for place, item in enumerate(value):
-            check_record(field.fields, item, f"{name}[{place}]")
+            raise UntranslatableError(name, value, "is not a list")
+        for index, item in enumerate(value):
+            check_record(field.fields, item, f"{name}[{index}]")
     return value
 
 
-def _within(name: str, field: Field, value: int | Decimal) -> None:
+def _check_bounds(name: str, field: Field, value: int | Decimal) -> None:
     if field.least is not None and value < field.least:
-        raise Unfit(name, value, f"is under {field.least}")
+        raise UntranslatableError(name, value, f"is under {field.least}")
     if field.most is not None and value > field.most:
-        raise Unfit(name, value, f"is over {field.most}")
+        raise UntranslatableError(name, value, f"is over {field.most}")
+
 
+def check_record(fields: dict[str, Field], record: Any, path: str = "") -> Record:
+    """Return the record if it has all required fields and no unknown ones, each within its bounds.
 
-def check_record(fields: dict[str, Field], record: Any, place: str = "") -> Record:
-    """The record, if it has the fields it must have, no other, and each in its bounds."""
-    prefix = f"{place}." if place else ""
+    Raises UntranslatableError otherwise.
+    """
+    prefix = f"{path}." if path else ""
     if not isinstance(record, dict):
-        raise Unfit(place or "the message", record, "is not a record")
+        raise UntranslatableError(path or "the message", record, "is not a record")
     for name, value in record.items():
         field = fields.get(name)
         if field is None:
-            raise Unfit(prefix + name, value, "is not a field of this form")
+            raise UntranslatableError(prefix + name, value, "is not a field of this form")
         record[name] = check(prefix + name, field, value)
     for name, field in fields.items():
         if field.required and name not in record:
-            raise Unfit(prefix + name, "", "is required and missing")
+            raise UntranslatableError(prefix + name, "", "is required and missing")
     return record
 
 
-# ---- values as text, for forms that have nothing else
+# ---- values as text, for form-encoded messages
 
 
 def parse(name: str, field: Field, text: str) -> Any:
-    """A value from its text; Unfit where it is none of the field's type. Bounds are `check`'s."""
+    """Parse the text of a field's value; UntranslatableError where the text is not of the field's type.
+
+    Bounds are checked by `check`.
+    """
     kind = field.type
     if kind == "integer":
         if not _INTEGER.fullmatch(text):
-            raise Unfit(name, text, "is not a whole number")
+            raise UntranslatableError(name, text, "is not a whole number")
         return int(text)
     if kind == "decimal":
         if not _DECIMAL.fullmatch(text):
-            raise Unfit(name, text, "is not a decimal number")
+            raise UntranslatableError(name, text, "is not a decimal number")
         return Decimal(text)
     if kind == "flag":
         if text not in ("0", "1"):
-            raise Unfit(name, text, "is neither 0 nor 1")
+            raise UntranslatableError(name, text, "is neither 0 nor 1")
         return text == "1"
     if kind == "time":
         return parse_time(name, field, text)
@@ -162,7 +172,7 @@
 
 
 def render(name: str, field: Field, value: Any) -> str:
-    """The text of a value that `parse` reads again as the same."""
+    """The text of a value; `parse` turns it into the same value again."""
     if field.type == "flag":
         return "1" if value else "0"
     if field.type == "decimal":
@@ -173,39 +183,42 @@
 
 
 def parse_time(name: str, field: Field, value: Any) -> int:
-    """Microseconds of Unix time from a form's own unit."""
+    """Convert a time from the form's unit to microseconds of Unix time."""
     if field.unit == "rfc3339":
-        found = _RFC3339.fullmatch(value) if isinstance(value, str) else None
-        if found is None:
-            raise Unfit(name, value, "is not a time as RFC 3339 has it, to the microsecond")
-        whole, part, zone = found.groups()
+        match = _RFC3339.fullmatch(value) if isinstance(value, str) else None
+        if match is None:
+            raise UntranslatableError(name, value, "is not a time as RFC 3339 has it, to the microsecond")
+        whole, fraction, zone = match.groups()
         try:
             moment = datetime.datetime.fromisoformat(
-                whole.upper() + (part or "") + ("+00:00" if zone in "Zz" else zone)
+                whole.upper() + (fraction or "") + ("+00:00" if zone in "Zz" else zone)
             )
         except ValueError:
-            raise Unfit(name, value, "is no date") from None
+            raise UntranslatableError(name, value, "is no date") from None
         return (moment - _EPOCH) // _MICROSECOND
     if isinstance(value, str):
         if not _INTEGER.fullmatch(value):
-            raise Unfit(name, value, "is not a whole number of Unix time")
+            raise UntranslatableError(name, value, "is not a whole number of Unix time")
         value = int(value)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise Unfit(name, value, "is not a whole number of Unix time")
-    return value * _PER_UNIT[field.unit]
+        raise UntranslatableError(name, value, "is not a whole number of Unix time")
+    return value * _MICROSECONDS_PER_UNIT[field.unit]
 
 
 def render_time(name: str, field: Field, value: int) -> str | int:
-    """A time in a form's own unit; Unfit where it is finer or farther than that."""
+    """Convert microseconds of Unix time to the form's unit.
+
+    Raises UntranslatableError if the unit is too coarse for the time, or the time is out of its range.
+    """
     if field.unit == "rfc3339":
         try:
             moment = _EPOCH + value * _MICROSECOND
         except OverflowError:
-            raise Unfit(name, value, "is out of the years 1 to 9999") from None
+            raise UntranslatableError(name, value, "is out of the years 1 to 9999") from None
         text = moment.isoformat().removesuffix("+00:00")
         return (text.rstrip("0") if moment.microsecond else text) + "Z"
-    whole, rest = divmod(value, _PER_UNIT[field.unit])
-    if rest:
+    whole, remainder = divmod(value, _MICROSECONDS_PER_UNIT[field.unit])
+    if remainder:
         unit = "a second" if field.unit == "unix-s" else "a millisecond"
-        raise Unfit(name, value, f"is finer than {unit}")
+        raise UntranslatableError(name, value, f"is finer than {unit}")
     return whole
