--- a/benchmarks/capacity/plots.py
+++ b/benchmarks/capacity/plots.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from benchmarks.capacity import letter
+from benchmarks.capacity import requirements
 from benchmarks.capacity.figures import Line, Runs
 from benchmarks.capacity.records import ROOT
 
@@ -14,15 +14,21 @@
 PICTURES: dict[str, tuple[str, Sequence[Line]]] = {
     "planners": (
         "planners listed",
-        (letter.FIRST_JOB, letter.MEMORY, letter.CHANGE, letter.ZONE_ONE, letter.DECISIONS),
+        (
+            requirements.FIRST_JOB,
+            requirements.MEMORY,
+            requirements.CHANGE,
+            requirements.ZONE_ONE,
+            requirements.DECISIONS,
+        ),
     ),
     "tasks": (
         "tasks held, or started a second, by one scheduler",
-        (letter.HELD_MEMORY, letter.HELD_CPU, letter.HELD_FILES, letter.START_SHARE),
+        (requirements.HELD_MEMORY, requirements.HELD_CPU, requirements.HELD_FILES, requirements.START_SHARE),
     ),
     "schedulers": (
         "schedulers",
-        (letter.VIEW_BYTES, letter.VIEW_CPU, letter.JOIN_SECOND, letter.ZONE_SETTLED),
+        (requirements.VIEW_BYTES, requirements.VIEW_CPU, requirements.JOIN_SECOND, requirements.ZONE_SETTLED),
     ),
 }
 
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Sequence
 
-from benchmarks.capacity import letter
+from benchmarks.capacity import requirements
 from benchmarks.capacity.figures import HOW, NOT_MEASURED, Line, Runs, Told, number, table, text
 from benchmarks.capacity.fits import LEAST_SIZES
 from benchmarks.capacity.records import Row
@@ -139,7 +139,7 @@
 def slopes_table(runs: Runs) -> str:
     """Each line, its error, and the largest size that ran."""
     lines = []
-    for line in letter.SLOPES:
+    for line in requirements.SLOPES:
         points, fit = line.points(runs), line.fit(runs)
         name = (f"`{line.slope}`", line.case, f"`{line.figure}`")
         if fit is None:
@@ -188,7 +188,7 @@
     return made
 
 
-def _ratio(target: letter.Target, told: Told | None) -> str:
+def _ratio(target: requirements.Target, told: Told | None) -> str:
     if told is None or target.budget is None:
         return ""
     met = told.value >= target.budget if target.least else told.value <= target.budget
@@ -201,7 +201,7 @@
 def targets_table(runs: Runs) -> str:
     """Each target of the letter: figure, budget, ratio, mechanism."""
     lines = []
-    for target in letter.TARGETS:
+    for target in requirements.TARGETS:
         told = target.figure(runs)
         budget = (
             "none given"
@@ -222,7 +222,7 @@
     return table(("need", "figure of", "figure", "budget", "ratio", "carried by", "run"), lines)
 
 
-def role_table(lines: Sequence[letter.Held]) -> Callable[[Runs], str]:
+def role_table(lines: Sequence[requirements.Held]) -> Callable[[Runs], str]:
     """What a role holds, sends, and spends."""
     return lambda runs: table(
         ("what", "formula", "usual", "worst", "budget", "run"),
@@ -253,7 +253,7 @@
                 text(failure.settled(runs), "ms"),
                 ", ".join(f"`{test}`" for test in failure.tests) or "`missing`",
             )
-            for failure in letter.FAILURES
+            for failure in requirements.FAILURES
         ],
     )
 
@@ -262,49 +262,53 @@
     """What changes with the number of schedulers."""
 
     def line(what: str, unit: str, figure: Callable[[int], str]) -> tuple[str, ...]:
-        return (f"{what}{', ' + unit if unit else ''}", *(figure(count) for count in letter.ASSUMED))
+        return (f"{what}{', ' + unit if unit else ''}", *(figure(count) for count in requirements.ASSUMED))
 
     def of(slope: Line, size: Callable[[int], float]) -> Callable[[int], str]:
         return lambda count: text(slope.at(size(count))(runs))
 
-    heaviest = letter.HEAVIEST
+    heaviest = requirements.HEAVIEST
     return table(
-        ("what", *(f"{count} schedulers" for count in letter.ASSUMED)),
+        ("what", *(f"{count} schedulers" for count in requirements.ASSUMED)),
         [
             line(
                 "starts a second, mean and heaviest",
                 "",
-                lambda count: f"{number(letter.STARTS / count)}, {number(heaviest * letter.STARTS / count)}",
+                lambda count: (
+                    f"{number(requirements.STARTS / count)}, {number(heaviest * requirements.STARTS / count)}"
+                ),
             ),
             line(
                 "tasks held, mean and heaviest",
                 "",
-                lambda count: f"{number(letter.TASKS / count)}, {number(heaviest * letter.TASKS / count)}",
+                lambda count: (
+                    f"{number(requirements.TASKS / count)}, {number(heaviest * requirements.TASKS / count)}"
+                ),
             ),
             line(
                 "descriptors of the heaviest",
                 "",
-                of(letter.HELD_FILES, lambda n: heaviest * letter.TASKS / n),
+                of(requirements.HELD_FILES, lambda n: heaviest * requirements.TASKS / n),
             ),
             line(
                 "memory that the heaviest's tasks add",
                 "MB",
-                of(letter.HELD_MEMORY, lambda n: heaviest * letter.TASKS / n),
+                of(requirements.HELD_MEMORY, lambda n: heaviest * requirements.TASKS / n),
             ),
             line(
                 "CPU of the heaviest's starts",
                 "of a core",
-                of(letter.START_SHARE, lambda n: heaviest * letter.STARTS / n),
+                of(requirements.START_SHARE, lambda n: heaviest * requirements.STARTS / n),
             ),
-            line("view and settings at rest", "bytes/s a scheduler", of(letter.VIEW_BYTES, float)),
-            line("CPU of them at rest", "of a core", of(letter.VIEW_CPU, float)),
-            line("a join storm's worst second", "bytes", of(letter.JOIN_SECOND, float)),
+            line("view and settings at rest", "bytes/s a scheduler", of(requirements.VIEW_BYTES, float)),
+            line("CPU of them at rest", "of a core", of(requirements.VIEW_CPU, float)),
+            line("a join storm's worst second", "bytes", of(requirements.JOIN_SECOND, float)),
             line(
                 "whole lists told when all restart",
                 "MB",
                 lambda count: text(
                     (lambda told: None if told is None else Told(told.value * count / 1e6, told.how))(
-                        letter.LIST_COMPACT.at(letter.PLANNERS)(runs)
+                        requirements.LIST_COMPACT.at(requirements.PLANNERS)(runs)
                     )
                 ),
             ),
@@ -318,8 +322,8 @@
     "targets": targets_table,
     "assumed": assumed_table,
     "failures": failures_table,
-    "scheduler": role_table(letter.DATA_PATH),
-    "control": role_table(letter.CONTROL),
-    "discovery": role_table(letter.DISCOVERY),
+    "scheduler": role_table(requirements.DATA_PATH),
+    "control": role_table(requirements.CONTROL),
+    "discovery": role_table(requirements.DISCOVERY),
     **{name: rows_table(*what) for name, what in COLUMNS.items()},
 }
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 from loopback import SETTINGS
 
-from benchmarks.capacity import gangs, letter, page, urgent
+from benchmarks.capacity import gangs, requirements, page, urgent
 from benchmarks.capacity.__main__ import main
 from benchmarks.capacity.figures import Line, plus, ratio, text
 from benchmarks.capacity.fits import FitError, fit
@@ -94,13 +94,13 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     runs, told = read_all(), page.PAGE.read_text()
-    target = text(letter.RELOAD.at(letter.TEAMS)(runs))
+    target = text(requirements.RELOAD.at(requirements.TEAMS)(runs))
     doctored = tmp_path / "CAPACITY.md"
     doctored.write_text(told.replace(f"| {target} |", "| 0.001 |"))
     monkeypatch.setattr(page, "PAGE", doctored)
     result = CliRunner().invoke(main, ["--check"])
     assert result.exit_code == 1 and "+| 380 |" in result.output and "-| 380 |" in result.output
-    row = next(row for row in runs["reload"].rows if row.size == letter.TEAMS)
+    row = next(row for row in runs["reload"].rows if row.size == requirements.TEAMS)
     row.figures["cpu_ms"] *= 2
     assert page.differs(told, runs)
 
@@ -111,7 +111,7 @@
 
 
 def test_the_tests_that_the_page_names_exist() -> None:
-    for failure in letter.FAILURES:
+    for failure in requirements.FAILURES:
         for name in failure.tests:
             file, _, function = name.partition("::")
             assert re.search(rf"^(async )?def {function}\(", (ROOT / file).read_text(), re.MULTILINE), name
