--- a/benchmarks/capacity/figures.py
+++ b/benchmarks/capacity/figures.py
@@ -13,20 +13,20 @@
 
 
 @dataclass(frozen=True)
-class Told:
+class FigureValue:
     """A figure, and how it is known: `measured`, `fit`, `extrapolated`, or at a lesser size alone."""
 
     value: float
-    how: str = "measured"
+    basis: str = "measured"
 
     @property
-    def sure(self) -> int:
+    def uncertainty(self) -> int:
         """The less sure, the higher."""
-        return HOW.index(self.how) if self.how in HOW else len(HOW)
+        return BASES.index(self.basis) if self.basis in BASES else len(BASES)
 
 
-Figure = Callable[[Runs], Told | None]
-HOW = ("measured", "fit", "extrapolated")
+Figure = Callable[[Runs], FigureValue | None]
+BASES = ("measured", "fit", "extrapolated")
 
 
 def number(value: float) -> str:
@@ -34,12 +34,12 @@
     return f"{value:,.0f}" if abs(value) >= 1000 else f"{value:.3g}"
 
 
-def text(told: Told | None, unit: str = "") -> str:
+def text(evaluate: FigureValue | None, unit: str = "") -> str:
     """A figure with its unit, and how it is known where it was not measured."""
-    if told is None:
+    if evaluate is None:
         return NOT_MEASURED
-    return f"{number(told.value)}{' ' + unit if unit else ''}" + (
-        "" if told.how == "measured" else f" ({told.how})"
+    return f"{number(evaluate.value)}{' ' + unit if unit else ''}" + (
+        "" if evaluate.basis == "measured" else f" ({evaluate.basis})"
     )
 
 
@@ -68,57 +68,59 @@
         """The figure at a size: as measured where that size ran, else by the fit; where too few ran for one,
         that of the largest."""
 
-        def told(runs: Runs) -> Told | None:
+        def evaluate(runs: Runs) -> FigureValue | None:
             ran = dict(self.points(runs))
             if size in ran:
-                return Told(ran[int(size)])
+                return FigureValue(ran[int(size)])
             line = self.fit(runs)
             if line is None:
-                return Told(ran[max(ran)], f"at {max(ran)}, no slope") if ran else None
+                return FigureValue(ran[max(ran)], f"at {max(ran)}, no slope") if ran else None
             estimate = line.at(size)
-            return Told(max(0.0, estimate.value), "extrapolated" if estimate.extrapolated else "fit")
+            return FigureValue(max(0.0, estimate.value), "extrapolated" if estimate.extrapolated else "fit")
 
-        return told
+        return evaluate
 
 
 def times(figure: Figure, factor: float) -> Figure:
     """The figure so many times."""
 
-    def told(runs: Runs) -> Told | None:
+    def evaluate(runs: Runs) -> FigureValue | None:
         one = figure(runs)
-        return None if one is None else Told(one.value * factor, one.how)
+        return None if one is None else FigureValue(one.value * factor, one.basis)
 
-    return told
+    return evaluate
 
 
 def plus(*figures: Figure) -> Figure:
     """The sum; None where one of them is."""
 
-    def told(runs: Runs) -> Told | None:
+    def evaluate(runs: Runs) -> FigureValue | None:
         all_told = [figure(runs) for figure in figures]
         known = [one for one in all_told if one is not None]
         if len(known) < len(all_told):
             return None
-        return Told(sum(one.value for one in known), max(known, key=lambda one: one.sure).how)
+        return FigureValue(sum(one.value for one in known), max(known, key=lambda one: one.uncertainty).basis)
 
-    return told
+    return evaluate
 
 
 def ratio(above: Figure, below: Figure) -> Figure:
     """One figure in parts of the other."""
 
-    def told(runs: Runs) -> Told | None:
+    def evaluate(runs: Runs) -> FigureValue | None:
         one, other = above(runs), below(runs)
         if one is None or other is None or not other.value:
             return None
-        return Told(one.value / other.value, max((one, other), key=lambda told: told.sure).how)
+        return FigureValue(
+            one.value / other.value, max((one, other), key=lambda evaluate: evaluate.uncertainty).basis
+        )
 
-    return told
+    return evaluate
 
 
 def given(value: float) -> Figure:
     """A figure of the letter itself, or counted in the program's text."""
-    return lambda runs: Told(value)
+    return lambda runs: FigureValue(value)
 
 
 def table(head: Sequence[str], lines: Sequence[Sequence[str]]) -> str:
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 
 from benchmarks.capacity import requirements
-from benchmarks.capacity.figures import HOW, NOT_MEASURED, Line, Runs, Told, number, table, text
+from benchmarks.capacity.figures import BASES, NOT_MEASURED, Line, Runs, FigureValue, number, table, text
 from benchmarks.capacity.fits import LEAST_SIZES
 from benchmarks.capacity.records import Row
 
@@ -188,11 +188,11 @@
     return made
 
 
-def _ratio(target: requirements.Target, told: Told | None) -> str:
+def _ratio(target: requirements.Target, told: FigureValue | None) -> str:
     if told is None or target.budget is None:
         return ""
     met = told.value >= target.budget if target.least else told.value <= target.budget
-    if met and told.how not in HOW:
+    if met and told.basis not in BASES:
         return ""  # a lesser size that meets it says nothing of this one; one that misses it does
     share = number(told.value / target.budget) if target.budget else ""
     return share if met else f"{share} **missed**".strip()
@@ -206,7 +206,7 @@
         budget = (
             "none given"
             if target.budget is None
-            else (f"at {'least' if target.least else 'most'} {text(Told(target.budget), target.unit)}")
+            else (f"at {'least' if target.least else 'most'} {text(FigureValue(target.budget), target.unit)}")
         )
         lines.append(
             (
@@ -307,9 +307,11 @@
                 "whole lists told when all restart",
                 "MB",
                 lambda count: text(
-                    (lambda told: None if told is None else Told(told.value * count / 1e6, told.how))(
-                        requirements.LIST_COMPACT.at(requirements.PLANNERS)(runs)
-                    )
+                    (
+                        lambda told: (
+                            None if told is None else FigureValue(told.value * count / 1e6, told.basis)
+                        )
+                    )(requirements.LIST_COMPACT.at(requirements.PLANNERS)(runs))
                 ),
             ),
         ],
