--- a/benchmarks/capacity/figures.py
+++ b/benchmarks/capacity/figures.py
@@ -118,7 +118,7 @@
     return evaluate
 
 
-def given(value: float) -> Figure:
+def constant(value: float) -> Figure:
     """A figure of the letter itself, or counted in the program's text."""
     return lambda runs: FigureValue(value)
 
--- a/benchmarks/capacity/requirements.py
+++ b/benchmarks/capacity/requirements.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from benchmarks.capacity.figures import Figure, Line, given, plus, ratio, times
+from benchmarks.capacity.figures import Figure, Line, constant, plus, ratio, times
 from pipitshed.scheduling.attempt_watchdog import STALLED_PROGRESS_INTERVALS
 
 PLANNERS, SCHEDULERS, REGIONS, ZONES, TEAMS = 4600, 300, 3, 7, 380
@@ -593,7 +593,7 @@
     Target(
         "12 machines for control",
         "machines that anything runs on",
-        given(0),
+        constant(0),
         "",
         float(MACHINES),
         "none is needed so far",
@@ -618,12 +618,12 @@
 
 
 DATA_PATH = (
-    Held("planners known", "the list", given(PLANNERS), given(PLANNERS), "", "4,600", ""),
+    Held("planners known", "the list", constant(PLANNERS), constant(PLANNERS), "", "4,600", ""),
     Held(
         "tasks held",
         "tasks / schedulers; the heaviest 4 times that",
-        given(HELD_EACH),
-        given(HEAVIEST * HELD_EACH),
+        constant(HELD_EACH),
+        constant(HEAVIEST * HELD_EACH),
         "",
         "none given",
         "",
@@ -640,8 +640,8 @@
     Held(
         "starts",
         "starts / schedulers; the heaviest 4 times that",
-        given(STARTS_EACH),
-        given(HEAVIEST * STARTS_EACH),
+        constant(STARTS_EACH),
+        constant(HEAVIEST * STARTS_EACH),
         "/s",
         "none given",
         "",
@@ -649,8 +649,8 @@
     Held(
         "notes from planners",
         "tasks held / 2 s",
-        given(HELD_EACH * 1000 / PROGRESS_MS),
-        given(HEAVIEST * HELD_EACH * 1000 / PROGRESS_MS),
+        constant(HELD_EACH * 1000 / PROGRESS_MS),
+        constant(HEAVIEST * HELD_EACH * 1000 / PROGRESS_MS),
         "/s",
         "none given",
         "",
@@ -658,8 +658,8 @@
     Held(
         "changes of the list",
         "3 a replaced planner (drains, goes, comes); worst: a zone at once",
-        given(3 * (REPLACED_A_DAY + FAILED_A_DAY) / DAY_S),
-        given(ZONE_ROWS),
+        constant(3 * (REPLACED_A_DAY + FAILED_A_DAY) / DAY_S),
+        constant(ZONE_ROWS),
         "/s",
         "none given",
         "",
@@ -702,8 +702,8 @@
     ),
 )
 CONTROL = (
-    Held("schedulers known", "the view", given(SCHEDULERS), given(SCHEDULERS), "", "none given", ""),
-    Held("rows of settings", "one a team", given(TEAMS), given(TEAMS), "", "none given", ""),
+    Held("schedulers known", "the view", constant(SCHEDULERS), constant(SCHEDULERS), "", "none given", ""),
+    Held("rows of settings", "one a team", constant(TEAMS), constant(TEAMS), "", "none given", ""),
     Held(
         "bytes sent",
         "view and settings; worst: the worst second of a join storm",
@@ -770,7 +770,7 @@
     ),
 )
 DISCOVERY = (
-    Held("watches held", "one a scheduler", given(SCHEDULERS), given(SCHEDULERS), "", "none given", ""),
+    Held("watches held", "one a scheduler", constant(SCHEDULERS), constant(SCHEDULERS), "", "none given", ""),
     Held(
         "whole lists told",
         "one a start of a scheduler; worst: all restarted",
@@ -801,8 +801,8 @@
     Held(
         "heartbeats",
         "one a watch each 2 s",
-        given(SCHEDULERS / 2),
-        given(SCHEDULERS / 2),
+        constant(SCHEDULERS / 2),
+        constant(SCHEDULERS / 2),
         "/s",
         "none given",
         "",
@@ -836,7 +836,7 @@
         "CPU of one change in each scheduler",
         CHANGE.at(PLANNERS),
         "us",
-        given(STALLED_PROGRESS_INTERVALS * PROGRESS_MS),
+        constant(STALLED_PROGRESS_INTERVALS * PROGRESS_MS),
         (
             "tests/scheduling/test_dispatcher_rules.py::test_a_started_job_whose_worker_falls_silent_is_drawn_again",
         ),
