--- a/benchmarks/capacity/fits.py
+++ b/benchmarks/capacity/fits.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-LEAST_SIZES = 4
+MIN_SIZES = 4
 FORMS: dict[str, Callable[[float], float]] = {
     "constant": lambda size: 0.0,
     "linear": lambda size: size,
@@ -60,15 +60,18 @@
     if form not in FORMS:
         raise FitError(f"no form {form!r}: {', '.join(FORMS)}")
     sizes = {size for size, _ in points}
-    if len(sizes) < LEAST_SIZES:
-        raise FitError(f"{len(sizes)} sizes, {LEAST_SIZES} are needed")
+    if len(sizes) < MIN_SIZES:
+        raise FitError(f"{len(sizes)} sizes, {MIN_SIZES} are needed")
     shape = FORMS[form]
     xs, ys = [shape(size) for size, _ in points], [value for _, value in points]
     weights = [1 / y**2 for y in ys] if relative and all(ys) else [1.0] * len(ys)
-    weighed, whole = list(zip(weights, xs, ys, strict=True)), sum(weights)
-    x_mean, y_mean = sum(w * x for w, x, _ in weighed) / whole, sum(w * y for w, _, y in weighed) / whole
-    spread = sum(w * (x - x_mean) ** 2 for w, x, _ in weighed)
-    b = sum(w * (x - x_mean) * (y - y_mean) for w, x, y in weighed) / spread if spread else 0.0
+    weighted, total_weight = list(zip(weights, xs, ys, strict=True)), sum(weights)
+    x_mean, y_mean = (
+        sum(w * x for w, x, _ in weighted) / total_weight,
+        sum(w * y for w, _, y in weighted) / total_weight,
+    )
+    spread = sum(w * (x - x_mean) ** 2 for w, x, _ in weighted)
+    b = sum(w * (x - x_mean) * (y - y_mean) for w, x, y in weighted) / spread if spread else 0.0
     a = y_mean - b * x_mean
     errors = [a + b * x - y for x, y in zip(xs, ys, strict=True)]
     return Fit(
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -6,7 +6,7 @@
 
 from benchmarks.capacity import requirements
 from benchmarks.capacity.figures import BASES, NOT_MEASURED, Line, Runs, FigureValue, number, table, text
-from benchmarks.capacity.fits import LEAST_SIZES
+from benchmarks.capacity.fits import MIN_SIZES
 from benchmarks.capacity.records import Row
 
 LISTED = (
@@ -143,7 +143,7 @@
         points, fit = line.points(runs), line.fit(runs)
         name = (f"`{line.slope}`", line.case, f"`{line.figure}`")
         if fit is None:
-            why = f"{len({size for size, _ in points})} sizes of {LEAST_SIZES}" if points else NOT_MEASURED
+            why = f"{len({size for size, _ in points})} sizes of {MIN_SIZES}" if points else NOT_MEASURED
             lines.append((*name, why, "", "", ""))
             continue
         lines.append((*name, f"{fit.formula()}", number(fit.rms), f"{fit.worst:.0%}", f"{fit.largest:,}"))
