--- a/benchmarks/capacity/requirements.py
+++ b/benchmarks/capacity/requirements.py
@@ -605,7 +605,7 @@
 
 
 @dataclass(frozen=True)
-class Held:
+class RoleLine:
     """One line of a role's table: what, by which formula, on a usual day and on the worst one."""
 
     what: str
@@ -618,8 +618,8 @@
 
 
 DATA_PATH = (
-    Held("planners known", "the list", constant(PLANNERS), constant(PLANNERS), "", "4,600", ""),
-    Held(
+    RoleLine("planners known", "the list", constant(PLANNERS), constant(PLANNERS), "", "4,600", ""),
+    RoleLine(
         "tasks held",
         "tasks / schedulers; the heaviest 4 times that",
         constant(HELD_EACH),
@@ -628,7 +628,7 @@
         "none given",
         "",
     ),
-    Held(
+    RoleLine(
         "timers",
         "tasks held x timers each",
         times(HELD_TIMERS.at(800), HELD_EACH),
@@ -637,7 +637,7 @@
         "none given",
         "held",
     ),
-    Held(
+    RoleLine(
         "starts",
         "starts / schedulers; the heaviest 4 times that",
         constant(STARTS_EACH),
@@ -646,7 +646,7 @@
         "none given",
         "",
     ),
-    Held(
+    RoleLine(
         "notes from planners",
         "tasks held / 2 s",
         constant(HELD_EACH * 1000 / PROGRESS_MS),
@@ -655,7 +655,7 @@
         "none given",
         "",
     ),
-    Held(
+    RoleLine(
         "changes of the list",
         "3 a replaced planner (drains, goes, comes); worst: a zone at once",
         constant(3 * (REPLACED_A_DAY + FAILED_A_DAY) / DAY_S),
@@ -664,7 +664,7 @@
         "none given",
         "",
     ),
-    Held(
+    RoleLine(
         "CPU of starts and of what is held",
         "by both slopes",
         plus(START_SHARE.at(STARTS_EACH), HELD_CPU.at(HELD_EACH)),
@@ -673,7 +673,7 @@
         "1",
         "starts, held",
     ),
-    Held(
+    RoleLine(
         "CPU of changes",
         "a day's changes x that of one; worst: a zone in a read each",
         times(CHANGE.at(PLANNERS), 3 * (REPLACED_A_DAY + FAILED_A_DAY) / 1000),
@@ -682,7 +682,7 @@
         "none given",
         "planners",
     ),
-    Held(
+    RoleLine(
         "memory",
         "the list, and what is held",
         plus(MEMORY.at(PLANNERS), HELD_MEMORY.at(HELD_EACH)),
@@ -691,7 +691,7 @@
         "192 (`limits.memory_mb`)",
         "planners, held",
     ),
-    Held(
+    RoleLine(
         "connections (descriptors)",
         "2 a task held, and what rests",
         HELD_FILES.at(HELD_EACH),
@@ -702,9 +702,11 @@
     ),
 )
 CONTROL = (
-    Held("schedulers known", "the view", constant(SCHEDULERS), constant(SCHEDULERS), "", "none given", ""),
-    Held("rows of settings", "one a team", constant(TEAMS), constant(TEAMS), "", "none given", ""),
-    Held(
+    RoleLine(
+        "schedulers known", "the view", constant(SCHEDULERS), constant(SCHEDULERS), "", "none given", ""
+    ),
+    RoleLine("rows of settings", "one a team", constant(TEAMS), constant(TEAMS), "", "none given", ""),
+    RoleLine(
         "bytes sent",
         "view and settings; worst: the worst second of a join storm",
         VIEW_BYTES.at(SCHEDULERS),
@@ -713,7 +715,7 @@
         "9,000",
         "schedulers",
     ),
-    Held(
+    RoleLine(
         "bytes sent by the heaviest",
         "the same; worst: the worst second of changes in bursts, 1% loss",
         VIEW_HEAVIEST.at(SCHEDULERS),
@@ -722,7 +724,7 @@
         "9,000",
         "schedulers",
     ),
-    Held(
+    RoleLine(
         "messages sent",
         "probes, answers, repair; worst: a join storm",
         VIEW_MESSAGES.at(SCHEDULERS),
@@ -731,7 +733,7 @@
         "none given",
         "schedulers",
     ),
-    Held(
+    RoleLine(
         "CPU",
         "protocol and codec, without sockets; worst: a join storm",
         VIEW_CPU.at(SCHEDULERS),
@@ -740,7 +742,7 @@
         "0.032",
         "schedulers",
     ),
-    Held(
+    RoleLine(
         "CPU while changes come",
         "20 in a second, now and then",
         CHANGE_CPU.at(SCHEDULERS),
@@ -749,8 +751,10 @@
         "0.032",
         "schedulers",
     ),
-    Held("memory", "view and settings alone", VIEW_MEMORY.at(SCHEDULERS), NONE, "MB", "256", "schedulers"),
-    Held(
+    RoleLine(
+        "memory", "view and settings alone", VIEW_MEMORY.at(SCHEDULERS), NONE, "MB", "256", "schedulers"
+    ),
+    RoleLine(
         "CPU of a file read again",
         "reloads of a day, where settings come by file; worst: 20 in a second",
         times(RELOAD.at(TEAMS), CHANGES_A_DAY / DAY_S / 1000),
@@ -759,7 +763,7 @@
         "0.032",
         "reload",
     ),
-    Held(
+    RoleLine(
         "bytes of that file",
         "the whole of it for each change, to each scheduler",
         times(RELOAD_FILE.at(TEAMS), CHANGES_A_DAY / DAY_S),
@@ -770,8 +774,10 @@
     ),
 )
 DISCOVERY = (
-    Held("watches held", "one a scheduler", constant(SCHEDULERS), constant(SCHEDULERS), "", "none given", ""),
-    Held(
+    RoleLine(
+        "watches held", "one a scheduler", constant(SCHEDULERS), constant(SCHEDULERS), "", "none given", ""
+    ),
+    RoleLine(
         "whole lists told",
         "one a start of a scheduler; worst: all restarted",
         LISTS_ASKED.at(PLANNERS),
@@ -780,7 +786,7 @@
         "none given",
         "planners",
     ),
-    Held(
+    RoleLine(
         "bytes of them",
         "compact",
         LIST_COMPACT.at(PLANNERS),
@@ -789,7 +795,7 @@
         "none given",
         "planners",
     ),
-    Held(
+    RoleLine(
         "seconds of 9 KB/s that one takes",
         "bytes / 9,000, compact; worst: indented",
         times(LIST_COMPACT.at(PLANNERS), 1 / BYTES_PER_S),
@@ -798,7 +804,7 @@
         "none given",
         "planners",
     ),
-    Held(
+    RoleLine(
         "heartbeats",
         "one a watch each 2 s",
         constant(SCHEDULERS / 2),
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -222,7 +222,7 @@
     return table(("need", "figure of", "figure", "budget", "ratio", "carried by", "run"), lines)
 
 
-def role_table(lines: Sequence[requirements.Held]) -> Callable[[Runs], str]:
+def role_table(lines: Sequence[requirements.RoleLine]) -> Callable[[Runs], str]:
     """What a role holds, sends, and spends."""
     return lambda runs: table(
         ("what", "formula", "usual", "worst", "budget", "run"),
