--- a/benchmarks/capacity/requirements.py
+++ b/benchmarks/capacity/requirements.py
@@ -8,20 +8,20 @@
 from pipitshed.scheduling.attempt_watchdog import STALLED_PROGRESS_INTERVALS
 
 PLANNERS, SCHEDULERS, REGIONS, ZONES, TEAMS = 4600, 300, 3, 7, 380
-STARTS, TASKS, JOBS_A_DAY, GANG = 280, 29_000, 43_000, 128
-CHANGES_A_DAY, IN_FORCE_MS, URGENT_MS = 7800, 5000.0, 2700.0
+STARTS_PER_S, RUNNING_TASKS, JOBS_PER_DAY, GANG_MEMBERS = 280, 29_000, 43_000, 128
+CHANGES_PER_DAY, IN_FORCE_MS, URGENT_MS = 7800, 5000.0, 2700.0
 CORE, MEMORY_MB, BYTES_PER_S, MACHINES = 0.032, 256.0, 9000.0, 12
-FAILED_A_DAY, REPLACED_A_DAY = 23, 410
+FAILED_PER_DAY, REPLACED_PER_DAY = 23, 410
 DAY_S = 86_400
 # Assumed, as the letter leaves it open; docs/CAPACITY.md names each.
-ASSUMED = (150, 300, 600)  # schedulers
-HEAVIEST = 4  # times the mean: what the heaviest scheduler holds and starts
-RACK = 40  # planners
+ASSUMED_SCHEDULERS = (150, 300, 600)  # schedulers
+HEAVIEST_FACTOR = 4  # times the mean: what the heaviest scheduler holds and starts
+RACK_PLANNERS = 40  # planners
 SOCKETS = 1024.0  # `limits.sockets` of a deployment
 PROGRESS_MS = 2000.0  # between a planner's notes of a task
 
-STARTS_EACH, HELD_EACH = STARTS / SCHEDULERS, TASKS / SCHEDULERS
-ZONE_ROWS = PLANNERS // ZONES
+STARTS_PER_SCHEDULER, TASKS_PER_SCHEDULER = STARTS_PER_S / SCHEDULERS, RUNNING_TASKS / SCHEDULERS
+ZONE_PLANNERS = PLANNERS // ZONES
 
 # ---- the lines
 
@@ -259,7 +259,7 @@
     Target(
         "a zone lost",
         "657 rows in a read each, a job behind each, against 3.2% of a core for a minute",
-        times(ZONE_EACH.at(PLANNERS), ZONE_ROWS / 1000),
+        times(ZONE_EACH.at(PLANNERS), ZONE_PLANNERS / 1000),
         "ms",
         CORE * 60_000,
         "`decisions.rules`",
@@ -277,7 +277,7 @@
     Target(
         "280 starts a second",
         "CPU of the mean scheduler's starts",
-        START_SHARE.at(STARTS_EACH),
+        START_SHARE.at(STARTS_PER_SCHEDULER),
         "of a core",
         1.0,
         "`exchange.core`, `egress.http`",
@@ -286,7 +286,7 @@
     Target(
         "280 starts a second",
         "CPU of the heaviest scheduler's",
-        START_SHARE.at(HEAVIEST * STARTS_EACH),
+        START_SHARE.at(HEAVIEST_FACTOR * STARTS_PER_SCHEDULER),
         "of a core",
         1.0,
         "`exchange.core`, `egress.http`",
@@ -295,7 +295,7 @@
     Target(
         "280 starts a second",
         "CPU if one scheduler had all of them",
-        START_SHARE.at(STARTS),
+        START_SHARE.at(STARTS_PER_S),
         "of a core",
         1.0,
         "`exchange.core`, `egress.http`",
@@ -304,7 +304,7 @@
     Target(
         "29,000 tasks running",
         "memory that the heaviest scheduler's add",
-        HELD_MEMORY.at(HEAVIEST * HELD_EACH),
+        HELD_MEMORY.at(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER),
         "MB",
         MEMORY_MB,
         "`exchange.core`",
@@ -313,7 +313,7 @@
     Target(
         "29,000 tasks running",
         "CPU of the heaviest scheduler's",
-        HELD_CPU.at(HEAVIEST * HELD_EACH),
+        HELD_CPU.at(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER),
         "of a core",
         1.0,
         "`exchange.core`",
@@ -322,7 +322,7 @@
     Target(
         "29,000 tasks running",
         "descriptors of the heaviest scheduler",
-        HELD_FILES.at(HEAVIEST * HELD_EACH),
+        HELD_FILES.at(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER),
         "",
         SOCKETS,
         "`scheduler`, `egress.http`",
@@ -331,7 +331,7 @@
     Target(
         "gangs of up to 128",
         "gangs of 128 that start whole, nine tenths of the slots taken",
-        GANG_WHOLE.at(GANG),
+        GANG_WHOLE.at(GANG_MEMBERS),
         "of all",
         1.0,
         MISSING,
@@ -386,7 +386,7 @@
     Target(
         "7,800 changes a day",
         "CPU of as many reloads with 380 teams, over the day",
-        times(RELOAD.at(TEAMS), CHANGES_A_DAY / DAY_S / 1000),
+        times(RELOAD.at(TEAMS), CHANGES_PER_DAY / DAY_S / 1000),
         "of a core",
         CORE,
         "`scheduler`, `tuning`",
@@ -622,8 +622,8 @@
     RoleLine(
         "tasks held",
         "tasks / schedulers; the heaviest 4 times that",
-        constant(HELD_EACH),
-        constant(HEAVIEST * HELD_EACH),
+        constant(TASKS_PER_SCHEDULER),
+        constant(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER),
         "",
         "none given",
         "",
@@ -631,8 +631,8 @@
     RoleLine(
         "timers",
         "tasks held x timers each",
-        times(HELD_TIMERS.at(800), HELD_EACH),
-        times(HELD_TIMERS.at(800), HEAVIEST * HELD_EACH),
+        times(HELD_TIMERS.at(800), TASKS_PER_SCHEDULER),
+        times(HELD_TIMERS.at(800), HEAVIEST_FACTOR * TASKS_PER_SCHEDULER),
         "",
         "none given",
         "held",
@@ -640,8 +640,8 @@
     RoleLine(
         "starts",
         "starts / schedulers; the heaviest 4 times that",
-        constant(STARTS_EACH),
-        constant(HEAVIEST * STARTS_EACH),
+        constant(STARTS_PER_SCHEDULER),
+        constant(HEAVIEST_FACTOR * STARTS_PER_SCHEDULER),
         "/s",
         "none given",
         "",
@@ -649,8 +649,8 @@
     RoleLine(
         "notes from planners",
         "tasks held / 2 s",
-        constant(HELD_EACH * 1000 / PROGRESS_MS),
-        constant(HEAVIEST * HELD_EACH * 1000 / PROGRESS_MS),
+        constant(TASKS_PER_SCHEDULER * 1000 / PROGRESS_MS),
+        constant(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER * 1000 / PROGRESS_MS),
         "/s",
         "none given",
         "",
@@ -658,8 +658,8 @@
     RoleLine(
         "changes of the list",
         "3 a replaced planner (drains, goes, comes); worst: a zone at once",
-        constant(3 * (REPLACED_A_DAY + FAILED_A_DAY) / DAY_S),
-        constant(ZONE_ROWS),
+        constant(3 * (REPLACED_PER_DAY + FAILED_PER_DAY) / DAY_S),
+        constant(ZONE_PLANNERS),
         "/s",
         "none given",
         "",
@@ -667,8 +667,11 @@
     RoleLine(
         "CPU of starts and of what is held",
         "by both slopes",
-        plus(START_SHARE.at(STARTS_EACH), HELD_CPU.at(HELD_EACH)),
-        plus(START_SHARE.at(HEAVIEST * STARTS_EACH), HELD_CPU.at(HEAVIEST * HELD_EACH)),
+        plus(START_SHARE.at(STARTS_PER_SCHEDULER), HELD_CPU.at(TASKS_PER_SCHEDULER)),
+        plus(
+            START_SHARE.at(HEAVIEST_FACTOR * STARTS_PER_SCHEDULER),
+            HELD_CPU.at(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER),
+        ),
         "of a core",
         "1",
         "starts, held",
@@ -676,8 +679,8 @@
     RoleLine(
         "CPU of changes",
         "a day's changes x that of one; worst: a zone in a read each",
-        times(CHANGE.at(PLANNERS), 3 * (REPLACED_A_DAY + FAILED_A_DAY) / 1000),
-        times(ZONE_EACH.at(PLANNERS), ZONE_ROWS / 1000),
+        times(CHANGE.at(PLANNERS), 3 * (REPLACED_PER_DAY + FAILED_PER_DAY) / 1000),
+        times(ZONE_EACH.at(PLANNERS), ZONE_PLANNERS / 1000),
         "ms",
         "none given",
         "planners",
@@ -685,8 +688,8 @@
     RoleLine(
         "memory",
         "the list, and what is held",
-        plus(MEMORY.at(PLANNERS), HELD_MEMORY.at(HELD_EACH)),
-        plus(MEMORY.at(PLANNERS), HELD_MEMORY.at(HEAVIEST * HELD_EACH)),
+        plus(MEMORY.at(PLANNERS), HELD_MEMORY.at(TASKS_PER_SCHEDULER)),
+        plus(MEMORY.at(PLANNERS), HELD_MEMORY.at(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER)),
         "MB",
         "192 (`limits.memory_mb`)",
         "planners, held",
@@ -694,8 +697,8 @@
     RoleLine(
         "connections (descriptors)",
         "2 a task held, and what rests",
-        HELD_FILES.at(HELD_EACH),
-        HELD_FILES.at(HEAVIEST * HELD_EACH),
+        HELD_FILES.at(TASKS_PER_SCHEDULER),
+        HELD_FILES.at(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER),
         "",
         "1,024 (`limits.sockets`)",
         "held",
@@ -757,7 +760,7 @@
     RoleLine(
         "CPU of a file read again",
         "reloads of a day, where settings come by file; worst: 20 in a second",
-        times(RELOAD.at(TEAMS), CHANGES_A_DAY / DAY_S / 1000),
+        times(RELOAD.at(TEAMS), CHANGES_PER_DAY / DAY_S / 1000),
         times(RELOAD.at(TEAMS), 20 / 1000),
         "of a core",
         "0.032",
@@ -766,7 +769,7 @@
     RoleLine(
         "bytes of that file",
         "the whole of it for each change, to each scheduler",
-        times(RELOAD_FILE.at(TEAMS), CHANGES_A_DAY / DAY_S),
+        times(RELOAD_FILE.at(TEAMS), CHANGES_PER_DAY / DAY_S),
         times(RELOAD_FILE.at(TEAMS), 20),
         "bytes/s",
         "9,000",
@@ -871,7 +874,7 @@
         "a rack or switch (40 planners, assumed)",
         "weekly",
         "CPU of 40 changes in each scheduler",
-        times(ZONE_EACH.at(PLANNERS), RACK / 1000),
+        times(ZONE_EACH.at(PLANNERS), RACK_PLANNERS / 1000),
         "ms",
         NONE,
         ZONE_TESTS[1:],
@@ -880,7 +883,7 @@
         "a zone, its planners",
         "every other month",
         "CPU in each scheduler, a read for each row",
-        times(ZONE_EACH.at(PLANNERS), ZONE_ROWS / 1000),
+        times(ZONE_EACH.at(PLANNERS), ZONE_PLANNERS / 1000),
         "ms",
         NONE,
         ZONE_TESTS,
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -262,43 +262,46 @@
     """What changes with the number of schedulers."""
 
     def line(what: str, unit: str, figure: Callable[[int], str]) -> tuple[str, ...]:
-        return (f"{what}{', ' + unit if unit else ''}", *(figure(count) for count in requirements.ASSUMED))
+        return (
+            f"{what}{', ' + unit if unit else ''}",
+            *(figure(count) for count in requirements.ASSUMED_SCHEDULERS),
+        )
 
     def of(slope: Line, size: Callable[[int], float]) -> Callable[[int], str]:
         return lambda count: text(slope.at(size(count))(runs))
 
-    heaviest = requirements.HEAVIEST
+    heaviest = requirements.HEAVIEST_FACTOR
     return table(
-        ("what", *(f"{count} schedulers" for count in requirements.ASSUMED)),
+        ("what", *(f"{count} schedulers" for count in requirements.ASSUMED_SCHEDULERS)),
         [
             line(
                 "starts a second, mean and heaviest",
                 "",
                 lambda count: (
-                    f"{number(requirements.STARTS / count)}, {number(heaviest * requirements.STARTS / count)}"
+                    f"{number(requirements.STARTS_PER_S / count)}, {number(heaviest * requirements.STARTS_PER_S / count)}"
                 ),
             ),
             line(
                 "tasks held, mean and heaviest",
                 "",
                 lambda count: (
-                    f"{number(requirements.TASKS / count)}, {number(heaviest * requirements.TASKS / count)}"
+                    f"{number(requirements.RUNNING_TASKS / count)}, {number(heaviest * requirements.RUNNING_TASKS / count)}"
                 ),
             ),
             line(
                 "descriptors of the heaviest",
                 "",
-                of(requirements.HELD_FILES, lambda n: heaviest * requirements.TASKS / n),
+                of(requirements.HELD_FILES, lambda n: heaviest * requirements.RUNNING_TASKS / n),
             ),
             line(
                 "memory that the heaviest's tasks add",
                 "MB",
-                of(requirements.HELD_MEMORY, lambda n: heaviest * requirements.TASKS / n),
+                of(requirements.HELD_MEMORY, lambda n: heaviest * requirements.RUNNING_TASKS / n),
             ),
             line(
                 "CPU of the heaviest's starts",
                 "of a core",
-                of(requirements.START_SHARE, lambda n: heaviest * requirements.STARTS / n),
+                of(requirements.START_SHARE, lambda n: heaviest * requirements.STARTS_PER_S / n),
             ),
             line("view and settings at rest", "bytes/s a scheduler", of(requirements.VIEW_BYTES, float)),
             line("CPU of them at rest", "of a core", of(requirements.VIEW_CPU, float)),
