--- a/benchmarks/capacity/plots.py
+++ b/benchmarks/capacity/plots.py
@@ -17,14 +17,19 @@
         (
             requirements.FIRST_JOB,
             requirements.MEMORY,
-            requirements.CHANGE,
-            requirements.ZONE_ONE,
+            requirements.LIST_CHANGE,
+            requirements.ZONE_LOST_ONE_READ,
             requirements.DECISIONS,
         ),
     ),
     "tasks": (
         "tasks held, or started a second, by one scheduler",
-        (requirements.HELD_MEMORY, requirements.HELD_CPU, requirements.HELD_FILES, requirements.START_SHARE),
+        (
+            requirements.HELD_MEMORY,
+            requirements.HELD_CPU,
+            requirements.HELD_DESCRIPTORS,
+            requirements.STARTS_CPU,
+        ),
     ),
     "schedulers": (
         "schedulers",
--- a/benchmarks/capacity/requirements.py
+++ b/benchmarks/capacity/requirements.py
@@ -33,17 +33,17 @@
 LISTS_ASKED = Line("planners", "compact", "lists_asked", "constant")
 START_CPU = Line("planners", "compact", "start_cpu_ms", "linear", "ms")
 MEMORY = Line("planners", "compact", "memory_mb", "linear", "MB")
-JOB = Line("planners", "compact", "job_us", "constant", "us")
-CHANGE = Line("planners", "compact", "change_us", "linear", "us")
-ZONE_ONE = Line("planners", "compact", "zone_one_read_ms", "linear", "ms")
-ZONE_EACH = Line("planners", "compact", "zone_row_us", "linear", "us")
-LISTED_REST = Line("planners", "compact", "rest_share", "constant", "of a core")
+JOB_CPU = Line("planners", "compact", "job_us", "constant", "us")
+LIST_CHANGE = Line("planners", "compact", "change_us", "linear", "us")
+ZONE_LOST_ONE_READ = Line("planners", "compact", "zone_one_read_ms", "linear", "ms")
+ZONE_LOST_PER_ROW = Line("planners", "compact", "zone_row_us", "linear", "us")
+REST_CPU = Line("planners", "compact", "rest_share", "constant", "of a core")
 HELD_MEMORY = Line("held", "calm", "memory_added_mb", "linear", "MB", relative=False)
 HELD_CPU = Line("held", "calm", "cpu_share", "linear", "of a core")
-HELD_FILES = Line("held", "calm", "descriptors", "linear")
+HELD_DESCRIPTORS = Line("held", "calm", "descriptors", "linear")
 HELD_TIMERS = Line("held", "calm", "timers_each", "constant")
-START_SHARE = Line("starts", "calm", "cpu_share", "linear", "of a core")
-START_FILES = Line("starts", "calm", "descriptors", "sqrt")
+STARTS_CPU = Line("starts", "calm", "cpu_share", "linear", "of a core")
+START_DESCRIPTORS = Line("starts", "calm", "descriptors", "sqrt")
 URGENT_P50 = Line("urgent", "full", "p50_ms", "constant", "ms")
 URGENT_P99 = Line("urgent", "full", "p99_ms", "constant", "ms")
 URGENT_WORST = Line("urgent", "full", "worst_ms", "constant", "ms")
@@ -51,7 +51,7 @@
 GANG_WHOLE = Line("gangs", "nine tenths full", "whole_share", "constant")
 GANG_LOST = Line("gangs", "nine tenths full", "lost_slot_s", "linear", "slot seconds")
 RELOAD = Line("reload", "calm", "cpu_ms", "linear", "ms")
-RELOAD_TOOK = Line("reload", "calm", "in_force_ms", "linear", "ms")
+RELOAD_IN_FORCE = Line("reload", "calm", "in_force_ms", "linear", "ms")
 RELOAD_FILE = Line("reload", "calm", "file_bytes", "linear", "bytes")
 VIEW_BYTES = Line("schedulers", "rest", "out_bytes_per_s", "linear", "bytes/s")
 VIEW_HEAVIEST = Line("schedulers", "rest", "heaviest_out_bytes_per_s", "linear", "bytes/s")
@@ -62,23 +62,23 @@
 JOIN_SECOND = Line("schedulers", "join storm", "worst_second_out_bytes", "constant", "bytes")
 JOIN_BYTES = Line("schedulers", "join storm", "out_bytes", "linear", "bytes")
 JOIN_SETTLED = Line("schedulers", "join storm", "settled_ms", "sqrt", "ms")
-ONE_SETTLED = Line("schedulers", "one restarted", "settled_ms", "linear", "ms")
-ONE_BYTES = Line("schedulers", "one restarted", "out_bytes", "linear", "bytes")
+RESTART_SETTLED = Line("schedulers", "one restarted", "settled_ms", "linear", "ms")
+RESTART_BYTES = Line("schedulers", "one restarted", "out_bytes", "linear", "bytes")
 ZONE_SETTLED = Line("schedulers", "zone lost", "settled_ms", "sqrt", "ms")
 ZONE_BYTES = Line("schedulers", "zone lost", "out_bytes", "linear", "bytes")
 ZONE_SECOND = Line("schedulers", "zone lost", "worst_second_out_bytes", "constant", "bytes")
-CHANGE_P50 = Line("schedulers", "changes", "in_force_p50_ms", "sqrt", "ms")
-CHANGE_WORST = Line("schedulers", "changes", "in_force_worst_ms", "sqrt", "ms")
-CHANGE_LOSS = Line("schedulers", "changes, loss 1%", "in_force_worst_ms", "sqrt", "ms")
-CHANGE_SECOND = Line("schedulers", "changes, loss 1%", "worst_second_out_bytes", "linear", "bytes")
-CHANGE_CPU = Line("schedulers", "changes", "cpu_share", "linear", "of a core")
-CURRENT = Line("schedulers", "one lost everything", "current_ms", "linear", "ms")
-BACK_SETTLED = Line("regions", "healed", "settled_ms", "sqrt", "ms")
-BACK_BYTES = Line("regions", "healed", "out_bytes", "linear", "bytes")
-BACK_DIFFERED = Line("regions", "healed", "differed_bytes", "linear", "bytes")
-APART_SECOND = Line("regions", "regions apart", "worst_second_out_bytes", "linear", "bytes")
-BACK_SECOND = Line("regions", "healed", "worst_second_out_bytes", "constant", "bytes")
-APART_BYTES = Line("regions", "regions apart", "out_bytes_per_s", "linear", "bytes/s")
+SETTINGS_CHANGE_P50 = Line("schedulers", "changes", "in_force_p50_ms", "sqrt", "ms")
+SETTINGS_CHANGE_WORST = Line("schedulers", "changes", "in_force_worst_ms", "sqrt", "ms")
+SETTINGS_CHANGE_LOSS = Line("schedulers", "changes, loss 1%", "in_force_worst_ms", "sqrt", "ms")
+SETTINGS_CHANGE_SECOND = Line("schedulers", "changes, loss 1%", "worst_second_out_bytes", "linear", "bytes")
+SETTINGS_CHANGE_CPU = Line("schedulers", "changes", "cpu_share", "linear", "of a core")
+STATE_LOSS_CURRENT = Line("schedulers", "one lost everything", "current_ms", "linear", "ms")
+HEALED_SETTLED = Line("regions", "healed", "settled_ms", "sqrt", "ms")
+HEALED_BYTES = Line("regions", "healed", "out_bytes", "linear", "bytes")
+HEALED_DIFFERED = Line("regions", "healed", "differed_bytes", "linear", "bytes")
+PARTITION_SECOND = Line("regions", "regions apart", "worst_second_out_bytes", "linear", "bytes")
+HEALED_SECOND = Line("regions", "healed", "worst_second_out_bytes", "constant", "bytes")
+PARTITION_BYTES = Line("regions", "regions apart", "out_bytes_per_s", "linear", "bytes/s")
 WAVE_SECOND = Line("regions", "restart wave", "worst_second_out_bytes", "constant", "bytes")
 WAVE_SETTLED = Line("regions", "restart wave", "settled_ms", "linear", "ms")
 WAVE_OLDER = Line("regions", "restart wave", "rows_older", "linear")
@@ -87,14 +87,14 @@
 HOLLOW_CHANGE = Line("hollow", "one change", "last_ms", "linear", "ms")
 DECISIONS = Line("parts", "decisions", "change_and_job_us", "linear", "us")
 DECISIONS_ZONE = Line("parts", "decisions", "zone_at_once_us", "linear", "us")
-DECISIONS_EACH = Line("parts", "decisions", "zone_one_by_one_us", "linear", "us")
+DECISIONS_ZONE_PER_ROW = Line("parts", "decisions", "zone_one_by_one_us", "linear", "us")
 LIST_TURN = Line("parts", "list indented", "first_turn_ms", "linear", "ms")
 LIST_CPU = Line("parts", "list indented", "first_cpu_ms", "linear", "ms")
-LEFT = Line("parts", "replaced", "decisions", "linear")
-OVER = Line("teams", "300 schedulers, uneven", "over_worst_share", "constant", "of its quota")
-UNDER = Line("teams", "300 schedulers, uneven", "under_worst_share", "constant", "of its quota")
-OVER_EVEN = Line("teams", "300 schedulers, even", "over_worst_share", "constant", "of its quota")
-OVER_ROOM = Line(
+REPLACED_STILL_HELD = Line("parts", "replaced", "decisions", "linear")
+OVER_QUOTA = Line("teams", "300 schedulers, uneven", "over_worst_share", "constant", "of its quota")
+UNDER_QUOTA = Line("teams", "300 schedulers, uneven", "under_worst_share", "constant", "of its quota")
+OVER_QUOTA_EVEN = Line("teams", "300 schedulers, even", "over_worst_share", "constant", "of its quota")
+OVER_QUOTA_ROOM_FOR_ALL = Line(
     "teams", "300 schedulers, uneven, room for all", "over_worst_share", "constant", "of its quota"
 )
 
@@ -104,17 +104,17 @@
     LIST_INDENTED,
     START_CPU,
     MEMORY,
-    JOB,
-    CHANGE,
-    ZONE_ONE,
-    ZONE_EACH,
-    LISTED_REST,
+    JOB_CPU,
+    LIST_CHANGE,
+    ZONE_LOST_ONE_READ,
+    ZONE_LOST_PER_ROW,
+    REST_CPU,
     HELD_MEMORY,
     HELD_CPU,
-    HELD_FILES,
+    HELD_DESCRIPTORS,
     HELD_TIMERS,
-    START_SHARE,
-    START_FILES,
+    STARTS_CPU,
+    START_DESCRIPTORS,
     URGENT_P50,
     URGENT_P99,
     URGENT_WORST,
@@ -122,7 +122,7 @@
     GANG_WHOLE,
     GANG_LOST,
     RELOAD,
-    RELOAD_TOOK,
+    RELOAD_IN_FORCE,
     RELOAD_FILE,
     VIEW_BYTES,
     VIEW_LOSS,
@@ -132,39 +132,39 @@
     JOIN_SECOND,
     JOIN_BYTES,
     JOIN_SETTLED,
-    ONE_SETTLED,
-    ONE_BYTES,
+    RESTART_SETTLED,
+    RESTART_BYTES,
     ZONE_SETTLED,
     ZONE_BYTES,
     ZONE_SECOND,
-    BACK_SETTLED,
-    BACK_BYTES,
-    BACK_SECOND,
-    APART_BYTES,
-    APART_SECOND,
+    HEALED_SETTLED,
+    HEALED_BYTES,
+    HEALED_SECOND,
+    PARTITION_BYTES,
+    PARTITION_SECOND,
     WAVE_SECOND,
     WAVE_SETTLED,
     WAVE_OLDER,
-    CHANGE_P50,
-    CHANGE_WORST,
-    CHANGE_LOSS,
-    CHANGE_SECOND,
-    CHANGE_CPU,
-    CURRENT,
-    BACK_DIFFERED,
+    SETTINGS_CHANGE_P50,
+    SETTINGS_CHANGE_WORST,
+    SETTINGS_CHANGE_LOSS,
+    SETTINGS_CHANGE_SECOND,
+    SETTINGS_CHANGE_CPU,
+    STATE_LOSS_CURRENT,
+    HEALED_DIFFERED,
     HOLLOW_BYTES,
     HOLLOW_CPU,
     HOLLOW_CHANGE,
     DECISIONS,
     DECISIONS_ZONE,
-    DECISIONS_EACH,
+    DECISIONS_ZONE_PER_ROW,
     LIST_TURN,
     LIST_CPU,
-    LEFT,
-    OVER,
-    UNDER,
-    OVER_EVEN,
-    OVER_ROOM,
+    REPLACED_STILL_HELD,
+    OVER_QUOTA,
+    UNDER_QUOTA,
+    OVER_QUOTA_EVEN,
+    OVER_QUOTA_ROOM_FOR_ALL,
 )
 
 # ---- the targets
@@ -182,13 +182,13 @@
     budget: float | None
     mechanism: str
     source: str
-    least: bool = False
+    at_least: bool = False
 
 
 MISSING = "`missing`"
-CARRIER = "`replication`, `tuning.rows`, `peers`"
-VIEW = "`membership`, `replication`, `peers`"
-NONE: Figure = lambda runs: None  # noqa: E731 - a figure that nothing measures
+SETTINGS_MECHANISM = "`replication`, `tuning.rows`, `peers`"
+VIEW_MECHANISM = "`membership`, `replication`, `peers`"
+UNMEASURED: Figure = lambda runs: None  # noqa: E731 - a figure that nothing measures
 
 TARGETS = (
     Target(
@@ -199,7 +199,7 @@
         1.0,
         "`routes.discovery`",
         "planners",
-        least=True,
+        at_least=True,
     ),
     Target(
         "4,600 planners",
@@ -209,7 +209,7 @@
         1.0,
         "`routes.discovery`",
         "planners",
-        least=True,
+        at_least=True,
     ),
     Target(
         "4,600 planners",
@@ -241,7 +241,7 @@
     Target(
         "4,600 planners",
         "the same in the whole program",
-        ratio(CHANGE.at(PLANNERS), CHANGE.at(200)),
+        ratio(LIST_CHANGE.at(PLANNERS), LIST_CHANGE.at(200)),
         "times",
         2.0,
         "`decisions.rules`, `exchange.route_table`",
@@ -250,7 +250,7 @@
     Target(
         "433 planners replaced a day",
         "planners that the decisions still hold of them, against those of the last minute",
-        LEFT.at(433),
+        REPLACED_STILL_HELD.at(433),
         "",
         1.0,
         "`decisions.rules`",
@@ -259,7 +259,7 @@
     Target(
         "a zone lost",
         "657 rows in a read each, a job behind each, against 3.2% of a core for a minute",
-        times(ZONE_EACH.at(PLANNERS), ZONE_PLANNERS / 1000),
+        times(ZONE_LOST_PER_ROW.at(PLANNERS), ZONE_PLANNERS / 1000),
         "ms",
         CPU_BUDGET_CORES * 60_000,
         "`decisions.rules`",
@@ -268,7 +268,7 @@
     Target(
         "a zone lost",
         "657 rows in one read",
-        ZONE_ONE.at(PLANNERS),
+        ZONE_LOST_ONE_READ.at(PLANNERS),
         "ms",
         CPU_BUDGET_CORES * 60_000,
         "`routes.discovery`, `decisions.rules`",
@@ -277,7 +277,7 @@
     Target(
         "280 starts a second",
         "CPU of the mean scheduler's starts",
-        START_SHARE.at(STARTS_PER_SCHEDULER),
+        STARTS_CPU.at(STARTS_PER_SCHEDULER),
         "of a core",
         1.0,
         "`exchange.core`, `egress.http`",
@@ -286,7 +286,7 @@
     Target(
         "280 starts a second",
         "CPU of the heaviest scheduler's",
-        START_SHARE.at(HEAVIEST_FACTOR * STARTS_PER_SCHEDULER),
+        STARTS_CPU.at(HEAVIEST_FACTOR * STARTS_PER_SCHEDULER),
         "of a core",
         1.0,
         "`exchange.core`, `egress.http`",
@@ -295,7 +295,7 @@
     Target(
         "280 starts a second",
         "CPU if one scheduler had all of them",
-        START_SHARE.at(STARTS_PER_S),
+        STARTS_CPU.at(STARTS_PER_S),
         "of a core",
         1.0,
         "`exchange.core`, `egress.http`",
@@ -322,7 +322,7 @@
     Target(
         "29,000 tasks running",
         "descriptors of the heaviest scheduler",
-        HELD_FILES.at(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER),
+        HELD_DESCRIPTORS.at(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER),
         "",
         SOCKET_LIMIT,
         "`scheduler`, `egress.http`",
@@ -336,12 +336,12 @@
         1.0,
         MISSING,
         "gangs",
-        least=True,
+        at_least=True,
     ),
     Target(
         "380 teams with quotas",
         "above its quota, the worst team; uneven, 300 schedulers",
-        OVER.at(TEAMS),
+        OVER_QUOTA.at(TEAMS),
         "of its quota",
         None,
         MISSING,
@@ -350,7 +350,7 @@
     Target(
         "380 teams with quotas",
         "the same where planners have room for all",
-        OVER_ROOM.at(TEAMS),
+        OVER_QUOTA_ROOM_FOR_ALL.at(TEAMS),
         "of its quota",
         None,
         MISSING,
@@ -359,7 +359,7 @@
     Target(
         "380 teams with quotas",
         "under its quota, the worst team; uneven, 300 schedulers",
-        UNDER.at(TEAMS),
+        UNDER_QUOTA.at(TEAMS),
         "of its quota",
         None,
         MISSING,
@@ -395,7 +395,7 @@
     Target(
         "in force everywhere in 5 s",
         "a file read again by one scheduler",
-        RELOAD_TOOK.at(TEAMS),
+        RELOAD_IN_FORCE.at(TEAMS),
         "ms",
         IN_FORCE_BUDGET_MS,
         "`scheduler`",
@@ -404,28 +404,28 @@
     Target(
         "in force everywhere in 5 s",
         "a change, p50 of all at 300 schedulers, 20 changes in a second",
-        CHANGE_P50.at(SCHEDULERS),
+        SETTINGS_CHANGE_P50.at(SCHEDULERS),
         "ms",
         1000.0,
-        CARRIER,
+        SETTINGS_MECHANISM,
         "schedulers",
     ),
     Target(
         "in force everywhere in 5 s",
         "the worst of them",
-        CHANGE_WORST.at(SCHEDULERS),
+        SETTINGS_CHANGE_WORST.at(SCHEDULERS),
         "ms",
         IN_FORCE_BUDGET_MS,
-        CARRIER,
+        SETTINGS_MECHANISM,
         "schedulers",
     ),
     Target(
         "in force everywhere in 5 s",
         "the worst of them at 1% loss",
-        CHANGE_LOSS.at(SCHEDULERS),
+        SETTINGS_CHANGE_LOSS.at(SCHEDULERS),
         "ms",
         IN_FORCE_BUDGET_MS,
-        CARRIER,
+        SETTINGS_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -434,16 +434,16 @@
         HOLLOW_CHANGE.at(SCHEDULERS),
         "ms",
         IN_FORCE_BUDGET_MS,
-        CARRIER,
+        SETTINGS_MECHANISM,
         "hollow",
     ),
     Target(
         "in force everywhere in 5 s",
         "one that lost everything is current",
-        CURRENT.at(SCHEDULERS),
+        STATE_LOSS_CURRENT.at(SCHEDULERS),
         "ms",
         IN_FORCE_BUDGET_MS,
-        CARRIER,
+        SETTINGS_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -452,7 +452,7 @@
         WAVE_OLDER.at(SCHEDULERS),
         "",
         0.0,
-        CARRIER,
+        SETTINGS_MECHANISM,
         "regions",
     ),
     Target(
@@ -461,7 +461,7 @@
         VIEW_BYTES.at(SCHEDULERS),
         "bytes/s",
         NETWORK_BUDGET_BYTES_PER_S,
-        VIEW,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -470,7 +470,7 @@
         VIEW_HEAVIEST.at(SCHEDULERS),
         "bytes/s",
         NETWORK_BUDGET_BYTES_PER_S,
-        VIEW,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -479,7 +479,7 @@
         VIEW_LOSS.at(SCHEDULERS),
         "bytes/s",
         NETWORK_BUDGET_BYTES_PER_S,
-        VIEW,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -488,7 +488,7 @@
         JOIN_SECOND.at(SCHEDULERS),
         "bytes",
         NETWORK_BUDGET_BYTES_PER_S,
-        VIEW,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -497,25 +497,25 @@
         ZONE_SECOND.at(SCHEDULERS),
         "bytes",
         NETWORK_BUDGET_BYTES_PER_S,
-        VIEW,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
         "control: 9 KB a second",
         "the worst second while regions are apart",
-        APART_SECOND.at(SCHEDULERS),
+        PARTITION_SECOND.at(SCHEDULERS),
         "bytes",
         NETWORK_BUDGET_BYTES_PER_S,
-        VIEW,
+        VIEW_MECHANISM,
         "regions",
     ),
     Target(
         "control: 9 KB a second",
         "the worst second after a region is back",
-        BACK_SECOND.at(SCHEDULERS),
+        HEALED_SECOND.at(SCHEDULERS),
         "bytes",
         NETWORK_BUDGET_BYTES_PER_S,
-        VIEW,
+        VIEW_MECHANISM,
         "regions",
     ),
     Target(
@@ -524,16 +524,16 @@
         WAVE_SECOND.at(SCHEDULERS),
         "bytes",
         NETWORK_BUDGET_BYTES_PER_S,
-        VIEW,
+        VIEW_MECHANISM,
         "regions",
     ),
     Target(
         "control: 9 KB a second",
         "the worst second of changes in bursts, 1% loss",
-        CHANGE_SECOND.at(SCHEDULERS),
+        SETTINGS_CHANGE_SECOND.at(SCHEDULERS),
         "bytes",
         NETWORK_BUDGET_BYTES_PER_S,
-        VIEW,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -542,7 +542,7 @@
         VIEW_BYTES.at(SCHEDULERS),
         "bytes/s",
         2000.0,
-        VIEW,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -551,7 +551,7 @@
         VIEW_BYTES.at(600),
         "bytes/s",
         2000.0,
-        VIEW,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -560,7 +560,7 @@
         VIEW_CPU.at(SCHEDULERS),
         "of a core",
         0.005,
-        VIEW,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -569,7 +569,7 @@
         VIEW_CPU.at(SCHEDULERS),
         "of a core",
         CPU_BUDGET_CORES,
-        VIEW,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -578,7 +578,7 @@
         HOLLOW_CPU.at(SCHEDULERS),
         "of a core",
         CPU_BUDGET_CORES,
-        VIEW,
+        VIEW_MECHANISM,
         "hollow",
     ),
     Target(
@@ -587,7 +587,7 @@
         VIEW_MEMORY.at(SCHEDULERS),
         "MB",
         MEMORY_BUDGET_MB,
-        VIEW,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -667,9 +667,9 @@
     RoleLine(
         "CPU of starts and of what is held",
         "by both slopes",
-        plus(START_SHARE.at(STARTS_PER_SCHEDULER), HELD_CPU.at(TASKS_PER_SCHEDULER)),
+        plus(STARTS_CPU.at(STARTS_PER_SCHEDULER), HELD_CPU.at(TASKS_PER_SCHEDULER)),
         plus(
-            START_SHARE.at(HEAVIEST_FACTOR * STARTS_PER_SCHEDULER),
+            STARTS_CPU.at(HEAVIEST_FACTOR * STARTS_PER_SCHEDULER),
             HELD_CPU.at(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER),
         ),
         "of a core",
@@ -679,8 +679,8 @@
     RoleLine(
         "CPU of changes",
         "a day's changes x that of one; worst: a zone in a read each",
-        times(CHANGE.at(PLANNERS), 3 * (REPLACED_PER_DAY + FAILED_PER_DAY) / 1000),
-        times(ZONE_EACH.at(PLANNERS), ZONE_PLANNERS / 1000),
+        times(LIST_CHANGE.at(PLANNERS), 3 * (REPLACED_PER_DAY + FAILED_PER_DAY) / 1000),
+        times(ZONE_LOST_PER_ROW.at(PLANNERS), ZONE_PLANNERS / 1000),
         "ms",
         "none given",
         "planners",
@@ -697,8 +697,8 @@
     RoleLine(
         "connections (descriptors)",
         "2 a task held, and what rests",
-        HELD_FILES.at(TASKS_PER_SCHEDULER),
-        HELD_FILES.at(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER),
+        HELD_DESCRIPTORS.at(TASKS_PER_SCHEDULER),
+        HELD_DESCRIPTORS.at(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER),
         "",
         "1,024 (`limits.sockets`)",
         "held",
@@ -722,7 +722,7 @@
         "bytes sent by the heaviest",
         "the same; worst: the worst second of changes in bursts, 1% loss",
         VIEW_HEAVIEST.at(SCHEDULERS),
-        CHANGE_SECOND.at(SCHEDULERS),
+        SETTINGS_CHANGE_SECOND.at(SCHEDULERS),
         "bytes/s",
         "9,000",
         "schedulers",
@@ -748,14 +748,14 @@
     RoleLine(
         "CPU while changes come",
         "20 in a second, now and then",
-        CHANGE_CPU.at(SCHEDULERS),
-        NONE,
+        SETTINGS_CHANGE_CPU.at(SCHEDULERS),
+        UNMEASURED,
         "of a core",
         "0.032",
         "schedulers",
     ),
     RoleLine(
-        "memory", "view and settings alone", VIEW_MEMORY.at(SCHEDULERS), NONE, "MB", "256", "schedulers"
+        "memory", "view and settings alone", VIEW_MEMORY.at(SCHEDULERS), UNMEASURED, "MB", "256", "schedulers"
     ),
     RoleLine(
         "CPU of a file read again",
@@ -826,7 +826,7 @@
     """One failure on the letter's list. `tests`: FILE::NAME, each of which exists."""
 
     what: str
-    often: str
+    frequency: str
     cost: str
     figure: Figure
     unit: str
@@ -843,7 +843,7 @@
         "a planner's machine",
         "23 a day",
         "CPU of one change in each scheduler",
-        CHANGE.at(PLANNERS),
+        LIST_CHANGE.at(PLANNERS),
         "us",
         constant(STALLED_PROGRESS_INTERVALS * PROGRESS_MS),
         (
@@ -854,18 +854,18 @@
         "a scheduler's machine",
         "of the same 23",
         "bytes sent by each of the others until nothing is left to tell",
-        ONE_BYTES.at(SCHEDULERS),
+        RESTART_BYTES.at(SCHEDULERS),
         "bytes",
-        ONE_SETTLED.at(SCHEDULERS),
+        RESTART_SETTLED.at(SCHEDULERS),
         ("tests/membership/test_membership.py::test_a_death_is_found_and_held_by_all",),
     ),
     Failure(
         "a planner restarted or replaced",
         "410 a day",
         "CPU of three changes in each scheduler",
-        times(CHANGE.at(PLANNERS), 3),
+        times(LIST_CHANGE.at(PLANNERS), 3),
         "us",
-        NONE,
+        UNMEASURED,
         (
             "tests/scheduling/test_slow_start.py::test_beyond_their_budget_of_n_only_chance_comes_to_cold_planners",
         ),
@@ -874,18 +874,18 @@
         "a rack or switch (40 planners, assumed)",
         "weekly",
         "CPU of 40 changes in each scheduler",
-        times(ZONE_EACH.at(PLANNERS), RACK_PLANNERS / 1000),
+        times(ZONE_LOST_PER_ROW.at(PLANNERS), RACK_PLANNERS / 1000),
         "ms",
-        NONE,
+        UNMEASURED,
         ZONE_TESTS[1:],
     ),
     Failure(
         "a zone, its planners",
         "every other month",
         "CPU in each scheduler, a read for each row",
-        times(ZONE_EACH.at(PLANNERS), ZONE_PLANNERS / 1000),
+        times(ZONE_LOST_PER_ROW.at(PLANNERS), ZONE_PLANNERS / 1000),
         "ms",
-        NONE,
+        UNMEASURED,
         ZONE_TESTS,
     ),
     Failure(
@@ -901,9 +901,9 @@
         "regions cut off for an hour",
         "now and then",
         "bytes sent by each once they meet",
-        BACK_BYTES.at(SCHEDULERS),
+        HEALED_BYTES.at(SCHEDULERS),
         "bytes",
-        BACK_SETTLED.at(SCHEDULERS),
+        HEALED_SETTLED.at(SCHEDULERS),
         (
             "tests/membership/test_membership.py::"
             "test_two_halves_apart_for_a_minute_with_joins_and_deaths_settle_once_whole",
@@ -937,7 +937,7 @@
         "whole lists told by discovery",
         times(LISTS_ASKED.at(PLANNERS), SCHEDULERS),
         "lists",
-        NONE,
+        UNMEASURED,
         ("tests/test_fleet_lists.py::test_a_few_siblings_all_know_the_list_6_s_after_discovery_is_back",),
     ),
 )
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -191,7 +191,7 @@
 def _ratio(target: requirements.Target, told: FigureValue | None) -> str:
     if told is None or target.budget is None:
         return ""
-    met = told.value >= target.budget if target.least else told.value <= target.budget
+    met = told.value >= target.budget if target.at_least else told.value <= target.budget
     if met and told.basis not in BASES:
         return ""  # a lesser size that meets it says nothing of this one; one that misses it does
     share = number(told.value / target.budget) if target.budget else ""
@@ -206,7 +206,9 @@
         budget = (
             "none given"
             if target.budget is None
-            else (f"at {'least' if target.least else 'most'} {text(FigureValue(target.budget), target.unit)}")
+            else (
+                f"at {'at_least' if target.at_least else 'most'} {text(FigureValue(target.budget), target.unit)}"
+            )
         )
         lines.append(
             (
@@ -247,7 +249,7 @@
         [
             (
                 failure.what,
-                failure.often,
+                failure.frequency,
                 failure.cost,
                 text(failure.figure(runs), failure.unit),
                 text(failure.settled(runs), "ms"),
@@ -291,7 +293,7 @@
             line(
                 "descriptors of the heaviest",
                 "",
-                of(requirements.HELD_FILES, lambda n: heaviest * requirements.RUNNING_TASKS / n),
+                of(requirements.HELD_DESCRIPTORS, lambda n: heaviest * requirements.RUNNING_TASKS / n),
             ),
             line(
                 "memory that the heaviest's tasks add",
@@ -301,7 +303,7 @@
             line(
                 "CPU of the heaviest's starts",
                 "of a core",
-                of(requirements.START_SHARE, lambda n: heaviest * requirements.STARTS_PER_S / n),
+                of(requirements.STARTS_CPU, lambda n: heaviest * requirements.STARTS_PER_S / n),
             ),
             line("view and settings at rest", "bytes/s a scheduler", of(requirements.VIEW_BYTES, float)),
             line("CPU of them at rest", "of a core", of(requirements.VIEW_CPU, float)),
