--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from benchmarks.capacity.machine import in_time, lateness
+from benchmarks.capacity.machine import in_time, watch_loop_lag
 from benchmarks.capacity.records import Row
 from benchmarks.capacity.serving import (
     PATIENCE_S,
@@ -107,7 +107,7 @@
     configured = configuration(catalog.port, 4, sockets=4096)
     writers: list[asyncio.StreamWriter] = []
     try:
-        async with lateness() as late, scheduler(configured) as running:
+        async with watch_loop_lag() as lag, scheduler(configured) as running:
             if not await running.served(20.0):
                 return Row(SLOPE, size, "calm", {}, False, "no job was served within 20 s")
             await running.idle()
@@ -136,7 +136,7 @@
                 "cpu_share": cpu / WATCHED_S,
                 "descriptors": float(running.descriptors()),
             }
-        return Row(SLOPE, size, "calm", figures, not late.why_not, late.why_not)
+        return Row(SLOPE, size, "calm", figures, not lag.why_not, lag.why_not)
     finally:
         for writer in writers:
             writer.transport.abort()
--- a/benchmarks/capacity/machine.py
+++ b/benchmarks/capacity/machine.py
@@ -11,36 +11,36 @@
 
 from benchmarks.capacity.records import Row
 
-EVERY = 0.02  # s between looks
-TRIES = 3  # of a row
-LATE = 0.05  # s of lateness beyond which a row says nothing of the program
+SAMPLE_INTERVAL_S = 0.02  # s between looks
+MAX_TRIES = 3  # of a row
+MAX_LAG_S = 0.05  # s of lateness beyond which a row says nothing of the program
 
 
-class Lateness:
+class LoopLag:
     """How late this process's own loop was, at the worst."""
 
     def __init__(self) -> None:
-        self.worst = 0.0  # s
+        self.worst_s = 0.0  # s
 
     @property
     def why_not(self) -> str:
         """Why a row does not count; empty where it does."""
-        return f"the measuring loop was {self.worst * 1000:.0f} ms late" if self.worst > LATE else ""
+        return f"the measuring loop was {self.worst_s * 1000:.0f} ms late" if self.worst_s > MAX_LAG_S else ""
 
-    async def _look(self) -> None:
+    async def _sample(self) -> None:
         while True:
-            due = monotonic() + EVERY
-            await asyncio.sleep(EVERY)
-            self.worst = max(self.worst, monotonic() - due)
+            due = monotonic() + SAMPLE_INTERVAL_S
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
+            self.worst_s = max(self.worst_s, monotonic() - due)
 
 
 @contextlib.asynccontextmanager
-async def lateness() -> AsyncIterator[Lateness]:
+async def watch_loop_lag() -> AsyncIterator[LoopLag]:
     """Watch the running loop for the block."""
-    watched = Lateness()
-    task = asyncio.create_task(watched._look())
+    lag = LoopLag()
+    task = asyncio.create_task(lag._sample())
     try:
-        yield watched
+        yield lag
     finally:
         task.cancel()
 
@@ -52,7 +52,7 @@
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(limit_s):
             for measure in measures:
-                for tries in range(1, TRIES + 1):
+                for tries in range(1, MAX_TRIES + 1):
                     row = await measure()
                     row.figures["tries"] = float(tries)
                     if row.valid:
--- a/benchmarks/capacity/planners.py
+++ b/benchmarks/capacity/planners.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from benchmarks.capacity.machine import in_time, lateness
+from benchmarks.capacity.machine import in_time, watch_loop_lag
 from benchmarks.capacity.records import Row
 from benchmarks.capacity.serving import ZONES, Catalog, Listed, Planners, Scheduler, configuration, scheduler
 
@@ -91,7 +91,7 @@
     size_of = catalog.make()
     await catalog.start()
     try:
-        async with lateness() as late, scheduler(configuration(catalog.port, 4)) as running:
+        async with watch_loop_lag() as lag, scheduler(configuration(catalog.port, 4)) as running:
             taken = await running.served(FIRST_WITHIN_S)
             figures = {
                 "taken": float(taken),
@@ -102,9 +102,7 @@
                 figures["first_job_ms"] = (monotonic() - running.began) * 1000
                 if not indented:
                     figures |= await _calm(catalog, running, members)
-        return Row(
-            SLOPE, size, "indented" if indented else "compact", figures, not late.why_not, late.why_not
-        )
+        return Row(SLOPE, size, "indented" if indented else "compact", figures, not lag.why_not, lag.why_not)
     finally:
         catalog.close()
 
--- a/benchmarks/capacity/reload.py
+++ b/benchmarks/capacity/reload.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from benchmarks.capacity.machine import in_time, lateness
+from benchmarks.capacity.machine import in_time, watch_loop_lag
 from benchmarks.capacity.records import Row
 from benchmarks.capacity.serving import Catalog, Listed, Planners, configuration, scheduler
 
@@ -29,7 +29,7 @@
     made = configuration(catalog.port, teams)
     cpu, took = [], []
     try:
-        async with lateness() as late, scheduler(made) as running:
+        async with watch_loop_lag() as lag, scheduler(made) as running:
             if not await running.served(20.0):
                 return Row(SLOPE, teams, "calm", {}, False, "no job was served within 20 s")
             for number in range(ROUNDS):
@@ -49,7 +49,7 @@
                 "in_force_ms": statistics.median(took),
                 "file_bytes": float(len(json.dumps(made))),
             }
-        return Row(SLOPE, teams, "calm", figures, not late.why_not, late.why_not)
+        return Row(SLOPE, teams, "calm", figures, not lag.why_not, lag.why_not)
     finally:
         catalog.close()
         planners.close()
--- a/benchmarks/capacity/starts.py
+++ b/benchmarks/capacity/starts.py
@@ -9,7 +9,7 @@
 
 import uvloop
 
-from benchmarks.capacity.machine import in_time, lateness, waited_s
+from benchmarks.capacity.machine import in_time, watch_loop_lag, waited_s
 from benchmarks.capacity.records import Row
 from benchmarks.capacity.serving import (
     Catalog,
@@ -83,12 +83,12 @@
     catalog.members = [Listed(number, planners.ports[number % PORTS]) for number in range(PLANNERS)]
     await catalog.start()
     try:
-        async with lateness() as late, scheduler(configuration(catalog.port, 4)) as running:
+        async with watch_loop_lag() as lag, scheduler(configuration(catalog.port, 4)) as running:
             if not await running.served(20.0):
                 return Row(SLOPE, rate, "calm", {}, False, "no job was served within 20 s")
             planners.work_s = WORK_S
             figures = await _load(running, planners, rate)
-        return Row(SLOPE, rate, "calm", figures, not late.why_not, late.why_not)
+        return Row(SLOPE, rate, "calm", figures, not lag.why_not, lag.why_not)
     finally:
         catalog.close()
         planners.close()
