--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from benchmarks.capacity.machine import in_time, watch_loop_lag
+from benchmarks.capacity.machine import measure_rows, watch_loop_lag
 from benchmarks.capacity.records import Row
 from benchmarks.capacity.serving import (
     PATIENCE_S,
@@ -146,7 +146,7 @@
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
     """A row for each number of exchanges held, with notes of progress each 2 s."""
-    rows = uvloop.run(in_time([partial(_one, size) for size in sizes], limit_s))
+    rows = uvloop.run(measure_rows([partial(_one, size) for size in sizes], limit_s))
     each = float(timers(configuration(1, 4)))
     for row in rows:
         row.figures["timers_each"] = each
--- a/benchmarks/capacity/machine.py
+++ b/benchmarks/capacity/machine.py
@@ -45,7 +45,7 @@
         task.cancel()
 
 
-async def in_time(measures: Iterable[Callable[[], Awaitable[Row]]], limit_s: float) -> list[Row]:
+async def measure_rows(measures: Iterable[Callable[[], Awaitable[Row]]], limit_s: float) -> list[Row]:
     """The rows, each measured until it counts, a few times at most: then the last one stands. What there is
     no time for is left out."""
     rows: list[Row] = []
--- a/benchmarks/capacity/planners.py
+++ b/benchmarks/capacity/planners.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from benchmarks.capacity.machine import in_time, watch_loop_lag
+from benchmarks.capacity.machine import measure_rows, watch_loop_lag
 from benchmarks.capacity.records import Row
 from benchmarks.capacity.serving import ZONES, Catalog, Listed, Planners, Scheduler, configuration, scheduler
 
@@ -114,7 +114,7 @@
         planners = Planners()
         await planners.start(max(sizes))
         try:
-            return await in_time(
+            return await measure_rows(
                 [partial(_one, planners, size, indented) for size in sizes for indented in (False, True)],
                 limit_s,
             )
--- a/benchmarks/capacity/reload.py
+++ b/benchmarks/capacity/reload.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from benchmarks.capacity.machine import in_time, watch_loop_lag
+from benchmarks.capacity.machine import measure_rows, watch_loop_lag
 from benchmarks.capacity.records import Row
 from benchmarks.capacity.serving import Catalog, Listed, Planners, configuration, scheduler
 
@@ -57,4 +57,4 @@
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
     """A row for each number of teams, before 4,600 listed planners."""
-    return uvloop.run(in_time([partial(_one, teams) for teams in sizes], limit_s))
+    return uvloop.run(measure_rows([partial(_one, teams) for teams in sizes], limit_s))
--- a/benchmarks/capacity/starts.py
+++ b/benchmarks/capacity/starts.py
@@ -9,7 +9,7 @@
 
 import uvloop
 
-from benchmarks.capacity.machine import in_time, watch_loop_lag, waited_s
+from benchmarks.capacity.machine import measure_rows, watch_loop_lag, waited_s
 from benchmarks.capacity.records import Row
 from benchmarks.capacity.serving import (
     Catalog,
@@ -96,4 +96,4 @@
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
     """A row a rate."""
-    return uvloop.run(in_time([partial(_one, rate) for rate in sizes], limit_s))
+    return uvloop.run(measure_rows([partial(_one, rate) for rate in sizes], limit_s))
