--- a/benchmarks/capacity/records.py
+++ b/benchmarks/capacity/records.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent.parent
-KEPT = ROOT / "docs" / "capacity"
+RECORDS_FOLDER = ROOT / "docs" / "capacity"
 DIGITS = 5  # significant digits of a figure in the JSON
 
 
@@ -55,7 +55,7 @@
     return float(f"{value:.{DIGITS}g}")
 
 
-def write(run: Run, folder: Path = KEPT) -> Path:
+def write(run: Run, folder: Path = RECORDS_FOLDER) -> Path:
     """Write a run to SLOPE.json, its rows by case and size."""
     made = asdict(run)
     for row in made["rows"]:
@@ -73,7 +73,7 @@
     return Run(**(told | {"rows": [Row(**row) for row in told["rows"]]}))
 
 
-def read_all(folder: Path = KEPT) -> dict[str, Run]:
+def read_all(folder: Path = RECORDS_FOLDER) -> dict[str, Run]:
     """The runs that are kept, by slope."""
     return {path.stem: read(path) for path in sorted(folder.glob("*.json"))}
 
