--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -45,8 +45,8 @@
         for path in draw(read_all()):
             click.echo(path.name)
     if page:
-        pages.PAGE.write_text(pages.made(pages.PAGE.read_text(), read_all()))
-    if check and (difference := pages.differs(pages.PAGE.read_text(), read_all())):
+        pages.PAGE.write_text(pages.render(pages.PAGE.read_text(), read_all()))
+    if check and (difference := pages.page_diff(pages.PAGE.read_text(), read_all())):
         click.echo(difference, nl=False)
         sys.exit(1)
 
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -17,7 +17,7 @@
     """The page asks for a table that nobody makes."""
 
 
-def made(
+def render(
     text: str, runs: Mapping[str, Run], tables: Mapping[str, Callable[[Mapping[str, Run]], str]] = TABLES
 ) -> str:
     """The page with each marked block made anew."""
@@ -31,9 +31,9 @@
     return BLOCK.sub(block, text)
 
 
-def differs(text: str, runs: Mapping[str, Run]) -> str:
+def page_diff(text: str, runs: Mapping[str, Run]) -> str:
     """The difference between the page and what the JSON says; empty where there is none."""
-    wanted = made(text, runs)
+    wanted = render(text, runs)
     return "".join(
         difflib.unified_diff(text.splitlines(True), wanted.splitlines(True), "the page", "what the JSON says")
     )
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -102,12 +102,12 @@
     assert result.exit_code == 1 and "+| 380 |" in result.output and "-| 380 |" in result.output
     row = next(row for row in runs["reload"].rows if row.size == requirements.TEAMS)
     row.figures["cpu_ms"] *= 2
-    assert page.differs(told, runs)
+    assert page.page_diff(told, runs)
 
 
 def test_a_block_that_nobody_makes_is_an_error() -> None:
     with pytest.raises(page.PageError):
-        page.made("<!-- capacity:planned -->\n<!-- /capacity -->", {})
+        page.render("<!-- capacity:planned -->\n<!-- /capacity -->", {})
 
 
 def test_the_tests_that_the_page_names_exist() -> None:
