--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -23,7 +23,7 @@
 )
 
 
-class Measuring(Protocol):
+class MeasuringModule(Protocol):
     """What a measuring module has."""
 
     SLOPE: str
@@ -34,8 +34,8 @@
         ...
 
 
-def module(slope: str) -> Measuring:
+def module(slope: str) -> MeasuringModule:
     """The module that measures a slope; KeyError where none does."""
     if slope not in MODULES:
         raise KeyError(slope)
-    return cast(Measuring, importlib.import_module(f"benchmarks.capacity.{slope}"))
+    return cast(MeasuringModule, importlib.import_module(f"benchmarks.capacity.{slope}"))
