--- a/benchmarks/capacity/figures.py
+++ b/benchmarks/capacity/figures.py
@@ -34,12 +34,12 @@
     return f"{value:,.0f}" if abs(value) >= 1000 else f"{value:.3g}"
 
 
-def text(evaluate: FigureValue | None, unit: str = "") -> str:
+def text(known: FigureValue | None, unit: str = "") -> str:
     """A figure with its unit, and how it is known where it was not measured."""
-    if evaluate is None:
+    if known is None:
         return NOT_MEASURED
-    return f"{number(evaluate.value)}{' ' + unit if unit else ''}" + (
-        "" if evaluate.basis == "measured" else f" ({evaluate.basis})"
+    return f"{number(known.value)}{' ' + unit if unit else ''}" + (
+        "" if known.basis == "measured" else f" ({known.basis})"
     )
 
 
@@ -95,9 +95,9 @@
     """The sum; None where one of them is."""
 
     def evaluate(runs: Runs) -> FigureValue | None:
-        all_told = [figure(runs) for figure in figures]
-        known = [one for one in all_told if one is not None]
-        if len(known) < len(all_told):
+        values = [figure(runs) for figure in figures]
+        known = [one for one in values if one is not None]
+        if len(known) < len(values):
             return None
         return FigureValue(sum(one.value for one in known), max(known, key=lambda one: one.uncertainty).basis)
 
@@ -112,7 +112,7 @@
         if one is None or other is None or not other.value:
             return None
         return FigureValue(
-            one.value / other.value, max((one, other), key=lambda evaluate: evaluate.uncertainty).basis
+            one.value / other.value, max((one, other), key=lambda known: known.uncertainty).basis
         )
 
     return evaluate
--- a/benchmarks/capacity/starts.py
+++ b/benchmarks/capacity/starts.py
@@ -9,7 +9,7 @@
 
 import uvloop
 
-from benchmarks.capacity.machine import measure_rows, watch_loop_lag, waited_s
+from benchmarks.capacity.machine import measure_rows, waited_s, watch_loop_lag
 from benchmarks.capacity.records import Row
 from benchmarks.capacity.serving import (
     Catalog,
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 
 from benchmarks.capacity import requirements
-from benchmarks.capacity.figures import BASES, NOT_MEASURED, Line, Runs, FigureValue, number, table, text
+from benchmarks.capacity.figures import BASES, NOT_MEASURED, FigureValue, Line, Runs, number, table, text
 from benchmarks.capacity.fits import MIN_SIZES
 from benchmarks.capacity.records import Row
 
@@ -207,7 +207,7 @@
             "none given"
             if target.budget is None
             else (
-                f"at {'at_least' if target.at_least else 'most'} {text(FigureValue(target.budget), target.unit)}"
+                f"at {'least' if target.at_least else 'most'} {text(FigureValue(target.budget), target.unit)}"
             )
         )
         lines.append(
@@ -280,14 +280,16 @@
                 "starts a second, mean and heaviest",
                 "",
                 lambda count: (
-                    f"{number(requirements.STARTS_PER_S / count)}, {number(heaviest * requirements.STARTS_PER_S / count)}"
+                    f"{number(requirements.STARTS_PER_S / count)}, "
+                    f"{number(heaviest * requirements.STARTS_PER_S / count)}"
                 ),
             ),
             line(
                 "tasks held, mean and heaviest",
                 "",
                 lambda count: (
-                    f"{number(requirements.RUNNING_TASKS / count)}, {number(heaviest * requirements.RUNNING_TASKS / count)}"
+                    f"{number(requirements.RUNNING_TASKS / count)}, "
+                    f"{number(heaviest * requirements.RUNNING_TASKS / count)}"
                 ),
             ),
             line(
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 from loopback import SETTINGS
 
-from benchmarks.capacity import gangs, requirements, page, urgent
+from benchmarks.capacity import gangs, page, requirements, urgent
 from benchmarks.capacity.__main__ import main
 from benchmarks.capacity.figures import Line, plus, ratio, text
 from benchmarks.capacity.fits import FitError, fit
