--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -94,7 +94,7 @@
         writer.write(request(f"h{number}", "task", PATIENCE_S))
         writers.append(writer)
     async with asyncio.timeout(BEGUN_WITHIN_S):
-        while len(planners.doors) < count:
+        while len(planners.connections) < count:
             await asyncio.sleep(0.05)
     return writers
 
@@ -112,8 +112,8 @@
                 return Row(SLOPE, size, "calm", {}, False, "no job was served within 20 s")
             await running.idle()
             planners.work_s = None
-            for door in list(planners.doors):
-                door.transport.abort()
+            for connection in list(planners.connections):
+                connection.transport.abort()
             before = running.memory_mb()
             try:
                 writers = await _hold(running, planners, size)
@@ -122,7 +122,7 @@
                     SLOPE,
                     size,
                     "calm",
-                    {"held": float(len(planners.doors))},
+                    {"held": float(len(planners.connections))},
                     False,
                     f"not all began within {BEGUN_WITHIN_S:.0f} s",
                 )
@@ -130,7 +130,7 @@
             await asyncio.sleep(WATCHED_S)
             cpu = running.cpu_s() - cpu
             figures = {
-                "held": float(len(planners.doors)),
+                "held": float(len(planners.connections)),
                 "memory_mb": running.memory_mb(),
                 "memory_added_mb": running.memory_mb() - before,
                 "cpu_share": cpu / WATCHED_S,
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -30,37 +30,37 @@
 START = 1_796_000_000_000.0  # Unix ms
 
 
-class Door(asyncio.Protocol):
+class PlannerConnection(asyncio.Protocol):
     """A planner's connection. A job ends `work_s` after it came, or is held with a note every 2 s."""
 
     def __init__(self, planners: Planners) -> None:
         self.planners, self.data = planners, b""
-        self._note: asyncio.TimerHandle | None = None
+        self._progress_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        self.planners.doors.add(self)
+        self.planners.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.planners.doors.discard(self)
-        if self._note is not None:
-            self._note.cancel()
+        self.planners.connections.discard(self)
+        if self._progress_timer is not None:
+            self._progress_timer.cancel()
 
     def data_received(self, data: bytes) -> None:
         self.data += data
         head, found, rest = self.data.partition(b"\r\n\r\n")
         if not found:
             return
-        told = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:])
-        if len(rest) < int(told[b"content-length"]):
+        headers = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:])
+        if len(rest) < int(headers[b"content-length"]):
             return
         self.data = b""
-        self.number = told[b"x-request-id"].decode()
+        self.number = headers[b"x-request-id"].decode()
         self.planners.began[self.number] = monotonic()
         begin = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + self.line(state="started")
         if self.planners.work_s is None:
             self.transport.write(begin)
-            self._note = asyncio.get_running_loop().call_later(PROGRESS_MS / 1000, self._progress)
+            self._progress_timer = asyncio.get_running_loop().call_later(PROGRESS_MS / 1000, self._progress)
         elif self.planners.work_s == 0:
             self.transport.write(begin + self.end())
         else:
@@ -71,7 +71,7 @@
 
     def _progress(self) -> None:
         self.transport.write(self.line(state="running", share=0.5))
-        self._note = asyncio.get_running_loop().call_later(PROGRESS_MS / 1000, self._progress)
+        self._progress_timer = asyncio.get_running_loop().call_later(PROGRESS_MS / 1000, self._progress)
 
     def line(self, **what: object) -> bytes:
         text = json.dumps({"id": self.number} | what).encode() + b"\n"
@@ -87,22 +87,22 @@
     def __init__(self, work_s: float | None = 0.0) -> None:
         self.work_s = work_s
         self.ports: list[int] = []
-        self.doors: set[Door] = set()
+        self.connections: set[PlannerConnection] = set()
         self.began: dict[str, float] = {}
         self._servers: list[asyncio.Server] = []
 
     async def start(self, count: int) -> None:
         loop = asyncio.get_running_loop()
         for _ in range(count):
-            server = await loop.create_server(lambda: Door(self), "127.0.0.1", 0)
+            server = await loop.create_server(lambda: PlannerConnection(self), "127.0.0.1", 0)
             self._servers.append(server)
             self.ports.append(server.sockets[0].getsockname()[1])
 
     def close(self) -> None:
         for server in self._servers:
             server.close()
-        for door in list(self.doors):
-            door.transport.abort()
+        for connection in list(self.connections):
+            connection.transport.abort()
 
 
 class Listed:
@@ -146,10 +146,10 @@
         return len(self._whole[1])
 
     def _made(self, reset: bool, members: Sequence[Any]) -> bytes:
-        told = {"generation": self.generation, "reset": reset, "instances": [one.row() for one in members]}
+        headers = {"generation": self.generation, "reset": reset, "instances": [one.row() for one in members]}
         if self.indented and reset:
-            return json.dumps(told, indent=2).encode()
-        return json.dumps(told, separators=(",", ":")).encode()
+            return json.dumps(headers, indent=2).encode()
+        return json.dumps(headers, separators=(",", ":")).encode()
 
 
 def configuration(discovery: int, teams: int, memory_mb: int = 192, sockets: int = 1024) -> dict[str, Any]:
@@ -202,9 +202,9 @@
     async def line(self, text: str) -> str:
         """The next line of its log that holds this text."""
         assert self.process.stdout is not None
-        while told := (await self.process.stdout.readline()).decode():
-            if text in told:
-                return told
+        while headers := (await self.process.stdout.readline()).decode():
+            if text in headers:
+                return headers
         raise RuntimeError(f"the scheduler ended before it said {text!r}")
 
     async def job(self, job_class: str = "quote", deadline_s: float = 5.0) -> tuple[int, str]:
