--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -16,7 +16,7 @@
     PATIENCE_S,
     PROGRESS_MS,
     Catalog,
-    Listed,
+    ListedPlanner,
     Planners,
     Scheduler,
     configuration,
@@ -102,7 +102,7 @@
 async def _one(size: int) -> Row:
     planners, catalog = Planners(), Catalog()
     await planners.start(PORTS)
-    catalog.members = [Listed(number, planners.ports[number % PORTS]) for number in range(PLANNERS)]
+    catalog.members = [ListedPlanner(number, planners.ports[number % PORTS]) for number in range(PLANNERS)]
     await catalog.start()
     configured = configuration(catalog.port, 4, sockets=4096)
     writers: list[asyncio.StreamWriter] = []
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -25,7 +25,7 @@
 
 from benchmarks.capacity.machine import cpu_s, memory_mb
 from benchmarks.capacity.records import ROOT, Row
-from benchmarks.capacity.serving import Catalog, Listed, Planners, Scheduler, configuration, scheduler
+from benchmarks.capacity.serving import Catalog, ListedPlanner, Planners, Scheduler, configuration, scheduler
 from pipitshed.cluster import node as edge
 from pipitshed.cluster.codec import Codec
 from pipitshed.cluster.config_file import ClusterConfig
@@ -265,7 +265,7 @@
     """A real scheduler of the fleet, and its fleet file."""
     planners, catalog = Planners(), Catalog()
     await planners.start(1)
-    catalog.members = [Listed(0, planners.ports[0])]
+    catalog.members = [ListedPlanner(0, planners.ports[0])]
     await catalog.start()
     stack.callback(planners.close)
     stack.callback(catalog.close)
--- a/benchmarks/capacity/planners.py
+++ b/benchmarks/capacity/planners.py
@@ -12,7 +12,15 @@
 
 from benchmarks.capacity.machine import measure_rows, watch_loop_lag
 from benchmarks.capacity.records import Row
-from benchmarks.capacity.serving import ZONES, Catalog, Listed, Planners, Scheduler, configuration, scheduler
+from benchmarks.capacity.serving import (
+    ZONES,
+    Catalog,
+    ListedPlanner,
+    Planners,
+    Scheduler,
+    configuration,
+    scheduler,
+)
 
 SLOPE = "planners"
 SIZES = (200, 575, 1150, 2300, 4600, 9200)
@@ -24,13 +32,13 @@
 SPACING_S = 0.002  # between a change and the job behind it, so that the change is read first
 
 
-def _as(members: Sequence[Listed], lifecycle: str) -> Sequence[Listed]:
+def _as(members: Sequence[ListedPlanner], lifecycle: str) -> Sequence[ListedPlanner]:
     for member in members:
         member.lifecycle = lifecycle
     return members
 
 
-async def _tell(catalog: Catalog, running: Scheduler, members: Sequence[Listed]) -> float:
+async def _tell(catalog: Catalog, running: Scheduler, members: Sequence[ListedPlanner]) -> float:
     """CPU (s) of one read of these rows and the job behind it."""
     before = running.cpu_s()
     catalog.tell(*members)
@@ -40,7 +48,7 @@
     return running.cpu_s() - before
 
 
-async def _single(catalog: Catalog, running: Scheduler, members: Sequence[Listed]) -> float:
+async def _single(catalog: Catalog, running: Scheduler, members: Sequence[ListedPlanner]) -> float:
     """CPU (s) of these rows in a read each, a job behind each."""
     before = running.cpu_s()
     for member in members:
@@ -51,7 +59,7 @@
     return running.cpu_s() - before
 
 
-async def _calm(catalog: Catalog, running: Scheduler, members: Sequence[Listed]) -> dict[str, float]:
+async def _calm(catalog: Catalog, running: Scheduler, members: Sequence[ListedPlanner]) -> dict[str, float]:
     """Changes and jobs, on a list that is taken."""
     await running.idle()
     figures = {"start_cpu_ms": running.cpu_s() * 1000, "memory_mb": running.memory_mb()}
@@ -86,7 +94,7 @@
 async def _one(planners: Planners, size: int, indented: bool) -> Row:
     catalog = Catalog()
     catalog.indented = indented
-    members = [Listed(number, port) for number, port in enumerate(planners.ports[:size])]
+    members = [ListedPlanner(number, port) for number, port in enumerate(planners.ports[:size])]
     catalog.members = members
     size_of = catalog.make()
     await catalog.start()
--- a/benchmarks/capacity/reload.py
+++ b/benchmarks/capacity/reload.py
@@ -13,7 +13,7 @@
 
 from benchmarks.capacity.machine import measure_rows, watch_loop_lag
 from benchmarks.capacity.records import Row
-from benchmarks.capacity.serving import Catalog, Listed, Planners, configuration, scheduler
+from benchmarks.capacity.serving import Catalog, ListedPlanner, Planners, configuration, scheduler
 
 SLOPE = "reload"
 SIZES = (10, 50, 100, 200, 380)  # teams
@@ -24,7 +24,7 @@
 async def _one(teams: int) -> Row:
     planners, catalog = Planners(), Catalog()
     await planners.start(8)
-    catalog.members = [Listed(number, planners.ports[number % 8]) for number in range(PLANNERS)]
+    catalog.members = [ListedPlanner(number, planners.ports[number % 8]) for number in range(PLANNERS)]
     await catalog.start()
     made = configuration(catalog.port, teams)
     cpu, took = [], []
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -105,7 +105,7 @@
             connection.transport.abort()
 
 
-class Listed:
+class ListedPlanner:
     """One planner's row."""
 
     def __init__(self, number: int, port: int) -> None:
--- a/benchmarks/capacity/starts.py
+++ b/benchmarks/capacity/starts.py
@@ -13,7 +13,7 @@
 from benchmarks.capacity.records import Row
 from benchmarks.capacity.serving import (
     Catalog,
-    Listed,
+    ListedPlanner,
     Planners,
     Scheduler,
     answer,
@@ -80,7 +80,7 @@
 async def _one(rate: int) -> Row:
     planners, catalog = Planners(), Catalog()
     await planners.start(PORTS)
-    catalog.members = [Listed(number, planners.ports[number % PORTS]) for number in range(PLANNERS)]
+    catalog.members = [ListedPlanner(number, planners.ports[number % PORTS]) for number in range(PLANNERS)]
     await catalog.start()
     try:
         async with watch_loop_lag() as lag, scheduler(configuration(catalog.port, 4)) as running:
