--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -13,7 +13,7 @@
 from benchmarks.capacity.machine import measure_rows, watch_loop_lag
 from benchmarks.capacity.records import Row
 from benchmarks.capacity.serving import (
-    PATIENCE_S,
+    TASK_DEADLINE_S,
     PROGRESS_MS,
     Catalog,
     ListedPlanner,
@@ -77,7 +77,7 @@
         )  # type: ignore[arg-type]
         await asyncio.sleep(0.01)
         before = set(loop.timers)
-        core.submit(Request("a", 2, PATIENCE_S * 1000, 0), Mock())
+        core.submit(Request("a", 2, TASK_DEADLINE_S * 1000, 0), Mock())
         attempt = await carrier.carried
         core.attempt_sent(attempt)
         core.attempt_progressed(attempt, ProgressKind.STARTED)
@@ -91,7 +91,7 @@
     writers = []
     for number in range(count):
         _, writer = await asyncio.open_connection("127.0.0.1", running.port)
-        writer.write(request(f"h{number}", "task", PATIENCE_S))
+        writer.write(request(f"h{number}", "task", TASK_DEADLINE_S))
         writers.append(writer)
     async with asyncio.timeout(BEGUN_WITHIN_S):
         while len(planners.connections) < count:
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -23,7 +23,7 @@
 
 REGIONS = ("norte", "centro", "sur")
 ZONES = ("norte-1", "norte-2", "norte-3", "centro-1", "centro-2", "sur-1", "sur-2")
-PATIENCE_S = 600.0  # of the class `task`
+TASK_DEADLINE_S = 600.0  # of the class `task`
 PROGRESS_MS = 2000.0
 RETRY_S = 0.02  # after a refusal
 QUIET_S = 0.004  # without CPU after which a process has done what it was told
@@ -161,7 +161,7 @@
         *settings["services"],
         {
             "name": "task",
-            "deadline": PATIENCE_S * 1000,
+            "deadline": TASK_DEADLINE_S * 1000,
             "goalTime": 27000.0,
             "gain": 5.0,
             "repeat": "retryable",
