--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -129,18 +129,18 @@
     """The stand-in discovery, its list compact or indented; it counts the lists it was asked for."""
 
     indented = False
-    asked = 0
+    list_requests = 0
     _whole: tuple[int, bytes] = (0, b"")  # the list as it was last made, and of which generation
 
     def text(self, reset: bool, members: Sequence[Any]) -> bytes:
         if not reset:
             return self._made(False, members)
-        self.asked += 1
+        self.list_requests += 1
         if self._whole[0] != self.generation:
-            self.make()
+            self.build_list()
         return self._whole[1]
 
-    def make(self) -> int:
+    def build_list(self) -> int:
         """Make the whole list ahead, so that no answer waits for it; its bytes."""
         self._whole = self.generation, self._made(True, self.members)
         return len(self._whole[1])
