--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -25,9 +25,9 @@
 ZONES = ("norte-1", "norte-2", "norte-3", "centro-1", "centro-2", "sur-1", "sur-2")
 TASK_DEADLINE_S = 600.0  # of the class `task`
 PROGRESS_MS = 2000.0
-RETRY_S = 0.02  # after a refusal
-QUIET_S = 0.004  # without CPU after which a process has done what it was told
-START = 1_796_000_000_000.0  # Unix ms
+RETRY_INTERVAL_S = 0.02  # after a refusal
+IDLE_POLL_S = 0.004  # without CPU after which a process has done what it was told
+STARTED_AT_MS = 1_796_000_000_000.0  # Unix ms
 
 
 class PlannerConnection(asyncio.Protocol):
@@ -110,7 +110,7 @@
 
     def __init__(self, number: int, port: int) -> None:
         self.name, self.port, self.zone = f"planner-{number:05}", port, ZONES[number % len(ZONES)]
-        self.lifecycle, self.started_ms = "ready", START
+        self.lifecycle, self.started_ms = "ready", STARTED_AT_MS
 
     def row(self) -> dict[str, object]:
         return {
@@ -130,20 +130,20 @@
 
     indented = False
     list_requests = 0
-    _whole: tuple[int, bytes] = (0, b"")  # the list as it was last made, and of which generation
+    _full_list: tuple[int, bytes] = (0, b"")  # the list as it was last made, and of which generation
 
     def text(self, reset: bool, members: Sequence[Any]) -> bytes:
         if not reset:
             return self._made(False, members)
         self.list_requests += 1
-        if self._whole[0] != self.generation:
+        if self._full_list[0] != self.generation:
             self.build_list()
-        return self._whole[1]
+        return self._full_list[1]
 
     def build_list(self) -> int:
         """Make the whole list ahead, so that no answer waits for it; its bytes."""
-        self._whole = self.generation, self._made(True, self.members)
-        return len(self._whole[1])
+        self._full_list = self.generation, self._made(True, self.members)
+        return len(self._full_list[1])
 
     def _made(self, reset: bool, members: Sequence[Any]) -> bytes:
         headers = {"generation": self.generation, "reset": reset, "instances": [one.row() for one in members]}
@@ -223,14 +223,14 @@
         while monotonic() < until:
             if (await self.job())[0] == 200:
                 return True
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         return False
 
     async def idle(self, within_s: float = 60.0) -> None:
         """Return once it uses no CPU: it has done all that it was told."""
         until, before = monotonic() + within_s, -1.0
         while before != (before := self.cpu_s()) and monotonic() < until:
-            await asyncio.sleep(QUIET_S)
+            await asyncio.sleep(IDLE_POLL_S)
 
 
 def request(number: str, job_class: str, deadline_s: float, team: str = "team-000") -> bytes:
@@ -257,7 +257,7 @@
 
 
 @contextlib.asynccontextmanager
-async def scheduler(made: dict[str, Any], *words: str) -> AsyncIterator[Scheduler]:
+async def scheduler(made: dict[str, Any], *arguments: str) -> AsyncIterator[Scheduler]:
     """`serve` with this configuration, and these words on its command line; it ends with the block."""
     raise_descriptors(20000)
     with tempfile.TemporaryDirectory(prefix="pipitshed-capacity-") as folder:
@@ -269,7 +269,7 @@
             "-m",
             "pipitshed",
             "serve",
-            *words,
+            *arguments,
             cwd=ROOT,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
