--- a/benchmarks/capacity/gangs.py
+++ b/benchmarks/capacity/gangs.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from time import monotonic
 
-from benchmarks.capacity.modelled import ORDINARY, TASK_MS, Asked, Fleet
+from benchmarks.capacity.modelled import ORDINARY, TASK_MS, ModelRequest, Fleet
 from benchmarks.capacity.records import Row
 
 SLOPE = "gangs"
@@ -23,23 +23,23 @@
     """One gang, its members over all schedulers."""
     fleet = Fleet(PLANNERS, SCHEDULERS, seed)
     fleet.fill(full, stays=True)
-    begun, answered = fleet.now, list[Asked]()
-    asked = [
-        Asked(ORDINARY, begun, answered.append, number % SCHEDULERS, ANSWERED_MS + TASK_MS)
+    begun, answered = fleet.now, list[ModelRequest]()
+    request = [
+        ModelRequest(ORDINARY, begun, answered.append, number % SCHEDULERS, ANSWERED_MS + TASK_MS)
         for number in range(members)
     ]
-    for one in asked:
+    for one in request:
         fleet.ask(one)
     while len(answered) < members and fleet.now < begun + ANSWERED_MS:
         fleet.run(fleet.now + 10.0)
-    started = [one.started for one in asked if one.started is not None]
+    started = [one.started for one in request if one.started is not None]
     whole = len(started) == members
-    known = max((one.ended or one.started or fleet.now) for one in asked)
+    known = max((one.ended or one.started or fleet.now) for one in request)
     return {
         "started": float(len(started)),
         "whole": float(whole),
         "known_ms": known - begun,
-        "sends": float(sum(one.sends for one in asked)),
+        "sends": float(sum(one.sends for one in request)),
         "held_slot_s": 0.0 if whole else sum(known - at for at in started) / 1000,
         "lost_slot_s": 0.0 if whole else len(started) * TASK_MS / 1000,
     }
--- a/benchmarks/capacity/modelled.py
+++ b/benchmarks/capacity/modelled.py
@@ -61,14 +61,14 @@
 
 
 @dataclass
-class Asked:
+class ModelRequest:
     """One request, from its client's first word to its start."""
 
     job_class: int
     at: float
-    done: Callable[[Asked], None]
+    done: Callable[[ModelRequest], None]
     scheduler: int = 0
-    lasts: float = 0.0
+    duration_ms: float = 0.0
     started: float | None = None
     ended: float | None = None
     wait: float = 0.0  # ms that the refusal asked for
@@ -98,7 +98,7 @@
         self.schedulers = [
             Dispatcher(settings(schedulers), seed * 1000 + number) for number in range(schedulers)
         ]
-        self.asked: dict[tuple[int, int], Asked] = {}
+        self.asked: dict[tuple[int, int], ModelRequest] = {}
         self.sends: dict[tuple[int, int], int] = {}
         self._numbers = self._order = 0
         self._due: list[tuple[float, int, Callable[[], None]]] = []
@@ -141,7 +141,7 @@
             call()
         self.now = until
 
-    def ask(self, asked: Asked) -> None:
+    def ask(self, asked: ModelRequest) -> None:
         """A client asks a scheduler; `asked.done` hears of a refusal or of the start."""
         self._numbers += 1
         self.asked[asked.scheduler, self._numbers] = asked
@@ -207,4 +207,4 @@
                 AttemptFinished(send.job_id, number, send.worker, Outcome.OK, self.now - begun, True),
             )
 
-        self.later(max(2 * TRIP, asked.lasts), end)
+        self.later(max(2 * TRIP, asked.duration_ms), end)
--- a/benchmarks/capacity/urgent.py
+++ b/benchmarks/capacity/urgent.py
@@ -9,7 +9,7 @@
 from functools import partial
 from time import monotonic
 
-from benchmarks.capacity.modelled import ORDINARY, SLOTS, TASK_MS, URGENT, URGENT_MS, Asked, Fleet
+from benchmarks.capacity.modelled import ORDINARY, SLOTS, TASK_MS, URGENT, URGENT_MS, ModelRequest, Fleet
 from benchmarks.capacity.records import Row
 from benchmarks.capacity.starts import part
 
@@ -26,7 +26,7 @@
     """They ask, and ask again where they are refused and urgent."""
 
     def __init__(self, fleet: Fleet, full: float) -> None:
-        self.fleet, self.urgent = fleet, list[Asked]()
+        self.fleet, self.urgent = fleet, list[ModelRequest]()
         self.ordinary = self.refused = 0
         rate = len(fleet.planners) * SLOTS / TASK_MS  # starts a ms that keep a full fleet full
         self.rates = {ORDINARY: rate * (OVERLOAD if full == 1.0 else full), URGENT: rate * URGENT_PART}
@@ -38,7 +38,7 @@
 
     def _come(self, job_class: int) -> None:
         fleet = self.fleet
-        asked = Asked(
+        request = ModelRequest(
             job_class,
             fleet.now,
             self._told,
@@ -46,17 +46,17 @@
             fleet.rng.expovariate(1 / TASK_MS),
         )
         if job_class == URGENT:
-            self.urgent.append(asked)
+            self.urgent.append(request)
         self.ordinary += job_class == ORDINARY
-        fleet.ask(asked)
+        fleet.ask(request)
         self._next(job_class)
 
-    def _told(self, asked: Asked) -> None:
-        if asked.started is not None:
+    def _told(self, request: ModelRequest) -> None:
+        if request.started is not None:
             return
-        self.refused += asked.job_class == ORDINARY
-        asked.scheduler = self.fleet.rng.randrange(len(self.fleet.schedulers))
-        self.fleet.later(max(WAIT_LEAST, asked.wait), partial(self.fleet.ask, asked))
+        self.refused += request.job_class == ORDINARY
+        request.scheduler = self.fleet.rng.randrange(len(self.fleet.schedulers))
+        self.fleet.later(max(WAIT_LEAST, request.wait), partial(self.fleet.ask, request))
 
 
 def play(planners: int, case: str, seed: int = 1) -> dict[str, float]:
