--- a/benchmarks/capacity/gangs.py
+++ b/benchmarks/capacity/gangs.py
@@ -29,7 +29,7 @@
         for number in range(members)
     ]
     for one in request:
-        fleet.ask(one)
+        fleet.submit(one)
     while len(answered) < members and fleet.now < begun + ANSWERED_MS:
         fleet.run(fleet.now + 10.0)
     started = [one.started for one in request if one.started is not None]
--- a/benchmarks/capacity/modelled.py
+++ b/benchmarks/capacity/modelled.py
@@ -121,7 +121,7 @@
             if stays:
                 self._other(self._with_room(), True)
 
-        self.later(self.rng.expovariate(1 / TASK_MS), ended)
+        self.call_later(self.rng.expovariate(1 / TASK_MS), ended)
 
     def _with_room(self) -> Planner:
         while True:
@@ -129,7 +129,7 @@
             if planner.taken < SLOTS and self.rng.random() * SLOTS < SLOTS - planner.taken:
                 return planner
 
-    def later(self, wait: float, call: Callable[[], None]) -> None:
+    def call_later(self, wait: float, call: Callable[[], None]) -> None:
         """Do this after so many ms."""
         self._order += 1
         heapq.heappush(self._due, (self.now + wait, self._order, call))
@@ -141,7 +141,7 @@
             call()
         self.now = until
 
-    def ask(self, asked: ModelRequest) -> None:
+    def submit(self, asked: ModelRequest) -> None:
         """A client asks a scheduler; `asked.done` hears of a refusal or of the start."""
         self._numbers += 1
         self.asked[asked.scheduler, self._numbers] = asked
@@ -156,12 +156,12 @@
     def _tell(self, scheduler: int, event: Event) -> None:
         for action in self.schedulers[scheduler].handle(self.now, [event]):
             if isinstance(action, SetTimer):
-                self.later(action.delay_ms, partial(self._tell, scheduler, TimerFired(action.token)))
+                self.call_later(action.delay_ms, partial(self._tell, scheduler, TimerFired(action.token)))
             elif isinstance(action, StartAttempt):
                 key = scheduler, action.job_id
                 number = self.sends[key] = self.sends.get(key, -1) + 1
                 self.asked[key].sends += 1
-                self.later(TRIP, partial(self._comes, scheduler, action, number))
+                self.call_later(TRIP, partial(self._comes, scheduler, action, number))
             elif isinstance(action, RejectRequest | FailRequest):
                 self._refused(scheduler, action)
             elif isinstance(action, CancelAttempt):
@@ -177,7 +177,7 @@
     def _comes(self, scheduler: int, send: StartAttempt, number: int) -> None:
         planner, key, begun = self.planners[int(send.worker)], (scheduler, send.job_id), self.now
         if planner.taken >= SLOTS:
-            self.later(
+            self.call_later(
                 TRIP,
                 partial(
                     self._tell,
@@ -190,7 +190,7 @@
         planner.held.add(key)
         asked.started = self.now
         asked.done(asked)
-        self.later(
+        self.call_later(
             TRIP,
             partial(
                 self._tell,
@@ -207,4 +207,4 @@
                 AttemptFinished(send.job_id, number, send.worker, Outcome.OK, self.now - begun, True),
             )
 
-        self.later(max(2 * TRIP, asked.duration_ms), end)
+        self.call_later(max(2 * TRIP, asked.duration_ms), end)
--- a/benchmarks/capacity/urgent.py
+++ b/benchmarks/capacity/urgent.py
@@ -34,7 +34,9 @@
             self._next(job_class)
 
     def _next(self, job_class: int) -> None:
-        self.fleet.later(self.fleet.rng.expovariate(self.rates[job_class]), partial(self._come, job_class))
+        self.fleet.call_later(
+            self.fleet.rng.expovariate(self.rates[job_class]), partial(self._come, job_class)
+        )
 
     def _come(self, job_class: int) -> None:
         fleet = self.fleet
@@ -48,7 +50,7 @@
         if job_class == URGENT:
             self.urgent.append(request)
         self.ordinary += job_class == ORDINARY
-        fleet.ask(request)
+        fleet.submit(request)
         self._next(job_class)
 
     def _told(self, request: ModelRequest) -> None:
@@ -56,7 +58,7 @@
             return
         self.refused += request.job_class == ORDINARY
         request.scheduler = self.fleet.rng.randrange(len(self.fleet.schedulers))
-        self.fleet.later(max(WAIT_LEAST, request.wait), partial(self.fleet.ask, request))
+        self.fleet.call_later(max(WAIT_LEAST, request.wait), partial(self.fleet.submit, request))
 
 
 def play(planners: int, case: str, seed: int = 1) -> dict[str, float]:
