--- a/benchmarks/capacity/gangs.py
+++ b/benchmarks/capacity/gangs.py
@@ -45,7 +45,7 @@
     }
 
 
-def play(members: int, case: str) -> dict[str, float]:
+def simulate(members: int, case: str) -> dict[str, float]:
     """The means of some gangs."""
     told = [gang(members, FULL[case], seed) for seed in range(1, GANGS + 1)]
     mean = {name: sum(one[name] for one in told) / GANGS for name in told[0]}
@@ -66,5 +66,5 @@
     for size in sizes:
         for case in FULL:
             if monotonic() < until:
-                rows.append(Row(SLOPE, size, case, play(size, case), virtual=True))
+                rows.append(Row(SLOPE, size, case, simulate(size, case), virtual=True))
     return rows
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -72,7 +72,7 @@
         self.tokens -= 1.0
         return True
 
-    def play(self, seconds: float) -> None:
+    def simulate(self, seconds: float) -> None:
         """Let jobs come for so long, and count those that come and start after the warm-up."""
         end = seconds * 1000
         for number, team in enumerate(self.teams):
@@ -142,17 +142,17 @@
     return Site(dispatchers, made, room, rng)
 
 
-def figures(played: Site) -> dict[str, float]:
+def figures(simulated: Site) -> dict[str, float]:
     """How far each team is from its quota, as parts of it: above, of those that ask for more; below, of what
     the others ask for within it."""
     over = [
         max(0.0, team.started / (team.quota * MEASURED) - 1.0)
-        for team in played.teams
+        for team in simulated.teams
         if team.asks > team.quota
     ]
     under = [
         max(0.0, (min(team.asked, team.quota * MEASURED) - team.started) / (team.quota * MEASURED))
-        for team in played.teams
+        for team in simulated.teams
         if team.asks <= team.quota
     ]
     told = {
@@ -160,9 +160,9 @@
         for name, values in (("over", over), ("under", under))
         for part, called in PARTS
     }
-    started = sum(team.started for team in played.teams)
+    started = sum(team.started for team in simulated.teams)
     return told | {
-        "asked_per_s": sum(team.asked for team in played.teams) / MEASURED,
+        "asked_per_s": sum(team.asked for team in simulated.teams) / MEASURED,
         "started_per_s": started / MEASURED,
     }
 
@@ -170,17 +170,19 @@
 def cases(teams: int, limit_s: float) -> list[Row]:
     """All cases of one number of teams."""
     rows, until = [], time.monotonic() + limit_s
-    plays = [(schedulers, uneven, STARTS) for schedulers in SCHEDULERS for uneven in (False, True)]
-    for schedulers, uneven, room in [*plays, (SCHEDULERS[-1], True, 10 * STARTS)]:
+    settings_of_cases = [
+        (schedulers, uneven, STARTS) for schedulers in SCHEDULERS for uneven in (False, True)
+    ]
+    for schedulers, uneven, room in [*settings_of_cases, (SCHEDULERS[-1], True, 10 * STARTS)]:
         case = f"{schedulers} schedulers, {'uneven' if uneven else 'even'}" + (
             ", room for all" if room > STARTS else ""
         )
         if time.monotonic() > until:
             rows.append(Row(SLOPE, teams, case, {}, False, f"over the {limit_s:.0f} s it had", virtual=True))
             continue
-        played = site(teams, schedulers, uneven, room, seed=1)
-        played.play(WARM + MEASURED)
-        rows.append(Row(SLOPE, teams, case, figures(played), virtual=True))
+        simulated = site(teams, schedulers, uneven, room, seed=1)
+        simulated.simulate(WARM + MEASURED)
+        rows.append(Row(SLOPE, teams, case, figures(simulated), virtual=True))
     return rows
 
 
--- a/benchmarks/capacity/urgent.py
+++ b/benchmarks/capacity/urgent.py
@@ -61,7 +61,7 @@
         self.fleet.call_later(max(WAIT_LEAST, request.wait), partial(self.fleet.submit, request))
 
 
-def play(planners: int, case: str, seed: int = 1) -> dict[str, float]:
+def simulate(planners: int, case: str, seed: int = 1) -> dict[str, float]:
     """The figures of one fleet."""
     fleet = Fleet(planners, max(2, planners // 15), seed)
     fleet.fill(CASES[case], stays=False)
@@ -91,5 +91,5 @@
     for size in sizes:
         for case in CASES:
             if monotonic() < until:
-                rows.append(Row(SLOPE, size, case, play(size, case), virtual=True))
+                rows.append(Row(SLOPE, size, case, simulate(size, case), virtual=True))
     return rows
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -123,7 +123,7 @@
 
 
 def test_the_modelled_fleet_plays_the_same_twice_and_a_gang_finds_room_where_there_is() -> None:
-    assert urgent.play(46, "full") == urgent.play(46, "full")
+    assert urgent.simulate(46, "full") == urgent.simulate(46, "full")
     assert gangs.gang(32, 0.5, 1)["whole"] == 1.0
     # Nothing holds a gang together: where room is short some start, and hold their slots for nothing.
     short = gangs.gang(32, 0.98, 1)
