--- a/benchmarks/capacity/regions.py
+++ b/benchmarks/capacity/regions.py
@@ -12,7 +12,7 @@
     QUIET_WITHIN,
     SETTLED_WITHIN,
     TEAMS,
-    Play,
+    FleetRun,
     TimeOverError,
     body,
     each,
@@ -68,16 +68,16 @@
     return lacked / len(fleet.nodes)
 
 
-def apart(play: Play) -> None:
+def apart(run: FleetRun) -> None:
     """A region is cut off, restarts and changes on both sides, and it is whole again."""
-    fleet = play.fleet
+    fleet = run.fleet
     writers = {lost: side(fleet, lost)[-1] for lost in (True, False)}
     keys = {lost: [key(number) for number in range(lost, TEAMS, 2)] for lost in (True, False)}
     for lost, writer in writers.items():
-        play.settings(writer, keys[lost])
-    play.holds(fleet.quiet, QUIET_WITHIN, 1.0)
+        run.settings(writer, keys[lost])
+    run.holds(fleet.quiet, QUIET_WITHIN, 1.0)
     fleet.part_region(LOST_REGION)
-    with play.counted() as spent:
+    with run.counted() as spent:
         for number in range(RESTARTS):
             for lost in (True, False):
                 restart(
@@ -87,39 +87,39 @@
                 first, last = (CHANGES * (number + step) // RESTARTS for step in (0, 1))
                 for change in range(first, last):
                     fleet.put(writers[lost], (keys[lost][change % len(keys[lost])], body(fleet)))
-            play.run(APART / RESTARTS - 2 * DOWN)
-    play.row("regions apart", spent, restarts=2.0 * RESTARTS, changes=2.0 * CHANGES)
+            run.run(APART / RESTARTS - 2 * DOWN)
+    run.row("regions apart", spent, restarts=2.0 * RESTARTS, changes=2.0 * CHANGES)
     lacked = differed(fleet)
     fleet.heal()
-    play.to_one_view("healed", differed_bytes=lacked)
+    run.to_one_view("healed", differed_bytes=lacked)
 
 
-def waves(play: Play) -> None:
+def waves(run: FleetRun) -> None:
     """All restart, a tenth at a time, with changes in between: whose rows are older than those it held?"""
-    fleet = play.fleet
+    fleet = run.fleet
     nodes, older = list(fleet.nodes.values()), 0
     writer = nodes[-1].address
-    play.settings(nodes[-1], [key(number) for number in range(TEAMS)])
-    play.holds(fleet.quiet, QUIET_WITHIN, 1.0)
-    with play.counted() as spent:
+    run.settings(nodes[-1], [key(number) for number in range(TEAMS)])
+    run.holds(fleet.quiet, QUIET_WITHIN, 1.0)
+    with run.counted() as spent:
         for wave in range(WAVES):
             going = [fleet.nodes[node.address] for node in nodes[wave::WAVES]]
             restart(fleet, going)
-            play.run(WAVE_EVERY / 2)
-            play.settings(
+            run.run(WAVE_EVERY / 2)
+            run.settings(
                 fleet.nodes[writer],
                 [key(number) for number in range(wave * WAVE_CHANGES, (wave + 1) * WAVE_CHANGES)],
             )
-            play.run(WAVE_EVERY / 2 - DOWN)
+            run.run(WAVE_EVERY / 2 - DOWN)
             older += sum(
                 number_of(fleet.nodes[node.address], row.key) < row.number
                 for node in going
                 for row in node.tables[0]
             )
-        settled = play.holds(fleet.whole, SETTLED_WITHIN)
+        settled = run.holds(fleet.whole, SETTLED_WITHIN)
     told = {"rows_older": float(older), "changes": float(WAVES * WAVE_CHANGES)}
     why = "" if settled is not None else f"not one view after {SETTLED_WITHIN:.0f} virtual s"
-    play.row("restart wave", spent, why, **told, settled_ms=(settled or 0.0) * 1000)
+    run.row("restart wave", spent, why, **told, settled_ms=(settled or 0.0) * 1000)
 
 
 def cases(size: int, limit_s: float) -> list[Row]:
@@ -127,11 +127,11 @@
     rows: list[Row] = []
     until = time.monotonic() + limit_s
     for case in (apart, waves):
-        play = Play(Fleet(seed=3), size, until, SLOPE, rows)
+        run = FleetRun(Fleet(seed=3), size, until, SLOPE, rows)
         try:
-            play.fleet.fleet(size)
-            play.holds(play.fleet.quiet, QUIET_WITHIN, 1.0)
-            case(play)
+            run.fleet.fleet(size)
+            run.holds(run.fleet.quiet, QUIET_WITHIN, 1.0)
+            case(run)
         except TimeOverError:
             rows.append(
                 Row(
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -46,7 +46,7 @@
 
 
 @dataclass
-class Play:
+class FleetRun:
     """One fleet, and the cases that are played on it one after the other."""
 
     fleet: Fleet
@@ -160,25 +160,25 @@
     return sorted(values)[math.ceil(len(values) * share) - 1]
 
 
-def changes(play: Play, case: str) -> None:
+def changes(run: FleetRun, case: str) -> None:
     """Bursts of changes within a second each: how long until each is in force at each scheduler."""
-    fleet = play.fleet
+    fleet = run.fleet
     writer = next(iter(fleet.nodes.values()))
     fleet.row_news.clear()
     put: dict[tuple[str, int], float] = {}
-    with play.counted() as spent:
+    with run.counted() as spent:
         for burst in range(BURSTS):
             for place in range(BURST):
-                put |= play.settings(writer, [key(burst * BURST + place)])
-                play.run(1.0 / BURST)
-            play.run(EVERY - 1.0)
+                put |= run.settings(writer, [key(burst * BURST + place)])
+                run.run(1.0 / BURST)
+            run.run(EVERY - 1.0)
     took: dict[tuple[str, int], list[float]] = {change: [] for change in put}
     for when, _, row in fleet.row_news:
         if (row.key, row.number) in put:
             took[row.key, row.number].append((when - put[row.key, row.number]) * 1000)
     every = [one for times in took.values() for one in times]
     missing = len(put) * len(fleet.nodes) - len(every)
-    play.row(
+    run.row(
         case,
         spent,
         f"{missing} not in force in time" if missing else "",
@@ -190,15 +190,15 @@
     )
 
 
-def lost_everything(play: Play) -> None:
+def lost_everything(run: FleetRun) -> None:
     """One is killed, and begins anew with nothing: how long until it holds all settings and the view."""
-    fleet = play.fleet
+    fleet = run.fleet
     last = next(reversed(fleet.nodes.values()))
     fleet.kill(last)
-    play.run(1.0)
-    node, whole = fleet.start(play.size - 1, fleet.seeds), next(iter(fleet.nodes.values())).tables[0]
-    with play.counted() as spent:
-        current = play.holds(
+    run.run(1.0)
+    node, whole = fleet.start(run.size - 1, fleet.seeds), next(iter(fleet.nodes.values())).tables[0]
+    with run.counted() as spent:
+        current = run.holds(
             lambda: (
                 node.tables[0].digest() == whole.digest()
                 and node.membership.view.live_count >= len(fleet.nodes)
@@ -207,49 +207,49 @@
             0.05,
         )
     told = {"rows": float(len(whole))} | ({} if current is None else {"current_ms": current * 1000})
-    play.row("one lost everything", spent, "" if current is not None else "not current in time", **told)
+    run.row("one lost everything", spent, "" if current is not None else "not current in time", **told)
 
 
 def cases(size: int, limit_s: float) -> list[Row]:
     """All cases of one size, in one fleet."""
     before = memory_mb(os.getpid())
-    play = Play(Fleet(seed=1), size, time.monotonic() + limit_s)
-    fleet = play.fleet
+    run = FleetRun(Fleet(seed=1), size, time.monotonic() + limit_s)
+    fleet = run.fleet
     try:
         first, *_ = fleet.fleet(size)
-        play.to_one_view("join storm")
-        play.settings(first, [key(number) for number in range(TEAMS)])
-        play.to_one_view("all settings put at once", rows=float(TEAMS))
+        run.to_one_view("join storm")
+        run.settings(first, [key(number) for number in range(TEAMS)])
+        run.to_one_view("all settings put at once", rows=float(TEAMS))
         held = (memory_mb(os.getpid()) - before) / size
-        with play.counted() as spent:
-            play.run(REST)
-        play.row("rest", spent, memory_mb=held)
-        changes(play, "changes")
+        with run.counted() as spent:
+            run.run(REST)
+        run.row("rest", spent, memory_mb=held)
+        changes(run, "changes")
         fleet.loss, since = 0.01, fleet.now
-        with play.counted() as spent:
-            play.run(REST)
-        play.row(
+        with run.counted() as spent:
+            run.run(REST)
+        run.row(
             "loss 1%",
             spent,
             false_suspicions=words_of(fleet, since, MemberState.SUSPECT),
             false_deaths=words_of(fleet, since, MemberState.DEAD),
         )
-        changes(play, "changes, loss 1%")
+        changes(run, "changes, loss 1%")
         fleet.loss = 0.0
-        play.holds(fleet.quiet, QUIET_WITHIN, 1.0)
-        lost_everything(play)
-        play.holds(fleet.quiet, QUIET_WITHIN, 1.0)
+        run.holds(fleet.quiet, QUIET_WITHIN, 1.0)
+        lost_everything(run)
+        run.holds(fleet.quiet, QUIET_WITHIN, 1.0)
         last = next(reversed(fleet.nodes.values()))
         fleet.kill(last)
         fleet.start(size - 1, fleet.seeds)
-        play.to_one_view("one restarted")
+        run.to_one_view("one restarted")
         fleet.lose_zone(LOST_ZONE)
-        play.to_one_view("zone lost", lost=float(size - len(fleet.nodes)))
+        run.to_one_view("zone lost", lost=float(size - len(fleet.nodes)))
     except TimeOverError:
-        play.rows.append(
+        run.rows.append(
             Row(SLOPE, size, "rest of the cases", {}, False, f"over the {limit_s:.0f} s it had", virtual=True)
         )
-    return play.rows
+    return run.rows
 
 
 def each(of: Callable[[int, float], list[Row]], sizes: Sequence[int], limit_s: float) -> list[Row]:
