--- a/benchmarks/capacity/regions.py
+++ b/benchmarks/capacity/regions.py
@@ -77,7 +77,7 @@
         run.settings(writer, keys[lost])
     run.holds(fleet.quiet, QUIET_WITHIN, 1.0)
     fleet.part_region(LOST_REGION)
-    with run.counted() as spent:
+    with run.measured() as cost:
         for number in range(RESTARTS):
             for lost in (True, False):
                 restart(
@@ -88,7 +88,7 @@
                 for change in range(first, last):
                     fleet.put(writers[lost], (keys[lost][change % len(keys[lost])], body(fleet)))
             run.run(APART / RESTARTS - 2 * DOWN)
-    run.row("regions apart", spent, restarts=2.0 * RESTARTS, changes=2.0 * CHANGES)
+    run.row("regions apart", cost, restarts=2.0 * RESTARTS, changes=2.0 * CHANGES)
     lacked = differed(fleet)
     fleet.heal()
     run.to_one_view("healed", differed_bytes=lacked)
@@ -101,7 +101,7 @@
     writer = nodes[-1].address
     run.settings(nodes[-1], [key(number) for number in range(TEAMS)])
     run.holds(fleet.quiet, QUIET_WITHIN, 1.0)
-    with run.counted() as spent:
+    with run.measured() as cost:
         for wave in range(WAVES):
             going = [fleet.nodes[node.address] for node in nodes[wave::WAVES]]
             restart(fleet, going)
@@ -119,7 +119,7 @@
         settled = run.holds(fleet.whole, SETTLED_WITHIN)
     told = {"rows_older": float(older), "changes": float(WAVES * WAVE_CHANGES)}
     why = "" if settled is not None else f"not one view after {SETTLED_WITHIN:.0f} virtual s"
-    run.row("restart wave", spent, why, **told, settled_ms=(settled or 0.0) * 1000)
+    run.row("restart wave", cost, why, **told, settled_ms=(settled or 0.0) * 1000)
 
 
 def cases(size: int, limit_s: float) -> list[Row]:
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -38,7 +38,7 @@
 
 
 @dataclass
-class Spent:
+class Cost:
     """What a stretch of virtual time cost."""
 
     seconds: float = 0.0  # virtual
@@ -56,15 +56,15 @@
     rows: list[Row] = field(default_factory=list)
 
     @contextmanager
-    def counted(self) -> Iterator[Spent]:
+    def measured(self) -> Iterator[Cost]:
         """Count what is sent in the block, and whose work it was."""
-        fleet, spent = self.fleet, Spent()
+        fleet, cost = self.fleet, Cost()
         fleet.count_anew()
         begun, cpu, wall = fleet.now, time.process_time(), time.perf_counter()
-        yield spent
-        spent.seconds = fleet.now - begun
+        yield cost
+        cost.seconds = fleet.now - begun
         # This process shares its cores with others, so the share of the wall's time is taken of its CPU.
-        spent.cpu = (time.process_time() - cpu) * fleet.busy / max(1e-9, time.perf_counter() - wall)
+        cost.cpu = (time.process_time() - cpu) * fleet.busy / max(1e-9, time.perf_counter() - wall)
 
     def holds(self, what: Callable[[], bool], within: float, step: float = STEP) -> float | None:
         """How long (virtual s) until it holds; None where it does not within the time."""
@@ -87,28 +87,28 @@
         if time.monotonic() > self.until:
             raise TimeOverError
 
-    def row(self, case: str, spent: Spent, why_not: str = "", **told: float) -> None:
+    def row(self, case: str, cost: Cost, why_not: str = "", **told: float) -> None:
         """Keep the row of a case that was just counted."""
         fleet = self.fleet
-        share = len(fleet.nodes) * spent.seconds
+        share = len(fleet.nodes) * cost.seconds
         out, into = fleet.out.values(), fleet.into.values()
         figures = {
             "out_bytes_per_s": sum(one.bytes for one in out) / share,
-            "heaviest_out_bytes_per_s": max(one.bytes for one in out) / spent.seconds,
-            "heaviest_in_bytes_per_s": max(one.bytes for one in into) / spent.seconds,
+            "heaviest_out_bytes_per_s": max(one.bytes for one in out) / cost.seconds,
+            "heaviest_in_bytes_per_s": max(one.bytes for one in into) / cost.seconds,
             "worst_second_out_bytes": float(worst(out)),
             "worst_second_in_bytes": float(worst(into)),
             "messages_per_s": sum(fleet.sent.values()) / share,
             "too_long": float(fleet.too_long),
-            "cpu_share": spent.cpu / share,
-            "virtual_s": spent.seconds,
+            "cpu_share": cost.cpu / share,
+            "virtual_s": cost.seconds,
         }
         self.rows.append(Row(self.slope, self.size, case, figures | told, not why_not, why_not, virtual=True))
 
     def to_one_view(self, case: str, **told: float) -> None:
         """Count until all hold one true view and the same settings, then until nothing is left to tell."""
         begun = self.fleet.now
-        with self.counted() as spent:
+        with self.measured() as cost:
             settled = self.holds(self.fleet.whole, SETTLED_WITHIN)
             quiet = self.holds(self.fleet.quiet, QUIET_WITHIN, 1.0)
         figures = dict(told)
@@ -118,7 +118,7 @@
             figures["quiet_ms"] = (self.fleet.now - begun) * 1000
         figures["out_bytes"] = sum(one.bytes for one in self.fleet.out.values()) / len(self.fleet.nodes)
         why = "" if settled is not None else f"not one view after {SETTLED_WITHIN:.0f} virtual s"
-        self.row(case, spent, why, **figures)
+        self.row(case, cost, why, **figures)
 
     def settings(self, writer: Node, keys: Sequence[str]) -> dict[tuple[str, int], float]:
         """Put a row for each key at once; when, by key and number."""
@@ -166,7 +166,7 @@
     writer = next(iter(fleet.nodes.values()))
     fleet.row_news.clear()
     put: dict[tuple[str, int], float] = {}
-    with run.counted() as spent:
+    with run.measured() as cost:
         for burst in range(BURSTS):
             for place in range(BURST):
                 put |= run.settings(writer, [key(burst * BURST + place)])
@@ -180,7 +180,7 @@
     missing = len(put) * len(fleet.nodes) - len(every)
     run.row(
         case,
-        spent,
+        cost,
         f"{missing} not in force in time" if missing else "",
         in_force_p50_ms=part(every, 0.5),
         in_force_p99_ms=part(every, 0.99),
@@ -197,7 +197,7 @@
     fleet.kill(last)
     run.run(1.0)
     node, whole = fleet.start(run.size - 1, fleet.seeds), next(iter(fleet.nodes.values())).tables[0]
-    with run.counted() as spent:
+    with run.measured() as cost:
         current = run.holds(
             lambda: (
                 node.tables[0].digest() == whole.digest()
@@ -207,7 +207,7 @@
             0.05,
         )
     told = {"rows": float(len(whole))} | ({} if current is None else {"current_ms": current * 1000})
-    run.row("one lost everything", spent, "" if current is not None else "not current in time", **told)
+    run.row("one lost everything", cost, "" if current is not None else "not current in time", **told)
 
 
 def cases(size: int, limit_s: float) -> list[Row]:
@@ -221,16 +221,16 @@
         run.settings(first, [key(number) for number in range(TEAMS)])
         run.to_one_view("all settings put at once", rows=float(TEAMS))
         held = (memory_mb(os.getpid()) - before) / size
-        with run.counted() as spent:
+        with run.measured() as cost:
             run.run(REST)
-        run.row("rest", spent, memory_mb=held)
+        run.row("rest", cost, memory_mb=held)
         changes(run, "changes")
         fleet.loss, since = 0.01, fleet.now
-        with run.counted() as spent:
+        with run.measured() as cost:
             run.run(REST)
         run.row(
             "loss 1%",
-            spent,
+            cost,
             false_suspicions=words_of(fleet, since, MemberState.SUSPECT),
             false_deaths=words_of(fleet, since, MemberState.DEAD),
         )
