--- a/benchmarks/capacity/regions.py
+++ b/benchmarks/capacity/regions.py
@@ -13,7 +13,7 @@
     SETTLED_WITHIN,
     TEAMS,
     FleetRun,
-    TimeOverError,
+    TimeLimitError,
     body,
     each,
     key,
@@ -75,7 +75,7 @@
     keys = {lost: [key(number) for number in range(lost, TEAMS, 2)] for lost in (True, False)}
     for lost, writer in writers.items():
         run.settings(writer, keys[lost])
-    run.holds(fleet.quiet, QUIET_WITHIN, 1.0)
+    run.wait_until(fleet.quiet, QUIET_WITHIN, 1.0)
     fleet.part_region(LOST_REGION)
     with run.measured() as cost:
         for number in range(RESTARTS):
@@ -91,7 +91,7 @@
     run.row("regions apart", cost, restarts=2.0 * RESTARTS, changes=2.0 * CHANGES)
     lacked = differed(fleet)
     fleet.heal()
-    run.to_one_view("healed", differed_bytes=lacked)
+    run.measure_convergence("healed", differed_bytes=lacked)
 
 
 def waves(run: FleetRun) -> None:
@@ -100,7 +100,7 @@
     nodes, older = list(fleet.nodes.values()), 0
     writer = nodes[-1].address
     run.settings(nodes[-1], [key(number) for number in range(TEAMS)])
-    run.holds(fleet.quiet, QUIET_WITHIN, 1.0)
+    run.wait_until(fleet.quiet, QUIET_WITHIN, 1.0)
     with run.measured() as cost:
         for wave in range(WAVES):
             going = [fleet.nodes[node.address] for node in nodes[wave::WAVES]]
@@ -116,7 +116,7 @@
                 for node in going
                 for row in node.tables[0]
             )
-        settled = run.holds(fleet.whole, SETTLED_WITHIN)
+        settled = run.wait_until(fleet.whole, SETTLED_WITHIN)
     told = {"rows_older": float(older), "changes": float(WAVES * WAVE_CHANGES)}
     why = "" if settled is not None else f"not one view after {SETTLED_WITHIN:.0f} virtual s"
     run.row("restart wave", cost, why, **told, settled_ms=(settled or 0.0) * 1000)
@@ -130,9 +130,9 @@
         run = FleetRun(Fleet(seed=3), size, until, SLOPE, rows)
         try:
             run.fleet.fleet(size)
-            run.holds(run.fleet.quiet, QUIET_WITHIN, 1.0)
+            run.wait_until(run.fleet.quiet, QUIET_WITHIN, 1.0)
             case(run)
-        except TimeOverError:
+        except TimeLimitError:
             rows.append(
                 Row(
                     SLOPE,
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -33,7 +33,7 @@
 PROCESSES = 2
 
 
-class TimeOverError(Exception):
+class TimeLimitError(Exception):
     """The time for this size is over."""
 
 
@@ -66,11 +66,11 @@
         # This process shares its cores with others, so the share of the wall's time is taken of its CPU.
         cost.cpu = (time.process_time() - cpu) * fleet.busy / max(1e-9, time.perf_counter() - wall)
 
-    def holds(self, what: Callable[[], bool], within: float, step: float = STEP) -> float | None:
+    def wait_until(self, what: Callable[[], bool], within: float, step: float = STEP) -> float | None:
         """How long (virtual s) until it holds; None where it does not within the time."""
 
         def looked() -> bool:
-            self.in_time()
+            self.check_time_limit()
             return what()
 
         return self.fleet.until(looked, within, step)
@@ -79,13 +79,13 @@
         """Let so much virtual time pass."""
         until = self.fleet.now + seconds
         while self.fleet.now < until:
-            self.in_time()
+            self.check_time_limit()
             self.fleet.run(min(1.0, until - self.fleet.now))
 
-    def in_time(self) -> None:
+    def check_time_limit(self) -> None:
         """TimeOverError where the time is over."""
         if time.monotonic() > self.until:
-            raise TimeOverError
+            raise TimeLimitError
 
     def row(self, case: str, cost: Cost, why_not: str = "", **told: float) -> None:
         """Keep the row of a case that was just counted."""
@@ -105,12 +105,12 @@
         }
         self.rows.append(Row(self.slope, self.size, case, figures | told, not why_not, why_not, virtual=True))
 
-    def to_one_view(self, case: str, **told: float) -> None:
+    def measure_convergence(self, case: str, **told: float) -> None:
         """Count until all hold one true view and the same settings, then until nothing is left to tell."""
         begun = self.fleet.now
         with self.measured() as cost:
-            settled = self.holds(self.fleet.whole, SETTLED_WITHIN)
-            quiet = self.holds(self.fleet.quiet, QUIET_WITHIN, 1.0)
+            settled = self.wait_until(self.fleet.whole, SETTLED_WITHIN)
+            quiet = self.wait_until(self.fleet.quiet, QUIET_WITHIN, 1.0)
         figures = dict(told)
         if settled is not None:
             figures["settled_ms"] = settled * 1000
@@ -198,7 +198,7 @@
     run.run(1.0)
     node, whole = fleet.start(run.size - 1, fleet.seeds), next(iter(fleet.nodes.values())).tables[0]
     with run.measured() as cost:
-        current = run.holds(
+        current = run.wait_until(
             lambda: (
                 node.tables[0].digest() == whole.digest()
                 and node.membership.view.live_count >= len(fleet.nodes)
@@ -217,9 +217,9 @@
     fleet = run.fleet
     try:
         first, *_ = fleet.fleet(size)
-        run.to_one_view("join storm")
+        run.measure_convergence("join storm")
         run.settings(first, [key(number) for number in range(TEAMS)])
-        run.to_one_view("all settings put at once", rows=float(TEAMS))
+        run.measure_convergence("all settings put at once", rows=float(TEAMS))
         held = (memory_mb(os.getpid()) - before) / size
         with run.measured() as cost:
             run.run(REST)
@@ -236,16 +236,16 @@
         )
         changes(run, "changes, loss 1%")
         fleet.loss = 0.0
-        run.holds(fleet.quiet, QUIET_WITHIN, 1.0)
+        run.wait_until(fleet.quiet, QUIET_WITHIN, 1.0)
         lost_everything(run)
-        run.holds(fleet.quiet, QUIET_WITHIN, 1.0)
+        run.wait_until(fleet.quiet, QUIET_WITHIN, 1.0)
         last = next(reversed(fleet.nodes.values()))
         fleet.kill(last)
         fleet.start(size - 1, fleet.seeds)
-        run.to_one_view("one restarted")
+        run.measure_convergence("one restarted")
         fleet.lose_zone(LOST_ZONE)
-        run.to_one_view("zone lost", lost=float(size - len(fleet.nodes)))
-    except TimeOverError:
+        run.measure_convergence("zone lost", lost=float(size - len(fleet.nodes)))
+    except TimeLimitError:
         run.rows.append(
             Row(SLOPE, size, "rest of the cases", {}, False, f"over the {limit_s:.0f} s it had", virtual=True)
         )
