--- a/benchmarks/capacity/regions.py
+++ b/benchmarks/capacity/regions.py
@@ -14,10 +14,10 @@
     TEAMS,
     FleetRun,
     TimeLimitError,
-    body,
+    quota_value,
     each,
     key,
-    number_of,
+    version_of,
 )
 from pipitshed.testbed.virtual_fleet import Fleet, region
 from pipitshed.testbed.virtual_view import Node
@@ -56,7 +56,7 @@
         newest |= {row.key: row for row in node.tables[0] if row.number > newest[row.key].number}
     lacked = 0
     for node in fleet.nodes.values():
-        lacked += sum(row.size for name, row in newest.items() if number_of(node, name) < row.number)
+        lacked += sum(row.size for name, row in newest.items() if version_of(node, name) < row.number)
         for other in fleet.nodes.values():
             held = node.membership.view.get(other.name)
             if (
@@ -86,7 +86,7 @@
                 )
                 first, last = (CHANGES * (number + step) // RESTARTS for step in (0, 1))
                 for change in range(first, last):
-                    fleet.put(writers[lost], (keys[lost][change % len(keys[lost])], body(fleet)))
+                    fleet.put(writers[lost], (keys[lost][change % len(keys[lost])], quota_value(fleet)))
             run.run(APART / RESTARTS - 2 * DOWN)
     run.row("regions apart", cost, restarts=2.0 * RESTARTS, changes=2.0 * CHANGES)
     lacked = differed(fleet)
@@ -112,7 +112,7 @@
             )
             run.run(WAVE_EVERY / 2 - DOWN)
             older += sum(
-                number_of(fleet.nodes[node.address], row.key) < row.number
+                version_of(fleet.nodes[node.address], row.key) < row.number
                 for node in going
                 for row in node.tables[0]
             )
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -122,8 +122,8 @@
 
     def settings(self, writer: Node, keys: Sequence[str]) -> dict[tuple[str, int], float]:
         """Put a row for each key at once; when, by key and number."""
-        self.fleet.put(writer, *((key, body(self.fleet)) for key in keys))
-        return {(key, number_of(writer, key)): self.fleet.now for key in keys}
+        self.fleet.put(writer, *((key, quota_value(self.fleet)) for key in keys))
+        return {(key, version_of(writer, key)): self.fleet.now for key in keys}
 
 
 def key(team: int) -> str:
@@ -131,18 +131,18 @@
     return f"tenant/team-{team:03}/allowancePerS"
 
 
-def body(fleet: Fleet) -> bytes:
+def quota_value(fleet: Fleet) -> bytes:
     """A team's quota, as a row holds it."""
     return b"%.3f" % (fleet.rng.random() * 10)
 
 
-def number_of(node: Node, key: str) -> int:
+def version_of(node: Node, key: str) -> int:
     """The version of a row that this one holds; 0 where it holds none."""
     row = node.tables[0].get(key)
     return row.number if row is not None else 0
 
 
-def words_of(fleet: Fleet, since: float, state: MemberState) -> float:
+def count_reports(fleet: Fleet, since: float, state: MemberState) -> float:
     """How many times one that lived was said to be in this state, counted once for each word."""
     return float(
         len(
@@ -231,8 +231,8 @@
         run.row(
             "loss 1%",
             cost,
-            false_suspicions=words_of(fleet, since, MemberState.SUSPECT),
-            false_deaths=words_of(fleet, since, MemberState.DEAD),
+            false_suspicions=count_reports(fleet, since, MemberState.SUSPECT),
+            false_deaths=count_reports(fleet, since, MemberState.DEAD),
         )
         changes(run, "changes, loss 1%")
         fleet.loss = 0.0
