--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -155,7 +155,7 @@
     )
 
 
-def part(values: Sequence[float], share: float) -> float:
+def percentile(values: Sequence[float], share: float) -> float:
     """The value under which this share of them lies."""
     return sorted(values)[math.ceil(len(values) * share) - 1]
 
@@ -182,11 +182,11 @@
         case,
         cost,
         f"{missing} not in force in time" if missing else "",
-        in_force_p50_ms=part(every, 0.5),
-        in_force_p99_ms=part(every, 0.99),
+        in_force_p50_ms=percentile(every, 0.5),
+        in_force_p99_ms=percentile(every, 0.99),
         in_force_worst_ms=max(every),
         changes=float(len(put)),
-        last_p50_ms=part([max(times) for times in took.values()], 0.5),
+        last_p50_ms=percentile([max(times) for times in took.values()], 0.5),
     )
 
 
--- a/benchmarks/capacity/starts.py
+++ b/benchmarks/capacity/starts.py
@@ -32,7 +32,7 @@
 Link = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
-def part(values: Sequence[float], share: float) -> float:
+def percentile(values: Sequence[float], share: float) -> float:
     """The value under which this share of them lies."""
     return sorted(values)[min(len(values) - 1, int(len(values) * share))]
 
@@ -66,8 +66,8 @@
     return {
         "cpu_share": cpu / (monotonic() - began),
         "start_us": cpu / len(asked) * 1e6,
-        "p50_ms": part(waits, 0.5),
-        "p99_ms": part(waits, 0.99),
+        "p50_ms": percentile(waits, 0.5),
+        "p99_ms": percentile(waits, 0.99),
         "worst_ms": max(waits),
         "served": float(answers.get(200, 0)),
         "not_served": float(len(asked) - answers.get(200, 0)),
--- a/benchmarks/capacity/urgent.py
+++ b/benchmarks/capacity/urgent.py
@@ -11,7 +11,7 @@
 
 from benchmarks.capacity.modelled import ORDINARY, SLOTS, TASK_MS, URGENT, URGENT_MS, ModelRequest, Fleet
 from benchmarks.capacity.records import Row
-from benchmarks.capacity.starts import part
+from benchmarks.capacity.starts import percentile
 
 SLOPE = "urgent"
 SIZES = (46, 115, 230, 460, 920)  # planners; 15 for a scheduler, as 4,600 for 300
@@ -74,8 +74,8 @@
     return {
         "urgent": float(len(judged)),
         "not_started": float(sum(one.started is None for one in judged)),
-        "p50_ms": part(waits, 0.5),
-        "p99_ms": part(waits, 0.99),
+        "p50_ms": percentile(waits, 0.5),
+        "p99_ms": percentile(waits, 0.99),
         "worst_ms": max(waits),
         "late_share": sum(wait > URGENT_MS for wait in waits) / len(waits),
         "refusals_each": sum(one.refusals for one in judged) / len(judged),
