--- a/benchmarks/capacity/regions.py
+++ b/benchmarks/capacity/regions.py
@@ -15,7 +15,7 @@
     FleetRun,
     TimeLimitError,
     quota_value,
-    each,
+    run_sizes,
     key,
     version_of,
 )
@@ -149,4 +149,4 @@
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
     """The rows of these sizes."""
-    return each(cases, sizes, limit_s)
+    return run_sizes(cases, sizes, limit_s)
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -252,7 +252,7 @@
     return run.rows
 
 
-def each(of: Callable[[int, float], list[Row]], sizes: Sequence[int], limit_s: float) -> list[Row]:
+def run_sizes(of: Callable[[int, float], list[Row]], sizes: Sequence[int], limit_s: float) -> list[Row]:
     """The rows of these sizes, the largest first, each in a process of its own as its memory is measured."""
     spawn = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(PROCESSES, mp_context=spawn, max_tasks_per_child=1) as pool:
@@ -262,4 +262,4 @@
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
     """The rows of these sizes."""
-    return each(cases, sizes, limit_s)
+    return run_sizes(cases, sizes, limit_s)
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -17,7 +17,7 @@
 from itertools import count
 
 from benchmarks.capacity.records import Row
-from benchmarks.capacity.schedulers import each
+from benchmarks.capacity.schedulers import run_sizes
 from pipitshed.config.settings_parser import settings_from
 from pipitshed.scheduling import actions, events
 from pipitshed.scheduling.dispatcher import Dispatcher
@@ -188,4 +188,4 @@
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
     """The rows of these numbers of teams."""
-    return each(cases, sizes, limit_s)
+    return run_sizes(cases, sizes, limit_s)
