--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -41,10 +41,10 @@
 SIZES = (40, 100, 150, 300)
 SERVING = 4  # real processes among them
 PER_PROCESS = 100
-SETTLE, REST, COUNTED = 3.0, 10.0, 5.0  # s
-JOIN = 20.0  # s for all to hold one view
-EVERY = 0.02  # s between looks at the loop's lateness
-LATE, LATE_PART = ProtocolTimings().period / 4, 0.01
+SETTLE_S, REST_S, MEASURED_S = 3.0, 10.0, 5.0  # s
+JOIN_TIMEOUT_S = 20.0  # s for all to hold one view
+SAMPLE_INTERVAL_S = 0.02  # s between looks at the loop's lateness
+MAX_LAG_S, MAX_LATE_SHARE = ProtocolTimings().period / 4, 0.01
 CLUSTER, TEAMS = "hollow", 380
 
 
@@ -68,18 +68,18 @@
 
 
 @dataclass
-class Looks:
+class LagSamples:
     """How often this process's loop was looked at, and late."""
 
     all: int = 0
     late: int = 0
 
-    async def look(self) -> None:
+    async def sample(self) -> None:
         while True:
-            due = monotonic() + EVERY
-            await asyncio.sleep(EVERY)
+            due = monotonic() + SAMPLE_INTERVAL_S
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
             self.all += 1
-            self.late += monotonic() - due > LATE
+            self.late += monotonic() - due > MAX_LAG_S
 
 
 class Acting:
@@ -97,7 +97,7 @@
         self.config, self.since = with_settings(self.config, settings), monotonic()
 
 
-async def hollow(first: int, count: int, config: Config, seeds: list[Address]) -> None:
+async def run_hollow(first: int, count: int, config: Config, seeds: list[Address]) -> None:
     """Run so many, told what to do by lines on standard input; see `Hollows`. Without seeds the first three
     become the seeds of all."""
     edge.Codec = CountingCodec  # type: ignore[misc]
@@ -118,25 +118,25 @@
         )
         tuned = SettingsTarget(acting[-1].file, acting[-1].apply)
         fleets.append(edge.ClusterNode(peers, "", loop, tuned))
-    looks, reader = Looks(), asyncio.StreamReader()
-    watching = loop.create_task(looks.look())
+    samples, reader = LagSamples(), asyncio.StreamReader()
+    watching = loop.create_task(samples.sample())
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     for fleet in fleets:
         await fleet.start()
-    _say([fleet.address for fleet in fleets[:3]])
+    _write_line([fleet.address for fleet in fleets[:3]])
     while line := await reader.readline():
         if line == b"count\n":
-            looks.all = looks.late = 0
+            samples.all = samples.late = 0
             for codec in CountingCodec.made:
                 codec.out = Second()
         elif line == b"tell\n":
             out = [codec.out for codec in CountingCodec.made]
             views = [fleet.membership.view for fleet in fleets]
-            _say(
+            _write_line(
                 {
                     "out_bytes": [one.bytes for one in out],
                     "worst": worst(out),
-                    "late": looks.late / max(1, looks.all),
+                    "late": samples.late / max(1, samples.all),
                     "views": sorted({view.digest() for view in views}),
                     "alive": sorted({view.live_count for view in views}),
                     "since": [one.since for one in acting],
@@ -147,7 +147,7 @@
         fleet.close()
 
 
-def _say(told: object) -> None:
+def _write_line(told: object) -> None:
     sys.stdout.buffer.write(msgspec.json.encode(told) + b"\n")
     sys.stdout.buffer.flush()
 
@@ -156,7 +156,7 @@
 
 
 @dataclass
-class Hollow:
+class HollowProcess:
     """One process of hollow schedulers."""
 
     process: asyncio.subprocess.Process
@@ -167,17 +167,17 @@
         assert self.process.stdin is not None
         self.process.stdin.write(line)
 
-    async def hear(self) -> bytes:
+    async def read_line(self) -> bytes:
         """The next line from it."""
         assert self.process.stdout is not None
         return await self.process.stdout.readline()
 
 
 @dataclass
-class Hollows:
+class HollowFleet:
     """All of them, and whom a scheduler may join by."""
 
-    made: list[Hollow] = field(default_factory=list)
+    made: list[HollowProcess] = field(default_factory=list)
     seeds: list[str] = field(default_factory=list)
     began: float = 0.0
     cpu: list[float] = field(default_factory=list)
@@ -192,7 +192,7 @@
         """What each process has counted."""
         for one in self.made:
             one.tell(b"tell\n")
-        return [msgspec.json.decode(await one.hear()) for one in self.made]
+        return [msgspec.json.decode(await one.read_line()) for one in self.made]
 
     async def one_view(self, size: int, within: float) -> float | None:
         """How long (s) until all hold this many alive, and the same; None where they do not in time."""
@@ -209,30 +209,32 @@
     async def row(self, size: int, case: str, why: str = "", **figures: float) -> Row:
         """What was counted, as a row."""
         told, seconds = await self.told(), monotonic() - self.began
-        many = sum(one.count for one in self.made)
+        scheduler_count = sum(one.count for one in self.made)
         cpu = sum(cpu_s(one.process.pid) for one in self.made) - sum(self.cpu)
         out = [sent for one in told for sent in one["out_bytes"]]
         late = max(one["late"] for one in told)
         figures |= {
-            "out_bytes_per_s": sum(out) / many / seconds,
+            "out_bytes_per_s": sum(out) / scheduler_count / seconds,
             "heaviest_out_bytes_per_s": max(out) / seconds,
             "worst_second_out_bytes": max(one["worst"] for one in told),
-            "cpu_share": cpu / many / seconds,
-            "memory_mb": sum(memory_mb(one.process.pid) for one in self.made) / many,
-            "hollow": float(many),
+            "cpu_share": cpu / scheduler_count / seconds,
+            "memory_mb": sum(memory_mb(one.process.pid) for one in self.made) / scheduler_count,
+            "hollow": float(scheduler_count),
             "late_share": late,
         }
-        if late > LATE_PART:
+        if late > MAX_LATE_SHARE:
             why = why or f"a hollow process's loop was late in {late:.1%} of its looks"
         return Row(SLOPE, size, case, figures, not why, why)
 
 
 @contextlib.asynccontextmanager
-async def hollows(many: int) -> AsyncIterator[Hollows]:
+async def hollow_fleet(scheduler_count: int) -> AsyncIterator[HollowFleet]:
     """So many hollow schedulers that join each other; they end with the block."""
-    them = Hollows()
-    processes = math.ceil(many / PER_PROCESS)
-    counts = [many // processes + (place < many % processes) for place in range(processes)]
+    group = HollowFleet()
+    processes = math.ceil(scheduler_count / PER_PROCESS)
+    counts = [
+        scheduler_count // processes + (place < scheduler_count % processes) for place in range(processes)
+    ]
     with tempfile.TemporaryDirectory(prefix="pipitshed-hollow-") as folder:
         config = Path(folder) / "config.json"
         config.write_text(json.dumps(configuration(9, TEAMS)))
@@ -245,17 +247,19 @@
                     str(config),
                     str(sum(counts[:place])),
                     str(count),
-                    *them.seeds,
+                    *group.seeds,
                     cwd=ROOT,
                     stdin=asyncio.subprocess.PIPE,
                     stdout=asyncio.subprocess.PIPE,
                 )
-                them.made.append(Hollow(process, count))
-                told = [f"{host}:{port}" for host, port in msgspec.json.decode(await them.made[-1].hear())]
-                them.seeds = them.seeds or told
-            yield them
+                group.made.append(HollowProcess(process, count))
+                told = [
+                    f"{host}:{port}" for host, port in msgspec.json.decode(await group.made[-1].read_line())
+                ]
+                group.seeds = group.seeds or told
+            yield group
         finally:
-            for one in them.made:
+            for one in group.made:
                 if one.process.returncode is None:
                     one.process.kill()
                 await one.process.wait()
@@ -278,7 +282,7 @@
     return await stack.enter_async_context(scheduler(made, "--fleet", str(file))), file
 
 
-async def _put(file: Path, them: Hollows) -> dict[str, float]:
+async def _put(file: Path, group: HollowFleet) -> dict[str, float]:
     """Put a change as an operator does: how long until the command says that it is in force at all, and until
     the last of the hollow ones acted on it."""
     put = await asyncio.create_subprocess_exec(
@@ -292,14 +296,14 @@
         "--fleet",
         str(file),
         "--peer",
-        them.seeds[0],
+        group.seeds[0],
         cwd=ROOT,
         stdout=asyncio.subprocess.PIPE,
     )
     assert put.stdout is not None
     await put.stdout.readline()
     accepted = monotonic()
-    code, told = await put.wait(), await them.told()
+    code, told = await put.wait(), await group.told()
     since = [when for one in told for when in one["since"]]
     return {
         "answered_ms": (monotonic() - accepted) * 1000,
@@ -311,31 +315,33 @@
 
 async def _cases(size: int) -> list[Row]:
     rows = []
-    async with hollows(size - SERVING) as them, AsyncExitStack() as stack:
-        them.count()
-        if await them.one_view(size - SERVING, JOIN) is None:
-            return [await them.row(size, "join", f"no one view within {JOIN:.0f} s")]
-        await asyncio.sleep(SETTLE)
-        them.count()
-        await asyncio.sleep(REST)
-        rows.append(await them.row(size, "rest"))
-        them.count()
-        serving = [await _serving(stack, place, them.seeds) for place in range(SERVING)]
-        settled = await them.one_view(size, JOIN)
+    async with hollow_fleet(size - SERVING) as group, AsyncExitStack() as stack:
+        group.count()
+        if await group.one_view(size - SERVING, JOIN_TIMEOUT_S) is None:
+            return [await group.row(size, "join", f"no one view within {JOIN_TIMEOUT_S:.0f} s")]
+        await asyncio.sleep(SETTLE_S)
+        group.count()
+        await asyncio.sleep(REST_S)
+        rows.append(await group.row(size, "rest"))
+        group.count()
+        serving = [await _serving(stack, place, group.seeds) for place in range(SERVING)]
+        settled = await group.one_view(size, JOIN_TIMEOUT_S)
         before = sum(running.cpu_s() for running, _ in serving)
-        await asyncio.sleep(COUNTED)
-        cpu = (sum(running.cpu_s() for running, _ in serving) - before) / SERVING / COUNTED
+        await asyncio.sleep(MEASURED_S)
+        cpu = (sum(running.cpu_s() for running, _ in serving) - before) / SERVING / MEASURED_S
         figures = {
             "serve_cpu_share": cpu,
             "serve_memory_mb": sum(running.memory_mb() for running, _ in serving) / SERVING,
         }
-        why = "" if settled is not None else f"no one view within {JOIN:.0f} s"
-        rows.append(await them.row(size, f"{SERVING} join", why, **figures, settled_ms=(settled or 0) * 1000))
-        them.count()
-        told = await _put(serving[0][1], them)
-        await asyncio.sleep(SETTLE)
+        why = "" if settled is not None else f"no one view within {JOIN_TIMEOUT_S:.0f} s"
+        rows.append(
+            await group.row(size, f"{SERVING} join", why, **figures, settled_ms=(settled or 0) * 1000)
+        )
+        group.count()
+        told = await _put(serving[0][1], group)
+        await asyncio.sleep(SETTLE_S)
         why = "not in force at all" if told["answer"] or told["not_acting"] else ""
-        rows.append(await them.row(size, "one change", why, **told))
+        rows.append(await group.row(size, "one change", why, **told))
     return rows
 
 
@@ -351,7 +357,7 @@
 
 if __name__ == "__main__":
     uvloop.run(
-        hollow(
+        run_hollow(
             int(sys.argv[2]),
             int(sys.argv[3]),
             load_platform_config({"LB_CONFIG": sys.argv[1]}),
