--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -82,7 +82,7 @@
             self.late += monotonic() - due > MAX_LAG_S
 
 
-class Acting:
+class AppliedSettings:
     """The settings that one hollow scheduler acts on, and since when (s, monotonic)."""
 
     def __init__(self, config: Config) -> None:
@@ -101,9 +101,9 @@
     """Run so many, told what to do by lines on standard input; see `Hollows`. Without seeds the first three
     become the seeds of all."""
     edge.Codec = CountingCodec  # type: ignore[misc]
-    loop, fleets, acting = asyncio.get_running_loop(), [], []
+    loop, fleets, applied = asyncio.get_running_loop(), [], []
     for number in range(first, first + count):
-        acting.append(Acting(config))
+        applied.append(AppliedSettings(config))
         joins_by = seeds or [fleet.address for fleet in fleets[:3]]
         peers = ClusterConfig(
             f"h{number}",
@@ -116,7 +116,7 @@
             None,
             ProtocolTimings(),
         )
-        tuned = SettingsTarget(acting[-1].file, acting[-1].apply)
+        tuned = SettingsTarget(applied[-1].file, applied[-1].apply)
         fleets.append(edge.ClusterNode(peers, "", loop, tuned))
     samples, reader = LagSamples(), asyncio.StreamReader()
     watching = loop.create_task(samples.sample())
@@ -139,7 +139,7 @@
                     "late": samples.late / max(1, samples.all),
                     "views": sorted({view.digest() for view in views}),
                     "alive": sorted({view.live_count for view in views}),
-                    "since": [one.since for one in acting],
+                    "since": [one.since for one in applied],
                 }
             )
     watching.cancel()
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -16,7 +16,7 @@
 from benchmarks.capacity.figures import Line, plus, ratio, text
 from benchmarks.capacity.fits import FitError, fit
 from benchmarks.capacity.held import timers
-from benchmarks.capacity.hollow import Acting
+from benchmarks.capacity.hollow import AppliedSettings
 from benchmarks.capacity.records import ROOT, Row, Run, read, read_all, write
 from benchmarks.capacity.serving import configuration
 from pipitshed.cluster.settings import SettingsTarget
@@ -135,9 +135,9 @@
     it took for a whole configuration."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": SETTINGS}))
-    acting = Acting(load_platform_config({"LB_CONFIG": str(path)}))
-    target = SettingsTarget(acting.file, acting.apply)
+    applied = AppliedSettings(load_platform_config({"LB_CONFIG": str(path)}))
+    target = SettingsTarget(applied.file, applied.apply)
     laid = overlay(target.file(), [SettingsRow("tenant/andes-retail/share", 1, 1, "s0", b"0.4")])
-    assert not laid.rejected and acting.since == 0.0
+    assert not laid.rejected and applied.since == 0.0
     target.apply(laid.raw["settings"])
-    assert acting.config.settings.tenants[0].quota_share == 0.4 and acting.since > 0.0
+    assert applied.config.settings.tenants[0].quota_share == 0.4 and applied.since > 0.0
