--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -15,7 +15,7 @@
 from benchmarks.capacity.__main__ import main
 from benchmarks.capacity.figures import Line, plus, ratio, text
 from benchmarks.capacity.fits import FitError, fit
-from benchmarks.capacity.held import timers
+from benchmarks.capacity.held import timers_per_exchange
 from benchmarks.capacity.hollow import AppliedSettings
 from benchmarks.capacity.records import ROOT, Row, Run, read, read_all, write
 from benchmarks.capacity.serving import configuration
@@ -119,7 +119,7 @@
 
 def test_a_held_exchange_keeps_four_timers_at_most() -> None:
     """Growth by count: its guard, its attempt's end, its start's bound and its silence's, one each."""
-    assert timers(configuration(1, 4)) <= 4
+    assert timers_per_exchange(configuration(1, 4)) <= 4
 
 
 def test_the_modelled_fleet_plays_the_same_twice_and_a_gang_finds_room_where_there_is() -> None:
