--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -65,9 +65,9 @@
             ),
             1,
         )
-        self.now, self.jobs, self.names = 1_000_000.0, 0, planners
+        self.now, self.jobs, self.next_number = 1_000_000.0, 0, planners
         self.entries = [self.entry(number) for number in range(planners)]
-        self.tell(UpdateKind.CACHED, self.entries)
+        self.update_list(UpdateKind.CACHED, self.entries)
 
     @staticmethod
     def entry(number: int) -> EndpointEntry:
@@ -75,7 +75,7 @@
             b"p%05d" % number, zone=number % ZONES, cell=number % CELLS, weight=1.0 + number % 3
         )
 
-    def tell(self, kind: UpdateKind, entries: list[EndpointEntry]) -> None:
+    def update_list(self, kind: UpdateKind, entries: list[EndpointEntry]) -> None:
         self.dispatcher.handle(self.now, [EndpointsUpdated(kind, 1, tuple(entries))])
 
     def job(self) -> None:
@@ -94,22 +94,22 @@
 
     def replace(self) -> None:
         """One planner goes and another comes, told in two pieces of news."""
-        place = self.names * 7919 % len(self.entries)
-        old, self.entries[place] = self.entries[place], self.entry(self.names)
-        self.names += 1
-        self.tell(UpdateKind.DELTA, [gone(old)])
+        place = self.next_number * 7919 % len(self.entries)
+        old, self.entries[place] = self.entries[place], self.entry(self.next_number)
+        self.next_number += 1
+        self.update_list(UpdateKind.DELTA, [removed_entry(old)])
         self.job()
-        self.tell(UpdateKind.DELTA, [self.entries[place]])
+        self.update_list(UpdateKind.DELTA, [self.entries[place]])
         self.job()
 
 
-def gone(entry: EndpointEntry) -> EndpointEntry:
+def removed_entry(entry: EndpointEntry) -> EndpointEntry:
     return EndpointEntry(
         entry.worker, entry.zone, entry.cell, entry.worker_kind, entry.weight, state=EndpointState.REMOVED
     )
 
 
-def least(rounds: list[float]) -> float:
+def minimum_us(rounds: list[float]) -> float:
     return round(min(rounds) * 1e6, 1)
 
 
@@ -122,7 +122,7 @@
         for _ in range(JOBS):
             scheduler.job()
         rounds.append((process_time() - begun) / JOBS)
-    return least(rounds)
+    return minimum_us(rounds)
 
 
 def change_cost(planners: int) -> dict[str, float]:
@@ -135,7 +135,7 @@
         for _ in range(CHANGES // 2):
             scheduler.replace()
         rounds.append((process_time() - begun) / CHANGES)
-    return {"planners": planners, "change_and_job_us": least(rounds), "job_us": job_cost(planners)}
+    return {"planners": planners, "change_and_job_us": minimum_us(rounds), "job_us": job_cost(planners)}
 
 
 def zone_cost(planners: int, at_once: bool) -> dict[str, float]:
@@ -146,15 +146,15 @@
         scheduler = Scheduler(planners)
         for _ in range(CLASSES):
             scheduler.job()
-        lost = [gone(entry) for entry in scheduler.entries if entry.zone == ZONES - 1]
+        lost = [removed_entry(entry) for entry in scheduler.entries if entry.zone == ZONES - 1]
         changes = len(lost)
         begun = process_time()
         for news in [lost] if at_once else [[entry] for entry in lost]:
-            scheduler.tell(UpdateKind.DELTA, news)
+            scheduler.update_list(UpdateKind.DELTA, news)
             for _ in range(CLASSES if at_once else 1):
                 scheduler.job()
         rounds.append(process_time() - begun)
-    return {"planners": planners, "changes": changes, "zone_us": least(rounds)}
+    return {"planners": planners, "changes": changes, "zone_us": minimum_us(rounds)}
 
 
 @click.command()
--- a/tests/scheduling/test_decisions_scale.py
+++ b/tests/scheduling/test_decisions_scale.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.capacity.decisions import CLASSES, ZONES, Scheduler, gone
+from benchmarks.capacity.decisions import CLASSES, ZONES, Scheduler, removed_entry
 from pipitshed.scheduling import weighted_pools as pools
 from pipitshed.scheduling.dispatcher import Dispatcher
 from pipitshed.scheduling.events import JobSubmitted, UpdateKind
@@ -61,9 +61,9 @@
 
 def test_a_lost_zone_in_one_piece_of_news_is_one_change_to_the_pools(touched: Counter[str]) -> None:
     scheduler = scheduler_of(4600)
-    lost = [gone(entry) for entry in scheduler.entries if entry.zone == ZONES - 1]
+    lost = [removed_entry(entry) for entry in scheduler.entries if entry.zone == ZONES - 1]
     touched.clear()
-    scheduler.tell(UpdateKind.DELTA, lost)
+    scheduler.update_list(UpdateKind.DELTA, lost)
     assert not touched  # nothing is due before the next draw
     for _ in range(20 * CLASSES):
         scheduler.job()
@@ -74,7 +74,7 @@
 def test_what_changes_nothing_touches_no_row(touched: Counter[str]) -> None:
     scheduler = scheduler_of(200)
     touched.clear()
-    scheduler.tell(UpdateKind.CACHED, scheduler.entries)
+    scheduler.update_list(UpdateKind.CACHED, scheduler.entries)
     scheduler.dispatcher.apply_settings(scheduler.dispatcher.settings)
     for _ in range(20 * CLASSES):
         scheduler.job()
