--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -21,10 +21,10 @@
 from pipitshed.scheduling.settings import JobClass, Settings
 from pipitshed.upstream.http import HttpWorkerClient
 
-DAY = 86_400.0  # s
-READ = 64 * 1024  # bytes that a read of the list's connection brings
+DAY_S = 86_400.0  # s
+READ_BYTES = 64 * 1024  # bytes that a read of the list's connection brings
 ZONES = [f"zone-{number}" for number in range(7)]
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def planner_row(number: int, started: int = 0, lifecycle: str = "ready") -> dict[str, Any]:
@@ -42,7 +42,7 @@
     }
 
 
-def news(generation: int, reset: bool, rows: list[dict[str, Any]], indented: bool = False) -> bytes:
+def list_update(generation: int, reset: bool, rows: list[dict[str, Any]], indented: bool = False) -> bytes:
     """A piece of list news as a watch brings it."""
     separators = None if indented else (",", ":")
     return (
@@ -55,7 +55,7 @@
     )
 
 
-class Side:
+class WatchingScheduler:
     """A scheduler's side of a watch: what is read goes through the program's own classes."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -70,7 +70,7 @@
         listing = EndpointParser(SOURCE, NameIndex(ZONES), NameIndex(["standard"]), self.carrier)
         self.discovery = CatalogClient(("127.0.0.1", 1), listing, self.core.endpoints, loop)
         self.call = CatalogCall(self.discovery, True)
-        self.call.data_received(HEAD)
+        self.call.data_received(RESPONSE_HEAD)
         self.turns: list[float] = []  # s of CPU of each turn that did any of the list's work
         self.core._turns._run_turn = self._timed(self.core._turns._run_turn)  # type: ignore[method-assign]
         self.discovery._apply_pending = self._timed(self.discovery._apply_pending)  # type: ignore[method-assign]
@@ -83,7 +83,7 @@
 
         return timed
 
-    async def read(self, text: bytes, version: int, size: int = READ) -> None:
+    async def read(self, text: bytes, version: int, size: int = READ_BYTES) -> None:
         """The text in reads of so many bytes, one a turn, until the list known is of this version."""
         feed = self._timed(self.call.data_received)
         for place in range(0, len(text), size):
@@ -99,30 +99,30 @@
     """A whole list that is read, and comes again as it was. Bytes; CPU (ms) and the longest turn of the loop
     (ms) of the first and the second; peak memory (bytes) beyond what stood before, over both."""
     rows = [planner_row(number) for number in range(planners)]
-    texts = [news(version, True, rows, indented) for version in (41, 42)]
+    texts = [list_update(version, True, rows, indented) for version in (41, 42)]
 
     async def play() -> dict[str, Any]:
-        side = Side(asyncio.get_running_loop())
+        scheduler = WatchingScheduler(asyncio.get_running_loop())
         told: dict[str, Any] = {"planners": planners, "indented": indented, "bytes": len(texts[0])}
         for version, (name, text) in enumerate(zip(("first", "again"), texts, strict=True), 41):
-            side.turns.clear()
+            scheduler.turns.clear()
             begun = time.process_time()
-            await side.read(text, version)
+            await scheduler.read(text, version)
             told[f"{name}_cpu_ms"] = (time.process_time() - begun) * 1000
-            told[f"{name}_turn_ms"] = max(side.turns) * 1000
-        assert side.core.endpoints.ready() == planners
+            told[f"{name}_turn_ms"] = max(scheduler.turns) * 1000
+        assert scheduler.core.endpoints.ready() == planners
         return told
 
-    async def weighed() -> int:
-        side = Side(asyncio.get_running_loop())
+    async def measure_memory() -> int:
+        scheduler = WatchingScheduler(asyncio.get_running_loop())
         tracemalloc.start()
         for version, text in enumerate(texts, 41):
-            await side.read(text, version)
+            await scheduler.read(text, version)
         peak = tracemalloc.get_traced_memory()[1]
         tracemalloc.stop()
         return peak
 
-    return uvloop.run(play()) | {"peak_bytes": uvloop.run(weighed())}
+    return uvloop.run(play()) | {"peak_bytes": uvloop.run(measure_memory())}
 
 
 def replaced(planners: int, replaced: int) -> dict[str, Any]:
@@ -131,19 +131,19 @@
     what stood before the day."""
 
     async def play() -> dict[str, Any]:
-        side = Side(asyncio.get_running_loop())
-        table, now = side.core.endpoints, 0.0
+        scheduler = WatchingScheduler(asyncio.get_running_loop())
+        table, now = scheduler.core.endpoints, 0.0
         table._clock = lambda: now
-        await side.read(news(1, True, [planner_row(number) for number in range(planners)]), 1)
+        await scheduler.read(list_update(1, True, [planner_row(number) for number in range(planners)]), 1)
         tracemalloc.start()
         for number in range(replaced):
-            now += DAY / replaced
-            side.core._turns.epoch_s += DAY / replaced  # the decisions' clock
+            now += DAY_S / replaced
+            scheduler.core._turns.epoch_s += DAY_S / replaced  # the decisions' clock
             version = 2 * number + 2
-            await side.read(news(version, False, [planner_row(number, 0, "draining")]), version)
+            await scheduler.read(list_update(version, False, [planner_row(number, 0, "draining")]), version)
             version += 1
             rows = [planner_row(number, 0, "gone"), planner_row(planners + number, version)]
-            await side.read(news(version, False, rows), version)
+            await scheduler.read(list_update(version, False, rows), version)
         gc.collect()
         held = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
@@ -151,9 +151,9 @@
             "planners": planners,
             "replaced": replaced,
             "listed": table.size(),
-            "decisions": len(side.core._dispatcher.workers) - planners,
+            "decisions": len(scheduler.core._dispatcher.workers) - planners,
             "route_table": max(len(table._endpoints), len(table._leaving) + planners) - planners,
-            "pool": len(side.carrier.pool._idle),
+            "pool": len(scheduler.carrier.pool._idle),
             "bytes": held,
         }
 
