--- a/benchmarks/capacity/gangs.py
+++ b/benchmarks/capacity/gangs.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from time import monotonic
 
-from benchmarks.capacity.modelled import ORDINARY, TASK_MS, ModelRequest, Fleet
+from benchmarks.capacity.modelled import ORDINARY, TASK_MS, Fleet, ModelRequest
 from benchmarks.capacity.records import Row
 
 SLOPE = "gangs"
--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -13,8 +13,8 @@
 from benchmarks.capacity.machine import measure_rows, watch_loop_lag
 from benchmarks.capacity.records import Row
 from benchmarks.capacity.serving import (
-    TASK_DEADLINE_S,
     PROGRESS_MS,
+    TASK_DEADLINE_S,
     Catalog,
     ListedPlanner,
     Planners,
@@ -61,7 +61,7 @@
         self.carried.set_result(attempt)
 
 
-def timers(configured: dict[str, Any]) -> int:
+def timers_per_exchange(configured: dict[str, Any]) -> int:
     """How many timers stand for one exchange whose attempt runs, counted in the core itself; the client's own
     connection has none by then."""
 
@@ -147,7 +147,7 @@
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
     """A row for each number of exchanges held, with notes of progress each 2 s."""
     rows = uvloop.run(measure_rows([partial(_one, size) for size in sizes], limit_s))
-    each = float(timers(configuration(1, 4)))
+    each = float(timers_per_exchange(configuration(1, 4)))
     for row in rows:
         row.figures["timers_each"] = each
     return rows
--- a/benchmarks/capacity/planners.py
+++ b/benchmarks/capacity/planners.py
@@ -96,14 +96,14 @@
     catalog.indented = indented
     members = [ListedPlanner(number, port) for number, port in enumerate(planners.ports[:size])]
     catalog.members = members
-    size_of = catalog.make()
+    size_of = catalog.build_list()
     await catalog.start()
     try:
         async with watch_loop_lag() as lag, scheduler(configuration(catalog.port, 4)) as running:
             taken = await running.served(FIRST_WITHIN_S)
             figures = {
                 "taken": float(taken),
-                "lists_asked": float(catalog.asked),
+                "lists_asked": float(catalog.list_requests),
                 "list_bytes": float(size_of),
             }
             if taken:
--- a/benchmarks/capacity/regions.py
+++ b/benchmarks/capacity/regions.py
@@ -14,9 +14,9 @@
     TEAMS,
     FleetRun,
     TimeLimitError,
+    key,
     quota_value,
     run_sizes,
-    key,
     version_of,
 )
 from pipitshed.testbed.virtual_fleet import Fleet, region
@@ -87,7 +87,7 @@
                 first, last = (CHANGES * (number + step) // RESTARTS for step in (0, 1))
                 for change in range(first, last):
                     fleet.put(writers[lost], (keys[lost][change % len(keys[lost])], quota_value(fleet)))
-            run.run(APART / RESTARTS - 2 * DOWN)
+            run.advance(APART / RESTARTS - 2 * DOWN)
     run.row("regions apart", cost, restarts=2.0 * RESTARTS, changes=2.0 * CHANGES)
     lacked = differed(fleet)
     fleet.heal()
@@ -105,12 +105,12 @@
         for wave in range(WAVES):
             going = [fleet.nodes[node.address] for node in nodes[wave::WAVES]]
             restart(fleet, going)
-            run.run(WAVE_EVERY / 2)
+            run.advance(WAVE_EVERY / 2)
             run.settings(
                 fleet.nodes[writer],
                 [key(number) for number in range(wave * WAVE_CHANGES, (wave + 1) * WAVE_CHANGES)],
             )
-            run.run(WAVE_EVERY / 2 - DOWN)
+            run.advance(WAVE_EVERY / 2 - DOWN)
             older += sum(
                 version_of(fleet.nodes[node.address], row.key) < row.number
                 for node in going
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -75,7 +75,7 @@
 
         return self.fleet.until(looked, within, step)
 
-    def run(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         """Let so much virtual time pass."""
         until = self.fleet.now + seconds
         while self.fleet.now < until:
@@ -170,8 +170,8 @@
         for burst in range(BURSTS):
             for place in range(BURST):
                 put |= run.settings(writer, [key(burst * BURST + place)])
-                run.run(1.0 / BURST)
-            run.run(EVERY - 1.0)
+                run.advance(1.0 / BURST)
+            run.advance(EVERY - 1.0)
     took: dict[tuple[str, int], list[float]] = {change: [] for change in put}
     for when, _, row in fleet.row_news:
         if (row.key, row.number) in put:
@@ -195,7 +195,7 @@
     fleet = run.fleet
     last = next(reversed(fleet.nodes.values()))
     fleet.kill(last)
-    run.run(1.0)
+    run.advance(1.0)
     node, whole = fleet.start(run.size - 1, fleet.seeds), next(iter(fleet.nodes.values())).tables[0]
     with run.measured() as cost:
         current = run.wait_until(
@@ -222,12 +222,12 @@
         run.measure_convergence("all settings put at once", rows=float(TEAMS))
         held = (memory_mb(os.getpid()) - before) / size
         with run.measured() as cost:
-            run.run(REST)
+            run.advance(REST)
         run.row("rest", cost, memory_mb=held)
         changes(run, "changes")
         fleet.loss, since = 0.01, fleet.now
         with run.measured() as cost:
-            run.run(REST)
+            run.advance(REST)
         run.row(
             "loss 1%",
             cost,
--- a/benchmarks/capacity/urgent.py
+++ b/benchmarks/capacity/urgent.py
@@ -9,7 +9,7 @@
 from functools import partial
 from time import monotonic
 
-from benchmarks.capacity.modelled import ORDINARY, SLOTS, TASK_MS, URGENT, URGENT_MS, ModelRequest, Fleet
+from benchmarks.capacity.modelled import ORDINARY, SLOTS, TASK_MS, URGENT, URGENT_MS, Fleet, ModelRequest
 from benchmarks.capacity.records import Row
 from benchmarks.capacity.starts import percentile
 
