--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -14,13 +14,13 @@
 
 
 def _measure(slope: str, sizes: str, limit_s: float, name: str) -> None:
-    measuring = module(slope)
-    chosen = tuple(int(size) for size in sizes.split(",")) if sizes else measuring.SIZES
-    words = ["python -m benchmarks.capacity", "--measure", slope, *(["--sizes", sizes] if sizes else [])]
-    rows = measuring.measure(chosen, limit_s)
+    measuring_module = module(slope)
+    chosen = tuple(int(size) for size in sizes.split(",")) if sizes else measuring_module.SIZES
+    command = ["python -m benchmarks.capacity", "--measure", slope, *(["--sizes", sizes] if sizes else [])]
+    rows = measuring_module.measure(chosen, limit_s)
     for row in rows:
         click.echo(json.dumps(asdict(row)))
-    click.echo(write(run_of(name or slope, " ".join(words), rows)).name, err=True)
+    click.echo(write(run_of(name or slope, " ".join(command), rows)).name, err=True)
 
 
 @click.command()
--- a/benchmarks/capacity/gangs.py
+++ b/benchmarks/capacity/gangs.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from time import monotonic
 
-from benchmarks.capacity.modelled import ORDINARY, TASK_MS, Fleet, ModelRequest
+from benchmarks.capacity.modelled import MEAN_TASK_MS, ORDINARY, Fleet, ModelRequest
 from benchmarks.capacity.records import Row
 
 SLOPE = "gangs"
@@ -15,22 +15,24 @@
 PLANNERS = 575
 SCHEDULERS = 38  # 15 planners for each
 GANGS = 12  # one after the other, of each size and case, each on a fleet of its own
-FULL = {"half full": 0.5, "four fifths full": 0.8, "nine tenths full": 0.9, "98 in 100 full": 0.98}
-ANSWERED_MS = 620_000.0  # by then every member has started or been refused
+FILL_SHARES = {"half full": 0.5, "four fifths full": 0.8, "nine tenths full": 0.9, "98 in 100 full": 0.98}
+ANSWER_TIMEOUT_MS = 620_000.0  # by then every member has started or been refused
 
 
-def gang(members: int, full: float, seed: int) -> dict[str, float]:
+def gang(members: int, fill_share: float, seed: int) -> dict[str, float]:
     """One gang, its members over all schedulers."""
     fleet = Fleet(PLANNERS, SCHEDULERS, seed)
-    fleet.fill(full, stays=True)
-    begun, answered = fleet.now, list[ModelRequest]()
+    fleet.fill(fill_share, refill=True)
+    begin_ms, answered = fleet.now, list[ModelRequest]()
     request = [
-        ModelRequest(ORDINARY, begun, answered.append, number % SCHEDULERS, ANSWERED_MS + TASK_MS)
+        ModelRequest(
+            ORDINARY, begin_ms, answered.append, number % SCHEDULERS, ANSWER_TIMEOUT_MS + MEAN_TASK_MS
+        )
         for number in range(members)
     ]
     for one in request:
         fleet.submit(one)
-    while len(answered) < members and fleet.now < begun + ANSWERED_MS:
+    while len(answered) < members and fleet.now < begin_ms + ANSWER_TIMEOUT_MS:
         fleet.run(fleet.now + 10.0)
     started = [one.started for one in request if one.started is not None]
     whole = len(started) == members
@@ -38,22 +40,22 @@
     return {
         "started": float(len(started)),
         "whole": float(whole),
-        "known_ms": known - begun,
+        "known_ms": known - begin_ms,
         "sends": float(sum(one.sends for one in request)),
         "held_slot_s": 0.0 if whole else sum(known - at for at in started) / 1000,
-        "lost_slot_s": 0.0 if whole else len(started) * TASK_MS / 1000,
+        "lost_slot_s": 0.0 if whole else len(started) * MEAN_TASK_MS / 1000,
     }
 
 
 def simulate(members: int, case: str) -> dict[str, float]:
     """The means of some gangs."""
-    told = [gang(members, FULL[case], seed) for seed in range(1, GANGS + 1)]
-    mean = {name: sum(one[name] for one in told) / GANGS for name in told[0]}
+    results = [gang(members, FILL_SHARES[case], seed) for seed in range(1, GANGS + 1)]
+    mean = {name: sum(one[name] for one in results) / GANGS for name in results[0]}
     return {
         "started_share": mean["started"] / members,
         "whole_share": mean["whole"],
         "known_ms": mean["known_ms"],
-        "worst_known_ms": max(one["known_ms"] for one in told),
+        "worst_known_ms": max(one["known_ms"] for one in results),
         "sends_each": mean["sends"] / members,
         "held_slot_s": mean["held_slot_s"],
         "lost_slot_s": mean["lost_slot_s"],
@@ -64,7 +66,7 @@
     """A row a size and case; those for which there is no time are left out."""
     until, rows = monotonic() + limit_s, []
     for size in sizes:
-        for case in FULL:
+        for case in FILL_SHARES:
             if monotonic() < until:
                 rows.append(Row(SLOPE, size, case, simulate(size, case), virtual=True))
     return rows
--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -34,11 +34,11 @@
 SIZES = (50, 100, 200, 400, 800)  # exchanges held by one scheduler
 PLANNERS = 4600
 PORTS = 64
-WATCHED_S = 3 * PROGRESS_MS / 1000
-BEGUN_WITHIN_S = 15.0
+MEASURED_S = 3 * PROGRESS_MS / 1000
+START_TIMEOUT_S = 15.0
 
 
-class _CountedLoop:
+class _TimerRecordingLoop:
     """A loop that keeps the timers it was asked for."""
 
     def __init__(self) -> None:
@@ -51,14 +51,14 @@
         return self.timers[-1]
 
 
-class _Carrier:
+class _StartedWorkerClient:
     """A carrier whose planner tells a start and nothing more."""
 
     def __init__(self) -> None:
-        self.carried: asyncio.Future[Attempt] = asyncio.get_running_loop().create_future()
+        self.started: asyncio.Future[Attempt] = asyncio.get_running_loop().create_future()
 
     def start(self, attempt: Attempt) -> None:
-        self.carried.set_result(attempt)
+        self.started.set_result(attempt)
 
 
 def timers_per_exchange(configured: dict[str, Any]) -> int:
@@ -66,19 +66,19 @@
     connection has none by then."""
 
     async def run() -> int:
-        loop, settings = _CountedLoop(), settings_from(configured["settings"])
-        core, carrier = Forwarder(settings, 1, loop), _Carrier()  # type: ignore[arg-type]
+        loop, settings = _TimerRecordingLoop(), settings_from(configured["settings"])
+        core, client = Forwarder(settings, 1, loop), _StartedWorkerClient()  # type: ignore[arg-type]
         core.attach_discovery(lambda watch: None)
         core.endpoints.update(
             "capacity",
             UpdateKind.SNAPSHOT,
             1,
-            [(EndpointEntry(b"p"), Endpoint(b"p", carrier, ("127.0.0.1", 1)))],
+            [(EndpointEntry(b"p"), Endpoint(b"p", client, ("127.0.0.1", 1)))],
         )  # type: ignore[arg-type]
         await asyncio.sleep(0.01)
         before = set(loop.timers)
         core.submit(Request("a", 2, TASK_DEADLINE_S * 1000, 0), Mock())
-        attempt = await carrier.carried
+        attempt = await client.started
         core.attempt_sent(attempt)
         core.attempt_progressed(attempt, ProgressKind.STARTED)
         await asyncio.sleep(0.01)
@@ -93,13 +93,13 @@
         _, writer = await asyncio.open_connection("127.0.0.1", running.port)
         writer.write(request(f"h{number}", "task", TASK_DEADLINE_S))
         writers.append(writer)
-    async with asyncio.timeout(BEGUN_WITHIN_S):
+    async with asyncio.timeout(START_TIMEOUT_S):
         while len(planners.connections) < count:
             await asyncio.sleep(0.05)
     return writers
 
 
-async def _one(size: int) -> Row:
+async def _measure(size: int) -> Row:
     planners, catalog = Planners(), Catalog()
     await planners.start(PORTS)
     catalog.members = [ListedPlanner(number, planners.ports[number % PORTS]) for number in range(PLANNERS)]
@@ -124,16 +124,16 @@
                     "calm",
                     {"held": float(len(planners.connections))},
                     False,
-                    f"not all began within {BEGUN_WITHIN_S:.0f} s",
+                    f"not all began within {START_TIMEOUT_S:.0f} s",
                 )
             cpu = running.cpu_s()
-            await asyncio.sleep(WATCHED_S)
+            await asyncio.sleep(MEASURED_S)
             cpu = running.cpu_s() - cpu
             figures = {
                 "held": float(len(planners.connections)),
                 "memory_mb": running.memory_mb(),
                 "memory_added_mb": running.memory_mb() - before,
-                "cpu_share": cpu / WATCHED_S,
+                "cpu_share": cpu / MEASURED_S,
                 "descriptors": float(running.descriptors()),
             }
         return Row(SLOPE, size, "calm", figures, not lag.why_not, lag.why_not)
@@ -146,7 +146,7 @@
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
     """A row for each number of exchanges held, with notes of progress each 2 s."""
-    rows = uvloop.run(measure_rows([partial(_one, size) for size in sizes], limit_s))
+    rows = uvloop.run(measure_rows([partial(_measure, size) for size in sizes], limit_s))
     each = float(timers_per_exchange(configuration(1, 4)))
     for row in rows:
         row.figures["timers_each"] = each
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -39,8 +39,8 @@
 
 SLOPE = "hollow"
 SIZES = (40, 100, 150, 300)
-SERVING = 4  # real processes among them
-PER_PROCESS = 100
+SERVE_PROCESSES = 4  # real processes among them
+MAX_PER_PROCESS = 100
 SETTLE_S, REST_S, MEASURED_S = 3.0, 10.0, 5.0  # s
 JOIN_TIMEOUT_S = 20.0  # s for all to hold one view
 SAMPLE_INTERVAL_S = 0.02  # s between looks at the loop's lateness
@@ -51,12 +51,12 @@
 class CountingCodec(Codec):
     """The program's codec, and the bytes on the wire of what one scheduler has written with it."""
 
-    made: list[CountingCodec] = []
+    instances: list[CountingCodec] = []
 
     def __init__(self, cluster: str, secret: bytes = b"") -> None:
         super().__init__(cluster, secret)
         self.out = Second()
-        self.made.append(self)
+        self.instances.append(self)
 
     def encode(self, message: ClusterMessage) -> bytes:
         data = super().encode(message)
@@ -71,14 +71,14 @@
 class LagSamples:
     """How often this process's loop was looked at, and late."""
 
-    all: int = 0
+    total: int = 0
     late: int = 0
 
     async def sample(self) -> None:
         while True:
             due = monotonic() + SAMPLE_INTERVAL_S
             await asyncio.sleep(SAMPLE_INTERVAL_S)
-            self.all += 1
+            self.total += 1
             self.late += monotonic() - due > MAX_LAG_S
 
 
@@ -126,17 +126,17 @@
     _write_line([fleet.address for fleet in fleets[:3]])
     while line := await reader.readline():
         if line == b"count\n":
-            samples.all = samples.late = 0
-            for codec in CountingCodec.made:
+            samples.total = samples.late = 0
+            for codec in CountingCodec.instances:
                 codec.out = Second()
         elif line == b"tell\n":
-            out = [codec.out for codec in CountingCodec.made]
+            out = [codec.out for codec in CountingCodec.instances]
             views = [fleet.membership.view for fleet in fleets]
             _write_line(
                 {
                     "out_bytes": [one.bytes for one in out],
                     "worst": worst(out),
-                    "late": samples.late / max(1, samples.all),
+                    "late": samples.late / max(1, samples.total),
                     "views": sorted({view.digest() for view in views}),
                     "alive": sorted({view.live_count for view in views}),
                     "since": [one.since for one in applied],
@@ -147,8 +147,8 @@
         fleet.close()
 
 
-def _write_line(told: object) -> None:
-    sys.stdout.buffer.write(msgspec.json.encode(told) + b"\n")
+def _write_line(report: object) -> None:
+    sys.stdout.buffer.write(msgspec.json.encode(report) + b"\n")
     sys.stdout.buffer.flush()
 
 
@@ -162,7 +162,7 @@
     process: asyncio.subprocess.Process
     count: int
 
-    def tell(self, line: bytes) -> None:
+    def write_line(self, line: bytes) -> None:
         """One line to it."""
         assert self.process.stdin is not None
         self.process.stdin.write(line)
@@ -177,30 +177,30 @@
 class HollowFleet:
     """All of them, and whom a scheduler may join by."""
 
-    made: list[HollowProcess] = field(default_factory=list)
+    members: list[HollowProcess] = field(default_factory=list)
     seeds: list[str] = field(default_factory=list)
-    began: float = 0.0
+    began_s: float = 0.0
     cpu: list[float] = field(default_factory=list)
 
-    def count(self) -> None:
+    def restart_measurement(self) -> None:
         """Count from here on."""
-        for one in self.made:
-            one.tell(b"count\n")
-        self.began, self.cpu = monotonic(), [cpu_s(one.process.pid) for one in self.made]
+        for one in self.members:
+            one.write_line(b"count\n")
+        self.began_s, self.cpu = monotonic(), [cpu_s(one.process.pid) for one in self.members]
 
-    async def told(self) -> list[dict[str, Any]]:
+    async def reports(self) -> list[dict[str, Any]]:
         """What each process has counted."""
-        for one in self.made:
-            one.tell(b"tell\n")
-        return [msgspec.json.decode(await one.read_line()) for one in self.made]
+        for one in self.members:
+            one.write_line(b"tell\n")
+        return [msgspec.json.decode(await one.read_line()) for one in self.members]
 
-    async def one_view(self, size: int, within: float) -> float | None:
+    async def wait_for_one_view(self, size: int, within: float) -> float | None:
         """How long (s) until all hold this many alive, and the same; None where they do not in time."""
         began = monotonic()
         while monotonic() - began < within:
-            told = await self.told()
-            if {alive for one in told for alive in one["alive"]} == {size} and len(
-                {view for one in told for view in one["views"]}
+            report = await self.reports()
+            if {alive for one in report for alive in one["alive"]} == {size} and len(
+                {view for one in report for view in one["views"]}
             ) == 1:
                 return monotonic() - began
             await asyncio.sleep(0.25)
@@ -208,17 +208,17 @@
 
     async def row(self, size: int, case: str, why: str = "", **figures: float) -> Row:
         """What was counted, as a row."""
-        told, seconds = await self.told(), monotonic() - self.began
-        scheduler_count = sum(one.count for one in self.made)
-        cpu = sum(cpu_s(one.process.pid) for one in self.made) - sum(self.cpu)
-        out = [sent for one in told for sent in one["out_bytes"]]
-        late = max(one["late"] for one in told)
+        report, seconds = await self.reports(), monotonic() - self.began_s
+        scheduler_count = sum(one.count for one in self.members)
+        cpu = sum(cpu_s(one.process.pid) for one in self.members) - sum(self.cpu)
+        out = [sent for one in report for sent in one["out_bytes"]]
+        late = max(one["late"] for one in report)
         figures |= {
             "out_bytes_per_s": sum(out) / scheduler_count / seconds,
             "heaviest_out_bytes_per_s": max(out) / seconds,
-            "worst_second_out_bytes": max(one["worst"] for one in told),
+            "worst_second_out_bytes": max(one["worst"] for one in report),
             "cpu_share": cpu / scheduler_count / seconds,
-            "memory_mb": sum(memory_mb(one.process.pid) for one in self.made) / scheduler_count,
+            "memory_mb": sum(memory_mb(one.process.pid) for one in self.members) / scheduler_count,
             "hollow": float(scheduler_count),
             "late_share": late,
         }
@@ -231,41 +231,42 @@
 async def hollow_fleet(scheduler_count: int) -> AsyncIterator[HollowFleet]:
     """So many hollow schedulers that join each other; they end with the block."""
     group = HollowFleet()
-    processes = math.ceil(scheduler_count / PER_PROCESS)
+    processes = math.ceil(scheduler_count / MAX_PER_PROCESS)
     counts = [
-        scheduler_count // processes + (place < scheduler_count % processes) for place in range(processes)
+        scheduler_count // processes + (index < scheduler_count % processes) for index in range(processes)
     ]
     with tempfile.TemporaryDirectory(prefix="pipitshed-hollow-") as folder:
         config = Path(folder) / "config.json"
         config.write_text(json.dumps(configuration(9, TEAMS)))
         try:
-            for place, count in enumerate(counts):
+            for index, count in enumerate(counts):
                 process = await asyncio.create_subprocess_exec(
                     sys.executable,
                     "-m",
                     "benchmarks.capacity.hollow",
                     str(config),
-                    str(sum(counts[:place])),
+                    str(sum(counts[:index])),
                     str(count),
                     *group.seeds,
                     cwd=ROOT,
                     stdin=asyncio.subprocess.PIPE,
                     stdout=asyncio.subprocess.PIPE,
                 )
-                group.made.append(HollowProcess(process, count))
-                told = [
-                    f"{host}:{port}" for host, port in msgspec.json.decode(await group.made[-1].read_line())
+                group.members.append(HollowProcess(process, count))
+                report = [
+                    f"{host}:{port}"
+                    for host, port in msgspec.json.decode(await group.members[-1].read_line())
                 ]
-                group.seeds = group.seeds or told
+                group.seeds = group.seeds or report
             yield group
         finally:
-            for one in group.made:
+            for one in group.members:
                 if one.process.returncode is None:
                     one.process.kill()
                 await one.process.wait()
 
 
-async def _serving(stack: AsyncExitStack, place: int, seeds: list[str]) -> tuple[Scheduler, Path]:
+async def _start_serving(stack: AsyncExitStack, index: int, seeds: list[str]) -> tuple[Scheduler, Path]:
     """A real scheduler of the fleet, and its fleet file."""
     planners, catalog = Planners(), Catalog()
     await planners.start(1)
@@ -273,16 +274,18 @@
     await catalog.start()
     stack.callback(planners.close)
     stack.callback(catalog.close)
-    file = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="pipitshed-hollow-"))) / "peers.toml"
-    file.write_text(
-        f'name = "s{place}"\nzone = "{ZONES[place]}"\nlisten = "127.0.0.1:0"\n'
+    fleet_file = (
+        Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="pipitshed-hollow-"))) / "peers.toml"
+    )
+    fleet_file.write_text(
+        f'name = "s{index}"\nzone = "{ZONES[index]}"\nlisten = "127.0.0.1:0"\n'
         f'cluster = "{CLUSTER}"\nseeds = {json.dumps(seeds)}\n'
     )
-    made = configuration(catalog.port, TEAMS)
-    return await stack.enter_async_context(scheduler(made, "--fleet", str(file))), file
+    config = configuration(catalog.port, TEAMS)
+    return await stack.enter_async_context(scheduler(config, "--fleet", str(fleet_file))), fleet_file
 
 
-async def _put(file: Path, group: HollowFleet) -> dict[str, float]:
+async def _put(fleet_file: Path, group: HollowFleet) -> dict[str, float]:
     """Put a change as an operator does: how long until the command says that it is in force at all, and until
     the last of the hollow ones acted on it."""
     put = await asyncio.create_subprocess_exec(
@@ -294,7 +297,7 @@
         "tenant/team-001/allowancePerS",
         "7.5",
         "--fleet",
-        str(file),
+        str(fleet_file),
         "--peer",
         group.seeds[0],
         cwd=ROOT,
@@ -303,8 +306,8 @@
     assert put.stdout is not None
     await put.stdout.readline()
     accepted = monotonic()
-    code, told = await put.wait(), await group.told()
-    since = [when for one in told for when in one["since"]]
+    code, report = await put.wait(), await group.reports()
+    since = [when for one in report for when in one["since"]]
     return {
         "answered_ms": (monotonic() - accepted) * 1000,
         "answer": float(code),
@@ -315,33 +318,33 @@
 
 async def _cases(size: int) -> list[Row]:
     rows = []
-    async with hollow_fleet(size - SERVING) as group, AsyncExitStack() as stack:
-        group.count()
-        if await group.one_view(size - SERVING, JOIN_TIMEOUT_S) is None:
+    async with hollow_fleet(size - SERVE_PROCESSES) as group, AsyncExitStack() as stack:
+        group.restart_measurement()
+        if await group.wait_for_one_view(size - SERVE_PROCESSES, JOIN_TIMEOUT_S) is None:
             return [await group.row(size, "join", f"no one view within {JOIN_TIMEOUT_S:.0f} s")]
         await asyncio.sleep(SETTLE_S)
-        group.count()
+        group.restart_measurement()
         await asyncio.sleep(REST_S)
         rows.append(await group.row(size, "rest"))
-        group.count()
-        serving = [await _serving(stack, place, group.seeds) for place in range(SERVING)]
-        settled = await group.one_view(size, JOIN_TIMEOUT_S)
+        group.restart_measurement()
+        serving = [await _start_serving(stack, index, group.seeds) for index in range(SERVE_PROCESSES)]
+        settled = await group.wait_for_one_view(size, JOIN_TIMEOUT_S)
         before = sum(running.cpu_s() for running, _ in serving)
         await asyncio.sleep(MEASURED_S)
-        cpu = (sum(running.cpu_s() for running, _ in serving) - before) / SERVING / MEASURED_S
+        cpu = (sum(running.cpu_s() for running, _ in serving) - before) / SERVE_PROCESSES / MEASURED_S
         figures = {
             "serve_cpu_share": cpu,
-            "serve_memory_mb": sum(running.memory_mb() for running, _ in serving) / SERVING,
+            "serve_memory_mb": sum(running.memory_mb() for running, _ in serving) / SERVE_PROCESSES,
         }
         why = "" if settled is not None else f"no one view within {JOIN_TIMEOUT_S:.0f} s"
         rows.append(
-            await group.row(size, f"{SERVING} join", why, **figures, settled_ms=(settled or 0) * 1000)
+            await group.row(size, f"{SERVE_PROCESSES} join", why, **figures, settled_ms=(settled or 0) * 1000)
         )
-        group.count()
-        told = await _put(serving[0][1], group)
+        group.restart_measurement()
+        report = await _put(serving[0][1], group)
         await asyncio.sleep(SETTLE_S)
-        why = "not in force at all" if told["answer"] or told["not_acting"] else ""
-        rows.append(await group.row(size, "one change", why, **told))
+        why = "not in force at all" if report["answer"] or report["not_acting"] else ""
+        rows.append(await group.row(size, "one change", why, **report))
     return rows
 
 
--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -86,8 +86,8 @@
     async def read(self, text: bytes, version: int, size: int = READ_BYTES) -> None:
         """The text in reads of so many bytes, one a turn, until the list known is of this version."""
         feed = self._timed(self.call.data_received)
-        for place in range(0, len(text), size):
-            part = text[place : place + size]
+        for offset in range(0, len(text), size):
+            part = text[offset : offset + size]
             feed(b"%x\r\n%s\r\n" % (len(part), part))
             await asyncio.sleep(0)
         while self.discovery.version < version:
@@ -101,17 +101,17 @@
     rows = [planner_row(number) for number in range(planners)]
     texts = [list_update(version, True, rows, indented) for version in (41, 42)]
 
-    async def play() -> dict[str, Any]:
+    async def run() -> dict[str, Any]:
         scheduler = WatchingScheduler(asyncio.get_running_loop())
-        told: dict[str, Any] = {"planners": planners, "indented": indented, "bytes": len(texts[0])}
+        result: dict[str, Any] = {"planners": planners, "indented": indented, "bytes": len(texts[0])}
         for version, (name, text) in enumerate(zip(("first", "again"), texts, strict=True), 41):
             scheduler.turns.clear()
             begun = time.process_time()
             await scheduler.read(text, version)
-            told[f"{name}_cpu_ms"] = (time.process_time() - begun) * 1000
-            told[f"{name}_turn_ms"] = max(scheduler.turns) * 1000
+            result[f"{name}_cpu_ms"] = (time.process_time() - begun) * 1000
+            result[f"{name}_turn_ms"] = max(scheduler.turns) * 1000
         assert scheduler.core.endpoints.ready() == planners
-        return told
+        return result
 
     async def measure_memory() -> int:
         scheduler = WatchingScheduler(asyncio.get_running_loop())
@@ -122,7 +122,7 @@
         tracemalloc.stop()
         return peak
 
-    return uvloop.run(play()) | {"peak_bytes": uvloop.run(measure_memory())}
+    return uvloop.run(run()) | {"peak_bytes": uvloop.run(measure_memory())}
 
 
 def replaced(planners: int, replaced: int) -> dict[str, Any]:
@@ -130,7 +130,7 @@
     decisions, the route table and the pool hold after it, beside those that are listed; bytes held beyond
     what stood before the day."""
 
-    async def play() -> dict[str, Any]:
+    async def run() -> dict[str, Any]:
         scheduler = WatchingScheduler(asyncio.get_running_loop())
         table, now = scheduler.core.endpoints, 0.0
         table._clock = lambda: now
@@ -157,4 +157,4 @@
             "bytes": held,
         }
 
-    return uvloop.run(play())
+    return uvloop.run(run())
--- a/benchmarks/capacity/modelled.py
+++ b/benchmarks/capacity/modelled.py
@@ -24,10 +24,10 @@
 )
 from pipitshed.scheduling.settings import Guarantees, Idempotency, JobClass, Limits, Settings
 
-TRIP = 1.0  # ms from a scheduler to a planner, and back
+TRIP_MS = 1.0  # ms from a scheduler to a planner, and back
 ZONES = 7
-SLOTS = 6  # of a planner: 29,000 tasks on 4,600 planners are 6.3
-TASK_MS = 29_000 / 280 * 1000  # of a slot's time that a task takes on average, as 280 start a second
+SLOTS_PER_PLANNER = 6  # of a planner: 29,000 tasks on 4,600 planners are 6.3
+MEAN_TASK_MS = 29_000 / 280 * 1000  # of a slot's time that a task takes on average, as 280 start a second
 URGENT_MS = 2700.0
 ORDINARY, URGENT = 0, 1
 
@@ -65,13 +65,13 @@
     """One request, from its client's first word to its start."""
 
     job_class: int
-    at: float
-    done: Callable[[ModelRequest], None]
+    submitted_at: float
+    on_outcome: Callable[[ModelRequest], None]
     scheduler: int = 0
     duration_ms: float = 0.0
     started: float | None = None
     ended: float | None = None
-    wait: float = 0.0  # ms that the refusal asked for
+    retry_wait_ms: float = 0.0  # ms that the refusal asked for
     refusals: int = 0
     sends: int = 0
 
@@ -80,12 +80,12 @@
 class Planner:
     """Slots, and who holds them: (scheduler, job)."""
 
-    held: set[tuple[int, int]] = field(default_factory=set)
-    other: int = 0  # slots of tasks that no scheduler here holds
+    jobs: set[tuple[int, int]] = field(default_factory=set)
+    background_tasks: int = 0  # slots of tasks that no scheduler here holds
 
     @property
     def taken(self) -> int:
-        return len(self.held) + self.other
+        return len(self.jobs) + self.background_tasks
 
 
 class Fleet:
@@ -98,35 +98,38 @@
         self.schedulers = [
             Dispatcher(settings(schedulers), seed * 1000 + number) for number in range(schedulers)
         ]
-        self.asked: dict[tuple[int, int], ModelRequest] = {}
+        self.requests: dict[tuple[int, int], ModelRequest] = {}
         self.sends: dict[tuple[int, int], int] = {}
-        self._numbers = self._order = 0
+        self._last_job_id = self._order = 0
         self._due: list[tuple[float, int, Callable[[], None]]] = []
-        rows = tuple(EndpointEntry(b"%d" % number, zone=number % ZONES) for number in range(planners))
+        entries = tuple(EndpointEntry(b"%d" % number, zone=number % ZONES) for number in range(planners))
         for number in range(schedulers):
-            self._tell(number, EndpointsUpdated(UpdateKind.SNAPSHOT, 1, rows))
+            self._handle(number, EndpointsUpdated(UpdateKind.SNAPSHOT, 1, entries))
 
-    def fill(self, share: float, stays: bool) -> None:
+    def fill(self, share: float, refill: bool) -> None:
         """Take this share of all slots, evenly drawn, with tasks that end one after the other; where the
         share `stays`, another begins for each, anywhere that has room."""
-        places = [planner for planner in self.planners for _ in range(SLOTS)]
+        places = [planner for planner in self.planners for _ in range(SLOTS_PER_PLANNER)]
         for planner in self.rng.sample(places, round(share * len(places))):
-            self._other(planner, stays)
+            self._start_background_task(planner, refill)
 
-    def _other(self, planner: Planner, stays: bool) -> None:
-        planner.other += 1
+    def _start_background_task(self, planner: Planner, refill: bool) -> None:
+        planner.background_tasks += 1
 
         def ended() -> None:
-            planner.other -= 1
-            if stays:
-                self._other(self._with_room(), True)
+            planner.background_tasks -= 1
+            if refill:
+                self._start_background_task(self._planner_with_free_slot(), True)
 
-        self.call_later(self.rng.expovariate(1 / TASK_MS), ended)
+        self.call_later(self.rng.expovariate(1 / MEAN_TASK_MS), ended)
 
-    def _with_room(self) -> Planner:
+    def _planner_with_free_slot(self) -> Planner:
         while True:
             planner = self.rng.choice(self.planners)
-            if planner.taken < SLOTS and self.rng.random() * SLOTS < SLOTS - planner.taken:
+            if (
+                planner.taken < SLOTS_PER_PLANNER
+                and self.rng.random() * SLOTS_PER_PLANNER < SLOTS_PER_PLANNER - planner.taken
+            ):
                 return planner
 
     def call_later(self, wait: float, call: Callable[[], None]) -> None:
@@ -141,70 +144,70 @@
             call()
         self.now = until
 
-    def submit(self, asked: ModelRequest) -> None:
+    def submit(self, request: ModelRequest) -> None:
         """A client asks a scheduler; `asked.done` hears of a refusal or of the start."""
-        self._numbers += 1
-        self.asked[asked.scheduler, self._numbers] = asked
+        self._last_job_id += 1
+        self.requests[request.scheduler, self._last_job_id] = request
         deadline = 600_000.0
-        self._tell(asked.scheduler, JobSubmitted(self._numbers, deadline, asked.job_class))
+        self._handle(request.scheduler, JobSubmitted(self._last_job_id, deadline, request.job_class))
 
-    def busy(self) -> float:
+    def busy_share(self) -> float:
         """The share of all slots that are taken."""
         taken = sum(planner.taken for planner in self.planners)
-        return taken / (SLOTS * len(self.planners))
+        return taken / (SLOTS_PER_PLANNER * len(self.planners))
 
-    def _tell(self, scheduler: int, event: Event) -> None:
+    def _handle(self, scheduler: int, event: Event) -> None:
         for action in self.schedulers[scheduler].handle(self.now, [event]):
             if isinstance(action, SetTimer):
-                self.call_later(action.delay_ms, partial(self._tell, scheduler, TimerFired(action.token)))
+                self.call_later(action.delay_ms, partial(self._handle, scheduler, TimerFired(action.token)))
             elif isinstance(action, StartAttempt):
                 key = scheduler, action.job_id
                 number = self.sends[key] = self.sends.get(key, -1) + 1
-                self.asked[key].sends += 1
-                self.call_later(TRIP, partial(self._comes, scheduler, action, number))
+                self.requests[key].sends += 1
+                self.call_later(TRIP_MS, partial(self._arrive, scheduler, action, number))
             elif isinstance(action, RejectRequest | FailRequest):
-                self._refused(scheduler, action)
+                self._refuse(scheduler, action)
             elif isinstance(action, CancelAttempt):
                 raise RuntimeError("a planner here tells at once whether it has room: nothing is called off")
 
-    def _refused(self, scheduler: int, action: RejectRequest | FailRequest) -> None:
-        asked = self.asked.pop((scheduler, action.job_id))
-        asked.refusals += 1
-        asked.ended = self.now
-        asked.wait = action.retry_after_ms if isinstance(action, RejectRequest) else 0.0
-        asked.done(asked)
+    def _refuse(self, scheduler: int, action: RejectRequest | FailRequest) -> None:
+        request = self.requests.pop((scheduler, action.job_id))
+        request.refusals += 1
+        request.ended = self.now
+        request.retry_wait_ms = action.retry_after_ms if isinstance(action, RejectRequest) else 0.0
+        request.on_outcome(request)
 
-    def _comes(self, scheduler: int, send: StartAttempt, number: int) -> None:
-        planner, key, begun = self.planners[int(send.worker)], (scheduler, send.job_id), self.now
-        if planner.taken >= SLOTS:
+    def _arrive(self, scheduler: int, send: StartAttempt, number: int) -> None:
+        planner, key, arrived_at = self.planners[int(send.worker)], (scheduler, send.job_id), self.now
+        if planner.taken >= SLOTS_PER_PLANNER:
             self.call_later(
-                TRIP,
+                TRIP_MS,
                 partial(
-                    self._tell,
+                    self._handle,
                     scheduler,
-                    AttemptFinished(send.job_id, number, send.worker, Outcome.REJECTED, 2 * TRIP, False),
+                    AttemptFinished(send.job_id, number, send.worker, Outcome.REJECTED, 2 * TRIP_MS, False),
                 ),
             )
             return
-        asked = self.asked[key]
-        planner.held.add(key)
-        asked.started = self.now
-        asked.done(asked)
+        request = self.requests[key]
+        planner.jobs.add(key)
+        request.started = self.now
+        request.on_outcome(request)
         self.call_later(
-            TRIP,
+            TRIP_MS,
             partial(
-                self._tell,
+                self._handle,
                 scheduler,
                 AttemptProgressed(send.job_id, number, send.worker, ProgressKind.STARTED),
             ),
         )
 
         def end() -> None:
-            planner.held.discard(key)
-            self.asked.pop(key)
-            self._tell(
+            planner.jobs.discard(key)
+            self.requests.pop(key)
+            self._handle(
                 scheduler,
-                AttemptFinished(send.job_id, number, send.worker, Outcome.OK, self.now - begun, True),
+                AttemptFinished(send.job_id, number, send.worker, Outcome.OK, self.now - arrived_at, True),
             )
 
-        self.call_later(max(2 * TRIP, asked.duration_ms), end)
+        self.call_later(max(2 * TRIP_MS, request.duration_ms), end)
--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -27,20 +27,20 @@
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
     """A row a size for the decisions and each form of a list, and one for each number of replaced planners;
     those for which there is no time are left out."""
-    plays: list[tuple[int, str, Callable[[], dict[str, float]]]] = []
+    cases: list[tuple[int, str, Callable[[], dict[str, float]]]] = []
     for size in sizes:
-        plays.append((size, "decisions", partial(_decisions, size)))
-        plays += [
+        cases.append((size, "decisions", partial(_decisions, size)))
+        cases += [
             (size, f"list {'indented' if indented else 'compact'}", partial(list_read, size, indented))
             for indented in (False, True)
         ]
-    plays += [(count, "replaced", partial(replaced, PLANNERS, count)) for count in REPLACED]
+    cases += [(count, "replaced", partial(replaced, PLANNERS, count)) for count in REPLACED]
     until, rows = monotonic() + limit_s, []
-    for size, case, play in plays:
+    for size, case, call in cases:
         if monotonic() < until:
             figures = {
                 name: float(value)
-                for name, value in play().items()
+                for name, value in call().items()
                 if name not in ("planners", "replaced", "indented")
             }
             rows.append(Row(SLOPE, size, case, figures, virtual=True))
--- a/benchmarks/capacity/planners.py
+++ b/benchmarks/capacity/planners.py
@@ -24,21 +24,21 @@
 
 SLOPE = "planners"
 SIZES = (200, 575, 1150, 2300, 4600, 9200)
-FIRST_WITHIN_S = 8.0  # a list that is not taken by then is not taken
+FIRST_JOB_TIMEOUT_S = 8.0  # a list that is not taken by then is not taken
 WARM_JOBS = 100
 JOBS = 300
 ROUNDS, CHANGES = 7, 20  # the median of the rounds is told
-AT_REST_S = 4.0
+REST_S = 4.0
 SPACING_S = 0.002  # between a change and the job behind it, so that the change is read first
 
 
-def _as(members: Sequence[ListedPlanner], lifecycle: str) -> Sequence[ListedPlanner]:
+def _with_lifecycle(members: Sequence[ListedPlanner], lifecycle: str) -> Sequence[ListedPlanner]:
     for member in members:
         member.lifecycle = lifecycle
     return members
 
 
-async def _tell(catalog: Catalog, running: Scheduler, members: Sequence[ListedPlanner]) -> float:
+async def _one_read_cpu_s(catalog: Catalog, running: Scheduler, members: Sequence[ListedPlanner]) -> float:
     """CPU (s) of one read of these rows and the job behind it."""
     before = running.cpu_s()
     catalog.tell(*members)
@@ -48,7 +48,9 @@
     return running.cpu_s() - before
 
 
-async def _single(catalog: Catalog, running: Scheduler, members: Sequence[ListedPlanner]) -> float:
+async def _separate_reads_cpu_s(
+    catalog: Catalog, running: Scheduler, members: Sequence[ListedPlanner]
+) -> float:
     """CPU (s) of these rows in a read each, a job behind each."""
     before = running.cpu_s()
     for member in members:
@@ -59,7 +61,9 @@
     return running.cpu_s() - before
 
 
-async def _calm(catalog: Catalog, running: Scheduler, members: Sequence[ListedPlanner]) -> dict[str, float]:
+async def _measure_taken_list(
+    catalog: Catalog, running: Scheduler, members: Sequence[ListedPlanner]
+) -> dict[str, float]:
     """Changes and jobs, on a list that is taken."""
     await running.idle()
     figures = {"start_cpu_ms": running.cpu_s() * 1000, "memory_mb": running.memory_mb()}
@@ -71,18 +75,26 @@
     await running.idle()
     figures["job_us"] = (running.cpu_s() - before) / JOBS * 1e6
     before, began = running.cpu_s(), monotonic()
-    await asyncio.sleep(AT_REST_S)
+    await asyncio.sleep(REST_S)
     figures["rest_share"] = (running.cpu_s() - before) / (monotonic() - began)
     rounds = []
     for number in range(ROUNDS):
         changed = members[number * CHANGES : (number + 1) * CHANGES]
-        rounds.append(await _single(catalog, running, _as(changed, "draining")) / len(changed) * 1e6)
-        await _tell(catalog, running, _as(changed, "ready"))
+        rounds.append(
+            await _separate_reads_cpu_s(catalog, running, _with_lifecycle(changed, "draining"))
+            / len(changed)
+            * 1e6
+        )
+        await _one_read_cpu_s(catalog, running, _with_lifecycle(changed, "ready"))
     figures["change_us"] = statistics.median(rounds)
     lost = [member for member in members if member.zone == ZONES[-1]]
-    figures["zone_one_read_ms"] = await _tell(catalog, running, _as(lost, "gone")) * 1000
-    await _tell(catalog, running, _as(lost, "ready"))
-    figures["zone_single_ms"] = await _single(catalog, running, _as(lost, "gone")) * 1000
+    figures["zone_one_read_ms"] = (
+        await _one_read_cpu_s(catalog, running, _with_lifecycle(lost, "gone")) * 1000
+    )
+    await _one_read_cpu_s(catalog, running, _with_lifecycle(lost, "ready"))
+    figures["zone_single_ms"] = (
+        await _separate_reads_cpu_s(catalog, running, _with_lifecycle(lost, "gone")) * 1000
+    )
     figures["zone_row_us"] = figures["zone_single_ms"] / len(lost) * 1000
     return figures | {
         "zone_rows": float(len(lost)),
@@ -91,25 +103,25 @@
     }
 
 
-async def _one(planners: Planners, size: int, indented: bool) -> Row:
+async def _measure(planners: Planners, size: int, indented: bool) -> Row:
     catalog = Catalog()
     catalog.indented = indented
     members = [ListedPlanner(number, port) for number, port in enumerate(planners.ports[:size])]
     catalog.members = members
-    size_of = catalog.build_list()
+    list_bytes = catalog.build_list()
     await catalog.start()
     try:
         async with watch_loop_lag() as lag, scheduler(configuration(catalog.port, 4)) as running:
-            taken = await running.served(FIRST_WITHIN_S)
+            taken = await running.served(FIRST_JOB_TIMEOUT_S)
             figures = {
                 "taken": float(taken),
                 "lists_asked": float(catalog.list_requests),
-                "list_bytes": float(size_of),
+                "list_bytes": float(list_bytes),
             }
             if taken:
                 figures["first_job_ms"] = (monotonic() - running.began) * 1000
                 if not indented:
-                    figures |= await _calm(catalog, running, members)
+                    figures |= await _measure_taken_list(catalog, running, members)
         return Row(SLOPE, size, "indented" if indented else "compact", figures, not lag.why_not, lag.why_not)
     finally:
         catalog.close()
@@ -123,7 +135,7 @@
         await planners.start(max(sizes))
         try:
             return await measure_rows(
-                [partial(_one, planners, size, indented) for size in sizes for indented in (False, True)],
+                [partial(_measure, planners, size, indented) for size in sizes for indented in (False, True)],
                 limit_s,
             )
         finally:
--- a/benchmarks/capacity/records.py
+++ b/benchmarks/capacity/records.py
@@ -57,20 +57,20 @@
 
 def write(run: Run, folder: Path = RECORDS_FOLDER) -> Path:
     """Write a run to SLOPE.json, its rows by case and size."""
-    made = asdict(run)
-    for row in made["rows"]:
+    data = asdict(run)
+    for row in data["rows"]:
         row["figures"] = {name: rounded(value) for name, value in row["figures"].items()}
-    made["rows"].sort(key=lambda row: (row["case"], row["size"]))
+    data["rows"].sort(key=lambda row: (row["case"], row["size"]))
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"{run.slope}.json"
-    path.write_text(json.dumps(made, indent=1, sort_keys=True) + "\n")
+    path.write_text(json.dumps(data, indent=1, sort_keys=True) + "\n")
     return path
 
 
 def read(path: Path) -> Run:
     """A run as it was written; ValueError, KeyError or TypeError where the file is none."""
-    told = json.loads(path.read_text())
-    return Run(**(told | {"rows": [Row(**row) for row in told["rows"]]}))
+    loaded = json.loads(path.read_text())
+    return Run(**(loaded | {"rows": [Row(**row) for row in loaded["rows"]]}))
 
 
 def read_all(folder: Path = RECORDS_FOLDER) -> dict[str, Run]:
@@ -79,8 +79,8 @@
 
 
 def _git(*words: str) -> str:
-    told = subprocess.run(["git", *words], cwd=ROOT, capture_output=True, text=True, check=False)
-    return told.stdout.strip()
+    completed = subprocess.run(["git", *words], cwd=ROOT, capture_output=True, text=True, check=False)
+    return completed.stdout.strip()
 
 
 def commit() -> str:
--- a/benchmarks/capacity/reload.py
+++ b/benchmarks/capacity/reload.py
@@ -21,33 +21,33 @@
 ROUNDS = 9
 
 
-async def _one(teams: int) -> Row:
+async def _measure(teams: int) -> Row:
     planners, catalog = Planners(), Catalog()
     await planners.start(8)
     catalog.members = [ListedPlanner(number, planners.ports[number % 8]) for number in range(PLANNERS)]
     await catalog.start()
-    made = configuration(catalog.port, teams)
-    cpu, took = [], []
+    config = configuration(catalog.port, teams)
+    cpu, in_force_ms = [], []
     try:
-        async with watch_loop_lag() as lag, scheduler(made) as running:
+        async with watch_loop_lag() as lag, scheduler(config) as running:
             if not await running.served(20.0):
                 return Row(SLOPE, teams, "calm", {}, False, "no job was served within 20 s")
             for number in range(ROUNDS):
-                made["settings"]["tenants"][0]["allowancePerS"] = 100.0 + number
-                (running.folder / "config.json").write_text(json.dumps(made))
+                config["settings"]["tenants"][0]["allowancePerS"] = 100.0 + number
+                (running.folder / "config.json").write_text(json.dumps(config))
                 await running.idle()
                 before, began = running.cpu_s(), monotonic()
                 running.process.send_signal(signal.SIGHUP)
                 await running.line("configuration is read again")
-                took.append((monotonic() - began) * 1000)
+                in_force_ms.append((monotonic() - began) * 1000)
                 await running.job()  # the pools are made anew by the first job behind it
                 await running.idle()
                 cpu.append((running.cpu_s() - before) * 1000)
             figures = {
                 "cpu_ms": statistics.median(cpu),
                 "worst_cpu_ms": max(cpu),
-                "in_force_ms": statistics.median(took),
-                "file_bytes": float(len(json.dumps(made))),
+                "in_force_ms": statistics.median(in_force_ms),
+                "file_bytes": float(len(json.dumps(config))),
             }
         return Row(SLOPE, teams, "calm", figures, not lag.why_not, lag.why_not)
     finally:
@@ -57,4 +57,4 @@
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
     """A row for each number of teams, before 4,600 listed planners."""
-    return uvloop.run(measure_rows([partial(_one, teams) for teams in sizes], limit_s))
+    return uvloop.run(measure_rows([partial(_measure, teams) for teams in sizes], limit_s))
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -25,11 +25,11 @@
 SLOPE = "schedulers"
 SIZES = (5, 40, 150, 300, 600)
 LOST_ZONE = "norte/2"  # not the first seed's
-SETTLED_WITHIN, QUIET_WITHIN = 60.0, 60.0  # virtual s
-REST = 30.0  # virtual s
-STEP = 0.1  # virtual s between looks at the views
+SETTLE_TIMEOUT_S, QUIET_TIMEOUT_S = 60.0, 60.0  # virtual s
+REST_S = 30.0  # virtual s
+STEP_S = 0.1  # virtual s between looks at the views
 TEAMS = 380  # rows of settings
-BURST, BURSTS, EVERY = 20, 3, 8.0  # changes in one second; virtual s from burst to burst
+BURST, BURSTS, BURST_INTERVAL_S = 20, 3, 8.0  # changes in one second; virtual s from burst to burst
 PROCESSES = 2
 
 
@@ -51,7 +51,7 @@
 
     fleet: Fleet
     size: int
-    until: float  # time.monotonic() at which it stops
+    stops_at: float  # time.monotonic() at which it stops
     slope: str = SLOPE
     rows: list[Row] = field(default_factory=list)
 
@@ -66,14 +66,14 @@
         # This process shares its cores with others, so the share of the wall's time is taken of its CPU.
         cost.cpu = (time.process_time() - cpu) * fleet.busy / max(1e-9, time.perf_counter() - wall)
 
-    def wait_until(self, what: Callable[[], bool], within: float, step: float = STEP) -> float | None:
+    def wait_until(self, what: Callable[[], bool], within: float, step: float = STEP_S) -> float | None:
         """How long (virtual s) until it holds; None where it does not within the time."""
 
-        def looked() -> bool:
+        def checked() -> bool:
             self.check_time_limit()
             return what()
 
-        return self.fleet.until(looked, within, step)
+        return self.fleet.until(checked, within, step)
 
     def advance(self, seconds: float) -> None:
         """Let so much virtual time pass."""
@@ -84,10 +84,10 @@
 
     def check_time_limit(self) -> None:
         """TimeOverError where the time is over."""
-        if time.monotonic() > self.until:
+        if time.monotonic() > self.stops_at:
             raise TimeLimitError
 
-    def row(self, case: str, cost: Cost, why_not: str = "", **told: float) -> None:
+    def row(self, case: str, cost: Cost, why_not: str = "", **extra_figures: float) -> None:
         """Keep the row of a case that was just counted."""
         fleet = self.fleet
         share = len(fleet.nodes) * cost.seconds
@@ -103,24 +103,26 @@
             "cpu_share": cost.cpu / share,
             "virtual_s": cost.seconds,
         }
-        self.rows.append(Row(self.slope, self.size, case, figures | told, not why_not, why_not, virtual=True))
+        self.rows.append(
+            Row(self.slope, self.size, case, figures | extra_figures, not why_not, why_not, virtual=True)
+        )
 
-    def measure_convergence(self, case: str, **told: float) -> None:
+    def measure_convergence(self, case: str, **extra_figures: float) -> None:
         """Count until all hold one true view and the same settings, then until nothing is left to tell."""
         begun = self.fleet.now
         with self.measured() as cost:
-            settled = self.wait_until(self.fleet.whole, SETTLED_WITHIN)
-            quiet = self.wait_until(self.fleet.quiet, QUIET_WITHIN, 1.0)
-        figures = dict(told)
+            settled = self.wait_until(self.fleet.whole, SETTLE_TIMEOUT_S)
+            quiet = self.wait_until(self.fleet.quiet, QUIET_TIMEOUT_S, 1.0)
+        figures = dict(extra_figures)
         if settled is not None:
             figures["settled_ms"] = settled * 1000
         if quiet is not None:
             figures["quiet_ms"] = (self.fleet.now - begun) * 1000
         figures["out_bytes"] = sum(one.bytes for one in self.fleet.out.values()) / len(self.fleet.nodes)
-        why = "" if settled is not None else f"not one view after {SETTLED_WITHIN:.0f} virtual s"
+        why = "" if settled is not None else f"not one view after {SETTLE_TIMEOUT_S:.0f} virtual s"
         self.row(case, cost, why, **figures)
 
-    def settings(self, writer: Node, keys: Sequence[str]) -> dict[tuple[str, int], float]:
+    def put_quotas(self, writer: Node, keys: Sequence[str]) -> dict[tuple[str, int], float]:
         """Put a row for each key at once; when, by key and number."""
         self.fleet.put(writer, *((key, quota_value(self.fleet)) for key in keys))
         return {(key, version_of(writer, key)): self.fleet.now for key in keys}
@@ -169,9 +171,9 @@
     with run.measured() as cost:
         for burst in range(BURSTS):
             for place in range(BURST):
-                put |= run.settings(writer, [key(burst * BURST + place)])
+                put |= run.put_quotas(writer, [key(burst * BURST + place)])
                 run.advance(1.0 / BURST)
-            run.advance(EVERY - 1.0)
+            run.advance(BURST_INTERVAL_S - 1.0)
     took: dict[tuple[str, int], list[float]] = {change: [] for change in put}
     for when, _, row in fleet.row_news:
         if (row.key, row.number) in put:
@@ -203,11 +205,13 @@
                 node.tables[0].digest() == whole.digest()
                 and node.membership.view.live_count >= len(fleet.nodes)
             ),
-            SETTLED_WITHIN,
+            SETTLE_TIMEOUT_S,
             0.05,
         )
-    told = {"rows": float(len(whole))} | ({} if current is None else {"current_ms": current * 1000})
-    run.row("one lost everything", cost, "" if current is not None else "not current in time", **told)
+    extra_figures = {"rows": float(len(whole))} | ({} if current is None else {"current_ms": current * 1000})
+    run.row(
+        "one lost everything", cost, "" if current is not None else "not current in time", **extra_figures
+    )
 
 
 def cases(size: int, limit_s: float) -> list[Row]:
@@ -218,16 +222,16 @@
     try:
         first, *_ = fleet.fleet(size)
         run.measure_convergence("join storm")
-        run.settings(first, [key(number) for number in range(TEAMS)])
+        run.put_quotas(first, [key(number) for number in range(TEAMS)])
         run.measure_convergence("all settings put at once", rows=float(TEAMS))
         held = (memory_mb(os.getpid()) - before) / size
         with run.measured() as cost:
-            run.advance(REST)
+            run.advance(REST_S)
         run.row("rest", cost, memory_mb=held)
         changes(run, "changes")
         fleet.loss, since = 0.01, fleet.now
         with run.measured() as cost:
-            run.advance(REST)
+            run.advance(REST_S)
         run.row(
             "loss 1%",
             cost,
@@ -236,9 +240,9 @@
         )
         changes(run, "changes, loss 1%")
         fleet.loss = 0.0
-        run.wait_until(fleet.quiet, QUIET_WITHIN, 1.0)
+        run.wait_until(fleet.quiet, QUIET_TIMEOUT_S, 1.0)
         lost_everything(run)
-        run.wait_until(fleet.quiet, QUIET_WITHIN, 1.0)
+        run.wait_until(fleet.quiet, QUIET_TIMEOUT_S, 1.0)
         last = next(reversed(fleet.nodes.values()))
         fleet.kill(last)
         fleet.start(size - 1, fleet.seeds)
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -55,9 +55,9 @@
         if len(rest) < int(headers[b"content-length"]):
             return
         self.data = b""
-        self.number = headers[b"x-request-id"].decode()
-        self.planners.began[self.number] = monotonic()
-        begin = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + self.line(state="started")
+        self.request_id = headers[b"x-request-id"].decode()
+        self.planners.began[self.request_id] = monotonic()
+        begin = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + self.chunk(state="started")
         if self.planners.work_s is None:
             self.transport.write(begin)
             self._progress_timer = asyncio.get_running_loop().call_later(PROGRESS_MS / 1000, self._progress)
@@ -70,15 +70,15 @@
             )
 
     def _progress(self) -> None:
-        self.transport.write(self.line(state="running", share=0.5))
+        self.transport.write(self.chunk(state="running", share=0.5))
         self._progress_timer = asyncio.get_running_loop().call_later(PROGRESS_MS / 1000, self._progress)
 
-    def line(self, **what: object) -> bytes:
-        text = json.dumps({"id": self.number} | what).encode() + b"\n"
+    def chunk(self, **fields: object) -> bytes:
+        text = json.dumps({"id": self.request_id} | fields).encode() + b"\n"
         return b"%x\r\n%s\r\n" % (len(text), text)
 
     def end(self) -> bytes:
-        return self.line(state="done", result="{}") + b"0\r\n\r\n"
+        return self.chunk(state="done", result="{}") + b"0\r\n\r\n"
 
 
 class Planners:
@@ -134,7 +134,7 @@
 
     def text(self, reset: bool, members: Sequence[Any]) -> bytes:
         if not reset:
-            return self._made(False, members)
+            return self._encode_list(False, members)
         self.list_requests += 1
         if self._full_list[0] != self.generation:
             self.build_list()
@@ -142,21 +142,21 @@
 
     def build_list(self) -> int:
         """Make the whole list ahead, so that no answer waits for it; its bytes."""
-        self._full_list = self.generation, self._made(True, self.members)
+        self._full_list = self.generation, self._encode_list(True, self.members)
         return len(self._full_list[1])
 
-    def _made(self, reset: bool, members: Sequence[Any]) -> bytes:
-        headers = {"generation": self.generation, "reset": reset, "instances": [one.row() for one in members]}
+    def _encode_list(self, reset: bool, members: Sequence[Any]) -> bytes:
+        content = {"generation": self.generation, "reset": reset, "instances": [one.row() for one in members]}
         if self.indented and reset:
-            return json.dumps(headers, indent=2).encode()
-        return json.dumps(headers, separators=(",", ":")).encode()
+            return json.dumps(content, indent=2).encode()
+        return json.dumps(content, separators=(",", ":")).encode()
 
 
 def configuration(discovery: int, teams: int, memory_mb: int = 192, sockets: int = 1024) -> dict[str, Any]:
     """LB_CONFIG's content: the template's, with 7 zones, these teams, and a class whose tasks run long."""
-    made = program.configuration("127.0.0.1:0", f"127.0.0.1:{discovery}")
-    made["limits"] |= {"memory_mb": memory_mb, "sockets": sockets}
-    settings = made["settings"] | {"areas": list(ZONES), "weights": "off"}
+    config = program.configuration("127.0.0.1:0", f"127.0.0.1:{discovery}")
+    config["limits"] |= {"memory_mb": memory_mb, "sockets": sockets}
+    settings = config["settings"] | {"areas": list(ZONES), "weights": "off"}
     settings["services"] = [
         *settings["services"],
         {
@@ -171,7 +171,7 @@
         {"name": f"team-{number:03}", "share": 1 / teams, "allowancePerS": 1000.0 / teams}
         for number in range(teams)
     ]
-    return made | {"settings": settings}
+    return config | {"settings": settings}
 
 
 @dataclass
@@ -202,9 +202,9 @@
     async def line(self, text: str) -> str:
         """The next line of its log that holds this text."""
         assert self.process.stdout is not None
-        while headers := (await self.process.stdout.readline()).decode():
-            if text in headers:
-                return headers
+        while log_line := (await self.process.stdout.readline()).decode():
+            if text in log_line:
+                return log_line
         raise RuntimeError(f"the scheduler ended before it said {text!r}")
 
     async def job(self, job_class: str = "quote", deadline_s: float = 5.0) -> tuple[int, str]:
@@ -257,12 +257,12 @@
 
 
 @contextlib.asynccontextmanager
-async def scheduler(made: dict[str, Any], *arguments: str) -> AsyncIterator[Scheduler]:
+async def scheduler(config: dict[str, Any], *arguments: str) -> AsyncIterator[Scheduler]:
     """`serve` with this configuration, and these words on its command line; it ends with the block."""
     raise_descriptors(20000)
     with tempfile.TemporaryDirectory(prefix="pipitshed-capacity-") as folder:
         path = Path(folder)
-        (path / "config.json").write_text(json.dumps(made))
+        (path / "config.json").write_text(json.dumps(config))
         began = monotonic()
         process = await asyncio.create_subprocess_exec(
             sys.executable,
--- a/benchmarks/capacity/starts.py
+++ b/benchmarks/capacity/starts.py
@@ -27,9 +27,9 @@
 PLANNERS = 4600
 PORTS = 1024
 WORK_S = 0.1
-LOADED_S = 12.0
+LOAD_DURATION_S = 12.0
 
-Link = tuple[asyncio.StreamReader, asyncio.StreamWriter]
+Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
 def percentile(values: Sequence[float], share: float) -> float:
@@ -37,47 +37,49 @@
     return sorted(values)[min(len(values) - 1, int(len(values) * share))]
 
 
-async def _ask(running: Scheduler, number: str, free: list[Link], answers: dict[int, int]) -> None:
-    link = free.pop() if free else await asyncio.open_connection("127.0.0.1", running.port)
-    link[1].write(request(number, "quote", 5.0))
-    status = await answer(link[0])
+async def _send_request(
+    running: Scheduler, number: str, free: list[Connection], answers: dict[int, int]
+) -> None:
+    connection = free.pop() if free else await asyncio.open_connection("127.0.0.1", running.port)
+    connection[1].write(request(number, "quote", 5.0))
+    status = await answer(connection[0])
     answers[status] = answers.get(status, 0) + 1
-    free.append(link)
+    free.append(connection)
 
 
 async def _load(running: Scheduler, planners: Planners, rate: int) -> dict[str, float]:
-    free: list[Link] = []
+    free: list[Connection] = []
     answers: dict[int, int] = {}
-    asked: dict[str, float] = {}
+    sent_at: dict[str, float] = {}
     tasks = []
     await running.idle()
     cpu, waited, began = running.cpu_s(), waited_s(running.pid), monotonic()
-    for number in range(int(rate * LOADED_S)):
+    for number in range(int(rate * LOAD_DURATION_S)):
         await asyncio.sleep(max(0.0, began + number / rate - monotonic()))
-        asked[f"s{number}"] = monotonic()
-        tasks.append(asyncio.create_task(_ask(running, f"s{number}", free, answers)))
+        sent_at[f"s{number}"] = monotonic()
+        tasks.append(asyncio.create_task(_send_request(running, f"s{number}", free, answers)))
     await asyncio.gather(*tasks)
     cpu = running.cpu_s() - cpu
     waited = waited_s(running.pid) - waited
-    waits = [(planners.began[name] - at) * 1000 for name, at in asked.items() if name in planners.began]
+    waits = [(planners.began[name] - at) * 1000 for name, at in sent_at.items() if name in planners.began]
     descriptors = running.descriptors()
     for _, writer in free:
         writer.transport.abort()
     return {
         "cpu_share": cpu / (monotonic() - began),
-        "start_us": cpu / len(asked) * 1e6,
+        "start_us": cpu / len(sent_at) * 1e6,
         "p50_ms": percentile(waits, 0.5),
         "p99_ms": percentile(waits, 0.99),
         "worst_ms": max(waits),
         "served": float(answers.get(200, 0)),
-        "not_served": float(len(asked) - answers.get(200, 0)),
+        "not_served": float(len(sent_at) - answers.get(200, 0)),
         "waited_share": waited / (monotonic() - began),
         "descriptors": float(descriptors),
         "memory_mb": running.memory_mb(),
     }
 
 
-async def _one(rate: int) -> Row:
+async def _measure(rate: int) -> Row:
     planners, catalog = Planners(), Catalog()
     await planners.start(PORTS)
     catalog.members = [ListedPlanner(number, planners.ports[number % PORTS]) for number in range(PLANNERS)]
@@ -96,4 +98,4 @@
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
     """A row a rate."""
-    return uvloop.run(measure_rows([partial(_one, rate) for rate in sizes], limit_s))
+    return uvloop.run(measure_rows([partial(_measure, rate) for rate in sizes], limit_s))
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -128,12 +128,12 @@
 
 def _run(runs: Runs, source: str) -> str:
     """The run that gave a figure, by slope, commit and date."""
-    told = [
+    sources = [
         f"`{slope}` {runs[slope].commit}, {runs[slope].date}" if slope in runs else f"`{slope}`: none"
         for slope in source.split(", ")
         if slope
     ]
-    return "; ".join(told) or "the letter"
+    return "; ".join(sources) or "the letter"
 
 
 def slopes_table(runs: Runs) -> str:
@@ -161,7 +161,7 @@
     )
 
 
-def _counts(row: Row) -> str:
+def _validity(row: Row) -> str:
     tries = row.figures.get("tries", 1.0)
     return ("yes" if row.valid else f"no: {row.why_not}") + (f" (try {tries:.0f})" if tries > 1 else "")
 
@@ -169,7 +169,7 @@
 def rows_table(slope: str, size: str, columns: Sequence[str]) -> Callable[[Runs], str]:
     """The rows of a run, as measured."""
 
-    def made(runs: Runs) -> str:
+    def render(runs: Runs) -> str:
         if slope not in runs:
             return NOT_MEASURED
         return table(
@@ -179,22 +179,22 @@
                     f"{row.size:,}",
                     row.case,
                     *(number(row.figures[column]) if column in row.figures else "" for column in columns),
-                    _counts(row),
+                    _validity(row),
                 )
                 for row in runs[slope].rows
             ],
         )
 
-    return made
+    return render
 
 
-def _ratio(target: requirements.Target, told: FigureValue | None) -> str:
-    if told is None or target.budget is None:
+def _ratio(target: requirements.Target, known: FigureValue | None) -> str:
+    if known is None or target.budget is None:
         return ""
-    met = told.value >= target.budget if target.at_least else told.value <= target.budget
-    if met and told.basis not in BASES:
+    met = known.value >= target.budget if target.at_least else known.value <= target.budget
+    if met and known.basis not in BASES:
         return ""  # a lesser size that meets it says nothing of this one; one that misses it does
-    share = number(told.value / target.budget) if target.budget else ""
+    share = number(known.value / target.budget) if target.budget else ""
     return share if met else f"{share} **missed**".strip()
 
 
@@ -202,7 +202,7 @@
     """Each target of the letter: figure, budget, ratio, mechanism."""
     lines = []
     for target in requirements.TARGETS:
-        told = target.figure(runs)
+        known = target.figure(runs)
         budget = (
             "none given"
             if target.budget is None
@@ -214,9 +214,9 @@
             (
                 target.need,
                 target.what,
-                text(told, target.unit),
+                text(known, target.unit),
                 budget,
-                _ratio(target, told),
+                _ratio(target, known),
                 target.mechanism,
                 _run(runs, target.source) if target.source else "",
             )
@@ -269,7 +269,7 @@
             *(figure(count) for count in requirements.ASSUMED_SCHEDULERS),
         )
 
-    def of(slope: Line, size: Callable[[int], float]) -> Callable[[int], str]:
+    def at_size(slope: Line, size: Callable[[int], float]) -> Callable[[int], str]:
         return lambda count: text(slope.at(size(count))(runs))
 
     heaviest = requirements.HEAVIEST_FACTOR
@@ -295,28 +295,28 @@
             line(
                 "descriptors of the heaviest",
                 "",
-                of(requirements.HELD_DESCRIPTORS, lambda n: heaviest * requirements.RUNNING_TASKS / n),
+                at_size(requirements.HELD_DESCRIPTORS, lambda n: heaviest * requirements.RUNNING_TASKS / n),
             ),
             line(
                 "memory that the heaviest's tasks add",
                 "MB",
-                of(requirements.HELD_MEMORY, lambda n: heaviest * requirements.RUNNING_TASKS / n),
+                at_size(requirements.HELD_MEMORY, lambda n: heaviest * requirements.RUNNING_TASKS / n),
             ),
             line(
                 "CPU of the heaviest's starts",
                 "of a core",
-                of(requirements.STARTS_CPU, lambda n: heaviest * requirements.STARTS_PER_S / n),
+                at_size(requirements.STARTS_CPU, lambda n: heaviest * requirements.STARTS_PER_S / n),
             ),
-            line("view and settings at rest", "bytes/s a scheduler", of(requirements.VIEW_BYTES, float)),
-            line("CPU of them at rest", "of a core", of(requirements.VIEW_CPU, float)),
-            line("a join storm's worst second", "bytes", of(requirements.JOIN_SECOND, float)),
+            line("view and settings at rest", "bytes/s a scheduler", at_size(requirements.VIEW_BYTES, float)),
+            line("CPU of them at rest", "of a core", at_size(requirements.VIEW_CPU, float)),
+            line("a join storm's worst second", "bytes", at_size(requirements.JOIN_SECOND, float)),
             line(
                 "whole lists told when all restart",
                 "MB",
                 lambda count: text(
                     (
-                        lambda told: (
-                            None if told is None else FigureValue(told.value * count / 1e6, told.basis)
+                        lambda known: (
+                            None if known is None else FigureValue(known.value * count / 1e6, known.basis)
                         )
                     )(requirements.LIST_COMPACT.at(requirements.PLANNERS)(runs))
                 ),
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -27,13 +27,13 @@
 SIZES = (10, 50, 100, 380)
 SCHEDULERS = (40, 150, 300)
 STARTS = 280.0  # a second, the whole fleet: the peak, and the sum of the quotas
-GREEDY = 3.0  # times its quota that every other team asks for
-WARM, MEASURED = 30.0, 120.0  # s
+GREEDY_FACTOR = 3.0  # times its quota that every other team asks for
+WARM_UP_S, MEASURED_S = 30.0, 120.0  # s
 PLANNERS = 40
-TURNED_MS, STARTED_MS = 5.0, 50.0  # until a planner has turned a job away, or is done with it
-BURST = 14.0  # starts that planners have room for at once: 50 ms of them
-CLIENT = 1.0  # jobs a second that one client asks for, at the most: it stays with one scheduler
-PARTS = ((0.5, "p50"), (0.99, "p99"), (1.0, "worst"))
+REJECTION_MS, COMPLETION_MS = 5.0, 50.0  # until a planner has turned a job away, or is done with it
+BURST_TOKENS = 14.0  # starts that planners have room for at once: 50 ms of them
+CLIENT_RATE = 1.0  # jobs a second that one client asks for, at the most: it stays with one scheduler
+PERCENTILES = ((0.5, "p50"), (0.99, "p99"), (1.0, "worst"))
 
 
 @dataclass
@@ -41,8 +41,8 @@
     """What a team may, asks for and gets, in jobs."""
 
     quota: float  # a second
-    asks: float  # a second
-    homes: list[int]  # schedulers that its clients stay with; empty where any will do
+    demand: float  # a second
+    home_schedulers: list[int]  # schedulers that its clients stay with; empty where any will do
     asked: int = 0
     started: int = 0
 
@@ -53,20 +53,20 @@
 
     dispatchers: list[Dispatcher]
     teams: list[Team]
-    room: float  # starts a second
+    start_rate: float  # starts a second
     rng: random.Random
     due: list[tuple[float, int, int, events.Event]] = field(
         default_factory=list
     )  # ms, order, scheduler, event
     order: Iterator[int] = field(default_factory=count)
     jobs: dict[int, tuple[int, int]] = field(default_factory=dict)  # its team, and its attempts so far
-    tokens: float = BURST
-    at: float = 0.0  # ms, of the tokens
+    tokens: float = BURST_TOKENS
+    tokens_at_ms: float = 0.0  # ms, of the tokens
 
-    def starts(self, now: float) -> bool:
+    def take_token(self, now: float) -> bool:
         """Whether a planner has room now."""
-        self.tokens = min(BURST, self.tokens + (now - self.at) / 1000 * self.room)
-        self.at = now
+        self.tokens = min(BURST_TOKENS, self.tokens + (now - self.tokens_at_ms) / 1000 * self.start_rate)
+        self.tokens_at_ms = now
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -81,49 +81,53 @@
             now, _, place, event = heappop(self.due)
             if isinstance(event, events.JobSubmitted):
                 team = self.teams[event.tenant]
-                team.asked += now >= WARM * 1000
+                team.asked += now >= WARM_UP_S * 1000
                 self.jobs[event.job_id] = event.tenant, 0
                 self._arrive(event.tenant, team, now)
             elif isinstance(event, events.AttemptFinished) and event.answered:
                 team = self.teams[self.jobs.pop(event.job_id)[0]]
-                team.started += now >= WARM * 1000
+                team.started += now >= WARM_UP_S * 1000
             for action in self.dispatchers[place].handle(now, [event]):
                 self._carry_out(now, place, action)
 
     def _arrive(self, number: int, team: Team, now: float) -> None:
-        when = now + self.rng.expovariate(team.asks) * 1000
-        place = self.rng.choice(team.homes) if team.homes else self.rng.randrange(len(self.dispatchers))
-        self._at(when, place, events.JobSubmitted(next(self.order), 5000.0, 0, number))
+        when = now + self.rng.expovariate(team.demand) * 1000
+        place = (
+            self.rng.choice(team.home_schedulers)
+            if team.home_schedulers
+            else self.rng.randrange(len(self.dispatchers))
+        )
+        self._schedule(when, place, events.JobSubmitted(next(self.order), 5000.0, 0, number))
 
     def _carry_out(self, now: float, place: int, action: actions.Action) -> None:
         if isinstance(action, actions.SetTimer):
-            self._at(now + action.delay_ms, place, events.TimerFired(action.token))
+            self._schedule(now + action.delay_ms, place, events.TimerFired(action.token))
         elif isinstance(action, actions.StartAttempt):
             team, attempt = self.jobs[action.job_id]
             self.jobs[action.job_id] = team, attempt + 1
-            full = not self.starts(now)
-            takes = TURNED_MS if full else STARTED_MS
+            full = not self.take_token(now)
+            takes = REJECTION_MS if full else COMPLETION_MS
             outcome = events.Outcome.REJECTED if full else events.Outcome.OK
-            self._at(
+            self._schedule(
                 now + takes,
                 place,
                 events.AttemptFinished(action.job_id, attempt, action.worker, outcome, takes, not full),
             )
 
-    def _at(self, when: float, place: int, event: events.Event) -> None:
+    def _schedule(self, when: float, place: int, event: events.Event) -> None:
         heappush(self.due, (when, next(self.order), place, event))
 
 
-def site(teams: int, schedulers: int, uneven: bool, room: float, seed: int) -> Site:
+def site(teams: int, schedulers: int, uneven: bool, start_rate: float, seed: int) -> Site:
     """A site whose quotas sum up to the starts: all alike, or by Zipf with clients that stay."""
     rng = random.Random(seed)
     parts = [1.0 / (rank + 1) if uneven else 1.0 for rank in range(teams)]
     made = []
     for place, part in enumerate(parts):
         quota = STARTS * part / sum(parts)
-        asks = quota * (GREEDY if place % 2 else 1.0)
-        clients = math.ceil(asks / CLIENT) if uneven else 0
-        made.append(Team(quota, asks, [rng.randrange(schedulers) for _ in range(clients)]))
+        demand = quota * (GREEDY_FACTOR if place % 2 else 1.0)
+        clients = math.ceil(demand / CLIENT_RATE) if uneven else 0
+        made.append(Team(quota, demand, [rng.randrange(schedulers) for _ in range(clients)]))
     told = settings() | {
         "siblings": schedulers,
         "tenants": [
@@ -139,49 +143,47 @@
     dispatchers = [Dispatcher(settings_from(told), seed * 1000 + place) for place in range(schedulers)]
     for dispatcher in dispatchers:
         dispatcher.handle(0.0, [listed])
-    return Site(dispatchers, made, room, rng)
+    return Site(dispatchers, made, start_rate, rng)
 
 
 def figures(simulated: Site) -> dict[str, float]:
     """How far each team is from its quota, as parts of it: above, of those that ask for more; below, of what
     the others ask for within it."""
     over = [
-        max(0.0, team.started / (team.quota * MEASURED) - 1.0)
+        max(0.0, team.started / (team.quota * MEASURED_S) - 1.0)
         for team in simulated.teams
-        if team.asks > team.quota
+        if team.demand > team.quota
     ]
     under = [
-        max(0.0, (min(team.asked, team.quota * MEASURED) - team.started) / (team.quota * MEASURED))
+        max(0.0, (min(team.asked, team.quota * MEASURED_S) - team.started) / (team.quota * MEASURED_S))
         for team in simulated.teams
-        if team.asks <= team.quota
+        if team.demand <= team.quota
     ]
     told = {
-        f"{name}_{called}_share": sorted(values)[math.ceil(len(values) * part) - 1]
+        f"{name}_{label}_share": sorted(values)[math.ceil(len(values) * part) - 1]
         for name, values in (("over", over), ("under", under))
-        for part, called in PARTS
+        for part, label in PERCENTILES
     }
     started = sum(team.started for team in simulated.teams)
     return told | {
-        "asked_per_s": sum(team.asked for team in simulated.teams) / MEASURED,
-        "started_per_s": started / MEASURED,
+        "asked_per_s": sum(team.asked for team in simulated.teams) / MEASURED_S,
+        "started_per_s": started / MEASURED_S,
     }
 
 
 def cases(teams: int, limit_s: float) -> list[Row]:
     """All cases of one number of teams."""
     rows, until = [], time.monotonic() + limit_s
-    settings_of_cases = [
-        (schedulers, uneven, STARTS) for schedulers in SCHEDULERS for uneven in (False, True)
-    ]
-    for schedulers, uneven, room in [*settings_of_cases, (SCHEDULERS[-1], True, 10 * STARTS)]:
+    parameters = [(schedulers, uneven, STARTS) for schedulers in SCHEDULERS for uneven in (False, True)]
+    for schedulers, uneven, start_rate in [*parameters, (SCHEDULERS[-1], True, 10 * STARTS)]:
         case = f"{schedulers} schedulers, {'uneven' if uneven else 'even'}" + (
-            ", room for all" if room > STARTS else ""
+            ", room for all" if start_rate > STARTS else ""
         )
         if time.monotonic() > until:
             rows.append(Row(SLOPE, teams, case, {}, False, f"over the {limit_s:.0f} s it had", virtual=True))
             continue
-        simulated = site(teams, schedulers, uneven, room, seed=1)
-        simulated.simulate(WARM + MEASURED)
+        simulated = site(teams, schedulers, uneven, start_rate, seed=1)
+        simulated.simulate(WARM_UP_S + MEASURED_S)
         rows.append(Row(SLOPE, teams, case, figures(simulated), virtual=True))
     return rows
 
--- a/benchmarks/capacity/urgent.py
+++ b/benchmarks/capacity/urgent.py
@@ -9,78 +9,95 @@
 from functools import partial
 from time import monotonic
 
-from benchmarks.capacity.modelled import ORDINARY, SLOTS, TASK_MS, URGENT, URGENT_MS, Fleet, ModelRequest
+from benchmarks.capacity.modelled import (
+    MEAN_TASK_MS,
+    ORDINARY,
+    SLOTS_PER_PLANNER,
+    URGENT,
+    URGENT_MS,
+    Fleet,
+    ModelRequest,
+)
 from benchmarks.capacity.records import Row
 from benchmarks.capacity.starts import percentile
 
 SLOPE = "urgent"
 SIZES = (46, 115, 230, 460, 920)  # planners; 15 for a scheduler, as 4,600 for 300
-OVERLOAD = 1.05  # of what ends in the same time, ordinary tasks that come
-URGENT_PART = 0.05  # as many urgent ones
-SETTLE_MS, PLAYED_MS = 60_000.0, 240_000.0
+OVERLOAD_FACTOR = 1.05  # of what ends in the same time, ordinary tasks that come
+URGENT_SHARE = 0.05  # as many urgent ones
+SETTLE_MS, MEASURED_MS = 60_000.0, 240_000.0
 CASES = {"full": 1.0, "nine tenths full": 0.9}
-WAIT_LEAST = 50.0  # ms that a client waits after a refusal that tells no time
+MIN_RETRY_WAIT_MS = 50.0  # ms that a client waits after a refusal that tells no time
 
 
 class _Clients:
     """They ask, and ask again where they are refused and urgent."""
 
-    def __init__(self, fleet: Fleet, full: float) -> None:
+    def __init__(self, fleet: Fleet, fill_share: float) -> None:
         self.fleet, self.urgent = fleet, list[ModelRequest]()
         self.ordinary = self.refused = 0
-        rate = len(fleet.planners) * SLOTS / TASK_MS  # starts a ms that keep a full fleet full
-        self.rates = {ORDINARY: rate * (OVERLOAD if full == 1.0 else full), URGENT: rate * URGENT_PART}
+        rate = (
+            len(fleet.planners) * SLOTS_PER_PLANNER / MEAN_TASK_MS
+        )  # starts a ms that keep a full fleet full
+        self.rates = {
+            ORDINARY: rate * (OVERLOAD_FACTOR if fill_share == 1.0 else fill_share),
+            URGENT: rate * URGENT_SHARE,
+        }
         for job_class in self.rates:
-            self._next(job_class)
+            self._schedule_next(job_class)
 
-    def _next(self, job_class: int) -> None:
+    def _schedule_next(self, job_class: int) -> None:
         self.fleet.call_later(
-            self.fleet.rng.expovariate(self.rates[job_class]), partial(self._come, job_class)
+            self.fleet.rng.expovariate(self.rates[job_class]), partial(self._submit, job_class)
         )
 
-    def _come(self, job_class: int) -> None:
+    def _submit(self, job_class: int) -> None:
         fleet = self.fleet
         request = ModelRequest(
             job_class,
             fleet.now,
-            self._told,
+            self._on_outcome,
             fleet.rng.randrange(len(fleet.schedulers)),
-            fleet.rng.expovariate(1 / TASK_MS),
+            fleet.rng.expovariate(1 / MEAN_TASK_MS),
         )
         if job_class == URGENT:
             self.urgent.append(request)
         self.ordinary += job_class == ORDINARY
         fleet.submit(request)
-        self._next(job_class)
+        self._schedule_next(job_class)
 
-    def _told(self, request: ModelRequest) -> None:
+    def _on_outcome(self, request: ModelRequest) -> None:
         if request.started is not None:
             return
         self.refused += request.job_class == ORDINARY
         request.scheduler = self.fleet.rng.randrange(len(self.fleet.schedulers))
-        self.fleet.call_later(max(WAIT_LEAST, request.wait), partial(self.fleet.submit, request))
+        self.fleet.call_later(
+            max(MIN_RETRY_WAIT_MS, request.retry_wait_ms), partial(self.fleet.submit, request)
+        )
 
 
 def simulate(planners: int, case: str, seed: int = 1) -> dict[str, float]:
     """The figures of one fleet."""
     fleet = Fleet(planners, max(2, planners // 15), seed)
-    fleet.fill(CASES[case], stays=False)
+    fleet.fill(CASES[case], refill=False)
     clients = _Clients(fleet, CASES[case])
-    begun = fleet.now
-    fleet.run(begun + SETTLE_MS + PLAYED_MS)
+    begin_ms = fleet.now
+    fleet.run(begin_ms + SETTLE_MS + MEASURED_MS)
     # Those that came near the end have had the time that they are judged by.
-    judged = [one for one in clients.urgent if begun + SETTLE_MS <= one.at < fleet.now - 10 * URGENT_MS]
-    waits = [(fleet.now if one.started is None else one.started) - one.at for one in judged]
+    counted = [
+        one for one in clients.urgent if begin_ms + SETTLE_MS <= one.submitted_at < fleet.now - 10 * URGENT_MS
+    ]
+    waits = [(fleet.now if one.started is None else one.started) - one.submitted_at for one in counted]
     return {
-        "urgent": float(len(judged)),
-        "not_started": float(sum(one.started is None for one in judged)),
+        "urgent": float(len(counted)),
+        "not_started": float(sum(one.started is None for one in counted)),
         "p50_ms": percentile(waits, 0.5),
         "p99_ms": percentile(waits, 0.99),
         "worst_ms": max(waits),
         "late_share": sum(wait > URGENT_MS for wait in waits) / len(waits),
-        "refusals_each": sum(one.refusals for one in judged) / len(judged),
-        "sends_each": sum(one.sends for one in judged) / len(judged),
-        "busy_share": fleet.busy(),
+        "refusals_each": sum(one.refusals for one in counted) / len(counted),
+        "sends_each": sum(one.sends for one in counted) / len(counted),
+        "busy_share": fleet.busy_share(),
         "ordinary_refusals_each": clients.refused / clients.ordinary,
     }
 
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -17,11 +17,11 @@
 from pipitshed.testbed.virtual_view import Node
 
 
-def word(number: int, state: MemberState = MemberState.ALIVE) -> MemberRecord:
+def record_of(number: int, state: MemberState = MemberState.ALIVE) -> MemberRecord:
     return MemberRecord(f"n{number}", "127.0.0.1", 10_000 + number, "z", 1, 1, state, "n0")
 
 
-def joined(size: int, rows: int = 0) -> Fleet:
+def settled_fleet(size: int, rows: int = 0) -> Fleet:
     """A fleet in 3 regions that agrees, with so many rows of settings, and has nothing left to tell."""
     fleet = Fleet(seed=7)
     first, *_ = fleet.fleet(size)
@@ -39,14 +39,14 @@
 def test_what_a_scheduler_sends_at_rest_does_not_grow_with_the_fleet() -> None:
     sent = {}
     for size in (20, 80):
-        fleet = joined(size, rows=40)
+        fleet = settled_fleet(size, rows=40)
         fleet.run(20.0)
         sent[size] = sum(one.bytes for one in fleet.out.values()) / size / 20.0
     assert sent[80] == pytest.approx(sent[20], rel=0.1) and sent[80] <= 2000.0
 
 
 def test_a_scheduler_that_lost_everything_is_current_within_five_seconds() -> None:
-    fleet = joined(20, rows=100)
+    fleet = settled_fleet(20, rows=100)
     lost = list(fleet.nodes.values())[-1]
     fleet.kill(lost)
     fleet.run(1.0)
@@ -56,7 +56,7 @@
 
 @pytest.mark.parametrize("loss", [0.0, 0.01])
 def test_twenty_changes_in_a_second_are_in_force_everywhere_within_five_and_the_budget(loss: float) -> None:
-    fleet = joined(20, rows=100)
+    fleet = settled_fleet(20, rows=100)
     fleet.loss = loss
     writer = next(iter(fleet.nodes.values()))
     for change in range(20):
@@ -67,7 +67,7 @@
 
 
 def test_regions_that_changed_apart_are_whole_within_ten_seconds_of_meeting() -> None:
-    fleet = joined(20, rows=100)
+    fleet = settled_fleet(20, rows=100)
     fleet.part_region("centro")
     inside = next(node for node in fleet.nodes.values() if region(fleet.zone(node.address)) == "centro")
     outside = next(iter(fleet.nodes.values()))
@@ -82,25 +82,29 @@
 
 def test_many_suspected_one_after_the_other_cost_one_judgement_each(monkeypatch: pytest.MonkeyPatch) -> None:
     """A zone lost: its schedulers are suspected within the same seconds."""
-    weighed = 0
+    calls = 0
 
     def counted(scales: ProtocolTimings, fleet: int, confirmations: int) -> float:
-        nonlocal weighed
-        weighed += 1
+        nonlocal calls
+        calls += 1
         return suspicion_timeout_s(scales, fleet, confirmations)
 
     suspects = 12
     own_probes_far = ProtocolTimings(period=1000.0, ack_within=500.0, suspect_for=0.001)
-    me = Membership(word(0), own_probes_far, [], random.Random(1), 0.0)
-    me.handle_message(
-        0.0, RepairMessage(Rows(0, pack([word(number) for number in range(2, 40)])), word(1)), word(1).address
+    membership = Membership(record_of(0), own_probes_far, [], random.Random(1), 0.0)
+    membership.handle_message(
+        0.0,
+        RepairMessage(Rows(0, pack([record_of(number) for number in range(2, 40)])), record_of(1)),
+        record_of(1).address,
     )
     monkeypatch.setattr(suspicion, "suspicion_timeout_s", counted)
     for number in range(2, 2 + suspects):
-        told = Rows(0, pack([word(number, MemberState.SUSPECT)]))
-        me.handle_message(number * 0.3, RepairMessage(told, word(1)), word(1).address)
-    while me.next_due_at() < 30.0 and any(member.state is MemberState.SUSPECT for member in me.view):
-        me.handle_timeouts(me.next_due_at())
-    gone = [member for member in me.view if member.state is MemberState.DEAD]
+        rows = Rows(0, pack([record_of(number, MemberState.SUSPECT)]))
+        membership.handle_message(number * 0.3, RepairMessage(rows, record_of(1)), record_of(1).address)
+    while membership.next_due_at() < 30.0 and any(
+        member.state is MemberState.SUSPECT for member in membership.view
+    ):
+        membership.handle_timeouts(membership.next_due_at())
+    gone = [member for member in membership.view if member.state is MemberState.DEAD]
     # Each judgement weighs those that are left: once to judge them, once for the time of the next.
-    assert len(gone) == suspects and weighed <= suspects * (suspects + 2)
+    assert len(gone) == suspects and calls <= suspects * (suspects + 2)
