--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""The command."""
+"""Command line of the capacity measurements."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 
 
 @click.command()
-@click.option("--measure", help=f"Slopes, parted by commas: {', '.join(MODULES)}.")
-@click.option("--sizes", default="", help="Instead of the slope's own, parted by commas.")
-@click.option("--limit-s", default=300.0, show_default=True, help="For each slope.")
-@click.option("--name", default="", help="Keep the run under this name instead of the slope's.")
-@click.option("--page", is_flag=True, help="Write the tables of docs/CAPACITY.md.")
-@click.option("--check", is_flag=True, help="Fail with a diff where page and JSON differ.")
+@click.option("--measure", help=f"Slopes to measure, separated by commas: {', '.join(MODULES)}.")
+@click.option("--sizes", default="", help="Sizes instead of the slope's own, separated by commas.")
+@click.option("--limit-s", default=300.0, show_default=True, help="Time limit of each slope in seconds.")
+@click.option("--name", default="", help="Store the run under this name instead of the slope's.")
+@click.option("--page", is_flag=True, help="Write the generated tables of docs/CAPACITY.md.")
+@click.option("--check", is_flag=True, help="Print a diff and exit with 1 if the page and the JSON differ.")
 @click.option("--plot", is_flag=True, help="Write docs/figures/capacity-*.png.")
 def main(
     measure: str | None, sizes: str, limit_s: float, name: str, page: bool, check: bool, plot: bool
 ) -> None:
-    """Measure slopes into docs/capacity, or make the page from what is kept there."""
+    """Measure slopes into docs/capacity, or render the page from the runs stored there."""
     for slope in measure.split(",") if measure else ():
         if slope not in MODULES:
             raise click.BadParameter(f"no slope {slope!r}", param_hint="--measure")
--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -1,4 +1,4 @@
-"""CPU of the decisions alone when the list changes: one planner, and a zone, by the size of the fleet.
+"""CPU time of the dispatcher alone when the list changes: by one planner and by a zone, for several fleet sizes.
 
 python -m benchmarks.capacity.decisions [--sizes 200,575,1150,2300,4600,9200]
 """
@@ -35,11 +35,11 @@
 
 ZONES, CELLS = 7, 70
 CLASSES = 3
-ROUNDS, CHANGES, JOBS = 9, 20, 400  # the least of the rounds is told, as all else is the machine's other work
+ROUNDS, CHANGES, JOBS = 9, 20, 400  # the minimum of the rounds counts: the rest is load of other processes
 
 
 class Scheduler:
-    """A dispatcher with a list, and a clock of its own."""
+    """A dispatcher with a list of planners and a simulated clock."""
 
     def __init__(self, planners: int) -> None:
         classes = tuple(
@@ -79,7 +79,7 @@
         self.dispatcher.handle(self.now, [EndpointsUpdated(kind, 1, tuple(entries))])
 
     def job(self) -> None:
-        """One ordinary job: taken, started, served."""
+        """Submit one job, which is dispatched, started and completed."""
         self.jobs += 1
         self.now += 50.0
         [send] = [
@@ -93,7 +93,7 @@
         self.dispatcher.handle(self.now, [AttemptFinished(self.jobs, 0, send.worker, Outcome.OK, 1.0, True)])
 
     def replace(self) -> None:
-        """One planner goes and another comes, told in two pieces of news."""
+        """Remove one planner and add another, in two updates with a job behind each."""
         place = self.next_number * 7919 % len(self.entries)
         old, self.entries[place] = self.entries[place], self.entry(self.next_number)
         self.next_number += 1
@@ -114,7 +114,7 @@
 
 
 def job_cost(planners: int) -> float:
-    """CPU in µs of the decisions for one ordinary job."""
+    """CPU time in µs of the dispatcher for one job without a list change."""
     scheduler = Scheduler(planners)
     rounds = []
     for _ in range(ROUNDS):
@@ -126,7 +126,7 @@
 
 
 def change_cost(planners: int) -> dict[str, float]:
-    """CPU in µs of one change of the list with the job behind it, and of that job without a change."""
+    """CPU time in µs of one list change with the job that follows, and of a job without a change."""
     scheduler = Scheduler(planners)
     scheduler.replace()
     rounds = []
@@ -139,8 +139,8 @@
 
 
 def zone_cost(planners: int, at_once: bool) -> dict[str, float]:
-    """CPU in µs of a zone that is lost, in one piece of news with a job of each class behind it, or one
-    planner a turn with a job behind each."""
+    """CPU time in µs of the loss of a zone: in one update followed by a job of each class, or in one update for
+    each planner, each followed by a job."""
     rounds, changes = [], 0
     for _ in range(ROUNDS if at_once else 2):
         scheduler = Scheduler(planners)
@@ -160,7 +160,7 @@
 @click.command()
 @click.option("--sizes", default="200,575,1150,2300,4600,9200", show_default=True)
 def main(sizes: str) -> None:
-    """Print the figures, one line for each size."""
+    """Print one JSON line of figures for each size."""
     for planners in (int(size) for size in sizes.split(",")):
         click.echo(
             json.dumps(
--- a/benchmarks/capacity/figures.py
+++ b/benchmarks/capacity/figures.py
@@ -1,4 +1,4 @@
-"""Figures as the tables ask for them: measured where that size ran, else from the slope's fit."""
+"""Figures for the tables: as measured where that size ran, otherwise from the fit of the slope."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True)
 class FigureValue:
-    """A figure, and how it is known: `measured`, `fit`, `extrapolated`, or at a lesser size alone."""
+    """A value and its basis: `measured`, `fit`, `extrapolated`, or the largest size that ran where no fit exists."""
 
     value: float
     basis: str = "measured"
 
     @property
     def uncertainty(self) -> int:
-        """The less sure, the higher."""
+        """Rank of the basis: 0 is measured, higher ranks are less certain."""
         return BASES.index(self.basis) if self.basis in BASES else len(BASES)
 
 
@@ -30,12 +30,12 @@
 
 
 def number(value: float) -> str:
-    """A figure for reading: three significant digits, thousands parted."""
+    """Format a figure with three significant digits, or with thousands separators from 1,000 on."""
     return f"{value:,.0f}" if abs(value) >= 1000 else f"{value:.3g}"
 
 
 def text(known: FigureValue | None, unit: str = "") -> str:
-    """A figure with its unit, and how it is known where it was not measured."""
+    """Format a figure with its unit, and with its basis unless it was measured."""
     if known is None:
         return NOT_MEASURED
     return f"{number(known.value)}{' ' + unit if unit else ''}" + (
@@ -45,28 +45,28 @@
 
 @dataclass(frozen=True)
 class Line:
-    """One figure of one case of a slope, and the form of the line through it. `unit`: of the figure."""
+    """One figure of one case of a slope, its unit, and the form of the fitted line."""
 
     slope: str
     case: str
     figure: str
     form: str
     unit: str = ""
-    relative: bool = True  # errors count in parts of what was measured
+    relative: bool = True  # fit relative instead of absolute errors
 
     def points(self, runs: Runs) -> list[tuple[int, float]]:
         return runs[self.slope].valid(self.case, self.figure) if self.slope in runs else []
 
     def fit(self, runs: Runs) -> Fit | None:
-        """None where fewer sizes ran than a fit needs."""
+        """The fitted line; None if fewer sizes ran than a fit needs."""
         try:
             return fit(self.points(runs), self.form, self.relative)
         except FitError:
             return None
 
     def at(self, size: float) -> Figure:
-        """The figure at a size: as measured where that size ran, else by the fit; where too few ran for one,
-        that of the largest."""
+        """The figure at a size: as measured if that size ran, otherwise by the fit; without a fit, that of the
+        largest size."""
 
         def evaluate(runs: Runs) -> FigureValue | None:
             ran = dict(self.points(runs))
@@ -82,7 +82,7 @@
 
 
 def times(figure: Figure, factor: float) -> Figure:
-    """The figure so many times."""
+    """The figure multiplied by a factor."""
 
     def evaluate(runs: Runs) -> FigureValue | None:
         one = figure(runs)
@@ -92,7 +92,7 @@
 
 
 def plus(*figures: Figure) -> Figure:
-    """The sum; None where one of them is."""
+    """The sum of the figures; None if one of them is None. Its basis is the least certain one."""
 
     def evaluate(runs: Runs) -> FigureValue | None:
         values = [figure(runs) for figure in figures]
@@ -105,7 +105,7 @@
 
 
 def ratio(above: Figure, below: Figure) -> Figure:
-    """One figure in parts of the other."""
+    """One figure divided by another; None if either is None or the divisor is 0."""
 
     def evaluate(runs: Runs) -> FigureValue | None:
         one, other = above(runs), below(runs)
@@ -119,7 +119,7 @@
 
 
 def constant(value: float) -> Figure:
-    """A figure of the letter itself, or counted in the program's text."""
+    """A figure that is a requirement or a constant of the program, not measured."""
     return lambda runs: FigureValue(value)
 
 
--- a/benchmarks/capacity/fits.py
+++ b/benchmarks/capacity/fits.py
@@ -1,4 +1,4 @@
-"""Least squares through the rows of a slope."""
+"""Least-squares fits through the rows of a slope."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class FitError(ValueError):
-    """Too few sizes for a fit, or a form that nobody knows."""
+    """Too few sizes for a fit, or an unknown form."""
 
 
 @dataclass(frozen=True)
 class Estimate:
-    """A fit's figure at a size; `extrapolated` beyond the largest size that ran."""
+    """The value of a fit at a size; `extrapolated` if the size is larger than any that ran."""
 
     value: float
     extrapolated: bool
@@ -35,28 +35,28 @@
 
 @dataclass(frozen=True)
 class Fit:
-    """`a + b f(n)`; `rms` in the figure's own unit, `worst` the largest error in parts of a figure."""
+    """`a + b f(n)`; `rms` is in the unit of the figure, `worst` is the largest relative error."""
 
     form: str
     a: float
     b: float
     rms: float
     worst: float
-    largest: int  # size that ran
+    largest: int  # largest size that ran
 
     def at(self, size: float) -> Estimate:
-        """The figure at a size."""
+        """The value of the line at a size."""
         return Estimate(self.a + self.b * FORMS[self.form](size), size > self.largest)
 
     def formula(self) -> str:
-        """The line in words."""
+        """The line as a formula."""
         return TEXTS[self.form].format(a=f"{self.a:.4g}", b=f"{self.b:.4g}").replace("+ -", "- ")
 
 
 def fit(points: Sequence[tuple[float, float]], form: str, relative: bool = False) -> Fit:
-    """The line of this form with the least squares; FitError below four sizes. `relative`: each error counts
-    in parts of what was measured, so that the largest size does not outweigh the others; even where a figure
-    is 0."""
+    """Fit a line of this form by least squares; FitError below four sizes. `relative` weights each error by the
+    measured value, so that the largest size does not outweigh the others; if a measured value is 0, all points
+    weigh the same."""
     if form not in FORMS:
         raise FitError(f"no form {form!r}: {', '.join(FORMS)}")
     sizes = {size for size, _ in points}
