--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -1,4 +1,4 @@
-"""CPU time of the dispatcher alone when the list changes: by one planner and by a zone, for several fleet sizes.
+"""CPU time of the dispatcher alone when one planner or a whole zone of the list changes, by fleet size.
 
 python -m benchmarks.capacity.decisions [--sizes 200,575,1150,2300,4600,9200]
 """
@@ -139,8 +139,8 @@
 
 
 def zone_cost(planners: int, at_once: bool) -> dict[str, float]:
-    """CPU time in µs of the loss of a zone: in one update followed by a job of each class, or in one update for
-    each planner, each followed by a job."""
+    """CPU time in µs of the loss of a zone: in one update followed by a job of each class, or in one update
+    for each planner, each followed by a job."""
     rounds, changes = [], 0
     for _ in range(ROUNDS if at_once else 2):
         scheduler = Scheduler(planners)
--- a/benchmarks/capacity/figures.py
+++ b/benchmarks/capacity/figures.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class FigureValue:
-    """A value and its basis: `measured`, `fit`, `extrapolated`, or the largest size that ran where no fit exists."""
+    """A value and its basis: `measured`, `fit`, `extrapolated`, or the largest size that ran if no fit exists."""
 
     value: float
     basis: str = "measured"
@@ -65,8 +65,8 @@
             return None
 
     def at(self, size: float) -> Figure:
-        """The figure at a size: as measured if that size ran, otherwise by the fit; without a fit, that of the
-        largest size."""
+        """The figure at a size: as measured if that size ran, otherwise by the fit; without a fit, that of
+        the largest size."""
 
         def evaluate(runs: Runs) -> FigureValue | None:
             ran = dict(self.points(runs))
--- a/benchmarks/capacity/fits.py
+++ b/benchmarks/capacity/fits.py
@@ -54,9 +54,9 @@
 
 
 def fit(points: Sequence[tuple[float, float]], form: str, relative: bool = False) -> Fit:
-    """Fit a line of this form by least squares; FitError below four sizes. `relative` weights each error by the
-    measured value, so that the largest size does not outweigh the others; if a measured value is 0, all points
-    weigh the same."""
+    """Fit a line of this form by least squares; FitError below four sizes. `relative` fits relative
+    errors, so that the largest size does not outweigh the others; if a measured value is 0, the errors are
+    absolute."""
     if form not in FORMS:
         raise FitError(f"no form {form!r}: {', '.join(FORMS)}")
     sizes = {size for size, _ in points}
--- a/benchmarks/capacity/gangs.py
+++ b/benchmarks/capacity/gangs.py
@@ -1,6 +1,7 @@
-"""Gangs, in virtual time: so many requests at once that know nothing of each other, on a fleet that keeps so
-much room. A gang is whole when all its members run; one that is refused makes the others' slots wait for
-nothing."""
+"""Gang starts in virtual time: many independent requests at once, on a fleet with a fixed share of busy slots.
+
+A gang is whole when all its members run. If one member is refused, the slots of the others are held in vain.
+"""
 
 from __future__ import annotations
 
@@ -14,13 +15,13 @@
 SIZES = (2, 8, 32, 64, 128)  # members
 PLANNERS = 575
 SCHEDULERS = 38  # 15 planners for each
-GANGS = 12  # one after the other, of each size and case, each on a fleet of its own
+GANGS = 12  # for each size and case, each on a new fleet
 FILL_SHARES = {"half full": 0.5, "four fifths full": 0.8, "nine tenths full": 0.9, "98 in 100 full": 0.98}
-ANSWER_TIMEOUT_MS = 620_000.0  # by then every member has started or been refused
+ANSWER_TIMEOUT_MS = 620_000.0  # longer than the deadline of 600 s: every member has started or been refused
 
 
 def gang(members: int, fill_share: float, seed: int) -> dict[str, float]:
-    """One gang, its members over all schedulers."""
+    """Start one gang, its members spread over all schedulers; the figures of its start."""
     fleet = Fleet(PLANNERS, SCHEDULERS, seed)
     fleet.fill(fill_share, refill=True)
     begin_ms, answered = fleet.now, list[ModelRequest]()
@@ -48,7 +49,7 @@
 
 
 def simulate(members: int, case: str) -> dict[str, float]:
-    """The means of some gangs."""
+    """The mean figures of `GANGS` gangs."""
     results = [gang(members, FILL_SHARES[case], seed) for seed in range(1, GANGS + 1)]
     mean = {name: sum(one[name] for one in results) / GANGS for name in results[0]}
     return {
@@ -63,7 +64,7 @@
 
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
-    """A row a size and case; those for which there is no time are left out."""
+    """One row for each size and case; those beyond the time limit are left out."""
     until, rows = monotonic() + limit_s, []
     for size in sizes:
         for case in FILL_SHARES:
--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -1,4 +1,4 @@
-"""What one scheduler pays for the exchanges that it holds: memory, descriptors, CPU, timers."""
+"""Memory, descriptors, CPU and timers that one scheduler needs for the requests in flight that it holds."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from pipitshed.scheduling.events import EndpointEntry, ProgressKind, UpdateKind
 
 SLOPE = "held"
-SIZES = (50, 100, 200, 400, 800)  # exchanges held by one scheduler
+SIZES = (50, 100, 200, 400, 800)  # requests in flight at one scheduler
 PLANNERS = 4600
 PORTS = 64
 MEASURED_S = 3 * PROGRESS_MS / 1000
@@ -39,7 +39,7 @@
 
 
 class _TimerRecordingLoop:
-    """A loop that keeps the timers it was asked for."""
+    """An event loop that records the timers that are set on it."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -52,7 +52,7 @@
 
 
 class _StartedWorkerClient:
-    """A carrier whose planner tells a start and nothing more."""
+    """A worker client that passes on the attempt and never completes it."""
 
     def __init__(self) -> None:
         self.started: asyncio.Future[Attempt] = asyncio.get_running_loop().create_future()
@@ -62,8 +62,8 @@
 
 
 def timers_per_exchange(configured: dict[str, Any]) -> int:
-    """How many timers stand for one exchange whose attempt runs, counted in the core itself; the client's own
-    connection has none by then."""
+    """Count the pending timers of one request whose attempt has started, in the forwarder alone; the client's
+    connection has none at that point."""
 
     async def run() -> int:
         loop, settings = _TimerRecordingLoop(), settings_from(configured["settings"])
@@ -145,7 +145,7 @@
 
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
-    """A row for each number of exchanges held, with notes of progress each 2 s."""
+    """One row for each number of requests in flight, with progress notes every 2 s."""
     rows = uvloop.run(measure_rows([partial(_measure, size) for size in sizes], limit_s))
     each = float(timers_per_exchange(configuration(1, 4)))
     for row in rows:
