--- a/benchmarks/capacity/figures.py
+++ b/benchmarks/capacity/figures.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class FigureValue:
-    """A value and its basis: `measured`, `fit`, `extrapolated`, or the largest size that ran if no fit exists."""
+    """A value and its basis: `measured`, `fit`, `extrapolated`, or the largest size if there is no fit."""
 
     value: float
     basis: str = "measured"
--- a/benchmarks/capacity/gangs.py
+++ b/benchmarks/capacity/gangs.py
@@ -1,4 +1,4 @@
-"""Gang starts in virtual time: many independent requests at once, on a fleet with a fixed share of busy slots.
+"""Gang starts in virtual time: independent requests at once, on a fleet with a given share of busy slots.
 
 A gang is whole when all its members run. If one member is refused, the slots of the others are held in vain.
 """
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -1,8 +1,9 @@
-"""What the fleet's view costs on real sockets: hollow schedulers (the program's own `Fleet` and no door), up
-to 100 in one process, and beside them real `serve --fleet` processes that join while it is counted.
+"""Cost of the membership view and the replicated settings on real sockets. The fleet consists of hollow
+schedulers and of real `serve --fleet` processes that join during the measurement. A hollow scheduler is the
+program's own cluster node without frontends and planners; up to 100 of them share a process.
 
-A row does not count where a hollow process's loop was late by over a quarter of the probe period for more
-than a hundredth of its looks: then the machine was the limit.
+A row is not valid if the event loop of a hollow process lagged by more than a quarter of the probe period in
+more than 1% of its samples: then the machine was the limit.
 """
 
 from __future__ import annotations
@@ -39,17 +40,17 @@
 
 SLOPE = "hollow"
 SIZES = (40, 100, 150, 300)
-SERVE_PROCESSES = 4  # real processes among them
+SERVE_PROCESSES = 4  # real `serve` processes in the fleet
 MAX_PER_PROCESS = 100
-SETTLE_S, REST_S, MEASURED_S = 3.0, 10.0, 5.0  # s
-JOIN_TIMEOUT_S = 20.0  # s for all to hold one view
-SAMPLE_INTERVAL_S = 0.02  # s between looks at the loop's lateness
+SETTLE_S, REST_S, MEASURED_S = 3.0, 10.0, 5.0
+JOIN_TIMEOUT_S = 20.0  # for all schedulers to have the same view
+SAMPLE_INTERVAL_S = 0.02  # between samples of the loop lag
 MAX_LAG_S, MAX_LATE_SHARE = ProtocolTimings().period / 4, 0.01
 CLUSTER, TEAMS = "hollow", 380
 
 
 class CountingCodec(Codec):
-    """The program's codec, and the bytes on the wire of what one scheduler has written with it."""
+    """The program's codec, which also counts the wire bytes of the messages that a scheduler encodes."""
 
     instances: list[CountingCodec] = []
 
@@ -64,12 +65,12 @@
         return data
 
 
-# ---- a process of hollow schedulers
+# ---- the process of hollow schedulers
 
 
 @dataclass
 class LagSamples:
-    """How often this process's loop was looked at, and late."""
+    """Number of samples of this process's event-loop lag, and of those above `MAX_LAG_S`."""
 
     total: int = 0
     late: int = 0
@@ -83,23 +84,23 @@
 
 
 class AppliedSettings:
-    """The settings that one hollow scheduler acts on, and since when (s, monotonic)."""
+    """The settings in force at one hollow scheduler, and since when (s, monotonic clock)."""
 
     def __init__(self, config: Config) -> None:
         self.config, self.since = config, 0.0
 
     def file(self) -> dict[str, Any]:
-        """The file in force, as it was read."""
+        """The configuration file in force, as it was read."""
         return self.config.raw or {}
 
     def apply(self, settings: dict[str, Any]) -> None:
-        """Act on the settings of that file with rows over them."""
+        """Put settings in force: those of the file with replicated rows laid over them."""
         self.config, self.since = with_settings(self.config, settings), monotonic()
 
 
 async def run_hollow(first: int, count: int, config: Config, seeds: list[Address]) -> None:
-    """Run so many, told what to do by lines on standard input; see `Hollows`. Without seeds the first three
-    become the seeds of all."""
+    """Run `count` hollow schedulers, controlled by lines on standard input that `HollowFleet` writes: `count`
+    resets the counters, `tell` asks for a report. Without seeds the first three schedulers are the seeds."""
     edge.Codec = CountingCodec  # type: ignore[misc]
     loop, fleets, applied = asyncio.get_running_loop(), [], []
     for number in range(first, first + count):
@@ -152,30 +153,30 @@
     sys.stdout.buffer.flush()
 
 
-# ---- the process that measures
+# ---- the measuring process
 
 
 @dataclass
 class HollowProcess:
-    """One process of hollow schedulers."""
+    """One process of hollow schedulers, and how many it runs."""
 
     process: asyncio.subprocess.Process
     count: int
 
     def write_line(self, line: bytes) -> None:
-        """One line to it."""
+        """Write one line to the standard input of the process."""
         assert self.process.stdin is not None
         self.process.stdin.write(line)
 
     async def read_line(self) -> bytes:
-        """The next line from it."""
+        """Read the next line of the standard output of the process."""
         assert self.process.stdout is not None
         return await self.process.stdout.readline()
 
 
 @dataclass
 class HollowFleet:
-    """All of them, and whom a scheduler may join by."""
+    """All processes of hollow schedulers, and the seed addresses by which a scheduler joins."""
 
     members: list[HollowProcess] = field(default_factory=list)
     seeds: list[str] = field(default_factory=list)
@@ -183,19 +184,19 @@
     cpu: list[float] = field(default_factory=list)
 
     def restart_measurement(self) -> None:
-        """Count from here on."""
+        """Reset the counters of all processes and start the measurement."""
         for one in self.members:
             one.write_line(b"count\n")
         self.began_s, self.cpu = monotonic(), [cpu_s(one.process.pid) for one in self.members]
 
     async def reports(self) -> list[dict[str, Any]]:
-        """What each process has counted."""
+        """Ask each process for a report of its counters."""
         for one in self.members:
             one.write_line(b"tell\n")
         return [msgspec.json.decode(await one.read_line()) for one in self.members]
 
     async def wait_for_one_view(self, size: int, within: float) -> float | None:
-        """How long (s) until all hold this many alive, and the same; None where they do not in time."""
+        """Seconds until all views agree on this many live schedulers; None if they do not within the time."""
         began = monotonic()
         while monotonic() - began < within:
             report = await self.reports()
@@ -207,7 +208,7 @@
         return None
 
     async def row(self, size: int, case: str, why: str = "", **figures: float) -> Row:
-        """What was counted, as a row."""
+        """A row of what was counted since the measurement started."""
         report, seconds = await self.reports(), monotonic() - self.began_s
         scheduler_count = sum(one.count for one in self.members)
         cpu = sum(cpu_s(one.process.pid) for one in self.members) - sum(self.cpu)
@@ -229,7 +230,7 @@
 
 @contextlib.asynccontextmanager
 async def hollow_fleet(scheduler_count: int) -> AsyncIterator[HollowFleet]:
-    """So many hollow schedulers that join each other; they end with the block."""
+    """Run hollow schedulers that join each other; their processes are killed at the end of the block."""
     group = HollowFleet()
     processes = math.ceil(scheduler_count / MAX_PER_PROCESS)
     counts = [
@@ -267,7 +268,7 @@
 
 
 async def _start_serving(stack: AsyncExitStack, index: int, seeds: list[str]) -> tuple[Scheduler, Path]:
-    """A real scheduler of the fleet, and its fleet file."""
+    """Start a real scheduler of the fleet; it and its fleet file."""
     planners, catalog = Planners(), Catalog()
     await planners.start(1)
     catalog.members = [ListedPlanner(0, planners.ports[0])]
@@ -286,8 +287,8 @@
 
 
 async def _put(fleet_file: Path, group: HollowFleet) -> dict[str, float]:
-    """Put a change as an operator does: how long until the command says that it is in force at all, and until
-    the last of the hollow ones acted on it."""
+    """Put a setting by command: the time until the command reports it in force at all schedulers, and the
+    time until the last hollow scheduler applied it."""
     put = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -349,7 +350,7 @@
 
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
-    """The rows of these sizes, one after the other."""
+    """The rows of these sizes, measured one after the other."""
 
     async def run() -> list[Row]:
         async with asyncio.timeout(limit_s):
--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -1,6 +1,7 @@
-"""What planners' lists cost a scheduler: one that is read whole, and a day of replacements.
+"""Cost of planner lists at a scheduler: a list that is read in full, and a day of replaced planners.
 
-In this process, by the program's own discovery, route table, core and decisions; no sockets.
+Runs in this process on the program's own catalog client, endpoint table, forwarder and dispatcher.
+No sockets are used.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 from pipitshed.scheduling.settings import JobClass, Settings
 from pipitshed.upstream.http import HttpWorkerClient
 
-DAY_S = 86_400.0  # s
-READ_BYTES = 64 * 1024  # bytes that a read of the list's connection brings
+DAY_S = 86_400.0
+READ_BYTES = 64 * 1024  # size of one read of the catalog connection
 ZONES = [f"zone-{number}" for number in range(7)]
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def planner_row(number: int, started: int = 0, lifecycle: str = "ready") -> dict[str, Any]:
-    """One planner as discovery lists it; in cells of twelve, over all zones."""
+    """One planner as discovery lists it, in cells of twelve and spread over all zones."""
     host = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}"
     return {
         "instanceId": f"s-{number:08x}",
@@ -43,7 +44,7 @@
 
 
 def list_update(generation: int, reset: bool, rows: list[dict[str, Any]], indented: bool = False) -> bytes:
-    """A piece of list news as a watch brings it."""
+    """One update of the list as a watch delivers it."""
     separators = None if indented else (",", ":")
     return (
         json.dumps(
@@ -56,7 +57,7 @@
 
 
 class WatchingScheduler:
-    """A scheduler's side of a watch: what is read goes through the program's own classes."""
+    """A scheduler that watches the list; the received bytes go through the program's own classes."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.core = Forwarder(
@@ -71,20 +72,20 @@
         self.discovery = CatalogClient(("127.0.0.1", 1), listing, self.core.endpoints, loop)
         self.call = CatalogCall(self.discovery, True)
         self.call.data_received(RESPONSE_HEAD)
-        self.turns: list[float] = []  # s of CPU of each turn that did any of the list's work
+        self.turns: list[float] = []  # CPU time (s) of each loop turn that processed the list
         self.core._turns._run_turn = self._timed(self.core._turns._run_turn)  # type: ignore[method-assign]
         self.discovery._apply_pending = self._timed(self.discovery._apply_pending)  # type: ignore[method-assign]
 
     def _timed(self, work: Callable[..., None]) -> Callable[..., None]:
         def timed(*given: Any) -> None:
-            begun = time.process_time()  # as a loaded machine makes the wall's time its own
+            begun = time.process_time()  # wall time would include other processes
             work(*given)
             self.turns.append(time.process_time() - begun)
 
         return timed
 
     async def read(self, text: bytes, version: int, size: int = READ_BYTES) -> None:
-        """The text in reads of so many bytes, one a turn, until the list known is of this version."""
+        """Feed the text in reads of `size` bytes, one for each loop turn, until the list has this version."""
         feed = self._timed(self.call.data_received)
         for offset in range(0, len(text), size):
             part = text[offset : offset + size]
@@ -92,12 +93,12 @@
             await asyncio.sleep(0)
         while self.discovery.version < version:
             await asyncio.sleep(0)
-        await asyncio.sleep(0)  # and the decisions
+        await asyncio.sleep(0)  # the turn in which the dispatcher handles the list
 
 
 def list_read(planners: int, indented: bool) -> dict[str, Any]:
-    """A whole list that is read, and comes again as it was. Bytes; CPU (ms) and the longest turn of the loop
-    (ms) of the first and the second; peak memory (bytes) beyond what stood before, over both."""
+    """Read a full list, then the same list again. Returns its bytes; CPU time (ms) and longest loop turn (ms)
+    of the first and the second read; and the peak of the memory (bytes) that both reads allocate."""
     rows = [planner_row(number) for number in range(planners)]
     texts = [list_update(version, True, rows, indented) for version in (41, 42)]
 
@@ -126,9 +127,9 @@
 
 
 def replaced(planners: int, replaced: int) -> dict[str, Any]:
-    """A day on which so many planners drain, leave and are replaced, evenly over it. Planners that the
-    decisions, the route table and the pool hold after it, beside those that are listed; bytes held beyond
-    what stood before the day."""
+    """Simulate a day on which `replaced` planners drain, leave and are replaced, evenly spread. Returns how many
+    planners the dispatcher, the endpoint table and the connection pool hold afterwards beyond the listed
+    ones, and how many bytes are held beyond those at the start of the day."""
 
     async def run() -> dict[str, Any]:
         scheduler = WatchingScheduler(asyncio.get_running_loop())
@@ -138,7 +139,7 @@
         tracemalloc.start()
         for number in range(replaced):
             now += DAY_S / replaced
-            scheduler.core._turns.epoch_s += DAY_S / replaced  # the decisions' clock
+            scheduler.core._turns.epoch_s += DAY_S / replaced  # the dispatcher's clock
             version = 2 * number + 2
             await scheduler.read(list_update(version, False, [planner_row(number, 0, "draining")]), version)
             version += 1
--- a/benchmarks/capacity/machine.py
+++ b/benchmarks/capacity/machine.py
@@ -1,4 +1,4 @@
-"""Whether the machine, not the program, was the limit."""
+"""Process statistics, and a check whether the machine instead of the program limited a measurement."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 from benchmarks.capacity.records import Row
 
-SAMPLE_INTERVAL_S = 0.02  # s between looks
-MAX_TRIES = 3  # of a row
-MAX_LAG_S = 0.05  # s of lateness beyond which a row says nothing of the program
+SAMPLE_INTERVAL_S = 0.02  # between samples of the loop lag
+MAX_TRIES = 3  # of a row that is not valid
+MAX_LAG_S = 0.05  # above it, a row says nothing about the program
 
 
 class LoopLag:
-    """How late this process's own loop was, at the worst."""
+    """The largest lag of this process's own event loop."""
 
     def __init__(self) -> None:
-        self.worst_s = 0.0  # s
+        self.worst_s = 0.0
 
     @property
     def why_not(self) -> str:
-        """Why a row does not count; empty where it does."""
+        """Why the row is not valid; empty if it is valid."""
         return f"the measuring loop was {self.worst_s * 1000:.0f} ms late" if self.worst_s > MAX_LAG_S else ""
 
     async def _sample(self) -> None:
@@ -36,7 +36,7 @@
 
 @contextlib.asynccontextmanager
 async def watch_loop_lag() -> AsyncIterator[LoopLag]:
-    """Watch the running loop for the block."""
+    """Sample the lag of the running loop during the block."""
     lag = LoopLag()
     task = asyncio.create_task(lag._sample())
     try:
@@ -46,8 +46,8 @@
 
 
 async def measure_rows(measures: Iterable[Callable[[], Awaitable[Row]]], limit_s: float) -> list[Row]:
-    """The rows, each measured until it counts, a few times at most: then the last one stands. What there is
-    no time for is left out."""
+    """The rows, each measured until it is valid, at most `MAX_TRIES` times; the last try is kept. Rows beyond
+    the time limit are left out."""
     rows: list[Row] = []
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(limit_s):
@@ -62,7 +62,7 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Seconds of CPU that a process of one thread has used; counted in ns where the kernel tells them."""
+    """CPU time (s) of a single-threaded process; with ns resolution if the kernel has schedstat."""
     with contextlib.suppress(OSError, ValueError, IndexError):
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
     stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
@@ -70,8 +70,7 @@
 
 
 def waited_s(pid: int) -> float:
-    """Seconds that a process of one thread was ready to run and had no core; 0 where the kernel does not
-    tell."""
+    """Seconds that a single-threaded process was runnable without a core; 0 if there is no schedstat."""
     try:
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
     except (OSError, ValueError, IndexError):
@@ -79,7 +78,7 @@
 
 
 def memory_mb(pid: int) -> float:
-    """What a process holds in memory now (RSS)."""
+    """Resident memory (RSS) of a process in MiB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1]) / 1024
@@ -87,5 +86,5 @@
 
 
 def descriptors(pid: int) -> int:
-    """How many descriptors a process has open."""
+    """Number of open file descriptors of a process."""
     return len(os.listdir(f"/proc/{pid}/fd"))
