--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -127,9 +127,9 @@
 
 
 def replaced(planners: int, replaced: int) -> dict[str, Any]:
-    """Simulate a day on which `replaced` planners drain, leave and are replaced, evenly spread. Returns how many
-    planners the dispatcher, the endpoint table and the connection pool hold afterwards beyond the listed
-    ones, and how many bytes are held beyond those at the start of the day."""
+    """Simulate a day on which `replaced` planners drain, leave and are replaced, evenly spread. Returns how
+    many planners the dispatcher, the endpoint table and the connection pool hold afterwards beyond the
+    listed ones, and how many bytes are held beyond those at the start of the day."""
 
     async def run() -> dict[str, Any]:
         scheduler = WatchingScheduler(asyncio.get_running_loop())
--- a/benchmarks/capacity/modelled.py
+++ b/benchmarks/capacity/modelled.py
@@ -1,4 +1,4 @@
-"""A fleet in virtual time: the program's own decisions, before planners that have slots and no queue."""
+"""A fleet in virtual time: the program's own dispatchers, and modelled planners with slots and no queue."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 )
 from pipitshed.scheduling.settings import Guarantees, Idempotency, JobClass, Limits, Settings
 
-TRIP_MS = 1.0  # ms from a scheduler to a planner, and back
+TRIP_MS = 1.0  # one way between scheduler and planner
 ZONES = 7
-SLOTS_PER_PLANNER = 6  # of a planner: 29,000 tasks on 4,600 planners are 6.3
-MEAN_TASK_MS = 29_000 / 280 * 1000  # of a slot's time that a task takes on average, as 280 start a second
+SLOTS_PER_PLANNER = 6  # 29,000 tasks on 4,600 planners are 6.3 each
+MEAN_TASK_MS = 29_000 / 280 * 1000  # 29,000 run while 280 start a second
 URGENT_MS = 2700.0
 ORDINARY, URGENT = 0, 1
 
 
 def settings(siblings: int) -> Settings:
-    """Two classes: ordinary tasks, and urgent ones, whose aim and worth are all that says so."""
+    """Two classes: ordinary tasks, and urgent ones with a shorter latency objective and a higher priority."""
     limits = Limits(may_cancel=True, clients_honour_retry_after=True, max_attempts=5)
     return Settings(
         classes=(
@@ -62,7 +62,7 @@
 
 @dataclass
 class ModelRequest:
-    """One request, from its client's first word to its start."""
+    """One request of a client, from its submission to its start."""
 
     job_class: int
     submitted_at: float
@@ -71,17 +71,17 @@
     duration_ms: float = 0.0
     started: float | None = None
     ended: float | None = None
-    retry_wait_ms: float = 0.0  # ms that the refusal asked for
+    retry_wait_ms: float = 0.0  # that the rejection asked for
     refusals: int = 0
     sends: int = 0
 
 
 @dataclass
 class Planner:
-    """Slots, and who holds them: (scheduler, job)."""
+    """The jobs that hold slots, as (scheduler, job id), and the slots of background tasks."""
 
     jobs: set[tuple[int, int]] = field(default_factory=set)
-    background_tasks: int = 0  # slots of tasks that no scheduler here holds
+    background_tasks: int = 0  # started by no scheduler of the model
 
     @property
     def taken(self) -> int:
@@ -89,7 +89,7 @@
 
 
 class Fleet:
-    """Schedulers and planners, with one clock."""
+    """Schedulers and planners with one simulated clock in ms."""
 
     def __init__(self, planners: int, schedulers: int, seed: int) -> None:
         self.now = 1_000_000.0
@@ -107,8 +107,8 @@
             self._handle(number, EndpointsUpdated(UpdateKind.SNAPSHOT, 1, entries))
 
     def fill(self, share: float, refill: bool) -> None:
-        """Take this share of all slots, evenly drawn, with tasks that end one after the other; where the
-        share `stays`, another begins for each, anywhere that has room."""
+        """Fill this share of all slots, drawn at random, with background tasks of exponential duration. With
+        `refill`, each task that ends is replaced by one on a planner with a free slot."""
         places = [planner for planner in self.planners for _ in range(SLOTS_PER_PLANNER)]
         for planner in self.rng.sample(places, round(share * len(places))):
             self._start_background_task(planner, refill)
@@ -133,26 +133,26 @@
                 return planner
 
     def call_later(self, wait: float, call: Callable[[], None]) -> None:
-        """Do this after so many ms."""
+        """Call this after `wait` ms of simulated time."""
         self._order += 1
         heapq.heappush(self._due, (self.now + wait, self._order, call))
 
     def run(self, until: float) -> None:
-        """Play up to this time (ms)."""
+        """Run the simulation up to this time (ms)."""
         while self._due and self._due[0][0] <= until:
             self.now, _, call = heapq.heappop(self._due)
             call()
         self.now = until
 
     def submit(self, request: ModelRequest) -> None:
-        """A client asks a scheduler; `asked.done` hears of a refusal or of the start."""
+        """Submit a request; `request.on_outcome` is called when it is refused or started."""
         self._last_job_id += 1
         self.requests[request.scheduler, self._last_job_id] = request
         deadline = 600_000.0
         self._handle(request.scheduler, JobSubmitted(self._last_job_id, deadline, request.job_class))
 
     def busy_share(self) -> float:
-        """The share of all slots that are taken."""
+        """The share of all slots that are in use."""
         taken = sum(planner.taken for planner in self.planners)
         return taken / (SLOTS_PER_PLANNER * len(self.planners))
 
@@ -168,7 +168,9 @@
             elif isinstance(action, RejectRequest | FailRequest):
                 self._refuse(scheduler, action)
             elif isinstance(action, CancelAttempt):
-                raise RuntimeError("a planner here tells at once whether it has room: nothing is called off")
+                raise RuntimeError(
+                    "a modelled planner accepts or rejects at once, so no attempt should be cancelled"
+                )
 
     def _refuse(self, scheduler: int, action: RejectRequest | FailRequest) -> None:
         request = self.requests.pop((scheduler, action.job_id))
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -1,4 +1,4 @@
-"""Puts the generated tables between the page's markers, and says where page and JSON differ."""
+"""Renders the generated tables between the markers of docs/CAPACITY.md, and compares page and JSON."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class PageError(ValueError):
-    """The page asks for a table that nobody makes."""
+    """The page has a marker for an unknown table."""
 
 
 def render(
     text: str, runs: Mapping[str, Run], tables: Mapping[str, Callable[[Mapping[str, Run]], str]] = TABLES
 ) -> str:
-    """The page with each marked block made anew."""
+    """The page with each marked block rendered again."""
 
     def block(match: re.Match[str]) -> str:
         begin, name, end = match.groups()
@@ -32,7 +32,7 @@
 
 
 def page_diff(text: str, runs: Mapping[str, Run]) -> str:
-    """The difference between the page and what the JSON says; empty where there is none."""
+    """A unified diff from the page to its rendering of these runs; empty if they agree."""
     wanted = render(text, runs)
     return "".join(
         difflib.unified_diff(text.splitlines(True), wanted.splitlines(True), "the page", "what the JSON says")
--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -1,5 +1,5 @@
-"""What planners cost the parts of a scheduler alone, in this process and without sockets: the decisions, the
-reading of a list, and what stays of planners that were replaced."""
+"""Cost of planners in single parts of a scheduler, in this process and without sockets: the dispatcher, the
+reading of a list, and the state that is left of replaced planners."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 SLOPE = "parts"
 SIZES = (200, 575, 1150, 2300, 4600, 9200)  # planners
-REPLACED = (433, 866, 1732, 3464)  # planners in a day, of 4,600: once to eight times what the letter tells
+REPLACED = (433, 866, 1732, 3464)  # planners a day, of 4,600: one to eight times the required number
 PLANNERS = 4600
 
 
@@ -25,8 +25,8 @@
 
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
-    """A row a size for the decisions and each form of a list, and one for each number of replaced planners;
-    those for which there is no time are left out."""
+    """One row for each size of the dispatcher and of each list format, and one for each number of replaced
+    planners; those beyond the time limit are left out."""
     cases: list[tuple[int, str, Callable[[], dict[str, float]]]] = []
     for size in sizes:
         cases.append((size, "decisions", partial(_decisions, size)))
--- a/benchmarks/capacity/planners.py
+++ b/benchmarks/capacity/planners.py
@@ -1,4 +1,4 @@
-"""What listed planners cost: the start, a list, a change, a lost zone, a job, memory and descriptors."""
+"""Cost of listed planners at a `serve` process: start, list, changes, a lost zone, jobs and memory."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 SLOPE = "planners"
 SIZES = (200, 575, 1150, 2300, 4600, 9200)
-FIRST_JOB_TIMEOUT_S = 8.0  # a list that is not taken by then is not taken
+FIRST_JOB_TIMEOUT_S = 8.0  # a list without a served job by then counts as not accepted
 WARM_JOBS = 100
 JOBS = 300
-ROUNDS, CHANGES = 7, 20  # the median of the rounds is told
+ROUNDS, CHANGES = 7, 20  # the figure is the median of the rounds
 REST_S = 4.0
-SPACING_S = 0.002  # between a change and the job behind it, so that the change is read first
+SPACING_S = 0.002  # between a change and the job that follows, so that the change is read first
 
 
 def _with_lifecycle(members: Sequence[ListedPlanner], lifecycle: str) -> Sequence[ListedPlanner]:
@@ -39,7 +39,7 @@
 
 
 async def _one_read_cpu_s(catalog: Catalog, running: Scheduler, members: Sequence[ListedPlanner]) -> float:
-    """CPU (s) of one read of these rows and the job behind it."""
+    """CPU time (s) of these rows in one update and one job that follows."""
     before = running.cpu_s()
     catalog.tell(*members)
     await running.idle()
@@ -51,7 +51,7 @@
 async def _separate_reads_cpu_s(
     catalog: Catalog, running: Scheduler, members: Sequence[ListedPlanner]
 ) -> float:
-    """CPU (s) of these rows in a read each, a job behind each."""
+    """CPU time (s) of these rows in one update each, each followed by a job."""
     before = running.cpu_s()
     for member in members:
         catalog.tell(member)
@@ -64,7 +64,7 @@
 async def _measure_taken_list(
     catalog: Catalog, running: Scheduler, members: Sequence[ListedPlanner]
 ) -> dict[str, float]:
-    """Changes and jobs, on a list that is taken."""
+    """Figures of list changes and jobs, once the list is accepted."""
     await running.idle()
     figures = {"start_cpu_ms": running.cpu_s() * 1000, "memory_mb": running.memory_mb()}
     for _ in range(WARM_JOBS):
@@ -128,7 +128,7 @@
 
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
-    """Two rows a size: the list compact, with all figures, and indented."""
+    """Two rows for each size: the compact list with all figures, and the indented list."""
 
     async def run() -> list[Row]:
         planners = Planners()
--- a/benchmarks/capacity/plots.py
+++ b/benchmarks/capacity/plots.py
@@ -1,4 +1,4 @@
-"""A picture of each slope: what was measured, and the line through it."""
+"""Plots of the slopes: the measured points and the fitted lines."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from benchmarks.capacity.records import ROOT
 
 FOLDER = ROOT / "docs" / "figures"
-STEPS = 60  # points of a line
+STEPS = 60  # points of a fitted line
 PICTURES: dict[str, tuple[str, Sequence[Line]]] = {
     "planners": (
         "planners listed",
@@ -39,7 +39,7 @@
 
 
 def draw(runs: Runs, folder: Path = FOLDER) -> list[Path]:
-    """Write capacity-NAME.png for each picture of which something was measured."""
+    """Write capacity-NAME.png for each picture with at least one measured point; their paths."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/benchmarks/capacity/records.py
+++ b/benchmarks/capacity/records.py
@@ -1,4 +1,4 @@
-"""Rows and runs, as they are measured and kept in docs/capacity."""
+"""Measured rows and runs, and their JSON files in docs/capacity."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 @dataclass
 class Row:
-    """What one size cost in one case. A figure's unit is its key's suffix: `_bytes`, `_bytes_per_s`, `_mb`,
-    `_ms`, `_us`, `_s`, `_share`; a key without one is a count."""
+    """The figures of one size in one case. A figure's unit is its key's suffix: `_bytes`,
+    `_bytes_per_s`, `_mb`, `_ms`, `_us`, `_s`, `_share`; a key without a suffix is a count."""
 
     slope: str
     size: int
     case: str
     figures: dict[str, float]
     valid: bool = True
-    why_not: str = ""  # where the machine, not the program, was the limit
-    virtual: bool = False  # no socket and no clock but the one that was played
+    why_not: str = ""  # e.g. the machine instead of the program was the limit
+    virtual: bool = False  # measured without sockets, in virtual time or in one process
 
 
 @dataclass
 class Run:
-    """The rows of one command on one commit."""
+    """The rows of one command at one commit."""
 
     slope: str
     command: str
@@ -42,7 +42,7 @@
     rows: list[Row] = field(default_factory=list)
 
     def valid(self, case: str, figure: str) -> list[tuple[int, float]]:
-        """(size, figure) of the rows that count, by size."""
+        """(size, figure) of the valid rows, sorted by size."""
         return sorted(
             (row.size, row.figures[figure])
             for row in self.rows
@@ -51,12 +51,12 @@
 
 
 def rounded(value: float) -> float:
-    """As many digits as a figure is kept with."""
+    """The value with the significant digits that are stored."""
     return float(f"{value:.{DIGITS}g}")
 
 
 def write(run: Run, folder: Path = RECORDS_FOLDER) -> Path:
-    """Write a run to SLOPE.json, its rows by case and size."""
+    """Write a run to SLOPE.json, its rows sorted by case and size."""
     data = asdict(run)
     for row in data["rows"]:
         row["figures"] = {name: rounded(value) for name, value in row["figures"].items()}
@@ -68,13 +68,13 @@
 
 
 def read(path: Path) -> Run:
-    """A run as it was written; ValueError, KeyError or TypeError where the file is none."""
+    """Read a run; ValueError, KeyError or TypeError if the file does not hold one."""
     loaded = json.loads(path.read_text())
     return Run(**(loaded | {"rows": [Row(**row) for row in loaded["rows"]]}))
 
 
 def read_all(folder: Path = RECORDS_FOLDER) -> dict[str, Run]:
-    """The runs that are kept, by slope."""
+    """The stored runs by file name, which is the slope's unless `--name` gave another."""
     return {path.stem: read(path) for path in sorted(folder.glob("*.json"))}
 
 
@@ -84,17 +84,17 @@
 
 
 def commit() -> str:
-    """The last commit that changed the program, as others may be rebased away; `+` behind it where the
-    program differs from it."""
+    """The last commit that changed pipitshed/, as others may be rebased away; with `+` if the working tree
+    differs from it."""
     changed = _git("status", "--porcelain", "--", "pipitshed")
     return _git("log", "-1", "--format=%h", "--abbrev=8", "--", "pipitshed") + ("+" if changed else "")
 
 
 def machine() -> str:
-    """What ran it."""
+    """Cores, operating system and Python version of this machine."""
     return f"{os.cpu_count()} cores, {platform.system()}, Python {platform.python_version()}"
 
 
 def run_of(slope: str, command: str, rows: Iterable[Row]) -> Run:
-    """Rows just measured, as a run."""
+    """A run of these rows, dated now."""
     return Run(slope, command, commit(), datetime.now(UTC).strftime("%Y-%m-%d %H:%M"), machine(), list(rows))
--- a/benchmarks/capacity/regions.py
+++ b/benchmarks/capacity/regions.py
@@ -1,5 +1,6 @@
-"""Regions apart and whole again, and all schedulers restarted in waves, in virtual time: how long until all
-hold one view and the same settings, and what that costs. Network and counting are those of `schedulers`.
+"""A partition between regions that heals, and a restart of all schedulers in waves, in virtual time: the time
+until all schedulers have the same view and settings, and the cost. Network and counters are those of
+`schedulers`.
 """
 
 from __future__ import annotations
@@ -25,14 +26,14 @@
 SLOPE = "regions"
 SIZES = (40, 80, 150, 300)
 LOST_REGION = "centro"
-APART_S = 180.0  # virtual s: longer than a tombstone (120 s), so that each side has forgotten the other
-RESTARTS, CHANGES = 17, 325  # on each side while they are apart
-DOWN_S = 1.0  # virtual s that a restarted scheduler is gone
-WAVES, WAVE_INTERVAL_S, WAVE_CHANGES = 10, 10.0, 20  # parts of the fleet, virtual s, changes between two
+APART_S = 180.0  # virtual s; longer than a tombstone (120 s), so that each side forgets the other
+RESTARTS, CHANGES = 17, 325  # on each side during the partition
+DOWN_S = 1.0  # virtual s between stop and restart of a scheduler
+WAVES, WAVE_INTERVAL_S, WAVE_CHANGES = 10, 10.0, 20  # count, virtual s, changes between two waves
 
 
 def restart(fleet: Fleet, nodes: Sequence[Node]) -> None:
-    """These end in good order and come back under their names, with the rows that their files kept."""
+    """Shut nodes down cleanly and start them under their old names with the rows that they had stored."""
     for node in nodes:
         fleet.leave(node)
     fleet.run(DOWN_S)
@@ -43,14 +44,14 @@
 
 
 def nodes_by_region(fleet: Fleet, lost: bool) -> list[Node]:
-    """Who lives in the region that is cut off, or in the others."""
+    """The nodes of the region that is cut off (`lost`), or those of the other regions."""
     return [
         node for node in fleet.nodes.values() if (region(fleet.zone(node.address)) == LOST_REGION) is lost
     ]
 
 
 def missing_bytes(fleet: Fleet) -> float:
-    """Bytes of the rows and words that a scheduler lacks, in the mean."""
+    """Mean bytes of the rows and member records that a scheduler lacks."""
     newest = {row.key: row for node in fleet.nodes.values() for row in node.tables[0]}
     for node in fleet.nodes.values():
         newest |= {row.key: row for row in node.tables[0] if row.number > newest[row.key].number}
@@ -69,7 +70,7 @@
 
 
 def apart(run: FleetRun) -> None:
-    """A region is cut off, restarts and changes on both sides, and it is whole again."""
+    """Cut a region off, restart schedulers and change settings on both sides, then heal the partition."""
     fleet = run.fleet
     writers = {lost: nodes_by_region(fleet, lost)[-1] for lost in (True, False)}
     keys = {lost: [key(number) for number in range(lost, TEAMS, 2)] for lost in (True, False)}
@@ -99,7 +100,8 @@
 
 
 def waves(run: FleetRun) -> None:
-    """All restart, a tenth at a time, with changes in between: whose rows are older than those it held?"""
+    """Restart all schedulers, a tenth at a time, with settings changes in between; count the rows that are
+    older after a scheduler's restart than before."""
     fleet = run.fleet
     nodes, older = list(fleet.nodes.values()), 0
     writer = nodes[-1].address
@@ -127,7 +129,7 @@
 
 
 def cases(size: int, limit_s: float) -> list[Row]:
-    """All cases of one size."""
+    """The rows of all cases of one size."""
     rows: list[Row] = []
     until = time.monotonic() + limit_s
     for case in (apart, waves):
@@ -152,5 +154,5 @@
 
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
-    """The rows of these sizes."""
+    """The rows of these sizes (schedulers)."""
     return run_sizes(cases, sizes, limit_s)
--- a/benchmarks/capacity/reload.py
+++ b/benchmarks/capacity/reload.py
@@ -1,4 +1,4 @@
-"""The cost of a configuration read again (SIGHUP), by teams."""
+"""Cost of a configuration reload (SIGHUP) by the number of teams."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
                 running.process.send_signal(signal.SIGHUP)
                 await running.line("configuration is read again")
                 in_force_ms.append((monotonic() - began) * 1000)
-                await running.job()  # the pools are made anew by the first job behind it
+                await running.job()  # the first job after a reload rebuilds the pools
                 await running.idle()
                 cpu.append((running.cpu_s() - before) * 1000)
             figures = {
@@ -56,5 +56,5 @@
 
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
-    """A row for each number of teams, before 4,600 listed planners."""
+    """One row for each number of teams, with 4,600 listed planners."""
     return uvloop.run(measure_rows([partial(_measure, teams) for teams in sizes], limit_s))
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -1,8 +1,9 @@
-"""What the fleet's view and its settings cost each scheduler, by their number, over 3 regions and 7 zones in
-virtual time: the program's own protocol and codec, under a network that only counts and delays.
+"""Cost of the membership view and the replicated settings at each scheduler, by the number of schedulers in
+3 regions and 7 zones, in virtual time: the program's own protocol and codec on a network that only counts and
+delays.
 
-Bytes are on the wire, with IP and UDP headers. CPU is that of protocol and codec by this process's clock,
-with no sockets (`hollow` has them).
+Bytes are on the wire, with IP and UDP headers. CPU is the time of protocol and codec by this process's clock,
+without sockets (`hollow` includes them).
 """
 
 from __future__ import annotations
@@ -24,50 +25,50 @@
 
 SLOPE = "schedulers"
 SIZES = (5, 40, 150, 300, 600)
-LOST_ZONE = "norte/2"  # not the first seed's
+LOST_ZONE = "norte/2"  # not the zone of the first seed
 SETTLE_TIMEOUT_S, QUIET_TIMEOUT_S = 60.0, 60.0  # virtual s
 REST_S = 30.0  # virtual s
-STEP_S = 0.1  # virtual s between looks at the views
-TEAMS = 380  # rows of settings
-BURST, BURSTS, BURST_INTERVAL_S = 20, 3, 8.0  # changes in one second; virtual s from burst to burst
+STEP_S = 0.1  # virtual s between checks of the views
+TEAMS = 380  # one row of settings each
+BURST, BURSTS, BURST_INTERVAL_S = 20, 3, 8.0  # changes in one second; bursts; virtual s between their starts
 PROCESSES = 2
 
 
 class TimeLimitError(Exception):
-    """The time for this size is over."""
+    """The time limit of this size is exceeded."""
 
 
 @dataclass
 class Cost:
-    """What a stretch of virtual time cost."""
+    """Duration and CPU time of a measured block."""
 
     seconds: float = 0.0  # virtual
-    cpu: float = 0.0  # s of the schedulers' own work, all together
+    cpu: float = 0.0  # s of all schedulers together
 
 
 @dataclass
 class FleetRun:
-    """One fleet, and the cases that are played on it one after the other."""
+    """One fleet, and the rows of the cases that run on it one after the other."""
 
     fleet: Fleet
     size: int
-    stops_at: float  # time.monotonic() at which it stops
+    stops_at: float  # time.monotonic() of the time limit
     slope: str = SLOPE
     rows: list[Row] = field(default_factory=list)
 
     @contextmanager
     def measured(self) -> Iterator[Cost]:
-        """Count what is sent in the block, and whose work it was."""
+        """Reset the traffic counters, and measure the virtual and the CPU time of the block."""
         fleet, cost = self.fleet, Cost()
         fleet.count_anew()
         begun, cpu, wall = fleet.now, time.process_time(), time.perf_counter()
         yield cost
         cost.seconds = fleet.now - begun
-        # This process shares its cores with others, so the share of the wall's time is taken of its CPU.
+        # CPU time of the process, scaled by the schedulers' share of its wall time, as cores are shared.
         cost.cpu = (time.process_time() - cpu) * fleet.busy / max(1e-9, time.perf_counter() - wall)
 
     def wait_until(self, what: Callable[[], bool], within: float, step: float = STEP_S) -> float | None:
-        """How long (virtual s) until it holds; None where it does not within the time."""
+        """Virtual seconds until `what` is true; None if it is not within the time."""
 
         def checked() -> bool:
             self.check_time_limit()
@@ -76,19 +77,19 @@
         return self.fleet.until(checked, within, step)
 
     def advance(self, seconds: float) -> None:
-        """Let so much virtual time pass."""
+        """Run the fleet for this many virtual seconds."""
         until = self.fleet.now + seconds
         while self.fleet.now < until:
             self.check_time_limit()
             self.fleet.run(min(1.0, until - self.fleet.now))
 
     def check_time_limit(self) -> None:
-        """TimeOverError where the time is over."""
+        """Raise TimeLimitError if the time limit is exceeded."""
         if time.monotonic() > self.stops_at:
             raise TimeLimitError
 
     def row(self, case: str, cost: Cost, why_not: str = "", **extra_figures: float) -> None:
-        """Keep the row of a case that was just counted."""
+        """Add a row of the counters and of the measured cost."""
         fleet = self.fleet
         share = len(fleet.nodes) * cost.seconds
         out, into = fleet.out.values(), fleet.into.values()
@@ -108,7 +109,7 @@
         )
 
     def measure_convergence(self, case: str, **extra_figures: float) -> None:
-        """Count until all hold one true view and the same settings, then until nothing is left to tell."""
+        """Measure the time until all have a correct view and equal settings, and until no news is unsent."""
         begun = self.fleet.now
         with self.measured() as cost:
             settled = self.wait_until(self.fleet.whole, SETTLE_TIMEOUT_S)
@@ -123,29 +124,29 @@
         self.row(case, cost, why, **figures)
 
     def put_quotas(self, writer: Node, keys: Sequence[str]) -> dict[tuple[str, int], float]:
-        """Put a row for each key at once; when, by key and number."""
+        """Put a row for each key at once; the virtual time of the change by key and version."""
         self.fleet.put(writer, *((key, quota_value(self.fleet)) for key in keys))
         return {(key, version_of(writer, key)): self.fleet.now for key in keys}
 
 
 def key(team: int) -> str:
-    """The key of a team's quota, as operators put it."""
+    """The settings key of a team's quota."""
     return f"tenant/team-{team:03}/allowancePerS"
 
 
 def quota_value(fleet: Fleet) -> bytes:
-    """A team's quota, as a row holds it."""
+    """A random quota, as the value of a row."""
     return b"%.3f" % (fleet.rng.random() * 10)
 
 
 def version_of(node: Node, key: str) -> int:
-    """The version of a row that this one holds; 0 where it holds none."""
+    """The version of the row with this key at a node; 0 if the node has none."""
     row = node.tables[0].get(key)
     return row.number if row is not None else 0
 
 
 def count_reports(fleet: Fleet, since: float, state: MemberState) -> float:
-    """How many times one that lived was said to be in this state, counted once for each word."""
+    """How many member records (name and incarnation) were reported in this state since a time."""
     return float(
         len(
             {
@@ -158,12 +159,12 @@
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """The value under which this share of them lies."""
+    """The smallest value that at least this share of the values does not exceed."""
     return sorted(values)[math.ceil(len(values) * share) - 1]
 
 
 def changes(run: FleetRun, case: str) -> None:
-    """Bursts of changes within a second each: how long until each is in force at each scheduler."""
+    """Put bursts of changes; measure the time until each change is in force at each scheduler."""
     fleet = run.fleet
     writer = next(iter(fleet.nodes.values()))
     fleet.row_news.clear()
@@ -193,7 +194,7 @@
 
 
 def lost_everything(run: FleetRun) -> None:
-    """One is killed, and begins anew with nothing: how long until it holds all settings and the view."""
+    """Kill a scheduler and start it without stored rows; measure until it has the view and all settings."""
     fleet = run.fleet
     last = next(reversed(fleet.nodes.values()))
     fleet.kill(last)
@@ -215,7 +216,7 @@
 
 
 def cases(size: int, limit_s: float) -> list[Row]:
-    """All cases of one size, in one fleet."""
+    """The rows of all cases of one size, in one fleet."""
     before = memory_mb(os.getpid())
     run = FleetRun(Fleet(seed=1), size, time.monotonic() + limit_s)
     fleet = run.fleet
@@ -257,7 +258,7 @@
 
 
 def run_sizes(of: Callable[[int, float], list[Row]], sizes: Sequence[int], limit_s: float) -> list[Row]:
-    """The rows of these sizes, the largest first, each in a process of its own as its memory is measured."""
+    """The rows of these sizes, the largest first, each in its own process for the memory figure."""
     spawn = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(PROCESSES, mp_context=spawn, max_tasks_per_child=1) as pool:
         played = [pool.submit(of, size, limit_s) for size in sorted(sizes, reverse=True)]
@@ -265,5 +266,5 @@
 
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
-    """The rows of these sizes."""
+    """The rows of these sizes (schedulers)."""
     return run_sizes(cases, sizes, limit_s)
