--- a/benchmarks/capacity/requirements.py
+++ b/benchmarks/capacity/requirements.py
@@ -1,4 +1,4 @@
-"""What the operators' letter asks for, which lines the figures are taken from, and what carries each."""
+"""The operators' requirements, the measured lines that show whether they are met, and the table contents."""
 
 from __future__ import annotations
 
@@ -7,23 +7,24 @@
 from benchmarks.capacity.figures import Figure, Line, constant, plus, ratio, times
 from pipitshed.scheduling.attempt_watchdog import STALLED_PROGRESS_INTERVALS
 
+# Required load of the whole fleet, and the budgets; those of CPU, memory and network are for control.
 PLANNERS, SCHEDULERS, REGIONS, ZONES, TEAMS = 4600, 300, 3, 7, 380
 STARTS_PER_S, RUNNING_TASKS, JOBS_PER_DAY, GANG_MEMBERS = 280, 29_000, 43_000, 128
 CHANGES_PER_DAY, IN_FORCE_BUDGET_MS, URGENT_BUDGET_MS = 7800, 5000.0, 2700.0
 CPU_BUDGET_CORES, MEMORY_BUDGET_MB, NETWORK_BUDGET_BYTES_PER_S, CONTROL_MACHINES = 0.032, 256.0, 9000.0, 12
 FAILED_PER_DAY, REPLACED_PER_DAY = 23, 410
 DAY_S = 86_400
-# Assumed, as the letter leaves it open; docs/CAPACITY.md names each.
+# Assumptions where the requirements are open; docs/CAPACITY.md names each.
 ASSUMED_SCHEDULERS = (150, 300, 600)  # schedulers
-HEAVIEST_FACTOR = 4  # times the mean: what the heaviest scheduler holds and starts
-RACK_PLANNERS = 40  # planners
+HEAVIEST_FACTOR = 4  # load of the heaviest scheduler in multiples of the mean
+RACK_PLANNERS = 40  # planners behind one switch
 SOCKET_LIMIT = 1024.0  # `limits.sockets` of a deployment
-PROGRESS_MS = 2000.0  # between a planner's notes of a task
+PROGRESS_MS = 2000.0  # between a planner's progress notes of a task
 
 STARTS_PER_SCHEDULER, TASKS_PER_SCHEDULER = STARTS_PER_S / SCHEDULERS, RUNNING_TASKS / SCHEDULERS
 ZONE_PLANNERS = PLANNERS // ZONES
 
-# ---- the lines
+# ---- the measured lines
 
 FIRST_JOB = Line("planners", "compact", "first_job_ms", "linear", "ms")
 LIST_COMPACT = Line("planners", "compact", "list_bytes", "linear", "bytes")
@@ -172,8 +173,8 @@
 
 @dataclass(frozen=True)
 class Target:
-    """One thing that the letter needs. `budget`: what the figure is held against; None: the letter gives
-    none. `least`: the figure must be at least the budget, not at most."""
+    """One requirement and the figure that is compared with it. `budget` is None if there is none; with
+    `at_least` the figure must be at least the budget instead of at most."""
 
     need: str
     what: str
@@ -188,7 +189,7 @@
 MISSING = "`missing`"
 SETTINGS_MECHANISM = "`replication`, `tuning.rows`, `peers`"
 VIEW_MECHANISM = "`membership`, `replication`, `peers`"
-UNMEASURED: Figure = lambda runs: None  # noqa: E731 - a figure that nothing measures
+UNMEASURED: Figure = lambda runs: None  # noqa: E731 - a figure without a measurement
 
 TARGETS = (
     Target(
@@ -606,7 +607,7 @@
 
 @dataclass(frozen=True)
 class RoleLine:
-    """One line of a role's table: what, by which formula, on a usual day and on the worst one."""
+    """One line of a role's table: quantity, formula, and the figures of a usual and of the worst day."""
 
     what: str
     formula: str
@@ -823,7 +824,7 @@
 
 @dataclass(frozen=True)
 class Failure:
-    """One failure on the letter's list. `tests`: FILE::NAME, each of which exists."""
+    """One failure that the requirements list. `tests` are FILE::NAME of existing tests."""
 
     what: str
     frequency: str
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -159,7 +159,7 @@
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """The smallest value that at least this share of the values does not exceed."""
+    """The nearest-rank percentile of the values at a share from 0 to 1."""
     return sorted(values)[math.ceil(len(values) * share) - 1]
 
 
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -1,4 +1,4 @@
-"""A real `serve` process on loopback between modelled discovery, modelled planners and a client."""
+"""Runs a real `serve` process on loopback with stand-in discovery, modelled planners and a client."""
 
 from __future__ import annotations
 
@@ -23,15 +23,16 @@
 
 REGIONS = ("norte", "centro", "sur")
 ZONES = ("norte-1", "norte-2", "norte-3", "centro-1", "centro-2", "sur-1", "sur-2")
-TASK_DEADLINE_S = 600.0  # of the class `task`
+TASK_DEADLINE_S = 600.0  # deadline of the class `task`
 PROGRESS_MS = 2000.0
-RETRY_INTERVAL_S = 0.02  # after a refusal
-IDLE_POLL_S = 0.004  # without CPU after which a process has done what it was told
+RETRY_INTERVAL_S = 0.02  # between tries after a refusal
+IDLE_POLL_S = 0.004  # a process that uses no CPU for this long has no work left
 STARTED_AT_MS = 1_796_000_000_000.0  # Unix ms
 
 
 class PlannerConnection(asyncio.Protocol):
-    """A planner's connection. A job ends `work_s` after it came, or is held with a note every 2 s."""
+    """A connection to a planner. A job completes `work_s` after it arrived; if `work_s` is None, it never
+    completes and sends a progress note every 2 s."""
 
     def __init__(self, planners: Planners) -> None:
         self.planners, self.data = planners, b""
@@ -82,7 +83,7 @@
 
 
 class Planners:
-    """Listening addresses of modelled planners, and when each job began there."""
+    """Modelled planners: their listening ports, open connections, and arrival times of jobs (s, monotonic)."""
 
     def __init__(self, work_s: float | None = 0.0) -> None:
         self.work_s = work_s
@@ -106,7 +107,7 @@
 
 
 class ListedPlanner:
-    """One planner's row."""
+    """One planner of the list."""
 
     def __init__(self, number: int, port: int) -> None:
         self.name, self.port, self.zone = f"planner-{number:05}", port, ZONES[number % len(ZONES)]
@@ -126,11 +127,11 @@
 
 
 class Catalog(Discovery):
-    """The stand-in discovery, its list compact or indented; it counts the lists it was asked for."""
+    """A stand-in discovery with compact or indented lists, which counts the requests for a full list."""
 
     indented = False
     list_requests = 0
-    _full_list: tuple[int, bytes] = (0, b"")  # the list as it was last made, and of which generation
+    _full_list: tuple[int, bytes] = (0, b"")  # generation, and the encoded list
 
     def text(self, reset: bool, members: Sequence[Any]) -> bytes:
         if not reset:
@@ -141,7 +142,7 @@
         return self._full_list[1]
 
     def build_list(self) -> int:
-        """Make the whole list ahead, so that no answer waits for it; its bytes."""
+        """Encode the full list in advance, so that no response waits for it; its size in bytes."""
         self._full_list = self.generation, self._encode_list(True, self.members)
         return len(self._full_list[1])
 
@@ -153,7 +154,7 @@
 
 
 def configuration(discovery: int, teams: int, memory_mb: int = 192, sockets: int = 1024) -> dict[str, Any]:
-    """LB_CONFIG's content: the template's, with 7 zones, these teams, and a class whose tasks run long."""
+    """The content of LB_CONFIG: the template's with 7 zones, this many teams, and a class `task`."""
     config = program.configuration("127.0.0.1:0", f"127.0.0.1:{discovery}")
     config["limits"] |= {"memory_mb": memory_mb, "sockets": sockets}
     settings = config["settings"] | {"areas": list(ZONES), "weights": "off"}
@@ -176,7 +177,7 @@
 
 @dataclass
 class Scheduler:
-    """The process, and a client's kept connection to it."""
+    """A `serve` process, and a client's persistent connection to it."""
 
     process: asyncio.subprocess.Process
     folder: Path
@@ -200,15 +201,15 @@
         return descriptors(self.pid)
 
     async def line(self, text: str) -> str:
-        """The next line of its log that holds this text."""
+        """The next line of its log that contains this text."""
         assert self.process.stdout is not None
         while log_line := (await self.process.stdout.readline()).decode():
             if text in log_line:
                 return log_line
-        raise RuntimeError(f"the scheduler ended before it said {text!r}")
+        raise RuntimeError(f"the scheduler ended before it logged {text!r}")
 
     async def job(self, job_class: str = "quote", deadline_s: float = 5.0) -> tuple[int, str]:
-        """Ask once on the kept connection: the status, and the request's id."""
+        """Send one request on the persistent connection; its HTTP status and its id."""
         if self.reader is None or self.writer is None:
             self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.port)
         self.jobs += 1
@@ -218,7 +219,7 @@
         return status, number
 
     async def served(self, within_s: float) -> bool:
-        """Whether a job is served within so long; it is asked again after each refusal."""
+        """Whether a job is served within this time; a refused one is sent again."""
         until = monotonic() + within_s
         while monotonic() < until:
             if (await self.job())[0] == 200:
@@ -227,14 +228,14 @@
         return False
 
     async def idle(self, within_s: float = 60.0) -> None:
-        """Return once it uses no CPU: it has done all that it was told."""
+        """Return once the process uses no CPU, or after `within_s`."""
         until, before = monotonic() + within_s, -1.0
         while before != (before := self.cpu_s()) and monotonic() < until:
             await asyncio.sleep(IDLE_POLL_S)
 
 
 def request(number: str, job_class: str, deadline_s: float, team: str = "team-000") -> bytes:
-    """A client's request."""
+    """The bytes of a client's HTTP request."""
     return (
         f"POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: {number}\r\nX-Class: {job_class}\r\n"
         f"X-Tenant: {team}\r\nX-Deadline: {deadline_s:.3f}\r\nContent-Length: 2\r\n\r\n{{}}"
@@ -242,7 +243,7 @@
 
 
 async def answer(reader: asyncio.StreamReader) -> int:
-    """Read one whole answer; its status."""
+    """Read one HTTP response in full; its status."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = next(
         (
@@ -258,7 +259,7 @@
 
 @contextlib.asynccontextmanager
 async def scheduler(config: dict[str, Any], *arguments: str) -> AsyncIterator[Scheduler]:
-    """`serve` with this configuration, and these words on its command line; it ends with the block."""
+    """Run `serve` with this configuration and these arguments; it is killed at the end of the block."""
     raise_descriptors(20000)
     with tempfile.TemporaryDirectory(prefix="pipitshed-capacity-") as folder:
         path = Path(folder)
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -1,4 +1,4 @@
-"""The modules that measure. Each has `SLOPE`, `SIZES` and `measure(sizes, limit_s)`."""
+"""The measuring modules, each of which measures one slope."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 
 
 class MeasuringModule(Protocol):
-    """What a measuring module has."""
+    """The interface of a measuring module."""
 
     SLOPE: str
     SIZES: tuple[int, ...]
 
     def measure(self, sizes: Sequence[int], limit_s: float) -> list[Row]:
-        """The rows of these sizes; what the time (s) does not suffice for is left out or not valid."""
+        """The rows of these sizes; rows beyond the time limit (s) are left out or not valid."""
         ...
 
 
 def module(slope: str) -> MeasuringModule:
-    """The module that measures a slope; KeyError where none does."""
+    """Import the module that measures a slope; KeyError if there is none."""
     if slope not in MODULES:
         raise KeyError(slope)
     return cast(MeasuringModule, importlib.import_module(f"benchmarks.capacity.{slope}"))
--- a/benchmarks/capacity/starts.py
+++ b/benchmarks/capacity/starts.py
@@ -1,4 +1,4 @@
-"""What starts cost: an even rate of short tasks at one scheduler, before 4,600 listed planners."""
+"""Cost of starts: a constant rate of short jobs at one scheduler with 4,600 listed planners."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """The value under which this share of them lies."""
+    """The percentile of the values at a share from 0 to 1."""
     return sorted(values)[min(len(values) - 1, int(len(values) * share))]
 
 
@@ -97,5 +97,5 @@
 
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
-    """A row a rate."""
+    """One row for each rate of starts."""
     return uvloop.run(measure_rows([partial(_measure, rate) for rate in sizes], limit_s))
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -1,4 +1,4 @@
-"""The tables of docs/CAPACITY.md, each made of the runs alone."""
+"""The tables of docs/CAPACITY.md, rendered from the stored runs and `requirements`."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     "zone_one_read_ms",
     "zone_single_ms",
 )
-COLUMNS = {  # table: the run, what its sizes are, its figures
+COLUMNS = {  # table: (run, unit of its sizes, figures)
     "rows-planners": ("planners", "planners", LISTED),
     "rows-before": ("planners-before", "planners", LISTED),
     "rows-decisions": (
@@ -108,7 +108,7 @@
 
 
 def runs_table(runs: Runs) -> str:
-    """Which command gave which slope."""
+    """The command, commit, date and machine of each run."""
     return table(
         ("slope", "command", "commit", "date (UTC)", "machine", "rows", "not valid"),
         [
@@ -127,7 +127,7 @@
 
 
 def _run(runs: Runs, source: str) -> str:
-    """The run that gave a figure, by slope, commit and date."""
+    """The runs behind a figure, by slope, commit and date."""
     sources = [
         f"`{slope}` {runs[slope].commit}, {runs[slope].date}" if slope in runs else f"`{slope}`: none"
         for slope in source.split(", ")
@@ -137,7 +137,7 @@
 
 
 def slopes_table(runs: Runs) -> str:
-    """Each line, its error, and the largest size that ran."""
+    """Each fitted line, its errors, and the largest size that ran."""
     lines = []
     for line in requirements.SLOPES:
         points, fit = line.points(runs), line.fit(runs)
@@ -167,7 +167,7 @@
 
 
 def rows_table(slope: str, size: str, columns: Sequence[str]) -> Callable[[Runs], str]:
-    """The rows of a run, as measured."""
+    """A function that renders the measured rows of a run."""
 
     def render(runs: Runs) -> str:
         if slope not in runs:
@@ -193,13 +193,13 @@
         return ""
     met = known.value >= target.budget if target.at_least else known.value <= target.budget
     if met and known.basis not in BASES:
-        return ""  # a lesser size that meets it says nothing of this one; one that misses it does
+        return ""  # a smaller size that meets the budget does not show that this size does
     share = number(known.value / target.budget) if target.budget else ""
     return share if met else f"{share} **missed**".strip()
 
 
 def targets_table(runs: Runs) -> str:
-    """Each target of the letter: figure, budget, ratio, mechanism."""
+    """Each target: figure, budget, ratio, mechanism and run."""
     lines = []
     for target in requirements.TARGETS:
         known = target.figure(runs)
@@ -225,7 +225,7 @@
 
 
 def role_table(lines: Sequence[requirements.RoleLine]) -> Callable[[Runs], str]:
-    """What a role holds, sends, and spends."""
+    """A function that renders the load and cost of a role."""
     return lambda runs: table(
         ("what", "formula", "usual", "worst", "budget", "run"),
         [
@@ -243,7 +243,7 @@
 
 
 def failures_table(runs: Runs) -> str:
-    """Each failure on the list: what it costs, until when, and the test that shows it."""
+    """Each failure: its cost, the time until it is settled, and the tests that cover it."""
     return table(
         ("failure", "how often", "what it costs", "figure", "until all is settled", "test"),
         [
@@ -261,7 +261,7 @@
 
 
 def assumed_table(runs: Runs) -> str:
-    """What changes with the number of schedulers."""
+    """The figures that depend on the assumed number of schedulers."""
 
     def line(what: str, unit: str, figure: Callable[[int], str]) -> tuple[str, ...]:
         return (
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -1,9 +1,9 @@
-"""How far what is started lies from each team's quota, both ways, with today's rule: each scheduler allows an
-equal part of a quota, and only where planners are short of room.
+"""How far the starts of each team lie above or below its quota. Each scheduler allows an equal part of a
+quota, and enforces it only where planners are short of capacity.
 
-The decisions are the program's own, one `Dispatcher` a scheduler. Arrivals are modelled (Poisson), and so are
-the planners: all together start as many jobs a second as the quotas sum up to, and turn the others away.
-Every other team asks for three times its quota, the others for just their own.
+Each scheduler is one of the program's own `Dispatcher`s. Arrivals are modelled (Poisson), and so are the
+planners: all together start as many jobs a second as the sum of the quotas, and reject the others. Every
+other team asks for three times its quota, the others for exactly their quota.
 """
 
 from __future__ import annotations
@@ -26,45 +26,45 @@
 SLOPE = "teams"
 SIZES = (10, 50, 100, 380)
 SCHEDULERS = (40, 150, 300)
-STARTS = 280.0  # a second, the whole fleet: the peak, and the sum of the quotas
-GREEDY_FACTOR = 3.0  # times its quota that every other team asks for
-WARM_UP_S, MEASURED_S = 30.0, 120.0  # s
+STARTS = 280.0  # a second, whole fleet: the peak load and the sum of the quotas
+GREEDY_FACTOR = 3.0  # demand of every other team in multiples of its quota
+WARM_UP_S, MEASURED_S = 30.0, 120.0
 PLANNERS = 40
-REJECTION_MS, COMPLETION_MS = 5.0, 50.0  # until a planner has turned a job away, or is done with it
-BURST_TOKENS = 14.0  # starts that planners have room for at once: 50 ms of them
-CLIENT_RATE = 1.0  # jobs a second that one client asks for, at the most: it stays with one scheduler
+REJECTION_MS, COMPLETION_MS = 5.0, 50.0  # until a planner has rejected or completed a job
+BURST_TOKENS = 14.0  # starts that planners accept at once: those of 50 ms
+CLIENT_RATE = 1.0  # most jobs a second of one client, which stays with one scheduler
 PERCENTILES = ((0.5, "p50"), (0.99, "p99"), (1.0, "worst"))
 
 
 @dataclass
 class Team:
-    """What a team may, asks for and gets, in jobs."""
+    """The quota and the demand of a team, and its counts of submitted and started jobs."""
 
     quota: float  # a second
     demand: float  # a second
-    home_schedulers: list[int]  # schedulers that its clients stay with; empty where any will do
+    home_schedulers: list[int]  # of its clients; empty: each job goes to a random scheduler
     asked: int = 0
     started: int = 0
 
 
 @dataclass
 class Site:
-    """All schedulers, the planners' room and what is due."""
+    """All schedulers, the planners' capacity as a token bucket, and the queue of events."""
 
     dispatchers: list[Dispatcher]
     teams: list[Team]
-    start_rate: float  # starts a second
+    start_rate: float  # of all planners, a second
     rng: random.Random
     due: list[tuple[float, int, int, events.Event]] = field(
         default_factory=list
     )  # ms, order, scheduler, event
     order: Iterator[int] = field(default_factory=count)
-    jobs: dict[int, tuple[int, int]] = field(default_factory=dict)  # its team, and its attempts so far
+    jobs: dict[int, tuple[int, int]] = field(default_factory=dict)  # team and attempts so far by job id
     tokens: float = BURST_TOKENS
-    tokens_at_ms: float = 0.0  # ms, of the tokens
+    tokens_at_ms: float = 0.0  # when the tokens were last refilled
 
     def take_token(self, now: float) -> bool:
-        """Whether a planner has room now."""
+        """Take a token for a start; False if no planner has capacity now."""
         self.tokens = min(BURST_TOKENS, self.tokens + (now - self.tokens_at_ms) / 1000 * self.start_rate)
         self.tokens_at_ms = now
         if self.tokens < 1.0:
@@ -73,7 +73,7 @@
         return True
 
     def simulate(self, seconds: float) -> None:
-        """Let jobs come for so long, and count those that come and start after the warm-up."""
+        """Run for this many seconds, and count the jobs that arrive and complete after the warm-up."""
         end = seconds * 1000
         for number, team in enumerate(self.teams):
             self._arrive(number, team, 0.0)
@@ -119,7 +119,8 @@
 
 
 def site(teams: int, schedulers: int, uneven: bool, start_rate: float, seed: int) -> Site:
-    """A site whose quotas sum up to the starts: all alike, or by Zipf with clients that stay."""
+    """A site with quotas that sum to `STARTS`: equal ones, or a Zipf distribution with clients that stay with
+    one scheduler."""
     rng = random.Random(seed)
     parts = [1.0 / (rank + 1) if uneven else 1.0 for rank in range(teams)]
     made = []
@@ -147,8 +148,8 @@
 
 
 def figures(simulated: Site) -> dict[str, float]:
-    """How far each team is from its quota, as parts of it: above, of those that ask for more; below, of what
-    the others ask for within it."""
+    """Percentiles of the deviation from the quota, as shares of it: `over` for teams that ask for more than
+    their quota, `under` for the others, against their demand within the quota."""
     over = [
         max(0.0, team.started / (team.quota * MEASURED_S) - 1.0)
         for team in simulated.teams
@@ -172,7 +173,7 @@
 
 
 def cases(teams: int, limit_s: float) -> list[Row]:
-    """All cases of one number of teams."""
+    """The rows of all cases of one number of teams."""
     rows, until = [], time.monotonic() + limit_s
     parameters = [(schedulers, uneven, STARTS) for schedulers in SCHEDULERS for uneven in (False, True)]
     for schedulers, uneven, start_rate in [*parameters, (SCHEDULERS[-1], True, 10 * STARTS)]:
--- a/benchmarks/capacity/urgent.py
+++ b/benchmarks/capacity/urgent.py
@@ -1,7 +1,9 @@
-"""Urgent tasks beside a full fleet, in virtual time: how long until one starts.
+"""Urgent tasks on a full fleet, in virtual time: the wait until an urgent task starts.
 
-Ordinary tasks come by more than can end, so that each slot that comes free is wanted. A client that is
-refused asks again when it was told to. Nothing but its class's aim and worth says that a task is urgent."""
+Ordinary tasks arrive faster than tasks end, so that each free slot is in demand. A client that is refused
+sends its request again after the time that the refusal gives. Only the latency objective and the priority of
+its class mark a task as urgent.
+"""
 
 from __future__ import annotations
 
@@ -22,23 +24,23 @@
 from benchmarks.capacity.starts import percentile
 
 SLOPE = "urgent"
-SIZES = (46, 115, 230, 460, 920)  # planners; 15 for a scheduler, as 4,600 for 300
-OVERLOAD_FACTOR = 1.05  # of what ends in the same time, ordinary tasks that come
-URGENT_SHARE = 0.05  # as many urgent ones
+SIZES = (46, 115, 230, 460, 920)  # planners; 15 for each scheduler, as with 4,600 planners and 300 schedulers
+OVERLOAD_FACTOR = 1.05  # rate of ordinary tasks, relative to the rate at which tasks end
+URGENT_SHARE = 0.05  # rate of urgent tasks, relative to the same rate
 SETTLE_MS, MEASURED_MS = 60_000.0, 240_000.0
 CASES = {"full": 1.0, "nine tenths full": 0.9}
-MIN_RETRY_WAIT_MS = 50.0  # ms that a client waits after a refusal that tells no time
+MIN_RETRY_WAIT_MS = 50.0  # wait of a client after a refusal without a time
 
 
 class _Clients:
-    """They ask, and ask again where they are refused and urgent."""
+    """Clients that submit requests at Poisson arrivals, and submit refused ones again."""
 
     def __init__(self, fleet: Fleet, fill_share: float) -> None:
         self.fleet, self.urgent = fleet, list[ModelRequest]()
         self.ordinary = self.refused = 0
         rate = (
             len(fleet.planners) * SLOTS_PER_PLANNER / MEAN_TASK_MS
-        )  # starts a ms that keep a full fleet full
+        )  # starts per ms that keep a full fleet full
         self.rates = {
             ORDINARY: rate * (OVERLOAD_FACTOR if fill_share == 1.0 else fill_share),
             URGENT: rate * URGENT_SHARE,
@@ -77,13 +79,13 @@
 
 
 def simulate(planners: int, case: str, seed: int = 1) -> dict[str, float]:
-    """The figures of one fleet."""
+    """Simulate one fleet; the figures of its urgent tasks."""
     fleet = Fleet(planners, max(2, planners // 15), seed)
     fleet.fill(CASES[case], refill=False)
     clients = _Clients(fleet, CASES[case])
     begin_ms = fleet.now
     fleet.run(begin_ms + SETTLE_MS + MEASURED_MS)
-    # Those that came near the end have had the time that they are judged by.
+    # Tasks of the last 10 x `URGENT_MS` are left out: the run would cut their wait short.
     counted = [
         one for one in clients.urgent if begin_ms + SETTLE_MS <= one.submitted_at < fleet.now - 10 * URGENT_MS
     ]
@@ -103,7 +105,7 @@
 
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
-    """A row a size and case; those for which there is no time are left out."""
+    """One row for each size and case; those beyond the time limit are left out."""
     until, rows = monotonic() + limit_s, []
     for size in sizes:
         for case in CASES:
