--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -83,7 +83,7 @@
 
 
 class Planners:
-    """Modelled planners: their listening ports, open connections, and arrival times of jobs (s, monotonic)."""
+    """Modelled planners: their listening ports, open connections, and arrival times of jobs (monotonic)."""
 
     def __init__(self, work_s: float | None = 0.0) -> None:
         self.work_s = work_s
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The measuring tool: its fits, its records, and the page that is made from them."""
+"""The capacity measurements: fits, stored records, the rendered page, and the models."""
 
 from __future__ import annotations
 
@@ -49,18 +49,18 @@
     assert (line.a, line.b, line.rms, line.worst) == (2.0, 0.0, 1.0, 1.0)
 
 
-def test_a_relative_fit_keeps_to_the_small_sizes_too() -> None:
+def test_a_relative_fit_is_close_at_small_sizes_too() -> None:
     points = [(1, 2.0), (10, 11.0), (100, 101.0), (1000, 700.0)]
     assert abs(fit(points, "linear", relative=True).at(1).value - 2.0) < 0.5
     assert abs(fit(points, "linear").at(1).value - 2.0) > 5
 
 
-def test_three_sizes_are_no_slope_however_many_points() -> None:
+def test_four_points_at_three_sizes_are_too_few_for_a_fit() -> None:
     with pytest.raises(FitError):
         fit([(10, 1.0), (10, 1.1), (20, 2.0), (30, 3.0)], "linear")
 
 
-def test_rows_that_do_not_count_are_in_no_slope_and_stay_on_file(tmp_path: Path) -> None:
+def test_invalid_rows_are_left_out_of_slopes_but_stored(tmp_path: Path) -> None:
     rows = [
         Row("planners", 20, "calm", {"cpu_us": 2.0000001}),
         Row("planners", 10, "calm", {"cpu_us": 1.0}),
@@ -72,40 +72,40 @@
     assert len(kept.rows) == 4 and kept.rows[2].why_not == "80 ms late"
 
 
-def test_a_figure_says_how_it_is_known() -> None:
+def test_a_figure_is_printed_with_its_basis() -> None:
     runs = run_of(10, 20, 40, 80)
-    told = [text(LINE.at(size)(runs), "us") for size in (20, 30, 100)]
-    assert told == ["45 us", "65 us (fit)", "205 us (extrapolated)"]
+    texts = [text(LINE.at(size)(runs), "us") for size in (20, 30, 100)]
+    assert texts == ["45 us", "65 us (fit)", "205 us (extrapolated)"]
     assert text(plus(LINE.at(20), LINE.at(100))(runs)) == "250 (extrapolated)"
     assert text(ratio(LINE.at(30), LINE.at(20))(runs)) == "1.44 (fit)"
-    # Three sizes are no slope: only what ran is told, and at which size.
+    # Three sizes are too few for a fit: the figure of the largest size is printed with that size.
     assert text(LINE.at(90)(run_of(10, 20, 40)), "us") == "85 us (at 40, no slope)"
     assert text(plus(LINE.at(90), LINE.at(20))(run_of(10, 20, 40))) == "130 (at 40, no slope)"
     assert text(LINE.at(20)(run_of(10, 20, 40))) == "45"
     assert text(plus(LINE.at(20), LINE.at(20))({})) == "not measured"
 
 
-def test_the_page_says_what_the_json_says() -> None:
+def test_the_page_matches_the_json() -> None:
     result = CliRunner().invoke(main, ["--check"])
     assert (result.exit_code, result.output) == (0, "")
 
 
-def test_a_doctored_figure_is_found_on_the_page_and_in_the_json(
+def test_a_changed_figure_is_found_on_the_page_and_in_the_json(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    runs, told = read_all(), page.PAGE.read_text()
+    runs, page_text = read_all(), page.PAGE.read_text()
     target = text(requirements.RELOAD.at(requirements.TEAMS)(runs))
-    doctored = tmp_path / "CAPACITY.md"
-    doctored.write_text(told.replace(f"| {target} |", "| 0.001 |"))
-    monkeypatch.setattr(page, "PAGE", doctored)
+    changed = tmp_path / "CAPACITY.md"
+    changed.write_text(page_text.replace(f"| {target} |", "| 0.001 |"))
+    monkeypatch.setattr(page, "PAGE", changed)
     result = CliRunner().invoke(main, ["--check"])
     assert result.exit_code == 1 and "+| 380 |" in result.output and "-| 380 |" in result.output
     row = next(row for row in runs["reload"].rows if row.size == requirements.TEAMS)
     row.figures["cpu_ms"] *= 2
-    assert page.page_diff(told, runs)
+    assert page.page_diff(page_text, runs)
 
 
-def test_a_block_that_nobody_makes_is_an_error() -> None:
+def test_a_marker_for_an_unknown_table_is_an_error() -> None:
     with pytest.raises(page.PageError):
         page.render("<!-- capacity:planned -->\n<!-- /capacity -->", {})
 
@@ -117,22 +117,23 @@
             assert re.search(rf"^(async )?def {function}\(", (ROOT / file).read_text(), re.MULTILINE), name
 
 
-def test_a_held_exchange_keeps_four_timers_at_most() -> None:
-    """Growth by count: its guard, its attempt's end, its start's bound and its silence's, one each."""
+def test_a_request_in_flight_has_at_most_four_timers() -> None:
+    """Guards against extra timers; one each is for the deadline, the attempt's timeout, its start and its
+    progress."""
     assert timers_per_exchange(configuration(1, 4)) <= 4
 
 
-def test_the_modelled_fleet_plays_the_same_twice_and_a_gang_finds_room_where_there_is() -> None:
+def test_the_modelled_fleet_is_deterministic_and_a_gang_starts_whole_where_slots_are_free() -> None:
     assert urgent.simulate(46, "full") == urgent.simulate(46, "full")
     assert gangs.gang(32, 0.5, 1)["whole"] == 1.0
-    # Nothing holds a gang together: where room is short some start, and hold their slots for nothing.
+    # Members are independent: where slots are short, some start and hold their slots in vain.
     short = gangs.gang(32, 0.98, 1)
     assert short["whole"] == 0.0 and short["started"] > 0 and short["held_slot_s"] > 0
 
 
-def test_a_hollow_scheduler_acts_on_rows_as_the_program_does(tmp_path: Path) -> None:
-    """Guards against a benchmark that measures a traceback: it was given what is no file, and settings that
-    it took for a whole configuration."""
+def test_a_hollow_scheduler_applies_rows_as_the_program_does(tmp_path: Path) -> None:
+    """Guards against a benchmark that measures a traceback: `AppliedSettings` once returned no file, and took
+    settings for a full configuration."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": SETTINGS}))
     applied = AppliedSettings(load_platform_config({"LB_CONFIG": str(path)}))
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -1,4 +1,4 @@
-"""What a fleet costs each of its schedulers, counted in virtual time: the same verdict each time."""
+"""Cost of a fleet at each of its schedulers, in virtual time and therefore deterministic."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def settled_fleet(size: int, rows: int = 0) -> Fleet:
-    """A fleet in 3 regions that agrees, with so many rows of settings, and has nothing left to tell."""
+    """A fleet in 3 regions with this many rows of settings; all agree, and no news is left to send."""
     fleet = Fleet(seed=7)
     first, *_ = fleet.fleet(size)
     assert fleet.until(fleet.quiet, 30.0, 0.5) is not None
@@ -55,7 +55,9 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.01])
-def test_twenty_changes_in_a_second_are_in_force_everywhere_within_five_and_the_budget(loss: float) -> None:
+def test_twenty_changes_in_a_second_are_in_force_everywhere_within_five_seconds_and_the_budget(
+    loss: float,
+) -> None:
     fleet = settled_fleet(20, rows=100)
     fleet.loss = loss
     writer = next(iter(fleet.nodes.values()))
@@ -66,7 +68,7 @@
     assert worst(fleet.out.values()) < 9000
 
 
-def test_regions_that_changed_apart_are_whole_within_ten_seconds_of_meeting() -> None:
+def test_regions_that_changed_while_partitioned_agree_ten_seconds_after_healing() -> None:
     fleet = settled_fleet(20, rows=100)
     fleet.part_region("centro")
     inside = next(node for node in fleet.nodes.values() if region(fleet.zone(node.address)) == "centro")
@@ -80,8 +82,8 @@
     assert worst(fleet.out.values()) < 9000
 
 
-def test_many_suspected_one_after_the_other_cost_one_judgement_each(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A zone lost: its schedulers are suspected within the same seconds."""
+def test_successive_suspicions_cost_one_judgement_each(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against repeated work when a zone is lost and its schedulers are suspected within seconds."""
     calls = 0
 
     def counted(scales: ProtocolTimings, fleet: int, confirmations: int) -> float:
@@ -106,5 +108,5 @@
     ):
         membership.handle_timeouts(membership.next_due_at())
     gone = [member for member in membership.view if member.state is MemberState.DEAD]
-    # Each judgement weighs those that are left: once to judge them, once for the time of the next.
+    # Each judgement checks the suspects that are left, and computes the time of the next check.
     assert len(gone) == suspects and calls <= suspects * (suspects + 2)
