--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -61,7 +61,7 @@
         self.started.set_result(attempt)
 
 
-def timers_per_exchange(configured: dict[str, Any]) -> int:
+def timers_per_request(configured: dict[str, Any]) -> int:
     """Count the pending timers of one request whose attempt has started, in the forwarder alone; the client's
     connection has none at that point."""
 
@@ -147,7 +147,7 @@
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
     """One row for each number of requests in flight, with progress notes every 2 s."""
     rows = uvloop.run(measure_rows([partial(_measure, size) for size in sizes], limit_s))
-    each = float(timers_per_exchange(configuration(1, 4)))
+    each = float(timers_per_request(configuration(1, 4)))
     for row in rows:
         row.figures["timers_each"] = each
     return rows
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -15,7 +15,7 @@
 from benchmarks.capacity.__main__ import main
 from benchmarks.capacity.figures import Line, plus, ratio, text
 from benchmarks.capacity.fits import FitError, fit
-from benchmarks.capacity.held import timers_per_exchange
+from benchmarks.capacity.held import timers_per_request
 from benchmarks.capacity.hollow import AppliedSettings
 from benchmarks.capacity.records import ROOT, Row, Run, read, read_all, write
 from benchmarks.capacity.serving import configuration
@@ -120,7 +120,7 @@
 def test_a_request_in_flight_has_at_most_four_timers() -> None:
     """Guards against extra timers; one each is for the deadline, the attempt's timeout, its start and its
     progress."""
-    assert timers_per_exchange(configuration(1, 4)) <= 4
+    assert timers_per_request(configuration(1, 4)) <= 4
 
 
 def test_the_modelled_fleet_is_deterministic_and_a_gang_starts_whole_where_slots_are_free() -> None:
