--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -57,7 +57,7 @@
             return
         self.data = b""
         self.request_id = headers[b"x-request-id"].decode()
-        self.planners.began[self.request_id] = monotonic()
+        self.planners.arrived_at[self.request_id] = monotonic()
         begin = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + self.chunk(state="started")
         if self.planners.work_s is None:
             self.transport.write(begin)
@@ -89,7 +89,7 @@
         self.work_s = work_s
         self.ports: list[int] = []
         self.connections: set[PlannerConnection] = set()
-        self.began: dict[str, float] = {}
+        self.arrived_at: dict[str, float] = {}
         self._servers: list[asyncio.Server] = []
 
     async def start(self, count: int) -> None:
--- a/benchmarks/capacity/starts.py
+++ b/benchmarks/capacity/starts.py
@@ -61,7 +61,9 @@
     await asyncio.gather(*tasks)
     cpu = running.cpu_s() - cpu
     waited = waited_s(running.pid) - waited
-    waits = [(planners.began[name] - at) * 1000 for name, at in sent_at.items() if name in planners.began]
+    waits = [
+        (planners.arrived_at[name] - at) * 1000 for name, at in sent_at.items() if name in planners.arrived_at
+    ]
     descriptors = running.descriptors()
     for _, writer in free:
         writer.transport.abort()
