--- a/benchmarks/capacity/reload.py
+++ b/benchmarks/capacity/reload.py
@@ -38,7 +38,7 @@
                 await running.idle()
                 before, began = running.cpu_s(), monotonic()
                 running.process.send_signal(signal.SIGHUP)
-                await running.line("configuration is read again")
+                await running.wait_for_log_line("configuration is read again")
                 in_force_ms.append((monotonic() - began) * 1000)
                 await running.job()  # the first job after a reload rebuilds the pools
                 await running.idle()
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -200,7 +200,7 @@
     def descriptors(self) -> int:
         return descriptors(self.pid)
 
-    async def line(self, text: str) -> str:
+    async def wait_for_log_line(self, text: str) -> str:
         """The next line of its log that contains this text."""
         assert self.process.stdout is not None
         while log_line := (await self.process.stdout.readline()).decode():
@@ -280,7 +280,9 @@
         running = Scheduler(process, path, began)
         try:
             async with asyncio.timeout(20):
-                running.port = int((await running.line("listening on")).split()[3].rpartition(":")[2])
+                running.port = int(
+                    (await running.wait_for_log_line("listening on")).split()[3].rpartition(":")[2]
+                )
             yield running
         finally:
             if running.writer is not None:
