--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -110,7 +110,7 @@
         async with watch_loop_lag() as lag, scheduler(configured) as running:
             if not await running.served(20.0):
                 return Row(SLOPE, size, "calm", {}, False, "no job was served within 20 s")
-            await running.idle()
+            await running.wait_until_idle()
             planners.work_s = None
             for connection in list(planners.connections):
                 connection.transport.abort()
--- a/benchmarks/capacity/planners.py
+++ b/benchmarks/capacity/planners.py
@@ -42,9 +42,9 @@
     """CPU time (s) of these rows in one update and one job that follows."""
     before = running.cpu_s()
     catalog.tell(*members)
-    await running.idle()
+    await running.wait_until_idle()
     await running.job()
-    await running.idle()
+    await running.wait_until_idle()
     return running.cpu_s() - before
 
 
@@ -57,7 +57,7 @@
         catalog.tell(member)
         await asyncio.sleep(SPACING_S)
         await running.job()
-    await running.idle()
+    await running.wait_until_idle()
     return running.cpu_s() - before
 
 
@@ -65,14 +65,14 @@
     catalog: Catalog, running: Scheduler, members: Sequence[ListedPlanner]
 ) -> dict[str, float]:
     """Figures of list changes and jobs, once the list is accepted."""
-    await running.idle()
+    await running.wait_until_idle()
     figures = {"start_cpu_ms": running.cpu_s() * 1000, "memory_mb": running.memory_mb()}
     for _ in range(WARM_JOBS):
         await running.job()
     before = running.cpu_s()
     for _ in range(JOBS):
         await running.job()
-    await running.idle()
+    await running.wait_until_idle()
     figures["job_us"] = (running.cpu_s() - before) / JOBS * 1e6
     before, began = running.cpu_s(), monotonic()
     await asyncio.sleep(REST_S)
--- a/benchmarks/capacity/reload.py
+++ b/benchmarks/capacity/reload.py
@@ -35,13 +35,13 @@
             for number in range(ROUNDS):
                 config["settings"]["tenants"][0]["allowancePerS"] = 100.0 + number
                 (running.folder / "config.json").write_text(json.dumps(config))
-                await running.idle()
+                await running.wait_until_idle()
                 before, began = running.cpu_s(), monotonic()
                 running.process.send_signal(signal.SIGHUP)
                 await running.wait_for_log_line("configuration is read again")
                 in_force_ms.append((monotonic() - began) * 1000)
                 await running.job()  # the first job after a reload rebuilds the pools
-                await running.idle()
+                await running.wait_until_idle()
                 cpu.append((running.cpu_s() - before) * 1000)
             figures = {
                 "cpu_ms": statistics.median(cpu),
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -227,7 +227,7 @@
             await asyncio.sleep(RETRY_INTERVAL_S)
         return False
 
-    async def idle(self, within_s: float = 60.0) -> None:
+    async def wait_until_idle(self, within_s: float = 60.0) -> None:
         """Return once the process uses no CPU, or after `within_s`."""
         until, before = monotonic() + within_s, -1.0
         while before != (before := self.cpu_s()) and monotonic() < until:
--- a/benchmarks/capacity/starts.py
+++ b/benchmarks/capacity/starts.py
@@ -52,7 +52,7 @@
     answers: dict[int, int] = {}
     sent_at: dict[str, float] = {}
     tasks = []
-    await running.idle()
+    await running.wait_until_idle()
     cpu, waited, began = running.cpu_s(), waited_s(running.pid), monotonic()
     for number in range(int(rate * LOAD_DURATION_S)):
         await asyncio.sleep(max(0.0, began + number / rate - monotonic()))
