--- a/benchmarks/capacity/planners.py
+++ b/benchmarks/capacity/planners.py
@@ -43,7 +43,7 @@
     before = running.cpu_s()
     catalog.tell(*members)
     await running.wait_until_idle()
-    await running.job()
+    await running.send_job()
     await running.wait_until_idle()
     return running.cpu_s() - before
 
@@ -56,7 +56,7 @@
     for member in members:
         catalog.tell(member)
         await asyncio.sleep(SPACING_S)
-        await running.job()
+        await running.send_job()
     await running.wait_until_idle()
     return running.cpu_s() - before
 
@@ -68,10 +68,10 @@
     await running.wait_until_idle()
     figures = {"start_cpu_ms": running.cpu_s() * 1000, "memory_mb": running.memory_mb()}
     for _ in range(WARM_JOBS):
-        await running.job()
+        await running.send_job()
     before = running.cpu_s()
     for _ in range(JOBS):
-        await running.job()
+        await running.send_job()
     await running.wait_until_idle()
     figures["job_us"] = (running.cpu_s() - before) / JOBS * 1e6
     before, began = running.cpu_s(), monotonic()
--- a/benchmarks/capacity/reload.py
+++ b/benchmarks/capacity/reload.py
@@ -40,7 +40,7 @@
                 running.process.send_signal(signal.SIGHUP)
                 await running.wait_for_log_line("configuration is read again")
                 in_force_ms.append((monotonic() - began) * 1000)
-                await running.job()  # the first job after a reload rebuilds the pools
+                await running.send_job()  # the first job after a reload rebuilds the pools
                 await running.wait_until_idle()
                 cpu.append((running.cpu_s() - before) * 1000)
             figures = {
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -208,7 +208,7 @@
                 return log_line
         raise RuntimeError(f"the scheduler ended before it logged {text!r}")
 
-    async def job(self, job_class: str = "quote", deadline_s: float = 5.0) -> tuple[int, str]:
+    async def send_job(self, job_class: str = "quote", deadline_s: float = 5.0) -> tuple[int, str]:
         """Send one request on the persistent connection; its HTTP status and its id."""
         if self.reader is None or self.writer is None:
             self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -222,7 +222,7 @@
         """Whether a job is served within this time; a refused one is sent again."""
         until = monotonic() + within_s
         while monotonic() < until:
-            if (await self.job())[0] == 200:
+            if (await self.send_job())[0] == 200:
                 return True
             await asyncio.sleep(RETRY_INTERVAL_S)
         return False
