--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -126,7 +126,7 @@
     return uvloop.run(run()) | {"peak_bytes": uvloop.run(measure_memory())}
 
 
-def replaced(planners: int, replaced: int) -> dict[str, Any]:
+def replacement_day(planners: int, replaced: int) -> dict[str, Any]:
     """Simulate a day on which `replaced` planners drain, leave and are replaced, evenly spread. Returns how
     many planners the dispatcher, the endpoint table and the connection pool hold afterwards beyond the
     listed ones, and how many bytes are held beyond those at the start of the day."""
--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -8,7 +8,7 @@
 from time import monotonic
 
 from benchmarks.capacity.decisions import change_cost, zone_cost
-from benchmarks.capacity.lists import list_read, replaced
+from benchmarks.capacity.lists import list_read, replacement_day
 from benchmarks.capacity.records import Row
 
 SLOPE = "parts"
@@ -34,7 +34,7 @@
             (size, f"list {'indented' if indented else 'compact'}", partial(list_read, size, indented))
             for indented in (False, True)
         ]
-    cases += [(count, "replaced", partial(replaced, PLANNERS, count)) for count in REPLACED]
+    cases += [(count, "replaced", partial(replacement_day, PLANNERS, count)) for count in REPLACED]
     until, rows = monotonic() + limit_s, []
     for size, case, call in cases:
         if monotonic() < until:
