--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -82,24 +82,28 @@
         """Submit one job, which is dispatched, started and completed."""
         self.jobs += 1
         self.now += 50.0
-        [send] = [
+        [attempt] = [
             action
             for action in self.dispatcher.handle(
                 self.now, [JobSubmitted(self.jobs, 5000.0, self.jobs % CLASSES)]
             )
             if isinstance(action, StartAttempt)
         ]
-        self.dispatcher.handle(self.now, [AttemptProgressed(self.jobs, 0, send.worker, ProgressKind.STARTED)])
-        self.dispatcher.handle(self.now, [AttemptFinished(self.jobs, 0, send.worker, Outcome.OK, 1.0, True)])
+        self.dispatcher.handle(
+            self.now, [AttemptProgressed(self.jobs, 0, attempt.worker, ProgressKind.STARTED)]
+        )
+        self.dispatcher.handle(
+            self.now, [AttemptFinished(self.jobs, 0, attempt.worker, Outcome.OK, 1.0, True)]
+        )
 
     def replace(self) -> None:
         """Remove one planner and add another, in two updates with a job behind each."""
-        place = self.next_number * 7919 % len(self.entries)
-        old, self.entries[place] = self.entries[place], self.entry(self.next_number)
+        index = self.next_number * 7919 % len(self.entries)
+        old, self.entries[index] = self.entries[index], self.entry(self.next_number)
         self.next_number += 1
         self.update_list(UpdateKind.DELTA, [removed_entry(old)])
         self.job()
-        self.update_list(UpdateKind.DELTA, [self.entries[place]])
+        self.update_list(UpdateKind.DELTA, [self.entries[index]])
         self.job()
 
 
@@ -118,10 +122,10 @@
     scheduler = Scheduler(planners)
     rounds = []
     for _ in range(ROUNDS):
-        begun = process_time()
+        start_s = process_time()
         for _ in range(JOBS):
             scheduler.job()
-        rounds.append((process_time() - begun) / JOBS)
+        rounds.append((process_time() - start_s) / JOBS)
     return minimum_us(rounds)
 
 
@@ -131,10 +135,10 @@
     scheduler.replace()
     rounds = []
     for _ in range(ROUNDS):
-        begun = process_time()
+        start_s = process_time()
         for _ in range(CHANGES // 2):
             scheduler.replace()
-        rounds.append((process_time() - begun) / CHANGES)
+        rounds.append((process_time() - start_s) / CHANGES)
     return {"planners": planners, "change_and_job_us": minimum_us(rounds), "job_us": job_cost(planners)}
 
 
@@ -148,12 +152,12 @@
             scheduler.job()
         lost = [removed_entry(entry) for entry in scheduler.entries if entry.zone == ZONES - 1]
         changes = len(lost)
-        begun = process_time()
-        for news in [lost] if at_once else [[entry] for entry in lost]:
-            scheduler.update_list(UpdateKind.DELTA, news)
+        start_s = process_time()
+        for update in [lost] if at_once else [[entry] for entry in lost]:
+            scheduler.update_list(UpdateKind.DELTA, update)
             for _ in range(CLASSES if at_once else 1):
                 scheduler.job()
-        rounds.append(process_time() - begun)
+        rounds.append(process_time() - start_s)
     return {"planners": planners, "changes": changes, "zone_us": minimum_us(rounds)}
 
 
--- a/benchmarks/capacity/gangs.py
+++ b/benchmarks/capacity/gangs.py
@@ -25,25 +25,25 @@
     fleet = Fleet(PLANNERS, SCHEDULERS, seed)
     fleet.fill(fill_share, refill=True)
     begin_ms, answered = fleet.now, list[ModelRequest]()
-    request = [
+    requests = [
         ModelRequest(
             ORDINARY, begin_ms, answered.append, number % SCHEDULERS, ANSWER_TIMEOUT_MS + MEAN_TASK_MS
         )
         for number in range(members)
     ]
-    for one in request:
+    for one in requests:
         fleet.submit(one)
     while len(answered) < members and fleet.now < begin_ms + ANSWER_TIMEOUT_MS:
         fleet.run(fleet.now + 10.0)
-    started = [one.started for one in request if one.started is not None]
+    started = [one.started for one in requests if one.started is not None]
     whole = len(started) == members
-    known = max((one.ended or one.started or fleet.now) for one in request)
+    decided_at = max((one.ended or one.started or fleet.now) for one in requests)
     return {
         "started": float(len(started)),
         "whole": float(whole),
-        "known_ms": known - begin_ms,
-        "sends": float(sum(one.sends for one in request)),
-        "held_slot_s": 0.0 if whole else sum(known - at for at in started) / 1000,
+        "known_ms": decided_at - begin_ms,
+        "sends": float(sum(one.sends for one in requests)),
+        "held_slot_s": 0.0 if whole else sum(decided_at - at for at in started) / 1000,
         "lost_slot_s": 0.0 if whole else len(started) * MEAN_TASK_MS / 1000,
     }
 
--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -61,15 +61,15 @@
         self.started.set_result(attempt)
 
 
-def timers_per_request(configured: dict[str, Any]) -> int:
+def timers_per_request(config: dict[str, Any]) -> int:
     """Count the pending timers of one request whose attempt has started, in the forwarder alone; the client's
     connection has none at that point."""
 
     async def run() -> int:
-        loop, settings = _TimerRecordingLoop(), settings_from(configured["settings"])
-        core, client = Forwarder(settings, 1, loop), _StartedWorkerClient()  # type: ignore[arg-type]
-        core.attach_discovery(lambda watch: None)
-        core.endpoints.update(
+        loop, settings = _TimerRecordingLoop(), settings_from(config["settings"])
+        forwarder, client = Forwarder(settings, 1, loop), _StartedWorkerClient()  # type: ignore[arg-type]
+        forwarder.attach_discovery(lambda watch: None)
+        forwarder.endpoints.update(
             "capacity",
             UpdateKind.SNAPSHOT,
             1,
@@ -77,10 +77,10 @@
         )  # type: ignore[arg-type]
         await asyncio.sleep(0.01)
         before = set(loop.timers)
-        core.submit(Request("a", 2, TASK_DEADLINE_S * 1000, 0), Mock())
+        forwarder.submit(Request("a", 2, TASK_DEADLINE_S * 1000, 0), Mock())
         attempt = await client.started
-        core.attempt_sent(attempt)
-        core.attempt_progressed(attempt, ProgressKind.STARTED)
+        forwarder.attempt_sent(attempt)
+        forwarder.attempt_progressed(attempt, ProgressKind.STARTED)
         await asyncio.sleep(0.01)
         return sum(not handle.cancelled() for handle in loop.timers if handle not in before)
 
@@ -104,10 +104,10 @@
     await planners.start(PORTS)
     catalog.members = [ListedPlanner(number, planners.ports[number % PORTS]) for number in range(PLANNERS)]
     await catalog.start()
-    configured = configuration(catalog.port, 4, sockets=4096)
+    config = configuration(catalog.port, 4, sockets=4096)
     writers: list[asyncio.StreamWriter] = []
     try:
-        async with watch_loop_lag() as lag, scheduler(configured) as running:
+        async with watch_loop_lag() as lag, scheduler(config) as running:
             if not await running.served(20.0):
                 return Row(SLOPE, size, "calm", {}, False, "no job was served within 20 s")
             await running.wait_until_idle()
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -27,7 +27,7 @@
 from benchmarks.capacity.machine import cpu_s, memory_mb
 from benchmarks.capacity.records import ROOT, Row
 from benchmarks.capacity.serving import Catalog, ListedPlanner, Planners, Scheduler, configuration, scheduler
-from pipitshed.cluster import node as edge
+from pipitshed.cluster import node as node_module
 from pipitshed.cluster.codec import Codec
 from pipitshed.cluster.config_file import ClusterConfig
 from pipitshed.cluster.messages import ClusterMessage
@@ -101,11 +101,11 @@
 async def run_hollow(first: int, count: int, config: Config, seeds: list[Address]) -> None:
     """Run `count` hollow schedulers, controlled by lines on standard input that `HollowFleet` writes: `count`
     resets the counters, `tell` asks for a report. Without seeds the first three schedulers are the seeds."""
-    edge.Codec = CountingCodec  # type: ignore[misc]
-    loop, fleets, applied = asyncio.get_running_loop(), [], []
+    node_module.Codec = CountingCodec  # type: ignore[misc]
+    loop, nodes, applied = asyncio.get_running_loop(), [], []
     for number in range(first, first + count):
         applied.append(AppliedSettings(config))
-        joins_by = seeds or [fleet.address for fleet in fleets[:3]]
+        seed_addresses = seeds or [node.address for node in nodes[:3]]
         peers = ClusterConfig(
             f"h{number}",
             ZONES[number % len(ZONES)],
@@ -113,18 +113,18 @@
             None,
             CLUSTER,
             b"",
-            joins_by,
+            seed_addresses,
             None,
             ProtocolTimings(),
         )
-        tuned = SettingsTarget(applied[-1].file, applied[-1].apply)
-        fleets.append(edge.ClusterNode(peers, "", loop, tuned))
+        target = SettingsTarget(applied[-1].file, applied[-1].apply)
+        nodes.append(node_module.ClusterNode(peers, "", loop, target))
     samples, reader = LagSamples(), asyncio.StreamReader()
-    watching = loop.create_task(samples.sample())
+    sampling = loop.create_task(samples.sample())
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    for fleet in fleets:
-        await fleet.start()
-    _write_line([fleet.address for fleet in fleets[:3]])
+    for node in nodes:
+        await node.start()
+    _write_line([node.address for node in nodes[:3]])
     while line := await reader.readline():
         if line == b"count\n":
             samples.total = samples.late = 0
@@ -132,7 +132,7 @@
                 codec.out = Second()
         elif line == b"tell\n":
             out = [codec.out for codec in CountingCodec.instances]
-            views = [fleet.membership.view for fleet in fleets]
+            views = [node.membership.view for node in nodes]
             _write_line(
                 {
                     "out_bytes": [one.bytes for one in out],
@@ -143,9 +143,9 @@
                     "since": [one.since for one in applied],
                 }
             )
-    watching.cancel()
-    for fleet in fleets:
-        fleet.close()
+    sampling.cancel()
+    for node in nodes:
+        node.close()
 
 
 def _write_line(report: object) -> None:
@@ -199,9 +199,9 @@
         """Seconds until all views agree on this many live schedulers; None if they do not within the time."""
         began = monotonic()
         while monotonic() - began < within:
-            report = await self.reports()
-            if {alive for one in report for alive in one["alive"]} == {size} and len(
-                {view for one in report for view in one["views"]}
+            reports = await self.reports()
+            if {alive for one in reports for alive in one["alive"]} == {size} and len(
+                {view for one in reports for view in one["views"]}
             ) == 1:
                 return monotonic() - began
             await asyncio.sleep(0.25)
@@ -209,15 +209,15 @@
 
     async def row(self, size: int, case: str, why: str = "", **figures: float) -> Row:
         """A row of what was counted since the measurement started."""
-        report, seconds = await self.reports(), monotonic() - self.began_s
+        reports, seconds = await self.reports(), monotonic() - self.began_s
         scheduler_count = sum(one.count for one in self.members)
         cpu = sum(cpu_s(one.process.pid) for one in self.members) - sum(self.cpu)
-        out = [sent for one in report for sent in one["out_bytes"]]
-        late = max(one["late"] for one in report)
+        out = [sent for one in reports for sent in one["out_bytes"]]
+        late = max(one["late"] for one in reports)
         figures |= {
             "out_bytes_per_s": sum(out) / scheduler_count / seconds,
             "heaviest_out_bytes_per_s": max(out) / seconds,
-            "worst_second_out_bytes": max(one["worst"] for one in report),
+            "worst_second_out_bytes": max(one["worst"] for one in reports),
             "cpu_share": cpu / scheduler_count / seconds,
             "memory_mb": sum(memory_mb(one.process.pid) for one in self.members) / scheduler_count,
             "hollow": float(scheduler_count),
@@ -231,7 +231,7 @@
 @contextlib.asynccontextmanager
 async def hollow_fleet(scheduler_count: int) -> AsyncIterator[HollowFleet]:
     """Run hollow schedulers that join each other; their processes are killed at the end of the block."""
-    group = HollowFleet()
+    fleet = HollowFleet()
     processes = math.ceil(scheduler_count / MAX_PER_PROCESS)
     counts = [
         scheduler_count // processes + (index < scheduler_count % processes) for index in range(processes)
@@ -248,20 +248,20 @@
                     str(config),
                     str(sum(counts[:index])),
                     str(count),
-                    *group.seeds,
+                    *fleet.seeds,
                     cwd=ROOT,
                     stdin=asyncio.subprocess.PIPE,
                     stdout=asyncio.subprocess.PIPE,
                 )
-                group.members.append(HollowProcess(process, count))
+                fleet.members.append(HollowProcess(process, count))
                 report = [
                     f"{host}:{port}"
-                    for host, port in msgspec.json.decode(await group.members[-1].read_line())
+                    for host, port in msgspec.json.decode(await fleet.members[-1].read_line())
                 ]
-                group.seeds = group.seeds or report
-            yield group
+                fleet.seeds = fleet.seeds or report
+            yield fleet
         finally:
-            for one in group.members:
+            for one in fleet.members:
                 if one.process.returncode is None:
                     one.process.kill()
                 await one.process.wait()
@@ -286,7 +286,7 @@
     return await stack.enter_async_context(scheduler(config, "--fleet", str(fleet_file))), fleet_file
 
 
-async def _put(fleet_file: Path, group: HollowFleet) -> dict[str, float]:
+async def _put(fleet_file: Path, fleet: HollowFleet) -> dict[str, float]:
     """Put a setting by command: the time until the command reports it in force at all schedulers, and the
     time until the last hollow scheduler applied it."""
     put = await asyncio.create_subprocess_exec(
@@ -300,15 +300,15 @@
         "--fleet",
         str(fleet_file),
         "--peer",
-        group.seeds[0],
+        fleet.seeds[0],
         cwd=ROOT,
         stdout=asyncio.subprocess.PIPE,
     )
     assert put.stdout is not None
     await put.stdout.readline()
     accepted = monotonic()
-    code, report = await put.wait(), await group.reports()
-    since = [when for one in report for when in one["since"]]
+    code, reports = await put.wait(), await fleet.reports()
+    since = [when for one in reports for when in one["since"]]
     return {
         "answered_ms": (monotonic() - accepted) * 1000,
         "answer": float(code),
@@ -319,17 +319,17 @@
 
 async def _cases(size: int) -> list[Row]:
     rows = []
-    async with hollow_fleet(size - SERVE_PROCESSES) as group, AsyncExitStack() as stack:
-        group.restart_measurement()
-        if await group.wait_for_one_view(size - SERVE_PROCESSES, JOIN_TIMEOUT_S) is None:
-            return [await group.row(size, "join", f"no one view within {JOIN_TIMEOUT_S:.0f} s")]
+    async with hollow_fleet(size - SERVE_PROCESSES) as fleet, AsyncExitStack() as stack:
+        fleet.restart_measurement()
+        if await fleet.wait_for_one_view(size - SERVE_PROCESSES, JOIN_TIMEOUT_S) is None:
+            return [await fleet.row(size, "join", f"no one view within {JOIN_TIMEOUT_S:.0f} s")]
         await asyncio.sleep(SETTLE_S)
-        group.restart_measurement()
+        fleet.restart_measurement()
         await asyncio.sleep(REST_S)
-        rows.append(await group.row(size, "rest"))
-        group.restart_measurement()
-        serving = [await _start_serving(stack, index, group.seeds) for index in range(SERVE_PROCESSES)]
-        settled = await group.wait_for_one_view(size, JOIN_TIMEOUT_S)
+        rows.append(await fleet.row(size, "rest"))
+        fleet.restart_measurement()
+        serving = [await _start_serving(stack, index, fleet.seeds) for index in range(SERVE_PROCESSES)]
+        settled = await fleet.wait_for_one_view(size, JOIN_TIMEOUT_S)
         before = sum(running.cpu_s() for running, _ in serving)
         await asyncio.sleep(MEASURED_S)
         cpu = (sum(running.cpu_s() for running, _ in serving) - before) / SERVE_PROCESSES / MEASURED_S
@@ -339,13 +339,13 @@
         }
         why = "" if settled is not None else f"no one view within {JOIN_TIMEOUT_S:.0f} s"
         rows.append(
-            await group.row(size, f"{SERVE_PROCESSES} join", why, **figures, settled_ms=(settled or 0) * 1000)
+            await fleet.row(size, f"{SERVE_PROCESSES} join", why, **figures, settled_ms=(settled or 0) * 1000)
         )
-        group.restart_measurement()
-        report = await _put(serving[0][1], group)
+        fleet.restart_measurement()
+        report = await _put(serving[0][1], fleet)
         await asyncio.sleep(SETTLE_S)
         why = "not in force at all" if report["answer"] or report["not_acting"] else ""
-        rows.append(await group.row(size, "one change", why, **report))
+        rows.append(await fleet.row(size, "one change", why, **report))
     return rows
 
 
--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -60,27 +60,27 @@
     """A scheduler that watches the list; the received bytes go through the program's own classes."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.core = Forwarder(
+        self.forwarder = Forwarder(
             Settings(
                 classes=(JobClass(latency_objective_ms=300.0, deadline_ms=5000.0),), zone_count=len(ZONES)
             ),
             1,
             loop,
         )
-        self.carrier = HttpWorkerClient(self.core, [], loop)
-        listing = EndpointParser(SOURCE, NameIndex(ZONES), NameIndex(["standard"]), self.carrier)
-        self.discovery = CatalogClient(("127.0.0.1", 1), listing, self.core.endpoints, loop)
+        self.worker_client = HttpWorkerClient(self.forwarder, [], loop)
+        listing = EndpointParser(SOURCE, NameIndex(ZONES), NameIndex(["standard"]), self.worker_client)
+        self.discovery = CatalogClient(("127.0.0.1", 1), listing, self.forwarder.endpoints, loop)
         self.call = CatalogCall(self.discovery, True)
         self.call.data_received(RESPONSE_HEAD)
         self.turns: list[float] = []  # CPU time (s) of each loop turn that processed the list
-        self.core._turns._run_turn = self._timed(self.core._turns._run_turn)  # type: ignore[method-assign]
+        self.forwarder._turns._run_turn = self._timed(self.forwarder._turns._run_turn)  # type: ignore[method-assign]
         self.discovery._apply_pending = self._timed(self.discovery._apply_pending)  # type: ignore[method-assign]
 
     def _timed(self, work: Callable[..., None]) -> Callable[..., None]:
-        def timed(*given: Any) -> None:
-            begun = time.process_time()  # wall time would include other processes
-            work(*given)
-            self.turns.append(time.process_time() - begun)
+        def timed(*args: Any) -> None:
+            start_s = time.process_time()  # wall time would include other processes
+            work(*args)
+            self.turns.append(time.process_time() - start_s)
 
         return timed
 
@@ -107,11 +107,11 @@
         result: dict[str, Any] = {"planners": planners, "indented": indented, "bytes": len(texts[0])}
         for version, (name, text) in enumerate(zip(("first", "again"), texts, strict=True), 41):
             scheduler.turns.clear()
-            begun = time.process_time()
+            start_s = time.process_time()
             await scheduler.read(text, version)
-            result[f"{name}_cpu_ms"] = (time.process_time() - begun) * 1000
+            result[f"{name}_cpu_ms"] = (time.process_time() - start_s) * 1000
             result[f"{name}_turn_ms"] = max(scheduler.turns) * 1000
-        assert scheduler.core.endpoints.ready() == planners
+        assert scheduler.forwarder.endpoints.ready() == planners
         return result
 
     async def measure_memory() -> int:
@@ -133,29 +133,29 @@
 
     async def run() -> dict[str, Any]:
         scheduler = WatchingScheduler(asyncio.get_running_loop())
-        table, now = scheduler.core.endpoints, 0.0
+        table, now = scheduler.forwarder.endpoints, 0.0
         table._clock = lambda: now
         await scheduler.read(list_update(1, True, [planner_row(number) for number in range(planners)]), 1)
         tracemalloc.start()
         for number in range(replaced):
             now += DAY_S / replaced
-            scheduler.core._turns.epoch_s += DAY_S / replaced  # the dispatcher's clock
+            scheduler.forwarder._turns.epoch_s += DAY_S / replaced  # the dispatcher's clock
             version = 2 * number + 2
             await scheduler.read(list_update(version, False, [planner_row(number, 0, "draining")]), version)
             version += 1
             rows = [planner_row(number, 0, "gone"), planner_row(planners + number, version)]
             await scheduler.read(list_update(version, False, rows), version)
         gc.collect()
-        held = tracemalloc.get_traced_memory()[0]
+        held_bytes = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
         return {
             "planners": planners,
             "replaced": replaced,
             "listed": table.size(),
-            "decisions": len(scheduler.core._dispatcher.workers) - planners,
+            "decisions": len(scheduler.forwarder._dispatcher.workers) - planners,
             "route_table": max(len(table._endpoints), len(table._leaving) + planners) - planners,
-            "pool": len(scheduler.carrier.pool._idle),
-            "bytes": held,
+            "pool": len(scheduler.worker_client.pool._idle),
+            "bytes": held_bytes,
         }
 
     return uvloop.run(run())
--- a/benchmarks/capacity/modelled.py
+++ b/benchmarks/capacity/modelled.py
@@ -32,7 +32,7 @@
 ORDINARY, URGENT = 0, 1
 
 
-def settings(siblings: int) -> Settings:
+def settings(schedulers: int) -> Settings:
     """Two classes: ordinary tasks, and urgent ones with a shorter latency objective and a higher priority."""
     limits = Limits(may_cancel=True, clients_honour_retry_after=True, max_attempts=5)
     return Settings(
@@ -54,7 +54,7 @@
         limits=limits,
         guarantees=Guarantees(),
         tick_ms=2.0,
-        scheduler_count=siblings,
+        scheduler_count=schedulers,
         workers_report_start=True,
         zone_count=ZONES,
     )
@@ -109,8 +109,8 @@
     def fill(self, share: float, refill: bool) -> None:
         """Fill this share of all slots, drawn at random, with background tasks of exponential duration. With
         `refill`, each task that ends is replaced by one on a planner with a free slot."""
-        places = [planner for planner in self.planners for _ in range(SLOTS_PER_PLANNER)]
-        for planner in self.rng.sample(places, round(share * len(places))):
+        slots = [planner for planner in self.planners for _ in range(SLOTS_PER_PLANNER)]
+        for planner in self.rng.sample(slots, round(share * len(slots))):
             self._start_background_task(planner, refill)
 
     def _start_background_task(self, planner: Planner, refill: bool) -> None:
@@ -162,9 +162,9 @@
                 self.call_later(action.delay_ms, partial(self._handle, scheduler, TimerFired(action.token)))
             elif isinstance(action, StartAttempt):
                 key = scheduler, action.job_id
-                number = self.sends[key] = self.sends.get(key, -1) + 1
+                attempt_number = self.sends[key] = self.sends.get(key, -1) + 1
                 self.requests[key].sends += 1
-                self.call_later(TRIP_MS, partial(self._arrive, scheduler, action, number))
+                self.call_later(TRIP_MS, partial(self._arrive, scheduler, action, attempt_number))
             elif isinstance(action, RejectRequest | FailRequest):
                 self._refuse(scheduler, action)
             elif isinstance(action, CancelAttempt):
@@ -179,15 +179,17 @@
         request.retry_wait_ms = action.retry_after_ms if isinstance(action, RejectRequest) else 0.0
         request.on_outcome(request)
 
-    def _arrive(self, scheduler: int, send: StartAttempt, number: int) -> None:
-        planner, key, arrived_at = self.planners[int(send.worker)], (scheduler, send.job_id), self.now
+    def _arrive(self, scheduler: int, attempt: StartAttempt, attempt_number: int) -> None:
+        planner, key, arrived_at = self.planners[int(attempt.worker)], (scheduler, attempt.job_id), self.now
         if planner.taken >= SLOTS_PER_PLANNER:
             self.call_later(
                 TRIP_MS,
                 partial(
                     self._handle,
                     scheduler,
-                    AttemptFinished(send.job_id, number, send.worker, Outcome.REJECTED, 2 * TRIP_MS, False),
+                    AttemptFinished(
+                        attempt.job_id, attempt_number, attempt.worker, Outcome.REJECTED, 2 * TRIP_MS, False
+                    ),
                 ),
             )
             return
@@ -200,7 +202,7 @@
             partial(
                 self._handle,
                 scheduler,
-                AttemptProgressed(send.job_id, number, send.worker, ProgressKind.STARTED),
+                AttemptProgressed(attempt.job_id, attempt_number, attempt.worker, ProgressKind.STARTED),
             ),
         )
 
@@ -209,7 +211,9 @@
             self.requests.pop(key)
             self._handle(
                 scheduler,
-                AttemptFinished(send.job_id, number, send.worker, Outcome.OK, self.now - arrived_at, True),
+                AttemptFinished(
+                    attempt.job_id, attempt_number, attempt.worker, Outcome.OK, self.now - arrived_at, True
+                ),
             )
 
         self.call_later(max(2 * TRIP_MS, request.duration_ms), end)
--- a/benchmarks/capacity/plots.py
+++ b/benchmarks/capacity/plots.py
@@ -45,7 +45,7 @@
     matplotlib.use("Agg")
     import matplotlib.pyplot as plt
 
-    made = []
+    written = []
     for name, (label, lines) in PICTURES.items():
         if not any(line.points(runs) for line in lines):
             continue
@@ -62,7 +62,7 @@
             axis.set_ylim(bottom=0)
         figure.supxlabel(label, fontsize=8)
         figure.tight_layout()
-        made.append(folder / f"capacity-{name}.png")
-        figure.savefig(made[-1], dpi=80)
+        written.append(folder / f"capacity-{name}.png")
+        figure.savefig(written[-1], dpi=80)
         plt.close(figure)
-    return made
+    return written
--- a/benchmarks/capacity/regions.py
+++ b/benchmarks/capacity/regions.py
@@ -38,9 +38,9 @@
         fleet.leave(node)
     fleet.run(DOWN_S)
     for node in nodes:
-        again = fleet.start(node.address[1] - fleet.first_port, fleet.seeds)
+        restarted_node = fleet.start(node.address[1] - fleet.first_port, fleet.seeds)
         for row in node.tables[0]:
-            again.tables[0].apply(row)
+            restarted_node.tables[0].apply(row)
 
 
 def nodes_by_region(fleet: Fleet, lost: bool) -> list[Node]:
@@ -109,8 +109,8 @@
     run.wait_until(fleet.quiet, QUIET_TIMEOUT_S, 1.0)
     with run.measured() as cost:
         for wave in range(WAVES):
-            going = [fleet.nodes[node.address] for node in nodes[wave::WAVES]]
-            restart(fleet, going)
+            restarted = [fleet.nodes[node.address] for node in nodes[wave::WAVES]]
+            restart(fleet, restarted)
             run.advance(WAVE_INTERVAL_S / 2)
             run.put_quotas(
                 fleet.nodes[writer],
@@ -119,7 +119,7 @@
             run.advance(WAVE_INTERVAL_S / 2 - DOWN_S)
             older += sum(
                 version_of(fleet.nodes[node.address], row.key) < row.number
-                for node in going
+                for node in restarted
                 for row in node.tables[0]
             )
         settled = run.wait_until(fleet.whole, SETTLE_TIMEOUT_S)
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -171,25 +171,25 @@
     put: dict[tuple[str, int], float] = {}
     with run.measured() as cost:
         for burst in range(BURSTS):
-            for place in range(BURST):
-                put |= run.put_quotas(writer, [key(burst * BURST + place)])
+            for index in range(BURST):
+                put |= run.put_quotas(writer, [key(burst * BURST + index)])
                 run.advance(1.0 / BURST)
             run.advance(BURST_INTERVAL_S - 1.0)
-    took: dict[tuple[str, int], list[float]] = {change: [] for change in put}
+    delays_ms: dict[tuple[str, int], list[float]] = {change: [] for change in put}
     for when, _, row in fleet.row_news:
         if (row.key, row.number) in put:
-            took[row.key, row.number].append((when - put[row.key, row.number]) * 1000)
-    every = [one for times in took.values() for one in times]
-    missing = len(put) * len(fleet.nodes) - len(every)
+            delays_ms[row.key, row.number].append((when - put[row.key, row.number]) * 1000)
+    all_delays_ms = [one for times in delays_ms.values() for one in times]
+    missing = len(put) * len(fleet.nodes) - len(all_delays_ms)
     run.row(
         case,
         cost,
         f"{missing} not in force in time" if missing else "",
-        in_force_p50_ms=percentile(every, 0.5),
-        in_force_p99_ms=percentile(every, 0.99),
-        in_force_worst_ms=max(every),
+        in_force_p50_ms=percentile(all_delays_ms, 0.5),
+        in_force_p99_ms=percentile(all_delays_ms, 0.99),
+        in_force_worst_ms=max(all_delays_ms),
         changes=float(len(put)),
-        last_p50_ms=percentile([max(times) for times in took.values()], 0.5),
+        last_p50_ms=percentile([max(times) for times in delays_ms.values()], 0.5),
     )
 
 
@@ -199,17 +199,19 @@
     last = next(reversed(fleet.nodes.values()))
     fleet.kill(last)
     run.advance(1.0)
-    node, whole = fleet.start(run.size - 1, fleet.seeds), next(iter(fleet.nodes.values())).tables[0]
+    node, reference = fleet.start(run.size - 1, fleet.seeds), next(iter(fleet.nodes.values())).tables[0]
     with run.measured() as cost:
         current = run.wait_until(
             lambda: (
-                node.tables[0].digest() == whole.digest()
+                node.tables[0].digest() == reference.digest()
                 and node.membership.view.live_count >= len(fleet.nodes)
             ),
             SETTLE_TIMEOUT_S,
             0.05,
         )
-    extra_figures = {"rows": float(len(whole))} | ({} if current is None else {"current_ms": current * 1000})
+    extra_figures = {"rows": float(len(reference))} | (
+        {} if current is None else {"current_ms": current * 1000}
+    )
     run.row(
         "one lost everything", cost, "" if current is not None else "not current in time", **extra_figures
     )
@@ -257,12 +259,14 @@
     return run.rows
 
 
-def run_sizes(of: Callable[[int, float], list[Row]], sizes: Sequence[int], limit_s: float) -> list[Row]:
+def run_sizes(
+    measure_size: Callable[[int, float], list[Row]], sizes: Sequence[int], limit_s: float
+) -> list[Row]:
     """The rows of these sizes, the largest first, each in its own process for the memory figure."""
     spawn = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(PROCESSES, mp_context=spawn, max_tasks_per_child=1) as pool:
-        played = [pool.submit(of, size, limit_s) for size in sorted(sizes, reverse=True)]
-        return [row for one in reversed(played) for row in one.result()]
+        futures = [pool.submit(measure_size, size, limit_s) for size in sorted(sizes, reverse=True)]
+        return [row for one in reversed(futures) for row in one.result()]
 
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -43,7 +43,7 @@
     quota: float  # a second
     demand: float  # a second
     home_schedulers: list[int]  # of its clients; empty: each job goes to a random scheduler
-    asked: int = 0
+    submitted: int = 0
     started: int = 0
 
 
@@ -55,7 +55,7 @@
     teams: list[Team]
     start_rate: float  # of all planners, a second
     rng: random.Random
-    due: list[tuple[float, int, int, events.Event]] = field(
+    queue: list[tuple[float, int, int, events.Event]] = field(
         default_factory=list
     )  # ms, order, scheduler, event
     order: Iterator[int] = field(default_factory=count)
@@ -77,74 +77,74 @@
         end = seconds * 1000
         for number, team in enumerate(self.teams):
             self._arrive(number, team, 0.0)
-        while self.due and self.due[0][0] <= end:
-            now, _, place, event = heappop(self.due)
+        while self.queue and self.queue[0][0] <= end:
+            now, _, index, event = heappop(self.queue)
             if isinstance(event, events.JobSubmitted):
                 team = self.teams[event.tenant]
-                team.asked += now >= WARM_UP_S * 1000
+                team.submitted += now >= WARM_UP_S * 1000
                 self.jobs[event.job_id] = event.tenant, 0
                 self._arrive(event.tenant, team, now)
             elif isinstance(event, events.AttemptFinished) and event.answered:
                 team = self.teams[self.jobs.pop(event.job_id)[0]]
                 team.started += now >= WARM_UP_S * 1000
-            for action in self.dispatchers[place].handle(now, [event]):
-                self._carry_out(now, place, action)
+            for action in self.dispatchers[index].handle(now, [event]):
+                self._carry_out(now, index, action)
 
     def _arrive(self, number: int, team: Team, now: float) -> None:
         when = now + self.rng.expovariate(team.demand) * 1000
-        place = (
+        index = (
             self.rng.choice(team.home_schedulers)
             if team.home_schedulers
             else self.rng.randrange(len(self.dispatchers))
         )
-        self._schedule(when, place, events.JobSubmitted(next(self.order), 5000.0, 0, number))
+        self._schedule(when, index, events.JobSubmitted(next(self.order), 5000.0, 0, number))
 
-    def _carry_out(self, now: float, place: int, action: actions.Action) -> None:
+    def _carry_out(self, now: float, index: int, action: actions.Action) -> None:
         if isinstance(action, actions.SetTimer):
-            self._schedule(now + action.delay_ms, place, events.TimerFired(action.token))
+            self._schedule(now + action.delay_ms, index, events.TimerFired(action.token))
         elif isinstance(action, actions.StartAttempt):
             team, attempt = self.jobs[action.job_id]
             self.jobs[action.job_id] = team, attempt + 1
             full = not self.take_token(now)
-            takes = REJECTION_MS if full else COMPLETION_MS
+            duration_ms = REJECTION_MS if full else COMPLETION_MS
             outcome = events.Outcome.REJECTED if full else events.Outcome.OK
             self._schedule(
-                now + takes,
-                place,
-                events.AttemptFinished(action.job_id, attempt, action.worker, outcome, takes, not full),
+                now + duration_ms,
+                index,
+                events.AttemptFinished(action.job_id, attempt, action.worker, outcome, duration_ms, not full),
             )
 
-    def _schedule(self, when: float, place: int, event: events.Event) -> None:
-        heappush(self.due, (when, next(self.order), place, event))
+    def _schedule(self, when: float, index: int, event: events.Event) -> None:
+        heappush(self.queue, (when, next(self.order), index, event))
 
 
 def site(teams: int, schedulers: int, uneven: bool, start_rate: float, seed: int) -> Site:
     """A site with quotas that sum to `STARTS`: equal ones, or a Zipf distribution with clients that stay with
     one scheduler."""
     rng = random.Random(seed)
-    parts = [1.0 / (rank + 1) if uneven else 1.0 for rank in range(teams)]
-    made = []
-    for place, part in enumerate(parts):
-        quota = STARTS * part / sum(parts)
-        demand = quota * (GREEDY_FACTOR if place % 2 else 1.0)
+    weights = [1.0 / (rank + 1) if uneven else 1.0 for rank in range(teams)]
+    team_list = []
+    for index, weight in enumerate(weights):
+        quota = STARTS * weight / sum(weights)
+        demand = quota * (GREEDY_FACTOR if index % 2 else 1.0)
         clients = math.ceil(demand / CLIENT_RATE) if uneven else 0
-        made.append(Team(quota, demand, [rng.randrange(schedulers) for _ in range(clients)]))
-    told = settings() | {
+        team_list.append(Team(quota, demand, [rng.randrange(schedulers) for _ in range(clients)]))
+    config = settings() | {
         "siblings": schedulers,
         "tenants": [
-            {"name": f"t{place}", "share": team.quota / STARTS, "allowancePerS": team.quota}
-            for place, team in enumerate(made)
+            {"name": f"t{index}", "share": team.quota / STARTS, "allowancePerS": team.quota}
+            for index, team in enumerate(team_list)
         ],
     }
     listed = events.EndpointsUpdated(
         events.UpdateKind.SNAPSHOT,
         1,
-        tuple(events.EndpointEntry(b"p%d" % place, zone=place % 3) for place in range(PLANNERS)),
+        tuple(events.EndpointEntry(b"p%d" % index, zone=index % 3) for index in range(PLANNERS)),
     )
-    dispatchers = [Dispatcher(settings_from(told), seed * 1000 + place) for place in range(schedulers)]
+    dispatchers = [Dispatcher(settings_from(config), seed * 1000 + index) for index in range(schedulers)]
     for dispatcher in dispatchers:
         dispatcher.handle(0.0, [listed])
-    return Site(dispatchers, made, start_rate, rng)
+    return Site(dispatchers, team_list, start_rate, rng)
 
 
 def figures(simulated: Site) -> dict[str, float]:
@@ -156,18 +156,18 @@
         if team.demand > team.quota
     ]
     under = [
-        max(0.0, (min(team.asked, team.quota * MEASURED_S) - team.started) / (team.quota * MEASURED_S))
+        max(0.0, (min(team.submitted, team.quota * MEASURED_S) - team.started) / (team.quota * MEASURED_S))
         for team in simulated.teams
         if team.demand <= team.quota
     ]
-    told = {
+    result = {
         f"{name}_{label}_share": sorted(values)[math.ceil(len(values) * part) - 1]
         for name, values in (("over", over), ("under", under))
         for part, label in PERCENTILES
     }
     started = sum(team.started for team in simulated.teams)
-    return told | {
-        "asked_per_s": sum(team.asked for team in simulated.teams) / MEASURED_S,
+    return result | {
+        "asked_per_s": sum(team.submitted for team in simulated.teams) / MEASURED_S,
         "started_per_s": started / MEASURED_S,
     }
 
