--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -35,7 +35,7 @@
 
 ZONES, CELLS = 7, 70
 CLASSES = 3
-ROUNDS, CHANGES, JOBS = 9, 20, 400  # the minimum of the rounds counts: the rest is load of other processes
+ROUNDS, CHANGES, JOBS = 9, 20, 400  # the minimum of the rounds counts, as other processes only add time
 
 
 class Scheduler:
@@ -97,7 +97,7 @@
         )
 
     def replace(self) -> None:
-        """Remove one planner and add another, in two updates with a job behind each."""
+        """Remove one planner and add another, in two updates, each followed by a job."""
         index = self.next_number * 7919 % len(self.entries)
         old, self.entries[index] = self.entries[index], self.entry(self.next_number)
         self.next_number += 1
--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -52,7 +52,7 @@
 
 
 class _StartedWorkerClient:
-    """A worker client that passes on the attempt and never completes it."""
+    """A worker client that records the attempt and never completes it."""
 
     def __init__(self) -> None:
         self.started: asyncio.Future[Attempt] = asyncio.get_running_loop().create_future()
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -224,7 +224,7 @@
             "late_share": late,
         }
         if late > MAX_LATE_SHARE:
-            why = why or f"a hollow process's loop was late in {late:.1%} of its looks"
+            why = why or f"a hollow process's loop was late in {late:.1%} of its samples"
         return Row(SLOPE, size, case, figures, not why, why)
 
 
@@ -254,11 +254,11 @@
                     stdout=asyncio.subprocess.PIPE,
                 )
                 fleet.members.append(HollowProcess(process, count))
-                report = [
+                addresses = [
                     f"{host}:{port}"
                     for host, port in msgspec.json.decode(await fleet.members[-1].read_line())
                 ]
-                fleet.seeds = fleet.seeds or report
+                fleet.seeds = fleet.seeds or addresses
             yield fleet
         finally:
             for one in fleet.members:
--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -98,7 +98,7 @@
 
 def list_read(planners: int, indented: bool) -> dict[str, Any]:
     """Read a full list, then the same list again. Returns its bytes; CPU time (ms) and longest loop turn (ms)
-    of the first and the second read; and the peak of the memory (bytes) that both reads allocate."""
+    of the first and the second read; peak memory (bytes) allocated over both reads."""
     rows = [planner_row(number) for number in range(planners)]
     texts = [list_update(version, True, rows, indented) for version in (41, 42)]
 
--- a/benchmarks/capacity/modelled.py
+++ b/benchmarks/capacity/modelled.py
@@ -70,7 +70,7 @@
     scheduler: int = 0
     duration_ms: float = 0.0
     started: float | None = None
-    ended: float | None = None
+    ended: float | None = None  # when it was refused
     retry_wait_ms: float = 0.0  # that the rejection asked for
     refusals: int = 0
     sends: int = 0
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -64,7 +64,7 @@
         begun, cpu, wall = fleet.now, time.process_time(), time.perf_counter()
         yield cost
         cost.seconds = fleet.now - begun
-        # CPU time of the process, scaled by the schedulers' share of its wall time, as cores are shared.
+        # `busy` is wall time, which includes other processes: its share of the wall time scales the CPU time.
         cost.cpu = (time.process_time() - cpu) * fleet.busy / max(1e-9, time.perf_counter() - wall)
 
     def wait_until(self, what: Callable[[], bool], within: float, step: float = STEP_S) -> float | None:
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -193,7 +193,7 @@
         return ""
     met = known.value >= target.budget if target.at_least else known.value <= target.budget
     if met and known.basis not in BASES:
-        return ""  # a smaller size that meets the budget does not show that this size does
+        return ""  # a smaller size can show that the budget is missed, but not that it is met
     share = number(known.value / target.budget) if target.budget else ""
     return share if met else f"{share} **missed**".strip()
 
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -55,9 +55,8 @@
     teams: list[Team]
     start_rate: float  # of all planners, a second
     rng: random.Random
-    queue: list[tuple[float, int, int, events.Event]] = field(
-        default_factory=list
-    )  # ms, order, scheduler, event
+    # (time in ms, order, scheduler, event)
+    queue: list[tuple[float, int, int, events.Event]] = field(default_factory=list)
     order: Iterator[int] = field(default_factory=count)
     jobs: dict[int, tuple[int, int]] = field(default_factory=dict)  # team and attempts so far by job id
     tokens: float = BURST_TOKENS
--- a/benchmarks/capacity/urgent.py
+++ b/benchmarks/capacity/urgent.py
@@ -38,9 +38,8 @@
     def __init__(self, fleet: Fleet, fill_share: float) -> None:
         self.fleet, self.urgent = fleet, list[ModelRequest]()
         self.ordinary = self.refused = 0
-        rate = (
-            len(fleet.planners) * SLOTS_PER_PLANNER / MEAN_TASK_MS
-        )  # starts per ms that keep a full fleet full
+        # Starts per ms that keep a full fleet full.
+        rate = len(fleet.planners) * SLOTS_PER_PLANNER / MEAN_TASK_MS
         self.rates = {
             ORDINARY: rate * (OVERLOAD_FACTOR if fill_share == 1.0 else fill_share),
             URGENT: rate * URGENT_SHARE,
