--- a/benchmarks/capacity/gangs.py
+++ b/benchmarks/capacity/gangs.py
@@ -1,6 +1,6 @@
 """Gang starts in virtual time: independent requests at once, on a fleet with a given share of busy slots.
 
-A gang is whole when all its members run. If one member is refused, the slots of the others are held in vain.
+A gang is whole when all its members run. If one member is refused, the others hold slots without use.
 """
 
 from __future__ import annotations
--- a/benchmarks/capacity/requirements.py
+++ b/benchmarks/capacity/requirements.py
@@ -15,7 +15,7 @@
 FAILED_PER_DAY, REPLACED_PER_DAY = 23, 410
 DAY_S = 86_400
 # Assumptions where the requirements are open; docs/CAPACITY.md names each.
-ASSUMED_SCHEDULERS = (150, 300, 600)  # schedulers
+ASSUMED_SCHEDULERS = (150, 300, 600)
 HEAVIEST_FACTOR = 4  # load of the heaviest scheduler in multiples of the mean
 RACK_PLANNERS = 40  # planners behind one switch
 SOCKET_LIMIT = 1024.0  # `limits.sockets` of a deployment
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -126,7 +126,7 @@
 def test_the_modelled_fleet_is_deterministic_and_a_gang_starts_whole_where_slots_are_free() -> None:
     assert urgent.simulate(46, "full") == urgent.simulate(46, "full")
     assert gangs.gang(32, 0.5, 1)["whole"] == 1.0
-    # Members are independent: where slots are short, some start and hold their slots in vain.
+    # Members are independent: where slots are short, some start and hold slots without use.
     short = gangs.gang(32, 0.98, 1)
     assert short["whole"] == 0.0 and short["started"] > 0 and short["held_slot_s"] > 0
 
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -108,5 +108,5 @@
     ):
         membership.handle_timeouts(membership.next_due_at())
     gone = [member for member in membership.view if member.state is MemberState.DEAD]
-    # Each judgement checks the suspects that are left, and computes the time of the next check.
+    # A judgement computes the timeout of each remaining suspect twice: to judge it, and for the next timer.
     assert len(gone) == suspects and calls <= suspects * (suspects + 2)
