--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -1,4 +1,4 @@
-"""CPU of the decisions alone when the list changes: one planner, and a zone, by the size of the fleet.
+"""CPU time of the dispatcher alone when one planner or a whole zone of the list changes, by fleet size.
 
 python -m benchmarks.capacity.decisions [--sizes 200,575,1150,2300,4600,9200]
 """
@@ -35,11 +35,11 @@
 
 ZONES, CELLS = 7, 70
 CLASSES = 3
-ROUNDS, CHANGES, JOBS = 9, 20, 400  # the least of the rounds is told, as all else is the machine's other work
+ROUNDS, CHANGES, JOBS = 9, 20, 400  # the minimum of the rounds counts, as other processes only add time
 
 
 class Scheduler:
-    """A dispatcher with a list, and a clock of its own."""
+    """A dispatcher with a list of planners and a simulated clock."""
 
     def __init__(self, planners: int) -> None:
         classes = tuple(
@@ -65,9 +65,9 @@
             ),
             1,
         )
-        self.now, self.jobs, self.names = 1_000_000.0, 0, planners
+        self.now, self.jobs, self.next_number = 1_000_000.0, 0, planners
         self.entries = [self.entry(number) for number in range(planners)]
-        self.tell(UpdateKind.CACHED, self.entries)
+        self.update_list(UpdateKind.CACHED, self.entries)
 
     @staticmethod
     def entry(number: int) -> EndpointEntry:
@@ -75,92 +75,96 @@
             b"p%05d" % number, zone=number % ZONES, cell=number % CELLS, weight=1.0 + number % 3
         )
 
-    def tell(self, kind: UpdateKind, entries: list[EndpointEntry]) -> None:
+    def update_list(self, kind: UpdateKind, entries: list[EndpointEntry]) -> None:
         self.dispatcher.handle(self.now, [EndpointsUpdated(kind, 1, tuple(entries))])
 
     def job(self) -> None:
-        """One ordinary job: taken, started, served."""
+        """Submit one job, which is dispatched, started and completed."""
         self.jobs += 1
         self.now += 50.0
-        [send] = [
+        [attempt] = [
             action
             for action in self.dispatcher.handle(
                 self.now, [JobSubmitted(self.jobs, 5000.0, self.jobs % CLASSES)]
             )
             if isinstance(action, StartAttempt)
         ]
-        self.dispatcher.handle(self.now, [AttemptProgressed(self.jobs, 0, send.worker, ProgressKind.STARTED)])
-        self.dispatcher.handle(self.now, [AttemptFinished(self.jobs, 0, send.worker, Outcome.OK, 1.0, True)])
+        self.dispatcher.handle(
+            self.now, [AttemptProgressed(self.jobs, 0, attempt.worker, ProgressKind.STARTED)]
+        )
+        self.dispatcher.handle(
+            self.now, [AttemptFinished(self.jobs, 0, attempt.worker, Outcome.OK, 1.0, True)]
+        )
 
     def replace(self) -> None:
-        """One planner goes and another comes, told in two pieces of news."""
-        place = self.names * 7919 % len(self.entries)
-        old, self.entries[place] = self.entries[place], self.entry(self.names)
-        self.names += 1
-        self.tell(UpdateKind.DELTA, [gone(old)])
+        """Remove one planner and add another, in two updates, each followed by a job."""
+        index = self.next_number * 7919 % len(self.entries)
+        old, self.entries[index] = self.entries[index], self.entry(self.next_number)
+        self.next_number += 1
+        self.update_list(UpdateKind.DELTA, [removed_entry(old)])
         self.job()
-        self.tell(UpdateKind.DELTA, [self.entries[place]])
+        self.update_list(UpdateKind.DELTA, [self.entries[index]])
         self.job()
 
 
-def gone(entry: EndpointEntry) -> EndpointEntry:
+def removed_entry(entry: EndpointEntry) -> EndpointEntry:
     return EndpointEntry(
         entry.worker, entry.zone, entry.cell, entry.worker_kind, entry.weight, state=EndpointState.REMOVED
     )
 
 
-def least(rounds: list[float]) -> float:
+def minimum_us(rounds: list[float]) -> float:
     return round(min(rounds) * 1e6, 1)
 
 
 def job_cost(planners: int) -> float:
-    """CPU in µs of the decisions for one ordinary job."""
+    """CPU time in µs of the dispatcher for one job without a list change."""
     scheduler = Scheduler(planners)
     rounds = []
     for _ in range(ROUNDS):
-        begun = process_time()
+        start_s = process_time()
         for _ in range(JOBS):
             scheduler.job()
-        rounds.append((process_time() - begun) / JOBS)
-    return least(rounds)
+        rounds.append((process_time() - start_s) / JOBS)
+    return minimum_us(rounds)
 
 
 def change_cost(planners: int) -> dict[str, float]:
-    """CPU in µs of one change of the list with the job behind it, and of that job without a change."""
+    """CPU time in µs of one list change with the job that follows, and of a job without a change."""
     scheduler = Scheduler(planners)
     scheduler.replace()
     rounds = []
     for _ in range(ROUNDS):
-        begun = process_time()
+        start_s = process_time()
         for _ in range(CHANGES // 2):
             scheduler.replace()
-        rounds.append((process_time() - begun) / CHANGES)
-    return {"planners": planners, "change_and_job_us": least(rounds), "job_us": job_cost(planners)}
+        rounds.append((process_time() - start_s) / CHANGES)
+    return {"planners": planners, "change_and_job_us": minimum_us(rounds), "job_us": job_cost(planners)}
 
 
 def zone_cost(planners: int, at_once: bool) -> dict[str, float]:
-    """CPU in µs of a zone that is lost, in one piece of news with a job of each class behind it, or one
-    planner a turn with a job behind each."""
+    """CPU time in µs of the loss of a zone: in one update followed by a job of each class, or in one update
+    for each planner, each followed by a job."""
     rounds, changes = [], 0
     for _ in range(ROUNDS if at_once else 2):
         scheduler = Scheduler(planners)
         for _ in range(CLASSES):
             scheduler.job()
-        lost = [gone(entry) for entry in scheduler.entries if entry.zone == ZONES - 1]
+        lost = [removed_entry(entry) for entry in scheduler.entries if entry.zone == ZONES - 1]
         changes = len(lost)
-        begun = process_time()
-        for news in [lost] if at_once else [[entry] for entry in lost]:
-            scheduler.tell(UpdateKind.DELTA, news)
+        start_s = process_time()
+        for update in [lost] if at_once else [[entry] for entry in lost]:
+            scheduler.update_list(UpdateKind.DELTA, update)
             for _ in range(CLASSES if at_once else 1):
                 scheduler.job()
-        rounds.append(process_time() - begun)
-    return {"planners": planners, "changes": changes, "zone_us": least(rounds)}
+        rounds.append(process_time() - start_s)
+    return {"planners": planners, "changes": changes, "zone_us": minimum_us(rounds)}
 
 
 @click.command()
 @click.option("--sizes", default="200,575,1150,2300,4600,9200", show_default=True)
 def main(sizes: str) -> None:
-    """Print the figures, one line for each size."""
+    """Print one JSON line of figures for each size."""
     for planners in (int(size) for size in sizes.split(",")):
         click.echo(
             json.dumps(
--- a/benchmarks/capacity/figures.py
+++ b/benchmarks/capacity/figures.py
@@ -1,4 +1,4 @@
-"""Figures as the tables ask for them: measured where that size ran, else from the slope's fit."""
+"""Figures for the tables: as measured where that size ran, otherwise from the fit of the slope."""
 
 from __future__ import annotations
 
@@ -13,112 +13,114 @@
 
 
 @dataclass(frozen=True)
-class Told:
-    """A figure, and how it is known: `measured`, `fit`, `extrapolated`, or at a lesser size alone."""
+class FigureValue:
+    """A value and its basis: `measured`, `fit`, `extrapolated`, or the largest size if there is no fit."""
 
     value: float
-    how: str = "measured"
+    basis: str = "measured"
 
     @property
-    def sure(self) -> int:
-        """The less sure, the higher."""
-        return HOW.index(self.how) if self.how in HOW else len(HOW)
+    def uncertainty(self) -> int:
+        """Rank of the basis: 0 is measured, higher ranks are less certain."""
+        return BASES.index(self.basis) if self.basis in BASES else len(BASES)
 
 
-Figure = Callable[[Runs], Told | None]
-HOW = ("measured", "fit", "extrapolated")
+Figure = Callable[[Runs], FigureValue | None]
+BASES = ("measured", "fit", "extrapolated")
 
 
 def number(value: float) -> str:
-    """A figure for reading: three significant digits, thousands parted."""
+    """Format a figure with three significant digits, or with thousands separators from 1,000 on."""
     return f"{value:,.0f}" if abs(value) >= 1000 else f"{value:.3g}"
 
 
-def text(told: Told | None, unit: str = "") -> str:
-    """A figure with its unit, and how it is known where it was not measured."""
-    if told is None:
+def text(known: FigureValue | None, unit: str = "") -> str:
+    """Format a figure with its unit, and with its basis unless it was measured."""
+    if known is None:
         return NOT_MEASURED
-    return f"{number(told.value)}{' ' + unit if unit else ''}" + (
-        "" if told.how == "measured" else f" ({told.how})"
+    return f"{number(known.value)}{' ' + unit if unit else ''}" + (
+        "" if known.basis == "measured" else f" ({known.basis})"
     )
 
 
 @dataclass(frozen=True)
 class Line:
-    """One figure of one case of a slope, and the form of the line through it. `unit`: of the figure."""
+    """One figure of one case of a slope, its unit, and the form of the fitted line."""
 
     slope: str
     case: str
     figure: str
     form: str
     unit: str = ""
-    relative: bool = True  # errors count in parts of what was measured
+    relative: bool = True  # fit relative instead of absolute errors
 
     def points(self, runs: Runs) -> list[tuple[int, float]]:
         return runs[self.slope].valid(self.case, self.figure) if self.slope in runs else []
 
     def fit(self, runs: Runs) -> Fit | None:
-        """None where fewer sizes ran than a fit needs."""
+        """The fitted line; None if fewer sizes ran than a fit needs."""
         try:
             return fit(self.points(runs), self.form, self.relative)
         except FitError:
             return None
 
     def at(self, size: float) -> Figure:
-        """The figure at a size: as measured where that size ran, else by the fit; where too few ran for one,
-        that of the largest."""
+        """The figure at a size: as measured if that size ran, otherwise by the fit; without a fit, that of
+        the largest size."""
 
-        def told(runs: Runs) -> Told | None:
+        def evaluate(runs: Runs) -> FigureValue | None:
             ran = dict(self.points(runs))
             if size in ran:
-                return Told(ran[int(size)])
+                return FigureValue(ran[int(size)])
             line = self.fit(runs)
             if line is None:
-                return Told(ran[max(ran)], f"at {max(ran)}, no slope") if ran else None
+                return FigureValue(ran[max(ran)], f"at {max(ran)}, no slope") if ran else None
             estimate = line.at(size)
-            return Told(max(0.0, estimate.value), "extrapolated" if estimate.extrapolated else "fit")
+            return FigureValue(max(0.0, estimate.value), "extrapolated" if estimate.extrapolated else "fit")
 
-        return told
+        return evaluate
 
 
 def times(figure: Figure, factor: float) -> Figure:
-    """The figure so many times."""
+    """The figure multiplied by a factor."""
 
-    def told(runs: Runs) -> Told | None:
+    def evaluate(runs: Runs) -> FigureValue | None:
         one = figure(runs)
-        return None if one is None else Told(one.value * factor, one.how)
+        return None if one is None else FigureValue(one.value * factor, one.basis)
 
-    return told
+    return evaluate
 
 
 def plus(*figures: Figure) -> Figure:
-    """The sum; None where one of them is."""
+    """The sum of the figures; None if one of them is None. Its basis is the least certain one."""
 
-    def told(runs: Runs) -> Told | None:
-        all_told = [figure(runs) for figure in figures]
-        known = [one for one in all_told if one is not None]
-        if len(known) < len(all_told):
+    def evaluate(runs: Runs) -> FigureValue | None:
+        values = [figure(runs) for figure in figures]
+        known = [one for one in values if one is not None]
+        if len(known) < len(values):
             return None
-        return Told(sum(one.value for one in known), max(known, key=lambda one: one.sure).how)
+        return FigureValue(sum(one.value for one in known), max(known, key=lambda one: one.uncertainty).basis)
 
-    return told
+    return evaluate
 
 
 def ratio(above: Figure, below: Figure) -> Figure:
-    """One figure in parts of the other."""
+    """One figure divided by another; None if either is None or the divisor is 0."""
 
-    def told(runs: Runs) -> Told | None:
+    def evaluate(runs: Runs) -> FigureValue | None:
         one, other = above(runs), below(runs)
         if one is None or other is None or not other.value:
             return None
-        return Told(one.value / other.value, max((one, other), key=lambda told: told.sure).how)
+        return FigureValue(
+            one.value / other.value, max((one, other), key=lambda known: known.uncertainty).basis
+        )
 
-    return told
+    return evaluate
 
 
-def given(value: float) -> Figure:
-    """A figure of the letter itself, or counted in the program's text."""
-    return lambda runs: Told(value)
+def constant(value: float) -> Figure:
+    """A figure that is a requirement or a constant of the program, not measured."""
+    return lambda runs: FigureValue(value)
 
 
 def table(head: Sequence[str], lines: Sequence[Sequence[str]]) -> str:
--- a/benchmarks/capacity/held.py
+++ b/benchmarks/capacity/held.py
@@ -1,4 +1,4 @@
-"""What one scheduler pays for the exchanges that it holds: memory, descriptors, CPU, timers."""
+"""Memory, descriptors, CPU and timers that one scheduler needs for the requests in flight that it holds."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 import uvloop
 
-from benchmarks.capacity.machine import in_time, lateness
+from benchmarks.capacity.machine import measure_rows, watch_loop_lag
 from benchmarks.capacity.records import Row
 from benchmarks.capacity.serving import (
-    PATIENCE_S,
     PROGRESS_MS,
+    TASK_DEADLINE_S,
     Catalog,
-    Listed,
+    ListedPlanner,
     Planners,
     Scheduler,
     configuration,
@@ -31,15 +31,15 @@
 from pipitshed.scheduling.events import EndpointEntry, ProgressKind, UpdateKind
 
 SLOPE = "held"
-SIZES = (50, 100, 200, 400, 800)  # exchanges held by one scheduler
+SIZES = (50, 100, 200, 400, 800)  # requests in flight at one scheduler
 PLANNERS = 4600
 PORTS = 64
-WATCHED_S = 3 * PROGRESS_MS / 1000
-BEGUN_WITHIN_S = 15.0
+MEASURED_S = 3 * PROGRESS_MS / 1000
+START_TIMEOUT_S = 15.0
 
 
-class _CountedLoop:
-    """A loop that keeps the timers it was asked for."""
+class _TimerRecordingLoop:
+    """An event loop that records the timers that are set on it."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -51,34 +51,34 @@
         return self.timers[-1]
 
 
-class _Carrier:
-    """A carrier whose planner tells a start and nothing more."""
+class _StartedWorkerClient:
+    """A worker client that records the attempt and never completes it."""
 
     def __init__(self) -> None:
-        self.carried: asyncio.Future[Attempt] = asyncio.get_running_loop().create_future()
+        self.started: asyncio.Future[Attempt] = asyncio.get_running_loop().create_future()
 
     def start(self, attempt: Attempt) -> None:
-        self.carried.set_result(attempt)
+        self.started.set_result(attempt)
 
 
-def timers(configured: dict[str, Any]) -> int:
-    """How many timers stand for one exchange whose attempt runs, counted in the core itself; the client's own
-    connection has none by then."""
+def timers_per_request(config: dict[str, Any]) -> int:
+    """Count the pending timers of one request whose attempt has started, in the forwarder alone; the client's
+    connection has none at that point."""
 
     async def run() -> int:
-        loop, settings = _CountedLoop(), settings_from(configured["settings"])
-        forwarder, carrier = Forwarder(settings, 1, loop), _Carrier()  # type: ignore[arg-type]
+        loop, settings = _TimerRecordingLoop(), settings_from(config["settings"])
+        forwarder, client = Forwarder(settings, 1, loop), _StartedWorkerClient()  # type: ignore[arg-type]
         forwarder.attach_discovery(lambda watch: None)
         forwarder.endpoints.update(
             "capacity",
             UpdateKind.SNAPSHOT,
             1,
-            [(EndpointEntry(b"p"), Endpoint(b"p", carrier, ("127.0.0.1", 1)))],
+            [(EndpointEntry(b"p"), Endpoint(b"p", client, ("127.0.0.1", 1)))],
         )  # type: ignore[arg-type]
         await asyncio.sleep(0.01)
         before = set(loop.timers)
-        forwarder.submit(Request("a", 2, PATIENCE_S * 1000, 0), Mock())
-        attempt = await carrier.carried
+        forwarder.submit(Request("a", 2, TASK_DEADLINE_S * 1000, 0), Mock())
+        attempt = await client.started
         forwarder.attempt_sent(attempt)
         forwarder.attempt_progressed(attempt, ProgressKind.STARTED)
         await asyncio.sleep(0.01)
@@ -91,29 +91,29 @@
     writers = []
     for number in range(count):
         _, writer = await asyncio.open_connection("127.0.0.1", running.port)
-        writer.write(request(f"h{number}", "task", PATIENCE_S))
+        writer.write(request(f"h{number}", "task", TASK_DEADLINE_S))
         writers.append(writer)
-    async with asyncio.timeout(BEGUN_WITHIN_S):
-        while len(planners.doors) < count:
+    async with asyncio.timeout(START_TIMEOUT_S):
+        while len(planners.connections) < count:
             await asyncio.sleep(0.05)
     return writers
 
 
-async def _one(size: int) -> Row:
+async def _measure(size: int) -> Row:
     planners, catalog = Planners(), Catalog()
     await planners.start(PORTS)
-    catalog.members = [Listed(number, planners.ports[number % PORTS]) for number in range(PLANNERS)]
+    catalog.members = [ListedPlanner(number, planners.ports[number % PORTS]) for number in range(PLANNERS)]
     await catalog.start()
-    configured = configuration(catalog.port, 4, sockets=4096)
+    config = configuration(catalog.port, 4, sockets=4096)
     writers: list[asyncio.StreamWriter] = []
     try:
-        async with lateness() as late, scheduler(configured) as running:
+        async with watch_loop_lag() as lag, scheduler(config) as running:
             if not await running.served(20.0):
                 return Row(SLOPE, size, "calm", {}, False, "no job was served within 20 s")
-            await running.idle()
+            await running.wait_until_idle()
             planners.work_s = None
-            for door in list(planners.doors):
-                door.transport.abort()
+            for connection in list(planners.connections):
+                connection.transport.abort()
             before = running.memory_mb()
             try:
                 writers = await _hold(running, planners, size)
@@ -122,21 +122,21 @@
                     SLOPE,
                     size,
                     "calm",
-                    {"held": float(len(planners.doors))},
+                    {"held": float(len(planners.connections))},
                     False,
-                    f"not all began within {BEGUN_WITHIN_S:.0f} s",
+                    f"not all began within {START_TIMEOUT_S:.0f} s",
                 )
             cpu = running.cpu_s()
-            await asyncio.sleep(WATCHED_S)
+            await asyncio.sleep(MEASURED_S)
             cpu = running.cpu_s() - cpu
             figures = {
-                "held": float(len(planners.doors)),
+                "held": float(len(planners.connections)),
                 "memory_mb": running.memory_mb(),
                 "memory_added_mb": running.memory_mb() - before,
-                "cpu_share": cpu / WATCHED_S,
+                "cpu_share": cpu / MEASURED_S,
                 "descriptors": float(running.descriptors()),
             }
-        return Row(SLOPE, size, "calm", figures, not late.why_not, late.why_not)
+        return Row(SLOPE, size, "calm", figures, not lag.why_not, lag.why_not)
     finally:
         for writer in writers:
             writer.transport.abort()
@@ -145,9 +145,9 @@
 
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
-    """A row for each number of exchanges held, with notes of progress each 2 s."""
-    rows = uvloop.run(in_time([partial(_one, size) for size in sizes], limit_s))
-    each = float(timers(configuration(1, 4)))
+    """One row for each number of requests in flight, with progress notes every 2 s."""
+    rows = uvloop.run(measure_rows([partial(_measure, size) for size in sizes], limit_s))
+    each = float(timers_per_request(configuration(1, 4)))
     for row in rows:
         row.figures["timers_each"] = each
     return rows
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -1,8 +1,9 @@
-"""What the fleet's view costs on real sockets: hollow schedulers (the program's own `Fleet` and no door), up
-to 100 in one process, and beside them real `serve --fleet` processes that join while it is counted.
+"""Cost of the membership view and the replicated settings on real sockets. The fleet consists of hollow
+schedulers and of real `serve --fleet` processes that join during the measurement. A hollow scheduler is the
+program's own cluster node without frontends and planners; up to 100 of them share a process.
 
-A row does not count where a hollow process's loop was late by over a quarter of the probe period for more
-than a hundredth of its looks: then the machine was the limit.
+A row is not valid if the event loop of a hollow process lagged by more than a quarter of the probe period in
+more than 1% of its samples: then the machine was the limit.
 """
 
 from __future__ import annotations
@@ -25,8 +26,8 @@
 
 from benchmarks.capacity.machine import cpu_s, memory_mb
 from benchmarks.capacity.records import ROOT, Row
-from benchmarks.capacity.serving import Catalog, Listed, Planners, Scheduler, configuration, scheduler
-from pipitshed.cluster import node as edge
+from benchmarks.capacity.serving import Catalog, ListedPlanner, Planners, Scheduler, configuration, scheduler
+from pipitshed.cluster import node as node_module
 from pipitshed.cluster.codec import Codec
 from pipitshed.cluster.config_file import ClusterConfig
 from pipitshed.cluster.messages import ClusterMessage
@@ -39,24 +40,24 @@
 
 SLOPE = "hollow"
 SIZES = (40, 100, 150, 300)
-SERVING = 4  # real processes among them
-PER_PROCESS = 100
-SETTLE, REST, COUNTED = 3.0, 10.0, 5.0  # s
-JOIN = 20.0  # s for all to hold one view
-EVERY = 0.02  # s between looks at the loop's lateness
-LATE, LATE_PART = ProtocolTimings().period / 4, 0.01
+SERVE_PROCESSES = 4  # real `serve` processes in the fleet
+MAX_PER_PROCESS = 100
+SETTLE_S, REST_S, MEASURED_S = 3.0, 10.0, 5.0
+JOIN_TIMEOUT_S = 20.0  # for all schedulers to have the same view
+SAMPLE_INTERVAL_S = 0.02  # between samples of the loop lag
+MAX_LAG_S, MAX_LATE_SHARE = ProtocolTimings().period / 4, 0.01
 CLUSTER, TEAMS = "hollow", 380
 
 
 class CountingCodec(Codec):
-    """The program's codec, and the bytes on the wire of what one scheduler has written with it."""
+    """The program's codec, which also counts the wire bytes of the messages that a scheduler encodes."""
 
-    made: list[CountingCodec] = []
+    instances: list[CountingCodec] = []
 
     def __init__(self, cluster: str, secret: bytes = b"") -> None:
         super().__init__(cluster, secret)
         self.out = Second()
-        self.made.append(self)
+        self.instances.append(self)
 
     def encode(self, message: ClusterMessage) -> bytes:
         data = super().encode(message)
@@ -64,47 +65,47 @@
         return data
 
 
-# ---- a process of hollow schedulers
+# ---- the process of hollow schedulers
 
 
 @dataclass
-class Looks:
-    """How often this process's loop was looked at, and late."""
+class LagSamples:
+    """Number of samples of this process's event-loop lag, and of those above `MAX_LAG_S`."""
 
-    all: int = 0
+    total: int = 0
     late: int = 0
 
-    async def look(self) -> None:
+    async def sample(self) -> None:
         while True:
-            due = monotonic() + EVERY
-            await asyncio.sleep(EVERY)
-            self.all += 1
-            self.late += monotonic() - due > LATE
+            due = monotonic() + SAMPLE_INTERVAL_S
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
+            self.total += 1
+            self.late += monotonic() - due > MAX_LAG_S
 
 
-class Acting:
-    """The settings that one hollow scheduler acts on, and since when (s, monotonic)."""
+class AppliedSettings:
+    """The settings in force at one hollow scheduler, and since when (s, monotonic clock)."""
 
     def __init__(self, config: Config) -> None:
         self.config, self.since = config, 0.0
 
     def file(self) -> dict[str, Any]:
-        """The file in force, as it was read."""
+        """The configuration file in force, as it was read."""
         return self.config.raw or {}
 
     def apply(self, settings: dict[str, Any]) -> None:
-        """Act on the settings of that file with rows over them."""
+        """Put settings in force: those of the file with replicated rows laid over them."""
         self.config, self.since = with_settings(self.config, settings), monotonic()
 
 
-async def hollow(first: int, count: int, config: Config, seeds: list[Address]) -> None:
-    """Run so many, told what to do by lines on standard input; see `Hollows`. Without seeds the first three
-    become the seeds of all."""
-    edge.Codec = CountingCodec  # type: ignore[misc]
-    loop, fleets, acting = asyncio.get_running_loop(), [], []
+async def run_hollow(first: int, count: int, config: Config, seeds: list[Address]) -> None:
+    """Run `count` hollow schedulers, controlled by lines on standard input that `HollowFleet` writes: `count`
+    resets the counters, `tell` asks for a report. Without seeds the first three schedulers are the seeds."""
+    node_module.Codec = CountingCodec  # type: ignore[misc]
+    loop, nodes, applied = asyncio.get_running_loop(), [], []
     for number in range(first, first + count):
-        acting.append(Acting(config))
-        joins_by = seeds or [fleet.address for fleet in fleets[:3]]
+        applied.append(AppliedSettings(config))
+        seed_addresses = seeds or [node.address for node in nodes[:3]]
         peers = ClusterConfig(
             f"h{number}",
             ZONES[number % len(ZONES)],
@@ -112,175 +113,182 @@
             None,
             CLUSTER,
             b"",
-            joins_by,
+            seed_addresses,
             None,
             ProtocolTimings(),
         )
-        tuned = SettingsTarget(acting[-1].file, acting[-1].apply)
-        fleets.append(edge.ClusterNode(peers, "", loop, tuned))
-    looks, reader = Looks(), asyncio.StreamReader()
-    watching = loop.create_task(looks.look())
+        target = SettingsTarget(applied[-1].file, applied[-1].apply)
+        nodes.append(node_module.ClusterNode(peers, "", loop, target))
+    samples, reader = LagSamples(), asyncio.StreamReader()
+    sampling = loop.create_task(samples.sample())
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    for fleet in fleets:
-        await fleet.start()
-    _say([fleet.address for fleet in fleets[:3]])
+    for node in nodes:
+        await node.start()
+    _write_line([node.address for node in nodes[:3]])
     while line := await reader.readline():
         if line == b"count\n":
-            looks.all = looks.late = 0
-            for codec in CountingCodec.made:
+            samples.total = samples.late = 0
+            for codec in CountingCodec.instances:
                 codec.out = Second()
         elif line == b"tell\n":
-            out = [codec.out for codec in CountingCodec.made]
-            views = [fleet.membership.view for fleet in fleets]
-            _say(
+            out = [codec.out for codec in CountingCodec.instances]
+            views = [node.membership.view for node in nodes]
+            _write_line(
                 {
                     "out_bytes": [one.bytes for one in out],
                     "worst": worst(out),
-                    "late": looks.late / max(1, looks.all),
+                    "late": samples.late / max(1, samples.total),
                     "views": sorted({view.digest() for view in views}),
                     "alive": sorted({view.live_count for view in views}),
-                    "since": [one.since for one in acting],
+                    "since": [one.since for one in applied],
                 }
             )
-    watching.cancel()
-    for fleet in fleets:
-        fleet.close()
+    sampling.cancel()
+    for node in nodes:
+        node.close()
 
 
-def _say(told: object) -> None:
-    sys.stdout.buffer.write(msgspec.json.encode(told) + b"\n")
+def _write_line(report: object) -> None:
+    sys.stdout.buffer.write(msgspec.json.encode(report) + b"\n")
     sys.stdout.buffer.flush()
 
 
-# ---- the process that measures
+# ---- the measuring process
 
 
 @dataclass
-class Hollow:
-    """One process of hollow schedulers."""
+class HollowProcess:
+    """One process of hollow schedulers, and how many it runs."""
 
     process: asyncio.subprocess.Process
     count: int
 
-    def tell(self, line: bytes) -> None:
-        """One line to it."""
+    def write_line(self, line: bytes) -> None:
+        """Write one line to the standard input of the process."""
         assert self.process.stdin is not None
         self.process.stdin.write(line)
 
-    async def hear(self) -> bytes:
-        """The next line from it."""
+    async def read_line(self) -> bytes:
+        """Read the next line of the standard output of the process."""
         assert self.process.stdout is not None
         return await self.process.stdout.readline()
 
 
 @dataclass
-class Hollows:
-    """All of them, and whom a scheduler may join by."""
+class HollowFleet:
+    """All processes of hollow schedulers, and the seed addresses by which a scheduler joins."""
 
-    made: list[Hollow] = field(default_factory=list)
+    members: list[HollowProcess] = field(default_factory=list)
     seeds: list[str] = field(default_factory=list)
-    began: float = 0.0
+    began_s: float = 0.0
     cpu: list[float] = field(default_factory=list)
 
-    def count(self) -> None:
-        """Count from here on."""
-        for one in self.made:
-            one.tell(b"count\n")
-        self.began, self.cpu = monotonic(), [cpu_s(one.process.pid) for one in self.made]
+    def restart_measurement(self) -> None:
+        """Reset the counters of all processes and start the measurement."""
+        for one in self.members:
+            one.write_line(b"count\n")
+        self.began_s, self.cpu = monotonic(), [cpu_s(one.process.pid) for one in self.members]
 
-    async def told(self) -> list[dict[str, Any]]:
-        """What each process has counted."""
-        for one in self.made:
-            one.tell(b"tell\n")
-        return [msgspec.json.decode(await one.hear()) for one in self.made]
+    async def reports(self) -> list[dict[str, Any]]:
+        """Ask each process for a report of its counters."""
+        for one in self.members:
+            one.write_line(b"tell\n")
+        return [msgspec.json.decode(await one.read_line()) for one in self.members]
 
-    async def one_view(self, size: int, within: float) -> float | None:
-        """How long (s) until all hold this many alive, and the same; None where they do not in time."""
+    async def wait_for_one_view(self, size: int, within: float) -> float | None:
+        """Seconds until all views agree on this many live schedulers; None if they do not within the time."""
         began = monotonic()
         while monotonic() - began < within:
-            told = await self.told()
-            if {alive for one in told for alive in one["alive"]} == {size} and len(
-                {view for one in told for view in one["views"]}
+            reports = await self.reports()
+            if {alive for one in reports for alive in one["alive"]} == {size} and len(
+                {view for one in reports for view in one["views"]}
             ) == 1:
                 return monotonic() - began
             await asyncio.sleep(0.25)
         return None
 
     async def row(self, size: int, case: str, why: str = "", **figures: float) -> Row:
-        """What was counted, as a row."""
-        told, seconds = await self.told(), monotonic() - self.began
-        many = sum(one.count for one in self.made)
-        cpu = sum(cpu_s(one.process.pid) for one in self.made) - sum(self.cpu)
-        out = [sent for one in told for sent in one["out_bytes"]]
-        late = max(one["late"] for one in told)
+        """A row of what was counted since the measurement started."""
+        reports, seconds = await self.reports(), monotonic() - self.began_s
+        scheduler_count = sum(one.count for one in self.members)
+        cpu = sum(cpu_s(one.process.pid) for one in self.members) - sum(self.cpu)
+        out = [sent for one in reports for sent in one["out_bytes"]]
+        late = max(one["late"] for one in reports)
         figures |= {
-            "out_bytes_per_s": sum(out) / many / seconds,
+            "out_bytes_per_s": sum(out) / scheduler_count / seconds,
             "heaviest_out_bytes_per_s": max(out) / seconds,
-            "worst_second_out_bytes": max(one["worst"] for one in told),
-            "cpu_share": cpu / many / seconds,
-            "memory_mb": sum(memory_mb(one.process.pid) for one in self.made) / many,
-            "hollow": float(many),
+            "worst_second_out_bytes": max(one["worst"] for one in reports),
+            "cpu_share": cpu / scheduler_count / seconds,
+            "memory_mb": sum(memory_mb(one.process.pid) for one in self.members) / scheduler_count,
+            "hollow": float(scheduler_count),
             "late_share": late,
         }
-        if late > LATE_PART:
-            why = why or f"a hollow process's loop was late in {late:.1%} of its looks"
+        if late > MAX_LATE_SHARE:
+            why = why or f"a hollow process's loop was late in {late:.1%} of its samples"
         return Row(SLOPE, size, case, figures, not why, why)
 
 
 @contextlib.asynccontextmanager
-async def hollows(many: int) -> AsyncIterator[Hollows]:
-    """So many hollow schedulers that join each other; they end with the block."""
-    them = Hollows()
-    processes = math.ceil(many / PER_PROCESS)
-    counts = [many // processes + (place < many % processes) for place in range(processes)]
+async def hollow_fleet(scheduler_count: int) -> AsyncIterator[HollowFleet]:
+    """Run hollow schedulers that join each other; their processes are killed at the end of the block."""
+    fleet = HollowFleet()
+    processes = math.ceil(scheduler_count / MAX_PER_PROCESS)
+    counts = [
+        scheduler_count // processes + (index < scheduler_count % processes) for index in range(processes)
+    ]
     with tempfile.TemporaryDirectory(prefix="pipitshed-hollow-") as folder:
         config = Path(folder) / "config.json"
         config.write_text(json.dumps(configuration(9, TEAMS)))
         try:
-            for place, count in enumerate(counts):
+            for index, count in enumerate(counts):
                 process = await asyncio.create_subprocess_exec(
                     sys.executable,
                     "-m",
                     "benchmarks.capacity.hollow",
                     str(config),
-                    str(sum(counts[:place])),
+                    str(sum(counts[:index])),
                     str(count),
-                    *them.seeds,
+                    *fleet.seeds,
                     cwd=ROOT,
                     stdin=asyncio.subprocess.PIPE,
                     stdout=asyncio.subprocess.PIPE,
                 )
-                them.made.append(Hollow(process, count))
-                told = [f"{host}:{port}" for host, port in msgspec.json.decode(await them.made[-1].hear())]
-                them.seeds = them.seeds or told
-            yield them
+                fleet.members.append(HollowProcess(process, count))
+                addresses = [
+                    f"{host}:{port}"
+                    for host, port in msgspec.json.decode(await fleet.members[-1].read_line())
+                ]
+                fleet.seeds = fleet.seeds or addresses
+            yield fleet
         finally:
-            for one in them.made:
+            for one in fleet.members:
                 if one.process.returncode is None:
                     one.process.kill()
                 await one.process.wait()
 
 
-async def _serving(stack: AsyncExitStack, place: int, seeds: list[str]) -> tuple[Scheduler, Path]:
-    """A real scheduler of the fleet, and its fleet file."""
+async def _start_serving(stack: AsyncExitStack, index: int, seeds: list[str]) -> tuple[Scheduler, Path]:
+    """Start a real scheduler of the fleet; it and its fleet file."""
     planners, catalog = Planners(), Catalog()
     await planners.start(1)
-    catalog.members = [Listed(0, planners.ports[0])]
+    catalog.members = [ListedPlanner(0, planners.ports[0])]
     await catalog.start()
     stack.callback(planners.close)
     stack.callback(catalog.close)
-    file = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="pipitshed-hollow-"))) / "peers.toml"
-    file.write_text(
-        f'name = "s{place}"\nzone = "{ZONES[place]}"\nlisten = "127.0.0.1:0"\n'
+    fleet_file = (
+        Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="pipitshed-hollow-"))) / "peers.toml"
+    )
+    fleet_file.write_text(
+        f'name = "s{index}"\nzone = "{ZONES[index]}"\nlisten = "127.0.0.1:0"\n'
         f'cluster = "{CLUSTER}"\nseeds = {json.dumps(seeds)}\n'
     )
-    made = configuration(catalog.port, TEAMS)
-    return await stack.enter_async_context(scheduler(made, "--fleet", str(file))), file
+    config = configuration(catalog.port, TEAMS)
+    return await stack.enter_async_context(scheduler(config, "--fleet", str(fleet_file))), fleet_file
 
 
-async def _put(file: Path, them: Hollows) -> dict[str, float]:
-    """Put a change as an operator does: how long until the command says that it is in force at all, and until
-    the last of the hollow ones acted on it."""
+async def _put(fleet_file: Path, fleet: HollowFleet) -> dict[str, float]:
+    """Put a setting by command: the time until the command reports it in force at all schedulers, and the
+    time until the last hollow scheduler applied it."""
     put = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -290,17 +298,17 @@
         "tenant/team-001/allowancePerS",
         "7.5",
         "--fleet",
-        str(file),
+        str(fleet_file),
         "--peer",
-        them.seeds[0],
+        fleet.seeds[0],
         cwd=ROOT,
         stdout=asyncio.subprocess.PIPE,
     )
     assert put.stdout is not None
     await put.stdout.readline()
     accepted = monotonic()
-    code, told = await put.wait(), await them.told()
-    since = [when for one in told for when in one["since"]]
+    code, reports = await put.wait(), await fleet.reports()
+    since = [when for one in reports for when in one["since"]]
     return {
         "answered_ms": (monotonic() - accepted) * 1000,
         "answer": float(code),
@@ -311,36 +319,38 @@
 
 async def _cases(size: int) -> list[Row]:
     rows = []
-    async with hollows(size - SERVING) as them, AsyncExitStack() as stack:
-        them.count()
-        if await them.one_view(size - SERVING, JOIN) is None:
-            return [await them.row(size, "join", f"no one view within {JOIN:.0f} s")]
-        await asyncio.sleep(SETTLE)
-        them.count()
-        await asyncio.sleep(REST)
-        rows.append(await them.row(size, "rest"))
-        them.count()
-        serving = [await _serving(stack, place, them.seeds) for place in range(SERVING)]
-        settled = await them.one_view(size, JOIN)
+    async with hollow_fleet(size - SERVE_PROCESSES) as fleet, AsyncExitStack() as stack:
+        fleet.restart_measurement()
+        if await fleet.wait_for_one_view(size - SERVE_PROCESSES, JOIN_TIMEOUT_S) is None:
+            return [await fleet.row(size, "join", f"no one view within {JOIN_TIMEOUT_S:.0f} s")]
+        await asyncio.sleep(SETTLE_S)
+        fleet.restart_measurement()
+        await asyncio.sleep(REST_S)
+        rows.append(await fleet.row(size, "rest"))
+        fleet.restart_measurement()
+        serving = [await _start_serving(stack, index, fleet.seeds) for index in range(SERVE_PROCESSES)]
+        settled = await fleet.wait_for_one_view(size, JOIN_TIMEOUT_S)
         before = sum(running.cpu_s() for running, _ in serving)
-        await asyncio.sleep(COUNTED)
-        cpu = (sum(running.cpu_s() for running, _ in serving) - before) / SERVING / COUNTED
+        await asyncio.sleep(MEASURED_S)
+        cpu = (sum(running.cpu_s() for running, _ in serving) - before) / SERVE_PROCESSES / MEASURED_S
         figures = {
             "serve_cpu_share": cpu,
-            "serve_memory_mb": sum(running.memory_mb() for running, _ in serving) / SERVING,
+            "serve_memory_mb": sum(running.memory_mb() for running, _ in serving) / SERVE_PROCESSES,
         }
-        why = "" if settled is not None else f"no one view within {JOIN:.0f} s"
-        rows.append(await them.row(size, f"{SERVING} join", why, **figures, settled_ms=(settled or 0) * 1000))
-        them.count()
-        told = await _put(serving[0][1], them)
-        await asyncio.sleep(SETTLE)
-        why = "not in force at all" if told["answer"] or told["not_acting"] else ""
-        rows.append(await them.row(size, "one change", why, **told))
+        why = "" if settled is not None else f"no one view within {JOIN_TIMEOUT_S:.0f} s"
+        rows.append(
+            await fleet.row(size, f"{SERVE_PROCESSES} join", why, **figures, settled_ms=(settled or 0) * 1000)
+        )
+        fleet.restart_measurement()
+        report = await _put(serving[0][1], fleet)
+        await asyncio.sleep(SETTLE_S)
+        why = "not in force at all" if report["answer"] or report["not_acting"] else ""
+        rows.append(await fleet.row(size, "one change", why, **report))
     return rows
 
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
-    """The rows of these sizes, one after the other."""
+    """The rows of these sizes, measured one after the other."""
 
     async def run() -> list[Row]:
         async with asyncio.timeout(limit_s):
@@ -351,7 +361,7 @@
 
 if __name__ == "__main__":
     uvloop.run(
-        hollow(
+        run_hollow(
             int(sys.argv[2]),
             int(sys.argv[3]),
             load_platform_config({"LB_CONFIG": sys.argv[1]}),
--- a/benchmarks/capacity/modelled.py
+++ b/benchmarks/capacity/modelled.py
@@ -1,4 +1,4 @@
-"""A fleet in virtual time: the program's own decisions, before planners that have slots and no queue."""
+"""A fleet in virtual time: the program's own dispatchers, and modelled planners with slots and no queue."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 )
 from pipitshed.scheduling.settings import Guarantees, Idempotency, JobClass, Limits, Settings
 
-TRIP = 1.0  # ms from a scheduler to a planner, and back
+TRIP_MS = 1.0  # one way between scheduler and planner
 ZONES = 7
-SLOTS = 6  # of a planner: 29,000 tasks on 4,600 planners are 6.3
-TASK_MS = 29_000 / 280 * 1000  # of a slot's time that a task takes on average, as 280 start a second
+SLOTS_PER_PLANNER = 6  # 29,000 tasks on 4,600 planners are 6.3 each
+MEAN_TASK_MS = 29_000 / 280 * 1000  # 29,000 run while 280 start a second
 URGENT_MS = 2700.0
 ORDINARY, URGENT = 0, 1
 
 
-def settings(siblings: int) -> Settings:
-    """Two classes: ordinary tasks, and urgent ones, whose aim and worth are all that says so."""
+def settings(schedulers: int) -> Settings:
+    """Two classes: ordinary tasks, and urgent ones with a shorter latency objective and a higher priority."""
     limits = Limits(may_cancel=True, clients_honour_retry_after=True, max_attempts=5)
     return Settings(
         classes=(
@@ -54,42 +54,42 @@
         limits=limits,
         guarantees=Guarantees(),
         tick_ms=2.0,
-        scheduler_count=siblings,
+        scheduler_count=schedulers,
         workers_report_start=True,
         zone_count=ZONES,
     )
 
 
 @dataclass
-class Asked:
-    """One request, from its client's first word to its start."""
+class ModelRequest:
+    """One request of a client, from its submission to its start."""
 
     job_class: int
-    at: float
-    done: Callable[[Asked], None]
+    submitted_at: float
+    on_outcome: Callable[[ModelRequest], None]
     scheduler: int = 0
-    lasts: float = 0.0
+    duration_ms: float = 0.0
     started: float | None = None
-    ended: float | None = None
-    wait: float = 0.0  # ms that the refusal asked for
+    ended: float | None = None  # when it was refused
+    retry_wait_ms: float = 0.0  # that the rejection asked for
     refusals: int = 0
     sends: int = 0
 
 
 @dataclass
 class Planner:
-    """Slots, and who holds them: (scheduler, job)."""
+    """The jobs that hold slots, as (scheduler, job id), and the slots of background tasks."""
 
-    held: set[tuple[int, int]] = field(default_factory=set)
-    other: int = 0  # slots of tasks that no scheduler here holds
+    jobs: set[tuple[int, int]] = field(default_factory=set)
+    background_tasks: int = 0  # started by no scheduler of the model
 
     @property
     def taken(self) -> int:
-        return len(self.held) + self.other
+        return len(self.jobs) + self.background_tasks
 
 
 class Fleet:
-    """Schedulers and planners, with one clock."""
+    """Schedulers and planners with one simulated clock in ms."""
 
     def __init__(self, planners: int, schedulers: int, seed: int) -> None:
         self.now = 1_000_000.0
@@ -98,113 +98,122 @@
         self.schedulers = [
             Dispatcher(settings(schedulers), seed * 1000 + number) for number in range(schedulers)
         ]
-        self.asked: dict[tuple[int, int], Asked] = {}
+        self.requests: dict[tuple[int, int], ModelRequest] = {}
         self.sends: dict[tuple[int, int], int] = {}
-        self._numbers = self._order = 0
+        self._last_job_id = self._order = 0
         self._due: list[tuple[float, int, Callable[[], None]]] = []
-        rows = tuple(EndpointEntry(b"%d" % number, zone=number % ZONES) for number in range(planners))
+        entries = tuple(EndpointEntry(b"%d" % number, zone=number % ZONES) for number in range(planners))
         for number in range(schedulers):
-            self._tell(number, EndpointsUpdated(UpdateKind.SNAPSHOT, 1, rows))
+            self._handle(number, EndpointsUpdated(UpdateKind.SNAPSHOT, 1, entries))
 
-    def fill(self, share: float, stays: bool) -> None:
-        """Take this share of all slots, evenly drawn, with tasks that end one after the other; where the
-        share `stays`, another begins for each, anywhere that has room."""
-        places = [planner for planner in self.planners for _ in range(SLOTS)]
-        for planner in self.rng.sample(places, round(share * len(places))):
-            self._other(planner, stays)
+    def fill(self, share: float, refill: bool) -> None:
+        """Fill this share of all slots, drawn at random, with background tasks of exponential duration. With
+        `refill`, each task that ends is replaced by one on a planner with a free slot."""
+        slots = [planner for planner in self.planners for _ in range(SLOTS_PER_PLANNER)]
+        for planner in self.rng.sample(slots, round(share * len(slots))):
+            self._start_background_task(planner, refill)
 
-    def _other(self, planner: Planner, stays: bool) -> None:
-        planner.other += 1
+    def _start_background_task(self, planner: Planner, refill: bool) -> None:
+        planner.background_tasks += 1
 
         def ended() -> None:
-            planner.other -= 1
-            if stays:
-                self._other(self._with_room(), True)
+            planner.background_tasks -= 1
+            if refill:
+                self._start_background_task(self._planner_with_free_slot(), True)
 
-        self.later(self.rng.expovariate(1 / TASK_MS), ended)
+        self.call_later(self.rng.expovariate(1 / MEAN_TASK_MS), ended)
 
-    def _with_room(self) -> Planner:
+    def _planner_with_free_slot(self) -> Planner:
         while True:
             planner = self.rng.choice(self.planners)
-            if planner.taken < SLOTS and self.rng.random() * SLOTS < SLOTS - planner.taken:
+            if (
+                planner.taken < SLOTS_PER_PLANNER
+                and self.rng.random() * SLOTS_PER_PLANNER < SLOTS_PER_PLANNER - planner.taken
+            ):
                 return planner
 
-    def later(self, wait: float, call: Callable[[], None]) -> None:
-        """Do this after so many ms."""
+    def call_later(self, wait: float, call: Callable[[], None]) -> None:
+        """Call this after `wait` ms of simulated time."""
         self._order += 1
         heapq.heappush(self._due, (self.now + wait, self._order, call))
 
     def run(self, until: float) -> None:
-        """Play up to this time (ms)."""
+        """Run the simulation up to this time (ms)."""
         while self._due and self._due[0][0] <= until:
             self.now, _, call = heapq.heappop(self._due)
             call()
         self.now = until
 
-    def ask(self, asked: Asked) -> None:
-        """A client asks a scheduler; `asked.done` hears of a refusal or of the start."""
-        self._numbers += 1
-        self.asked[asked.scheduler, self._numbers] = asked
+    def submit(self, request: ModelRequest) -> None:
+        """Submit a request; `request.on_outcome` is called when it is refused or started."""
+        self._last_job_id += 1
+        self.requests[request.scheduler, self._last_job_id] = request
         deadline = 600_000.0
-        self._tell(asked.scheduler, JobSubmitted(self._numbers, deadline, asked.job_class))
+        self._handle(request.scheduler, JobSubmitted(self._last_job_id, deadline, request.job_class))
 
-    def busy(self) -> float:
-        """The share of all slots that are taken."""
+    def busy_share(self) -> float:
+        """The share of all slots that are in use."""
         taken = sum(planner.taken for planner in self.planners)
-        return taken / (SLOTS * len(self.planners))
+        return taken / (SLOTS_PER_PLANNER * len(self.planners))
 
-    def _tell(self, scheduler: int, event: Event) -> None:
+    def _handle(self, scheduler: int, event: Event) -> None:
         for action in self.schedulers[scheduler].handle(self.now, [event]):
             if isinstance(action, SetTimer):
-                self.later(action.delay_ms, partial(self._tell, scheduler, TimerFired(action.token)))
+                self.call_later(action.delay_ms, partial(self._handle, scheduler, TimerFired(action.token)))
             elif isinstance(action, StartAttempt):
                 key = scheduler, action.job_id
-                number = self.sends[key] = self.sends.get(key, -1) + 1
-                self.asked[key].sends += 1
-                self.later(TRIP, partial(self._comes, scheduler, action, number))
+                attempt_number = self.sends[key] = self.sends.get(key, -1) + 1
+                self.requests[key].sends += 1
+                self.call_later(TRIP_MS, partial(self._arrive, scheduler, action, attempt_number))
             elif isinstance(action, RejectRequest | FailRequest):
-                self._refused(scheduler, action)
+                self._refuse(scheduler, action)
             elif isinstance(action, CancelAttempt):
-                raise RuntimeError("a planner here tells at once whether it has room: nothing is called off")
-
-    def _refused(self, scheduler: int, action: RejectRequest | FailRequest) -> None:
-        asked = self.asked.pop((scheduler, action.job_id))
-        asked.refusals += 1
-        asked.ended = self.now
-        asked.wait = action.retry_after_ms if isinstance(action, RejectRequest) else 0.0
-        asked.done(asked)
-
-    def _comes(self, scheduler: int, send: StartAttempt, number: int) -> None:
-        planner, key, begun = self.planners[int(send.worker)], (scheduler, send.job_id), self.now
-        if planner.taken >= SLOTS:
-            self.later(
-                TRIP,
+                raise RuntimeError(
+                    "a modelled planner accepts or rejects at once, so no attempt should be cancelled"
+                )
+
+    def _refuse(self, scheduler: int, action: RejectRequest | FailRequest) -> None:
+        request = self.requests.pop((scheduler, action.job_id))
+        request.refusals += 1
+        request.ended = self.now
+        request.retry_wait_ms = action.retry_after_ms if isinstance(action, RejectRequest) else 0.0
+        request.on_outcome(request)
+
+    def _arrive(self, scheduler: int, attempt: StartAttempt, attempt_number: int) -> None:
+        planner, key, arrived_at = self.planners[int(attempt.worker)], (scheduler, attempt.job_id), self.now
+        if planner.taken >= SLOTS_PER_PLANNER:
+            self.call_later(
+                TRIP_MS,
                 partial(
-                    self._tell,
+                    self._handle,
                     scheduler,
-                    AttemptFinished(send.job_id, number, send.worker, Outcome.REJECTED, 2 * TRIP, False),
+                    AttemptFinished(
+                        attempt.job_id, attempt_number, attempt.worker, Outcome.REJECTED, 2 * TRIP_MS, False
+                    ),
                 ),
             )
             return
-        asked = self.asked[key]
-        planner.held.add(key)
-        asked.started = self.now
-        asked.done(asked)
-        self.later(
-            TRIP,
+        request = self.requests[key]
+        planner.jobs.add(key)
+        request.started = self.now
+        request.on_outcome(request)
+        self.call_later(
+            TRIP_MS,
             partial(
-                self._tell,
+                self._handle,
                 scheduler,
-                AttemptProgressed(send.job_id, number, send.worker, ProgressKind.STARTED),
+                AttemptProgressed(attempt.job_id, attempt_number, attempt.worker, ProgressKind.STARTED),
             ),
         )
 
         def end() -> None:
-            planner.held.discard(key)
-            self.asked.pop(key)
-            self._tell(
+            planner.jobs.discard(key)
+            self.requests.pop(key)
+            self._handle(
                 scheduler,
-                AttemptFinished(send.job_id, number, send.worker, Outcome.OK, self.now - begun, True),
+                AttemptFinished(
+                    attempt.job_id, attempt_number, attempt.worker, Outcome.OK, self.now - arrived_at, True
+                ),
             )
 
-        self.later(max(2 * TRIP, asked.lasts), end)
+        self.call_later(max(2 * TRIP_MS, request.duration_ms), end)
--- a/benchmarks/capacity/plots.py
+++ b/benchmarks/capacity/plots.py
@@ -1,40 +1,51 @@
-"""A picture of each slope: what was measured, and the line through it."""
+"""Plots of the slopes: the measured points and the fitted lines."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from pathlib import Path
 
-from benchmarks.capacity import letter
+from benchmarks.capacity import requirements
 from benchmarks.capacity.figures import Line, Runs
 from benchmarks.capacity.records import ROOT
 
 FOLDER = ROOT / "docs" / "figures"
-STEPS = 60  # points of a line
+STEPS = 60  # points of a fitted line
 PICTURES: dict[str, tuple[str, Sequence[Line]]] = {
     "planners": (
         "planners listed",
-        (letter.FIRST_JOB, letter.MEMORY, letter.CHANGE, letter.ZONE_ONE, letter.DECISIONS),
+        (
+            requirements.FIRST_JOB,
+            requirements.MEMORY,
+            requirements.LIST_CHANGE,
+            requirements.ZONE_LOST_ONE_READ,
+            requirements.DECISIONS,
+        ),
     ),
     "tasks": (
         "tasks held, or started a second, by one scheduler",
-        (letter.HELD_MEMORY, letter.HELD_CPU, letter.HELD_FILES, letter.START_SHARE),
+        (
+            requirements.HELD_MEMORY,
+            requirements.HELD_CPU,
+            requirements.HELD_DESCRIPTORS,
+            requirements.STARTS_CPU,
+        ),
     ),
     "schedulers": (
         "schedulers",
-        (letter.VIEW_BYTES, letter.VIEW_CPU, letter.JOIN_SECOND, letter.ZONE_SETTLED),
+        (requirements.VIEW_BYTES, requirements.VIEW_CPU, requirements.JOIN_SECOND, requirements.ZONE_SETTLED),
     ),
 }
 
 
 def draw(runs: Runs, folder: Path = FOLDER) -> list[Path]:
-    """Write capacity-NAME.png for each picture of which something was measured."""
+    """Write capacity-NAME.png for each picture with at least one measured point; their paths."""
     import matplotlib
 
     matplotlib.use("Agg")
     import matplotlib.pyplot as plt
 
-    made = []
+    written = []
     for name, (label, lines) in PICTURES.items():
         if not any(line.points(runs) for line in lines):
             continue
@@ -51,7 +62,7 @@
             axis.set_ylim(bottom=0)
         figure.supxlabel(label, fontsize=8)
         figure.tight_layout()
-        made.append(folder / f"capacity-{name}.png")
-        figure.savefig(made[-1], dpi=80)
+        written.append(folder / f"capacity-{name}.png")
+        figure.savefig(written[-1], dpi=80)
         plt.close(figure)
-    return made
+    return written
--- a/benchmarks/capacity/regions.py
+++ b/benchmarks/capacity/regions.py
@@ -1,5 +1,6 @@
-"""Regions apart and whole again, and all schedulers restarted in waves, in virtual time: how long until all
-hold one view and the same settings, and what that costs. Network and counting are those of `schedulers`.
+"""A partition between regions that heals, and a restart of all schedulers in waves, in virtual time: the time
+until all schedulers have the same view and settings, and the cost. Network and counters are those of
+`schedulers`.
 """
 
 from __future__ import annotations
@@ -9,15 +10,15 @@
 
 from benchmarks.capacity.records import Row
 from benchmarks.capacity.schedulers import (
-    QUIET_WITHIN,
-    SETTLED_WITHIN,
+    QUIET_TIMEOUT_S,
+    SETTLE_TIMEOUT_S,
     TEAMS,
-    Play,
-    TimeOverError,
-    body,
-    each,
+    FleetRun,
+    TimeLimitError,
     key,
-    number_of,
+    quota_value,
+    run_sizes,
+    version_of,
 )
 from pipitshed.testbed.virtual_fleet import Fleet, region
 from pipitshed.testbed.virtual_view import Node
@@ -25,38 +26,38 @@
 SLOPE = "regions"
 SIZES = (40, 80, 150, 300)
 LOST_REGION = "centro"
-APART = 180.0  # virtual s: longer than a tombstone (120 s), so that each side has forgotten the other
-RESTARTS, CHANGES = 17, 325  # on each side while they are apart
-DOWN = 1.0  # virtual s that a restarted scheduler is gone
-WAVES, WAVE_EVERY, WAVE_CHANGES = 10, 10.0, 20  # parts of the fleet, virtual s, changes between two
+APART_S = 180.0  # virtual s; longer than a tombstone (120 s), so that each side forgets the other
+RESTARTS, CHANGES = 17, 325  # on each side during the partition
+DOWN_S = 1.0  # virtual s between stop and restart of a scheduler
+WAVES, WAVE_INTERVAL_S, WAVE_CHANGES = 10, 10.0, 20  # count, virtual s, changes between two waves
 
 
 def restart(fleet: Fleet, nodes: Sequence[Node]) -> None:
-    """These end in good order and come back under their names, with the rows that their files kept."""
+    """Shut nodes down cleanly and start them under their old names with the rows that they had stored."""
     for node in nodes:
         fleet.leave(node)
-    fleet.run(DOWN)
+    fleet.run(DOWN_S)
     for node in nodes:
-        again = fleet.start(node.address[1] - fleet.first_port, fleet.seeds)
+        restarted_node = fleet.start(node.address[1] - fleet.first_port, fleet.seeds)
         for row in node.tables[0]:
-            again.tables[0].apply(row)
+            restarted_node.tables[0].apply(row)
 
 
-def side(fleet: Fleet, lost: bool) -> list[Node]:
-    """Who lives in the region that is cut off, or in the others."""
+def nodes_by_region(fleet: Fleet, lost: bool) -> list[Node]:
+    """The nodes of the region that is cut off (`lost`), or those of the other regions."""
     return [
         node for node in fleet.nodes.values() if (region(fleet.zone(node.address)) == LOST_REGION) is lost
     ]
 
 
-def differed(fleet: Fleet) -> float:
-    """Bytes of the rows and words that a scheduler lacks, in the mean."""
+def missing_bytes(fleet: Fleet) -> float:
+    """Mean bytes of the rows and member records that a scheduler lacks."""
     newest = {row.key: row for node in fleet.nodes.values() for row in node.tables[0]}
     for node in fleet.nodes.values():
         newest |= {row.key: row for row in node.tables[0] if row.number > newest[row.key].number}
     lacked = 0
     for node in fleet.nodes.values():
-        lacked += sum(row.size for name, row in newest.items() if number_of(node, name) < row.number)
+        lacked += sum(row.size for name, row in newest.items() if version_of(node, name) < row.number)
         for other in fleet.nodes.values():
             held = node.membership.view.get(other.name)
             if (
@@ -68,71 +69,76 @@
     return lacked / len(fleet.nodes)
 
 
-def apart(play: Play) -> None:
-    """A region is cut off, restarts and changes on both sides, and it is whole again."""
-    fleet = play.fleet
-    writers = {lost: side(fleet, lost)[-1] for lost in (True, False)}
+def apart(run: FleetRun) -> None:
+    """Cut a region off, restart schedulers and change settings on both sides, then heal the partition."""
+    fleet = run.fleet
+    writers = {lost: nodes_by_region(fleet, lost)[-1] for lost in (True, False)}
     keys = {lost: [key(number) for number in range(lost, TEAMS, 2)] for lost in (True, False)}
     for lost, writer in writers.items():
-        play.settings(writer, keys[lost])
-    play.holds(fleet.quiet, QUIET_WITHIN, 1.0)
+        run.put_quotas(writer, keys[lost])
+    run.wait_until(fleet.quiet, QUIET_TIMEOUT_S, 1.0)
     fleet.part_region(LOST_REGION)
-    with play.counted() as spent:
+    with run.measured() as cost:
         for number in range(RESTARTS):
             for lost in (True, False):
                 restart(
                     fleet,
-                    [fleet.rng.choice([node for node in side(fleet, lost) if node not in writers.values()])],
+                    [
+                        fleet.rng.choice(
+                            [node for node in nodes_by_region(fleet, lost) if node not in writers.values()]
+                        )
+                    ],
                 )
                 first, last = (CHANGES * (number + step) // RESTARTS for step in (0, 1))
                 for change in range(first, last):
-                    fleet.put(writers[lost], (keys[lost][change % len(keys[lost])], body(fleet)))
-            play.run(APART / RESTARTS - 2 * DOWN)
-    play.row("regions apart", spent, restarts=2.0 * RESTARTS, changes=2.0 * CHANGES)
-    lacked = differed(fleet)
+                    fleet.put(writers[lost], (keys[lost][change % len(keys[lost])], quota_value(fleet)))
+            run.advance(APART_S / RESTARTS - 2 * DOWN_S)
+    run.row("regions apart", cost, restarts=2.0 * RESTARTS, changes=2.0 * CHANGES)
+    lacked = missing_bytes(fleet)
     fleet.heal()
-    play.to_one_view("healed", differed_bytes=lacked)
+    run.measure_convergence("healed", differed_bytes=lacked)
 
 
-def waves(play: Play) -> None:
-    """All restart, a tenth at a time, with changes in between: whose rows are older than those it held?"""
-    fleet = play.fleet
+def waves(run: FleetRun) -> None:
+    """Restart all schedulers, a tenth at a time, with settings changes in between; count the rows that are
+    older after a scheduler's restart than before."""
+    fleet = run.fleet
     nodes, older = list(fleet.nodes.values()), 0
     writer = nodes[-1].address
-    play.settings(nodes[-1], [key(number) for number in range(TEAMS)])
-    play.holds(fleet.quiet, QUIET_WITHIN, 1.0)
-    with play.counted() as spent:
+    run.put_quotas(nodes[-1], [key(number) for number in range(TEAMS)])
+    run.wait_until(fleet.quiet, QUIET_TIMEOUT_S, 1.0)
+    with run.measured() as cost:
         for wave in range(WAVES):
-            going = [fleet.nodes[node.address] for node in nodes[wave::WAVES]]
-            restart(fleet, going)
-            play.run(WAVE_EVERY / 2)
-            play.settings(
+            restarted = [fleet.nodes[node.address] for node in nodes[wave::WAVES]]
+            restart(fleet, restarted)
+            run.advance(WAVE_INTERVAL_S / 2)
+            run.put_quotas(
                 fleet.nodes[writer],
                 [key(number) for number in range(wave * WAVE_CHANGES, (wave + 1) * WAVE_CHANGES)],
             )
-            play.run(WAVE_EVERY / 2 - DOWN)
+            run.advance(WAVE_INTERVAL_S / 2 - DOWN_S)
             older += sum(
-                number_of(fleet.nodes[node.address], row.key) < row.number
-                for node in going
+                version_of(fleet.nodes[node.address], row.key) < row.number
+                for node in restarted
                 for row in node.tables[0]
             )
-        settled = play.holds(fleet.whole, SETTLED_WITHIN)
-    told = {"rows_older": float(older), "changes": float(WAVES * WAVE_CHANGES)}
-    why = "" if settled is not None else f"not one view after {SETTLED_WITHIN:.0f} virtual s"
-    play.row("restart wave", spent, why, **told, settled_ms=(settled or 0.0) * 1000)
+        settled = run.wait_until(fleet.whole, SETTLE_TIMEOUT_S)
+    extra_figures = {"rows_older": float(older), "changes": float(WAVES * WAVE_CHANGES)}
+    why = "" if settled is not None else f"not one view after {SETTLE_TIMEOUT_S:.0f} virtual s"
+    run.row("restart wave", cost, why, **extra_figures, settled_ms=(settled or 0.0) * 1000)
 
 
 def cases(size: int, limit_s: float) -> list[Row]:
-    """All cases of one size."""
+    """The rows of all cases of one size."""
     rows: list[Row] = []
     until = time.monotonic() + limit_s
     for case in (apart, waves):
-        play = Play(Fleet(seed=3), size, until, SLOPE, rows)
+        run = FleetRun(Fleet(seed=3), size, until, SLOPE, rows)
         try:
-            play.fleet.fleet(size)
-            play.holds(play.fleet.quiet, QUIET_WITHIN, 1.0)
-            case(play)
-        except TimeOverError:
+            run.fleet.fleet(size)
+            run.wait_until(run.fleet.quiet, QUIET_TIMEOUT_S, 1.0)
+            case(run)
+        except TimeLimitError:
             rows.append(
                 Row(
                     SLOPE,
@@ -148,5 +154,5 @@
 
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
-    """The rows of these sizes."""
-    return each(cases, sizes, limit_s)
+    """The rows of these sizes (schedulers)."""
+    return run_sizes(cases, sizes, limit_s)
--- a/benchmarks/capacity/letter.py
+++ b/benchmarks/capacity/requirements.py
@@ -1,29 +1,30 @@
-"""What the operators' letter asks for, which lines the figures are taken from, and what carries each."""
+"""The operators' requirements, the measured lines that show whether they are met, and the table contents."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from benchmarks.capacity.figures import Figure, Line, given, plus, ratio, times
+from benchmarks.capacity.figures import Figure, Line, constant, plus, ratio, times
 from pipitshed.scheduling.attempt_watchdog import STALLED_PROGRESS_INTERVALS
 
+# Required load of the whole fleet, and the budgets; those of CPU, memory and network are for control.
 PLANNERS, SCHEDULERS, REGIONS, ZONES, TEAMS = 4600, 300, 3, 7, 380
-STARTS, TASKS, JOBS_A_DAY, GANG = 280, 29_000, 43_000, 128
-CHANGES_A_DAY, IN_FORCE_MS, URGENT_MS = 7800, 5000.0, 2700.0
-CORE, MEMORY_MB, BYTES_PER_S, MACHINES = 0.032, 256.0, 9000.0, 12
-FAILED_A_DAY, REPLACED_A_DAY = 23, 410
+STARTS_PER_S, RUNNING_TASKS, JOBS_PER_DAY, GANG_MEMBERS = 280, 29_000, 43_000, 128
+CHANGES_PER_DAY, IN_FORCE_BUDGET_MS, URGENT_BUDGET_MS = 7800, 5000.0, 2700.0
+CPU_BUDGET_CORES, MEMORY_BUDGET_MB, NETWORK_BUDGET_BYTES_PER_S, CONTROL_MACHINES = 0.032, 256.0, 9000.0, 12
+FAILED_PER_DAY, REPLACED_PER_DAY = 23, 410
 DAY_S = 86_400
-# Assumed, as the letter leaves it open; docs/CAPACITY.md names each.
-ASSUMED = (150, 300, 600)  # schedulers
-HEAVIEST = 4  # times the mean: what the heaviest scheduler holds and starts
-RACK = 40  # planners
-SOCKETS = 1024.0  # `limits.sockets` of a deployment
-PROGRESS_MS = 2000.0  # between a planner's notes of a task
+# Assumptions where the requirements are open; docs/CAPACITY.md names each.
+ASSUMED_SCHEDULERS = (150, 300, 600)
+HEAVIEST_FACTOR = 4  # load of the heaviest scheduler in multiples of the mean
+RACK_PLANNERS = 40  # planners behind one switch
+SOCKET_LIMIT = 1024.0  # `limits.sockets` of a deployment
+PROGRESS_MS = 2000.0  # between a planner's progress notes of a task
 
-STARTS_EACH, HELD_EACH = STARTS / SCHEDULERS, TASKS / SCHEDULERS
-ZONE_ROWS = PLANNERS // ZONES
+STARTS_PER_SCHEDULER, TASKS_PER_SCHEDULER = STARTS_PER_S / SCHEDULERS, RUNNING_TASKS / SCHEDULERS
+ZONE_PLANNERS = PLANNERS // ZONES
 
-# ---- the lines
+# ---- the measured lines
 
 FIRST_JOB = Line("planners", "compact", "first_job_ms", "linear", "ms")
 LIST_COMPACT = Line("planners", "compact", "list_bytes", "linear", "bytes")
@@ -33,17 +34,17 @@
 LISTS_ASKED = Line("planners", "compact", "lists_asked", "constant")
 START_CPU = Line("planners", "compact", "start_cpu_ms", "linear", "ms")
 MEMORY = Line("planners", "compact", "memory_mb", "linear", "MB")
-JOB = Line("planners", "compact", "job_us", "constant", "us")
-CHANGE = Line("planners", "compact", "change_us", "linear", "us")
-ZONE_ONE = Line("planners", "compact", "zone_one_read_ms", "linear", "ms")
-ZONE_EACH = Line("planners", "compact", "zone_row_us", "linear", "us")
-LISTED_REST = Line("planners", "compact", "rest_share", "constant", "of a core")
+JOB_CPU = Line("planners", "compact", "job_us", "constant", "us")
+LIST_CHANGE = Line("planners", "compact", "change_us", "linear", "us")
+ZONE_LOST_ONE_READ = Line("planners", "compact", "zone_one_read_ms", "linear", "ms")
+ZONE_LOST_PER_ROW = Line("planners", "compact", "zone_row_us", "linear", "us")
+REST_CPU = Line("planners", "compact", "rest_share", "constant", "of a core")
 HELD_MEMORY = Line("held", "calm", "memory_added_mb", "linear", "MB", relative=False)
 HELD_CPU = Line("held", "calm", "cpu_share", "linear", "of a core")
-HELD_FILES = Line("held", "calm", "descriptors", "linear")
+HELD_DESCRIPTORS = Line("held", "calm", "descriptors", "linear")
 HELD_TIMERS = Line("held", "calm", "timers_each", "constant")
-START_SHARE = Line("starts", "calm", "cpu_share", "linear", "of a core")
-START_FILES = Line("starts", "calm", "descriptors", "sqrt")
+STARTS_CPU = Line("starts", "calm", "cpu_share", "linear", "of a core")
+START_DESCRIPTORS = Line("starts", "calm", "descriptors", "sqrt")
 URGENT_P50 = Line("urgent", "full", "p50_ms", "constant", "ms")
 URGENT_P99 = Line("urgent", "full", "p99_ms", "constant", "ms")
 URGENT_WORST = Line("urgent", "full", "worst_ms", "constant", "ms")
@@ -51,7 +52,7 @@
 GANG_WHOLE = Line("gangs", "nine tenths full", "whole_share", "constant")
 GANG_LOST = Line("gangs", "nine tenths full", "lost_slot_s", "linear", "slot seconds")
 RELOAD = Line("reload", "calm", "cpu_ms", "linear", "ms")
-RELOAD_TOOK = Line("reload", "calm", "in_force_ms", "linear", "ms")
+RELOAD_IN_FORCE = Line("reload", "calm", "in_force_ms", "linear", "ms")
 RELOAD_FILE = Line("reload", "calm", "file_bytes", "linear", "bytes")
 VIEW_BYTES = Line("schedulers", "rest", "out_bytes_per_s", "linear", "bytes/s")
 VIEW_HEAVIEST = Line("schedulers", "rest", "heaviest_out_bytes_per_s", "linear", "bytes/s")
@@ -62,23 +63,23 @@
 JOIN_SECOND = Line("schedulers", "join storm", "worst_second_out_bytes", "constant", "bytes")
 JOIN_BYTES = Line("schedulers", "join storm", "out_bytes", "linear", "bytes")
 JOIN_SETTLED = Line("schedulers", "join storm", "settled_ms", "sqrt", "ms")
-ONE_SETTLED = Line("schedulers", "one restarted", "settled_ms", "linear", "ms")
-ONE_BYTES = Line("schedulers", "one restarted", "out_bytes", "linear", "bytes")
+RESTART_SETTLED = Line("schedulers", "one restarted", "settled_ms", "linear", "ms")
+RESTART_BYTES = Line("schedulers", "one restarted", "out_bytes", "linear", "bytes")
 ZONE_SETTLED = Line("schedulers", "zone lost", "settled_ms", "sqrt", "ms")
 ZONE_BYTES = Line("schedulers", "zone lost", "out_bytes", "linear", "bytes")
 ZONE_SECOND = Line("schedulers", "zone lost", "worst_second_out_bytes", "constant", "bytes")
-CHANGE_P50 = Line("schedulers", "changes", "in_force_p50_ms", "sqrt", "ms")
-CHANGE_WORST = Line("schedulers", "changes", "in_force_worst_ms", "sqrt", "ms")
-CHANGE_LOSS = Line("schedulers", "changes, loss 1%", "in_force_worst_ms", "sqrt", "ms")
-CHANGE_SECOND = Line("schedulers", "changes, loss 1%", "worst_second_out_bytes", "linear", "bytes")
-CHANGE_CPU = Line("schedulers", "changes", "cpu_share", "linear", "of a core")
-CURRENT = Line("schedulers", "one lost everything", "current_ms", "linear", "ms")
-BACK_SETTLED = Line("regions", "healed", "settled_ms", "sqrt", "ms")
-BACK_BYTES = Line("regions", "healed", "out_bytes", "linear", "bytes")
-BACK_DIFFERED = Line("regions", "healed", "differed_bytes", "linear", "bytes")
-APART_SECOND = Line("regions", "regions apart", "worst_second_out_bytes", "linear", "bytes")
-BACK_SECOND = Line("regions", "healed", "worst_second_out_bytes", "constant", "bytes")
-APART_BYTES = Line("regions", "regions apart", "out_bytes_per_s", "linear", "bytes/s")
+SETTINGS_CHANGE_P50 = Line("schedulers", "changes", "in_force_p50_ms", "sqrt", "ms")
+SETTINGS_CHANGE_WORST = Line("schedulers", "changes", "in_force_worst_ms", "sqrt", "ms")
+SETTINGS_CHANGE_LOSS = Line("schedulers", "changes, loss 1%", "in_force_worst_ms", "sqrt", "ms")
+SETTINGS_CHANGE_SECOND = Line("schedulers", "changes, loss 1%", "worst_second_out_bytes", "linear", "bytes")
+SETTINGS_CHANGE_CPU = Line("schedulers", "changes", "cpu_share", "linear", "of a core")
+STATE_LOSS_CURRENT = Line("schedulers", "one lost everything", "current_ms", "linear", "ms")
+HEALED_SETTLED = Line("regions", "healed", "settled_ms", "sqrt", "ms")
+HEALED_BYTES = Line("regions", "healed", "out_bytes", "linear", "bytes")
+HEALED_DIFFERED = Line("regions", "healed", "differed_bytes", "linear", "bytes")
+PARTITION_SECOND = Line("regions", "regions apart", "worst_second_out_bytes", "linear", "bytes")
+HEALED_SECOND = Line("regions", "healed", "worst_second_out_bytes", "constant", "bytes")
+PARTITION_BYTES = Line("regions", "regions apart", "out_bytes_per_s", "linear", "bytes/s")
 WAVE_SECOND = Line("regions", "restart wave", "worst_second_out_bytes", "constant", "bytes")
 WAVE_SETTLED = Line("regions", "restart wave", "settled_ms", "linear", "ms")
 WAVE_OLDER = Line("regions", "restart wave", "rows_older", "linear")
@@ -87,14 +88,14 @@
 HOLLOW_CHANGE = Line("hollow", "one change", "last_ms", "linear", "ms")
 DECISIONS = Line("parts", "decisions", "change_and_job_us", "linear", "us")
 DECISIONS_ZONE = Line("parts", "decisions", "zone_at_once_us", "linear", "us")
-DECISIONS_EACH = Line("parts", "decisions", "zone_one_by_one_us", "linear", "us")
+DECISIONS_ZONE_PER_ROW = Line("parts", "decisions", "zone_one_by_one_us", "linear", "us")
 LIST_TURN = Line("parts", "list indented", "first_turn_ms", "linear", "ms")
 LIST_CPU = Line("parts", "list indented", "first_cpu_ms", "linear", "ms")
-LEFT = Line("parts", "replaced", "decisions", "linear")
-OVER = Line("teams", "300 schedulers, uneven", "over_worst_share", "constant", "of its quota")
-UNDER = Line("teams", "300 schedulers, uneven", "under_worst_share", "constant", "of its quota")
-OVER_EVEN = Line("teams", "300 schedulers, even", "over_worst_share", "constant", "of its quota")
-OVER_ROOM = Line(
+REPLACED_STILL_HELD = Line("parts", "replaced", "decisions", "linear")
+OVER_QUOTA = Line("teams", "300 schedulers, uneven", "over_worst_share", "constant", "of its quota")
+UNDER_QUOTA = Line("teams", "300 schedulers, uneven", "under_worst_share", "constant", "of its quota")
+OVER_QUOTA_EVEN = Line("teams", "300 schedulers, even", "over_worst_share", "constant", "of its quota")
+OVER_QUOTA_ROOM_FOR_ALL = Line(
     "teams", "300 schedulers, uneven, room for all", "over_worst_share", "constant", "of its quota"
 )
 
@@ -104,17 +105,17 @@
     LIST_INDENTED,
     START_CPU,
     MEMORY,
-    JOB,
-    CHANGE,
-    ZONE_ONE,
-    ZONE_EACH,
-    LISTED_REST,
+    JOB_CPU,
+    LIST_CHANGE,
+    ZONE_LOST_ONE_READ,
+    ZONE_LOST_PER_ROW,
+    REST_CPU,
     HELD_MEMORY,
     HELD_CPU,
-    HELD_FILES,
+    HELD_DESCRIPTORS,
     HELD_TIMERS,
-    START_SHARE,
-    START_FILES,
+    STARTS_CPU,
+    START_DESCRIPTORS,
     URGENT_P50,
     URGENT_P99,
     URGENT_WORST,
@@ -122,7 +123,7 @@
     GANG_WHOLE,
     GANG_LOST,
     RELOAD,
-    RELOAD_TOOK,
+    RELOAD_IN_FORCE,
     RELOAD_FILE,
     VIEW_BYTES,
     VIEW_LOSS,
@@ -132,39 +133,39 @@
     JOIN_SECOND,
     JOIN_BYTES,
     JOIN_SETTLED,
-    ONE_SETTLED,
-    ONE_BYTES,
+    RESTART_SETTLED,
+    RESTART_BYTES,
     ZONE_SETTLED,
     ZONE_BYTES,
     ZONE_SECOND,
-    BACK_SETTLED,
-    BACK_BYTES,
-    BACK_SECOND,
-    APART_BYTES,
-    APART_SECOND,
+    HEALED_SETTLED,
+    HEALED_BYTES,
+    HEALED_SECOND,
+    PARTITION_BYTES,
+    PARTITION_SECOND,
     WAVE_SECOND,
     WAVE_SETTLED,
     WAVE_OLDER,
-    CHANGE_P50,
-    CHANGE_WORST,
-    CHANGE_LOSS,
-    CHANGE_SECOND,
-    CHANGE_CPU,
-    CURRENT,
-    BACK_DIFFERED,
+    SETTINGS_CHANGE_P50,
+    SETTINGS_CHANGE_WORST,
+    SETTINGS_CHANGE_LOSS,
+    SETTINGS_CHANGE_SECOND,
+    SETTINGS_CHANGE_CPU,
+    STATE_LOSS_CURRENT,
+    HEALED_DIFFERED,
     HOLLOW_BYTES,
     HOLLOW_CPU,
     HOLLOW_CHANGE,
     DECISIONS,
     DECISIONS_ZONE,
-    DECISIONS_EACH,
+    DECISIONS_ZONE_PER_ROW,
     LIST_TURN,
     LIST_CPU,
-    LEFT,
-    OVER,
-    UNDER,
-    OVER_EVEN,
-    OVER_ROOM,
+    REPLACED_STILL_HELD,
+    OVER_QUOTA,
+    UNDER_QUOTA,
+    OVER_QUOTA_EVEN,
+    OVER_QUOTA_ROOM_FOR_ALL,
 )
 
 # ---- the targets
@@ -172,8 +173,8 @@
 
 @dataclass(frozen=True)
 class Target:
-    """One thing that the letter needs. `budget`: what the figure is held against; None: the letter gives
-    none. `least`: the figure must be at least the budget, not at most."""
+    """One requirement and the figure that is compared with it. `budget` is None if there is none; with
+    `at_least` the figure must be at least the budget instead of at most."""
 
     need: str
     what: str
@@ -182,13 +183,13 @@
     budget: float | None
     mechanism: str
     source: str
-    least: bool = False
+    at_least: bool = False
 
 
 MISSING = "`missing`"
-CARRIER = "`replication`, `tuning.rows`, `peers`"
-VIEW = "`membership`, `replication`, `peers`"
-NONE: Figure = lambda runs: None  # noqa: E731 - a figure that nothing measures
+SETTINGS_MECHANISM = "`replication`, `tuning.rows`, `peers`"
+VIEW_MECHANISM = "`membership`, `replication`, `peers`"
+UNMEASURED: Figure = lambda runs: None  # noqa: E731 - a figure without a measurement
 
 TARGETS = (
     Target(
@@ -199,7 +200,7 @@
         1.0,
         "`routes.discovery`",
         "planners",
-        least=True,
+        at_least=True,
     ),
     Target(
         "4,600 planners",
@@ -209,7 +210,7 @@
         1.0,
         "`routes.discovery`",
         "planners",
-        least=True,
+        at_least=True,
     ),
     Target(
         "4,600 planners",
@@ -225,7 +226,7 @@
         "memory of the whole scheduler, against that for control alone",
         MEMORY.at(PLANNERS),
         "MB",
-        MEMORY_MB,
+        MEMORY_BUDGET_MB,
         "`exchange.route_table`, `decisions.rules`",
         "planners",
     ),
@@ -241,7 +242,7 @@
     Target(
         "4,600 planners",
         "the same in the whole program",
-        ratio(CHANGE.at(PLANNERS), CHANGE.at(200)),
+        ratio(LIST_CHANGE.at(PLANNERS), LIST_CHANGE.at(200)),
         "times",
         2.0,
         "`decisions.rules`, `exchange.route_table`",
@@ -250,7 +251,7 @@
     Target(
         "433 planners replaced a day",
         "planners that the decisions still hold of them, against those of the last minute",
-        LEFT.at(433),
+        REPLACED_STILL_HELD.at(433),
         "",
         1.0,
         "`decisions.rules`",
@@ -259,25 +260,25 @@
     Target(
         "a zone lost",
         "657 rows in a read each, a job behind each, against 3.2% of a core for a minute",
-        times(ZONE_EACH.at(PLANNERS), ZONE_ROWS / 1000),
+        times(ZONE_LOST_PER_ROW.at(PLANNERS), ZONE_PLANNERS / 1000),
         "ms",
-        CORE * 60_000,
+        CPU_BUDGET_CORES * 60_000,
         "`decisions.rules`",
         "planners",
     ),
     Target(
         "a zone lost",
         "657 rows in one read",
-        ZONE_ONE.at(PLANNERS),
+        ZONE_LOST_ONE_READ.at(PLANNERS),
         "ms",
-        CORE * 60_000,
+        CPU_BUDGET_CORES * 60_000,
         "`routes.discovery`, `decisions.rules`",
         "planners",
     ),
     Target(
         "280 starts a second",
         "CPU of the mean scheduler's starts",
-        START_SHARE.at(STARTS_EACH),
+        STARTS_CPU.at(STARTS_PER_SCHEDULER),
         "of a core",
         1.0,
         "`exchange.core`, `egress.http`",
@@ -286,7 +287,7 @@
     Target(
         "280 starts a second",
         "CPU of the heaviest scheduler's",
-        START_SHARE.at(HEAVIEST * STARTS_EACH),
+        STARTS_CPU.at(HEAVIEST_FACTOR * STARTS_PER_SCHEDULER),
         "of a core",
         1.0,
         "`exchange.core`, `egress.http`",
@@ -295,7 +296,7 @@
     Target(
         "280 starts a second",
         "CPU if one scheduler had all of them",
-        START_SHARE.at(STARTS),
+        STARTS_CPU.at(STARTS_PER_S),
         "of a core",
         1.0,
         "`exchange.core`, `egress.http`",
@@ -304,16 +305,16 @@
     Target(
         "29,000 tasks running",
         "memory that the heaviest scheduler's add",
-        HELD_MEMORY.at(HEAVIEST * HELD_EACH),
+        HELD_MEMORY.at(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER),
         "MB",
-        MEMORY_MB,
+        MEMORY_BUDGET_MB,
         "`exchange.core`",
         "held",
     ),
     Target(
         "29,000 tasks running",
         "CPU of the heaviest scheduler's",
-        HELD_CPU.at(HEAVIEST * HELD_EACH),
+        HELD_CPU.at(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER),
         "of a core",
         1.0,
         "`exchange.core`",
@@ -322,26 +323,26 @@
     Target(
         "29,000 tasks running",
         "descriptors of the heaviest scheduler",
-        HELD_FILES.at(HEAVIEST * HELD_EACH),
+        HELD_DESCRIPTORS.at(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER),
         "",
-        SOCKETS,
+        SOCKET_LIMIT,
         "`scheduler`, `egress.http`",
         "held",
     ),
     Target(
         "gangs of up to 128",
         "gangs of 128 that start whole, nine tenths of the slots taken",
-        GANG_WHOLE.at(GANG),
+        GANG_WHOLE.at(GANG_MEMBERS),
         "of all",
         1.0,
         MISSING,
         "gangs",
-        least=True,
+        at_least=True,
     ),
     Target(
         "380 teams with quotas",
         "above its quota, the worst team; uneven, 300 schedulers",
-        OVER.at(TEAMS),
+        OVER_QUOTA.at(TEAMS),
         "of its quota",
         None,
         MISSING,
@@ -350,7 +351,7 @@
     Target(
         "380 teams with quotas",
         "the same where planners have room for all",
-        OVER_ROOM.at(TEAMS),
+        OVER_QUOTA_ROOM_FOR_ALL.at(TEAMS),
         "of its quota",
         None,
         MISSING,
@@ -359,7 +360,7 @@
     Target(
         "380 teams with quotas",
         "under its quota, the worst team; uneven, 300 schedulers",
-        UNDER.at(TEAMS),
+        UNDER_QUOTA.at(TEAMS),
         "of its quota",
         None,
         MISSING,
@@ -370,7 +371,7 @@
         "p99 beside a full fleet, 920 planners",
         URGENT_P99.at(920),
         "ms",
-        URGENT_MS,
+        URGENT_BUDGET_MS,
         MISSING,
         "urgent",
     ),
@@ -379,53 +380,53 @@
         "worst beside a full fleet, 920 planners",
         URGENT_WORST.at(920),
         "ms",
-        URGENT_MS,
+        URGENT_BUDGET_MS,
         MISSING,
         "urgent",
     ),
     Target(
         "7,800 changes a day",
         "CPU of as many reloads with 380 teams, over the day",
-        times(RELOAD.at(TEAMS), CHANGES_A_DAY / DAY_S / 1000),
+        times(RELOAD.at(TEAMS), CHANGES_PER_DAY / DAY_S / 1000),
         "of a core",
-        CORE,
+        CPU_BUDGET_CORES,
         "`scheduler`, `tuning`",
         "reload",
     ),
     Target(
         "in force everywhere in 5 s",
         "a file read again by one scheduler",
-        RELOAD_TOOK.at(TEAMS),
+        RELOAD_IN_FORCE.at(TEAMS),
         "ms",
-        IN_FORCE_MS,
+        IN_FORCE_BUDGET_MS,
         "`scheduler`",
         "reload",
     ),
     Target(
         "in force everywhere in 5 s",
         "a change, p50 of all at 300 schedulers, 20 changes in a second",
-        CHANGE_P50.at(SCHEDULERS),
+        SETTINGS_CHANGE_P50.at(SCHEDULERS),
         "ms",
         1000.0,
-        CARRIER,
+        SETTINGS_MECHANISM,
         "schedulers",
     ),
     Target(
         "in force everywhere in 5 s",
         "the worst of them",
-        CHANGE_WORST.at(SCHEDULERS),
+        SETTINGS_CHANGE_WORST.at(SCHEDULERS),
         "ms",
-        IN_FORCE_MS,
-        CARRIER,
+        IN_FORCE_BUDGET_MS,
+        SETTINGS_MECHANISM,
         "schedulers",
     ),
     Target(
         "in force everywhere in 5 s",
         "the worst of them at 1% loss",
-        CHANGE_LOSS.at(SCHEDULERS),
+        SETTINGS_CHANGE_LOSS.at(SCHEDULERS),
         "ms",
-        IN_FORCE_MS,
-        CARRIER,
+        IN_FORCE_BUDGET_MS,
+        SETTINGS_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -433,17 +434,17 @@
         "one change put by command, on sockets, to the last",
         HOLLOW_CHANGE.at(SCHEDULERS),
         "ms",
-        IN_FORCE_MS,
-        CARRIER,
+        IN_FORCE_BUDGET_MS,
+        SETTINGS_MECHANISM,
         "hollow",
     ),
     Target(
         "in force everywhere in 5 s",
         "one that lost everything is current",
-        CURRENT.at(SCHEDULERS),
+        STATE_LOSS_CURRENT.at(SCHEDULERS),
         "ms",
-        IN_FORCE_MS,
-        CARRIER,
+        IN_FORCE_BUDGET_MS,
+        SETTINGS_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -452,7 +453,7 @@
         WAVE_OLDER.at(SCHEDULERS),
         "",
         0.0,
-        CARRIER,
+        SETTINGS_MECHANISM,
         "regions",
     ),
     Target(
@@ -460,8 +461,8 @@
         "view and settings at rest, 300 schedulers",
         VIEW_BYTES.at(SCHEDULERS),
         "bytes/s",
-        BYTES_PER_S,
-        VIEW,
+        NETWORK_BUDGET_BYTES_PER_S,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -469,8 +470,8 @@
         "the scheduler that sends most, at rest",
         VIEW_HEAVIEST.at(SCHEDULERS),
         "bytes/s",
-        BYTES_PER_S,
-        VIEW,
+        NETWORK_BUDGET_BYTES_PER_S,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -478,8 +479,8 @@
         "view and settings at 1% loss",
         VIEW_LOSS.at(SCHEDULERS),
         "bytes/s",
-        BYTES_PER_S,
-        VIEW,
+        NETWORK_BUDGET_BYTES_PER_S,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -487,8 +488,8 @@
         "the worst second of a join storm",
         JOIN_SECOND.at(SCHEDULERS),
         "bytes",
-        BYTES_PER_S,
-        VIEW,
+        NETWORK_BUDGET_BYTES_PER_S,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -496,26 +497,26 @@
         "the worst second of a lost zone",
         ZONE_SECOND.at(SCHEDULERS),
         "bytes",
-        BYTES_PER_S,
-        VIEW,
+        NETWORK_BUDGET_BYTES_PER_S,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
         "control: 9 KB a second",
         "the worst second while regions are apart",
-        APART_SECOND.at(SCHEDULERS),
+        PARTITION_SECOND.at(SCHEDULERS),
         "bytes",
-        BYTES_PER_S,
-        VIEW,
+        NETWORK_BUDGET_BYTES_PER_S,
+        VIEW_MECHANISM,
         "regions",
     ),
     Target(
         "control: 9 KB a second",
         "the worst second after a region is back",
-        BACK_SECOND.at(SCHEDULERS),
+        HEALED_SECOND.at(SCHEDULERS),
         "bytes",
-        BYTES_PER_S,
-        VIEW,
+        NETWORK_BUDGET_BYTES_PER_S,
+        VIEW_MECHANISM,
         "regions",
     ),
     Target(
@@ -523,17 +524,17 @@
         "the worst second of a restart in waves",
         WAVE_SECOND.at(SCHEDULERS),
         "bytes",
-        BYTES_PER_S,
-        VIEW,
+        NETWORK_BUDGET_BYTES_PER_S,
+        VIEW_MECHANISM,
         "regions",
     ),
     Target(
         "control: 9 KB a second",
         "the worst second of changes in bursts, 1% loss",
-        CHANGE_SECOND.at(SCHEDULERS),
+        SETTINGS_CHANGE_SECOND.at(SCHEDULERS),
         "bytes",
-        BYTES_PER_S,
-        VIEW,
+        NETWORK_BUDGET_BYTES_PER_S,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -542,7 +543,7 @@
         VIEW_BYTES.at(SCHEDULERS),
         "bytes/s",
         2000.0,
-        VIEW,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -551,7 +552,7 @@
         VIEW_BYTES.at(600),
         "bytes/s",
         2000.0,
-        VIEW,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -560,7 +561,7 @@
         VIEW_CPU.at(SCHEDULERS),
         "of a core",
         0.005,
-        VIEW,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -568,8 +569,8 @@
         "view and settings at rest",
         VIEW_CPU.at(SCHEDULERS),
         "of a core",
-        CORE,
-        VIEW,
+        CPU_BUDGET_CORES,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
@@ -577,8 +578,8 @@
         "the same with its sockets",
         HOLLOW_CPU.at(SCHEDULERS),
         "of a core",
-        CORE,
-        VIEW,
+        CPU_BUDGET_CORES,
+        VIEW_MECHANISM,
         "hollow",
     ),
     Target(
@@ -586,16 +587,16 @@
         "view and settings",
         VIEW_MEMORY.at(SCHEDULERS),
         "MB",
-        MEMORY_MB,
-        VIEW,
+        MEMORY_BUDGET_MB,
+        VIEW_MECHANISM,
         "schedulers",
     ),
     Target(
         "12 machines for control",
         "machines that anything runs on",
-        given(0),
+        constant(0),
         "",
-        float(MACHINES),
+        float(CONTROL_MACHINES),
         "none is needed so far",
         "",
     ),
@@ -605,8 +606,8 @@
 
 
 @dataclass(frozen=True)
-class Held:
-    """One line of a role's table: what, by which formula, on a usual day and on the worst one."""
+class RoleLine:
+    """One line of a role's table: quantity, formula, and the figures of a usual and of the worst day."""
 
     what: str
     formula: str
@@ -618,93 +619,98 @@
 
 
 DATA_PATH = (
-    Held("planners known", "the list", given(PLANNERS), given(PLANNERS), "", "4,600", ""),
-    Held(
+    RoleLine("planners known", "the list", constant(PLANNERS), constant(PLANNERS), "", "4,600", ""),
+    RoleLine(
         "tasks held",
         "tasks / schedulers; the heaviest 4 times that",
-        given(HELD_EACH),
-        given(HEAVIEST * HELD_EACH),
+        constant(TASKS_PER_SCHEDULER),
+        constant(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER),
         "",
         "none given",
         "",
     ),
-    Held(
+    RoleLine(
         "timers",
         "tasks held x timers each",
-        times(HELD_TIMERS.at(800), HELD_EACH),
-        times(HELD_TIMERS.at(800), HEAVIEST * HELD_EACH),
+        times(HELD_TIMERS.at(800), TASKS_PER_SCHEDULER),
+        times(HELD_TIMERS.at(800), HEAVIEST_FACTOR * TASKS_PER_SCHEDULER),
         "",
         "none given",
         "held",
     ),
-    Held(
+    RoleLine(
         "starts",
         "starts / schedulers; the heaviest 4 times that",
-        given(STARTS_EACH),
-        given(HEAVIEST * STARTS_EACH),
+        constant(STARTS_PER_SCHEDULER),
+        constant(HEAVIEST_FACTOR * STARTS_PER_SCHEDULER),
         "/s",
         "none given",
         "",
     ),
-    Held(
+    RoleLine(
         "notes from planners",
         "tasks held / 2 s",
-        given(HELD_EACH * 1000 / PROGRESS_MS),
-        given(HEAVIEST * HELD_EACH * 1000 / PROGRESS_MS),
+        constant(TASKS_PER_SCHEDULER * 1000 / PROGRESS_MS),
+        constant(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER * 1000 / PROGRESS_MS),
         "/s",
         "none given",
         "",
     ),
-    Held(
+    RoleLine(
         "changes of the list",
         "3 a replaced planner (drains, goes, comes); worst: a zone at once",
-        given(3 * (REPLACED_A_DAY + FAILED_A_DAY) / DAY_S),
-        given(ZONE_ROWS),
+        constant(3 * (REPLACED_PER_DAY + FAILED_PER_DAY) / DAY_S),
+        constant(ZONE_PLANNERS),
         "/s",
         "none given",
         "",
     ),
-    Held(
+    RoleLine(
         "CPU of starts and of what is held",
         "by both slopes",
-        plus(START_SHARE.at(STARTS_EACH), HELD_CPU.at(HELD_EACH)),
-        plus(START_SHARE.at(HEAVIEST * STARTS_EACH), HELD_CPU.at(HEAVIEST * HELD_EACH)),
+        plus(STARTS_CPU.at(STARTS_PER_SCHEDULER), HELD_CPU.at(TASKS_PER_SCHEDULER)),
+        plus(
+            STARTS_CPU.at(HEAVIEST_FACTOR * STARTS_PER_SCHEDULER),
+            HELD_CPU.at(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER),
+        ),
         "of a core",
         "1",
         "starts, held",
     ),
-    Held(
+    RoleLine(
         "CPU of changes",
         "a day's changes x that of one; worst: a zone in a read each",
-        times(CHANGE.at(PLANNERS), 3 * (REPLACED_A_DAY + FAILED_A_DAY) / 1000),
-        times(ZONE_EACH.at(PLANNERS), ZONE_ROWS / 1000),
+        times(LIST_CHANGE.at(PLANNERS), 3 * (REPLACED_PER_DAY + FAILED_PER_DAY) / 1000),
+        times(ZONE_LOST_PER_ROW.at(PLANNERS), ZONE_PLANNERS / 1000),
         "ms",
         "none given",
         "planners",
     ),
-    Held(
+    RoleLine(
         "memory",
         "the list, and what is held",
-        plus(MEMORY.at(PLANNERS), HELD_MEMORY.at(HELD_EACH)),
-        plus(MEMORY.at(PLANNERS), HELD_MEMORY.at(HEAVIEST * HELD_EACH)),
+        plus(MEMORY.at(PLANNERS), HELD_MEMORY.at(TASKS_PER_SCHEDULER)),
+        plus(MEMORY.at(PLANNERS), HELD_MEMORY.at(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER)),
         "MB",
         "192 (`limits.memory_mb`)",
         "planners, held",
     ),
-    Held(
+    RoleLine(
         "connections (descriptors)",
         "2 a task held, and what rests",
-        HELD_FILES.at(HELD_EACH),
-        HELD_FILES.at(HEAVIEST * HELD_EACH),
+        HELD_DESCRIPTORS.at(TASKS_PER_SCHEDULER),
+        HELD_DESCRIPTORS.at(HEAVIEST_FACTOR * TASKS_PER_SCHEDULER),
         "",
         "1,024 (`limits.sockets`)",
         "held",
     ),
 )
 CONTROL = (
-    Held("schedulers known", "the view", given(SCHEDULERS), given(SCHEDULERS), "", "none given", ""),
-    Held("rows of settings", "one a team", given(TEAMS), given(TEAMS), "", "none given", ""),
-    Held(
+    RoleLine(
+        "schedulers known", "the view", constant(SCHEDULERS), constant(SCHEDULERS), "", "none given", ""
+    ),
+    RoleLine("rows of settings", "one a team", constant(TEAMS), constant(TEAMS), "", "none given", ""),
+    RoleLine(
         "bytes sent",
         "view and settings; worst: the worst second of a join storm",
         VIEW_BYTES.at(SCHEDULERS),
@@ -713,16 +719,16 @@
         "9,000",
         "schedulers",
     ),
-    Held(
+    RoleLine(
         "bytes sent by the heaviest",
         "the same; worst: the worst second of changes in bursts, 1% loss",
         VIEW_HEAVIEST.at(SCHEDULERS),
-        CHANGE_SECOND.at(SCHEDULERS),
+        SETTINGS_CHANGE_SECOND.at(SCHEDULERS),
         "bytes/s",
         "9,000",
         "schedulers",
     ),
-    Held(
+    RoleLine(
         "messages sent",
         "probes, answers, repair; worst: a join storm",
         VIEW_MESSAGES.at(SCHEDULERS),
@@ -731,7 +737,7 @@
         "none given",
         "schedulers",
     ),
-    Held(
+    RoleLine(
         "CPU",
         "protocol and codec, without sockets; worst: a join storm",
         VIEW_CPU.at(SCHEDULERS),
@@ -740,29 +746,31 @@
         "0.032",
         "schedulers",
     ),
-    Held(
+    RoleLine(
         "CPU while changes come",
         "20 in a second, now and then",
-        CHANGE_CPU.at(SCHEDULERS),
-        NONE,
+        SETTINGS_CHANGE_CPU.at(SCHEDULERS),
+        UNMEASURED,
         "of a core",
         "0.032",
         "schedulers",
     ),
-    Held("memory", "view and settings alone", VIEW_MEMORY.at(SCHEDULERS), NONE, "MB", "256", "schedulers"),
-    Held(
+    RoleLine(
+        "memory", "view and settings alone", VIEW_MEMORY.at(SCHEDULERS), UNMEASURED, "MB", "256", "schedulers"
+    ),
+    RoleLine(
         "CPU of a file read again",
         "reloads of a day, where settings come by file; worst: 20 in a second",
-        times(RELOAD.at(TEAMS), CHANGES_A_DAY / DAY_S / 1000),
+        times(RELOAD.at(TEAMS), CHANGES_PER_DAY / DAY_S / 1000),
         times(RELOAD.at(TEAMS), 20 / 1000),
         "of a core",
         "0.032",
         "reload",
     ),
-    Held(
+    RoleLine(
         "bytes of that file",
         "the whole of it for each change, to each scheduler",
-        times(RELOAD_FILE.at(TEAMS), CHANGES_A_DAY / DAY_S),
+        times(RELOAD_FILE.at(TEAMS), CHANGES_PER_DAY / DAY_S),
         times(RELOAD_FILE.at(TEAMS), 20),
         "bytes/s",
         "9,000",
@@ -770,8 +778,10 @@
     ),
 )
 DISCOVERY = (
-    Held("watches held", "one a scheduler", given(SCHEDULERS), given(SCHEDULERS), "", "none given", ""),
-    Held(
+    RoleLine(
+        "watches held", "one a scheduler", constant(SCHEDULERS), constant(SCHEDULERS), "", "none given", ""
+    ),
+    RoleLine(
         "whole lists told",
         "one a start of a scheduler; worst: all restarted",
         LISTS_ASKED.at(PLANNERS),
@@ -780,7 +790,7 @@
         "none given",
         "planners",
     ),
-    Held(
+    RoleLine(
         "bytes of them",
         "compact",
         LIST_COMPACT.at(PLANNERS),
@@ -789,20 +799,20 @@
         "none given",
         "planners",
     ),
-    Held(
+    RoleLine(
         "seconds of 9 KB/s that one takes",
         "bytes / 9,000, compact; worst: indented",
-        times(LIST_COMPACT.at(PLANNERS), 1 / BYTES_PER_S),
-        times(LIST_INDENTED.at(PLANNERS), 1 / BYTES_PER_S),
+        times(LIST_COMPACT.at(PLANNERS), 1 / NETWORK_BUDGET_BYTES_PER_S),
+        times(LIST_INDENTED.at(PLANNERS), 1 / NETWORK_BUDGET_BYTES_PER_S),
         "s",
         "none given",
         "planners",
     ),
-    Held(
+    RoleLine(
         "heartbeats",
         "one a watch each 2 s",
-        given(SCHEDULERS / 2),
-        given(SCHEDULERS / 2),
+        constant(SCHEDULERS / 2),
+        constant(SCHEDULERS / 2),
         "/s",
         "none given",
         "",
@@ -814,10 +824,10 @@
 
 @dataclass(frozen=True)
 class Failure:
-    """One failure on the letter's list. `tests`: FILE::NAME, each of which exists."""
+    """One failure that the requirements list. `tests` are FILE::NAME of existing tests."""
 
     what: str
-    often: str
+    frequency: str
     cost: str
     figure: Figure
     unit: str
@@ -834,9 +844,9 @@
         "a planner's machine",
         "23 a day",
         "CPU of one change in each scheduler",
-        CHANGE.at(PLANNERS),
+        LIST_CHANGE.at(PLANNERS),
         "us",
-        given(STALLED_PROGRESS_INTERVALS * PROGRESS_MS),
+        constant(STALLED_PROGRESS_INTERVALS * PROGRESS_MS),
         (
             "tests/scheduling/test_dispatcher_rules.py::test_a_started_job_whose_worker_stops_reporting_is_retried",
         ),
@@ -845,18 +855,18 @@
         "a scheduler's machine",
         "of the same 23",
         "bytes sent by each of the others until nothing is left to tell",
-        ONE_BYTES.at(SCHEDULERS),
+        RESTART_BYTES.at(SCHEDULERS),
         "bytes",
-        ONE_SETTLED.at(SCHEDULERS),
+        RESTART_SETTLED.at(SCHEDULERS),
         ("tests/membership/test_membership.py::test_a_death_is_found_and_held_by_all",),
     ),
     Failure(
         "a planner restarted or replaced",
         "410 a day",
         "CPU of three changes in each scheduler",
-        times(CHANGE.at(PLANNERS), 3),
+        times(LIST_CHANGE.at(PLANNERS), 3),
         "us",
-        NONE,
+        UNMEASURED,
         (
             "tests/scheduling/test_slow_start.py::test_workers_in_slow_start_get_no_more_than_their_limit_plus_chance",
         ),
@@ -865,18 +875,18 @@
         "a rack or switch (40 planners, assumed)",
         "weekly",
         "CPU of 40 changes in each scheduler",
-        times(ZONE_EACH.at(PLANNERS), RACK / 1000),
+        times(ZONE_LOST_PER_ROW.at(PLANNERS), RACK_PLANNERS / 1000),
         "ms",
-        NONE,
+        UNMEASURED,
         ZONE_TESTS[1:],
     ),
     Failure(
         "a zone, its planners",
         "every other month",
         "CPU in each scheduler, a read for each row",
-        times(ZONE_EACH.at(PLANNERS), ZONE_ROWS / 1000),
+        times(ZONE_LOST_PER_ROW.at(PLANNERS), ZONE_PLANNERS / 1000),
         "ms",
-        NONE,
+        UNMEASURED,
         ZONE_TESTS,
     ),
     Failure(
@@ -892,9 +902,9 @@
         "regions cut off for an hour",
         "now and then",
         "bytes sent by each once they meet",
-        BACK_BYTES.at(SCHEDULERS),
+        HEALED_BYTES.at(SCHEDULERS),
         "bytes",
-        BACK_SETTLED.at(SCHEDULERS),
+        HEALED_SETTLED.at(SCHEDULERS),
         (
             "tests/membership/test_membership.py::"
             "test_two_halves_apart_for_a_minute_with_joins_and_deaths_settle_once_whole",
@@ -926,7 +936,7 @@
         "whole lists told by discovery",
         times(LISTS_ASKED.at(PLANNERS), SCHEDULERS),
         "lists",
-        NONE,
+        UNMEASURED,
         ("tests/test_fleet_lists.py::test_a_few_siblings_all_know_the_list_6_s_after_discovery_is_back",),
     ),
 )
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -1,8 +1,9 @@
-"""What the fleet's view and its settings cost each scheduler, by their number, over 3 regions and 7 zones in
-virtual time: the program's own protocol and codec, under a network that only counts and delays.
+"""Cost of the membership view and the replicated settings at each scheduler, by the number of schedulers in
+3 regions and 7 zones, in virtual time: the program's own protocol and codec on a network that only counts and
+delays.
 
-Bytes are on the wire, with IP and UDP headers. CPU is that of protocol and codec by this process's clock,
-with no sockets (`hollow` has them).
+Bytes are on the wire, with IP and UDP headers. CPU is the time of protocol and codec by this process's clock,
+without sockets (`hollow` includes them).
 """
 
 from __future__ import annotations
@@ -24,126 +25,128 @@
 
 SLOPE = "schedulers"
 SIZES = (5, 40, 150, 300, 600)
-LOST_ZONE = "norte/2"  # not the first seed's
-SETTLED_WITHIN, QUIET_WITHIN = 60.0, 60.0  # virtual s
-REST = 30.0  # virtual s
-STEP = 0.1  # virtual s between looks at the views
-TEAMS = 380  # rows of settings
-BURST, BURSTS, EVERY = 20, 3, 8.0  # changes in one second; virtual s from burst to burst
+LOST_ZONE = "norte/2"  # not the zone of the first seed
+SETTLE_TIMEOUT_S, QUIET_TIMEOUT_S = 60.0, 60.0  # virtual s
+REST_S = 30.0  # virtual s
+STEP_S = 0.1  # virtual s between checks of the views
+TEAMS = 380  # one row of settings each
+BURST, BURSTS, BURST_INTERVAL_S = 20, 3, 8.0  # changes in one second; bursts; virtual s between their starts
 PROCESSES = 2
 
 
-class TimeOverError(Exception):
-    """The time for this size is over."""
+class TimeLimitError(Exception):
+    """The time limit of this size is exceeded."""
 
 
 @dataclass
-class Spent:
-    """What a stretch of virtual time cost."""
+class Cost:
+    """Duration and CPU time of a measured block."""
 
     seconds: float = 0.0  # virtual
-    cpu: float = 0.0  # s of the schedulers' own work, all together
+    cpu: float = 0.0  # s of all schedulers together
 
 
 @dataclass
-class Play:
-    """One fleet, and the cases that are played on it one after the other."""
+class FleetRun:
+    """One fleet, and the rows of the cases that run on it one after the other."""
 
     fleet: Fleet
     size: int
-    until: float  # time.monotonic() at which it stops
+    stops_at: float  # time.monotonic() of the time limit
     slope: str = SLOPE
     rows: list[Row] = field(default_factory=list)
 
     @contextmanager
-    def counted(self) -> Iterator[Spent]:
-        """Count what is sent in the block, and whose work it was."""
-        fleet, spent = self.fleet, Spent()
+    def measured(self) -> Iterator[Cost]:
+        """Reset the traffic counters, and measure the virtual and the CPU time of the block."""
+        fleet, cost = self.fleet, Cost()
         fleet.count_anew()
         begun, cpu, wall = fleet.now, time.process_time(), time.perf_counter()
-        yield spent
-        spent.seconds = fleet.now - begun
-        # This process shares its cores with others, so the share of the wall's time is taken of its CPU.
-        spent.cpu = (time.process_time() - cpu) * fleet.busy / max(1e-9, time.perf_counter() - wall)
+        yield cost
+        cost.seconds = fleet.now - begun
+        # `busy` is wall time, which includes other processes: its share of the wall time scales the CPU time.
+        cost.cpu = (time.process_time() - cpu) * fleet.busy / max(1e-9, time.perf_counter() - wall)
 
-    def holds(self, what: Callable[[], bool], within: float, step: float = STEP) -> float | None:
-        """How long (virtual s) until it holds; None where it does not within the time."""
+    def wait_until(self, what: Callable[[], bool], within: float, step: float = STEP_S) -> float | None:
+        """Virtual seconds until `what` is true; None if it is not within the time."""
 
-        def looked() -> bool:
-            self.in_time()
+        def checked() -> bool:
+            self.check_time_limit()
             return what()
 
-        return self.fleet.until(looked, within, step)
+        return self.fleet.until(checked, within, step)
 
-    def run(self, seconds: float) -> None:
-        """Let so much virtual time pass."""
+    def advance(self, seconds: float) -> None:
+        """Run the fleet for this many virtual seconds."""
         until = self.fleet.now + seconds
         while self.fleet.now < until:
-            self.in_time()
+            self.check_time_limit()
             self.fleet.run(min(1.0, until - self.fleet.now))
 
-    def in_time(self) -> None:
-        """TimeOverError where the time is over."""
-        if time.monotonic() > self.until:
-            raise TimeOverError
+    def check_time_limit(self) -> None:
+        """Raise TimeLimitError if the time limit is exceeded."""
+        if time.monotonic() > self.stops_at:
+            raise TimeLimitError
 
-    def row(self, case: str, spent: Spent, why_not: str = "", **told: float) -> None:
-        """Keep the row of a case that was just counted."""
+    def row(self, case: str, cost: Cost, why_not: str = "", **extra_figures: float) -> None:
+        """Add a row of the counters and of the measured cost."""
         fleet = self.fleet
-        share = len(fleet.nodes) * spent.seconds
+        share = len(fleet.nodes) * cost.seconds
         out, into = fleet.out.values(), fleet.into.values()
         figures = {
             "out_bytes_per_s": sum(one.bytes for one in out) / share,
-            "heaviest_out_bytes_per_s": max(one.bytes for one in out) / spent.seconds,
-            "heaviest_in_bytes_per_s": max(one.bytes for one in into) / spent.seconds,
+            "heaviest_out_bytes_per_s": max(one.bytes for one in out) / cost.seconds,
+            "heaviest_in_bytes_per_s": max(one.bytes for one in into) / cost.seconds,
             "worst_second_out_bytes": float(worst(out)),
             "worst_second_in_bytes": float(worst(into)),
             "messages_per_s": sum(fleet.sent.values()) / share,
             "too_long": float(fleet.too_long),
-            "cpu_share": spent.cpu / share,
-            "virtual_s": spent.seconds,
+            "cpu_share": cost.cpu / share,
+            "virtual_s": cost.seconds,
         }
-        self.rows.append(Row(self.slope, self.size, case, figures | told, not why_not, why_not, virtual=True))
+        self.rows.append(
+            Row(self.slope, self.size, case, figures | extra_figures, not why_not, why_not, virtual=True)
+        )
 
-    def to_one_view(self, case: str, **told: float) -> None:
-        """Count until all hold one true view and the same settings, then until nothing is left to tell."""
+    def measure_convergence(self, case: str, **extra_figures: float) -> None:
+        """Measure the time until all have a correct view and equal settings, and until no news is unsent."""
         begun = self.fleet.now
-        with self.counted() as spent:
-            settled = self.holds(self.fleet.whole, SETTLED_WITHIN)
-            quiet = self.holds(self.fleet.quiet, QUIET_WITHIN, 1.0)
-        figures = dict(told)
+        with self.measured() as cost:
+            settled = self.wait_until(self.fleet.whole, SETTLE_TIMEOUT_S)
+            quiet = self.wait_until(self.fleet.quiet, QUIET_TIMEOUT_S, 1.0)
+        figures = dict(extra_figures)
         if settled is not None:
             figures["settled_ms"] = settled * 1000
         if quiet is not None:
             figures["quiet_ms"] = (self.fleet.now - begun) * 1000
         figures["out_bytes"] = sum(one.bytes for one in self.fleet.out.values()) / len(self.fleet.nodes)
-        why = "" if settled is not None else f"not one view after {SETTLED_WITHIN:.0f} virtual s"
-        self.row(case, spent, why, **figures)
+        why = "" if settled is not None else f"not one view after {SETTLE_TIMEOUT_S:.0f} virtual s"
+        self.row(case, cost, why, **figures)
 
-    def settings(self, writer: Node, keys: Sequence[str]) -> dict[tuple[str, int], float]:
-        """Put a row for each key at once; when, by key and number."""
-        self.fleet.put(writer, *((key, body(self.fleet)) for key in keys))
-        return {(key, number_of(writer, key)): self.fleet.now for key in keys}
+    def put_quotas(self, writer: Node, keys: Sequence[str]) -> dict[tuple[str, int], float]:
+        """Put a row for each key at once; the virtual time of the change by key and version."""
+        self.fleet.put(writer, *((key, quota_value(self.fleet)) for key in keys))
+        return {(key, version_of(writer, key)): self.fleet.now for key in keys}
 
 
 def key(team: int) -> str:
-    """The key of a team's quota, as operators put it."""
+    """The settings key of a team's quota."""
     return f"tenant/team-{team:03}/allowancePerS"
 
 
-def body(fleet: Fleet) -> bytes:
-    """A team's quota, as a row holds it."""
+def quota_value(fleet: Fleet) -> bytes:
+    """A random quota, as the value of a row."""
     return b"%.3f" % (fleet.rng.random() * 10)
 
 
-def number_of(node: Node, key: str) -> int:
-    """The version of a row that this one holds; 0 where it holds none."""
+def version_of(node: Node, key: str) -> int:
+    """The version of the row with this key at a node; 0 if the node has none."""
     row = node.tables[0].get(key)
     return row.number if row is not None else 0
 
 
-def words_of(fleet: Fleet, since: float, state: MemberState) -> float:
-    """How many times one that lived was said to be in this state, counted once for each word."""
+def count_reports(fleet: Fleet, since: float, state: MemberState) -> float:
+    """How many member records (name and incarnation) were reported in this state since a time."""
     return float(
         len(
             {
@@ -155,111 +158,117 @@
     )
 
 
-def part(values: Sequence[float], share: float) -> float:
-    """The value under which this share of them lies."""
+def percentile(values: Sequence[float], share: float) -> float:
+    """The nearest-rank percentile of the values at a share from 0 to 1."""
     return sorted(values)[math.ceil(len(values) * share) - 1]
 
 
-def changes(play: Play, case: str) -> None:
-    """Bursts of changes within a second each: how long until each is in force at each scheduler."""
-    fleet = play.fleet
+def changes(run: FleetRun, case: str) -> None:
+    """Put bursts of changes; measure the time until each change is in force at each scheduler."""
+    fleet = run.fleet
     writer = next(iter(fleet.nodes.values()))
     fleet.row_news.clear()
     put: dict[tuple[str, int], float] = {}
-    with play.counted() as spent:
+    with run.measured() as cost:
         for burst in range(BURSTS):
-            for place in range(BURST):
-                put |= play.settings(writer, [key(burst * BURST + place)])
-                play.run(1.0 / BURST)
-            play.run(EVERY - 1.0)
-    took: dict[tuple[str, int], list[float]] = {change: [] for change in put}
+            for index in range(BURST):
+                put |= run.put_quotas(writer, [key(burst * BURST + index)])
+                run.advance(1.0 / BURST)
+            run.advance(BURST_INTERVAL_S - 1.0)
+    delays_ms: dict[tuple[str, int], list[float]] = {change: [] for change in put}
     for when, _, row in fleet.row_news:
         if (row.key, row.number) in put:
-            took[row.key, row.number].append((when - put[row.key, row.number]) * 1000)
-    every = [one for times in took.values() for one in times]
-    missing = len(put) * len(fleet.nodes) - len(every)
-    play.row(
+            delays_ms[row.key, row.number].append((when - put[row.key, row.number]) * 1000)
+    all_delays_ms = [one for times in delays_ms.values() for one in times]
+    missing = len(put) * len(fleet.nodes) - len(all_delays_ms)
+    run.row(
         case,
-        spent,
+        cost,
         f"{missing} not in force in time" if missing else "",
-        in_force_p50_ms=part(every, 0.5),
-        in_force_p99_ms=part(every, 0.99),
-        in_force_worst_ms=max(every),
+        in_force_p50_ms=percentile(all_delays_ms, 0.5),
+        in_force_p99_ms=percentile(all_delays_ms, 0.99),
+        in_force_worst_ms=max(all_delays_ms),
         changes=float(len(put)),
-        last_p50_ms=part([max(times) for times in took.values()], 0.5),
+        last_p50_ms=percentile([max(times) for times in delays_ms.values()], 0.5),
     )
 
 
-def lost_everything(play: Play) -> None:
-    """One is killed, and begins anew with nothing: how long until it holds all settings and the view."""
-    fleet = play.fleet
+def lost_everything(run: FleetRun) -> None:
+    """Kill a scheduler and start it without stored rows; measure until it has the view and all settings."""
+    fleet = run.fleet
     last = next(reversed(fleet.nodes.values()))
     fleet.kill(last)
-    play.run(1.0)
-    node, whole = fleet.start(play.size - 1, fleet.seeds), next(iter(fleet.nodes.values())).tables[0]
-    with play.counted() as spent:
-        current = play.holds(
+    run.advance(1.0)
+    node, reference = fleet.start(run.size - 1, fleet.seeds), next(iter(fleet.nodes.values())).tables[0]
+    with run.measured() as cost:
+        current = run.wait_until(
             lambda: (
-                node.tables[0].digest() == whole.digest()
+                node.tables[0].digest() == reference.digest()
                 and node.membership.view.live_count >= len(fleet.nodes)
             ),
-            SETTLED_WITHIN,
+            SETTLE_TIMEOUT_S,
             0.05,
         )
-    told = {"rows": float(len(whole))} | ({} if current is None else {"current_ms": current * 1000})
-    play.row("one lost everything", spent, "" if current is not None else "not current in time", **told)
+    extra_figures = {"rows": float(len(reference))} | (
+        {} if current is None else {"current_ms": current * 1000}
+    )
+    run.row(
+        "one lost everything", cost, "" if current is not None else "not current in time", **extra_figures
+    )
 
 
 def cases(size: int, limit_s: float) -> list[Row]:
-    """All cases of one size, in one fleet."""
+    """The rows of all cases of one size, in one fleet."""
     before = memory_mb(os.getpid())
-    play = Play(Fleet(seed=1), size, time.monotonic() + limit_s)
-    fleet = play.fleet
+    run = FleetRun(Fleet(seed=1), size, time.monotonic() + limit_s)
+    fleet = run.fleet
     try:
         first, *_ = fleet.fleet(size)
-        play.to_one_view("join storm")
-        play.settings(first, [key(number) for number in range(TEAMS)])
-        play.to_one_view("all settings put at once", rows=float(TEAMS))
+        run.measure_convergence("join storm")
+        run.put_quotas(first, [key(number) for number in range(TEAMS)])
+        run.measure_convergence("all settings put at once", rows=float(TEAMS))
         held = (memory_mb(os.getpid()) - before) / size
-        with play.counted() as spent:
-            play.run(REST)
-        play.row("rest", spent, memory_mb=held)
-        changes(play, "changes")
+        with run.measured() as cost:
+            run.advance(REST_S)
+        run.row("rest", cost, memory_mb=held)
+        changes(run, "changes")
         fleet.loss, since = 0.01, fleet.now
-        with play.counted() as spent:
-            play.run(REST)
-        play.row(
+        with run.measured() as cost:
+            run.advance(REST_S)
+        run.row(
             "loss 1%",
-            spent,
-            false_suspicions=words_of(fleet, since, MemberState.SUSPECT),
-            false_deaths=words_of(fleet, since, MemberState.DEAD),
+            cost,
+            false_suspicions=count_reports(fleet, since, MemberState.SUSPECT),
+            false_deaths=count_reports(fleet, since, MemberState.DEAD),
         )
-        changes(play, "changes, loss 1%")
+        changes(run, "changes, loss 1%")
         fleet.loss = 0.0
-        play.holds(fleet.quiet, QUIET_WITHIN, 1.0)
-        lost_everything(play)
-        play.holds(fleet.quiet, QUIET_WITHIN, 1.0)
+        run.wait_until(fleet.quiet, QUIET_TIMEOUT_S, 1.0)
+        lost_everything(run)
+        run.wait_until(fleet.quiet, QUIET_TIMEOUT_S, 1.0)
         last = next(reversed(fleet.nodes.values()))
         fleet.kill(last)
         fleet.start(size - 1, fleet.seeds)
-        play.to_one_view("one restarted")
+        run.measure_convergence("one restarted")
         fleet.lose_zone(LOST_ZONE)
-        play.to_one_view("zone lost", lost=float(size - len(fleet.nodes)))
-    except TimeOverError:
-        play.rows.append(
+        run.measure_convergence("zone lost", lost=float(size - len(fleet.nodes)))
+    except TimeLimitError:
+        run.rows.append(
             Row(SLOPE, size, "rest of the cases", {}, False, f"over the {limit_s:.0f} s it had", virtual=True)
         )
-    return play.rows
+    return run.rows
 
 
-def each(of: Callable[[int, float], list[Row]], sizes: Sequence[int], limit_s: float) -> list[Row]:
-    """The rows of these sizes, the largest first, each in a process of its own as its memory is measured."""
+def run_sizes(
+    measure_size: Callable[[int, float], list[Row]], sizes: Sequence[int], limit_s: float
+) -> list[Row]:
+    """The rows of these sizes, the largest first, each in its own process for the memory figure."""
     spawn = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(PROCESSES, mp_context=spawn, max_tasks_per_child=1) as pool:
-        played = [pool.submit(of, size, limit_s) for size in sorted(sizes, reverse=True)]
-        return [row for one in reversed(played) for row in one.result()]
+        futures = [pool.submit(measure_size, size, limit_s) for size in sorted(sizes, reverse=True)]
+        return [row for one in reversed(futures) for row in one.result()]
 
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
-    """The rows of these sizes."""
-    return each(cases, sizes, limit_s)
+    """The rows of these sizes (schedulers)."""
+    return run_sizes(cases, sizes, limit_s)
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -1,12 +1,12 @@
-"""The tables of docs/CAPACITY.md, each made of the runs alone."""
+"""The tables of docs/CAPACITY.md, rendered from the stored runs and `requirements`."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
 
-from benchmarks.capacity import letter
-from benchmarks.capacity.figures import HOW, NOT_MEASURED, Line, Runs, Told, number, table, text
-from benchmarks.capacity.fits import LEAST_SIZES
+from benchmarks.capacity import requirements
+from benchmarks.capacity.figures import BASES, NOT_MEASURED, FigureValue, Line, Runs, number, table, text
+from benchmarks.capacity.fits import MIN_SIZES
 from benchmarks.capacity.records import Row
 
 LISTED = (
@@ -19,7 +19,7 @@
     "zone_one_read_ms",
     "zone_single_ms",
 )
-COLUMNS = {  # table: the run, what its sizes are, its figures
+COLUMNS = {  # table: (run, unit of its sizes, figures)
     "rows-planners": ("planners", "planners", LISTED),
     "rows-before": ("planners-before", "planners", LISTED),
     "rows-decisions": (
@@ -108,7 +108,7 @@
 
 
 def runs_table(runs: Runs) -> str:
-    """Which command gave which slope."""
+    """The command, commit, date and machine of each run."""
     return table(
         ("slope", "command", "commit", "date (UTC)", "machine", "rows", "not valid"),
         [
@@ -127,23 +127,23 @@
 
 
 def _run(runs: Runs, source: str) -> str:
-    """The run that gave a figure, by slope, commit and date."""
-    told = [
+    """The runs behind a figure, by slope, commit and date."""
+    sources = [
         f"`{slope}` {runs[slope].commit}, {runs[slope].date}" if slope in runs else f"`{slope}`: none"
         for slope in source.split(", ")
         if slope
     ]
-    return "; ".join(told) or "the letter"
+    return "; ".join(sources) or "the letter"
 
 
 def slopes_table(runs: Runs) -> str:
-    """Each line, its error, and the largest size that ran."""
+    """Each fitted line, its errors, and the largest size that ran."""
     lines = []
-    for line in letter.SLOPES:
+    for line in requirements.SLOPES:
         points, fit = line.points(runs), line.fit(runs)
         name = (f"`{line.slope}`", line.case, f"`{line.figure}`")
         if fit is None:
-            why = f"{len({size for size, _ in points})} sizes of {LEAST_SIZES}" if points else NOT_MEASURED
+            why = f"{len({size for size, _ in points})} sizes of {MIN_SIZES}" if points else NOT_MEASURED
             lines.append((*name, why, "", "", ""))
             continue
         lines.append((*name, f"{fit.formula()}", number(fit.rms), f"{fit.worst:.0%}", f"{fit.largest:,}"))
@@ -161,15 +161,15 @@
     )
 
 
-def _counts(row: Row) -> str:
+def _validity(row: Row) -> str:
     tries = row.figures.get("tries", 1.0)
     return ("yes" if row.valid else f"no: {row.why_not}") + (f" (try {tries:.0f})" if tries > 1 else "")
 
 
 def rows_table(slope: str, size: str, columns: Sequence[str]) -> Callable[[Runs], str]:
-    """The rows of a run, as measured."""
+    """A function that renders the measured rows of a run."""
 
-    def made(runs: Runs) -> str:
+    def render(runs: Runs) -> str:
         if slope not in runs:
             return NOT_MEASURED
         return table(
@@ -179,42 +179,44 @@
                     f"{row.size:,}",
                     row.case,
                     *(number(row.figures[column]) if column in row.figures else "" for column in columns),
-                    _counts(row),
+                    _validity(row),
                 )
                 for row in runs[slope].rows
             ],
         )
 
-    return made
+    return render
 
 
-def _ratio(target: letter.Target, told: Told | None) -> str:
-    if told is None or target.budget is None:
+def _ratio(target: requirements.Target, known: FigureValue | None) -> str:
+    if known is None or target.budget is None:
         return ""
-    met = told.value >= target.budget if target.least else told.value <= target.budget
-    if met and told.how not in HOW:
-        return ""  # a lesser size that meets it says nothing of this one; one that misses it does
-    share = number(told.value / target.budget) if target.budget else ""
+    met = known.value >= target.budget if target.at_least else known.value <= target.budget
+    if met and known.basis not in BASES:
+        return ""  # a smaller size can show that the budget is missed, but not that it is met
+    share = number(known.value / target.budget) if target.budget else ""
     return share if met else f"{share} **missed**".strip()
 
 
 def targets_table(runs: Runs) -> str:
-    """Each target of the letter: figure, budget, ratio, mechanism."""
+    """Each target: figure, budget, ratio, mechanism and run."""
     lines = []
-    for target in letter.TARGETS:
-        told = target.figure(runs)
+    for target in requirements.TARGETS:
+        known = target.figure(runs)
         budget = (
             "none given"
             if target.budget is None
-            else (f"at {'least' if target.least else 'most'} {text(Told(target.budget), target.unit)}")
+            else (
+                f"at {'least' if target.at_least else 'most'} {text(FigureValue(target.budget), target.unit)}"
+            )
         )
         lines.append(
             (
                 target.need,
                 target.what,
-                text(told, target.unit),
+                text(known, target.unit),
                 budget,
-                _ratio(target, told),
+                _ratio(target, known),
                 target.mechanism,
                 _run(runs, target.source) if target.source else "",
             )
@@ -222,8 +224,8 @@
     return table(("need", "figure of", "figure", "budget", "ratio", "carried by", "run"), lines)
 
 
-def role_table(lines: Sequence[letter.Held]) -> Callable[[Runs], str]:
-    """What a role holds, sends, and spends."""
+def role_table(lines: Sequence[requirements.RoleLine]) -> Callable[[Runs], str]:
+    """A function that renders the load and cost of a role."""
     return lambda runs: table(
         ("what", "formula", "usual", "worst", "budget", "run"),
         [
@@ -241,71 +243,82 @@
 
 
 def failures_table(runs: Runs) -> str:
-    """Each failure on the list: what it costs, until when, and the test that shows it."""
+    """Each failure: its cost, the time until it is settled, and the tests that cover it."""
     return table(
         ("failure", "how often", "what it costs", "figure", "until all is settled", "test"),
         [
             (
                 failure.what,
-                failure.often,
+                failure.frequency,
                 failure.cost,
                 text(failure.figure(runs), failure.unit),
                 text(failure.settled(runs), "ms"),
                 ", ".join(f"`{test}`" for test in failure.tests) or "`missing`",
             )
-            for failure in letter.FAILURES
+            for failure in requirements.FAILURES
         ],
     )
 
 
 def assumed_table(runs: Runs) -> str:
-    """What changes with the number of schedulers."""
+    """The figures that depend on the assumed number of schedulers."""
 
     def line(what: str, unit: str, figure: Callable[[int], str]) -> tuple[str, ...]:
-        return (f"{what}{', ' + unit if unit else ''}", *(figure(count) for count in letter.ASSUMED))
+        return (
+            f"{what}{', ' + unit if unit else ''}",
+            *(figure(count) for count in requirements.ASSUMED_SCHEDULERS),
+        )
 
-    def of(slope: Line, size: Callable[[int], float]) -> Callable[[int], str]:
+    def at_size(slope: Line, size: Callable[[int], float]) -> Callable[[int], str]:
         return lambda count: text(slope.at(size(count))(runs))
 
-    heaviest = letter.HEAVIEST
+    heaviest = requirements.HEAVIEST_FACTOR
     return table(
-        ("what", *(f"{count} schedulers" for count in letter.ASSUMED)),
+        ("what", *(f"{count} schedulers" for count in requirements.ASSUMED_SCHEDULERS)),
         [
             line(
                 "starts a second, mean and heaviest",
                 "",
-                lambda count: f"{number(letter.STARTS / count)}, {number(heaviest * letter.STARTS / count)}",
+                lambda count: (
+                    f"{number(requirements.STARTS_PER_S / count)}, "
+                    f"{number(heaviest * requirements.STARTS_PER_S / count)}"
+                ),
             ),
             line(
                 "tasks held, mean and heaviest",
                 "",
-                lambda count: f"{number(letter.TASKS / count)}, {number(heaviest * letter.TASKS / count)}",
+                lambda count: (
+                    f"{number(requirements.RUNNING_TASKS / count)}, "
+                    f"{number(heaviest * requirements.RUNNING_TASKS / count)}"
+                ),
             ),
             line(
                 "descriptors of the heaviest",
                 "",
-                of(letter.HELD_FILES, lambda n: heaviest * letter.TASKS / n),
+                at_size(requirements.HELD_DESCRIPTORS, lambda n: heaviest * requirements.RUNNING_TASKS / n),
             ),
             line(
                 "memory that the heaviest's tasks add",
                 "MB",
-                of(letter.HELD_MEMORY, lambda n: heaviest * letter.TASKS / n),
+                at_size(requirements.HELD_MEMORY, lambda n: heaviest * requirements.RUNNING_TASKS / n),
             ),
             line(
                 "CPU of the heaviest's starts",
                 "of a core",
-                of(letter.START_SHARE, lambda n: heaviest * letter.STARTS / n),
+                at_size(requirements.STARTS_CPU, lambda n: heaviest * requirements.STARTS_PER_S / n),
             ),
-            line("view and settings at rest", "bytes/s a scheduler", of(letter.VIEW_BYTES, float)),
-            line("CPU of them at rest", "of a core", of(letter.VIEW_CPU, float)),
-            line("a join storm's worst second", "bytes", of(letter.JOIN_SECOND, float)),
+            line("view and settings at rest", "bytes/s a scheduler", at_size(requirements.VIEW_BYTES, float)),
+            line("CPU of them at rest", "of a core", at_size(requirements.VIEW_CPU, float)),
+            line("a join storm's worst second", "bytes", at_size(requirements.JOIN_SECOND, float)),
             line(
                 "whole lists told when all restart",
                 "MB",
                 lambda count: text(
-                    (lambda told: None if told is None else Told(told.value * count / 1e6, told.how))(
-                        letter.LIST_COMPACT.at(letter.PLANNERS)(runs)
-                    )
+                    (
+                        lambda known: (
+                            None if known is None else FigureValue(known.value * count / 1e6, known.basis)
+                        )
+                    )(requirements.LIST_COMPACT.at(requirements.PLANNERS)(runs))
                 ),
             ),
         ],
@@ -318,8 +331,8 @@
     "targets": targets_table,
     "assumed": assumed_table,
     "failures": failures_table,
-    "scheduler": role_table(letter.DATA_PATH),
-    "control": role_table(letter.CONTROL),
-    "discovery": role_table(letter.DISCOVERY),
+    "scheduler": role_table(requirements.DATA_PATH),
+    "control": role_table(requirements.CONTROL),
+    "discovery": role_table(requirements.DISCOVERY),
     **{name: rows_table(*what) for name, what in COLUMNS.items()},
 }
--- a/benchmarks/capacity/teams.py
+++ b/benchmarks/capacity/teams.py
@@ -1,9 +1,9 @@
-"""How far what is started lies from each team's quota, both ways, with today's rule: each scheduler allows an
-equal part of a quota, and only where planners are short of room.
+"""How far the starts of each team lie above or below its quota. Each scheduler allows an equal part of a
+quota, and enforces it only where planners are short of capacity.
 
-The decisions are the program's own, one `Dispatcher` a scheduler. Arrivals are modelled (Poisson), and so are
-the planners: all together start as many jobs a second as the quotas sum up to, and turn the others away.
-Every other team asks for three times its quota, the others for just their own.
+Each scheduler is one of the program's own `Dispatcher`s. Arrivals are modelled (Poisson), and so are the
+planners: all together start as many jobs a second as the sum of the quotas, and reject the others. Every
+other team asks for three times its quota, the others for exactly their quota.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from itertools import count
 
 from benchmarks.capacity.records import Row
-from benchmarks.capacity.schedulers import each
+from benchmarks.capacity.schedulers import run_sizes
 from pipitshed.config.settings_parser import settings_from
 from pipitshed.scheduling import actions, events
 from pipitshed.scheduling.dispatcher import Dispatcher
@@ -26,164 +26,168 @@
 SLOPE = "teams"
 SIZES = (10, 50, 100, 380)
 SCHEDULERS = (40, 150, 300)
-STARTS = 280.0  # a second, the whole fleet: the peak, and the sum of the quotas
-GREEDY = 3.0  # times its quota that every other team asks for
-WARM, MEASURED = 30.0, 120.0  # s
+STARTS = 280.0  # a second, whole fleet: the peak load and the sum of the quotas
+GREEDY_FACTOR = 3.0  # demand of every other team in multiples of its quota
+WARM_UP_S, MEASURED_S = 30.0, 120.0
 PLANNERS = 40
-TURNED_MS, STARTED_MS = 5.0, 50.0  # until a planner has turned a job away, or is done with it
-BURST = 14.0  # starts that planners have room for at once: 50 ms of them
-CLIENT = 1.0  # jobs a second that one client asks for, at the most: it stays with one scheduler
-PARTS = ((0.5, "p50"), (0.99, "p99"), (1.0, "worst"))
+REJECTION_MS, COMPLETION_MS = 5.0, 50.0  # until a planner has rejected or completed a job
+BURST_TOKENS = 14.0  # starts that planners accept at once: those of 50 ms
+CLIENT_RATE = 1.0  # most jobs a second of one client, which stays with one scheduler
+PERCENTILES = ((0.5, "p50"), (0.99, "p99"), (1.0, "worst"))
 
 
 @dataclass
 class Team:
-    """What a team may, asks for and gets, in jobs."""
+    """The quota and the demand of a team, and its counts of submitted and started jobs."""
 
     quota: float  # a second
-    asks: float  # a second
-    homes: list[int]  # schedulers that its clients stay with; empty where any will do
-    asked: int = 0
+    demand: float  # a second
+    home_schedulers: list[int]  # of its clients; empty: each job goes to a random scheduler
+    submitted: int = 0
     started: int = 0
 
 
 @dataclass
 class Site:
-    """All schedulers, the planners' room and what is due."""
+    """All schedulers, the planners' capacity as a token bucket, and the queue of events."""
 
     dispatchers: list[Dispatcher]
     teams: list[Team]
-    room: float  # starts a second
+    start_rate: float  # of all planners, a second
     rng: random.Random
-    due: list[tuple[float, int, int, events.Event]] = field(
-        default_factory=list
-    )  # ms, order, scheduler, event
+    # (time in ms, order, scheduler, event)
+    queue: list[tuple[float, int, int, events.Event]] = field(default_factory=list)
     order: Iterator[int] = field(default_factory=count)
-    jobs: dict[int, tuple[int, int]] = field(default_factory=dict)  # its team, and its attempts so far
-    tokens: float = BURST
-    at: float = 0.0  # ms, of the tokens
-
-    def starts(self, now: float) -> bool:
-        """Whether a planner has room now."""
-        self.tokens = min(BURST, self.tokens + (now - self.at) / 1000 * self.room)
-        self.at = now
+    jobs: dict[int, tuple[int, int]] = field(default_factory=dict)  # team and attempts so far by job id
+    tokens: float = BURST_TOKENS
+    tokens_at_ms: float = 0.0  # when the tokens were last refilled
+
+    def take_token(self, now: float) -> bool:
+        """Take a token for a start; False if no planner has capacity now."""
+        self.tokens = min(BURST_TOKENS, self.tokens + (now - self.tokens_at_ms) / 1000 * self.start_rate)
+        self.tokens_at_ms = now
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
         return True
 
-    def play(self, seconds: float) -> None:
-        """Let jobs come for so long, and count those that come and start after the warm-up."""
+    def simulate(self, seconds: float) -> None:
+        """Run for this many seconds, and count the jobs that arrive and complete after the warm-up."""
         end = seconds * 1000
         for number, team in enumerate(self.teams):
             self._arrive(number, team, 0.0)
-        while self.due and self.due[0][0] <= end:
-            now, _, place, event = heappop(self.due)
+        while self.queue and self.queue[0][0] <= end:
+            now, _, index, event = heappop(self.queue)
             if isinstance(event, events.JobSubmitted):
                 team = self.teams[event.tenant]
-                team.asked += now >= WARM * 1000
+                team.submitted += now >= WARM_UP_S * 1000
                 self.jobs[event.job_id] = event.tenant, 0
                 self._arrive(event.tenant, team, now)
             elif isinstance(event, events.AttemptFinished) and event.answered:
                 team = self.teams[self.jobs.pop(event.job_id)[0]]
-                team.started += now >= WARM * 1000
-            for action in self.dispatchers[place].handle(now, [event]):
-                self._carry_out(now, place, action)
+                team.started += now >= WARM_UP_S * 1000
+            for action in self.dispatchers[index].handle(now, [event]):
+                self._carry_out(now, index, action)
 
     def _arrive(self, number: int, team: Team, now: float) -> None:
-        when = now + self.rng.expovariate(team.asks) * 1000
-        place = self.rng.choice(team.homes) if team.homes else self.rng.randrange(len(self.dispatchers))
-        self._at(when, place, events.JobSubmitted(next(self.order), 5000.0, 0, number))
+        when = now + self.rng.expovariate(team.demand) * 1000
+        index = (
+            self.rng.choice(team.home_schedulers)
+            if team.home_schedulers
+            else self.rng.randrange(len(self.dispatchers))
+        )
+        self._schedule(when, index, events.JobSubmitted(next(self.order), 5000.0, 0, number))
 
-    def _carry_out(self, now: float, place: int, action: actions.Action) -> None:
+    def _carry_out(self, now: float, index: int, action: actions.Action) -> None:
         if isinstance(action, actions.SetTimer):
-            self._at(now + action.delay_ms, place, events.TimerFired(action.token))
+            self._schedule(now + action.delay_ms, index, events.TimerFired(action.token))
         elif isinstance(action, actions.StartAttempt):
             team, attempt = self.jobs[action.job_id]
             self.jobs[action.job_id] = team, attempt + 1
-            full = not self.starts(now)
-            takes = TURNED_MS if full else STARTED_MS
+            full = not self.take_token(now)
+            duration_ms = REJECTION_MS if full else COMPLETION_MS
             outcome = events.Outcome.REJECTED if full else events.Outcome.OK
-            self._at(
-                now + takes,
-                place,
-                events.AttemptFinished(action.job_id, attempt, action.worker, outcome, takes, not full),
+            self._schedule(
+                now + duration_ms,
+                index,
+                events.AttemptFinished(action.job_id, attempt, action.worker, outcome, duration_ms, not full),
             )
 
-    def _at(self, when: float, place: int, event: events.Event) -> None:
-        heappush(self.due, (when, next(self.order), place, event))
+    def _schedule(self, when: float, index: int, event: events.Event) -> None:
+        heappush(self.queue, (when, next(self.order), index, event))
 
 
-def site(teams: int, schedulers: int, uneven: bool, room: float, seed: int) -> Site:
-    """A site whose quotas sum up to the starts: all alike, or by Zipf with clients that stay."""
+def site(teams: int, schedulers: int, uneven: bool, start_rate: float, seed: int) -> Site:
+    """A site with quotas that sum to `STARTS`: equal ones, or a Zipf distribution with clients that stay with
+    one scheduler."""
     rng = random.Random(seed)
-    parts = [1.0 / (rank + 1) if uneven else 1.0 for rank in range(teams)]
-    made = []
-    for place, part in enumerate(parts):
-        quota = STARTS * part / sum(parts)
-        asks = quota * (GREEDY if place % 2 else 1.0)
-        clients = math.ceil(asks / CLIENT) if uneven else 0
-        made.append(Team(quota, asks, [rng.randrange(schedulers) for _ in range(clients)]))
-    told = settings() | {
+    weights = [1.0 / (rank + 1) if uneven else 1.0 for rank in range(teams)]
+    team_list = []
+    for index, weight in enumerate(weights):
+        quota = STARTS * weight / sum(weights)
+        demand = quota * (GREEDY_FACTOR if index % 2 else 1.0)
+        clients = math.ceil(demand / CLIENT_RATE) if uneven else 0
+        team_list.append(Team(quota, demand, [rng.randrange(schedulers) for _ in range(clients)]))
+    config = settings() | {
         "siblings": schedulers,
         "tenants": [
-            {"name": f"t{place}", "share": team.quota / STARTS, "allowancePerS": team.quota}
-            for place, team in enumerate(made)
+            {"name": f"t{index}", "share": team.quota / STARTS, "allowancePerS": team.quota}
+            for index, team in enumerate(team_list)
         ],
     }
     listed = events.EndpointsUpdated(
         events.UpdateKind.SNAPSHOT,
         1,
-        tuple(events.EndpointEntry(b"p%d" % place, zone=place % 3) for place in range(PLANNERS)),
+        tuple(events.EndpointEntry(b"p%d" % index, zone=index % 3) for index in range(PLANNERS)),
     )
-    dispatchers = [Dispatcher(settings_from(told), seed * 1000 + place) for place in range(schedulers)]
+    dispatchers = [Dispatcher(settings_from(config), seed * 1000 + index) for index in range(schedulers)]
     for dispatcher in dispatchers:
         dispatcher.handle(0.0, [listed])
-    return Site(dispatchers, made, room, rng)
+    return Site(dispatchers, team_list, start_rate, rng)
 
 
-def figures(played: Site) -> dict[str, float]:
-    """How far each team is from its quota, as parts of it: above, of those that ask for more; below, of what
-    the others ask for within it."""
+def figures(simulated: Site) -> dict[str, float]:
+    """Percentiles of the deviation from the quota, as shares of it: `over` for teams that ask for more than
+    their quota, `under` for the others, against their demand within the quota."""
     over = [
-        max(0.0, team.started / (team.quota * MEASURED) - 1.0)
-        for team in played.teams
-        if team.asks > team.quota
+        max(0.0, team.started / (team.quota * MEASURED_S) - 1.0)
+        for team in simulated.teams
+        if team.demand > team.quota
     ]
     under = [
-        max(0.0, (min(team.asked, team.quota * MEASURED) - team.started) / (team.quota * MEASURED))
-        for team in played.teams
-        if team.asks <= team.quota
+        max(0.0, (min(team.submitted, team.quota * MEASURED_S) - team.started) / (team.quota * MEASURED_S))
+        for team in simulated.teams
+        if team.demand <= team.quota
     ]
-    told = {
-        f"{name}_{called}_share": sorted(values)[math.ceil(len(values) * part) - 1]
+    result = {
+        f"{name}_{label}_share": sorted(values)[math.ceil(len(values) * part) - 1]
         for name, values in (("over", over), ("under", under))
-        for part, called in PARTS
+        for part, label in PERCENTILES
     }
-    started = sum(team.started for team in played.teams)
-    return told | {
-        "asked_per_s": sum(team.asked for team in played.teams) / MEASURED,
-        "started_per_s": started / MEASURED,
+    started = sum(team.started for team in simulated.teams)
+    return result | {
+        "asked_per_s": sum(team.submitted for team in simulated.teams) / MEASURED_S,
+        "started_per_s": started / MEASURED_S,
     }
 
 
 def cases(teams: int, limit_s: float) -> list[Row]:
-    """All cases of one number of teams."""
+    """The rows of all cases of one number of teams."""
     rows, until = [], time.monotonic() + limit_s
-    plays = [(schedulers, uneven, STARTS) for schedulers in SCHEDULERS for uneven in (False, True)]
-    for schedulers, uneven, room in [*plays, (SCHEDULERS[-1], True, 10 * STARTS)]:
+    parameters = [(schedulers, uneven, STARTS) for schedulers in SCHEDULERS for uneven in (False, True)]
+    for schedulers, uneven, start_rate in [*parameters, (SCHEDULERS[-1], True, 10 * STARTS)]:
         case = f"{schedulers} schedulers, {'uneven' if uneven else 'even'}" + (
-            ", room for all" if room > STARTS else ""
+            ", room for all" if start_rate > STARTS else ""
         )
         if time.monotonic() > until:
             rows.append(Row(SLOPE, teams, case, {}, False, f"over the {limit_s:.0f} s it had", virtual=True))
             continue
-        played = site(teams, schedulers, uneven, room, seed=1)
-        played.play(WARM + MEASURED)
-        rows.append(Row(SLOPE, teams, case, figures(played), virtual=True))
+        simulated = site(teams, schedulers, uneven, start_rate, seed=1)
+        simulated.simulate(WARM_UP_S + MEASURED_S)
+        rows.append(Row(SLOPE, teams, case, figures(simulated), virtual=True))
     return rows
 
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
     """The rows of these numbers of teams."""
-    return each(cases, sizes, limit_s)
+    return run_sizes(cases, sizes, limit_s)
--- a/benchmarks/capacity/urgent.py
+++ b/benchmarks/capacity/urgent.py
@@ -1,7 +1,9 @@
-"""Urgent tasks beside a full fleet, in virtual time: how long until one starts.
+"""Urgent tasks on a full fleet, in virtual time: the wait until an urgent task starts.
 
-Ordinary tasks come by more than can end, so that each slot that comes free is wanted. A client that is
-refused asks again when it was told to. Nothing but its class's aim and worth says that a task is urgent."""
+Ordinary tasks arrive faster than tasks end, so that each free slot is in demand. A client that is refused
+sends its request again after the time that the refusal gives. Only the latency objective and the priority of
+its class mark a task as urgent.
+"""
 
 from __future__ import annotations
 
@@ -9,85 +11,103 @@
 from functools import partial
 from time import monotonic
 
-from benchmarks.capacity.modelled import ORDINARY, SLOTS, TASK_MS, URGENT, URGENT_MS, Asked, Fleet
+from benchmarks.capacity.modelled import (
+    MEAN_TASK_MS,
+    ORDINARY,
+    SLOTS_PER_PLANNER,
+    URGENT,
+    URGENT_MS,
+    Fleet,
+    ModelRequest,
+)
 from benchmarks.capacity.records import Row
-from benchmarks.capacity.starts import part
+from benchmarks.capacity.starts import percentile
 
 SLOPE = "urgent"
-SIZES = (46, 115, 230, 460, 920)  # planners; 15 for a scheduler, as 4,600 for 300
-OVERLOAD = 1.05  # of what ends in the same time, ordinary tasks that come
-URGENT_PART = 0.05  # as many urgent ones
-SETTLE_MS, PLAYED_MS = 60_000.0, 240_000.0
+SIZES = (46, 115, 230, 460, 920)  # planners; 15 for each scheduler, as with 4,600 planners and 300 schedulers
+OVERLOAD_FACTOR = 1.05  # rate of ordinary tasks, relative to the rate at which tasks end
+URGENT_SHARE = 0.05  # rate of urgent tasks, relative to the same rate
+SETTLE_MS, MEASURED_MS = 60_000.0, 240_000.0
 CASES = {"full": 1.0, "nine tenths full": 0.9}
-WAIT_LEAST = 50.0  # ms that a client waits after a refusal that tells no time
+MIN_RETRY_WAIT_MS = 50.0  # wait of a client after a refusal without a time
 
 
 class _Clients:
-    """They ask, and ask again where they are refused and urgent."""
+    """Clients that submit requests at Poisson arrivals, and submit refused ones again."""
 
-    def __init__(self, fleet: Fleet, full: float) -> None:
-        self.fleet, self.urgent = fleet, list[Asked]()
+    def __init__(self, fleet: Fleet, fill_share: float) -> None:
+        self.fleet, self.urgent = fleet, list[ModelRequest]()
         self.ordinary = self.refused = 0
-        rate = len(fleet.planners) * SLOTS / TASK_MS  # starts a ms that keep a full fleet full
-        self.rates = {ORDINARY: rate * (OVERLOAD if full == 1.0 else full), URGENT: rate * URGENT_PART}
+        # Starts per ms that keep a full fleet full.
+        rate = len(fleet.planners) * SLOTS_PER_PLANNER / MEAN_TASK_MS
+        self.rates = {
+            ORDINARY: rate * (OVERLOAD_FACTOR if fill_share == 1.0 else fill_share),
+            URGENT: rate * URGENT_SHARE,
+        }
         for job_class in self.rates:
-            self._next(job_class)
+            self._schedule_next(job_class)
 
-    def _next(self, job_class: int) -> None:
-        self.fleet.later(self.fleet.rng.expovariate(self.rates[job_class]), partial(self._come, job_class))
+    def _schedule_next(self, job_class: int) -> None:
+        self.fleet.call_later(
+            self.fleet.rng.expovariate(self.rates[job_class]), partial(self._submit, job_class)
+        )
 
-    def _come(self, job_class: int) -> None:
+    def _submit(self, job_class: int) -> None:
         fleet = self.fleet
-        asked = Asked(
+        request = ModelRequest(
             job_class,
             fleet.now,
-            self._told,
+            self._on_outcome,
             fleet.rng.randrange(len(fleet.schedulers)),
-            fleet.rng.expovariate(1 / TASK_MS),
+            fleet.rng.expovariate(1 / MEAN_TASK_MS),
         )
         if job_class == URGENT:
-            self.urgent.append(asked)
+            self.urgent.append(request)
         self.ordinary += job_class == ORDINARY
-        fleet.ask(asked)
-        self._next(job_class)
+        fleet.submit(request)
+        self._schedule_next(job_class)
 
-    def _told(self, asked: Asked) -> None:
-        if asked.started is not None:
+    def _on_outcome(self, request: ModelRequest) -> None:
+        if request.started is not None:
             return
-        self.refused += asked.job_class == ORDINARY
-        asked.scheduler = self.fleet.rng.randrange(len(self.fleet.schedulers))
-        self.fleet.later(max(WAIT_LEAST, asked.wait), partial(self.fleet.ask, asked))
+        self.refused += request.job_class == ORDINARY
+        request.scheduler = self.fleet.rng.randrange(len(self.fleet.schedulers))
+        self.fleet.call_later(
+            max(MIN_RETRY_WAIT_MS, request.retry_wait_ms), partial(self.fleet.submit, request)
+        )
 
 
-def play(planners: int, case: str, seed: int = 1) -> dict[str, float]:
-    """The figures of one fleet."""
+def simulate(planners: int, case: str, seed: int = 1) -> dict[str, float]:
+    """Simulate one fleet; the figures of its urgent tasks."""
     fleet = Fleet(planners, max(2, planners // 15), seed)
-    fleet.fill(CASES[case], stays=False)
+    fleet.fill(CASES[case], refill=False)
     clients = _Clients(fleet, CASES[case])
-    begun = fleet.now
-    fleet.run(begun + SETTLE_MS + PLAYED_MS)
-    # Those that came near the end have had the time that they are judged by.
-    judged = [one for one in clients.urgent if begun + SETTLE_MS <= one.at < fleet.now - 10 * URGENT_MS]
-    waits = [(fleet.now if one.started is None else one.started) - one.at for one in judged]
+    begin_ms = fleet.now
+    fleet.run(begin_ms + SETTLE_MS + MEASURED_MS)
+    # Tasks of the last 10 x `URGENT_MS` are left out: the run would cut their wait short.
+    counted = [
+        one for one in clients.urgent if begin_ms + SETTLE_MS <= one.submitted_at < fleet.now - 10 * URGENT_MS
+    ]
+    waits = [(fleet.now if one.started is None else one.started) - one.submitted_at for one in counted]
     return {
-        "urgent": float(len(judged)),
-        "not_started": float(sum(one.started is None for one in judged)),
-        "p50_ms": part(waits, 0.5),
-        "p99_ms": part(waits, 0.99),
+        "urgent": float(len(counted)),
+        "not_started": float(sum(one.started is None for one in counted)),
+        "p50_ms": percentile(waits, 0.5),
+        "p99_ms": percentile(waits, 0.99),
         "worst_ms": max(waits),
         "late_share": sum(wait > URGENT_MS for wait in waits) / len(waits),
-        "refusals_each": sum(one.refusals for one in judged) / len(judged),
-        "sends_each": sum(one.sends for one in judged) / len(judged),
-        "busy_share": fleet.busy(),
+        "refusals_each": sum(one.refusals for one in counted) / len(counted),
+        "sends_each": sum(one.sends for one in counted) / len(counted),
+        "busy_share": fleet.busy_share(),
         "ordinary_refusals_each": clients.refused / clients.ordinary,
     }
 
 
 def measure(sizes: Sequence[int], limit_s: float) -> list[Row]:
-    """A row a size and case; those for which there is no time are left out."""
+    """One row for each size and case; those beyond the time limit are left out."""
     until, rows = monotonic() + limit_s, []
     for size in sizes:
         for case in CASES:
             if monotonic() < until:
-                rows.append(Row(SLOPE, size, case, play(size, case), virtual=True))
+                rows.append(Row(SLOPE, size, case, simulate(size, case), virtual=True))
     return rows
--- a/tests/scheduling/test_decisions_scale.py
+++ b/tests/scheduling/test_decisions_scale.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.capacity.decisions import CLASSES, ZONES, Scheduler, gone
+from benchmarks.capacity.decisions import CLASSES, ZONES, Scheduler, removed_entry
 from pipitshed.scheduling import weighted_pools as pools
 from pipitshed.scheduling.dispatcher import Dispatcher
 from pipitshed.scheduling.events import JobSubmitted, UpdateKind
@@ -61,9 +61,9 @@
 
 def test_a_lost_zone_in_one_update_is_one_change_to_the_pools(row_accesses: Counter[str]) -> None:
     scheduler = warmed_up_scheduler(4600)
-    lost = [gone(entry) for entry in scheduler.entries if entry.zone == ZONES - 1]
+    lost = [removed_entry(entry) for entry in scheduler.entries if entry.zone == ZONES - 1]
     row_accesses.clear()
-    scheduler.tell(UpdateKind.DELTA, lost)
+    scheduler.update_list(UpdateKind.DELTA, lost)
     assert not row_accesses  # pools are updated at the next draw
     for _ in range(20 * CLASSES):
         scheduler.job()
@@ -74,7 +74,7 @@
 def test_an_update_without_changes_accesses_no_row(row_accesses: Counter[str]) -> None:
     scheduler = warmed_up_scheduler(200)
     row_accesses.clear()
-    scheduler.tell(UpdateKind.CACHED, scheduler.entries)
+    scheduler.update_list(UpdateKind.CACHED, scheduler.entries)
     scheduler.dispatcher.apply_settings(scheduler.dispatcher.settings)
     for _ in range(20 * CLASSES):
         scheduler.job()
