--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -39,27 +39,29 @@
 )
 from pipitshed.scheduling.settings import Costs, Guarantees, Idempotency, JobClass, Limits, Settings
 
-WARM_UP = 8_000.0  # ms before the restarts: estimates are there
-AFTER = 14_000.0  # ms that are watched from the restarts on
+WARM_UP_MS = 8_000.0  # ms before the restarts: estimates are there
+OBSERVED_MS = 14_000.0  # ms that are watched from the restarts on
 
 
 @dataclass
-class Scene:
+class Scenario:
     """One fleet and what happens to it."""
 
-    processes: int = 20
+    process_count: int = 20
     planners: int = 12
-    cold: float = 0.5  # the part of the planners that starts
-    load: float = 0.7  # of the warm fleet's capacity
-    burst: float = 1.0  # times the load from the restarts on
-    restarted: float = 0.0  # the part of the processes that starts then too, knowing nothing but the list
-    untold: float = 0.0  # the part that is not told of the starts
-    heavy: float = 0.0  # the part of the jobs with 8 times the work
-    gone: float = 0.0  # s that the planners are away before they start
+    cold_fraction: float = 0.5  # the part of the planners that starts
+    load_fraction: float = 0.7  # of the warm fleet's capacity
+    burst_factor: float = 1.0  # times the load from the restarts on
+    restarted_fraction: float = (
+        0.0  # the part of the processes that starts then too, knowing nothing but the list
+    )
+    uninformed_fraction: float = 0.0  # the part that is not told of the starts
+    heavy_fraction: float = 0.0  # the part of the jobs with 8 times the work
+    absence_s: float = 0.0  # s that the planners are away before they start
     zones: int = 1
-    skew: float = 1.0  # times the mean that the first zone's processes get
-    starts: bool = True  # planners tell of starts
-    rules: Guarantees = field(
+    first_zone_factor: float = 1.0  # times the mean that the first zone's processes get
+    reports_starts: bool = True  # planners tell of starts
+    guarantees: Guarantees = field(
         default_factory=lambda: Guarantees(
             answer_slack_ms=8.0,
             drain_grace_ms=1500.0,
@@ -75,14 +77,14 @@
 class Job:
     number: int
     work: float  # ms at speed 1
-    tries: int
+    resubmission_count: int
     attempts: int = 0
 
 
 @dataclass
-class Held:
+class Attempt:
     job: Job
-    attempt: int
+    attempt_index: int
     process: int
 
 
@@ -91,91 +93,101 @@
 
     SLOTS, QUEUE = 4, 8
 
-    def __init__(self, world: World, number: int) -> None:
-        self.world, self.number = world, number
+    def __init__(self, simulation: Simulation, number: int) -> None:
+        self.simulation, self.number = simulation, number
         self.id = b"p%03d" % number
-        self.zone = number % world.scene.zones
+        self.zone = number % simulation.scenario.zones
         self.started = -math.inf
-        self.up = True
-        self.running: dict[int, Held] = {}
-        self.waiting: deque[Held] = deque()
-        self.came: list[tuple[float, float, bool]] = []  # when, work in mean jobs, from one that was told
-
-    def part(self, now: float) -> float:
-        rules = self.world.scene.rules
-        if now - self.started >= rules.slow_start_ms:
+        self.is_up = True
+        self.running: dict[int, Attempt] = {}
+        self.waiting: deque[Attempt] = deque()
+        self.arrivals: list[tuple[float, float, bool]] = []  # when, work in mean jobs, from one that was told
+
+    def capacity_fraction(self, now: float) -> float:
+        guarantees = self.simulation.scenario.guarantees
+        if now - self.started >= guarantees.slow_start_ms:
             return 1.0
         return (
-            rules.initial_capacity_fraction
-            + (1 - rules.initial_capacity_fraction) * (now - self.started) / rules.slow_start_ms
+            guarantees.initial_capacity_fraction
+            + (1 - guarantees.initial_capacity_fraction) * (now - self.started) / guarantees.slow_start_ms
         )
 
-    def take(self, held: Held) -> None:
-        world = self.world
-        if not self.up:
-            world.at(250.0, lambda: world.finish(held, self, Outcome.CONNECT_FAILED))
+    def take(self, attempt: Attempt) -> None:
+        simulation = self.simulation
+        if not self.is_up:
+            simulation.schedule(250.0, lambda: simulation.finish(attempt, self, Outcome.CONNECT_FAILED))
             return
-        self.came.append((world.now, held.job.work / world.mean, held.process not in world.untold))
+        self.arrivals.append(
+            (
+                simulation.now,
+                attempt.job.work / simulation.mean_work_ms,
+                attempt.process not in simulation.uninformed,
+            )
+        )
         if len(self.running) < self.SLOTS:
-            self.start(held)
+            self.start(attempt)
         elif len(self.waiting) < self.QUEUE:
-            self.waiting.append(held)
+            self.waiting.append(attempt)
         else:
-            world.finish(held, self, Outcome.REJECTED)
-
-    def start(self, held: Held) -> None:
-        world = self.world
-        self.running[held.job.number] = held
-        if world.scene.starts:
-            world.tell(
-                held.process,
-                AttemptProgressed(held.job.number, held.attempt, self.id, ProgressKind.STARTED, 0.0),
+            simulation.finish(attempt, self, Outcome.REJECTED)
+
+    def start(self, attempt: Attempt) -> None:
+        simulation = self.simulation
+        self.running[attempt.job.number] = attempt
+        if simulation.scenario.reports_starts:
+            simulation.deliver(
+                attempt.process,
+                AttemptProgressed(
+                    attempt.job.number, attempt.attempt_index, self.id, ProgressKind.STARTED, 0.0
+                ),
             )
-        world.at(held.job.work / self.part(world.now), lambda: self.end(held))
+        simulation.schedule(
+            attempt.job.work / self.capacity_fraction(simulation.now), lambda: self.end(attempt)
+        )
 
-    def end(self, held: Held) -> None:
-        if self.running.get(held.job.number) is held:
-            del self.running[held.job.number]
-            self.world.finish(held, self, Outcome.OK)
+    def end(self, attempt: Attempt) -> None:
+        if self.running.get(attempt.job.number) is attempt:
+            del self.running[attempt.job.number]
+            self.simulation.finish(attempt, self, Outcome.OK)
             if self.waiting and len(self.running) < self.SLOTS:
                 self.start(self.waiting.popleft())
 
-    def drop(self, held: Held) -> None:
-        if held in self.waiting:
-            self.waiting.remove(held)
+    def cancel_waiting(self, attempt: Attempt) -> None:
+        if attempt in self.waiting:
+            self.waiting.remove(attempt)
 
     def leave(self) -> None:
-        self.up = False
+        self.is_up = False
         lost = [*self.running.values(), *self.waiting]
         self.running.clear()
         self.waiting.clear()
-        for held in lost:
-            self.world.finish(held, self, Outcome.RESET)
+        for attempt in lost:
+            self.simulation.finish(attempt, self, Outcome.RESET)
 
     def restart(self) -> None:
-        if self.up:
+        if self.is_up:
             self.leave()
-        self.up, self.started, self.came = True, self.world.now, []
+        self.is_up, self.started, self.arrivals = True, self.simulation.now, []
 
 
-class World:
+class Simulation:
     """The clock, the processes and the planners."""
 
-    def __init__(self, scene: Scene, seed: int) -> None:
-        self.scene, self.rng, self.now = scene, random.Random(seed), 1_000_000.0
+    def __init__(self, scenario: Scenario, seed: int) -> None:
+        self.scenario, self.rng, self.now = scenario, random.Random(seed), 1_000_000.0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.ticket = self.numbers = 0
-        self.mean = 300.0 * (1 + 7 * scene.heavy)
-        self.planners = [Planner(self, number) for number in range(scene.planners)]
+        self.event_number = self.last_job_number = 0
+        self.mean_work_ms = 300.0 * (1 + 7 * scenario.heavy_fraction)
+        self.planners = [Planner(self, number) for number in range(scenario.planners)]
         self.by_id = {planner.id: planner for planner in self.planners}
-        self.held: dict[tuple[int, int], tuple[Held, Planner]] = {}
+        self.open_attempts: dict[tuple[int, int], tuple[Attempt, Planner]] = {}
         self.jobs: dict[int, Job] = {}
-        self.untold: set[int] = set()
-        self.served = self.asked = 0
-        self.dispatchers = [self.process(number) for number in range(scene.processes)]
+        self.uninformed: set[int] = set()
+        self.served = self.submitted = 0
+        self.dispatchers = [self.process(number) for number in range(scenario.process_count)]
 
     def process(self, number: int) -> Dispatcher:
-        scene = self.scene
+        scenario = self.scenario
         config = Settings(
             classes=(
                 JobClass(
@@ -187,16 +199,16 @@
                 ),
             ),
             costs=Costs(cross_zone_cost=0.014),
-            guarantees=scene.rules,
+            guarantees=scenario.guarantees,
             tick_ms=2.0,
-            scheduler_count=scene.processes,
+            scheduler_count=scenario.process_count,
             limits=Limits(may_cancel=True, max_attempts=5),
-            workers_report_start=scene.starts,
-            zone_count=scene.zones,
-            own_zone=number % scene.zones,
+            workers_report_start=scenario.reports_starts,
+            zone_count=scenario.zones,
+            own_zone=number % scenario.zones,
         )
         dispatcher = Dispatcher(config, self.rng.getrandbits(48))
-        self.act(number, dispatcher, [EndpointsUpdated(UpdateKind.CACHED, 1, self.entries())])
+        self.handle_events(number, dispatcher, [EndpointsUpdated(UpdateKind.CACHED, 1, self.entries())])
         return dispatcher
 
     def entries(self) -> tuple[EndpointEntry, ...]:
@@ -205,77 +217,81 @@
             for planner in self.planners
         )
 
-    def at(self, delay: float, call: Callable[[], None]) -> None:
-        self.ticket += 1
-        heapq.heappush(self.queue, (self.now + delay, self.ticket, call))
+    def schedule(self, delay: float, call: Callable[[], None]) -> None:
+        self.event_number += 1
+        heapq.heappush(self.queue, (self.now + delay, self.event_number, call))
 
-    def tell(self, number: int, event: Event) -> None:
-        self.act(number, self.dispatchers[number], [event])
+    def deliver(self, number: int, event: Event) -> None:
+        self.handle_events(number, self.dispatchers[number], [event])
 
-    def act(self, number: int, dispatcher: Dispatcher, events: list[Event]) -> None:
+    def handle_events(self, number: int, dispatcher: Dispatcher, events: list[Event]) -> None:
         for action in dispatcher.handle(self.now, events):
-            self.carry_out(number, dispatcher, action)
+            self.execute(number, dispatcher, action)
 
-    def carry_out(self, number: int, dispatcher: Dispatcher, action: Action) -> None:
+    def execute(self, number: int, dispatcher: Dispatcher, action: Action) -> None:
         if isinstance(action, SetTimer):
             token = action.token
-            self.at(
+            self.schedule(
                 action.delay_ms,
                 lambda: (
-                    self.act(number, dispatcher, [TimerFired(token)])
+                    self.handle_events(number, dispatcher, [TimerFired(token)])
                     if dispatcher is self.dispatchers[number]
                     else None
                 ),
             )
         elif isinstance(action, StartAttempt):
             job = self.jobs[action.job_id]
-            attempt, job.attempts = job.attempts, job.attempts + 1
-            held, planner = Held(job, attempt, number), self.by_id[action.worker]
-            self.held[action.job_id, attempt] = held, planner
-            self.at(0.3, lambda: planner.take(held) if held.attempt >= 0 else None)
+            attempt_index, job.attempts = job.attempts, job.attempts + 1
+            attempt, planner = Attempt(job, attempt_index, number), self.by_id[action.worker]
+            self.open_attempts[action.job_id, attempt_index] = attempt, planner
+            self.schedule(0.3, lambda: planner.take(attempt) if attempt.attempt_index >= 0 else None)
         elif isinstance(action, CancelAttempt):
-            told = self.held.get((action.job_id, action.attempt_index))
-            if told is not None:
-                told[1].drop(told[0])
-                self.at(0.0, lambda: self.finish(told[0], told[1], Outcome.CANCELLED))
+            entry = self.open_attempts.get((action.job_id, action.attempt_index))
+            if entry is not None:
+                entry[1].cancel_waiting(entry[0])
+                self.schedule(0.0, lambda: self.finish(entry[0], entry[1], Outcome.CANCELLED))
         elif isinstance(action, RejectRequest):
             job = self.jobs[action.job_id]
-            if job.tries < 3:  # the client comes again at once
-                self.at(50.0, lambda: self.submit(job.work, job.tries + 1))
+            if job.resubmission_count < 3:  # the client comes again at once
+                self.schedule(50.0, lambda: self.submit(job.work, job.resubmission_count + 1))
 
-    def finish(self, held: Held, planner: Planner, outcome: Outcome) -> None:
-        if held.attempt < 0:
+    def finish(self, attempt: Attempt, planner: Planner, outcome: Outcome) -> None:
+        if attempt.attempt_index < 0:
             return
-        attempt, held.attempt = held.attempt, -1
-        del self.held[held.job.number, attempt]
+        attempt_index, attempt.attempt_index = attempt.attempt_index, -1
+        del self.open_attempts[attempt.job.number, attempt_index]
         if outcome is Outcome.CANCELLED:
-            planner.running.pop(held.job.number, None)
+            planner.running.pop(attempt.job.number, None)
         self.served += outcome is Outcome.OK
-        if held.process < len(self.dispatchers):
-            self.tell(
-                held.process,
-                AttemptFinished(held.job.number, attempt, planner.id, outcome, 1.0, outcome is Outcome.OK),
+        if attempt.process < len(self.dispatchers):
+            self.deliver(
+                attempt.process,
+                AttemptFinished(
+                    attempt.job.number, attempt_index, planner.id, outcome, 1.0, outcome is Outcome.OK
+                ),
             )
 
-    def submit(self, work: float, tries: int) -> None:
-        self.numbers += 1
-        self.asked += tries == 0
-        job = self.jobs[self.numbers] = Job(self.numbers, work, tries)
-        scene = self.scene
+    def submit(self, work: float, resubmission_count: int) -> None:
+        self.last_job_number += 1
+        self.submitted += resubmission_count == 0
+        job = self.jobs[self.last_job_number] = Job(self.last_job_number, work, resubmission_count)
+        scenario = self.scenario
         weights = [
-            scene.skew if scene.zones > 1 and number % scene.zones == 0 else 1.0
-            for number in range(scene.processes)
+            scenario.first_zone_factor if scenario.zones > 1 and number % scenario.zones == 0 else 1.0
+            for number in range(scenario.process_count)
         ]
-        number = self.rng.choices(range(scene.processes), weights)[0]
-        self.tell(number, JobSubmitted(job.number, 5000.0))
+        number = self.rng.choices(range(scenario.process_count), weights)[0]
+        self.deliver(number, JobSubmitted(job.number, 5000.0))
 
     def arrive(self) -> None:
-        scene = self.scene
-        rate = scene.load * scene.planners * Planner.SLOTS / self.mean  # jobs a ms
-        if self.now >= 1_000_000.0 + WARM_UP:
-            rate *= scene.burst
-        self.at(self.rng.expovariate(rate), self.arrive)
-        self.submit(self.rng.expovariate(1 / 300.0) * (8 if self.rng.random() < scene.heavy else 1), 0)
+        scenario = self.scenario
+        rate = scenario.load_fraction * scenario.planners * Planner.SLOTS / self.mean_work_ms  # jobs a ms
+        if self.now >= 1_000_000.0 + WARM_UP_MS:
+            rate *= scenario.burst_factor
+        self.schedule(self.rng.expovariate(rate), self.arrive)
+        self.submit(
+            self.rng.expovariate(1 / 300.0) * (8 if self.rng.random() < scenario.heavy_fraction else 1), 0
+        )
 
     def run(self, until: float) -> None:
         while self.queue and self.queue[0][0] <= until:
@@ -283,90 +299,94 @@
             call()
         self.now = until
 
-    def play(self) -> list[Planner]:
+    def simulate(self) -> list[Planner]:
         """The planners that were cold, with all that came to them since their start."""
-        scene, begun = self.scene, self.now
+        scenario, start_ms = self.scenario, self.now
         self.arrive()
-        cold = self.planners[: max(1, round(scene.cold * scene.planners))]
-        self.run(begun + WARM_UP - scene.gone * 1000)
-        if scene.gone:
+        cold = self.planners[: max(1, round(scenario.cold_fraction * scenario.planners))]
+        self.run(start_ms + WARM_UP_MS - scenario.absence_s * 1000)
+        if scenario.absence_s:
             for planner in cold:
                 planner.leave()
-        self.run(begun + WARM_UP)
+        self.run(start_ms + WARM_UP_MS)
         for planner in cold:
             planner.restart()
-        self.untold = {number for number in range(scene.processes) if self.rng.random() < scene.untold}
-        for number in range(scene.processes):
-            if self.rng.random() < scene.restarted:
+        self.uninformed = {
+            number
+            for number in range(scenario.process_count)
+            if self.rng.random() < scenario.uninformed_fraction
+        }
+        for number in range(scenario.process_count):
+            if self.rng.random() < scenario.restarted_fraction:
                 self.dispatchers[number] = self.process(number)
-            elif number not in self.untold:
-                self.tell(number, EndpointsUpdated(UpdateKind.DELTA, 2, self.entries()))
-        self.run(begun + WARM_UP + AFTER)
+            elif number not in self.uninformed:
+                self.deliver(number, EndpointsUpdated(UpdateKind.DELTA, 2, self.entries()))
+        self.run(start_ms + WARM_UP_MS + OBSERVED_MS)
         return cold
 
 
-def worst(planner: Planner, rules: Guarantees, by_work: bool) -> tuple[float, int]:
+def worst_window(planner: Planner, guarantees: Guarantees, by_work: bool) -> tuple[float, int]:
     """The largest share of N + 2 * sqrt(N) + 2 in any window, and the windows over it, of those of which over
     two thirds came from processes that had been told."""
-    most, over, window = 0.0, 0, deque[tuple[float, float, bool]]()
-    full = Planner.SLOTS / planner.world.mean
-    for when, work, told in planner.came:
-        if when > planner.started + rules.slow_start_ms:
+    largest_share, over_count, window = 0.0, 0, deque[tuple[float, float, bool]]()
+    full = Planner.SLOTS / planner.simulation.mean_work_ms
+    for when, work, informed in planner.arrivals:
+        if when > planner.started + guarantees.slow_start_ms:
             break
-        window.append((when, work if by_work else 1.0, told))
-        while window[0][0] <= when - rules.overload_window_ms:
+        window.append((when, work if by_work else 1.0, informed))
+        while window[0][0] <= when - guarantees.overload_window_ms:
             window.popleft()
         allowed = (
-            rules.overload_multiple
+            guarantees.overload_multiple
             * full
-            * rules.overload_window_ms
-            * planner.part(max(planner.started, when - rules.overload_window_ms))
+            * guarantees.overload_window_ms
+            * planner.capacity_fraction(max(planner.started, when - guarantees.overload_window_ms))
         )
         rate = sum(entry[1] for entry in window)
         if sum(entry[1] for entry in window if entry[2]) * 3 > rate * 2:
             share = rate / (allowed + 2 * math.sqrt(allowed) + 2)
-            most, over = max(most, share), over + (share > 1)
-    return most, over
+            largest_share, over_count = max(largest_share, share), over_count + (share > 1)
+    return largest_share, over_count
 
 
-SCENES: dict[str, dict[str, Any]] = {
+SCENARIOS: dict[str, dict[str, Any]] = {
     "plain": {},
-    "most are cold": {"cold": 0.75},
-    "overload": {"load": 1.2},
-    "burst": {"load": 0.6, "burst": 2.5, "cold": 0.25},
-    "processes restarted": {"restarted": 0.6},
-    "some untold": {"untold": 0.25},
-    "heavy jobs": {"heavy": 0.05},
-    "a zone returns": {"gone": 6.0, "zones": 2},
-    "a zone returns, uneven": {"gone": 6.0, "zones": 4, "cold": 0.25, "skew": 4.0},
-    "no starts told": {"starts": False},
-    "a zone returns, no starts told": {"gone": 6.0, "zones": 2, "starts": False},
+    "most are cold": {"cold_fraction": 0.75},
+    "overload": {"load_fraction": 1.2},
+    "burst": {"load_fraction": 0.6, "burst_factor": 2.5, "cold_fraction": 0.25},
+    "processes restarted": {"restarted_fraction": 0.6},
+    "some untold": {"uninformed_fraction": 0.25},
+    "heavy jobs": {"heavy_fraction": 0.05},
+    "a zone returns": {"absence_s": 6.0, "zones": 2},
+    "a zone returns, uneven": {"absence_s": 6.0, "zones": 4, "cold_fraction": 0.25, "first_zone_factor": 4.0},
+    "no starts told": {"reports_starts": False},
+    "a zone returns, no starts told": {"absence_s": 6.0, "zones": 2, "reports_starts": False},
     "all at once": {
-        "cold": 0.6,
-        "burst": 1.6,
-        "restarted": 0.5,
-        "untold": 0.1,
-        "heavy": 0.03,
+        "cold_fraction": 0.6,
+        "burst_factor": 1.6,
+        "restarted_fraction": 0.5,
+        "uninformed_fraction": 0.1,
+        "heavy_fraction": 0.03,
         "zones": 3,
-        "skew": 2.0,
+        "first_zone_factor": 2.0,
     },
 }
 
 
-def measure(scene: Scene, seeds: int) -> dict[str, float]:
+def measure(scenario: Scenario, seeds: int) -> dict[str, float]:
     """Over all seeds and cold planners: the largest share and the windows over the bound, in requests and by
     work, and the part of the jobs that was served."""
     figures = {"largest": 0.0, "over": 0.0, "largest_by_work": 0.0, "over_by_work": 0.0}
-    served = asked = 0
+    served = submitted = 0
     for seed in range(seeds):
-        world = World(scene, seed)
-        for planner in world.play():
+        simulation = Simulation(scenario, seed)
+        for planner in simulation.simulate():
             for end, by_work in (("", False), ("_by_work", True)):
-                share, count = worst(planner, scene.rules, by_work)
+                share, count = worst_window(planner, scenario.guarantees, by_work)
                 figures["largest" + end] = max(figures["largest" + end], round(share, 2))
                 figures["over" + end] += count
-        served, asked = served + world.served, asked + world.asked
-    return figures | {"served": round(served / asked, 3)}
+        served, submitted = served + simulation.served, submitted + simulation.submitted
+    return figures | {"served": round(served / submitted, 3)}
 
 
 @click.command()
@@ -377,8 +397,10 @@
     """Print what cold planners got, as a share of N + 2 * sqrt(N) + 2."""
     found: dict[str, dict[str, float]] = {}
     for count in processes.split(","):
-        for name, changes in SCENES.items():
-            one = found[f"{count} processes, {name}"] = measure(Scene(processes=int(count), **changes), seeds)
+        for name, changes in SCENARIOS.items():
+            one = found[f"{count} processes, {name}"] = measure(
+                Scenario(process_count=int(count), **changes), seeds
+            )
             click.echo(
                 f"{count:>4} processes  {name:32} largest share {one['largest']:.2f} "
                 f"(windows over: {one['over']:.0f}), by work {one['largest_by_work']:.2f} "
