--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from benchmarks.soak.drawing import LONGEST_DEADLINE_S, Play, Reload, Stop, Trouble
-from benchmarks.soak.rules import Break, Records, breaks
+from benchmarks.soak.rules import Violation, Records, find_violations
 from pipitshed.server.descriptors import DescriptorBudget
 from pipitshed.testbed.clients import Asked, GearmanClients, HttpClients, draw
 from pipitshed.testbed.fleet.standins import Fleet
@@ -36,7 +36,7 @@
     requests: int
     outcomes: dict[str, int]
     worst_holdup_s: float  # of the stand-ins
-    broken: list[Break]
+    broken: list[Violation]
     figures: dict[str, Any] = field(default_factory=dict)
 
     @property
@@ -241,6 +241,6 @@
     outcomes: dict[str, int] = {}
     for one in player.asked:
         outcomes[one.outcome] = outcomes.get(one.outcome, 0) + 1
-    broken = breaks(records, play.classes)
+    broken = find_violations(records, play.classes)
     figures = {"peak_mb": round(peak_mb, 1), "stops": len(player.stops), "reloads": len(play.reloads)}
     return Result(play.seed, len(player.asked), outcomes, player.worst_holdup_s, broken, figures)
--- a/benchmarks/soak/rules.py
+++ b/benchmarks/soak/rules.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Break:
+class Violation:
     """A rule that was broken, the request (or what else), and the records behind it."""
 
     rule: str
@@ -45,7 +45,7 @@
     memory_limit_mb: float
 
 
-def breaks(records: Records, classes: Iterable[JobClassDraw]) -> list[Break]:
+def find_violations(records: Records, classes: Iterable[JobClassDraw]) -> list[Violation]:
     """All rules that were broken."""
     by_token: dict[str, list[Run]] = defaultdict(list)
     for run in sorted(records.runs, key=lambda run: run.came):
@@ -59,32 +59,34 @@
     return found
 
 
-def _process_breaks(records: Records) -> list[Break]:
+def _process_breaks(records: Records) -> list[Violation]:
     found = []
     log = "\n".join(records.log)
     if records.killed:
-        found.append(Break("ended_before_sigkill", "the program", log[-2000:]))
+        found.append(Violation("ended_before_sigkill", "the program", log[-2000:]))
     elif records.exit_code != 0:
-        found.append(Break("exit_code", str(records.exit_code), log[-2000:]))
+        found.append(Violation("exit_code", str(records.exit_code), log[-2000:]))
     if "Traceback" in log:
-        found.append(Break("traceback", "the log", log[log.index("Traceback") :][:3000]))
+        found.append(Violation("traceback", "the log", log[log.index("Traceback") :][:3000]))
     if records.peak_mb > records.memory_limit_mb:
-        found.append(Break("memory", f"{records.peak_mb:.0f} MB", f"limit {records.memory_limit_mb:.0f} MB"))
+        found.append(
+            Violation("memory", f"{records.peak_mb:.0f} MB", f"limit {records.memory_limit_mb:.0f} MB")
+        )
     return found
 
 
-def _account_breaks(records: Records) -> list[Break]:
+def _account_breaks(records: Records) -> list[Violation]:
     figures = account(records.asked, records.runs, records.members)
     faults = figures["faults"]
     assert isinstance(faults, dict)
     return [
-        Break(rule, str(subject), "", timed=rule in TIMED_ACCOUNT_RULES)
+        Violation(rule, str(subject), "", timed=rule in TIMED_ACCOUNT_RULES)
         for rule in ACCOUNT_RULES + TIMED_ACCOUNT_RULES
         for subject in faults.get(rule, ())
     ]
 
 
-def _answer_breaks(records: Records, asked: Asked, runs: list[Run]) -> list[Break]:
+def _answer_breaks(records: Records, asked: Asked, runs: list[Run]) -> list[Violation]:
     """One final answer in time, and no attempt behind it."""
     told = (
         f"{describe(asked, runs)}\n  SIGTERM came {records.sigterm_at - asked.sent:.3f} s after it was sent"
@@ -96,15 +98,15 @@
         closing = asked.ended > records.sigterm_at
         door_closed = asked.ended > records.sigterm_at + DOORS_OPEN_S
         excused = (closing and asked.untaken and asked.kept) or (door_closed and asked.untaken)
-        return [] if excused and not runs else [Break("one_answer", asked.token, told)]
+        return [] if excused and not runs else [Violation("one_answer", asked.token, told)]
     found = []
     if asked.outcome != "withdrawn":
         late_s = asked.ended - (asked.sent + asked.patience) - SLACK
         if late_s > _stood_still(records.stops, asked.sent, asked.ended):
-            found.append(Break("answer_in_time", asked.token, f"{late_s:.3f} s late: {told}", timed=True))
+            found.append(Violation("answer_in_time", asked.token, f"{late_s:.3f} s late: {told}", timed=True))
     late_runs = [run for run in runs if run.came > asked.ended + AFTER_END_S]
     if late_runs:
-        found.append(Break("attempt_after_the_end", asked.token, told, timed=True))
+        found.append(Violation("attempt_after_the_end", asked.token, told, timed=True))
     return found
 
 
@@ -113,7 +115,7 @@
     return sum(max(0.0, min(end, until) - max(begin, since)) for begin, end in stops)
 
 
-def _repeat_breaks(job_class: JobClassDraw, asked: Asked, runs: list[Run]) -> list[Break]:
+def _repeat_breaks(job_class: JobClassDraw, asked: Asked, runs: list[Run]) -> list[Violation]:
     """Repeats as the class allows, and "never ran" only where no worker has a record of it."""
     ran = [run for run in runs if run.how != "returned"]
     told = describe(asked, runs)
@@ -121,12 +123,12 @@
         return []
     found = []
     if job_class.repeat == "fragile" and len(ran) > 1:
-        found.append(Break("ran_twice", asked.token, told))
+        found.append(Violation("ran_twice", asked.token, told))
     zone_scope = job_class.repeat == "dedup" and job_class.scope == "zone"
     if zone_scope and len({run.zone for run in ran}) > 1:
-        found.append(Break("repeated_in_another_zone", asked.token, told))
+        found.append(Violation("repeated_in_another_zone", asked.token, told))
     if asked.outcome == "refused" and ran and (job_class.repeat == "fragile" or zone_scope):
-        found.append(Break("refused_though_it_ran", asked.token, told))
+        found.append(Violation("refused_though_it_ran", asked.token, told))
     return found
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,7 +9,7 @@
 from benchmarks.soak.__main__ import line, seeds_of, table
 from benchmarks.soak.drawing import JobClassDraw, draw_play
 from benchmarks.soak.play import DISTURBED_S, Result
-from benchmarks.soak.rules import Break, Records, breaks
+from benchmarks.soak.rules import Violation, Records, find_violations
 from pipitshed.testbed.clients import Asked
 from pipitshed.testbed.planner import Run
 
@@ -34,7 +34,7 @@
 def rules(one: Asked, *runs: Run, classes: tuple[JobClassDraw, ...] = CLASSES, **changes: object) -> set[str]:
     """The rules that this request breaks."""
     records = Records([one], list(runs), [], [], SIGTERM_AT, False, 0, ["INFO ended:"], 40.0, 64.0)
-    return {broken.rule for broken in breaks(replace(records, **changes), classes)}  # type: ignore[arg-type]
+    return {broken.rule for broken in find_violations(replace(records, **changes), classes)}  # type: ignore[arg-type]
 
 
 def test_a_play_is_drawn_by_its_seed_alone() -> None:
@@ -104,10 +104,10 @@
     assert quiet.verdict == "passed"
     held_up = replace(quiet, worst_holdup_s=2 * DISTURBED_S)
     assert held_up.verdict == "disturbed"
-    late = [Break("answer_in_time", "t1", "", timed=True)]
+    late = [Violation("answer_in_time", "t1", "", timed=True)]
     assert replace(quiet, broken=late).verdict == "broken"
     assert replace(held_up, broken=late).verdict == "disturbed"
-    assert replace(held_up, broken=[Break("ran_twice", "t1", "")]).verdict == "broken"
+    assert replace(held_up, broken=[Violation("ran_twice", "t1", "")]).verdict == "broken"
     assert "--seeds 3 --seconds 20" in line(replace(quiet, broken=late), 20.0)
     assert "1 passed, 1 disturbed, 0 broken" in table([quiet, held_up])
 
