--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -11,7 +11,7 @@
 
 import click
 
-from benchmarks.soak.drawing import draw_play
+from benchmarks.soak.drawing import draw_scenario
 from benchmarks.soak.play import Result, run
 from pipitshed.testbed.experiment import raise_descriptors
 
@@ -70,7 +70,7 @@
     length_s = seconds or (SHORT_SECONDS if short else SECONDS)
     results = []
     for seed in seeds_of(seeds):
-        result = asyncio.run(run(draw_play(seed, length_s)))
+        result = asyncio.run(run(draw_scenario(seed, length_s)))
         results.append(result)
         print(line(result, length_s), flush=True)
         if report is not None:
--- a/benchmarks/soak/drawing.py
+++ b/benchmarks/soak/drawing.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Play:
+class Scenario:
     """One play."""
 
     seed: int
@@ -84,7 +84,7 @@
     resting: tuple[float, ...]  # s after SIGTERM at which kept connections that rested are used
 
 
-def draw_play(seed: int, seconds: float) -> Play:
+def draw_scenario(seed: int, seconds: float) -> Scenario:
     """The play of a seed, with so many seconds of traffic."""
     rng = random.Random(f"soak:{seed}")
     classes = tuple(
@@ -101,7 +101,7 @@
     signals = [rng.uniform(0.5, seconds + 2.5) for _ in range(rng.randint(2, 8))]
     bursts = [rng.uniform(0.5, seconds + 1.0) for _ in range(rng.randint(1, 3))]
     crowded = rng.random() < 0.3
-    return Play(
+    return Scenario(
         seed,
         seconds,
         rng.choice((40.0, 80.0, 150.0)),
--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -11,8 +11,8 @@
 from time import monotonic
 from typing import Any
 
-from benchmarks.soak.drawing import LONGEST_DEADLINE_S, Play, Reload, Stop, Trouble
-from benchmarks.soak.rules import Violation, Records, find_violations
+from benchmarks.soak.drawing import LONGEST_DEADLINE_S, Reload, Scenario, Stop, Trouble
+from benchmarks.soak.rules import Records, Violation, find_violations
 from pipitshed.server.descriptors import DescriptorBudget
 from pipitshed.testbed.clients import Asked, GearmanClients, HttpClients, draw
 from pipitshed.testbed.fleet.standins import Fleet
@@ -52,18 +52,18 @@
         return "disturbed" if self.disturbed else "passed"
 
 
-class _Player:
+class _ScenarioRunner:
     """One play under way."""
 
-    def __init__(self, play: Play, fleet: Fleet, running: Running) -> None:
-        self.play, self.fleet, self.running = play, fleet, running
+    def __init__(self, scenario: Scenario, fleet: Fleet, running: Running) -> None:
+        self.scenario, self.fleet, self.running = scenario, fleet, running
         self.asked: list[Asked] = []
         self.stops: list[tuple[float, float]] = []
         self.sigterm_at = float("inf")
         self.worst_holdup_s = 0.0
-        self._rng = random.Random(f"traffic:{play.seed}")
+        self._rng = random.Random(f"traffic:{scenario.seed}")
         self._http, self._gearman = HttpClients(running.http), GearmanClients(running.gearman)
-        budget = DescriptorBudget(play.sockets)
+        budget = DescriptorBudget(scenario.sockets)
         self._connection_limits = {"http": budget.http_client_count, "gearman": budget.gearman_peer_count}
         self._asking: set[asyncio.Task[None]] = set()
         self._troubles = asyncio.Lock()
@@ -73,13 +73,13 @@
         """Play it until the program has ended, or was killed."""
         self._began = monotonic()
         steps: list[tuple[float, Callable[[], Awaitable[None]]]] = [
-            *((one.at, lambda one=one: self._trouble(one)) for one in self.play.troubles),
-            *((one.at, lambda one=one: self._stop(one)) for one in self.play.stops),
-            *((one.at, lambda one=one: self._reload(one)) for one in self.play.reloads),
+            *((one.at, lambda one=one: self._trouble(one)) for one in self.scenario.troubles),
+            *((one.at, lambda one=one: self._stop(one)) for one in self.scenario.stops),
+            *((one.at, lambda one=one: self._reload(one)) for one in self.scenario.reloads),
         ]
         looking = asyncio.create_task(self._look())
         crowd = [
-            await asyncio.open_connection("127.0.0.1", self.running.http) for _ in range(self.play.crowd)
+            await asyncio.open_connection("127.0.0.1", self.running.http) for _ in range(self.scenario.crowd)
         ]
         script = [asyncio.create_task(self._at(at, step)) for at, step in steps]
         ending = asyncio.create_task(self._end())
@@ -112,7 +112,7 @@
         """Requests at their rate until the program has ended; some rest, to cross what closes them."""
         number = 0
         while self.running.process.returncode is None:
-            wait_s = self._began + number / self.play.rate - monotonic()
+            wait_s = self._began + number / self.scenario.rate - monotonic()
             if wait_s > 0:
                 await asyncio.sleep(wait_s)
             if monotonic() < self.sigterm_at + LONGEST_DEADLINE_S:
@@ -120,14 +120,14 @@
             number += 1
 
     def _ask(self, number: int) -> None:
-        play = self.play
-        one = draw(self._rng, f"{number:06d}", play.mix, play.cancel, 0.0, play.book)
-        deadline_s = next(each.deadline_s for each in play.classes if each.name == one.job_class)
+        scenario = self.scenario
+        one = draw(self._rng, f"{number:06d}", scenario.mix, scenario.cancel, 0.0, scenario.book)
+        deadline_s = next(each.deadline_s for each in scenario.classes if each.name == one.job_class)
         is_http = one.kind.startswith("http")
         one.patience = self._rng.uniform(0.3, deadline_s) if is_http else deadline_s
         one.slack = LISTEN_ON_S
-        resting_s = [at for at in play.resting if self.sigterm_at < monotonic() < self.sigterm_at + at]
-        if monotonic() > self.sigterm_at and len(resting_s) == len(play.resting):
+        resting_s = [at for at in scenario.resting if self.sigterm_at < monotonic() < self.sigterm_at + at]
+        if monotonic() > self.sigterm_at and len(resting_s) == len(scenario.resting):
             return  # nobody asks for a while, so that kept connections rest
         clients = "http" if is_http else "gearman"
         if self._busy(clients) >= self._connection_limits[clients]:
@@ -182,11 +182,11 @@
 
     async def _end(self) -> bool:
         """SIGTERM, and SIGKILL at the protocol's earliest; whether that was needed."""
-        await asyncio.sleep(self.play.seconds)
+        await asyncio.sleep(self.scenario.seconds)
         self.sigterm_at = monotonic()
         self._signal(signal.SIGTERM)
-        if self.play.second_sigterm_after is not None:
-            await asyncio.sleep(self.play.second_sigterm_after)
+        if self.scenario.second_sigterm_after is not None:
+            await asyncio.sleep(self.scenario.second_sigterm_after)
             self._signal(signal.SIGTERM)
         left_s = self.sigterm_at + LONGEST_DEADLINE_S + KILL_MARGIN_S - monotonic()
         try:
@@ -198,21 +198,23 @@
         return False
 
 
-def _adjust(play: Play, made: dict[str, Any]) -> None:
+def _adjust(scenario: Scenario, made: dict[str, Any]) -> None:
     """Make the configuration the one of the play."""
-    made["limits"] |= {"memory_mb": play.memory_mb, "sockets": play.sockets}
-    made["settings"]["services"] = [job_class.settings() for job_class in play.classes]
+    made["limits"] |= {"memory_mb": scenario.memory_mb, "sockets": scenario.sockets}
+    made["settings"]["services"] = [job_class.settings() for job_class in scenario.classes]
 
 
-async def run(play: Play) -> Result:
+async def run(scenario: Scenario) -> Result:
     """Play it once, and judge it."""
-    fleet = Fleet(Behaviour(slots=play.slots, fail=play.fail), play.seed)
-    await fleet.start(list(play.interfaces), [place % 2 == 0 for place in range(len(play.interfaces))])
+    fleet = Fleet(Behaviour(slots=scenario.slots, fail=scenario.fail), scenario.seed)
+    await fleet.start(
+        list(scenario.interfaces), [place % 2 == 0 for place in range(len(scenario.interfaces))]
+    )
     peak_mb = 0.0
     try:
-        async with scheduler(fleet.discovery.port, adjust=lambda made: _adjust(play, made)) as running:
+        async with scheduler(fleet.discovery.port, adjust=lambda made: _adjust(scenario, made)) as running:
             await asyncio.sleep(SETTLE_S)
-            player = _Player(play, fleet, running)
+            runner = _ScenarioRunner(scenario, fleet, running)
 
             async def watch_memory() -> None:
                 nonlocal peak_mb
@@ -221,26 +223,26 @@
                     await asyncio.sleep(0.2)
 
             watching = asyncio.create_task(watch_memory())
-            await player.run()
+            await runner.run()
             watching.cancel()
         exit_code = running.process.returncode
     finally:
         await fleet.close()
     records = Records(
-        player.asked,
+        runner.asked,
         fleet.record.runs,
         fleet.members,
-        player.stops,
-        player.sigterm_at,
-        player.killed,
+        runner.stops,
+        runner.sigterm_at,
+        runner.killed,
         -1 if exit_code is None else exit_code,
         running.log,
         peak_mb,
-        float(play.memory_mb),
+        float(scenario.memory_mb),
     )
     outcomes: dict[str, int] = {}
-    for one in player.asked:
+    for one in runner.asked:
         outcomes[one.outcome] = outcomes.get(one.outcome, 0) + 1
-    broken = find_violations(records, play.classes)
-    figures = {"peak_mb": round(peak_mb, 1), "stops": len(player.stops), "reloads": len(play.reloads)}
-    return Result(play.seed, len(player.asked), outcomes, player.worst_holdup_s, broken, figures)
+    broken = find_violations(records, scenario.classes)
+    figures = {"peak_mb": round(peak_mb, 1), "stops": len(runner.stops), "reloads": len(scenario.reloads)}
+    return Result(scenario.seed, len(runner.asked), outcomes, runner.worst_holdup_s, broken, figures)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,9 +7,9 @@
 import pytest
 
 from benchmarks.soak.__main__ import line, seeds_of, table
-from benchmarks.soak.drawing import JobClassDraw, draw_play
+from benchmarks.soak.drawing import JobClassDraw, draw_scenario
 from benchmarks.soak.play import DISTURBED_S, Result
-from benchmarks.soak.rules import Violation, Records, find_violations
+from benchmarks.soak.rules import Records, Violation, find_violations
 from pipitshed.testbed.clients import Asked
 from pipitshed.testbed.planner import Run
 
@@ -38,15 +38,15 @@
 
 
 def test_a_play_is_drawn_by_its_seed_alone() -> None:
-    assert draw_play(7, 6.0) == draw_play(7, 6.0) != draw_play(8, 6.0)
-    plays = [draw_play(seed, 6.0) for seed in range(200)]
+    assert draw_scenario(7, 6.0) == draw_scenario(7, 6.0) != draw_scenario(8, 6.0)
+    scenarios = [draw_scenario(seed, 6.0) for seed in range(200)]
     for kinds in (
-        {one.repeat for play in plays for one in play.classes},
-        {one.kind for play in plays for one in play.troubles},
+        {one.repeat for scenario in scenarios for one in scenario.classes},
+        {one.kind for scenario in scenarios for one in scenario.troubles},
     ):
         assert len(kinds) >= 3
-    assert {play.crowd > 0 for play in plays} == {True, False}
-    assert all(0.005 <= stop.lasts <= 0.15 for play in plays for stop in play.stops)
+    assert {scenario.crowd > 0 for scenario in scenarios} == {True, False}
+    assert all(0.005 <= stop.lasts <= 0.15 for scenario in scenarios for stop in scenario.stops)
 
 
 def test_a_request_that_is_served_once_breaks_nothing() -> None:
