--- a/benchmarks/soak/drawing.py
+++ b/benchmarks/soak/drawing.py
@@ -10,7 +10,7 @@
 
 LONGEST_DEADLINE_S = 3.0  # so that SIGKILL never comes before a request's own time is over
 RepeatKind = Literal["retryable", "dedup", "fragile"]
-TroubleKind = Literal["roll", "goaway", "crash", "cut", "slow", "hang", "discovery"]
+FaultKind = Literal["roll", "goaway", "crash", "cut", "slow", "hang", "discovery"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,11 +35,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class Fault:
     """A trouble of workers or discovery, at a time of the play (s)."""
 
     at: float
-    kind: TroubleKind
+    kind: FaultKind
     worker: int
     lasts: float
 
@@ -77,7 +77,7 @@
     memory_mb: int
     sockets: int
     crowd: int  # idle clients
-    troubles: tuple[Trouble, ...]
+    faults: tuple[Fault, ...]
     stops: tuple[Stop, ...]  # also after SIGTERM
     reloads: tuple[Reload, ...]
     second_sigterm_after: float | None  # s
@@ -115,7 +115,7 @@
         rng.choice((64, 96, 192)),
         256 if crowded else 1024,
         rng.randint(100, 200) if crowded else 0,
-        tuple(_trouble(rng, seconds, workers) for _ in range(rng.randint(1, 6))),
+        tuple(_draw_fault(rng, seconds, workers) for _ in range(rng.randint(1, 6))),
         tuple(Stop(at, rng.uniform(0.005, 0.15)) for at in sorted(signals)),
         tuple(
             Reload(at + place * rng.uniform(0.0, 0.03), rng.random() < 0.5)
@@ -127,6 +127,6 @@
     )
 
 
-def _trouble(rng: random.Random, seconds: float, workers: int) -> Trouble:
+def _draw_fault(rng: random.Random, seconds: float, workers: int) -> Fault:
     kind = rng.choice(("roll", "goaway", "crash", "cut", "cut", "slow", "hang", "discovery"))
-    return Trouble(rng.uniform(0.3, seconds), kind, rng.randrange(workers), rng.uniform(0.3, 2.0))
+    return Fault(rng.uniform(0.3, seconds), kind, rng.randrange(workers), rng.uniform(0.3, 2.0))
--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -11,7 +11,7 @@
 from time import monotonic
 from typing import Any
 
-from benchmarks.soak.drawing import LONGEST_DEADLINE_S, Reload, Scenario, Stop, Trouble
+from benchmarks.soak.drawing import LONGEST_DEADLINE_S, Fault, Reload, Scenario, Stop
 from benchmarks.soak.rules import Records, Violation, find_violations
 from pipitshed.server.descriptors import DescriptorBudget
 from pipitshed.testbed.clients import Asked, GearmanClients, HttpClients, draw
@@ -66,14 +66,14 @@
         budget = DescriptorBudget(scenario.sockets)
         self._connection_limits = {"http": budget.http_client_count, "gearman": budget.gearman_peer_count}
         self._asking: set[asyncio.Task[None]] = set()
-        self._troubles = asyncio.Lock()
+        self._fault_lock = asyncio.Lock()
         self._began = monotonic()
 
     async def run(self) -> None:
         """Play it until the program has ended, or was killed."""
         self._began = monotonic()
         steps: list[tuple[float, Callable[[], Awaitable[None]]]] = [
-            *((one.at, lambda one=one: self._trouble(one)) for one in self.scenario.troubles),
+            *((one.at, lambda one=one: self._inject_fault(one)) for one in self.scenario.faults),
             *((one.at, lambda one=one: self._stop(one)) for one in self.scenario.stops),
             *((one.at, lambda one=one: self._reload(one)) for one in self.scenario.reloads),
         ]
@@ -143,23 +143,23 @@
 
     # ---- troubles and signals
 
-    async def _trouble(self, trouble: Trouble) -> None:
+    async def _inject_fault(self, fault: Fault) -> None:
         fleet = self.fleet
-        async with self._troubles:  # one at a time
-            member = fleet.members[trouble.worker]
-            if trouble.kind == "roll":
+        async with self._fault_lock:  # one at a time
+            member = fleet.members[fault.worker]
+            if fault.kind == "roll":
                 await fleet.roll(member, member.interface)
-            elif trouble.kind == "goaway":
+            elif fault.kind == "goaway":
                 await fleet.roll(member, member.interface, goaway_only=member.interface == 2)
-            elif trouble.kind == "crash":
-                await fleet.crash(member, trouble.lasts)
-            elif trouble.kind == "cut":
+            elif fault.kind == "crash":
+                await fleet.crash(member, fault.lasts)
+            elif fault.kind == "cut":
                 member.gate.cut()
-            elif trouble.kind == "discovery":
-                await fleet.discovery.silence(trouble.lasts)
+            elif fault.kind == "discovery":
+                await fleet.discovery.silence(fault.lasts)
             else:
-                fleet.behaviour.slow = HANG_FACTOR if trouble.kind == "hang" else SLOW_FACTOR
-                await asyncio.sleep(trouble.lasts)
+                fleet.behaviour.slow = HANG_FACTOR if fault.kind == "hang" else SLOW_FACTOR
+                await asyncio.sleep(fault.lasts)
                 fleet.behaviour.slow = 1.0
 
     def _signal(self, number: signal.Signals) -> None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -42,7 +42,7 @@
     scenarios = [draw_scenario(seed, 6.0) for seed in range(200)]
     for kinds in (
         {one.repeat for scenario in scenarios for one in scenario.classes},
-        {one.kind for scenario in scenarios for one in scenario.troubles},
+        {one.kind for scenario in scenarios for one in scenario.faults},
     ):
         assert len(kinds) >= 3
     assert {scenario.crowd > 0 for scenario in scenarios} == {True, False}
