--- a/benchmarks/soak/drawing.py
+++ b/benchmarks/soak/drawing.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
+class Pause:
     """The program stands still (SIGSTOP, SIGCONT)."""
 
     at: float
@@ -78,7 +78,7 @@
     sockets: int
     crowd: int  # idle clients
     faults: tuple[Fault, ...]
-    stops: tuple[Stop, ...]  # also after SIGTERM
+    pauses: tuple[Pause, ...]  # also after SIGTERM
     reloads: tuple[Reload, ...]
     second_sigterm_after: float | None  # s
     resting: tuple[float, ...]  # s after SIGTERM at which kept connections that rested are used
@@ -116,7 +116,7 @@
         256 if crowded else 1024,
         rng.randint(100, 200) if crowded else 0,
         tuple(_draw_fault(rng, seconds, workers) for _ in range(rng.randint(1, 6))),
-        tuple(Stop(at, rng.uniform(0.005, 0.15)) for at in sorted(signals)),
+        tuple(Pause(at, rng.uniform(0.005, 0.15)) for at in sorted(signals)),
         tuple(
             Reload(at + place * rng.uniform(0.0, 0.03), rng.random() < 0.5)
             for at in sorted(bursts)
--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -11,7 +11,7 @@
 from time import monotonic
 from typing import Any
 
-from benchmarks.soak.drawing import LONGEST_DEADLINE_S, Fault, Reload, Scenario, Stop
+from benchmarks.soak.drawing import LONGEST_DEADLINE_S, Fault, Pause, Reload, Scenario
 from benchmarks.soak.rules import Records, Violation, find_violations
 from pipitshed.server.descriptors import DescriptorBudget
 from pipitshed.testbed.clients import Asked, GearmanClients, HttpClients, draw
@@ -58,7 +58,7 @@
     def __init__(self, scenario: Scenario, fleet: Fleet, running: Running) -> None:
         self.scenario, self.fleet, self.running = scenario, fleet, running
         self.asked: list[Asked] = []
-        self.stops: list[tuple[float, float]] = []
+        self.pauses: list[tuple[float, float]] = []
         self.sigterm_at = float("inf")
         self.worst_holdup_s = 0.0
         self._rng = random.Random(f"traffic:{scenario.seed}")
@@ -74,7 +74,7 @@
         self._began = monotonic()
         steps: list[tuple[float, Callable[[], Awaitable[None]]]] = [
             *((one.at, lambda one=one: self._inject_fault(one)) for one in self.scenario.faults),
-            *((one.at, lambda one=one: self._stop(one)) for one in self.scenario.stops),
+            *((one.at, lambda one=one: self._pause(one)) for one in self.scenario.pauses),
             *((one.at, lambda one=one: self._reload(one)) for one in self.scenario.reloads),
         ]
         looking = asyncio.create_task(self._look())
@@ -166,12 +166,12 @@
         if self.running.process.returncode is None:
             self.running.process.send_signal(number)
 
-    async def _stop(self, stop: Stop) -> None:
+    async def _pause(self, pause: Pause) -> None:
         begin = monotonic()
         self._signal(signal.SIGSTOP)
-        await asyncio.sleep(stop.lasts)
+        await asyncio.sleep(pause.lasts)
         self._signal(signal.SIGCONT)
-        self.stops.append((begin, monotonic()))
+        self.pauses.append((begin, monotonic()))
 
     async def _reload(self, reload: Reload) -> None:
         if reload.reorder:
@@ -232,7 +232,7 @@
         runner.asked,
         fleet.record.runs,
         fleet.members,
-        runner.stops,
+        runner.pauses,
         runner.sigterm_at,
         runner.killed,
         -1 if exit_code is None else exit_code,
@@ -244,5 +244,5 @@
     for one in runner.asked:
         outcomes[one.outcome] = outcomes.get(one.outcome, 0) + 1
     broken = find_violations(records, scenario.classes)
-    figures = {"peak_mb": round(peak_mb, 1), "stops": len(runner.stops), "reloads": len(scenario.reloads)}
+    figures = {"peak_mb": round(peak_mb, 1), "stops": len(runner.pauses), "reloads": len(scenario.reloads)}
     return Result(scenario.seed, len(runner.asked), outcomes, runner.worst_holdup_s, broken, figures)
--- a/benchmarks/soak/rules.py
+++ b/benchmarks/soak/rules.py
@@ -13,7 +13,7 @@
 from pipitshed.testbed.planner import Run
 
 AFTER_END_S = 0.1  # from a client's end, or its answer, after which no attempt begins
-SHOWN_STOPS_S = 2.0  # around a request: the program's stops that are shown with it
+SHOWN_PAUSES_S = 2.0  # around a request: the program's stops that are shown with it
 DOORS_OPEN_S = 0.2  # after SIGTERM, for which new connections must still be taken
 ACCOUNT_RULES = ("answered_twice", "wrong_result", "served_unrun", "unfit_but_ran", "ran_unasked")
 TIMED_ACCOUNT_RULES = ("two_outstanding", "after_drain")
@@ -36,7 +36,7 @@
     asked: Sequence[Asked]
     runs: list[Run]
     members: Sequence[Member]
-    stops: Sequence[tuple[float, float]]  # when the program stood still
+    pauses: Sequence[tuple[float, float]]  # when the program stood still
     sigterm_at: float
     killed: bool  # it had not ended when SIGKILL came
     exit_code: int
@@ -91,7 +91,7 @@
     told = (
         f"{describe(asked, runs)}\n  SIGTERM came {records.sigterm_at - asked.sent:.3f} s after it was sent"
     )
-    near = [stop for stop in records.stops if abs(stop[0] - asked.sent) < SHOWN_STOPS_S]
+    near = [pause for pause in records.pauses if abs(pause[0] - asked.sent) < SHOWN_PAUSES_S]
     told += "".join(f"\n  stood still {a - asked.sent:.3f} to {b - asked.sent:.3f}" for a, b in near)
     if asked.outcome == "unanswered":
         # A close may cross a request that was not read; a closed door refuses one. Neither was taken.
@@ -102,7 +102,7 @@
     found = []
     if asked.outcome != "withdrawn":
         late_s = asked.ended - (asked.sent + asked.patience) - SLACK
-        if late_s > _stood_still(records.stops, asked.sent, asked.ended):
+        if late_s > _paused_s(records.pauses, asked.sent, asked.ended):
             found.append(Violation("answer_in_time", asked.token, f"{late_s:.3f} s late: {told}", timed=True))
     late_runs = [run for run in runs if run.came > asked.ended + AFTER_END_S]
     if late_runs:
@@ -110,9 +110,9 @@
     return found
 
 
-def _stood_still(stops: Sequence[tuple[float, float]], since: float, until: float) -> float:
+def _paused_s(pauses: Sequence[tuple[float, float]], since: float, until: float) -> float:
     """How long the program stood still between two times."""
-    return sum(max(0.0, min(end, until) - max(begin, since)) for begin, end in stops)
+    return sum(max(0.0, min(end, until) - max(begin, since)) for begin, end in pauses)
 
 
 def _repeat_breaks(job_class: JobClassDraw, asked: Asked, runs: list[Run]) -> list[Violation]:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -46,7 +46,7 @@
     ):
         assert len(kinds) >= 3
     assert {scenario.crowd > 0 for scenario in scenarios} == {True, False}
-    assert all(0.005 <= stop.lasts <= 0.15 for scenario in scenarios for stop in scenario.stops)
+    assert all(0.005 <= pause.lasts <= 0.15 for scenario in scenarios for pause in scenario.pauses)
 
 
 def test_a_request_that_is_served_once_breaks_nothing() -> None:
@@ -79,8 +79,8 @@
 
 def test_a_late_answer_is_excused_by_as_much_as_the_program_stood_still() -> None:
     late = asked("failed", ended=11.2)
-    assert rules(late, run(), stops=[(10.9, 11.05)]) == set()
-    assert rules(late, run(), stops=[(9.0, 10.05)]) == {"answer_in_time"}
+    assert rules(late, run(), pauses=[(10.9, 11.05)]) == set()
+    assert rules(late, run(), pauses=[(9.0, 10.05)]) == {"answer_in_time"}
 
 
 def test_a_request_that_crossed_the_close_was_never_taken_and_one_that_ran_was() -> None:
