--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -15,12 +15,12 @@
 from benchmarks.soak.play import Result, run
 from pipitshed.testbed.experiment import raise_descriptors
 
-SECONDS = 20.0  # of traffic in a play
-SHORT_SECONDS = 6.0
-SHOWN_BREAKS = 5
+TRAFFIC_S = 20.0  # of traffic in a play
+SHORT_TRAFFIC_S = 6.0
+SHOWN_VIOLATIONS = 5
 
 
-def seeds_of(text: str) -> list[int]:
+def parse_seeds(text: str) -> list[int]:
     """The seeds of `1-50` or `3,7,9`."""
     seeds: list[int] = []
     for part in text.split(","):
@@ -29,29 +29,29 @@
     return seeds
 
 
-def line(result: Result, seconds: float) -> str:
+def format_result(result: Result, seconds: float) -> str:
     """One play in a line; of a broken one also the rules, the records, and how to play it again."""
     outcomes = " ".join(f"{name}={count}" for name, count in sorted(result.outcomes.items()))
-    told = (
+    text = (
         f"seed {result.seed}: {result.verdict}, {result.requests} requests ({outcomes}), "
         f"stand-ins held up {result.worst_holdup_s * 1000:.0f} ms, peak {result.figures['peak_mb']} MB"
     )
     if result.broken:
-        told += f"\n  again: python -m benchmarks.soak --seeds {result.seed} --seconds {seconds:g}"
-    for one in result.broken[:SHOWN_BREAKS]:
-        told += f"\n  {one.rule}: {one.subject}\n    " + one.records.replace("\n", "\n    ")
-    if len(result.broken) > SHOWN_BREAKS:
-        told += f"\n  and {len(result.broken) - SHOWN_BREAKS} more"
-    return told
+        text += f"\n  again: python -m benchmarks.soak --seeds {result.seed} --seconds {seconds:g}"
+    for violation in result.broken[:SHOWN_VIOLATIONS]:
+        text += f"\n  {violation.rule}: {violation.subject}\n    " + violation.records.replace("\n", "\n    ")
+    if len(result.broken) > SHOWN_VIOLATIONS:
+        text += f"\n  and {len(result.broken) - SHOWN_VIOLATIONS} more"
+    return text
 
 
-def table(results: list[Result]) -> str:
+def format_summary(results: list[Result]) -> str:
     """The counts over all plays."""
     verdicts = [result.verdict for result in results]
     rules: dict[str, int] = {}
     for result in results:
-        for one in result.broken:
-            rules[one.rule] = rules.get(one.rule, 0) + 1
+        for violation in result.broken:
+            rules[violation.rule] = rules.get(violation.rule, 0) + 1
     counts = ", ".join(f"{verdicts.count(name)} {name}" for name in ("passed", "disturbed", "broken"))
     return (
         f"{len(results)} plays, {sum(result.requests for result in results)} requests: {counts}; "
@@ -61,23 +61,23 @@
 
 @click.command(help=__doc__)
 @click.option("--seeds", default="1-50", show_default=True, help="A range, or seeds parted by commas.")
-@click.option("--seconds", type=float, help=f"Of traffic in a play. [default: {SECONDS:g}]")
-@click.option("--short", is_flag=True, help=f"Plays of {SHORT_SECONDS:g} s, as in CI.")
+@click.option("--seconds", type=float, help=f"Of traffic in a play. [default: {TRAFFIC_S:g}]")
+@click.option("--short", is_flag=True, help=f"Plays of {SHORT_TRAFFIC_S:g} s, as in CI.")
 @click.option("--report", type=click.Path(path_type=Path, file_okay=False), help="For one JSON file a play.")
 def main(seeds: str, seconds: float | None, short: bool, report: Path | None) -> None:
     """Play the seeds one after another."""
     raise_descriptors()
-    length_s = seconds or (SHORT_SECONDS if short else SECONDS)
+    traffic_s = seconds or (SHORT_TRAFFIC_S if short else TRAFFIC_S)
     results = []
-    for seed in seeds_of(seeds):
-        result = asyncio.run(run(draw_scenario(seed, length_s)))
+    for seed in parse_seeds(seeds):
+        result = asyncio.run(run(draw_scenario(seed, traffic_s)))
         results.append(result)
-        print(line(result, length_s), flush=True)
+        print(format_result(result, traffic_s), flush=True)
         if report is not None:
             report.mkdir(parents=True, exist_ok=True)
-            told = asdict(result) | {"verdict": result.verdict}
-            (report / f"seed-{seed}.json").write_text(json.dumps(told, indent=1))
-    print(table(results))
+            text = asdict(result) | {"verdict": result.verdict}
+            (report / f"seed-{seed}.json").write_text(json.dumps(text, indent=1))
+    print(format_summary(results))
     sys.exit(any(result.verdict == "broken" for result in results))
 
 
--- a/benchmarks/soak/drawing.py
+++ b/benchmarks/soak/drawing.py
@@ -38,26 +38,26 @@
 class Fault:
     """A trouble of workers or discovery, at a time of the play (s)."""
 
-    at: float
+    at_s: float
     kind: FaultKind
     worker: int
-    lasts: float
+    duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Pause:
     """The program stands still (SIGSTOP, SIGCONT)."""
 
-    at: float
-    lasts: float
+    at_s: float
+    duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Reload:
     """SIGHUP; with the tenants in another order where `reorder` is set."""
 
-    at: float
-    reorder: bool
+    at_s: float
+    reorder_tenants: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,26 +65,26 @@
     """One play."""
 
     seed: int
-    seconds: float  # of traffic before SIGTERM
-    rate: float  # requests a second
+    traffic_s: float  # of traffic before SIGTERM
+    request_rate_per_s: float  # requests a second
     classes: tuple[JobClassDraw, ...]
-    interfaces: tuple[int, ...]  # of the workers
-    fail: float  # part of the jobs that workers fail
-    slots: int  # of a worker
-    mix: dict[str, float]  # kinds of clients
-    book: float  # part of the requests of the class `book`
-    cancel: float  # part whose client leaves early
+    worker_interfaces: tuple[int, ...]  # of the workers
+    failing_job_fraction: float  # part of the jobs that workers fail
+    slots_per_worker: int  # of a worker
+    client_mix: dict[str, float]  # kinds of clients
+    book_fraction: float  # part of the requests of the class `book`
+    cancel_fraction: float  # part whose client leaves early
     memory_mb: int
     sockets: int
-    crowd: int  # idle clients
+    idle_client_count: int  # idle clients
     faults: tuple[Fault, ...]
     pauses: tuple[Pause, ...]  # also after SIGTERM
     reloads: tuple[Reload, ...]
-    second_sigterm_after: float | None  # s
-    resting: tuple[float, ...]  # s after SIGTERM at which kept connections that rested are used
+    second_sigterm_delay_s: float | None  # s
+    idle_until_s: tuple[float, ...]  # s after SIGTERM at which kept connections that rested are used
 
 
-def draw_scenario(seed: int, seconds: float) -> Scenario:
+def draw_scenario(seed: int, traffic_s: float) -> Scenario:
     """The play of a seed, with so many seconds of traffic."""
     rng = random.Random(f"soak:{seed}")
     classes = tuple(
@@ -96,37 +96,37 @@
         )
         for name in ("quote", "book")
     )
-    workers = rng.randint(2, 6)
+    worker_count = rng.randint(2, 6)
     kinds = rng.sample(KINDS, rng.randint(1, len(KINDS)))
-    signals = [rng.uniform(0.5, seconds + 2.5) for _ in range(rng.randint(2, 8))]
-    bursts = [rng.uniform(0.5, seconds + 1.0) for _ in range(rng.randint(1, 3))]
-    crowded = rng.random() < 0.3
+    pause_times_s = [rng.uniform(0.5, traffic_s + 2.5) for _ in range(rng.randint(2, 8))]
+    reload_times_s = [rng.uniform(0.5, traffic_s + 1.0) for _ in range(rng.randint(1, 3))]
+    has_idle_clients = rng.random() < 0.3
     return Scenario(
         seed,
-        seconds,
+        traffic_s,
         rng.choice((40.0, 80.0, 150.0)),
         classes,
-        tuple(rng.choice((1, 1, 2)) for _ in range(workers)),
+        tuple(rng.choice((1, 1, 2)) for _ in range(worker_count)),
         rng.choice((0.0, 0.0, 0.05, 0.2)),
         rng.choice((2, 4, 16)),
         {kind: rng.uniform(0.2, 1.0) for kind in kinds},
         rng.uniform(0.2, 0.8),
         rng.choice((0.0, 0.05, 0.2)),
         rng.choice((64, 96, 192)),
-        256 if crowded else 1024,
-        rng.randint(100, 200) if crowded else 0,
-        tuple(_draw_fault(rng, seconds, workers) for _ in range(rng.randint(1, 6))),
-        tuple(Pause(at, rng.uniform(0.005, 0.15)) for at in sorted(signals)),
+        256 if has_idle_clients else 1024,
+        rng.randint(100, 200) if has_idle_clients else 0,
+        tuple(_draw_fault(rng, traffic_s, worker_count) for _ in range(rng.randint(1, 6))),
+        tuple(Pause(at, rng.uniform(0.005, 0.15)) for at in sorted(pause_times_s)),
         tuple(
-            Reload(at + place * rng.uniform(0.0, 0.03), rng.random() < 0.5)
-            for at in sorted(bursts)
-            for place in range(rng.randint(1, 4))
+            Reload(at + index * rng.uniform(0.0, 0.03), rng.random() < 0.5)
+            for at in sorted(reload_times_s)
+            for index in range(rng.randint(1, 4))
         ),
         rng.choice((None, 0.0, 0.05, 1.0, 2.1)),
         tuple(rng.uniform(1.8, 2.6) for _ in range(12)),
     )
 
 
-def _draw_fault(rng: random.Random, seconds: float, workers: int) -> Fault:
+def _draw_fault(rng: random.Random, traffic_s: float, worker_count: int) -> Fault:
     kind = rng.choice(("roll", "goaway", "crash", "cut", "cut", "slow", "hang", "discovery"))
-    return Fault(rng.uniform(0.3, seconds), kind, rng.randrange(workers), rng.uniform(0.3, 2.0))
+    return Fault(rng.uniform(0.3, traffic_s), kind, rng.randrange(worker_count), rng.uniform(0.3, 2.0))
--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -19,10 +19,10 @@
 from pipitshed.testbed.planner import Behaviour
 from pipitshed.testbed.program import Running, scheduler
 
-SETTLE_S = 0.3  # after the start: interfaces that nobody tells are found out
+DETECTION_S = 0.3  # after the start: interfaces that nobody tells are found out
 KILL_MARGIN_S = 0.7  # beside the longest deadline, after which SIGKILL comes
-LISTEN_ON_S = 0.7  # for which a client listens beyond its patience, to see a late answer
-LOOK_EVERY_S = 0.01
+LATE_ANSWER_WAIT_S = 0.7  # for which a client listens beyond its patience, to see a late answer
+HOLDUP_CHECK_INTERVAL_S = 0.01
 DISTURBED_S = 0.1  # a hold-up of the stand-ins from which a play counts as disturbed
 RECENT_REQUESTS = 2000  # of which some may be under way
 SLOW_FACTOR, HANG_FACTOR = 8.0, 500.0
@@ -47,7 +47,7 @@
     @property
     def verdict(self) -> str:
         """`broken`, `disturbed` or `passed`; what depends on time breaks nothing in a disturbed play."""
-        if any(not one.timed or not self.disturbed for one in self.broken):
+        if any(not violation.timed or not self.disturbed for violation in self.broken):
             return "broken"
         return "disturbed" if self.disturbed else "passed"
 
@@ -57,7 +57,7 @@
 
     def __init__(self, scenario: Scenario, fleet: Fleet, running: Running) -> None:
         self.scenario, self.fleet, self.running = scenario, fleet, running
-        self.asked: list[Asked] = []
+        self.requests: list[Asked] = []
         self.pauses: list[tuple[float, float]] = []
         self.sigterm_at = float("inf")
         self.worst_holdup_s = 0.0
@@ -65,81 +65,94 @@
         self._http, self._gearman = HttpClients(running.http), GearmanClients(running.gearman)
         budget = DescriptorBudget(scenario.sockets)
         self._connection_limits = {"http": budget.http_client_count, "gearman": budget.gearman_peer_count}
-        self._asking: set[asyncio.Task[None]] = set()
+        self._request_tasks: set[asyncio.Task[None]] = set()
         self._fault_lock = asyncio.Lock()
-        self._began = monotonic()
+        self._started_at = monotonic()
 
     async def run(self) -> None:
         """Play it until the program has ended, or was killed."""
-        self._began = monotonic()
-        steps: list[tuple[float, Callable[[], Awaitable[None]]]] = [
-            *((one.at, lambda one=one: self._inject_fault(one)) for one in self.scenario.faults),
-            *((one.at, lambda one=one: self._pause(one)) for one in self.scenario.pauses),
-            *((one.at, lambda one=one: self._reload(one)) for one in self.scenario.reloads),
+        self._started_at = monotonic()
+        events: list[tuple[float, Callable[[], Awaitable[None]]]] = [
+            *((event.at_s, lambda event=event: self._inject_fault(event)) for event in self.scenario.faults),
+            *((event.at_s, lambda event=event: self._pause(event)) for event in self.scenario.pauses),
+            *((event.at_s, lambda event=event: self._reload(event)) for event in self.scenario.reloads),
         ]
-        looking = asyncio.create_task(self._look())
-        crowd = [
-            await asyncio.open_connection("127.0.0.1", self.running.http) for _ in range(self.scenario.crowd)
+        holdup_task = asyncio.create_task(self._measure_holdups())
+        idle_clients = [
+            await asyncio.open_connection("127.0.0.1", self.running.http)
+            for _ in range(self.scenario.idle_client_count)
         ]
-        script = [asyncio.create_task(self._at(at, step)) for at, step in steps]
-        ending = asyncio.create_task(self._end())
-        await self._traffic()
-        self.killed = await ending
-        await asyncio.gather(*self._asking)
-        looking.cancel()
-        for task in script:
+        event_tasks = [asyncio.create_task(self._run_at(at, action)) for at, action in events]
+        shutdown_task = asyncio.create_task(self._shut_down())
+        await self._send_requests()
+        self.killed = await shutdown_task
+        await asyncio.gather(*self._request_tasks)
+        holdup_task.cancel()
+        for task in event_tasks:
             task.cancel()
-        await asyncio.gather(*script, return_exceptions=True)
-        for _, writer in crowd:
+        await asyncio.gather(*event_tasks, return_exceptions=True)
+        for _, writer in idle_clients:
             writer.transport.abort()
         self._http.close()
         self._gearman.close()
 
-    async def _at(self, at: float, step: Callable[[], Awaitable[None]]) -> None:
-        await asyncio.sleep(max(0.0, self._began + at - monotonic()))
-        await step()
+    async def _run_at(self, at: float, action: Callable[[], Awaitable[None]]) -> None:
+        await asyncio.sleep(max(0.0, self._started_at + at - monotonic()))
+        await action()
 
-    async def _look(self) -> None:
+    async def _measure_holdups(self) -> None:
         """Measure how long this process, and so the stand-ins, were held up."""
         while True:
-            due = monotonic() + LOOK_EVERY_S
-            await asyncio.sleep(LOOK_EVERY_S)
+            due = monotonic() + HOLDUP_CHECK_INTERVAL_S
+            await asyncio.sleep(HOLDUP_CHECK_INTERVAL_S)
             self.worst_holdup_s = max(self.worst_holdup_s, monotonic() - due)
 
     # ---- clients
 
-    async def _traffic(self) -> None:
+    async def _send_requests(self) -> None:
         """Requests at their rate until the program has ended; some rest, to cross what closes them."""
         number = 0
         while self.running.process.returncode is None:
-            wait_s = self._began + number / self.scenario.rate - monotonic()
+            wait_s = self._started_at + number / self.scenario.request_rate_per_s - monotonic()
             if wait_s > 0:
                 await asyncio.sleep(wait_s)
             if monotonic() < self.sigterm_at + LONGEST_DEADLINE_S:
-                self._ask(number)
+                self._send_request(number)
             number += 1
 
-    def _ask(self, number: int) -> None:
+    def _send_request(self, number: int) -> None:
         scenario = self.scenario
-        one = draw(self._rng, f"{number:06d}", scenario.mix, scenario.cancel, 0.0, scenario.book)
-        deadline_s = next(each.deadline_s for each in scenario.classes if each.name == one.job_class)
-        is_http = one.kind.startswith("http")
-        one.patience = self._rng.uniform(0.3, deadline_s) if is_http else deadline_s
-        one.slack = LISTEN_ON_S
-        resting_s = [at for at in scenario.resting if self.sigterm_at < monotonic() < self.sigterm_at + at]
-        if monotonic() > self.sigterm_at and len(resting_s) == len(scenario.resting):
+        request = draw(
+            self._rng,
+            f"{number:06d}",
+            scenario.client_mix,
+            scenario.cancel_fraction,
+            0.0,
+            scenario.book_fraction,
+        )
+        deadline_s = next(each.deadline_s for each in scenario.classes if each.name == request.job_class)
+        is_http = request.kind.startswith("http")
+        request.patience = self._rng.uniform(0.3, deadline_s) if is_http else deadline_s
+        request.slack = LATE_ANSWER_WAIT_S
+        still_idle_s = [
+            at for at in scenario.idle_until_s if self.sigterm_at < monotonic() < self.sigterm_at + at
+        ]
+        if monotonic() > self.sigterm_at and len(still_idle_s) == len(scenario.idle_until_s):
             return  # nobody asks for a while, so that kept connections rest
         clients = "http" if is_http else "gearman"
-        if self._busy(clients) >= self._connection_limits[clients]:
+        if self._open_request_count(clients) >= self._connection_limits[clients]:
             return  # the door turns further connections away, unread
-        self.asked.append(one)
-        task = asyncio.create_task((self._http if is_http else self._gearman).ask(one))
-        self._asking.add(task)
-        task.add_done_callback(self._asking.discard)
+        self.requests.append(request)
+        task = asyncio.create_task((self._http if is_http else self._gearman).ask(request))
+        self._request_tasks.add(task)
+        task.add_done_callback(self._request_tasks.discard)
 
-    def _busy(self, clients: str) -> int:
+    def _open_request_count(self, clients: str) -> int:
         """How many requests of these clients are under way."""
-        return sum(one.kind.startswith(clients) and not one.ended for one in self.asked[-RECENT_REQUESTS:])
+        return sum(
+            request.kind.startswith(clients) and not request.ended
+            for request in self.requests[-RECENT_REQUESTS:]
+        )
 
     # ---- troubles and signals
 
@@ -152,14 +165,14 @@
             elif fault.kind == "goaway":
                 await fleet.roll(member, member.interface, goaway_only=member.interface == 2)
             elif fault.kind == "crash":
-                await fleet.crash(member, fault.lasts)
+                await fleet.crash(member, fault.duration_s)
             elif fault.kind == "cut":
                 member.gate.cut()
             elif fault.kind == "discovery":
-                await fleet.discovery.silence(fault.lasts)
+                await fleet.discovery.silence(fault.duration_s)
             else:
                 fleet.behaviour.slow = HANG_FACTOR if fault.kind == "hang" else SLOW_FACTOR
-                await asyncio.sleep(fault.lasts)
+                await asyncio.sleep(fault.duration_s)
                 fleet.behaviour.slow = 1.0
 
     def _signal(self, number: signal.Signals) -> None:
@@ -167,30 +180,30 @@
             self.running.process.send_signal(number)
 
     async def _pause(self, pause: Pause) -> None:
-        begin = monotonic()
+        paused_at = monotonic()
         self._signal(signal.SIGSTOP)
-        await asyncio.sleep(pause.lasts)
+        await asyncio.sleep(pause.duration_s)
         self._signal(signal.SIGCONT)
-        self.pauses.append((begin, monotonic()))
+        self.pauses.append((paused_at, monotonic()))
 
     async def _reload(self, reload: Reload) -> None:
-        if reload.reorder:
-            made = json.loads(self.running.config.read_text())
-            made["settings"]["tenants"].reverse()
-            self.running.config.write_text(json.dumps(made))
+        if reload.reorder_tenants:
+            config = json.loads(self.running.config.read_text())
+            config["settings"]["tenants"].reverse()
+            self.running.config.write_text(json.dumps(config))
         self._signal(signal.SIGHUP)
 
-    async def _end(self) -> bool:
+    async def _shut_down(self) -> bool:
         """SIGTERM, and SIGKILL at the protocol's earliest; whether that was needed."""
-        await asyncio.sleep(self.scenario.seconds)
+        await asyncio.sleep(self.scenario.traffic_s)
         self.sigterm_at = monotonic()
         self._signal(signal.SIGTERM)
-        if self.scenario.second_sigterm_after is not None:
-            await asyncio.sleep(self.scenario.second_sigterm_after)
+        if self.scenario.second_sigterm_delay_s is not None:
+            await asyncio.sleep(self.scenario.second_sigterm_delay_s)
             self._signal(signal.SIGTERM)
-        left_s = self.sigterm_at + LONGEST_DEADLINE_S + KILL_MARGIN_S - monotonic()
+        remaining_s = self.sigterm_at + LONGEST_DEADLINE_S + KILL_MARGIN_S - monotonic()
         try:
-            await asyncio.wait_for(self.running.process.wait(), left_s)
+            await asyncio.wait_for(self.running.process.wait(), remaining_s)
         except TimeoutError:
             self.running.process.kill()
             await self.running.process.wait()
@@ -198,22 +211,26 @@
         return False
 
 
-def _adjust(scenario: Scenario, made: dict[str, Any]) -> None:
+def _adjust(scenario: Scenario, config: dict[str, Any]) -> None:
     """Make the configuration the one of the play."""
-    made["limits"] |= {"memory_mb": scenario.memory_mb, "sockets": scenario.sockets}
-    made["settings"]["services"] = [job_class.settings() for job_class in scenario.classes]
+    config["limits"] |= {"memory_mb": scenario.memory_mb, "sockets": scenario.sockets}
+    config["settings"]["services"] = [job_class.settings() for job_class in scenario.classes]
 
 
 async def run(scenario: Scenario) -> Result:
     """Play it once, and judge it."""
-    fleet = Fleet(Behaviour(slots=scenario.slots, fail=scenario.fail), scenario.seed)
+    fleet = Fleet(
+        Behaviour(slots=scenario.slots_per_worker, fail=scenario.failing_job_fraction), scenario.seed
+    )
     await fleet.start(
-        list(scenario.interfaces), [place % 2 == 0 for place in range(len(scenario.interfaces))]
+        list(scenario.worker_interfaces), [index % 2 == 0 for index in range(len(scenario.worker_interfaces))]
     )
     peak_mb = 0.0
     try:
-        async with scheduler(fleet.discovery.port, adjust=lambda made: _adjust(scenario, made)) as running:
-            await asyncio.sleep(SETTLE_S)
+        async with scheduler(
+            fleet.discovery.port, adjust=lambda config: _adjust(scenario, config)
+        ) as running:
+            await asyncio.sleep(DETECTION_S)
             runner = _ScenarioRunner(scenario, fleet, running)
 
             async def watch_memory() -> None:
@@ -222,14 +239,14 @@
                     peak_mb = max(peak_mb, running.peak_mb())
                     await asyncio.sleep(0.2)
 
-            watching = asyncio.create_task(watch_memory())
+            memory_task = asyncio.create_task(watch_memory())
             await runner.run()
-            watching.cancel()
+            memory_task.cancel()
         exit_code = running.process.returncode
     finally:
         await fleet.close()
     records = Records(
-        runner.asked,
+        runner.requests,
         fleet.record.runs,
         fleet.members,
         runner.pauses,
@@ -241,8 +258,8 @@
         float(scenario.memory_mb),
     )
     outcomes: dict[str, int] = {}
-    for one in runner.asked:
-        outcomes[one.outcome] = outcomes.get(one.outcome, 0) + 1
+    for request in runner.requests:
+        outcomes[request.outcome] = outcomes.get(request.outcome, 0) + 1
     broken = find_violations(records, scenario.classes)
     figures = {"peak_mb": round(peak_mb, 1), "stops": len(runner.pauses), "reloads": len(scenario.reloads)}
-    return Result(scenario.seed, len(runner.asked), outcomes, runner.worst_holdup_s, broken, figures)
+    return Result(scenario.seed, len(runner.requests), outcomes, runner.worst_holdup_s, broken, figures)
--- a/benchmarks/soak/rules.py
+++ b/benchmarks/soak/rules.py
@@ -12,9 +12,9 @@
 from pipitshed.testbed.fleet.standins import Member
 from pipitshed.testbed.planner import Run
 
-AFTER_END_S = 0.1  # from a client's end, or its answer, after which no attempt begins
+LATE_ATTEMPT_TOLERANCE_S = 0.1  # from a client's end, or its answer, after which no attempt begins
 SHOWN_PAUSES_S = 2.0  # around a request: the program's stops that are shown with it
-DOORS_OPEN_S = 0.2  # after SIGTERM, for which new connections must still be taken
+MIN_ACCEPT_AFTER_SIGTERM_S = 0.2  # after SIGTERM, for which new connections must still be taken
 ACCOUNT_RULES = ("answered_twice", "wrong_result", "served_unrun", "unfit_but_ran", "ran_unasked")
 TIMED_ACCOUNT_RULES = ("two_outstanding", "after_drain")
 
@@ -33,7 +33,7 @@
 class Records:
     """All that was noted during a play. Times are seconds of the monotonic clock."""
 
-    asked: Sequence[Asked]
+    requests: Sequence[Asked]
     runs: list[Run]
     members: Sequence[Member]
     pauses: Sequence[tuple[float, float]]  # when the program stood still
@@ -47,36 +47,36 @@
 
 def find_violations(records: Records, classes: Iterable[JobClassDraw]) -> list[Violation]:
     """All rules that were broken."""
-    by_token: dict[str, list[Run]] = defaultdict(list)
+    runs_by_token: dict[str, list[Run]] = defaultdict(list)
     for run in sorted(records.runs, key=lambda run: run.came):
-        by_token[run.token].append(run)
-    by_name = {job_class.name: job_class for job_class in classes}
-    found = _process_breaks(records) + _account_breaks(records)
-    for asked in records.asked:
-        runs = by_token[asked.token]
-        found += _answer_breaks(records, asked, runs)
-        found += _repeat_breaks(by_name[asked.job_class], asked, runs)
-    return found
-
-
-def _process_breaks(records: Records) -> list[Violation]:
-    found = []
+        runs_by_token[run.token].append(run)
+    classes_by_name = {job_class.name: job_class for job_class in classes}
+    violations = _process_violations(records) + _account_violations(records)
+    for request in records.requests:
+        runs = runs_by_token[request.token]
+        violations += _answer_violations(records, request, runs)
+        violations += _repeat_violations(classes_by_name[request.job_class], request, runs)
+    return violations
+
+
+def _process_violations(records: Records) -> list[Violation]:
+    violations = []
     log = "\n".join(records.log)
     if records.killed:
-        found.append(Violation("ended_before_sigkill", "the program", log[-2000:]))
+        violations.append(Violation("ended_before_sigkill", "the program", log[-2000:]))
     elif records.exit_code != 0:
-        found.append(Violation("exit_code", str(records.exit_code), log[-2000:]))
+        violations.append(Violation("exit_code", str(records.exit_code), log[-2000:]))
     if "Traceback" in log:
-        found.append(Violation("traceback", "the log", log[log.index("Traceback") :][:3000]))
+        violations.append(Violation("traceback", "the log", log[log.index("Traceback") :][:3000]))
     if records.peak_mb > records.memory_limit_mb:
-        found.append(
+        violations.append(
             Violation("memory", f"{records.peak_mb:.0f} MB", f"limit {records.memory_limit_mb:.0f} MB")
         )
-    return found
+    return violations
 
 
-def _account_breaks(records: Records) -> list[Violation]:
-    figures = account(records.asked, records.runs, records.members)
+def _account_violations(records: Records) -> list[Violation]:
+    figures = account(records.requests, records.runs, records.members)
     faults = figures["faults"]
     assert isinstance(faults, dict)
     return [
@@ -86,28 +86,33 @@
     ]
 
 
-def _answer_breaks(records: Records, asked: Asked, runs: list[Run]) -> list[Violation]:
+def _answer_violations(records: Records, request: Asked, runs: list[Run]) -> list[Violation]:
     """One final answer in time, and no attempt behind it."""
-    told = (
-        f"{describe(asked, runs)}\n  SIGTERM came {records.sigterm_at - asked.sent:.3f} s after it was sent"
+    details = (
+        f"{describe(request, runs)}\n"
+        f"  SIGTERM came {records.sigterm_at - request.sent:.3f} s after it was sent"
     )
-    near = [pause for pause in records.pauses if abs(pause[0] - asked.sent) < SHOWN_PAUSES_S]
-    told += "".join(f"\n  stood still {a - asked.sent:.3f} to {b - asked.sent:.3f}" for a, b in near)
-    if asked.outcome == "unanswered":
+    pauses = [pause for pause in records.pauses if abs(pause[0] - request.sent) < SHOWN_PAUSES_S]
+    details += "".join(
+        f"\n  stood still {start - request.sent:.3f} to {end - request.sent:.3f}" for start, end in pauses
+    )
+    if request.outcome == "unanswered":
         # A close may cross a request that was not read; a closed door refuses one. Neither was taken.
-        closing = asked.ended > records.sigterm_at
-        door_closed = asked.ended > records.sigterm_at + DOORS_OPEN_S
-        excused = (closing and asked.untaken and asked.kept) or (door_closed and asked.untaken)
-        return [] if excused and not runs else [Violation("one_answer", asked.token, told)]
-    found = []
-    if asked.outcome != "withdrawn":
-        late_s = asked.ended - (asked.sent + asked.patience) - SLACK
-        if late_s > _paused_s(records.pauses, asked.sent, asked.ended):
-            found.append(Violation("answer_in_time", asked.token, f"{late_s:.3f} s late: {told}", timed=True))
-    late_runs = [run for run in runs if run.came > asked.ended + AFTER_END_S]
+        closing = request.ended > records.sigterm_at
+        may_refuse = request.ended > records.sigterm_at + MIN_ACCEPT_AFTER_SIGTERM_S
+        excused = (closing and request.untaken and request.kept) or (may_refuse and request.untaken)
+        return [] if excused and not runs else [Violation("one_answer", request.token, details)]
+    violations = []
+    if request.outcome != "withdrawn":
+        late_s = request.ended - (request.sent + request.patience) - SLACK
+        if late_s > _paused_s(records.pauses, request.sent, request.ended):
+            violations.append(
+                Violation("answer_in_time", request.token, f"{late_s:.3f} s late: {details}", timed=True)
+            )
+    late_runs = [run for run in runs if run.came > request.ended + LATE_ATTEMPT_TOLERANCE_S]
     if late_runs:
-        found.append(Violation("attempt_after_the_end", asked.token, told, timed=True))
-    return found
+        violations.append(Violation("attempt_after_the_end", request.token, details, timed=True))
+    return violations
 
 
 def _paused_s(pauses: Sequence[tuple[float, float]], since: float, until: float) -> float:
@@ -115,32 +120,33 @@
     return sum(max(0.0, min(end, until) - max(begin, since)) for begin, end in pauses)
 
 
-def _repeat_breaks(job_class: JobClassDraw, asked: Asked, runs: list[Run]) -> list[Violation]:
+def _repeat_violations(job_class: JobClassDraw, request: Asked, runs: list[Run]) -> list[Violation]:
     """Repeats as the class allows, and "never ran" only where no worker has a record of it."""
     ran = [run for run in runs if run.how != "returned"]
-    told = describe(asked, runs)
+    details = describe(request, runs)
     if job_class.repeat == "retryable":
         return []
-    found = []
+    violations = []
     if job_class.repeat == "fragile" and len(ran) > 1:
-        found.append(Violation("ran_twice", asked.token, told))
+        violations.append(Violation("ran_twice", request.token, details))
     zone_scope = job_class.repeat == "dedup" and job_class.scope == "zone"
     if zone_scope and len({run.zone for run in ran}) > 1:
-        found.append(Violation("repeated_in_another_zone", asked.token, told))
-    if asked.outcome == "refused" and ran and (job_class.repeat == "fragile" or zone_scope):
-        found.append(Violation("refused_though_it_ran", asked.token, told))
-    return found
+        violations.append(Violation("repeated_in_another_zone", request.token, details))
+    if request.outcome == "refused" and ran and (job_class.repeat == "fragile" or zone_scope):
+        violations.append(Violation("refused_though_it_ran", request.token, details))
+    return violations
 
 
-def describe(asked: Asked, runs: Iterable[Run]) -> str:
+def describe(request: Asked, runs: Iterable[Run]) -> str:
     """The records of one request, in order, with times since it was sent."""
     lines = [
-        f"{asked.kind} {asked.job_class} patience {asked.patience:.3f} leaves {asked.leave_after:.3f}: "
-        f"{asked.outcome} after {asked.ended - asked.sent:.3f} s {asked.detail}"
+        f"{request.kind} {request.job_class} patience {request.patience:.3f} "
+        f"leaves {request.leave_after:.3f}: "
+        f"{request.outcome} after {request.ended - request.sent:.3f} s {request.detail}"
     ]
     lines += [
-        f"  {run.planner} ({run.zone}, interface {run.interface}) came {run.came - asked.sent:.3f} "
-        f"ended {run.ended - asked.sent:.3f} {run.how}"
+        f"  {run.planner} ({run.zone}, interface {run.interface}) came {run.came - request.sent:.3f} "
+        f"ended {run.ended - request.sent:.3f} {run.how}"
         for run in runs
     ]
     return "\n".join(lines)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from benchmarks.soak.__main__ import line, seeds_of, table
+from benchmarks.soak.__main__ import format_result, format_summary, parse_seeds
 from benchmarks.soak.drawing import JobClassDraw, draw_scenario
 from benchmarks.soak.play import DISTURBED_S, Result
 from benchmarks.soak.rules import Records, Violation, find_violations
@@ -18,22 +18,26 @@
 ZONED = (CLASSES[0], JobClassDraw("book", 1.5, "dedup", "zone"))
 
 
-def asked(outcome: str = "served", job_class: str = "book", **changes: object) -> Asked:
+def make_request(outcome: str = "served", job_class: str = "book", **changes: object) -> Asked:
     """A request that was sent at 10 s and has its answer 0.5 s later."""
-    one = Asked("t1", "http-v1", job_class, "k-t1", "andes-retail", 1.0, 3)
-    one.sent, one.ended, one.outcome, one.answers = 10.0, 10.5, outcome, 1
+    request = Asked("t1", "http-v1", job_class, "k-t1", "andes-retail", 1.0, 3)
+    request.sent, request.ended, request.outcome, request.answers = 10.0, 10.5, outcome, 1
     for name, value in changes.items():
-        setattr(one, name, value)
-    return one
+        setattr(request, name, value)
+    return request
 
 
-def run(came: float = 10.1, how: str = "done", zone: str = "lima-norte", planner: str = "planner-1") -> Run:
+def make_run(
+    came: float = 10.1, how: str = "done", zone: str = "lima-norte", planner: str = "planner-1"
+) -> Run:
     return Run("t1", "book", "k-t1", "andes-retail", 0.8, planner, zone, 1, came, came + 0.1, how)
 
 
-def rules(one: Asked, *runs: Run, classes: tuple[JobClassDraw, ...] = CLASSES, **changes: object) -> set[str]:
+def violated_rules(
+    request: Asked, *runs: Run, classes: tuple[JobClassDraw, ...] = CLASSES, **changes: object
+) -> set[str]:
     """The rules that this request breaks."""
-    records = Records([one], list(runs), [], [], SIGTERM_AT, False, 0, ["INFO ended:"], 40.0, 64.0)
+    records = Records([request], list(runs), [], [], SIGTERM_AT, False, 0, ["INFO ended:"], 40.0, 64.0)
     return {broken.rule for broken in find_violations(replace(records, **changes), classes)}  # type: ignore[arg-type]
 
 
@@ -45,58 +49,69 @@
         {one.kind for scenario in scenarios for one in scenario.faults},
     ):
         assert len(kinds) >= 3
-    assert {scenario.crowd > 0 for scenario in scenarios} == {True, False}
-    assert all(0.005 <= pause.lasts <= 0.15 for scenario in scenarios for pause in scenario.pauses)
+    assert {scenario.idle_client_count > 0 for scenario in scenarios} == {True, False}
+    assert all(0.005 <= pause.duration_s <= 0.15 for scenario in scenarios for pause in scenario.pauses)
 
 
 def test_a_request_that_is_served_once_breaks_nothing() -> None:
-    assert rules(asked(), run()) == set()
-    assert rules(asked("refused", "quote"), run(how="cancelled")) == set()  # it may be repeated
-    assert rules(asked("refused"), run(how="returned")) == set()
+    assert violated_rules(make_request(), make_run()) == set()
+    assert (
+        violated_rules(make_request("refused", "quote"), make_run(how="cancelled")) == set()
+    )  # it may be repeated
+    assert violated_rules(make_request("refused"), make_run(how="returned")) == set()
 
 
 @pytest.mark.parametrize(
     ("one", "runs", "classes", "rule"),
     [
-        (asked(), [run(), run(10.3, planner="planner-2")], CLASSES, "ran_twice"),
-        (asked(), [run(), run(10.3, zone="arequipa")], ZONED, "repeated_in_another_zone"),
-        (asked("refused"), [run(how="cancelled")], CLASSES, "refused_though_it_ran"),
-        (asked("refused"), [run(how="cancelled")], ZONED, "refused_though_it_ran"),
-        (asked("failed", ended=10.2), [run(10.31, how="cancelled")], CLASSES, "attempt_after_the_end"),
-        (asked("withdrawn", ended=10.05), [run(10.2)], CLASSES, "attempt_after_the_end"),
-        (asked(answers=2), [run()], CLASSES, "answered_twice"),
-        (asked(wrong="another truck"), [run()], CLASSES, "wrong_result"),
-        (asked(), [], CLASSES, "served_unrun"),
-        (asked("failed", ended=11.2), [run()], CLASSES, "answer_in_time"),
-        (asked("unanswered", ended=11.7, answers=0), [run()], CLASSES, "one_answer"),
+        (make_request(), [make_run(), make_run(10.3, planner="planner-2")], CLASSES, "ran_twice"),
+        (make_request(), [make_run(), make_run(10.3, zone="arequipa")], ZONED, "repeated_in_another_zone"),
+        (make_request("refused"), [make_run(how="cancelled")], CLASSES, "refused_though_it_ran"),
+        (make_request("refused"), [make_run(how="cancelled")], ZONED, "refused_though_it_ran"),
+        (
+            make_request("failed", ended=10.2),
+            [make_run(10.31, how="cancelled")],
+            CLASSES,
+            "attempt_after_the_end",
+        ),
+        (make_request("withdrawn", ended=10.05), [make_run(10.2)], CLASSES, "attempt_after_the_end"),
+        (make_request(answers=2), [make_run()], CLASSES, "answered_twice"),
+        (make_request(wrong="another truck"), [make_run()], CLASSES, "wrong_result"),
+        (make_request(), [], CLASSES, "served_unrun"),
+        (make_request("failed", ended=11.2), [make_run()], CLASSES, "answer_in_time"),
+        (make_request("unanswered", ended=11.7, answers=0), [make_run()], CLASSES, "one_answer"),
     ],
 )
 def test_each_rule_finds_its_break(
     one: Asked, runs: list[Run], classes: tuple[JobClassDraw, ...], rule: str
 ) -> None:
-    assert rules(one, *runs, classes=classes) == {rule}
+    assert violated_rules(one, *runs, classes=classes) == {rule}
 
 
 def test_a_late_answer_is_excused_by_as_much_as_the_program_stood_still() -> None:
-    late = asked("failed", ended=11.2)
-    assert rules(late, run(), pauses=[(10.9, 11.05)]) == set()
-    assert rules(late, run(), pauses=[(9.0, 10.05)]) == {"answer_in_time"}
+    late = make_request("failed", ended=11.2)
+    assert violated_rules(late, make_run(), pauses=[(10.9, 11.05)]) == set()
+    assert violated_rules(late, make_run(), pauses=[(9.0, 10.05)]) == {"answer_in_time"}
 
 
 def test_a_request_that_crossed_the_close_was_never_taken_and_one_that_ran_was() -> None:
-    crossed = asked("unanswered", answers=0, untaken=True, kept=True, sent=102.0, ended=102.1)
-    assert rules(crossed) == set()
-    assert rules(crossed, run(102.05)) == {"one_answer"}
-    assert rules(replace(crossed, sent=90.0, ended=90.1)) == {"one_answer"}
+    crossed = make_request("unanswered", answers=0, untaken=True, kept=True, sent=102.0, ended=102.1)
+    assert violated_rules(crossed) == set()
+    assert violated_rules(crossed, make_run(102.05)) == {"one_answer"}
+    assert violated_rules(replace(crossed, sent=90.0, ended=90.1)) == {"one_answer"}
     refused = replace(crossed, kept=False, sent=100.1, ended=100.15)
-    assert rules(refused) == {"one_answer"} and rules(replace(refused, ended=100.3)) == set()
+    assert (
+        violated_rules(refused) == {"one_answer"} and violated_rules(replace(refused, ended=100.3)) == set()
+    )
 
 
 def test_the_process_is_held_to_its_end_its_log_and_its_memory() -> None:
-    assert rules(asked(), run(), killed=True) == {"ended_before_sigkill"}
-    assert rules(asked(), run(), exit_code=1) == {"exit_code"}
-    assert rules(asked(), run(), log=["Traceback (most recent call last):"]) == {"traceback"}
-    assert rules(asked(), run(), peak_mb=65.0) == {"memory"}
+    assert violated_rules(make_request(), make_run(), killed=True) == {"ended_before_sigkill"}
+    assert violated_rules(make_request(), make_run(), exit_code=1) == {"exit_code"}
+    assert violated_rules(make_request(), make_run(), log=["Traceback (most recent call last):"]) == {
+        "traceback"
+    }
+    assert violated_rules(make_request(), make_run(), peak_mb=65.0) == {"memory"}
 
 
 def test_a_disturbed_play_never_passed_and_breaks_by_time_count_in_undisturbed_ones_alone() -> None:
@@ -108,9 +123,9 @@
     assert replace(quiet, broken=late).verdict == "broken"
     assert replace(held_up, broken=late).verdict == "disturbed"
     assert replace(held_up, broken=[Violation("ran_twice", "t1", "")]).verdict == "broken"
-    assert "--seeds 3 --seconds 20" in line(replace(quiet, broken=late), 20.0)
-    assert "1 passed, 1 disturbed, 0 broken" in table([quiet, held_up])
+    assert "--seeds 3 --seconds 20" in format_result(replace(quiet, broken=late), 20.0)
+    assert "1 passed, 1 disturbed, 0 broken" in format_summary([quiet, held_up])
 
 
 def test_seeds_are_ranges_or_parted_by_commas() -> None:
-    assert seeds_of("1-3,7") == [1, 2, 3, 7]
+    assert parse_seeds("1-3,7") == [1, 2, 3, 7]
