--- a/benchmarks/fleet_trace.py
+++ b/benchmarks/fleet_trace.py
@@ -18,104 +18,107 @@
 
 import click
 
-WINDOW = 2.5  # s of the list calls' table
+WINDOW_S = 2.5  # s of the list calls' table
 
 
 @dataclass(frozen=True)
-class Line:
+class TraceLine:
     """One traced event (`<`) or action (`>`) of one scheduler."""
 
-    at: float  # s since that scheduler's start
-    way: str
+    at_s: float  # s since that scheduler's start
+    direction: str
     kind: str
     fields: dict[str, str]
 
 
-def lines(text: Iterable[str]) -> Iterator[Line]:
+def trace_lines(text: Iterable[str]) -> Iterator[TraceLine]:
     """The traced lines of one log; what else stands in it is passed over."""
-    for raw in text:
-        parts = raw.split()
+    for log_line in text:
+        parts = log_line.split()
         if len(parts) < 4 or parts[2] not in ("<", ">"):
             continue
         try:
-            at = float(parts[0])
+            at_s = float(parts[0])
         except ValueError:
             continue
-        told = dict(part.split("=", 1) for part in parts[4:] if "=" in part)
-        yield Line(at, parts[2], parts[3], told)
+        fields = dict(part.split("=", 1) for part in parts[4:] if "=" in part)
+        yield TraceLine(at_s, parts[2], parts[3], fields)
 
 
 @dataclass
-class Fleet:
+class FleetCounts:
     """What all schedulers' traces add up to."""
 
-    sends: Counter[str] = field(default_factory=Counter)
+    sends_by_worker: Counter[str] = field(default_factory=Counter)
     outcomes: defaultdict[str, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
     error_ms: list[float] = field(default_factory=list)
     served_ms: list[float] = field(default_factory=list)
-    asks: Counter[float] = field(default_factory=Counter)
-    news: defaultdict[float, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
-    late: dict[bool, Counter[str]] = field(default_factory=lambda: {True: Counter(), False: Counter()})
-    schedulers: Counter[bool] = field(default_factory=Counter)
+    list_calls: Counter[float] = field(default_factory=Counter)
+    list_answers: defaultdict[float, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
+    late_counts: dict[bool, Counter[str]] = field(default_factory=lambda: {True: Counter(), False: Counter()})
+    scheduler_counts: Counter[bool] = field(default_factory=Counter)
 
-    def add(self, trace: list[Line], after: float) -> None:
+    def add(self, trace: list[TraceLine], after: float) -> None:
         """One scheduler's trace."""
-        hears = any(
-            line.kind == "ListNews" and line.fields.get("kind") in ("FULL", "DELTA") and line.at > after
+        hears_updates = any(
+            line.kind == "ListNews" and line.fields.get("kind") in ("FULL", "DELTA") and line.at_s > after
             for line in trace
         )
-        self.schedulers[hears] += 1
+        self.scheduler_counts[hears_updates] += 1
         for line in trace:
-            window = int(line.at // WINDOW) * WINDOW
+            window = int(line.at_s // WINDOW_S) * WINDOW_S
             if line.kind == "Send":
-                self.sends[line.fields["worker"]] += 1
+                self.sends_by_worker[line.fields["worker"]] += 1
             elif line.kind == "Finished":
                 outcome = line.fields["outcome"]
                 self.outcomes[line.fields["worker"]][outcome] += 1
-                elapsed = float(line.fields.get("elapsed", "0"))
+                elapsed_ms = float(line.fields.get("elapsed", "0"))
                 if outcome == "ERROR":
-                    self.error_ms.append(elapsed)
+                    self.error_ms.append(elapsed_ms)
                 elif outcome == "OK":
-                    self.served_ms.append(elapsed)
+                    self.served_ms.append(elapsed_ms)
             elif line.kind in ("WatchList", "FetchList"):
-                self.asks[window] += 1
+                self.list_calls[window] += 1
             elif line.kind == "ListNews":
-                self.news[window][line.fields.get("kind", "")] += 1
-            if line.at > after and line.kind in ("Submitted", "Refuse", "Fail"):
-                self.late[hears][line.kind] += 1
-            if line.at > after and line.kind == "Finished":
-                self.late[hears][line.fields["outcome"]] += 1
+                self.list_answers[window][line.fields.get("kind", "")] += 1
+            if line.at_s > after and line.kind in ("Submitted", "Refuse", "Fail"):
+                self.late_counts[hears_updates][line.kind] += 1
+            if line.at_s > after and line.kind == "Finished":
+                self.late_counts[hears_updates][line.fields["outcome"]] += 1
 
     def report(self) -> dict[str, object]:
-        fair = sum(self.sends.values()) / (len(self.sends) or 1)
-        failing = Counter({worker: told["ERROR"] for worker, told in self.outcomes.items() if told["ERROR"]})
+        fair_share = sum(self.sends_by_worker.values()) / (len(self.sends_by_worker) or 1)
+        error_counts = Counter(
+            {worker: outcomes["ERROR"] for worker, outcomes in self.outcomes.items() if outcomes["ERROR"]}
+        )
         return {
-            "sends": sum(self.sends.values()),
-            "planners": len(self.sends),
-            "fair_share": round(fair, 1),
+            "sends": sum(self.sends_by_worker.values()),
+            "planners": len(self.sends_by_worker),
+            "fair_share": round(fair_share, 1),
             "most_sent": [
-                (worker, count, dict(self.outcomes[worker])) for worker, count in self.sends.most_common(8)
+                (worker, count, dict(self.outcomes[worker]))
+                for worker, count in self.sends_by_worker.most_common(8)
             ],
             "failing": [
-                (worker, errors, round(self.sends[worker] / fair, 2))
-                for worker, errors in failing.most_common(8)
+                (worker, errors, round(self.sends_by_worker[worker] / fair_share, 2))
+                for worker, errors in error_counts.most_common(8)
             ],
             "error_ms_median": round(statistics.median(self.error_ms), 1) if self.error_ms else None,
             "served_ms_median": round(statistics.median(self.served_ms), 1) if self.served_ms else None,
             "list_calls": [
-                (window, self.asks[window], dict(self.news[window]))
-                for window in sorted(set(self.asks) | set(self.news))
+                (window, self.list_calls[window], dict(self.list_answers[window]))
+                for window in sorted(set(self.list_calls) | set(self.list_answers))
             ],
-            "hearing": {"schedulers": self.schedulers[True], **self.late[True]},
-            "blind": {"schedulers": self.schedulers[False], **self.late[False]},
+            "hearing": {"schedulers": self.scheduler_counts[True], **self.late_counts[True]},
+            "blind": {"schedulers": self.scheduler_counts[False], **self.late_counts[False]},
         }
 
 
-def count(folder: Path, after: float) -> dict[str, object]:
-    fleet = Fleet()
+def summarize(folder: Path, after: float) -> dict[str, object]:
+    fleet = FleetCounts()
     for path in sorted(folder.glob("*.log")):
         with path.open() as text:
-            fleet.add(list(lines(text)), after)
+            fleet.add(list(trace_lines(text)), after)
     return fleet.report()
 
 
@@ -129,7 +132,7 @@
 )
 def main(logs: Path, after: float, out: Path | None) -> None:
     """Count the traces in LOGS across the fleet."""
-    report = count(logs, after)
+    report = summarize(logs, after)
     for key, value in report.items():
         if isinstance(value, list):
             click.echo(f"{key}:")
--- a/tests/proxy/test_fleet_trace.py
+++ b/tests/proxy/test_fleet_trace.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from benchmarks.fleet_trace import count
+from benchmarks.fleet_trace import summarize
 
 HEARS = """0.000 INFO listening on 127.0.0.1:5000
 0.1 100.0 > Send job=1 worker=s-a timeout=0.0
@@ -26,7 +26,7 @@
 def test_a_failing_planner_and_blind_schedulers_are_counted(tmp_path: Path) -> None:
     (tmp_path / "n0.log").write_text(HEARS)
     (tmp_path / "n1.log").write_text(BLIND)
-    report = count(tmp_path, after=12.0)
+    report = summarize(tmp_path, after=12.0)
     assert report["sends"] == 3 and report["planners"] == 2
     assert report["failing"] == [("s-b", 2, 1.33)]
     assert report["error_ms_median"] == 13.5 and report["served_ms_median"] == 600.0
