--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -22,11 +22,11 @@
 from pipitshed.membership.members import MemberState
 from pipitshed.testbed.virtual_view import Network
 
-HEADERS = 28  # bytes of IP and UDP around a datagram
-STEP = 0.02  # s
+HEADER_BYTES = 28  # bytes of IP and UDP around a datagram
+STEP_S = 0.02  # s
 
 
-def settled(size: int, seed: int, loss: float) -> Network:
+def joined_network(size: int, seed: int, loss: float) -> Network:
     """A fleet that has joined, and told all of it."""
     network = Network(seed, loss=loss)
     network.fleet(size)
@@ -39,69 +39,69 @@
 def detection(size: int, seed: int) -> dict[str, Any]:
     """How long until one that is killed is held dead: by the first, and by all; and until a fleet of which a
     fifth was cut off for 20 s is whole again."""
-    network = settled(size, seed, 0.0)
+    network = joined_network(size, seed, 0.0)
     victim = list(network.nodes.values())[size // 2]
-    killed = network.now
+    killed_at = network.now
     network.kill(victim)
-    all_know = network.settle(60.0, STEP)
-    told = [
+    all_s = network.settle(60.0, STEP_S)
+    declared_dead_at = [
         when
         for when, _, news in network.news
-        if when > killed and news.record.name == victim.name and news.record.state is MemberState.DEAD
+        if when > killed_at and news.record.name == victim.name and news.record.state is MemberState.DEAD
     ]
-    apart = {node.address for node in list(network.nodes.values())[: max(1, size // 5)]}
-    network.cut = lambda source, target: (source in apart) != (target in apart)
+    isolated = {node.address for node in list(network.nodes.values())[: max(1, size // 5)]}
+    network.cut = lambda source, target: (source in isolated) != (target in isolated)
     network.run(20.0)
     network.cut = lambda source, target: False
-    whole = network.settle(120.0, STEP)
+    healed_s = network.settle(120.0, STEP_S)
     return {
         "size": size,
         "seed": seed,
-        "first_s": round(min(told) - killed, 3) if told else None,
-        "all_s": all_know,
-        "healed_s": whole,
+        "first_s": round(min(declared_dead_at) - killed_at, 3) if declared_dead_at else None,
+        "all_s": all_s,
+        "healed_s": healed_s,
     }
 
 
 def cost(size: int, seed: int) -> dict[str, Any]:
     """Bytes, messages and CPU a second and scheduler, of a fleet that agrees."""
-    network = settled(size, seed, 0.0)
-    codec, size_of = Codec("fleet"), 0
-    sent, seconds = 0, 20.0 if size < 200 else 10.0
+    network = joined_network(size, seed, 0.0)
+    codec, byte_count = Codec("fleet"), 0
+    sent, duration_s = 0, 20.0 if size < 200 else 10.0
     send = network._send
 
-    def counted(node: Any, to: Any, message: Any) -> None:
-        nonlocal size_of, sent
+    def counting_send(node: Any, to: Any, message: Any) -> None:
+        nonlocal byte_count, sent
         sent += 1
-        size_of += len(codec.encode(message)) + HEADERS
+        byte_count += len(codec.encode(message)) + HEADER_BYTES
         send(node, to, message)
 
-    network._send = counted  # type: ignore[method-assign]
-    began = time.process_time()
-    network.run(seconds)
-    cpu = time.process_time() - began
-    share = size * seconds
+    network._send = counting_send  # type: ignore[method-assign]
+    cpu_start_s = time.process_time()
+    network.run(duration_s)
+    cpu_s = time.process_time() - cpu_start_s
+    scheduler_seconds = size * duration_s
     return {
         "size": size,
         "seed": seed,
-        "bytes_a_second": round(size_of / share),
-        "messages_a_second": round(sent / share, 2),
-        "cpu_ms_a_second": round(cpu / share * 1000, 3),
+        "bytes_a_second": round(byte_count / scheduler_seconds),
+        "messages_a_second": round(sent / scheduler_seconds, 2),
+        "cpu_ms_a_second": round(cpu_s / scheduler_seconds * 1000, 3),
     }
 
 
-def deaths(size: int, seed: int, loss: float, slow: bool, hours: float) -> dict[str, Any]:
+def false_deaths(size: int, seed: int, loss: float, slow: bool, hours: float) -> dict[str, Any]:
     """How often one that lives is declared dead in so many hours, by any that lives, counted once for each
     time it was; with `slow`, one in ten stands still for 0.3 s every 2 s."""
-    network = settled(size, seed, loss)
+    network = joined_network(size, seed, loss)
     network.news.clear()
     until = network.now + hours * 3600
-    slowed = list(network.nodes.values())[::10] if slow else []
+    slow_nodes = list(network.nodes.values())[::10] if slow else []
     while network.now < until:
-        for node in slowed:
+        for node in slow_nodes:
             network.stop(node, 0.3)
         network.run(2.0 if slow else 60.0)
-    said = {
+    declared_dead = {
         (news.record.name, news.record.incarnation)
         for _, _, news in network.news
         if news.record.state is MemberState.DEAD
@@ -112,20 +112,24 @@
         "loss": loss,
         "slow": slow,
         "hours": hours,
-        "false_deaths": len(said),
-        "an_hour": round(len(said) / hours, 3),
+        "false_deaths": len(declared_dead),
+        "an_hour": round(len(declared_dead) / hours, 3),
     }
 
 
-def call(job: tuple[str, tuple[Any, ...]]) -> tuple[str, dict[str, Any]]:
-    what, words = job
-    plays: dict[str, Callable[..., dict[str, Any]]] = {"detection": detection, "cost": cost, "deaths": deaths}
-    return what, plays[what](*words)
+def run_job(job: tuple[str, tuple[Any, ...]]) -> tuple[str, dict[str, Any]]:
+    measurement, arguments = job
+    measurements: dict[str, Callable[..., dict[str, Any]]] = {
+        "detection": detection,
+        "cost": cost,
+        "deaths": false_deaths,
+    }
+    return measurement, measurements[measurement](*arguments)
 
 
-def part(values: list[float], share: float) -> float:
+def percentile(values: list[float], fraction: float) -> float:
     """The value under which this share of them lies."""
-    return sorted(values)[min(len(values) - 1, math.ceil(len(values) * share) - 1)]
+    return sorted(values)[min(len(values) - 1, math.ceil(len(values) * fraction) - 1)]
 
 
 @click.command()
@@ -148,35 +152,35 @@
     plot: Path | None,
 ) -> None:
     """Play the networks and print a row for each, then the tables."""
-    chosen = [int(size) for size in sizes.split(",")]
-    work: list[tuple[str, tuple[Any, ...]]] = [("cost", (size, 1)) for size in chosen]
+    network_sizes = [int(size) for size in sizes.split(",")]
+    work: list[tuple[str, tuple[Any, ...]]] = [("cost", (size, 1)) for size in network_sizes]
     work += [
         ("detection", (size, seed))
-        for size in chosen
+        for size in network_sizes
         for seed in range(1, 1 + (seeds if size <= 100 else max(1, seeds // 5)))
     ]
-    for size in chosen:
+    for size in network_sizes:
         if size <= deaths_upto and hours:
             work += [("deaths", (size, 1, float(loss), False, hours)) for loss in losses.split(",")]
             work.append(("deaths", (size, 1, 0.0, True, hours)))
     rows: dict[str, list[dict[str, Any]]] = {"cost": [], "detection": [], "deaths": []}
     with ProcessPoolExecutor(jobs) as pool:
-        for what, row in pool.map(call, work):
-            rows[what].append(row)
-            text = json.dumps({"what": what} | row)
+        for measurement, row in pool.map(run_job, work):
+            rows[measurement].append(row)
+            text = json.dumps({"what": measurement} | row)
             click.echo(text)
             if out is not None:
                 with out.open("a") as lines:
                     lines.write(text + "\n")
-    for size in chosen:
-        mine = [row for row in rows["detection"] if row["size"] == size]
+    for size in network_sizes:
+        size_rows = [row for row in rows["detection"] if row["size"] == size]
         for name in ("first_s", "all_s", "healed_s"):
-            values = [row[name] for row in mine if row[name] is not None]
-            missing = len(mine) - len(values)
+            values = [row[name] for row in size_rows if row[name] is not None]
+            missing = len(size_rows) - len(values)
             if values:
                 click.echo(
-                    f"{size} schedulers, {name}: p50 {part(values, 0.5):.2f}, p99 "
-                    f"{part(values, 0.99):.2f}, worst {max(values):.2f}"
+                    f"{size} schedulers, {name}: p50 {percentile(values, 0.5):.2f}, p99 "
+                    f"{percentile(values, 0.99):.2f}, worst {max(values):.2f}"
                     + (f", NOT WITHIN THE TIME {missing} times" if missing else "")
                 )
     if plot is not None:
