--- a/benchmarks/placement_proof.py
+++ b/benchmarks/placement_proof.py
@@ -21,16 +21,16 @@
 from pipitshed.placement.score import score
 from pipitshed.placement.solve import build, solve
 
-CLOSE = 1e-6
+RELATIVE_TOLERANCE = 1e-6
 
 
-def draw(seed: int) -> Fleet:
+def random_fleet(seed: int) -> Fleet:
     """One fleet; the larger it is the coarser its units, so that all plans can be tried."""
     rng = random.Random(seed)
     size = rng.randint(2, 8)
-    alike = rng.random() < 0.15
-    kinds = [1.0, 1.0 + 1e-6] if alike else [0.6, 1.0, 1.0, 1.6]
-    speeds = [rng.choice(kinds) for _ in range(size)]
+    near_equal_speeds = rng.random() < 0.15
+    speed_choices = [1.0, 1.0 + 1e-6] if near_equal_speeds else [0.6, 1.0, 1.0, 1.6]
+    speeds = [rng.choice(speed_choices) for _ in range(size)]
     planners = tuple(
         Planner(
             f"p{place}",
@@ -86,31 +86,33 @@
     )
 
 
-def judge(seed: int) -> tuple[str, str]:
+def check_fleet(seed: int) -> tuple[str, str]:
     """What became of one fleet: equal, infeasible, or a fault with its description."""
-    fleet = draw(seed)
+    fleet = random_fleet(seed)
     if not groups(fleet):
         return "empty", ""
-    before = None
+    plan_in_force = None
     if seed % 3 == 0:
         # A plan in force: all on the first planner.
         name = min(planner.id for planner in fleet.planners)
-        before = {group.name: {name: fleet.units} for group in groups(fleet)}
-    answer, best = solve(fleet, before, whole=True), search(fleet, before)
-    if (best is None) != bool(answer.conflict):
-        return "fault", f"seed {seed}: feasible {best is not None}, conflict {answer.conflict}"
-    if best is None:
-        return _smallest(seed, fleet, list(answer.conflict), answer.relaxed)
-    judged = score(fleet, answer.parts or {}, answer.units, before)
-    if judged.broken:
-        return "fault", f"seed {seed}: broken {judged.broken}"
-    for ours, theirs in zip(judged.vector(), best[1].vector(), strict=True):
-        if abs(ours - theirs) > CLOSE * max(1.0, abs(theirs)):
-            return "fault", f"seed {seed}: {judged.vector()} against {best[1].vector()}"
+        plan_in_force = {group.name: {name: fleet.units} for group in groups(fleet)}
+    solution, optimum = solve(fleet, plan_in_force, whole=True), search(fleet, plan_in_force)
+    if (optimum is None) != bool(solution.conflict):
+        return "fault", f"seed {seed}: feasible {optimum is not None}, conflict {solution.conflict}"
+    if optimum is None:
+        return _check_minimal_conflict(seed, fleet, list(solution.conflict), solution.relaxed)
+    evaluation = score(fleet, solution.parts or {}, solution.units, plan_in_force)
+    if evaluation.broken:
+        return "fault", f"seed {seed}: broken {evaluation.broken}"
+    for ours, theirs in zip(evaluation.vector(), optimum[1].vector(), strict=True):
+        if abs(ours - theirs) > RELATIVE_TOLERANCE * max(1.0, abs(theirs)):
+            return "fault", f"seed {seed}: {evaluation.vector()} against {optimum[1].vector()}"
     return "equal", ""
 
 
-def _smallest(seed: int, fleet: Fleet, conflict: list[str], relaxed: dict[str, float]) -> tuple[str, str]:
+def _check_minimal_conflict(
+    seed: int, fleet: Fleet, conflict: list[str], relaxed: dict[str, float]
+) -> tuple[str, str]:
     program = build(fleet, whole=True).program
     names = set(program.names())
     if Solver(program, names - set(conflict)).feasible():
@@ -127,15 +129,15 @@
 @click.option("--jobs", default=8, show_default=True)
 def main(fleets: int, first: int, jobs: int) -> None:
     """Judge, and end with 1 where there is any fault."""
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     with multiprocessing.Pool(jobs) as pool:
-        found = pool.map(judge, range(first, first + fleets), chunksize=8)
-    for how, what in found:
-        if how == "fault":
-            click.echo(what, err=True)
-    counts = Counter(how for how, _ in found)
+        results = pool.map(check_fleet, range(first, first + fleets), chunksize=8)
+    for verdict, description in results:
+        if verdict == "fault":
+            click.echo(description, err=True)
+    counts = Counter(verdict for verdict, _ in results)
     click.echo(
-        f"{fleets} fleets in {time.perf_counter() - begun:.0f} s: "
+        f"{fleets} fleets in {time.perf_counter() - started_at:.0f} s: "
         + ", ".join(f"{name} {number}" for name, number in sorted(counts.items()))
     )
     raise SystemExit(1 if counts["fault"] else 0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 from loopback import HttpClient, Planner, long_story, program
 
-from benchmarks.placement_proof import judge
+from benchmarks.placement_proof import check_fleet
 from pipitshed.cli.commands import main
 from pipitshed.placement import plan as plans
 from pipitshed.placement.explain import explain
@@ -38,7 +38,7 @@
 def test_the_solver_equals_exhaustive_search(first: int) -> None:
     """Feasible where it is, with the same goals; where not, the conflict is smallest."""
     for seed in range(first, first + 10):
-        how, what = judge(seed)
+        how, what = check_fleet(seed)
         assert how != "fault", what
 
 
