--- a/benchmarks/placement_scale.py
+++ b/benchmarks/placement_scale.py
@@ -29,10 +29,10 @@
 def fleet(planners: int, zones: int, seed: int = 1) -> Fleet:
     """Machines of three models, each with a speed of its own; demand at six tenths of what they can do."""
     rng = random.Random(seed)
-    made = []
+    planner_list = []
     for number in range(planners):
         model = rng.choices(list(SPEEDS), (0.39, 0.28, 0.33))[0]
-        made.append(
+        planner_list.append(
             Planner(
                 f"p{number:05d}",
                 f"z{number % zones:02d}",
@@ -43,38 +43,48 @@
                 8.0,
             )
         )
-    total = sum(one.cores * one.speed for one in made)
+    total = sum(planner.cores * planner.speed for planner in planner_list)
     demand = (
         Demand("quote", 0.25 * total / 0.3, 0.3, "x", memory=0.4, wait=0.25),
         Demand("book", 0.35 * total / 1.2, 1.2, "y", 1.5, memory=0.8, wait=1.0),
     )
     schedulers = tuple(Schedulers(f"z{zone:02d}", rng.randint(1, 4)) for zone in range(zones))
-    return Fleet(tuple(made), schedulers, demand, Constraints(), 1000)
+    return Fleet(tuple(planner_list), schedulers, demand, Constraints(), 1000)
 
 
 def measure(size: tuple[int, int]) -> dict[str, Any]:
-    told = fleet(*size)
-    begun = time.perf_counter()
-    first = solve(told)
-    cold = time.perf_counter() - begun
-    one = told.planners[len(told.planners) // 2]
-    slower = Planner(one.id, one.zone, one.model, one.cores, one.speed * 0.8, one.slots, one.memory)
-    planners = tuple(slower if planner is one else planner for planner in told.planners)
-    changed = Fleet(planners, told.schedulers, told.demand, told.constraints, told.units)
-    begun = time.perf_counter()
-    again = solve(changed, first.parts, first.basis)
-    warm = time.perf_counter() - begun
-    judged = score(told, first.parts or {}, first.units)
-    made = shape(told)
+    base_fleet = fleet(*size)
+    started_at = time.perf_counter()
+    cold_solution = solve(base_fleet)
+    cold_s = time.perf_counter() - started_at
+    changed_planner = base_fleet.planners[len(base_fleet.planners) // 2]
+    slower = Planner(
+        changed_planner.id,
+        changed_planner.zone,
+        changed_planner.model,
+        changed_planner.cores,
+        changed_planner.speed * 0.8,
+        changed_planner.slots,
+        changed_planner.memory,
+    )
+    planners = tuple(slower if planner is changed_planner else planner for planner in base_fleet.planners)
+    changed = Fleet(
+        planners, base_fleet.schedulers, base_fleet.demand, base_fleet.constraints, base_fleet.units
+    )
+    started_at = time.perf_counter()
+    again_solution = solve(changed, cold_solution.parts, cold_solution.basis)
+    again_s = time.perf_counter() - started_at
+    evaluation = score(base_fleet, cold_solution.parts or {}, cold_solution.units)
+    problem_shape = shape(base_fleet)
     return {
         "planners": size[0],
         "zones": size[1],
-        "kinds": len(made.kinds),
-        "cold_s": round(cold, 3),
-        "again_s": round(warm, 3),
-        "worst_use": round(judged.worst, 5),
-        "gap": round(judged.worst - first.goals[0], 6),
-        "conflict": len(first.conflict) + len(again.conflict),
+        "kinds": len(problem_shape.kinds),
+        "cold_s": round(cold_s, 3),
+        "again_s": round(again_s, 3),
+        "worst_use": round(evaluation.worst, 5),
+        "gap": round(evaluation.worst - cold_solution.goals[0], 6),
+        "conflict": len(cold_solution.conflict) + len(again_solution.conflict),
         "peak_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024),
     }
 
@@ -87,16 +97,16 @@
 
     figure, axes = pyplot.subplots(figsize=(7, 4.5))
     for zones in sorted({row["zones"] for row in rows}):
-        mine = [row for row in rows if row["zones"] == zones]
+        zone_rows = [row for row in rows if row["zones"] == zones]
         [line] = axes.plot(
-            [row["planners"] for row in mine],
-            [row["cold_s"] for row in mine],
+            [row["planners"] for row in zone_rows],
+            [row["cold_s"] for row in zone_rows],
             "o-",
             label=f"{zones} zones, cold",
         )
         axes.plot(
-            [row["planners"] for row in mine],
-            [row["again_s"] for row in mine],
+            [row["planners"] for row in zone_rows],
+            [row["again_s"] for row in zone_rows],
             "x--",
             color=line.get_color(),
             label=f"{zones} zones, after one change",
