--- a/benchmarks/planted.py
+++ b/benchmarks/planted.py
@@ -21,9 +21,9 @@
 import click
 import msgspec
 
-HERE = Path(__file__).parent.parent
-COPIED = ("pipitshed", "tests", "deploy", "experiments", "benchmarks", "docs/interfaces")
-FAILED = 1  # pytest's exit code where tests ran and some failed
+CHECKOUT = Path(__file__).parent.parent
+COPIED_FOLDERS = ("pipitshed", "tests", "deploy", "experiments", "benchmarks", "docs/interfaces")
+TESTS_FAILED = 1  # pytest's exit code where tests ran and some failed
 
 
 class Defect(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
@@ -36,22 +36,22 @@
     tests: str
 
 
-class Planted(msgspec.Struct, forbid_unknown_fields=True):
+class DefectFile(msgspec.Struct, forbid_unknown_fields=True):
     """A file of them."""
 
     defect: list[Defect]
 
 
-class Copy:
+class CheckoutCopy:
     """A copy of what the tests need, made anew for each defect."""
 
     def __init__(self, folder: Path) -> None:
         self.root = folder
-        for name in COPIED:
-            shutil.copytree(HERE / name, folder / name, ignore=shutil.ignore_patterns("__pycache__"))
+        for name in COPIED_FOLDERS:
+            shutil.copytree(CHECKOUT / name, folder / name, ignore=shutil.ignore_patterns("__pycache__"))
         for name in ("pyproject.toml", "README.md"):
-            shutil.copy(HERE / name, folder / name)
-        (folder / ".venv").symlink_to((HERE / ".venv").resolve())
+            shutil.copy(CHECKOUT / name, folder / name)
+        (folder / ".venv").symlink_to((CHECKOUT / ".venv").resolve())
 
     def plant(self, defect: Defect) -> None:
         path = self.root / defect.file
@@ -62,10 +62,10 @@
             )
         path.write_text(text.replace(defect.was, defect.now))
 
-    def test(self, words: str) -> int:
+    def test(self, pytest_arguments: str) -> int:
         """pytest's exit code."""
         run = subprocess.run(
-            [sys.executable, "-m", "pytest", "-q", "-x", "-p", "no:cacheprovider", *words.split()],
+            [sys.executable, "-m", "pytest", "-q", "-x", "-p", "no:cacheprovider", *pytest_arguments.split()],
             cwd=self.root,
             stdout=subprocess.DEVNULL,
             stderr=subprocess.DEVNULL,
@@ -75,13 +75,13 @@
         return run.returncode
 
 
-def found(defect: Defect) -> tuple[bool, float]:
+def detects_defect(defect: Defect) -> tuple[bool, float]:
     """Whether the tests fail with the defect planted, and how long they took (s)."""
     with tempfile.TemporaryDirectory() as folder:
-        copy = Copy(Path(folder))
-        copy.plant(defect)
-        begun = time.monotonic()
-        return copy.test(defect.tests) == FAILED, time.monotonic() - begun
+        checkout_copy = CheckoutCopy(Path(folder))
+        checkout_copy.plant(defect)
+        started_at = time.monotonic()
+        return checkout_copy.test(defect.tests) == TESTS_FAILED, time.monotonic() - started_at
 
 
 @click.command()
@@ -91,19 +91,21 @@
 def main(path: Path, only: str, jobs: int) -> None:
     """Plant each defect of PATH in turn and say whether its tests find it."""
     defects = [
-        one for one in msgspec.convert(tomllib.loads(path.read_text()), Planted).defect if only in one.name
+        one for one in msgspec.convert(tomllib.loads(path.read_text()), DefectFile).defect if only in one.name
     ]
-    missed = 0
+    missed_count = 0
     with tempfile.TemporaryDirectory() as folder:
-        clean = Copy(Path(folder)).test(" ".join(sorted({one.tests.split(" -k")[0] for one in defects})))
-    if clean:
-        raise click.ClickException(f"the tests fail without a defect: pytest ended with {clean}")
+        exit_code = CheckoutCopy(Path(folder)).test(
+            " ".join(sorted({one.tests.split(" -k")[0] for one in defects}))
+        )
+    if exit_code:
+        raise click.ClickException(f"the tests fail without a defect: pytest ended with {exit_code}")
     with ThreadPoolExecutor(jobs) as pool:
-        for defect, (hit, took) in zip(defects, pool.map(found, defects), strict=True):
-            click.echo(f"{'found' if hit else 'MISSED'}  {took:5.1f} s  {defect.name}")
-            missed += not hit
-    click.echo(f"{len(defects) - missed} of {len(defects)} found")
-    sys.exit(1 if missed else 0)
+        for defect, (detected, duration_s) in zip(defects, pool.map(detects_defect, defects), strict=True):
+            click.echo(f"{'found' if detected else 'MISSED'}  {duration_s:5.1f} s  {defect.name}")
+            missed_count += not detected
+    click.echo(f"{len(defects) - missed_count} of {len(defects)} found")
+    sys.exit(1 if missed_count else 0)
 
 
 if __name__ == "__main__":
