--- a/benchmarks/paired.py
+++ b/benchmarks/paired.py
@@ -15,11 +15,11 @@
 
 import click
 
-from benchmarks.translation import HttpPlanner, Load, Row
+from benchmarks.translation import EndpointRow, HttpPlanner, Load
 from pipitshed.testbed.fleet.standins import Discovery
 from pipitshed.testbed.program import scheduler
 
-HERE = Path(__file__).parent.parent
+CHECKOUT = Path(__file__).parent.parent
 
 
 async def measure(other: Path, rounds: int, seconds: float, clients: int) -> dict[str, object]:
@@ -27,35 +27,40 @@
     servers = [await loop.create_server(HttpPlanner, "127.0.0.1", 0) for _ in range(4)]
     discovery = Discovery()
     discovery.members = [
-        Row(server.sockets[0].getsockname()[1], 0, f"p{place}") for place, server in enumerate(servers)
+        EndpointRow(server.sockets[0].getsockname()[1], 0, f"p{index}")
+        for index, server in enumerate(servers)
     ]
     await discovery.start()
-    rows = [member.row() for member in discovery.members]
-    cost: dict[str, list[float]] = {"here": [], "other": []}
+    endpoint_rows = [member.row() for member in discovery.members]
+    cpu_us: dict[str, list[float]] = {"here": [], "other": []}
     async with (
-        scheduler(discovery.port, gearman="", translate=False, root=HERE, known=rows) as here,
-        scheduler(discovery.port, gearman="", translate=False, root=other, known=rows) as there,
+        scheduler(
+            discovery.port, gearman="", translate=False, root=CHECKOUT, known=endpoint_rows
+        ) as this_scheduler,
+        scheduler(
+            discovery.port, gearman="", translate=False, root=other, known=endpoint_rows
+        ) as other_scheduler,
     ):
         # Both on one core of their own, in turn: what else the machine does meets both alike.
         cores = sorted(os.sched_getaffinity(0))
         if len(cores) > 1:
             os.sched_setaffinity(0, cores[:-1])
-            for running in (here, there):
+            for running in (this_scheduler, other_scheduler):
                 os.sched_setaffinity(running.process.pid, cores[-1:])
         await asyncio.sleep(0.5)
         for number in range(rounds + 1):
-            pair = [("here", here), ("other", there)]
+            pair = [("here", this_scheduler), ("other", other_scheduler)]
             for name, running in pair if number % 2 else pair[::-1]:
-                before = running.cpu()
+                cpu_before_s = running.cpu()
                 served = await Load("json").run(running.http, clients, seconds)
                 if number:  # the first round warms
-                    cost[name].append((running.cpu() - before) / served * 1e6)
+                    cpu_us[name].append((running.cpu() - cpu_before_s) / served * 1e6)
     discovery.close()
     for server in servers:
         server.close()
-    ratios = [a / b for a, b in zip(cost["here"], cost["other"], strict=True)]
+    ratios = [a / b for a, b in zip(cpu_us["here"], cpu_us["other"], strict=True)]
     return {
-        "cpu_us": {name: round(statistics.median(values), 1) for name, values in cost.items()},
+        "cpu_us": {name: round(statistics.median(values), 1) for name, values in cpu_us.items()},
         "ratio": {
             "median": round(statistics.median(ratios), 3),
             "least": round(min(ratios), 3),
--- a/benchmarks/translation.py
+++ b/benchmarks/translation.py
@@ -28,7 +28,7 @@
 from pipitshed.testbed.program import Running, scheduler
 from pipitshed.worker_api import planner_pb2 as pb
 
-JOB = {
+JSON_JOB = {
     "origin": "LIM-03",
     "destination": "AQP-01",
     "pallets": 4,
@@ -38,18 +38,18 @@
     "remark": "by the north gate",
     "goods": [{"sku": "PAL-1", "count": 4}, {"sku": "PAL-2", "count": 2}],
 }
-RESULT = {
+JSON_RESULT = {
     "price": 50,
     "departs": "2027-01-15T08:00:00Z",
     "lane": "night",
     "truck": "T-1",
     "stops": ["LIM-03", "AQP-01"],
 }
-FORM = (
+FORM_JOB = (
     "req={}&cls=quote&member=selva-trans&wait=5&from=LIM-03&to=AQP-01&plts=4&kg=812.5&by=1800000000"
     "&frag=1&rem=by+the+north+gate"
 )
-HEAD = [(":status", "200"), ("content-type", "application/grpc")]
+RESPONSE_HEADERS = [(":status", "200"), ("content-type", "application/grpc")]
 
 
 class HttpPlanner(asyncio.Protocol):
@@ -61,8 +61,8 @@
     def data_received(self, data: bytes) -> None:
         self.data += data
         while True:
-            head, found, rest = self.data.partition(b"\r\n\r\n")
-            if not found:
+            head, separator, rest = self.data.partition(b"\r\n\r\n")
+            if not separator:
                 return
             if not head.startswith(b"POST"):
                 self.transport.close()
@@ -75,7 +75,7 @@
             lines = [
                 {"id": number, "state": "started"},
                 {"id": number, "state": "running", "share": 0.5},
-                {"id": number, "state": "done", "result": json.dumps(RESULT)},
+                {"id": number, "state": "done", "result": json.dumps(JSON_RESULT)},
             ]
             texts = [json.dumps(line).encode() + b"\n" for line in lines]
             self.transport.write(
@@ -88,7 +88,7 @@
 class GrpcPlanner(asyncio.Protocol):
     """Interface 2, at once, or never where `held`."""
 
-    held = False
+    unanswering = False
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
@@ -105,7 +105,7 @@
                 self.ids[event.stream_id] = dict(event.headers)["x-request-id"]
             elif isinstance(event, h2.events.DataReceived):
                 self.http2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
-            elif isinstance(event, h2.events.StreamEnded) and not self.held:
+            elif isinstance(event, h2.events.StreamEnded) and not self.unanswering:
                 number = self.ids.pop(event.stream_id)
                 offer = pb.Offer(
                     price_cents=5000,
@@ -114,7 +114,7 @@
                     truck="T-1",
                     stops=["LIM-03", "AQP-01"],
                 )
-                self.http2.send_headers(event.stream_id, HEAD)
+                self.http2.send_headers(event.stream_id, RESPONSE_HEADERS)
                 self.http2.send_data(
                     event.stream_id,
                     b"".join(
@@ -130,13 +130,13 @@
         self.transport.write(self.http2.data_to_send())
 
 
-class Held(GrpcPlanner):
+class UnansweringGrpcPlanner(GrpcPlanner):
     """It takes jobs and says nothing."""
 
-    held = True
+    unanswering = True
 
 
-class Row:
+class EndpointRow:
     """What the stand-in discovery lists."""
 
     def __init__(self, port: int, interface: int, name: str) -> None:
@@ -167,17 +167,17 @@
         self.ask()
 
     def ask(self) -> None:
-        if monotonic() >= self.load.until:
+        if monotonic() >= self.load.ends_at_s:
             self.transport.close()
-            self.load.left()
+            self.load.client_finished()
             return
         self.count += 1
         self.transport.write(self.load.request(f"{self.name}-{self.count}"))
 
     def data_received(self, data: bytes) -> None:
         self.data += data
-        head, found, rest = self.data.partition(b"\r\n\r\n")
-        if not found or len(rest) < int(head.partition(b"Content-Length: ")[2].split(b"\r\n")[0]):
+        head, separator, rest = self.data.partition(b"\r\n\r\n")
+        if not separator or len(rest) < int(head.partition(b"Content-Length: ")[2].split(b"\r\n")[0]):
             return
         self.load.answers[int(head[9:12])] = self.load.answers.get(int(head[9:12]), 0) + 1
         self.data = b""
@@ -189,12 +189,12 @@
 
     def __init__(self, kind: str) -> None:
         self.kind = kind
-        self.body = json.dumps(JOB).encode()
+        self.body = json.dumps(JSON_JOB).encode()
         self.answers: dict[int, int] = {}
 
     def request(self, number: str) -> bytes:
         if self.kind == "form":
-            text = FORM.format(number).encode()
+            text = FORM_JOB.format(number).encode()
             return (
                 b"POST /api HTTP/1.1\r\nHost: a\r\nContent-Type: application/x-www-form-urlencoded\r\n"
                 b"Content-Length: %d\r\n\r\n%s" % (len(text), text)
@@ -205,16 +205,16 @@
             f"Content-Length: {len(self.body)}\r\n\r\n"
         ).encode() + self.body
 
-    def left(self) -> None:
-        self.here -= 1
-        if not self.here:
+    def client_finished(self) -> None:
+        self.active_client_count -= 1
+        if not self.active_client_count:
             self.done.set()
 
     async def run(self, port: int, clients: int, seconds: float) -> int:
         """Requests served; SystemExit where any got another answer."""
         self.answers.clear()
-        self.here, self.done = clients, asyncio.Event()
-        self.until = monotonic() + seconds
+        self.active_client_count, self.done = clients, asyncio.Event()
+        self.ends_at_s = monotonic() + seconds
         loop = asyncio.get_running_loop()
         for number in range(clients):
             name = f"{id(self):x}-{monotonic()}-{number}"
@@ -225,20 +225,22 @@
         return self.answers[200]
 
 
-def resident(running: Running) -> int:
+def resident_bytes(running: Running) -> int:
     text = Path(f"/proc/{running.process.pid}/statm").read_text()
     return int(text.split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 @contextlib.asynccontextmanager
-async def stand(kind: type[asyncio.Protocol], interface: int, translate: bool) -> AsyncIterator[Running]:
+async def running_scheduler(
+    kind: type[asyncio.Protocol], interface: int, translate: bool
+) -> AsyncIterator[Running]:
     """A scheduler before four planners of this kind."""
     loop = asyncio.get_running_loop()
     servers = [await loop.create_server(kind, "127.0.0.1", 0) for _ in range(4)]
     discovery = Discovery()
     discovery.members = [
-        Row(server.sockets[0].getsockname()[1], interface, f"p{place}")
-        for place, server in enumerate(servers)
+        EndpointRow(server.sockets[0].getsockname()[1], interface, f"p{index}")
+        for index, server in enumerate(servers)
     ]
     await discovery.start()
     try:
@@ -252,61 +254,76 @@
 
 
 async def measure(rounds: int, seconds: float, clients: int) -> dict[str, Any]:
-    arms: dict[str, list[dict[str, float]]] = {name: [] for name in ("http", "json to grpc", "form to grpc")}
-    async with stand(HttpPlanner, 1, False) as plain, stand(GrpcPlanner, 2, True) as grpc:
-        where = {
-            "http": (plain, Load("json")),
-            "json to grpc": (grpc, Load("json")),
-            "form to grpc": (grpc, Load("form")),
+    runs_by_path: dict[str, list[dict[str, float]]] = {
+        name: [] for name in ("http", "json to grpc", "form to grpc")
+    }
+    async with (
+        running_scheduler(HttpPlanner, 1, False) as http_scheduler,
+        running_scheduler(GrpcPlanner, 2, True) as grpc_scheduler,
+    ):
+        paths = {
+            "http": (http_scheduler, Load("json")),
+            "json to grpc": (grpc_scheduler, Load("json")),
+            "form to grpc": (grpc_scheduler, Load("form")),
         }
-        for running, load in where.values():
+        for running, load in paths.values():
             await load.run(running.http, clients, 0.5)  # warm
         for _ in range(rounds):
-            for name, (running, load) in where.items():
-                before, begun = running.cpu(), monotonic()
+            for name, (running, load) in paths.items():
+                cpu_before_s, started_at = running.cpu(), monotonic()
                 served = await load.run(running.http, clients, seconds)
-                cpu, took = running.cpu() - before, monotonic() - begun
-                arms[name].append(
-                    {"cpu_us": cpu / served * 1e6, "a_second": served / took, "on_one_core": served / cpu}
+                cpu_s, duration_s = running.cpu() - cpu_before_s, monotonic() - started_at
+                runs_by_path[name].append(
+                    {
+                        "cpu_us": cpu_s / served * 1e6,
+                        "a_second": served / duration_s,
+                        "on_one_core": served / cpu_s,
+                    }
                 )
     ratios = {
-        name: [one["cpu_us"] / base["cpu_us"] for one, base in zip(arms[name], arms["http"], strict=True)]
-        for name in arms
+        name: [
+            one["cpu_us"] / base["cpu_us"]
+            for one, base in zip(runs_by_path[name], runs_by_path["http"], strict=True)
+        ]
+        for name in runs_by_path
     }
     figures: dict[str, Any] = {"rounds": rounds, "seconds": seconds, "clients": clients}
-    for name, runs in arms.items():
+    for name, runs in runs_by_path.items():
         figures[name] = {key: round(statistics.median(run[key] for run in runs), 1) for key in runs[0]}
         figures[name] |= {
             "cpu_against_http": round(statistics.median(ratios[name]), 2),
             "least": round(min(ratios[name]), 2),
             "most": round(max(ratios[name]), 2),
         }
-    figures["bytes_per_open_stream"] = await memory()
+    figures["bytes_per_open_stream"] = await stream_memory()
     return figures
 
 
-async def memory(streams: int = 200) -> dict[str, float]:
+async def stream_memory(streams: int = 200) -> dict[str, float]:
     """Resident bytes of one more request that is out: client connection, exchange and stream."""
-    async with stand(Held, 2, True) as grpc, stand(Silent, 1, False) as plain:
-        found = {}
-        for name, running in (("grpc", grpc), ("http", plain)):
+    async with (
+        running_scheduler(UnansweringGrpcPlanner, 2, True) as grpc_scheduler,
+        running_scheduler(UnansweringHttpPlanner, 1, False) as http_scheduler,
+    ):
+        bytes_per_stream = {}
+        for name, running in (("grpc", grpc_scheduler), ("http", http_scheduler)):
             sizes = []
             writers = []
             for _ in range(3):
-                sizes.append(resident(running))
+                sizes.append(resident_bytes(running))
                 for _ in range(streams // 2):
                     load = Load("json")
                     _, writer = await asyncio.open_connection("127.0.0.1", running.http)
                     writer.write(load.request(f"m{len(writers)}").replace(b"quote", b"book"))
                     writers.append(writer)
                 await asyncio.sleep(0.2)
-            found[name] = round((sizes[2] - sizes[1]) / (streams // 2))
+            bytes_per_stream[name] = round((sizes[2] - sizes[1]) / (streams // 2))
             for writer in writers:
                 writer.close()
-        return found
+        return bytes_per_stream
 
 
-class Silent(asyncio.Protocol):
+class UnansweringHttpPlanner(asyncio.Protocol):
     """Interface 1 that takes jobs and says nothing."""
 
     def connection_made(self, transport: Any) -> None:
