--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that anyone can repeat; no part of CI."""
+"""Benchmarks to run by hand; CI runs only the short soak."""
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -1,10 +1,10 @@
-"""What cold planners get from all processes together, in virtual time.
+"""Load on planners in slow start from all schedulers together, in virtual time.
 
-A fleet of schedulers (the decisions alone, one dispatcher each) and a part of the planners that has just
-started: for each window of the length that the settings name, what came to one cold planner is held against
-N + 2 * sqrt(N) + 2, N being what the settings allow it then. It prints the largest share of that bound, and
-how many windows were over it, twice: counted in requests, and by their work, which no process can know
-beforehand (one job of many times the mean may be over the bound alone). `--json` writes the same.
+Simulates a fleet of schedulers (one dispatcher each, no I/O) and planners of which a fraction has just
+started. For each overload window, the load that arrived at one starting planner is compared with the bound
+N + 2 * sqrt(N) + 2, where N is what the settings allow for that window. Prints the largest ratio to the bound
+and the number of windows above it, both by request count and by work. A scheduler cannot know a job's work in
+advance, so a single job of many times the mean work may exceed the bound. `--json` writes the same figures.
 
     python -m benchmarks.cold_ramp --processes 20,30 --seeds 20
 """
@@ -39,28 +39,26 @@
 )
 from pipitshed.scheduling.settings import Costs, Guarantees, Idempotency, JobClass, Limits, Settings
 
-WARM_UP_MS = 8_000.0  # ms before the restarts: estimates are there
-OBSERVED_MS = 14_000.0  # ms that are watched from the restarts on
+WARM_UP_MS = 8_000.0  # before the restarts, so that the dispatchers have estimates
+OBSERVED_MS = 14_000.0  # after the restarts
 
 
 @dataclass
 class Scenario:
-    """One fleet and what happens to it."""
+    """Size of the fleet, its load, and the restarts that are simulated."""
 
     process_count: int = 20
     planners: int = 12
-    cold_fraction: float = 0.5  # the part of the planners that starts
-    load_fraction: float = 0.7  # of the warm fleet's capacity
-    burst_factor: float = 1.0  # times the load from the restarts on
-    restarted_fraction: float = (
-        0.0  # the part of the processes that starts then too, knowing nothing but the list
-    )
-    uninformed_fraction: float = 0.0  # the part that is not told of the starts
-    heavy_fraction: float = 0.0  # the part of the jobs with 8 times the work
-    absence_s: float = 0.0  # s that the planners are away before they start
+    cold_fraction: float = 0.5  # of the planners; they restart
+    load_fraction: float = 0.7  # of the capacity of the fleet before the restarts
+    burst_factor: float = 1.0  # on the load from the restarts on
+    restarted_fraction: float = 0.0  # of the schedulers; they restart too, with only the endpoint list
+    uninformed_fraction: float = 0.0  # of the schedulers; they get no list update about the restarts
+    heavy_fraction: float = 0.0  # of the jobs; they have 8 times the work
+    absence_s: float = 0.0  # time that the planners are down before they start
     zones: int = 1
-    first_zone_factor: float = 1.0  # times the mean that the first zone's processes get
-    reports_starts: bool = True  # planners tell of starts
+    first_zone_factor: float = 1.0  # requests per scheduler of the first zone, relative to other zones
+    reports_starts: bool = True  # planners report the start of each job
     guarantees: Guarantees = field(
         default_factory=lambda: Guarantees(
             answer_slack_ms=8.0,
@@ -89,7 +87,7 @@
 
 
 class Planner:
-    """Slots, a bounded queue, and a speed that rises from cold."""
+    """A planner with slots, a bounded queue, and a speed that rises during slow start."""
 
     SLOTS, QUEUE = 4, 8
 
@@ -101,7 +99,7 @@
         self.is_up = True
         self.running: dict[int, Attempt] = {}
         self.waiting: deque[Attempt] = deque()
-        self.arrivals: list[tuple[float, float, bool]] = []  # when, work in mean jobs, from one that was told
+        self.arrivals: list[tuple[float, float, bool]] = []  # time (ms), work in mean jobs, sender informed
 
     def capacity_fraction(self, now: float) -> float:
         guarantees = self.simulation.scenario.guarantees
@@ -171,7 +169,7 @@
 
 
 class Simulation:
-    """The clock, the processes and the planners."""
+    """The virtual clock with its event queue, the dispatchers and the planners."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario, self.rng, self.now = scenario, random.Random(seed), 1_000_000.0
@@ -252,7 +250,7 @@
                 self.schedule(0.0, lambda: self.finish(entry[0], entry[1], Outcome.CANCELLED))
         elif isinstance(action, RejectRequest):
             job = self.jobs[action.job_id]
-            if job.resubmission_count < 3:  # the client comes again at once
+            if job.resubmission_count < 3:  # the client resubmits after 50 ms
                 self.schedule(50.0, lambda: self.submit(job.work, job.resubmission_count + 1))
 
     def finish(self, attempt: Attempt, planner: Planner, outcome: Outcome) -> None:
@@ -285,7 +283,7 @@
 
     def arrive(self) -> None:
         scenario = self.scenario
-        rate = scenario.load_fraction * scenario.planners * Planner.SLOTS / self.mean_work_ms  # jobs a ms
+        rate = scenario.load_fraction * scenario.planners * Planner.SLOTS / self.mean_work_ms  # jobs per ms
         if self.now >= 1_000_000.0 + WARM_UP_MS:
             rate *= scenario.burst_factor
         self.schedule(self.rng.expovariate(rate), self.arrive)
@@ -300,7 +298,7 @@
         self.now = until
 
     def simulate(self) -> list[Planner]:
-        """The planners that were cold, with all that came to them since their start."""
+        """Run the scenario; return the restarted planners with their arrivals since the restart."""
         scenario, start_ms = self.scenario, self.now
         self.arrive()
         cold = self.planners[: max(1, round(scenario.cold_fraction * scenario.planners))]
@@ -326,8 +324,10 @@
 
 
 def worst_window(planner: Planner, guarantees: Guarantees, by_work: bool) -> tuple[float, int]:
-    """The largest share of N + 2 * sqrt(N) + 2 in any window, and the windows over it, of those of which over
-    two thirds came from processes that had been told."""
+    """Return the largest ratio to N + 2 * sqrt(N) + 2 in any window, and the number of windows above 1.
+
+    Counts only windows in which more than two thirds of the load came from schedulers that were informed of
+    the restart."""
     largest_share, over_count, window = 0.0, 0, deque[tuple[float, float, bool]]()
     full = Planner.SLOTS / planner.simulation.mean_work_ms
     for when, work, informed in planner.arrivals:
@@ -374,8 +374,8 @@
 
 
 def measure(scenario: Scenario, seeds: int) -> dict[str, float]:
-    """Over all seeds and cold planners: the largest share and the windows over the bound, in requests and by
-    work, and the part of the jobs that was served."""
+    """Return, over all seeds and restarted planners, the largest ratio to the bound and the number of windows
+    above it, by request count and by work, and the fraction of jobs served."""
     figures = {"largest": 0.0, "over": 0.0, "largest_by_work": 0.0, "over_by_work": 0.0}
     served = submitted = 0
     for seed in range(seeds):
@@ -390,11 +390,11 @@
 
 
 @click.command()
-@click.option("--processes", default="20,30", help="Sizes of the fleet of schedulers.")
+@click.option("--processes", default="20,30", help="Numbers of schedulers, comma-separated.")
 @click.option("--seeds", default=10)
-@click.option("--json", "out", type=click.Path(path_type=Path), help="Write the figures here too.")
+@click.option("--json", "out", type=click.Path(path_type=Path), help="Also write the figures to this file.")
 def main(processes: str, seeds: int, out: Path | None) -> None:
-    """Print what cold planners got, as a share of N + 2 * sqrt(N) + 2."""
+    """Print the load on starting planners relative to N + 2 * sqrt(N) + 2."""
     found: dict[str, dict[str, float]] = {}
     for count in processes.split(","):
         for name, changes in SCENARIOS.items():
--- a/benchmarks/fleet_trace.py
+++ b/benchmarks/fleet_trace.py
@@ -1,10 +1,10 @@
-"""Counts across a fleet from the traces that `LB_TRACE=-` writes, one file for each scheduler.
+"""Counts over a fleet from the traces that `LB_TRACE=-` writes, one file per scheduler.
 
     python -m benchmarks.fleet_trace LOGS [--after 12] [--json OUT]
 
-It tells what no single scheduler sees: how sends spread over the planners against a fair share, which
-planners answered with errors and how fast, how the fleet's list calls fared in each 2.5 s, and what the
-schedulers that heard no list news after `--after` seconds did against those that did.
+Reports what no single scheduler sees: how attempts spread over the planners relative to an even share, which
+planners answered with errors and how fast, the results of the fleet's endpoint list calls per 2.5 s, and the
+events of schedulers that received no list update after `--after` seconds compared with the others.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 
 import click
 
-WINDOW_S = 2.5  # s of the list calls' table
+WINDOW_S = 2.5  # window of the endpoint list calls' table
 
 
 @dataclass(frozen=True)
 class TraceLine:
     """One traced event (`<`) or action (`>`) of one scheduler."""
 
-    at_s: float  # s since that scheduler's start
+    at_s: float  # since that scheduler's start
     direction: str
     kind: str
     fields: dict[str, str]
 
 
 def trace_lines(text: Iterable[str]) -> Iterator[TraceLine]:
-    """The traced lines of one log; what else stands in it is passed over."""
+    """The trace lines of one log; other lines are skipped."""
     for log_line in text:
         parts = log_line.split()
         if len(parts) < 4 or parts[2] not in ("<", ">"):
@@ -47,7 +47,7 @@
 
 @dataclass
 class FleetCounts:
-    """What all schedulers' traces add up to."""
+    """Totals over all schedulers' traces."""
 
     sends_by_worker: Counter[str] = field(default_factory=Counter)
     outcomes: defaultdict[str, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
@@ -59,7 +59,7 @@
     scheduler_counts: Counter[bool] = field(default_factory=Counter)
 
     def add(self, trace: list[TraceLine], after: float) -> None:
-        """One scheduler's trace."""
+        """Add one scheduler's trace; `after` (s) decides whether it still received list updates."""
         hears_updates = any(
             line.kind == "ListNews" and line.fields.get("kind") in ("FULL", "DELTA") and line.at_s > after
             for line in trace
@@ -125,13 +125,19 @@
 @click.command()
 @click.argument("logs", type=click.Path(exists=True, file_okay=False, path_type=Path))
 @click.option(
-    "--after", default=12.0, show_default=True, help="s from which a scheduler without news is blind"
+    "--after",
+    default=12.0,
+    show_default=True,
+    help="A scheduler without a list update after this time (s) counts as blind.",
 )
 @click.option(
-    "--json", "out", type=click.Path(dir_okay=False, path_type=Path), help="write the figures here too"
+    "--json",
+    "out",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="Also write the figures to this file.",
 )
 def main(logs: Path, after: float, out: Path | None) -> None:
-    """Count the traces in LOGS across the fleet."""
+    """Print counts over the fleet from the traces (*.log) in LOGS."""
     report = summarize(logs, after)
     for key, value in report.items():
         if isinstance(value, list):
