--- a/benchmarks/placement_proof.py
+++ b/benchmarks/placement_proof.py
@@ -1,9 +1,10 @@
-"""The solver against exhaustive search on seeded fleets, and each conflict shown for its being smallest.
+"""Compares the placement solver with exhaustive search on seeded fleets.
 
     python -m benchmarks.placement_proof [--fleets 2000] [--jobs 8]
 
-Fleets have 2 to 8 planners in one or two zones, one or two groups, and constraints that often can't all be
-met.
+Also checks that each reported conflict is minimal: without any one of its constraints the others can be met.
+Fleets have 2 to 8 planners in one or two zones, one or two demand groups, and constraints that often cannot
+all be met.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 def random_fleet(seed: int) -> Fleet:
-    """One fleet; the larger it is the coarser its units, so that all plans can be tried."""
+    """One fleet; a larger one has fewer units per group, so that all plans can be enumerated."""
     rng = random.Random(seed)
     size = rng.randint(2, 8)
     near_equal_speeds = rng.random() < 0.15
@@ -87,13 +88,13 @@
 
 
 def check_fleet(seed: int) -> tuple[str, str]:
-    """What became of one fleet: equal, infeasible, or a fault with its description."""
+    """Return `equal`, `conflict`, `empty` (no demand) or `fault`, and for a fault its description."""
     fleet = random_fleet(seed)
     if not groups(fleet):
         return "empty", ""
     plan_in_force = None
     if seed % 3 == 0:
-        # A plan in force: all on the first planner.
+        # A plan in force that assigns every group to the first planner.
         name = min(planner.id for planner in fleet.planners)
         plan_in_force = {group.name: {name: fleet.units} for group in groups(fleet)}
     solution, optimum = solve(fleet, plan_in_force, whole=True), search(fleet, plan_in_force)
@@ -116,19 +117,19 @@
     program = build(fleet, whole=True).program
     names = set(program.names())
     if Solver(program, names - set(conflict)).feasible():
-        return "fault", f"seed {seed}: {conflict} is no conflict"
+        return "fault", f"seed {seed}: {conflict} can be met together"
     for name in conflict:
         if not Solver(program, names - set(conflict) | {name}).feasible():
-            return "fault", f"seed {seed}: {name} can be left out of {conflict}"
+            return "fault", f"seed {seed}: {name} is not needed in the conflict {conflict}"
     return ("conflict", "") if relaxed else ("fault", f"seed {seed}: no relaxation for {conflict}")
 
 
 @click.command()
 @click.option("--fleets", default=2000, show_default=True)
-@click.option("--first", default=0, show_default=True, help="Seed of the first one.")
+@click.option("--first", default=0, show_default=True, help="Seed of the first fleet.")
 @click.option("--jobs", default=8, show_default=True)
 def main(fleets: int, first: int, jobs: int) -> None:
-    """Judge, and end with 1 where there is any fault."""
+    """Check the fleets; the exit code is 1 if any has a fault."""
     started_at = time.perf_counter()
     with multiprocessing.Pool(jobs) as pool:
         results = pool.map(check_fleet, range(first, first + fleets), chunksize=8)
--- a/benchmarks/placement_scale.py
+++ b/benchmarks/placement_scale.py
@@ -1,9 +1,9 @@
-"""Time, memory and gap of a solve at growing size, cold and from the plan in force; a table and a plot.
+"""Time, memory and optimality gap of the placement solver by fleet size, as a table and a plot.
 
     python -m benchmarks.placement_scale [--most 10000] [--plot scale.png] [--json OUT]
 
-Each size is solved in a process of its own, so that its memory is its own. `again` is a solve after one
-planner has become slower, from the basis and the plan in force.
+Each size is solved in a process of its own, so that the peak memory is that of this size. `cold` is a first
+solve; `again` is a solve from its plan and basis after one planner has become slower by a fifth.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def fleet(planners: int, zones: int, seed: int = 1) -> Fleet:
-    """Machines of three models, each with a speed of its own; demand at six tenths of what they can do."""
+    """A fleet of three machine models with a speed per planner; demand is 0.6 of the capacity."""
     rng = random.Random(seed)
     planner_list = []
     for number in range(planners):
@@ -121,11 +121,11 @@
 
 
 @click.command()
-@click.option("--most", default=10_000, show_default=True, help="Planners.")
+@click.option("--most", default=10_000, show_default=True, help="The largest number of planners.")
 @click.option("--plot", type=click.Path(path_type=Path))
 @click.option("--json", "out", type=click.Path(path_type=Path))
 def main(most: int, plot: Path | None, out: Path | None) -> None:
-    """Measure, and print the table."""
+    """Measure each size and print the table."""
     rows = []
     for size in SIZES:
         if size[0] > most:
--- a/benchmarks/planted.py
+++ b/benchmarks/planted.py
@@ -1,10 +1,10 @@
-"""Defects planted one by one in a copy of the tree; each must be found by the tests that it names.
+"""Mutation check: plants known defects in a copy of the tree; the tests named with each must detect it.
 
     python -m benchmarks.planted tests/planted/deployments.toml [--only WORD] [--jobs 4]
 
-A defect is a file, the lines that stand there (exactly once) and what is put in their place. The copy holds
-the package and the tests; the tests named must pass without the defect and fail with it. Where one is missed,
-the exit code is 1.
+A defect is a file, lines that occur in it exactly once, and their replacement. The copy holds the package and
+the tests. The named tests must pass without the defect and fail with it; the exit code is 1 if any defect is
+missed.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 
 CHECKOUT = Path(__file__).parent.parent
 COPIED_FOLDERS = ("pipitshed", "tests", "deploy", "experiments", "benchmarks", "docs/interfaces")
-TESTS_FAILED = 1  # pytest's exit code where tests ran and some failed
+TESTS_FAILED = 1  # pytest's exit code if tests ran and some failed
 
 
 class Defect(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
-    """One planted defect: in `file` the lines `was` become `now`; `tests` are pytest's words."""
+    """One defect: in `file`, `was` is replaced by `now`; `tests` are the arguments of pytest."""
 
     name: str
     file: str
@@ -37,13 +37,13 @@
 
 
 class DefectFile(msgspec.Struct, forbid_unknown_fields=True):
-    """A file of them."""
+    """A file of defects."""
 
     defect: list[Defect]
 
 
 class CheckoutCopy:
-    """A copy of what the tests need, made anew for each defect."""
+    """A copy of the files that the tests need; each defect gets a fresh one."""
 
     def __init__(self, folder: Path) -> None:
         self.root = folder
@@ -58,12 +58,12 @@
         text = path.read_text()
         if text.count(defect.was) != 1:
             raise click.ClickException(
-                f"{defect.name}: its lines stand {text.count(defect.was)} times in {defect.file}"
+                f"{defect.name}: its lines occur {text.count(defect.was)} times in {defect.file}, not once"
             )
         path.write_text(text.replace(defect.was, defect.now))
 
     def test(self, pytest_arguments: str) -> int:
-        """pytest's exit code."""
+        """Run pytest in the copy, for at most 600 s, and return its exit code."""
         run = subprocess.run(
             [sys.executable, "-m", "pytest", "-q", "-x", "-p", "no:cacheprovider", *pytest_arguments.split()],
             cwd=self.root,
@@ -76,7 +76,7 @@
 
 
 def detects_defect(defect: Defect) -> tuple[bool, float]:
-    """Whether the tests fail with the defect planted, and how long they took (s)."""
+    """Whether the tests fail with the defect planted, and their duration (s)."""
     with tempfile.TemporaryDirectory() as folder:
         checkout_copy = CheckoutCopy(Path(folder))
         checkout_copy.plant(defect)
@@ -86,10 +86,10 @@
 
 @click.command()
 @click.argument("path", type=click.Path(path_type=Path, exists=True, dir_okay=False))
-@click.option("--only", default="", help="defects whose name holds this word")
+@click.option("--only", default="", help="Only defects whose name contains this text.")
 @click.option("--jobs", default=4, show_default=True)
 def main(path: Path, only: str, jobs: int) -> None:
-    """Plant each defect of PATH in turn and say whether its tests find it."""
+    """Plant each defect of PATH in a copy of its own and print whether its tests detect it."""
     defects = [
         one for one in msgspec.convert(tomllib.loads(path.read_text()), DefectFile).defect if only in one.name
     ]
@@ -99,7 +99,7 @@
             " ".join(sorted({one.tests.split(" -k")[0] for one in defects}))
         )
     if exit_code:
-        raise click.ClickException(f"the tests fail without a defect: pytest ended with {exit_code}")
+        raise click.ClickException(f"the tests fail without a defect: pytest exited with {exit_code}")
     with ThreadPoolExecutor(jobs) as pool:
         for defect, (detected, duration_s) in zip(defects, pool.map(detects_defect, defects), strict=True):
             click.echo(f"{'found' if detected else 'MISSED'}  {duration_s:5.1f} s  {defect.name}")
