--- a/benchmarks/translation.py
+++ b/benchmarks/translation.py
@@ -1,9 +1,9 @@
-"""CPU, throughput and memory of translated requests, paired with the untranslated HTTP path in one run.
+"""CPU, throughput and memory of translated requests, compared with the untranslated HTTP path in one run.
 
     python -m benchmarks.translation [--rounds 5] [--seconds 3] [--json OUT]
 
-One scheduler without translation and one with it run side by side; each is loaded in turn, A B A B, by the
-same clients through stand-in planners that answer at once. CPU is the scheduler process's own, by the kernel.
+One scheduler without translation and one with it run side by side; the same clients load them alternately,
+and stand-in planners answer at once. CPU is that of the scheduler process, from the kernel's counters.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 
 class HttpPlanner(asyncio.Protocol):
-    """Interface 1, at once: started, running, done in three chunks."""
+    """Planner on interface 1 (HTTP) that answers at once: started, running, done in three chunks."""
 
     def connection_made(self, transport: Any) -> None:
         self.transport, self.data = transport, b""
@@ -86,7 +86,7 @@
 
 
 class GrpcPlanner(asyncio.Protocol):
-    """Interface 2, at once, or never where `held`."""
+    """Planner on interface 2 (gRPC) that answers at once, or never if `unanswering`."""
 
     unanswering = False
 
@@ -131,13 +131,13 @@
 
 
 class UnansweringGrpcPlanner(GrpcPlanner):
-    """It takes jobs and says nothing."""
+    """Planner on interface 2 that accepts jobs and never answers."""
 
     unanswering = True
 
 
 class EndpointRow:
-    """What the stand-in discovery lists."""
+    """One planner as the stand-in discovery lists it."""
 
     def __init__(self, port: int, interface: int, name: str) -> None:
         self.port, self.interface, self.name = port, interface, name
@@ -157,7 +157,7 @@
 
 
 class Client(asyncio.Protocol):
-    """One terminal that asks again as soon as it has its answer."""
+    """A client that sends its next request as soon as it has an answer, until the load ends."""
 
     def __init__(self, name: str, load: Load) -> None:
         self.name, self.load, self.count, self.data = name, load, 0, b""
@@ -185,7 +185,7 @@
 
 
 class Load:
-    """Closed-loop clients for some seconds."""
+    """Closed-loop clients that send JSON jobs or forms (`kind`) for a given time."""
 
     def __init__(self, kind: str) -> None:
         self.kind = kind
@@ -211,7 +211,10 @@
             self.done.set()
 
     async def run(self, port: int, clients: int, seconds: float) -> int:
-        """Requests served; SystemExit where any got another answer."""
+        """Load `port` for `seconds` and return the number of requests served.
+
+        Raises SystemExit if any answer was not 200.
+        """
         self.answers.clear()
         self.active_client_count, self.done = clients, asyncio.Event()
         self.ends_at_s = monotonic() + seconds
@@ -221,7 +224,7 @@
             await loop.create_connection(lambda name=name: Client(name, self), "127.0.0.1", port)
         await self.done.wait()
         if set(self.answers) != {200}:
-            raise SystemExit(f"answers other than 200: {self.answers}")
+            raise SystemExit(f"answers by status, not all 200: {self.answers}")
         return self.answers[200]
 
 
@@ -234,7 +237,7 @@
 async def running_scheduler(
     kind: type[asyncio.Protocol], interface: int, translate: bool
 ) -> AsyncIterator[Running]:
-    """A scheduler before four planners of this kind."""
+    """A scheduler with four planners of this kind."""
     loop = asyncio.get_running_loop()
     servers = [await loop.create_server(kind, "127.0.0.1", 0) for _ in range(4)]
     discovery = Discovery()
@@ -267,7 +270,7 @@
             "form to grpc": (grpc_scheduler, Load("form")),
         }
         for running, load in paths.values():
-            await load.run(running.http, clients, 0.5)  # warm
+            await load.run(running.http, clients, 0.5)  # warm-up
         for _ in range(rounds):
             for name, (running, load) in paths.items():
                 cpu_before_s, started_at = running.cpu(), monotonic()
@@ -300,7 +303,7 @@
 
 
 async def stream_memory(streams: int = 200) -> dict[str, float]:
-    """Resident bytes of one more request that is out: client connection, exchange and stream."""
+    """Resident bytes per open request: client connection, exchange and stream to the planner."""
     async with (
         running_scheduler(UnansweringGrpcPlanner, 2, True) as grpc_scheduler,
         running_scheduler(UnansweringHttpPlanner, 1, False) as http_scheduler,
@@ -324,7 +327,7 @@
 
 
 class UnansweringHttpPlanner(asyncio.Protocol):
-    """Interface 1 that takes jobs and says nothing."""
+    """Planner on interface 1 that accepts jobs and never answers."""
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
@@ -336,7 +339,7 @@
 @click.option("--clients", default=16, show_default=True)
 @click.option("--json", "out", type=click.Path(path_type=Path))
 def main(rounds: int, seconds: float, clients: int, out: Path | None) -> None:
-    """Measure, and print the figures."""
+    """Run the benchmark and print the figures as JSON."""
     text = json.dumps(asyncio.run(measure(rounds, seconds, clients)), indent=1)
     if out is not None:
         out.write_text(text + "\n")
