--- a/benchmarks/soak/__init__.py
+++ b/benchmarks/soak/__init__.py
@@ -1,5 +1,8 @@
-"""A seeded soak of the live program between stand-ins; rules are judged from the stand-ins' records alone.
+"""Seeded soak test of a running scheduler process with stand-in clients, workers and discovery.
 
-python -m benchmarks.soak --seeds 1-50 --report DIR
-python -m benchmarks.soak --seeds 7          # one play again
+The rules are checked against the stand-ins' records and the process's exit code, log and memory, never
+against the scheduler's own counters.
+
+    python -m benchmarks.soak --seeds 1-50 --report DIR
+    python -m benchmarks.soak --seeds 7          # repeat one seed
 """
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -1,4 +1,4 @@
-"""The soak's command: plays seeds, prints a line for each, and a table; 1 where a rule was broken."""
+"""Run the soak for each seed; print a line per seed and a summary. Exit code 1 if a rule was broken."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from benchmarks.soak.play import Result, run
 from pipitshed.testbed.experiment import raise_descriptors
 
-TRAFFIC_S = 20.0  # of traffic in a play
+TRAFFIC_S = 20.0  # before SIGTERM
 SHORT_TRAFFIC_S = 6.0
 SHOWN_VIOLATIONS = 5
 
 
 def parse_seeds(text: str) -> list[int]:
-    """The seeds of `1-50` or `3,7,9`."""
+    """The seeds of `1-50` or `3,7,9`; ValueError for anything else."""
     seeds: list[int] = []
     for part in text.split(","):
         first, _, last = part.partition("-")
@@ -30,7 +30,7 @@
 
 
 def format_result(result: Result, seconds: float) -> str:
-    """One play in a line; of a broken one also the rules, the records, and how to play it again."""
+    """One line for a run; if it broke rules, also the rules, the records and the command to repeat it."""
     outcomes = " ".join(f"{name}={count}" for name, count in sorted(result.outcomes.items()))
     text = (
         f"seed {result.seed}: {result.verdict}, {result.requests} requests ({outcomes}), "
@@ -46,7 +46,7 @@
 
 
 def format_summary(results: list[Result]) -> str:
-    """The counts over all plays."""
+    """Counts of verdicts and of violations by rule over all runs."""
     verdicts = [result.verdict for result in results]
     rules: dict[str, int] = {}
     for result in results:
@@ -60,12 +60,14 @@
 
 
 @click.command(help=__doc__)
-@click.option("--seeds", default="1-50", show_default=True, help="A range, or seeds parted by commas.")
-@click.option("--seconds", type=float, help=f"Of traffic in a play. [default: {TRAFFIC_S:g}]")
-@click.option("--short", is_flag=True, help=f"Plays of {SHORT_TRAFFIC_S:g} s, as in CI.")
-@click.option("--report", type=click.Path(path_type=Path, file_okay=False), help="For one JSON file a play.")
+@click.option("--seeds", default="1-50", show_default=True, help="Ranges or seeds, comma-separated.")
+@click.option("--seconds", type=float, help=f"Seconds of traffic per run. [default: {TRAFFIC_S:g}]")
+@click.option("--short", is_flag=True, help=f"{SHORT_TRAFFIC_S:g} s of traffic per run, as in CI.")
+@click.option(
+    "--report", type=click.Path(path_type=Path, file_okay=False), help="Folder for one JSON file per run."
+)
 def main(seeds: str, seconds: float | None, short: bool, report: Path | None) -> None:
-    """Play the seeds one after another."""
+    """Run the seeds one after another."""
     raise_descriptors()
     traffic_s = seconds or (SHORT_TRAFFIC_S if short else TRAFFIC_S)
     results = []
--- a/benchmarks/soak/drawing.py
+++ b/benchmarks/soak/drawing.py
@@ -1,4 +1,4 @@
-"""What one play of the soak consists of, drawn by its seed alone."""
+"""The parameters of one soak run, drawn from its seed alone."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from pipitshed.testbed.clients import KINDS
 
-LONGEST_DEADLINE_S = 3.0  # so that SIGKILL never comes before a request's own time is over
+LONGEST_DEADLINE_S = 3.0  # SIGKILL follows SIGTERM later than this, so no request under way loses time
 RepeatKind = Literal["retryable", "dedup", "fragile"]
 FaultKind = Literal["roll", "goaway", "crash", "cut", "slow", "hang", "discovery"]
 
 
 @dataclass(frozen=True, slots=True)
 class JobClassDraw:
-    """A job class of the deployment."""
+    """A job class of the deployment, with its deadline and repeat rule."""
 
     name: str
     deadline_s: float
@@ -23,7 +23,7 @@
     scope: Literal["all", "zone"]
 
     def settings(self) -> dict[str, Any]:
-        """The class as the platform's settings have it."""
+        """The class as an entry of `services` in the platform's settings (times in ms)."""
         return {
             "name": self.name,
             "deadline": self.deadline_s * 1000,
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A trouble of workers or discovery, at a time of the play (s)."""
+    """An injected fault of a worker or of discovery; `at_s` counts from the start of the traffic."""
 
     at_s: float
     kind: FaultKind
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pause:
-    """The program stands still (SIGSTOP, SIGCONT)."""
+    """The scheduler process is stopped with SIGSTOP and resumed with SIGCONT."""
 
     at_s: float
     duration_s: float
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reload:
-    """SIGHUP; with the tenants in another order where `reorder` is set."""
+    """SIGHUP; before it the tenants are reversed in the configuration file if `reorder_tenants`."""
 
     at_s: float
     reorder_tenants: bool
@@ -62,30 +62,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One play."""
+    """All parameters of one soak run."""
 
     seed: int
-    traffic_s: float  # of traffic before SIGTERM
-    request_rate_per_s: float  # requests a second
+    traffic_s: float  # before SIGTERM
+    request_rate_per_s: float
     classes: tuple[JobClassDraw, ...]
-    worker_interfaces: tuple[int, ...]  # of the workers
-    failing_job_fraction: float  # part of the jobs that workers fail
-    slots_per_worker: int  # of a worker
-    client_mix: dict[str, float]  # kinds of clients
-    book_fraction: float  # part of the requests of the class `book`
-    cancel_fraction: float  # part whose client leaves early
+    worker_interfaces: tuple[int, ...]  # 1: HTTP, 2: gRPC
+    failing_job_fraction: float  # of all jobs
+    slots_per_worker: int
+    client_mix: dict[str, float]  # weight of each kind of client
+    book_fraction: float  # requests of the class `book`
+    cancel_fraction: float  # requests whose client disconnects early
     memory_mb: int
     sockets: int
-    idle_client_count: int  # idle clients
+    idle_client_count: int  # connected clients that send nothing
     faults: tuple[Fault, ...]
     pauses: tuple[Pause, ...]  # also after SIGTERM
     reloads: tuple[Reload, ...]
-    second_sigterm_delay_s: float | None  # s
-    idle_until_s: tuple[float, ...]  # s after SIGTERM at which kept connections that rested are used
+    second_sigterm_delay_s: float | None
+    idle_until_s: tuple[
+        float, ...
+    ]  # after SIGTERM; no requests until the earliest, so that kept connections idle
 
 
 def draw_scenario(seed: int, traffic_s: float) -> Scenario:
-    """The play of a seed, with so many seconds of traffic."""
+    """The scenario of a seed, with `traffic_s` seconds of traffic before SIGTERM."""
     rng = random.Random(f"soak:{seed}")
     classes = tuple(
         JobClassDraw(
--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -1,4 +1,4 @@
-"""Plays one drawn play against a live program."""
+"""Runs one scenario against a scheduler process and checks the rules."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 from pipitshed.testbed.planner import Behaviour
 from pipitshed.testbed.program import Running, scheduler
 
-DETECTION_S = 0.3  # after the start: interfaces that nobody tells are found out
-KILL_MARGIN_S = 0.7  # beside the longest deadline, after which SIGKILL comes
-LATE_ANSWER_WAIT_S = 0.7  # for which a client listens beyond its patience, to see a late answer
+DETECTION_S = 0.3  # after the start: the scheduler detects the interfaces that discovery does not list
+KILL_MARGIN_S = 0.7  # SIGKILL follows SIGTERM after the longest deadline plus this
+LATE_ANSWER_WAIT_S = 0.7  # a client waits this long past its deadline, to record a late answer
 HOLDUP_CHECK_INTERVAL_S = 0.01
-DISTURBED_S = 0.1  # a hold-up of the stand-ins from which a play counts as disturbed
-RECENT_REQUESTS = 2000  # of which some may be under way
+DISTURBED_S = 0.1  # a run is disturbed if the stand-ins were delayed by more
+RECENT_REQUESTS = 2000  # the latest requests; older ones have ended
 SLOW_FACTOR, HANG_FACTOR = 8.0, 500.0
 
 
 @dataclass(slots=True)
 class Result:
-    """What came of a play."""
+    """Outcome of one run; the JSON report has these fields."""
 
     seed: int
     requests: int
@@ -41,19 +41,19 @@
 
     @property
     def disturbed(self) -> bool:
-        """Whether the stand-ins themselves were held up, so that nothing passed is shown."""
+        """Whether the stand-ins themselves were delayed, so that the run does not count as passed."""
         return self.worst_holdup_s > DISTURBED_S
 
     @property
     def verdict(self) -> str:
-        """`broken`, `disturbed` or `passed`; what depends on time breaks nothing in a disturbed play."""
+        """`broken`, `disturbed` or `passed`; timed rules are ignored in a disturbed run."""
         if any(not violation.timed or not self.disturbed for violation in self.broken):
             return "broken"
         return "disturbed" if self.disturbed else "passed"
 
 
 class _ScenarioRunner:
-    """One play under way."""
+    """Sends one scenario's requests, faults and signals, and records what the clients saw."""
 
     def __init__(self, scenario: Scenario, fleet: Fleet, running: Running) -> None:
         self.scenario, self.fleet, self.running = scenario, fleet, running
@@ -70,7 +70,7 @@
         self._started_at = monotonic()
 
     async def run(self) -> None:
-        """Play it until the program has ended, or was killed."""
+        """Run the scenario until the scheduler process has ended or was killed."""
         self._started_at = monotonic()
         events: list[tuple[float, Callable[[], Awaitable[None]]]] = [
             *((event.at_s, lambda event=event: self._inject_fault(event)) for event in self.scenario.faults),
@@ -101,7 +101,7 @@
         await action()
 
     async def _measure_holdups(self) -> None:
-        """Measure how long this process, and so the stand-ins, were held up."""
+        """Record the longest delay of this process's event loop, which delays the stand-ins as well."""
         while True:
             due = monotonic() + HOLDUP_CHECK_INTERVAL_S
             await asyncio.sleep(HOLDUP_CHECK_INTERVAL_S)
@@ -110,7 +110,10 @@
     # ---- clients
 
     async def _send_requests(self) -> None:
-        """Requests at their rate until the program has ended; some rest, to cross what closes them."""
+        """Send requests at the scenario's rate until the scheduler process has ended.
+
+        After SIGTERM there is a gap, so that the next request may cross the close of an idle connection.
+        """
         number = 0
         while self.running.process.returncode is None:
             wait_s = self._started_at + number / self.scenario.request_rate_per_s - monotonic()
@@ -138,27 +141,27 @@
             at for at in scenario.idle_until_s if self.sigterm_at < monotonic() < self.sigterm_at + at
         ]
         if monotonic() > self.sigterm_at and len(still_idle_s) == len(scenario.idle_until_s):
-            return  # nobody asks for a while, so that kept connections rest
+            return  # the gap after SIGTERM in which kept connections are idle
         clients = "http" if is_http else "gearman"
         if self._open_request_count(clients) >= self._connection_limits[clients]:
-            return  # the door turns further connections away, unread
+            return  # the scheduler refuses further connections without reading them
         self.requests.append(request)
         task = asyncio.create_task((self._http if is_http else self._gearman).ask(request))
         self._request_tasks.add(task)
         task.add_done_callback(self._request_tasks.discard)
 
     def _open_request_count(self, clients: str) -> int:
-        """How many requests of these clients are under way."""
+        """Number of open requests of these clients (`http` or `gearman`)."""
         return sum(
             request.kind.startswith(clients) and not request.ended
             for request in self.requests[-RECENT_REQUESTS:]
         )
 
-    # ---- troubles and signals
+    # ---- faults and signals
 
     async def _inject_fault(self, fault: Fault) -> None:
         fleet = self.fleet
-        async with self._fault_lock:  # one at a time
+        async with self._fault_lock:  # one fault at a time
             member = fleet.members[fault.worker]
             if fault.kind == "roll":
                 await fleet.roll(member, member.interface)
@@ -194,7 +197,7 @@
         self._signal(signal.SIGHUP)
 
     async def _shut_down(self) -> bool:
-        """SIGTERM, and SIGKILL at the protocol's earliest; whether that was needed."""
+        """Send SIGTERM, and SIGKILL after the longest deadline; return whether SIGKILL was needed."""
         await asyncio.sleep(self.scenario.traffic_s)
         self.sigterm_at = monotonic()
         self._signal(signal.SIGTERM)
@@ -212,13 +215,13 @@
 
 
 def _adjust(scenario: Scenario, config: dict[str, Any]) -> None:
-    """Make the configuration the one of the play."""
+    """Set the scenario's limits and job classes in the configuration."""
     config["limits"] |= {"memory_mb": scenario.memory_mb, "sockets": scenario.sockets}
     config["settings"]["services"] = [job_class.settings() for job_class in scenario.classes]
 
 
 async def run(scenario: Scenario) -> Result:
-    """Play it once, and judge it."""
+    """Run the scenario once and check the rules."""
     fleet = Fleet(
         Behaviour(slots=scenario.slots_per_worker, fail=scenario.failing_job_fraction), scenario.seed
     )
--- a/benchmarks/soak/rules.py
+++ b/benchmarks/soak/rules.py
@@ -1,4 +1,4 @@
-"""The rules that a play is held to, judged from the clients' and the workers' own records alone."""
+"""The rules of a soak run, checked against the records of clients, workers and the process."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 from pipitshed.testbed.fleet.standins import Member
 from pipitshed.testbed.planner import Run
 
-LATE_ATTEMPT_TOLERANCE_S = 0.1  # from a client's end, or its answer, after which no attempt begins
-SHOWN_PAUSES_S = 2.0  # around a request: the program's stops that are shown with it
-MIN_ACCEPT_AFTER_SIGTERM_S = 0.2  # after SIGTERM, for which new connections must still be taken
+LATE_ATTEMPT_TOLERANCE_S = 0.1  # no attempt begins later than this after its client has an answer or left
+SHOWN_PAUSES_S = 2.0  # pauses this close to a request are shown with it
+MIN_ACCEPT_AFTER_SIGTERM_S = 0.2  # new connections are accepted this long after SIGTERM
 ACCOUNT_RULES = ("answered_twice", "wrong_result", "served_unrun", "unfit_but_ran", "ran_unasked")
 TIMED_ACCOUNT_RULES = ("two_outstanding", "after_drain")
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that was broken, the request (or what else), and the records behind it."""
+    """A broken rule, its subject (a request's token, or the process), and the records that show it."""
 
     rule: str
     subject: str
     records: str
-    timed: bool = False  # a hold-up of the stand-ins could explain it
+    timed: bool = False  # a delay of the stand-ins could explain it
 
 
 @dataclass(frozen=True, slots=True)
 class Records:
-    """All that was noted during a play. Times are seconds of the monotonic clock."""
+    """Everything recorded during a run. Times are seconds of the monotonic clock."""
 
     requests: Sequence[Asked]
     runs: list[Run]
     members: Sequence[Member]
-    pauses: Sequence[tuple[float, float]]  # when the program stood still
+    pauses: Sequence[tuple[float, float]]  # start and end of each SIGSTOP
     sigterm_at: float
-    killed: bool  # it had not ended when SIGKILL came
+    killed: bool  # the process had to be ended with SIGKILL
     exit_code: int
     log: Sequence[str]
     peak_mb: float
@@ -46,7 +46,7 @@
 
 
 def find_violations(records: Records, classes: Iterable[JobClassDraw]) -> list[Violation]:
-    """All rules that were broken."""
+    """All rule violations in these records."""
     runs_by_token: dict[str, list[Run]] = defaultdict(list)
     for run in sorted(records.runs, key=lambda run: run.came):
         runs_by_token[run.token].append(run)
@@ -87,7 +87,7 @@
 
 
 def _answer_violations(records: Records, request: Asked, runs: list[Run]) -> list[Violation]:
-    """One final answer in time, and no attempt behind it."""
+    """Exactly one final answer, in time, and no attempt after it."""
     details = (
         f"{describe(request, runs)}\n"
         f"  SIGTERM came {records.sigterm_at - request.sent:.3f} s after it was sent"
@@ -97,7 +97,8 @@
         f"\n  stood still {start - request.sent:.3f} to {end - request.sent:.3f}" for start, end in pauses
     )
     if request.outcome == "unanswered":
-        # A close may cross a request that was not read; a closed door refuses one. Neither was taken.
+        # The scheduler took neither a request that crossed its close of the connection nor one that it
+        # refused after it stopped listening.
         closing = request.ended > records.sigterm_at
         may_refuse = request.ended > records.sigterm_at + MIN_ACCEPT_AFTER_SIGTERM_S
         excused = (closing and request.untaken and request.kept) or (may_refuse and request.untaken)
@@ -116,12 +117,12 @@
 
 
 def _paused_s(pauses: Sequence[tuple[float, float]], since: float, until: float) -> float:
-    """How long the program stood still between two times."""
+    """Seconds between `since` and `until` in which the process was stopped."""
     return sum(max(0.0, min(end, until) - max(begin, since)) for begin, end in pauses)
 
 
 def _repeat_violations(job_class: JobClassDraw, request: Asked, runs: list[Run]) -> list[Violation]:
-    """Repeats as the class allows, and "never ran" only where no worker has a record of it."""
+    """Repeats only as the class allows; `refused` (never ran) only if no worker ran the job."""
     ran = [run for run in runs if run.how != "returned"]
     details = describe(request, runs)
     if job_class.repeat == "retryable":
@@ -138,7 +139,7 @@
 
 
 def describe(request: Asked, runs: Iterable[Run]) -> str:
-    """The records of one request, in order, with times since it was sent."""
+    """The records of one request in order, with times in seconds since it was sent."""
     lines = [
         f"{request.kind} {request.job_class} patience {request.patience:.3f} "
         f"leaves {request.leave_after:.3f}: "
