--- a/benchmarks/soak/drawing.py
+++ b/benchmarks/soak/drawing.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobClassDraw:
+class JobClassSpec:
     """A job class of the deployment, with its deadline and repeat rule."""
 
     name: str
@@ -67,7 +67,7 @@
     seed: int
     traffic_s: float  # before SIGTERM
     request_rate_per_s: float
-    classes: tuple[JobClassDraw, ...]
+    classes: tuple[JobClassSpec, ...]
     worker_interfaces: tuple[int, ...]  # 1: HTTP, 2: gRPC
     failing_job_fraction: float  # of all jobs
     slots_per_worker: int
@@ -81,16 +81,15 @@
     pauses: tuple[Pause, ...]  # also after SIGTERM
     reloads: tuple[Reload, ...]
     second_sigterm_delay_s: float | None
-    idle_until_s: tuple[
-        float, ...
-    ]  # after SIGTERM; no requests until the earliest, so that kept connections idle
+    # After SIGTERM no request is sent until the earliest of these times, so that kept connections idle.
+    idle_until_s: tuple[float, ...]
 
 
 def draw_scenario(seed: int, traffic_s: float) -> Scenario:
     """The scenario of a seed, with `traffic_s` seconds of traffic before SIGTERM."""
     rng = random.Random(f"soak:{seed}")
     classes = tuple(
-        JobClassDraw(
+        JobClassSpec(
             name,
             rng.choice((0.8, 1.5, LONGEST_DEADLINE_S)),
             rng.choice(("retryable", "dedup", "fragile")),
--- a/benchmarks/soak/rules.py
+++ b/benchmarks/soak/rules.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from benchmarks.soak.drawing import JobClassDraw
+from benchmarks.soak.drawing import JobClassSpec
 from pipitshed.testbed.accounts import account
 from pipitshed.testbed.clients import SLACK, Asked
 from pipitshed.testbed.fleet.standins import Member
@@ -45,7 +45,7 @@
     memory_limit_mb: float
 
 
-def find_violations(records: Records, classes: Iterable[JobClassDraw]) -> list[Violation]:
+def find_violations(records: Records, classes: Iterable[JobClassSpec]) -> list[Violation]:
     """All rule violations in these records."""
     runs_by_token: dict[str, list[Run]] = defaultdict(list)
     for run in sorted(records.runs, key=lambda run: run.came):
@@ -121,7 +121,7 @@
     return sum(max(0.0, min(end, until) - max(begin, since)) for begin, end in pauses)
 
 
-def _repeat_violations(job_class: JobClassDraw, request: Asked, runs: list[Run]) -> list[Violation]:
+def _repeat_violations(job_class: JobClassSpec, request: Asked, runs: list[Run]) -> list[Violation]:
     """Repeats only as the class allows; `refused` (never ran) only if no worker ran the job."""
     ran = [run for run in runs if run.how != "returned"]
     details = describe(request, runs)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,15 +7,15 @@
 import pytest
 
 from benchmarks.soak.__main__ import format_result, format_summary, parse_seeds
-from benchmarks.soak.drawing import JobClassDraw, draw_scenario
+from benchmarks.soak.drawing import JobClassSpec, draw_scenario
 from benchmarks.soak.play import DISTURBED_S, Result
 from benchmarks.soak.rules import Records, Violation, find_violations
 from pipitshed.testbed.clients import Asked
 from pipitshed.testbed.planner import Run
 
 SIGTERM_AT = 100.0
-CLASSES = (JobClassDraw("quote", 1.5, "retryable", "all"), JobClassDraw("book", 1.5, "fragile", "all"))
-ZONE_SCOPED_CLASSES = (CLASSES[0], JobClassDraw("book", 1.5, "dedup", "zone"))
+CLASSES = (JobClassSpec("quote", 1.5, "retryable", "all"), JobClassSpec("book", 1.5, "fragile", "all"))
+ZONE_SCOPED_CLASSES = (CLASSES[0], JobClassSpec("book", 1.5, "dedup", "zone"))
 
 
 def make_request(outcome: str = "served", job_class: str = "book", **changes: object) -> Asked:
@@ -34,7 +34,7 @@
 
 
 def violated_rules(
-    request: Asked, *runs: Run, classes: tuple[JobClassDraw, ...] = CLASSES, **changes: object
+    request: Asked, *runs: Run, classes: tuple[JobClassSpec, ...] = CLASSES, **changes: object
 ) -> set[str]:
     """The rules that this request breaks; `changes` replace fields of Records."""
     records = Records([request], list(runs), [], [], SIGTERM_AT, False, 0, ["INFO ended:"], 40.0, 64.0)
@@ -88,7 +88,7 @@
     ],
 )
 def test_each_rule_detects_its_violation(
-    one: Asked, runs: list[Run], classes: tuple[JobClassDraw, ...], rule: str
+    one: Asked, runs: list[Run], classes: tuple[JobClassSpec, ...], rule: str
 ) -> None:
     assert violated_rules(one, *runs, classes=classes) == {rule}
 
