--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -95,19 +95,21 @@
         self.simulation, self.number = simulation, number
         self.id = b"p%03d" % number
         self.zone = number % simulation.scenario.zones
-        self.started = -math.inf
+        self.started_at_ms = -math.inf
         self.is_up = True
         self.running: dict[int, Attempt] = {}
         self.waiting: deque[Attempt] = deque()
         self.arrivals: list[tuple[float, float, bool]] = []  # time (ms), work in mean jobs, sender informed
 
-    def capacity_fraction(self, now: float) -> float:
+    def capacity_fraction(self, now_ms: float) -> float:
         guarantees = self.simulation.scenario.guarantees
-        if now - self.started >= guarantees.slow_start_ms:
+        if now_ms - self.started_at_ms >= guarantees.slow_start_ms:
             return 1.0
         return (
             guarantees.initial_capacity_fraction
-            + (1 - guarantees.initial_capacity_fraction) * (now - self.started) / guarantees.slow_start_ms
+            + (1 - guarantees.initial_capacity_fraction)
+            * (now_ms - self.started_at_ms)
+            / guarantees.slow_start_ms
         )
 
     def take(self, attempt: Attempt) -> None:
@@ -117,7 +119,7 @@
             return
         self.arrivals.append(
             (
-                simulation.now,
+                simulation.now_ms,
                 attempt.job.work / simulation.mean_work_ms,
                 attempt.process not in simulation.uninformed,
             )
@@ -140,7 +142,7 @@
                 ),
             )
         simulation.schedule(
-            attempt.job.work / self.capacity_fraction(simulation.now), lambda: self.end(attempt)
+            attempt.job.work / self.capacity_fraction(simulation.now_ms), lambda: self.end(attempt)
         )
 
     def end(self, attempt: Attempt) -> None:
@@ -165,14 +167,14 @@
     def restart(self) -> None:
         if self.is_up:
             self.leave()
-        self.is_up, self.started, self.arrivals = True, self.simulation.now, []
+        self.is_up, self.started_at_ms, self.arrivals = True, self.simulation.now_ms, []
 
 
 class Simulation:
     """The virtual clock with its event queue, the dispatchers and the planners."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
-        self.scenario, self.rng, self.now = scenario, random.Random(seed), 1_000_000.0
+        self.scenario, self.rng, self.now_ms = scenario, random.Random(seed), 1_000_000.0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.event_number = self.last_job_number = 0
         self.mean_work_ms = 300.0 * (1 + 7 * scenario.heavy_fraction)
@@ -182,9 +184,9 @@
         self.jobs: dict[int, Job] = {}
         self.uninformed: set[int] = set()
         self.served = self.submitted = 0
-        self.dispatchers = [self.process(number) for number in range(scenario.process_count)]
+        self.dispatchers = [self.create_dispatcher(number) for number in range(scenario.process_count)]
 
-    def process(self, number: int) -> Dispatcher:
+    def create_dispatcher(self, number: int) -> Dispatcher:
         scenario = self.scenario
         config = Settings(
             classes=(
@@ -211,19 +213,21 @@
 
     def entries(self) -> tuple[EndpointEntry, ...]:
         return tuple(
-            EndpointEntry(planner.id, zone=planner.zone, weight=1.0, started_at_ms=max(0.0, planner.started))
+            EndpointEntry(
+                planner.id, zone=planner.zone, weight=1.0, started_at_ms=max(0.0, planner.started_at_ms)
+            )
             for planner in self.planners
         )
 
-    def schedule(self, delay: float, call: Callable[[], None]) -> None:
+    def schedule(self, delay_ms: float, call: Callable[[], None]) -> None:
         self.event_number += 1
-        heapq.heappush(self.queue, (self.now + delay, self.event_number, call))
+        heapq.heappush(self.queue, (self.now_ms + delay_ms, self.event_number, call))
 
     def deliver(self, number: int, event: Event) -> None:
         self.handle_events(number, self.dispatchers[number], [event])
 
     def handle_events(self, number: int, dispatcher: Dispatcher, events: list[Event]) -> None:
-        for action in dispatcher.handle(self.now, events):
+        for action in dispatcher.handle(self.now_ms, events):
             self.execute(number, dispatcher, action)
 
     def execute(self, number: int, dispatcher: Dispatcher, action: Action) -> None:
@@ -283,31 +287,31 @@
 
     def arrive(self) -> None:
         scenario = self.scenario
-        rate = scenario.load_fraction * scenario.planners * Planner.SLOTS / self.mean_work_ms  # jobs per ms
-        if self.now >= 1_000_000.0 + WARM_UP_MS:
-            rate *= scenario.burst_factor
-        self.schedule(self.rng.expovariate(rate), self.arrive)
+        arrivals_per_ms = scenario.load_fraction * scenario.planners * Planner.SLOTS / self.mean_work_ms
+        if self.now_ms >= 1_000_000.0 + WARM_UP_MS:
+            arrivals_per_ms *= scenario.burst_factor
+        self.schedule(self.rng.expovariate(arrivals_per_ms), self.arrive)
         self.submit(
             self.rng.expovariate(1 / 300.0) * (8 if self.rng.random() < scenario.heavy_fraction else 1), 0
         )
 
-    def run(self, until: float) -> None:
-        while self.queue and self.queue[0][0] <= until:
-            self.now, _, call = heapq.heappop(self.queue)
+    def run(self, end_ms: float) -> None:
+        while self.queue and self.queue[0][0] <= end_ms:
+            self.now_ms, _, call = heapq.heappop(self.queue)
             call()
-        self.now = until
+        self.now_ms = end_ms
 
     def simulate(self) -> list[Planner]:
         """Run the scenario; return the restarted planners with their arrivals since the restart."""
-        scenario, start_ms = self.scenario, self.now
+        scenario, start_ms = self.scenario, self.now_ms
         self.arrive()
-        cold = self.planners[: max(1, round(scenario.cold_fraction * scenario.planners))]
+        restarted = self.planners[: max(1, round(scenario.cold_fraction * scenario.planners))]
         self.run(start_ms + WARM_UP_MS - scenario.absence_s * 1000)
         if scenario.absence_s:
-            for planner in cold:
+            for planner in restarted:
                 planner.leave()
         self.run(start_ms + WARM_UP_MS)
-        for planner in cold:
+        for planner in restarted:
             planner.restart()
         self.uninformed = {
             number
@@ -316,37 +320,39 @@
         }
         for number in range(scenario.process_count):
             if self.rng.random() < scenario.restarted_fraction:
-                self.dispatchers[number] = self.process(number)
+                self.dispatchers[number] = self.create_dispatcher(number)
             elif number not in self.uninformed:
                 self.deliver(number, EndpointsUpdated(UpdateKind.DELTA, 2, self.entries()))
         self.run(start_ms + WARM_UP_MS + OBSERVED_MS)
-        return cold
+        return restarted
 
 
 def worst_window(planner: Planner, guarantees: Guarantees, by_work: bool) -> tuple[float, int]:
-    """Return the largest ratio to N + 2 * sqrt(N) + 2 in any window, and the number of windows above 1.
+    """Return the largest ratio to N + 2 * sqrt(N) + 2 in any window, and the number of windows above it.
 
     Counts only windows in which more than two thirds of the load came from schedulers that were informed of
     the restart."""
-    largest_share, over_count, window = 0.0, 0, deque[tuple[float, float, bool]]()
-    full = Planner.SLOTS / planner.simulation.mean_work_ms
-    for when, work, informed in planner.arrivals:
-        if when > planner.started + guarantees.slow_start_ms:
+    largest_ratio, over_count, window = 0.0, 0, deque[tuple[float, float, bool]]()
+    capacity_per_ms = Planner.SLOTS / planner.simulation.mean_work_ms
+    for arrived_at_ms, work, informed in planner.arrivals:
+        if arrived_at_ms > planner.started_at_ms + guarantees.slow_start_ms:
             break
-        window.append((when, work if by_work else 1.0, informed))
-        while window[0][0] <= when - guarantees.overload_window_ms:
+        window.append((arrived_at_ms, work if by_work else 1.0, informed))
+        while window[0][0] <= arrived_at_ms - guarantees.overload_window_ms:
             window.popleft()
         allowed = (
             guarantees.overload_multiple
-            * full
+            * capacity_per_ms
             * guarantees.overload_window_ms
-            * planner.capacity_fraction(max(planner.started, when - guarantees.overload_window_ms))
+            * planner.capacity_fraction(
+                max(planner.started_at_ms, arrived_at_ms - guarantees.overload_window_ms)
+            )
         )
-        rate = sum(entry[1] for entry in window)
-        if sum(entry[1] for entry in window if entry[2]) * 3 > rate * 2:
-            share = rate / (allowed + 2 * math.sqrt(allowed) + 2)
-            largest_share, over_count = max(largest_share, share), over_count + (share > 1)
-    return largest_share, over_count
+        load = sum(entry[1] for entry in window)
+        if sum(entry[1] for entry in window if entry[2]) * 3 > load * 2:
+            ratio = load / (allowed + 2 * math.sqrt(allowed) + 2)
+            largest_ratio, over_count = max(largest_ratio, ratio), over_count + (ratio > 1)
+    return largest_ratio, over_count
 
 
 SCENARIOS: dict[str, dict[str, Any]] = {
@@ -382,8 +388,8 @@
         simulation = Simulation(scenario, seed)
         for planner in simulation.simulate():
             for end, by_work in (("", False), ("_by_work", True)):
-                share, count = worst_window(planner, scenario.guarantees, by_work)
-                figures["largest" + end] = max(figures["largest" + end], round(share, 2))
+                ratio, count = worst_window(planner, scenario.guarantees, by_work)
+                figures["largest" + end] = max(figures["largest" + end], round(ratio, 2))
                 figures["over" + end] += count
         served, submitted = served + simulation.served, submitted + simulation.submitted
     return figures | {"served": round(served / submitted, 3)}
--- a/benchmarks/fleet_trace.py
+++ b/benchmarks/fleet_trace.py
@@ -53,18 +53,19 @@
     outcomes: defaultdict[str, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
     error_ms: list[float] = field(default_factory=list)
     served_ms: list[float] = field(default_factory=list)
-    list_calls: Counter[float] = field(default_factory=Counter)
+    list_calls: Counter[float] = field(default_factory=Counter)  # by start of the window (s)
     list_answers: defaultdict[float, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
+    # Events after `after`, and schedulers, by whether the scheduler still received list updates.
     late_counts: dict[bool, Counter[str]] = field(default_factory=lambda: {True: Counter(), False: Counter()})
     scheduler_counts: Counter[bool] = field(default_factory=Counter)
 
     def add(self, trace: list[TraceLine], after: float) -> None:
         """Add one scheduler's trace; `after` (s) decides whether it still received list updates."""
-        hears_updates = any(
+        receives_updates = any(
             line.kind == "ListNews" and line.fields.get("kind") in ("FULL", "DELTA") and line.at_s > after
             for line in trace
         )
-        self.scheduler_counts[hears_updates] += 1
+        self.scheduler_counts[receives_updates] += 1
         for line in trace:
             window = int(line.at_s // WINDOW_S) * WINDOW_S
             if line.kind == "Send":
@@ -82,9 +83,9 @@
             elif line.kind == "ListNews":
                 self.list_answers[window][line.fields.get("kind", "")] += 1
             if line.at_s > after and line.kind in ("Submitted", "Refuse", "Fail"):
-                self.late_counts[hears_updates][line.kind] += 1
+                self.late_counts[receives_updates][line.kind] += 1
             if line.at_s > after and line.kind == "Finished":
-                self.late_counts[hears_updates][line.fields["outcome"]] += 1
+                self.late_counts[receives_updates][line.fields["outcome"]] += 1
 
     def report(self) -> dict[str, object]:
         fair_share = sum(self.sends_by_worker.values()) / (len(self.sends_by_worker) or 1)
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -74,12 +74,12 @@
     """Measure bytes, messages and CPU per second and scheduler of a fleet without changes."""
     network = joined_network(size, seed, 0.0)
     codec, byte_count = Codec("fleet"), 0
-    sent, duration_s = 0, 20.0 if size < 200 else 10.0
+    message_count, duration_s = 0, 20.0 if size < 200 else 10.0
     send = network._send
 
     def counting_send(node: Any, to: Any, message: Any) -> None:
-        nonlocal byte_count, sent
-        sent += 1
+        nonlocal byte_count, message_count
+        message_count += 1
         byte_count += len(codec.encode(message)) + HEADER_BYTES
         send(node, to, message)
 
@@ -92,7 +92,7 @@
         "size": size,
         "seed": seed,
         "bytes_a_second": round(byte_count / scheduler_seconds),
-        "messages_a_second": round(sent / scheduler_seconds, 2),
+        "messages_a_second": round(message_count / scheduler_seconds, 2),
         "cpu_ms_a_second": round(cpu_s / scheduler_seconds * 1000, 3),
     }
 
