--- a/benchmarks/placement_proof.py
+++ b/benchmarks/placement_proof.py
@@ -1,9 +1,10 @@
-"""The solver against exhaustive search on seeded fleets, and each conflict shown for its being smallest.
+"""Compares the placement solver with exhaustive search on seeded fleets.
 
     python -m benchmarks.placement_proof [--fleets 2000] [--jobs 8]
 
-Fleets have 2 to 8 planners in one or two zones, one or two groups, and constraints that often can't all be
-met.
+Also checks that each reported conflict is minimal: without any one of its constraints the others can be met.
+Fleets have 2 to 8 planners in one or two zones, one or two demand groups, and constraints that often cannot
+all be met.
 """
 
 from __future__ import annotations
@@ -21,16 +22,16 @@
 from pipitshed.placement.score import score
 from pipitshed.placement.solve import build, solve
 
-CLOSE = 1e-6
+RELATIVE_TOLERANCE = 1e-6
 
 
-def draw(seed: int) -> Fleet:
-    """One fleet; the larger it is the coarser its units, so that all plans can be tried."""
+def random_fleet(seed: int) -> Fleet:
+    """One fleet; a larger one has fewer units per group, so that all plans can be enumerated."""
     rng = random.Random(seed)
     size = rng.randint(2, 8)
-    alike = rng.random() < 0.15
-    kinds = [1.0, 1.0 + 1e-6] if alike else [0.6, 1.0, 1.0, 1.6]
-    speeds = [rng.choice(kinds) for _ in range(size)]
+    near_equal_speeds = rng.random() < 0.15
+    speed_choices = [1.0, 1.0 + 1e-6] if near_equal_speeds else [0.6, 1.0, 1.0, 1.6]
+    speeds = [rng.choice(speed_choices) for _ in range(size)]
     planners = tuple(
         Planner(
             f"p{place}",
@@ -86,56 +87,58 @@
     )
 
 
-def judge(seed: int) -> tuple[str, str]:
-    """What became of one fleet: equal, infeasible, or a fault with its description."""
-    fleet = draw(seed)
+def check_fleet(seed: int) -> tuple[str, str]:
+    """Return `equal`, `conflict`, `empty` (no demand) or `fault`, and for a fault its description."""
+    fleet = random_fleet(seed)
     if not groups(fleet):
         return "empty", ""
-    before = None
+    plan_in_force = None
     if seed % 3 == 0:
-        # A plan in force: all on the first planner.
+        # A plan in force that assigns every group to the first planner.
         name = min(planner.id for planner in fleet.planners)
-        before = {group.name: {name: fleet.units} for group in groups(fleet)}
-    answer, best = solve(fleet, before, whole=True), search(fleet, before)
-    if (best is None) != bool(answer.conflict):
-        return "fault", f"seed {seed}: feasible {best is not None}, conflict {answer.conflict}"
-    if best is None:
-        return _smallest(seed, fleet, list(answer.conflict), answer.relaxed)
-    judged = score(fleet, answer.parts or {}, answer.units, before)
-    if judged.violations:
-        return "fault", f"seed {seed}: broken {judged.violations}"
-    for ours, theirs in zip(judged.vector(), best[1].vector(), strict=True):
-        if abs(ours - theirs) > CLOSE * max(1.0, abs(theirs)):
-            return "fault", f"seed {seed}: {judged.vector()} against {best[1].vector()}"
+        plan_in_force = {group.name: {name: fleet.units} for group in groups(fleet)}
+    solution, optimum = solve(fleet, plan_in_force, whole=True), search(fleet, plan_in_force)
+    if (optimum is None) != bool(solution.conflict):
+        return "fault", f"seed {seed}: feasible {optimum is not None}, conflict {solution.conflict}"
+    if optimum is None:
+        return _check_minimal_conflict(seed, fleet, list(solution.conflict), solution.relaxed)
+    evaluation = score(fleet, solution.parts or {}, solution.units, plan_in_force)
+    if evaluation.violations:
+        return "fault", f"seed {seed}: broken {evaluation.violations}"
+    for ours, theirs in zip(evaluation.vector(), optimum[1].vector(), strict=True):
+        if abs(ours - theirs) > RELATIVE_TOLERANCE * max(1.0, abs(theirs)):
+            return "fault", f"seed {seed}: {evaluation.vector()} against {optimum[1].vector()}"
     return "equal", ""
 
 
-def _smallest(seed: int, fleet: Fleet, conflict: list[str], relaxed: dict[str, float]) -> tuple[str, str]:
+def _check_minimal_conflict(
+    seed: int, fleet: Fleet, conflict: list[str], relaxed: dict[str, float]
+) -> tuple[str, str]:
     program = build(fleet, whole=True).program
     names = set(program.names())
     if Solver(program, names - set(conflict)).feasible():
-        return "fault", f"seed {seed}: {conflict} is no conflict"
+        return "fault", f"seed {seed}: {conflict} can be met together"
     for name in conflict:
         if not Solver(program, names - set(conflict) | {name}).feasible():
-            return "fault", f"seed {seed}: {name} can be left out of {conflict}"
+            return "fault", f"seed {seed}: {name} is not needed in the conflict {conflict}"
     return ("conflict", "") if relaxed else ("fault", f"seed {seed}: no relaxation for {conflict}")
 
 
 @click.command()
 @click.option("--fleets", default=2000, show_default=True)
-@click.option("--first", default=0, show_default=True, help="Seed of the first one.")
+@click.option("--first", default=0, show_default=True, help="Seed of the first fleet.")
 @click.option("--jobs", default=8, show_default=True)
 def main(fleets: int, first: int, jobs: int) -> None:
-    """Judge, and end with 1 where there is any fault."""
-    begun = time.perf_counter()
+    """Check the fleets; the exit code is 1 if any has a fault."""
+    started_at = time.perf_counter()
     with multiprocessing.Pool(jobs) as pool:
-        found = pool.map(judge, range(first, first + fleets), chunksize=8)
-    for how, what in found:
-        if how == "fault":
-            click.echo(what, err=True)
-    counts = Counter(how for how, _ in found)
+        results = pool.map(check_fleet, range(first, first + fleets), chunksize=8)
+    for verdict, description in results:
+        if verdict == "fault":
+            click.echo(description, err=True)
+    counts = Counter(verdict for verdict, _ in results)
     click.echo(
-        f"{fleets} fleets in {time.perf_counter() - begun:.0f} s: "
+        f"{fleets} fleets in {time.perf_counter() - started_at:.0f} s: "
         + ", ".join(f"{name} {number}" for name, number in sorted(counts.items()))
     )
     raise SystemExit(1 if counts["fault"] else 0)
--- a/benchmarks/soak/drawing.py
+++ b/benchmarks/soak/drawing.py
@@ -1,4 +1,4 @@
-"""What one play of the soak consists of, drawn by its seed alone."""
+"""The parameters of one soak run, drawn from its seed alone."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from pipitshed.testbed.clients import KINDS
 
-LONGEST_DEADLINE_S = 3.0  # so that SIGKILL never comes before a request's own time is over
+LONGEST_DEADLINE_S = 3.0  # SIGKILL follows SIGTERM later than this, so no request under way loses time
 RepeatKind = Literal["retryable", "dedup", "fragile"]
-TroubleKind = Literal["roll", "goaway", "crash", "cut", "slow", "hang", "discovery"]
+FaultKind = Literal["roll", "goaway", "crash", "cut", "slow", "hang", "discovery"]
 
 
 @dataclass(frozen=True, slots=True)
-class JobClassDraw:
-    """A job class of the deployment."""
+class JobClassSpec:
+    """A job class of the deployment, with its deadline and repeat rule."""
 
     name: str
     deadline_s: float
@@ -23,7 +23,7 @@
     scope: Literal["all", "zone"]
 
     def settings(self) -> dict[str, Any]:
-        """The class as the platform's settings have it."""
+        """The class as an entry of `services` in the platform's settings (times in ms)."""
         return {
             "name": self.name,
             "deadline": self.deadline_s * 1000,
@@ -35,60 +35,61 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
-    """A trouble of workers or discovery, at a time of the play (s)."""
+class Fault:
+    """An injected fault of a worker or of discovery; `at_s` counts from the start of the traffic."""
 
-    at: float
-    kind: TroubleKind
+    at_s: float
+    kind: FaultKind
     worker: int
-    lasts: float
+    duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
-    """The program stands still (SIGSTOP, SIGCONT)."""
+class Pause:
+    """The scheduler process is stopped with SIGSTOP and resumed with SIGCONT."""
 
-    at: float
-    lasts: float
+    at_s: float
+    duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Reload:
-    """SIGHUP; with the tenants in another order where `reorder` is set."""
+    """SIGHUP; before it the tenants are reversed in the configuration file if `reorder_tenants`."""
 
-    at: float
-    reorder: bool
+    at_s: float
+    reorder_tenants: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Play:
-    """One play."""
+class Scenario:
+    """All parameters of one soak run."""
 
     seed: int
-    seconds: float  # of traffic before SIGTERM
-    rate: float  # requests a second
-    classes: tuple[JobClassDraw, ...]
-    interfaces: tuple[int, ...]  # of the workers
-    fail: float  # part of the jobs that workers fail
-    slots: int  # of a worker
-    mix: dict[str, float]  # kinds of clients
-    book: float  # part of the requests of the class `book`
-    cancel: float  # part whose client leaves early
+    traffic_s: float  # before SIGTERM
+    request_rate_per_s: float
+    classes: tuple[JobClassSpec, ...]
+    worker_interfaces: tuple[int, ...]  # 1: HTTP, 2: gRPC
+    failing_job_fraction: float  # of all jobs
+    slots_per_worker: int
+    client_mix: dict[str, float]  # weight of each kind of client
+    book_fraction: float  # requests of the class `book`
+    cancel_fraction: float  # requests whose client disconnects early
     memory_mb: int
     sockets: int
-    crowd: int  # idle clients
-    troubles: tuple[Trouble, ...]
-    stops: tuple[Stop, ...]  # also after SIGTERM
+    idle_client_count: int  # connected clients that send nothing
+    faults: tuple[Fault, ...]
+    pauses: tuple[Pause, ...]  # also after SIGTERM
     reloads: tuple[Reload, ...]
-    second_sigterm_after: float | None  # s
-    resting: tuple[float, ...]  # s after SIGTERM at which kept connections that rested are used
+    second_sigterm_delay_s: float | None
+    # After SIGTERM no request is sent until the earliest of these times, so that kept connections idle.
+    idle_until_s: tuple[float, ...]
 
 
-def draw_play(seed: int, seconds: float) -> Play:
-    """The play of a seed, with so many seconds of traffic."""
+def draw_scenario(seed: int, traffic_s: float) -> Scenario:
+    """The scenario of a seed, with `traffic_s` seconds of traffic before SIGTERM."""
     rng = random.Random(f"soak:{seed}")
     classes = tuple(
-        JobClassDraw(
+        JobClassSpec(
             name,
             rng.choice((0.8, 1.5, LONGEST_DEADLINE_S)),
             rng.choice(("retryable", "dedup", "fragile")),
@@ -96,37 +97,37 @@
         )
         for name in ("quote", "book")
     )
-    workers = rng.randint(2, 6)
+    worker_count = rng.randint(2, 6)
     kinds = rng.sample(KINDS, rng.randint(1, len(KINDS)))
-    signals = [rng.uniform(0.5, seconds + 2.5) for _ in range(rng.randint(2, 8))]
-    bursts = [rng.uniform(0.5, seconds + 1.0) for _ in range(rng.randint(1, 3))]
-    crowded = rng.random() < 0.3
-    return Play(
+    pause_times_s = [rng.uniform(0.5, traffic_s + 2.5) for _ in range(rng.randint(2, 8))]
+    reload_times_s = [rng.uniform(0.5, traffic_s + 1.0) for _ in range(rng.randint(1, 3))]
+    has_idle_clients = rng.random() < 0.3
+    return Scenario(
         seed,
-        seconds,
+        traffic_s,
         rng.choice((40.0, 80.0, 150.0)),
         classes,
-        tuple(rng.choice((1, 1, 2)) for _ in range(workers)),
+        tuple(rng.choice((1, 1, 2)) for _ in range(worker_count)),
         rng.choice((0.0, 0.0, 0.05, 0.2)),
         rng.choice((2, 4, 16)),
         {kind: rng.uniform(0.2, 1.0) for kind in kinds},
         rng.uniform(0.2, 0.8),
         rng.choice((0.0, 0.05, 0.2)),
         rng.choice((64, 96, 192)),
-        256 if crowded else 1024,
-        rng.randint(100, 200) if crowded else 0,
-        tuple(_trouble(rng, seconds, workers) for _ in range(rng.randint(1, 6))),
-        tuple(Stop(at, rng.uniform(0.005, 0.15)) for at in sorted(signals)),
+        256 if has_idle_clients else 1024,
+        rng.randint(100, 200) if has_idle_clients else 0,
+        tuple(_draw_fault(rng, traffic_s, worker_count) for _ in range(rng.randint(1, 6))),
+        tuple(Pause(at, rng.uniform(0.005, 0.15)) for at in sorted(pause_times_s)),
         tuple(
-            Reload(at + place * rng.uniform(0.0, 0.03), rng.random() < 0.5)
-            for at in sorted(bursts)
-            for place in range(rng.randint(1, 4))
+            Reload(at + index * rng.uniform(0.0, 0.03), rng.random() < 0.5)
+            for at in sorted(reload_times_s)
+            for index in range(rng.randint(1, 4))
         ),
         rng.choice((None, 0.0, 0.05, 1.0, 2.1)),
         tuple(rng.uniform(1.8, 2.6) for _ in range(12)),
     )
 
 
-def _trouble(rng: random.Random, seconds: float, workers: int) -> Trouble:
+def _draw_fault(rng: random.Random, traffic_s: float, worker_count: int) -> Fault:
     kind = rng.choice(("roll", "goaway", "crash", "cut", "cut", "slow", "hang", "discovery"))
-    return Trouble(rng.uniform(0.3, seconds), kind, rng.randrange(workers), rng.uniform(0.3, 2.0))
+    return Fault(rng.uniform(0.3, traffic_s), kind, rng.randrange(worker_count), rng.uniform(0.3, 2.0))
--- a/tests/scheduling/test_slow_start.py
+++ b/tests/scheduling/test_slow_start.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from benchmarks.cold_ramp import SCENES, Scene, World, worst
+from benchmarks.cold_ramp import SCENARIOS, Scenario, Simulation, worst_window
 
 
 @pytest.mark.parametrize("processes", [20, 30])
@@ -14,9 +14,9 @@
     time. Some schedulers know only the endpoint list, some get no update, and rejected clients return at
     once."""
     for seed in range(3):
-        world = World(Scene(processes=processes, **SCENES[name]), seed)
-        cold_workers = world.play()
-        assert sum(len(planner.came) for planner in cold_workers) > 100  # they get jobs at all
+        simulation = Simulation(Scenario(process_count=processes, **SCENARIOS[name]), seed)
+        cold_workers = simulation.simulate()
+        assert sum(len(planner.arrivals) for planner in cold_workers) > 100  # they get jobs at all
         for planner in cold_workers:
-            share, over = worst(planner, world.scene.rules, by_work=False)
+            share, over = worst_window(planner, simulation.scenario.guarantees, by_work=False)
             assert over == 0, (seed, planner.id, share)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 from loopback import HttpClient, Planner, program, slow_async_test
 
-from benchmarks.placement_proof import judge
+from benchmarks.placement_proof import check_fleet
 from pipitshed.cli.commands import main
 from pipitshed.placement import plan as plans
 from pipitshed.placement.explain import explain
@@ -38,7 +38,7 @@
 def test_the_solver_equals_exhaustive_search(first: int) -> None:
     """The solver finds plans with the same goal values, or a minimal conflict if there is no plan."""
     for seed in range(first, first + 10):
-        verdict, message = judge(seed)
+        verdict, message = check_fleet(seed)
         assert verdict != "fault", message
 
 
