--- a/pipitshed/config/platform.py
+++ b/pipitshed/config/platform.py
@@ -62,7 +62,7 @@
     """The platform's configuration, typed.
 
     Attributes:
-        known: The endpoint list that the file holds for the start.
+        cached_list: The endpoint list that the file holds for the start.
         fields: The fields of the workers' reports, by the protocol's names.
         mgmt: The operators' address.
         passed: The descriptor of a listening socket that the process inherits.
@@ -76,7 +76,7 @@
     seed: int
     sockets: int
     memory_mb: float
-    known: CatalogUpdate | None
+    cached_list: CatalogUpdate | None
     settings: Settings
     classes: list[str]
     tenants: list[str]
@@ -149,7 +149,7 @@
         seed=int(file.seed, SEED_BASE),
         sockets=file.limits.sockets,
         memory_mb=file.limits.memory_mb,
-        known=file.known,
+        cached_list=file.known,
         settings=settings_for_sockets(settings_from(file.settings)),
         classes=[service.name for service in names.services],
         tenants=[tenant.name for tenant in names.tenants],
--- a/pipitshed/server/assembly.py
+++ b/pipitshed/server/assembly.py
@@ -194,7 +194,7 @@
     forwarder.attach_discovery(discovery.fetch)
     apply_discovery_timeouts(discovery, config.settings)
     # Also where no list is cached: the dispatcher polls only once it has received one.
-    discovery.load_cached(config.known or CatalogUpdate(0, []))
+    discovery.load_cached(config.cached_list or CatalogUpdate(0, []))
     return discovery
 
 
