--- a/pipitshed/config/platform.py
+++ b/pipitshed/config/platform.py
@@ -65,7 +65,7 @@
         cached_list: The endpoint list that the file holds for the start.
         fields: The fields of the workers' reports, by the protocol's names.
         mgmt: The operators' address.
-        passed: The descriptor of a listening socket that the process inherits.
+        inherited_descriptor: The descriptor of a listening socket that the process inherits.
         raw: The file as it was read; a file read later is compared with it.
         trace: LB_TRACE: where the decision trace goes, `-` for the standard error; empty for none.
     """
@@ -84,7 +84,7 @@
     kinds: list[str]
     fields: list[str]
     mgmt: tuple[str, int] | None = None
-    passed: int | None = None
+    inherited_descriptor: int | None = None
     raw: dict[str, Any] | None = None
     trace: str = ""
 
@@ -124,7 +124,7 @@
     return replace(settings, endpoints_polled=True, endpoints_pushed=not settings.endpoints_polled)
 
 
-def inherited_socket(environment: Mapping[str, str]) -> int | None:
+def inherited_descriptor(environment: Mapping[str, str]) -> int | None:
     """The descriptor that `LB_PASSED_SOCKET` names: its number, or the default for any other name."""
     text = environment.get("LB_PASSED_SOCKET", "").strip()
     if not text:
@@ -157,7 +157,7 @@
         kinds=names.shapes,
         fields=names.stats.fields,
         mgmt=parse_address(mgmt) if mgmt else None,
-        passed=inherited_socket(environment),
+        inherited_descriptor=inherited_descriptor(environment),
         raw=raw,
         trace=environment.get("LB_TRACE", ""),
     )
--- a/pipitshed/server/assembly.py
+++ b/pipitshed/server/assembly.py
@@ -260,7 +260,9 @@
             parts.http_workers.close_oldest_idle()
         return http.connection()
 
-    parts.listeners.append(Listener(config.listen, accept_http_client, loop, http.has_room, config.passed))
+    parts.listeners.append(
+        Listener(config.listen, accept_http_client, loop, http.has_room, config.inherited_descriptor)
+    )
     if front.listen:
         gearman = parts.gearman_frontend = build_gearman_frontend(parts, config, front, server, loop)
         for address in front.listen:
