--- a/pipitshed/config/platform.py
+++ b/pipitshed/config/platform.py
@@ -64,7 +64,7 @@
     Attributes:
         cached_list: The endpoint list that the file holds for the start.
         fields: The fields of the workers' reports, by the protocol's names.
-        mgmt: The operators' address.
+        admin_address: The address of the admin frontend; None where there is none.
         inherited_descriptor: The descriptor of a listening socket that the process inherits.
         raw: The file as it was read; a file read later is compared with it.
         trace: LB_TRACE: where the decision trace goes, `-` for the standard error; empty for none.
@@ -83,7 +83,7 @@
     zones: list[str]
     kinds: list[str]
     fields: list[str]
-    mgmt: tuple[str, int] | None = None
+    admin_address: tuple[str, int] | None = None
     inherited_descriptor: int | None = None
     raw: dict[str, Any] | None = None
     trace: str = ""
@@ -141,7 +141,7 @@
     listen = parse_address(file.listen or environment.get("LB_LISTEN", ""))
     discovery = file.discovery or environment.get("LB_DISCOVERY", "")
     # The environment comes first: two processes share one file during an upgrade.
-    mgmt = environment.get("LB_MGMT", "") or file.mgmt
+    admin_address = environment.get("LB_MGMT", "") or file.mgmt
     return Config(
         name=file.name or environment.get("LB_NAME", ""),
         listen=listen,
@@ -156,7 +156,7 @@
         zones=names.areas,
         kinds=names.shapes,
         fields=names.stats.fields,
-        mgmt=parse_address(mgmt) if mgmt else None,
+        admin_address=parse_address(admin_address) if admin_address else None,
         inherited_descriptor=inherited_descriptor(environment),
         raw=raw,
         trace=environment.get("LB_TRACE", ""),
--- a/pipitshed/server/assembly.py
+++ b/pipitshed/server/assembly.py
@@ -317,9 +317,9 @@
 
 def add_admin(parts: Parts, config: Config, server: ServerCallbacks, loop: asyncio.AbstractEventLoop) -> None:
     """Listen at the admin address, where there is one."""
-    if config.mgmt is not None:
+    if config.admin_address is not None:
         parts.admin_frontend = AdminFrontend(server.ready, server.metrics, loop)
-        parts.admin_listener = Listener(config.mgmt, parts.admin_frontend.connection, loop)
+        parts.admin_listener = Listener(config.admin_address, parts.admin_frontend.connection, loop)
 
 
 def build_cluster_node(
