--- a/pipitshed/config/platform.py
+++ b/pipitshed/config/platform.py
@@ -63,7 +63,7 @@
 
     Attributes:
         cached_list: The endpoint list that the file holds for the start.
-        fields: The fields of the workers' reports, by the protocol's names.
+        report_fields: The fields of the workers' reports, by the protocol's names.
         admin_address: The address of the admin frontend; None where there is none.
         inherited_descriptor: The descriptor of a listening socket that the process inherits.
         raw: The file as it was read; a file read later is compared with it.
@@ -82,7 +82,7 @@
     tenants: list[str]
     zones: list[str]
     kinds: list[str]
-    fields: list[str]
+    report_fields: list[str]
     admin_address: tuple[str, int] | None = None
     inherited_descriptor: int | None = None
     raw: dict[str, Any] | None = None
@@ -155,7 +155,7 @@
         tenants=[tenant.name for tenant in names.tenants],
         zones=names.areas,
         kinds=names.shapes,
-        fields=names.stats.fields,
+        report_fields=names.stats.fields,
         admin_address=parse_address(admin_address) if admin_address else None,
         inherited_descriptor=inherited_descriptor(environment),
         raw=raw,
--- a/pipitshed/server/assembly.py
+++ b/pipitshed/server/assembly.py
@@ -116,7 +116,7 @@
     names = Names(NameIndex(config.zones), NameIndex(config.kinds), class_names, tenants)
     descriptors = DescriptorBudget(config.sockets)
     forwarder = Forwarder(config.settings, config.seed, loop, open_decision_log(config))
-    http_workers = HttpWorkerClient(forwarder, config.fields, loop, descriptors.left_for_workers)
+    http_workers = HttpWorkerClient(forwarder, config.report_fields, loop, descriptors.left_for_workers)
     translation = build_translation(front, forwarder, http_workers, class_names, loop)
 
     def parser(source: str) -> EndpointParser:
--- a/pipitshed/server/reload.py
+++ b/pipitshed/server/reload.py
@@ -101,7 +101,7 @@
         tenants = registry.by_number(settings.tenants)
         settings = replace(settings, classes=self.classes.classes, tenants=tenants, own_zone=own_zone)
         parts.forwarder.apply_settings(settings)
-        parts.http_workers.apply_settings(settings.limits, config.fields)
+        parts.http_workers.apply_settings(settings.limits, config.report_fields)
         parts.http_frontend.parser.apply_settings(self.classes.accepted_at(now), registry.accepted())
         if parts.gearman_frontend is not None:
             parts.gearman_frontend.apply_tenants(registry.accepted())
