--- a/pipitshed/config/platform.py
+++ b/pipitshed/config/platform.py
@@ -74,7 +74,7 @@
     listen: tuple[str, int]
     discovery: tuple[str, int] | None
     seed: int
-    sockets: int
+    descriptor_limit: int
     memory_mb: float
     cached_list: CatalogUpdate | None
     settings: Settings
@@ -147,7 +147,7 @@
         listen=listen,
         discovery=parse_address(discovery) if discovery else None,
         seed=int(file.seed, SEED_BASE),
-        sockets=file.limits.sockets,
+        descriptor_limit=file.limits.sockets,
         memory_mb=file.limits.memory_mb,
         cached_list=file.known,
         settings=settings_for_sockets(settings_from(file.settings)),
--- a/pipitshed/server/assembly.py
+++ b/pipitshed/server/assembly.py
@@ -114,7 +114,7 @@
     """Build all parts but the cluster node, and listen; discovery begins with the list that is cached."""
     tenants = TenantRegistry.first(config.tenants)
     names = Names(NameIndex(config.zones), NameIndex(config.kinds), class_names, tenants)
-    descriptors = DescriptorBudget(config.sockets)
+    descriptors = DescriptorBudget(config.descriptor_limit)
     forwarder = Forwarder(config.settings, config.seed, loop, open_decision_log(config))
     http_workers = HttpWorkerClient(forwarder, config.report_fields, loop, descriptors.left_for_workers)
     translation = build_translation(front, forwarder, http_workers, class_names, loop)
--- a/pipitshed/server/reload.py
+++ b/pipitshed/server/reload.py
@@ -108,7 +108,7 @@
         if self.classes.leaving:
             self._loop.call_later(DROPPED_CLASS_GRACE_S, self._drop_expired_classes)
         self.config = config
-        parts.descriptors.descriptor_count = config.sockets
+        parts.descriptors.descriptor_count = config.descriptor_limit
         return changes
 
     def _with_first_kind_number(self, job_class: JobClass, config: Config) -> JobClass:
