--- a/pipitshed/config/platform.py
+++ b/pipitshed/config/platform.py
@@ -67,7 +67,7 @@
         admin_address: The address of the admin frontend; None where there is none.
         inherited_descriptor: The descriptor of a listening socket that the process inherits.
         raw: The file as it was read; a file read later is compared with it.
-        trace: LB_TRACE: where the decision trace goes, `-` for the standard error; empty for none.
+        trace_target: LB_TRACE: where the decision trace goes, `-` for the standard error; empty for none.
     """
 
     name: str
@@ -86,7 +86,7 @@
     admin_address: tuple[str, int] | None = None
     inherited_descriptor: int | None = None
     raw: dict[str, Any] | None = None
-    trace: str = ""
+    trace_target: str = ""
 
 
 def load_platform_config(environment: Mapping[str, str] = os.environ) -> Config:
@@ -159,5 +159,5 @@
         admin_address=parse_address(admin_address) if admin_address else None,
         inherited_descriptor=inherited_descriptor(environment),
         raw=raw,
-        trace=environment.get("LB_TRACE", ""),
+        trace_target=environment.get("LB_TRACE", ""),
     )
--- a/pipitshed/server/assembly.py
+++ b/pipitshed/server/assembly.py
@@ -153,9 +153,9 @@
 
 def open_decision_log(config: Config) -> DecisionLog | None:
     """The log of the dispatcher's events and actions, begun with the settings."""
-    if not config.trace:
+    if not config.trace_target:
         return None
-    decision_log = DecisionLog.named(config.trace)
+    decision_log = DecisionLog.named(config.trace_target)
     decision_log.settings((config.raw or {}).get("settings"))
     return decision_log
 
