--- a/pipitshed/cli/serve.py
+++ b/pipitshed/cli/serve.py
@@ -41,7 +41,7 @@
         f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}",
         f"classes {', '.join(config.classes)}",
         f"{len(config.cached_list.instances) if config.cached_list else 0} planners known",
-        "Gearman " + (", ".join(f"{host}:{port}" for host, port in front_config.listen) or "off"),
+        "Gearman " + (", ".join(f"{host}:{port}" for host, port in front_config.gearman_addresses) or "off"),
     ]
     if front_config.translation is not None:
         parts.append(f"forms {_form_versions(front_config.translation)} translated")
--- a/pipitshed/config/front.py
+++ b/pipitshed/config/front.py
@@ -101,11 +101,11 @@
     """What the front file asks for.
 
     Attributes:
-        listen: The addresses of the Gearman frontend; it is off where there are none.
+        gearman_addresses: The addresses of the Gearman frontend; it is off where there are none.
         functions: Gearman functions by name.
     """
 
-    listen: list[tuple[str, int]]
+    gearman_addresses: list[tuple[str, int]]
     functions: dict[str, FunctionConfig]
     workers: _Workers
     dns_server: tuple[str, int] | None
@@ -140,7 +140,7 @@
         line = line_at(text, *mismatch.keys)
         raise FrontFileError(path, line, mismatch.keys, mismatch.reason)
     return FrontConfig(
-        listen=[parse_address(address) for address in file.gearman.listen],
+        gearman_addresses=[parse_address(address) for address in file.gearman.listen],
         functions={name: _function_config(entry) for name, entry in file.gearman.functions.items()},
         workers=file.gearman.workers,
         dns_server=parse_address(file.dns_sd.server) if file.dns_sd else None,
--- a/pipitshed/server/assembly.py
+++ b/pipitshed/server/assembly.py
@@ -263,9 +263,9 @@
     parts.listeners.append(
         Listener(config.listen, accept_http_client, loop, http.has_room, config.inherited_descriptor)
     )
-    if front.listen:
+    if front.gearman_addresses:
         gearman = parts.gearman_frontend = build_gearman_frontend(parts, config, front, server, loop)
-        for address in front.listen:
+        for address in front.gearman_addresses:
             parts.listeners.append(Listener(address, gearman.connection, loop, gearman.has_room))
 
 
@@ -336,7 +336,7 @@
 
     # Gearman's functions and workers know the classes by the numbers of the start.
     fixed = frozenset[str]()
-    if front.listen:
+    if front.gearman_addresses:
         fixed = frozenset(function.job_class for function in front.functions.values())
     target = SettingsTarget(raw_config, apply_row_settings, fixed)
     return ClusterNode(peers, own_zone_name(config), loop, target)
