--- a/pipitshed/config/front.py
+++ b/pipitshed/config/front.py
@@ -102,12 +102,12 @@
 
     Attributes:
         gearman_addresses: The addresses of the Gearman frontend; it is off where there are none.
-        functions: Gearman functions by name.
+        gearman_functions: Gearman functions by name.
     """
 
     gearman_addresses: list[tuple[str, int]]
-    functions: dict[str, FunctionConfig]
-    workers: _Workers
+    gearman_functions: dict[str, FunctionConfig]
+    gearman_workers: _Workers
     dns_server: tuple[str, int] | None
     dns_service: str
     translation: Translation | None = None
@@ -141,8 +141,8 @@
         raise FrontFileError(path, line, mismatch.keys, mismatch.reason)
     return FrontConfig(
         gearman_addresses=[parse_address(address) for address in file.gearman.listen],
-        functions={name: _function_config(entry) for name, entry in file.gearman.functions.items()},
-        workers=file.gearman.workers,
+        gearman_functions={name: _function_config(entry) for name, entry in file.gearman.functions.items()},
+        gearman_workers=file.gearman.workers,
         dns_server=parse_address(file.dns_sd.server) if file.dns_sd else None,
         dns_service=file.dns_sd.service if file.dns_sd else "",
         translation=_load_translation(path, file, config.classes),
--- a/pipitshed/server/assembly.py
+++ b/pipitshed/server/assembly.py
@@ -283,8 +283,13 @@
 
     functions = gearman_functions(parts, config, front)
     zones, kinds = parts.names.zones, parts.names.kinds
-    zone = zones.index(front.workers.zone) if front.workers.zone else config.settings.own_zone
-    location = WorkerLocation(zone, front.workers.cell, kinds.index(front.workers.kind), front.workers.weight)
+    zone = zones.index(front.gearman_workers.zone) if front.gearman_workers.zone else config.settings.own_zone
+    location = WorkerLocation(
+        zone,
+        front.gearman_workers.cell,
+        kinds.index(front.gearman_workers.kind),
+        front.gearman_workers.weight,
+    )
     workers = GearmanWorkerClient(
         parts.forwarder,
         {name: function.job_class for name, function in functions.items()},
@@ -304,7 +309,7 @@
     translator = parts.translation.translator if parts.translation is not None else None
     tenants = parts.names.tenants.accepted()
     functions = {}
-    for name, function in front.functions.items():
+    for name, function in front.gearman_functions.items():
         job_class = config.classes.index(function.job_class)
         tenant_number = tenants.number(function.tenant)
         form = function.form_version
@@ -337,6 +342,6 @@
     # Gearman's functions and workers know the classes by the numbers of the start.
     fixed = frozenset[str]()
     if front.gearman_addresses:
-        fixed = frozenset(function.job_class for function in front.functions.values())
+        fixed = frozenset(function.job_class for function in front.gearman_functions.values())
     target = SettingsTarget(raw_config, apply_row_settings, fixed)
     return ClusterNode(peers, own_zone_name(config), loop, target)
