--- a/pipitshed/cli/serve.py
+++ b/pipitshed/cli/serve.py
@@ -45,8 +45,8 @@
     ]
     if front_config.translation is not None:
         parts.append(f"forms {_form_versions(front_config.translation)} translated")
-    if front_config.plan is not None:
-        parts.append(f"plan {_plan_number(front_config.plan)} followed")
+    if front_config.plan_path is not None:
+        parts.append(f"plan {_plan_number(front_config.plan_path)} followed")
     if cluster is not None:
         parts.append(f"in cluster {cluster.cluster} as {cluster.name}")
         parts.append(f"{len(cluster.seeds)} seeds")
--- a/pipitshed/config/front.py
+++ b/pipitshed/config/front.py
@@ -111,7 +111,7 @@
     dns_server: tuple[str, int] | None
     dns_service: str
     translation: Translation | None = None
-    plan: Path | None = None
+    plan_path: Path | None = None
 
 
 def load_front(path: Path | None, config: Config) -> FrontConfig:
@@ -146,7 +146,7 @@
         dns_server=parse_address(file.dns_sd.server) if file.dns_sd else None,
         dns_service=file.dns_sd.service if file.dns_sd else "",
         translation=_load_translation(path, file, config.classes),
-        plan=path.parent / file.placement.plan if file.placement else None,
+        plan_path=path.parent / file.placement.plan if file.placement else None,
     )
 
 
--- a/pipitshed/server/assembly.py
+++ b/pipitshed/server/assembly.py
@@ -228,13 +228,13 @@
     loop: asyncio.AbstractEventLoop,
 ) -> PlacementPlanSource | None:
     """The source of weights from a placement plan's file."""
-    if front.plan is None:
+    if front.plan_path is None:
         return None
     from pipitshed.discovery.placement_plan import PlacementPlanSource
 
     slow_start_ms = config.settings.guarantees.slow_start_ms
     return PlacementPlanSource(
-        front.plan, own_zone_name(config), class_names, slow_start_ms, forwarder.endpoints, loop
+        front.plan_path, own_zone_name(config), class_names, slow_start_ms, forwarder.endpoints, loop
     )
 
 
