--- a/pipitshed/config/front.py
+++ b/pipitshed/config/front.py
@@ -86,14 +86,14 @@
     """The translation file, and what is known of the workers' interfaces.
 
     Attributes:
-        interface: The interface of workers that `planners` does not name; 0: it is detected.
-        planners: Interfaces by instance id.
+        default_interface: The interface of workers that `interface_by_instance` lacks; 0: it is detected.
+        interface_by_instance: The interface, 1 or 2, by instance id.
     """
 
     file: TranslationFile
-    interface: int
+    default_interface: int
     keepalive_s: float
-    planners: dict[str, int]
+    interface_by_instance: dict[str, int]
 
 
 @dataclass(frozen=True)
--- a/pipitshed/server/translation.py
+++ b/pipitshed/server/translation.py
@@ -36,8 +36,8 @@
         self.interfaces = InterfaceRegistry(
             forwarder.endpoints,
             {HTTP_INTERFACE: http_workers, GRPC_INTERFACE: self.grpc_workers},
-            config.planners,
-            config.interface,
+            config.interface_by_instance,
+            config.default_interface,
             self.prober.probe,
             loop.call_later,
         )
