--- a/pipitshed/config/row_overlay.py
+++ b/pipitshed/config/row_overlay.py
@@ -65,7 +65,7 @@
     raw: dict[str, Any],
     rows: Iterable[Row],
     previously_applied: Mapping[str, Row] | None = None,
-    fixed: Container[str] = (),
+    fixed_classes: Container[str] = (),
 ) -> Overlay:
     """Lay rows over a file as it was read, which is not changed.
 
@@ -76,7 +76,7 @@
         raw: The file.
         rows: The rows, one for a key.
         previously_applied: The rows applied before, by key.
-        fixed: Names of classes that no row can change here.
+        fixed_classes: Names of classes that no row can change here.
     """
     indexes = {kind: _indexes_by_name(raw, kind) for kind in _LIST_BY_KIND}
     previous_rows = previously_applied or {}
@@ -89,7 +89,7 @@
                 break
             try:
                 if not candidate.deleted:
-                    changes.append(_check(raw, indexes, candidate, fixed))
+                    changes.append(_check(raw, indexes, candidate, fixed_classes))
             except RowRejectedError as error:
                 rejected.setdefault(row.key, error.reason)
                 continue
@@ -98,14 +98,14 @@
     return Overlay(raw | {"settings": _changed_settings(raw["settings"], changes)}, applied, rejected)
 
 
-def check(raw: dict[str, Any], row: Row, fixed: Container[str] = ()) -> float:
+def check(raw: dict[str, Any], row: Row, fixed_classes: Container[str] = ()) -> float:
     """Return the value of a row that the file in force permits.
 
     Raises:
         RowRejectedError: The row cannot be applied.
     """
     indexes = {kind: _indexes_by_name(raw, kind) for kind in _LIST_BY_KIND}
-    return _check(raw, indexes, row, fixed).value
+    return _check(raw, indexes, row, fixed_classes).value
 
 
 def file_value(raw: dict[str, Any], key: str) -> float | None:
@@ -140,12 +140,12 @@
 
 
 def _check(
-    raw: dict[str, Any], indexes_by_kind: dict[str, IndexesByName], row: Row, fixed: Container[str]
+    raw: dict[str, Any], indexes_by_kind: dict[str, IndexesByName], row: Row, fixed_classes: Container[str]
 ) -> _Change:
     if not row.readable:
         raise RowRejectedError(row.key, f"it is of a newer program (form {row.format_version})")
     key = _parse_key(row.key)
-    if key.kind == "class" and key.name in fixed:
+    if key.kind == "class" and key.name in fixed_classes:
         reason = f"Gearman's functions keep the limits that {key.name!r} had at the start"
         raise RowRejectedError(row.key, reason)
     indexes = indexes_by_kind[key.kind].get(key.name, [])
--- a/pipitshed/server/assembly.py
+++ b/pipitshed/server/assembly.py
@@ -340,8 +340,8 @@
     from pipitshed.cluster.settings import SettingsTarget
 
     # Gearman's functions and workers know the classes by the numbers of the start.
-    fixed = frozenset[str]()
+    fixed_classes = frozenset[str]()
     if front.gearman_addresses:
-        fixed = frozenset(function.job_class for function in front.gearman_functions.values())
-    target = SettingsTarget(raw_config, apply_row_settings, fixed)
+        fixed_classes = frozenset(function.job_class for function in front.gearman_functions.values())
+    target = SettingsTarget(raw_config, apply_row_settings, fixed_classes)
     return ClusterNode(peers, own_zone_name(config), loop, target)
--- a/tests/replication/test_settings_rows.py
+++ b/tests/replication/test_settings_rows.py
@@ -132,7 +132,9 @@
 
 
 def test_a_class_of_gearmans_functions_is_refused_and_no_other() -> None:
-    laid = overlay(raw(), [row(GOAL, b"1500"), row("class/book/goalTime", b"1500"), row()], fixed={"book"})
+    laid = overlay(
+        raw(), [row(GOAL, b"1500"), row("class/book/goalTime", b"1500"), row()], fixed_classes={"book"}
+    )
     assert set(laid.applied) == {GOAL, SHARE} and "Gearman's" in laid.rejected["class/book/goalTime"]
 
 
