--- a/pipitshed/server/assembly.py
+++ b/pipitshed/server/assembly.py
@@ -328,7 +328,7 @@
 
 
 def build_cluster_node(
-    peers: ClusterConfig,
+    cluster_config: ClusterConfig,
     config: Config,
     front: FrontConfig,
     raw_config: Callable[[], dict[str, Any]],
@@ -344,4 +344,4 @@
     if front.gearman_addresses:
         fixed_classes = frozenset(function.job_class for function in front.gearman_functions.values())
     target = SettingsTarget(raw_config, apply_row_settings, fixed_classes)
-    return ClusterNode(peers, own_zone_name(config), loop, target)
+    return ClusterNode(cluster_config, own_zone_name(config), loop, target)
--- a/pipitshed/server/server.py
+++ b/pipitshed/server/server.py
@@ -51,7 +51,7 @@
         config: Config,
         front: FrontConfig,
         loop: asyncio.AbstractEventLoop,
-        peers: ClusterConfig | None = None,
+        cluster_config: ClusterConfig | None = None,
     ) -> None:
         self._loop = loop
         self._ended = asyncio.Event()
@@ -61,9 +61,14 @@
         classes = ClassRegistry.first(config.classes, config.settings.classes)
         self.parts = assemble(config, front, list(classes.names), self, loop)
         self.reloader = SettingsReloader(config, classes, self.parts, loop)
-        if peers is not None:
+        if cluster_config is not None:
             self.parts.cluster_node = build_cluster_node(
-                peers, config, front, self.reloader.raw_config, self.reloader.apply_row_settings, loop
+                cluster_config,
+                config,
+                front,
+                self.reloader.raw_config,
+                self.reloader.apply_row_settings,
+                loop,
             )
 
     def ready(self) -> bool:
@@ -180,11 +185,11 @@
         )
 
 
-def serve(config: Config, front: FrontConfig, peers: ClusterConfig | None = None) -> None:
+def serve(config: Config, front: FrontConfig, cluster_config: ClusterConfig | None = None) -> None:
     """Run one scheduler to its end, alone or among the peers that a file names."""
 
     async def run() -> None:
-        scheduler = Scheduler(config, front, asyncio.get_running_loop(), peers)
+        scheduler = Scheduler(config, front, asyncio.get_running_loop(), cluster_config)
         # What is there now stays; a full collection in the middle of traffic would make timers late.
         gc.collect()
         gc.freeze()
