--- a/pipitshed/server/server.py
+++ b/pipitshed/server/server.py
@@ -22,20 +22,22 @@
 if TYPE_CHECKING:
     from pipitshed.cluster.config_file import ClusterConfig
 
-END_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-SIGNALS = (*END_SIGNALS, signal.SIGHUP)
+SHUTDOWN_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+HANDLED_SIGNALS = (*SHUTDOWN_SIGNALS, signal.SIGHUP)
 
 # Times from SIGTERM on.
-LISTEN_S = 0.5  # for which it listens on: new connections keep coming for up to 0.4 s
-SERVE_CONNECTIONS_S = 2.0  # for which open connections are served on: a peer may be starting again by then
-KILL_MARGIN_S = 0.7  # beside the longest deadline, after which SIGKILL comes
+LISTEN_AFTER_SIGTERM_S = 0.5  # for which it listens on: new connections keep coming for up to 0.4 s
+KEEP_CONNECTIONS_S = 2.0  # for which open connections are served on: a peer may be starting again by then
+SIGKILL_MARGIN_S = 0.7  # beside the longest deadline, after which SIGKILL comes
 LONGEST_DEADLINE_MAX_S = 3.0  # that the longest deadline counts at most for that
-ANSWER_BEFORE_KILL_S = 0.3  # by which all that came after LISTEN_S is answered before SIGKILL
-SERVE_CONNECTIONS_FRACTION = 0.6  # of the time until then, for which connections are served on at most
+ANSWER_BEFORE_SIGKILL_S = (
+    0.3  # by which all that came after LISTEN_AFTER_SIGTERM_S is answered before SIGKILL
+)
+KEEP_CONNECTIONS_FRACTION = 0.6  # of the time until then, for which connections are served on at most
 ANNOUNCE_CLOSE_S = 0.5  # for which a connection in use is kept, so that its next response announces its close
 ANNOUNCE_CLOSE_FRACTION = 0.2  # of the time until all is answered, for which it is kept at most
-END_MARGIN_S = 1.0  # beyond the longest deadline, after which no answer can be outstanding
-IDLE_POLL_S = 0.02  # between checks whether all is answered
+SHUTDOWN_MARGIN_S = 1.0  # beyond the longest deadline, after which no answer can be outstanding
+IDLE_CHECK_INTERVAL_S = 0.02  # between checks whether all is answered
 
 READY_WITHOUT_LIST_S = 4.0  # after the start, from which the process is ready without discovery's list
 GC_THRESHOLDS = (50_000, 20, 100)
@@ -56,7 +58,7 @@
         self._loop = loop
         self._ended = asyncio.Event()
         self._draining = False
-        self._end_by = 0.0  # loop time
+        self._shutdown_deadline_at = 0.0  # loop time
         self._started_at = loop.time()
         classes = ClassRegistry.first(config.classes, config.settings.classes)
         self.parts = assemble(config, front, list(classes.names), self, loop)
@@ -78,13 +80,13 @@
         be sent jobs. Where discovery can't be reached, or some time after the start, it is ready without.
         """
         discovery = self.parts.discovery
-        listed = (
+        has_list = (
             discovery is None
             or discovery.received_any
             or discovery.unreachable
             or (self._loop.time() - self._started_at > READY_WITHOUT_LIST_S)
         )
-        return listed and not self._draining
+        return has_list and not self._draining
 
     def metrics(self) -> bytes:
         """The text of `/-/metrics`."""
@@ -108,10 +110,12 @@
 
     async def run(self) -> None:
         """Serve until SIGTERM or SIGINT, and then until all requests are answered."""
-        for number in END_SIGNALS:
+        for number in SHUTDOWN_SIGNALS:
             self._loop.add_signal_handler(number, self.drain)
         self._loop.add_signal_handler(signal.SIGHUP, self.reloader.reload)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)  # what was sent since the start arrives now
+        signal.pthread_sigmask(
+            signal.SIG_UNBLOCK, HANDLED_SIGNALS
+        )  # what was sent since the start arrives now
         for listener in self.parts.listeners:
             log.info("listening on %s:%d%s", *listener.address, " (passed)" if listener.passed else "")
         if self.parts.admin_listener is not None:
@@ -120,7 +124,7 @@
             await self.parts.cluster_node.start()
         await self._ended.wait()
         # The handlers go with the loop: a signal after that would change the exit code.
-        signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
+        signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
         counters = self.parts.forwarder.counters + self._discovery_counters()
         log.info("ended: %s", " ".join(f"{name}={count}" for name, count in sorted(counters.items())))
 
@@ -130,11 +134,13 @@
             return
         self._draining = True
         log.info("ending: no longer ready; all that was taken is answered first")
-        self._end_by = self._loop.time() + LISTEN_S + self._longest_deadline_s() + END_MARGIN_S
-        self._loop.call_later(LISTEN_S, self._stop_listening)
+        self._shutdown_deadline_at = (
+            self._loop.time() + LISTEN_AFTER_SIGTERM_S + self._longest_deadline_s() + SHUTDOWN_MARGIN_S
+        )
+        self._loop.call_later(LISTEN_AFTER_SIGTERM_S, self._stop_listening)
         # Clients sent away at once would find the peer that was restarted just before still down.
-        serve_s = min(SERVE_CONNECTIONS_S, SERVE_CONNECTIONS_FRACTION * self._answer_within_s())
-        self._loop.call_later(serve_s, self._close_connections)
+        keep_s = min(KEEP_CONNECTIONS_S, KEEP_CONNECTIONS_FRACTION * self._answer_within_s())
+        self._loop.call_later(keep_s, self._close_connections)
         if self.parts.cluster_node is not None:
             self.parts.cluster_node.leave()  # last: an error in it must not keep the program from its end
 
@@ -147,14 +153,14 @@
         It goes by the deadlines of this deployment: where they are short, SIGKILL comes sooner.
         """
         longest_s = self._longest_deadline_s()
-        return min(longest_s, LONGEST_DEADLINE_MAX_S) + KILL_MARGIN_S - ANSWER_BEFORE_KILL_S
+        return min(longest_s, LONGEST_DEADLINE_MAX_S) + SIGKILL_MARGIN_S - ANSWER_BEFORE_SIGKILL_S
 
     def _stop_listening(self) -> None:
         for listener in self.parts.listeners:
             listener.close()
         if self.parts.gearman_frontend is not None:
             self.parts.gearman_frontend.closing = True
-        answer_deadline_at = self._loop.time() + self._answer_within_s() - LISTEN_S
+        answer_deadline_at = self._loop.time() + self._answer_within_s() - LISTEN_AFTER_SIGTERM_S
         self.parts.forwarder.set_answer_deadline(answer_deadline_at)
 
     def _close_connections(self) -> None:
@@ -162,17 +168,17 @@
         self.parts.http_frontend.draining = True
         self.parts.http_frontend.linger = LINGER_ENDING
         # A little later, what stood in the listeners' queues has its connection.
-        self._loop.call_later(IDLE_POLL_S, self._end_when_idle)
+        self._loop.call_later(IDLE_CHECK_INTERVAL_S, self._end_when_idle)
 
     def _end_when_idle(self) -> None:
         announce_s = min(ANNOUNCE_CLOSE_S, ANNOUNCE_CLOSE_FRACTION * self._answer_within_s())
         self.parts.http_frontend.close_idle(announce_s)
         # A client that never ends the request it has begun must not keep the program from its end.
-        if self._busy() and self._loop.time() < self._end_by:
-            self._loop.call_later(IDLE_POLL_S, self._end_when_idle)
+        if self._busy() and self._loop.time() < self._shutdown_deadline_at:
+            self._loop.call_later(IDLE_CHECK_INTERVAL_S, self._end_when_idle)
             return
         self.parts.close()
-        self._loop.call_later(IDLE_POLL_S, self._ended.set)
+        self._loop.call_later(IDLE_CHECK_INTERVAL_S, self._ended.set)
 
     def _busy(self) -> bool:
         """Whether any client is connected, or waits for an answer."""
