--- a/pipitshed/server/translation.py
+++ b/pipitshed/server/translation.py
@@ -32,7 +32,7 @@
     ) -> None:
         self.translator = Translator(config.file, class_names)
         self.grpc_workers = GrpcWorkerClient(forwarder, class_names, loop, config.keepalive_s)
-        self.prober = InterfaceProber(loop, self._detected)
+        self.prober = InterfaceProber(loop, self._on_interface_detected)
         self.interfaces = InterfaceRegistry(
             forwarder.endpoints,
             {HTTP_INTERFACE: http_workers, GRPC_INTERFACE: self.grpc_workers},
@@ -44,16 +44,16 @@
         forwarder.attach_translator(self.translator)
         forwarder.endpoints.attach_forgotten_listener(self.interfaces.forget)
         http_workers.classes = class_names
-        http_workers.on_wrong_interface = self.grpc_workers.on_wrong_interface = self._mismatched
-        self.grpc_workers.on_drain = self._drains
+        http_workers.on_wrong_interface = self.grpc_workers.on_wrong_interface = self._on_wrong_interface
+        self.grpc_workers.on_drain = self._on_drain
 
-    def _detected(self, worker: WorkerId, address: tuple[str, int], interface: int) -> None:
+    def _on_interface_detected(self, worker: WorkerId, address: tuple[str, int], interface: int) -> None:
         self.interfaces.detected(worker, address, interface)
 
-    def _mismatched(self, endpoint: Endpoint) -> None:
+    def _on_wrong_interface(self, endpoint: Endpoint) -> None:
         self.interfaces.mismatched(endpoint.id)
 
-    def _drains(self, endpoint: Endpoint) -> None:
+    def _on_drain(self, endpoint: Endpoint) -> None:
         self.interfaces.drains(endpoint.id)
 
     def close(self) -> None:
