--- a/pipitshed/cli/place.py
+++ b/pipitshed/cli/place.py
@@ -20,7 +20,7 @@
 from pipitshed.placement.solve import GOALS, Answer, solve
 
 EXIT_CONSTRAINT_BROKEN = 1
-LEAST_SHOWN_MOVE = 1e-12  # smaller differences of fractions are rounding errors
+MIN_SHOWN_FRACTION = 1e-12  # smaller differences of fractions are rounding errors
 MS_PER_S = 1000
 # The text of `--help`, apart from the doc comment.
 SOLVE_HELP = (
@@ -156,6 +156,6 @@
         before, after = old.parts.get(group, {}), new.parts.get(group, {})
         for worker in before.keys() | after.keys():
             fraction = after.get(worker, 0) / new.units - before.get(worker, 0) / old.units
-            if abs(fraction) > LEAST_SHOWN_MOVE:
+            if abs(fraction) > MIN_SHOWN_FRACTION:
                 moves.append(_Move(group, worker, fraction))
     return moves
--- a/pipitshed/cli/settings.py
+++ b/pipitshed/cli/settings.py
@@ -22,7 +22,7 @@
 DEFAULT_WAIT_S = 15.0
 MAX_WAIT_S = 3600.0
 MAX_NAMED_MEMBERS = 12  # of those that do not apply a change
-MAX_SHOWN_VALUE = 40  # characters of a value that is rejected
+MAX_SHOWN_VALUE_CHARS = 40  # characters of a value that is rejected
 NO_ROW_VERSION = (0, 0)
 _HEADINGS = ("KEY", "IN FORCE", "FILE", "ROW", "WRITER", "")
 
@@ -66,7 +66,7 @@
 @_change_options
 def put(key: str, value: str, wait_s: float, take_over: bool, **target_values: Any) -> None:
     """Put a value, and wait until all live members apply it."""
-    _write(resolve_target(**target_values), key, value.encode(), wait_s, take_over)
+    _change_row(resolve_target(**target_values), key, value.encode(), wait_s, take_over)
 
 
 @settings.command()
@@ -74,7 +74,7 @@
 @_change_options
 def delete(key: str, wait_s: float, take_over: bool, **target_values: Any) -> None:
     """Delete a row, so that the settings file's value is in force again. Exit codes as of `put`."""
-    _write(resolve_target(**target_values), key, None, wait_s, take_over)
+    _change_row(resolve_target(**target_values), key, None, wait_s, take_over)
 
 
 @settings.command()
@@ -101,7 +101,9 @@
     sys.exit(EXIT_IN_FORCE if cluster_status.is_uniform else EXIT_NOT_EVERYWHERE)
 
 
-def _write(target: SchedulerTarget, key: str, body: bytes | None, wait_s: float, take_over: bool) -> None:
+def _change_row(
+    target: SchedulerTarget, key: str, body: bytes | None, wait_s: float, take_over: bool
+) -> None:
     """Put or delete a row, print the outcome, and end the program with its exit code."""
     rows = request_or_exit(target, ShowRows(key), ShownRows).rows if key else ()
     version = (rows[0].term, rows[0].number) if rows else NO_ROW_VERSION
@@ -148,14 +150,14 @@
 
 def _cells(row: ShownRow) -> tuple[str, ...]:
     version = f"{row.term}.{row.number}"
-    return row.key, _number_text(row.value), _number_text(row.file), version, row.writer, _remark(row)
+    return row.key, _number_text(row.value), _number_text(row.file), version, row.writer, _status_cell(row)
 
 
 def _number_text(value: float | None) -> str:
     return "-" if value is None else f"{value:g}"
 
 
-def _remark(row: ShownRow) -> str:
+def _status_cell(row: ShownRow) -> str:
     if row.refused:
-        return f"REFUSED ({row.asked[:MAX_SHOWN_VALUE]}): {row.refused}"
+        return f"REFUSED ({row.asked[:MAX_SHOWN_VALUE_CHARS]}): {row.refused}"
     return "deleted" if row.deleted else ""
--- a/pipitshed/cli/settings_status.py
+++ b/pipitshed/cli/settings_status.py
@@ -57,16 +57,16 @@
 
     def member_status(member: tuple[str, str, str]) -> MemberStatus:
         name, address, state = member
-        unanswered = MemberStatus(name, address, state)
+        without_answer = MemberStatus(name, address, state)
         if name == first.name:
-            return _answered(unanswered, first, first)
+            return _with_status(without_answer, first, first)
         if state not in LIVE_STATES:
-            return _unanswered(unanswered, "" if state == LEFT_STATE else "out of touch")
+            return _with_remark(without_answer, "" if state == LEFT_STATE else "out of touch")
         try:
             answer = send_request(parse_address(address), target.codec, AskStatus(), Status)
         except RequestError as error:
-            return _unanswered(unanswered, f"no answer: {error}")
-        return _answered(unanswered, answer, first)
+            return _with_remark(without_answer, f"no answer: {error}")
+        return _with_status(without_answer, answer, first)
 
     with ThreadPoolExecutor(MAX_PARALLEL_REQUESTS) as threads:
         return ClusterStatus(first, list(threads.map(member_status, first.members)))
@@ -84,13 +84,13 @@
     return "\n".join(table_lines([headings, *map(_cells, status.members)]))
 
 
-def _unanswered(member: MemberStatus, remark: str) -> MemberStatus:
+def _with_remark(member: MemberStatus, remark: str) -> MemberStatus:
     if remark:
         member.remarks.append(remark)
     return member
 
 
-def _answered(member: MemberStatus, answer: Status, first: Status) -> MemberStatus:
+def _with_status(member: MemberStatus, answer: Status, first: Status) -> MemberStatus:
     remarks = [f"refuses {key}: {reason}" for key, reason in answer.refused]
     if answer.unsaved:
         remarks.append(f"its rows are not kept: {answer.unsaved}")
--- a/pipitshed/cli/testbed.py
+++ b/pipitshed/cli/testbed.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from pipitshed.testbed.fleet.scenario import Fault, Put, Scenario
 
-EXIT_BROKEN = 1  # a rule broke, or an oracle failed
+EXIT_CHECK_FAILED = 1  # a rule broke, or an oracle failed
 MAX_PLANNERS = 200
 MAX_PROCESSES = 60
 ANY_LOOPBACK_PORT = "127.0.0.1:0"
@@ -92,12 +92,12 @@
 
         compared = compare(experiment, request_count, seed_count, jobs)
         _write_json(compared, out)
-        sys.exit(EXIT_BROKEN if compared["broken"] else 0)
+        sys.exit(EXIT_CHECK_FAILED if compared["broken"] else 0)
     figures = _run_once(experiment, request_count, experiment.seed if seed is None else seed)
     _write_json(figures, out)
     for rule in broken(figures):
         click.echo(f"pipitshed: broken: {rule}", err=True)
-    sys.exit(EXIT_BROKEN if broken(figures) else 0)
+    sys.exit(EXIT_CHECK_FAILED if broken(figures) else 0)
 
 
 def _run_once(experiment: experiments.Experiment, request_count: int, seed: int) -> dict[str, object]:
@@ -170,7 +170,7 @@
             failed_count += 1
             script = scenario_run.failing_script(max_shrink_runs)
             click.echo(f"# it fails with seed {seed}:\n{script}", err=True)
-    sys.exit(EXIT_BROKEN if failed_count else 0)
+    sys.exit(EXIT_CHECK_FAILED if failed_count else 0)
 
 
 def _report_verdict(verdict: dict[str, Any], report: Path | None) -> None:
