--- a/pipitshed/server/__init__.py
+++ b/pipitshed/server/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduler process: its assembly from parts, its start, reload and end."""
+"""The scheduler process: its assembly from components, start, configuration reload and shutdown."""
--- a/pipitshed/server/assembly.py
+++ b/pipitshed/server/assembly.py
@@ -1,7 +1,7 @@
-"""Builds the scheduler's parts from its configuration.
+"""Builds the components of a scheduler from its configuration.
 
-Each optional part has a function of its own. Those that only an option asks for are imported there: the start
-and the memory of a scheduler without them stay as they are.
+Each optional component has its own build function. Where only an option enables it, that function imports it,
+so that it costs a scheduler without the option neither start-up time nor memory.
 """
 
 from __future__ import annotations
@@ -39,11 +39,11 @@
     from pipitshed.frontends.gearman import GearmanFrontend, GearmanFunction
     from pipitshed.server.translation import TranslationParts
 
-INSTANCE_ID_MASK = 0xFFFFFFFF  # the part of the seed that names this process to Gearman's clients
+INSTANCE_ID_MASK = 0xFFFFFFFF  # the bits of the seed that identify this process to Gearman clients
 
 
 class ServerCallbacks(Protocol):
-    """What the parts call of the server that runs them."""
+    """The methods of the server that its components call."""
 
     def ready(self) -> bool:
         """Whether this process is ready to serve."""
@@ -54,22 +54,22 @@
         ...
 
     def drain(self) -> None:
-        """Begin to end."""
+        """Begin the shutdown: answer all accepted requests, then end the process."""
 
 
 @dataclass(frozen=True, slots=True)
 class Names:
-    """Names of the configuration by their numbers; reloads add to them, so that a number keeps its name."""
+    """The configuration's names by number; a reload only adds names, so that a number keeps its name."""
 
     zones: NameIndex
     kinds: NameIndex
-    classes: list[str]  # of all class numbers
+    classes: list[str]  # by class number, with classes that a reload dropped
     tenants: TenantRegistry
 
 
 @dataclass(slots=True)
 class Parts:
-    """The parts of one scheduler; None where the configuration doesn't ask for one."""
+    """The components of one scheduler; None where the configuration does not enable one."""
 
     names: Names
     descriptors: DescriptorBudget
@@ -87,7 +87,7 @@
     listeners: list[Listener] = field(default_factory=list)  # for clients
 
     def close(self) -> None:
-        """Close all parts; no request waits for its answer any more."""
+        """Close all components; called once no request is unanswered."""
         if self.discovery is not None:
             self.discovery.stop()
         if self.dns_sd is not None:
@@ -111,7 +111,10 @@
     server: ServerCallbacks,
     loop: asyncio.AbstractEventLoop,
 ) -> Parts:
-    """Build all parts but the cluster node, and listen; discovery begins with the list that is cached."""
+    """Build all components except the cluster node, and listen.
+
+    Discovery starts with the endpoint list that the configuration has cached.
+    """
     tenants = TenantRegistry.first(config.tenants)
     names = Names(NameIndex(config.zones), NameIndex(config.kinds), class_names, tenants)
     descriptors = DescriptorBudget(config.descriptor_limit)
@@ -152,7 +155,7 @@
 
 
 def open_decision_log(config: Config) -> DecisionLog | None:
-    """The log of the dispatcher's events and actions, begun with the settings."""
+    """Open the log of the dispatcher's events and actions, and write the settings as its first line."""
     if not config.trace_target:
         return None
     decision_log = DecisionLog.named(config.trace_target)
@@ -167,7 +170,7 @@
     class_names: list[str],
     loop: asyncio.AbstractEventLoop,
 ) -> TranslationParts | None:
-    """The translation of messages between forms, and the client of workers with the second interface."""
+    """Build the translation of messages between forms, and the client of gRPC workers."""
     if front.translation is None:
         return None
     from pipitshed.server.translation import TranslationParts
@@ -181,7 +184,7 @@
     forwarder: Forwarder,
     loop: asyncio.AbstractEventLoop,
 ) -> CatalogClient | None:
-    """The client of the platform's discovery, with the list that the configuration has cached."""
+    """Build the client of the platform's catalog, and load the cached endpoint list of the configuration."""
     if config.discovery is None:
         return None
     discovery = CatalogClient(
@@ -193,13 +196,16 @@
     )
     forwarder.attach_discovery(discovery.fetch)
     apply_discovery_timeouts(discovery, config.settings)
-    # Also where no list is cached: the dispatcher polls only once it has received one.
+    # An empty list is loaded where none is cached, because the dispatcher polls only after its first list.
     discovery.load_cached(config.cached_list or CatalogUpdate(0, []))
     return discovery
 
 
 def apply_discovery_timeouts(discovery: CatalogClient, settings: Settings) -> None:
-    """Have calls that hang given up early where the list is pushed."""
+    """Shorten the timeouts of discovery calls where the endpoint list is pushed.
+
+    A call that hangs would delay the list beyond the drain grace period.
+    """
     if settings.endpoints_pushed:
         discovery.set_timeouts(settings.guarantees.drain_grace_ms / 1000)
 
@@ -210,7 +216,7 @@
     forwarder: Forwarder,
     loop: asyncio.AbstractEventLoop,
 ) -> DnsSdClient | None:
-    """The client of DNS service discovery, started."""
+    """Build and start the client of DNS service discovery."""
     if front.dns_server is None:
         return None
     from pipitshed.discovery.dns_sd import SOURCE, DnsSdClient
@@ -227,7 +233,7 @@
     class_names: list[str],
     loop: asyncio.AbstractEventLoop,
 ) -> PlacementPlanSource | None:
-    """The source of weights from a placement plan's file."""
+    """Build the source of worker weights that reads a placement plan file."""
     if front.plan_path is None:
         return None
     from pipitshed.discovery.placement_plan import PlacementPlanSource
@@ -239,7 +245,7 @@
 
 
 def own_zone_name(config: Config) -> str:
-    """The name of this scheduler's zone; empty where the configuration names none."""
+    """The name of this scheduler's zone; empty where the configuration names no zones."""
     return config.zones[config.settings.own_zone] if config.zones else ""
 
 
@@ -250,12 +256,12 @@
     server: ServerCallbacks,
     loop: asyncio.AbstractEventLoop,
 ) -> None:
-    """Listen for HTTP clients, and for Gearman's clients and workers where addresses are given."""
+    """Listen for HTTP clients, and for Gearman clients and workers where the front file has addresses."""
     http = parts.http_frontend
 
     def accept_http_client() -> asyncio.Protocol:
-        # Where descriptors run short, an idle connection to a worker is closed; no client is rejected for
-        # want of one, as it may displace another client itself.
+        # When descriptors run short, the oldest idle connection to a worker is closed. The client is not
+        # rejected, because the frontend may close another client's connection for it.
         if parts.http_workers.connections >= parts.descriptors.left_for_workers():
             parts.http_workers.close_oldest_idle()
         return http.connection()
@@ -276,7 +282,7 @@
     server: ServerCallbacks,
     loop: asyncio.AbstractEventLoop,
 ) -> GearmanFrontend:
-    """The frontend of Gearman's clients, with the client of its workers."""
+    """Build the frontend of Gearman clients, and the client of Gearman workers."""
     from pipitshed.frontends.gearman import GearmanFrontend
     from pipitshed.protocols.http import BODY_LIMIT
     from pipitshed.upstream.gearman import GearmanWorkerClient, WorkerLocation
@@ -303,7 +309,7 @@
 
 
 def gearman_functions(parts: Parts, config: Config, front: FrontConfig) -> dict[str, GearmanFunction]:
-    """Gearman's functions by name: each is a class, a tenant, a timeout and a message form."""
+    """The Gearman functions by name, with the class, tenant, timeout and message form of their jobs."""
     from pipitshed.frontends.gearman import GearmanFunction
 
     translator = parts.translation.translator if parts.translation is not None else None
@@ -321,7 +327,7 @@
 
 
 def add_admin(parts: Parts, config: Config, server: ServerCallbacks, loop: asyncio.AbstractEventLoop) -> None:
-    """Listen at the admin address, where there is one."""
+    """Listen on the admin address where the configuration has one."""
     if config.admin_address is not None:
         parts.admin_frontend = AdminFrontend(server.ready, server.metrics, loop)
         parts.admin_listener = Listener(config.admin_address, parts.admin_frontend.connection, loop)
@@ -335,11 +341,11 @@
     apply_row_settings: Callable[[dict[str, Any]], object],
     loop: asyncio.AbstractEventLoop,
 ) -> ClusterNode:
-    """The node among the schedulers that a peers file names; settings by row are applied by the callbacks."""
+    """Build the node of the cluster; the callbacks read the configuration and apply settings rows over it."""
     from pipitshed.cluster.node import ClusterNode
     from pipitshed.cluster.settings import SettingsTarget
 
-    # Gearman's functions and workers know the classes by the numbers of the start.
+    # Gearman functions and workers keep the class numbers of the start, so rows cannot change these classes.
     fixed_classes = frozenset[str]()
     if front.gearman_addresses:
         fixed_classes = frozenset(function.job_class for function in front.gearman_functions.values())
--- a/pipitshed/server/descriptors.py
+++ b/pipitshed/server/descriptors.py
@@ -1,4 +1,4 @@
-"""How the process's file descriptors are divided between clients, workers and the rest."""
+"""Divides the process's file descriptors between clients, workers and other uses."""
 
 from __future__ import annotations
 
@@ -9,38 +9,41 @@
 if TYPE_CHECKING:
     from pipitshed.frontends.gearman import GearmanFrontend
 
-HTTP_CLIENTS_FRACTION = 0.4  # of the descriptors, for the connections of HTTP clients
-GEARMAN_FRACTION = 0.2  # and for Gearman's; the rest is for attempts
-RESERVE_DIVISOR = 12  # one in so many is for neither clients nor attempts: discovery, the admin address
-RESERVE_MIN_COUNT = 20  # of those at least: what an idle process has open, and one call to discovery
-WORKERS_MIN_DIVISOR = 8  # one in so many is for attempts however many clients are connected
+HTTP_CLIENTS_FRACTION = 0.4  # of the descriptors, for connections of HTTP clients
+GEARMAN_FRACTION = 0.2  # of the descriptors, for connections of Gearman clients and workers
+RESERVE_DIVISOR = 12  # 1/12 of the descriptors is reserved for discovery and the admin address
+RESERVE_MIN_COUNT = 20  # reserved at least: an idle process's open descriptors and one discovery call
+WORKERS_MIN_DIVISOR = 8  # 1/8 of the descriptors is for attempts, however many clients are connected
 
 
 class DescriptorBudget:
-    """Says how many descriptors the clients' connections leave for connections to workers."""
+    """Limits the connections of clients, and to workers, by the file descriptors of the process."""
 
     def __init__(self, descriptor_count: int) -> None:
-        self.descriptor_count = descriptor_count  # of the process; new settings may change it
+        self.descriptor_count = descriptor_count  # of the process; a reload may change it
         self._http: HttpFrontend | None = None
         self._gearman: GearmanFrontend | None = None
 
     @property
     def http_client_count(self) -> int:
-        """How many HTTP clients may be connected."""
+        """The maximum number of HTTP client connections."""
         return int(self.descriptor_count * HTTP_CLIENTS_FRACTION)
 
     @property
     def gearman_peer_count(self) -> int:
-        """How many Gearman clients and workers may be connected."""
+        """The maximum number of connections of Gearman clients and workers."""
         return int(self.descriptor_count * GEARMAN_FRACTION)
 
     def attach_frontends(self, http: HttpFrontend, gearman: GearmanFrontend | None) -> None:
-        """Count these frontends' connections; the worker clients, which need the budget, come before them."""
+        """Count these frontends' connections from now on.
+
+        The frontends are built after the worker clients, which already need the budget.
+        """
         self._http = http
         self._gearman = gearman
 
     def left_for_workers(self) -> int:
-        """How many connections to workers there may be now."""
+        """The maximum number of connections to workers, given the clients that are connected now."""
         client_count = 0
         if self._http is not None:
             client_count += len(self._http.connections) + len(self._http.closing)
--- a/pipitshed/server/reload.py
+++ b/pipitshed/server/reload.py
@@ -1,4 +1,4 @@
-"""New settings under way: read again at SIGHUP, or changed by the cluster's rows."""
+"""Applies new settings to a running scheduler: from the file at SIGHUP, or from the cluster's rows."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from pipitshed.scheduling.settings import JobClass
 from pipitshed.server.assembly import Parts, apply_discovery_timeouts
 
-TIMER_MARGIN_S = 0.001  # after the end of a class's grace, for a timer that may fire early
+TIMER_MARGIN_S = 0.001  # added after the grace period of a class, as a timer may fire early
 
 log = logging.getLogger("pipitshed")
 
 
 class SettingsReloader:
-    """Holds the configuration that is applied, and applies others to the parts."""
+    """Holds the configuration in force, and applies new ones to the scheduler's components."""
 
     def __init__(
         self, config: Config, classes: ClassRegistry, parts: Parts, loop: asyncio.AbstractEventLoop
@@ -34,17 +34,17 @@
         self._loop = loop
 
     def raw_config(self) -> dict[str, Any]:
-        """The file that is applied, as it was read."""
+        """The configuration file in force, as it was read."""
         return self.config.raw or {}
 
     def reload(self) -> None:
-        """Read the configuration again: apply its settings, and follow discovery to the address it names.
+        """Read the configuration file again, apply its settings, and use its discovery address.
 
-        Requests, attempts and the endpoint table stay as they are, and so does each request's class.
+        Requests, attempts and the endpoint table are kept, and each request keeps its class.
         """
         if self._parts.placement_plan is not None:
             self._parts.placement_plan.read()
-        # A file that is half written or wrong must not end the program: the old one stays applied.
+        # An incomplete or invalid file must not end the process: the configuration in force is kept.
         try:
             config = load_platform_config()
             if (missing := missing_key(self.config.raw, config.raw)) is not None:
@@ -60,7 +60,7 @@
         self._follow_discovery(self.config)
 
     def _apply_with_rows(self, config: Config) -> ClassChanges:
-        """Apply the configuration with the cluster's rows over the file's settings."""
+        """Apply the configuration, with the cluster's settings rows over the file's settings."""
         node = self._parts.cluster_node
         if node is None or node.settings is None or config.raw is None:
             return self.apply(config)
@@ -79,16 +79,16 @@
         log.info("the configuration is read again; discovery is at %s:%d", *config.discovery)
 
     def apply_row_settings(self, settings: dict[str, Any]) -> ClassChanges:
-        """Apply the settings of the file with the cluster's rows over them."""
+        """Apply the given settings: those of the file in force, with the cluster's rows over them."""
         return self.apply(with_settings(self.config, settings))
 
     def apply(self, config: Config) -> ClassChanges:
-        """Apply the settings of a complete file, or of one with rows over it."""
+        """Apply the settings of a complete file, or of a file with rows over it."""
         now = self._loop.time()
         parts, names = self._parts, self._parts.names
         settings = config.settings
-        # The file may list zones, kinds and report fields in another order than at the start: listed workers
-        # keep the numbers that zones and kinds had first, and reports come by the new order.
+        # The file may list zones, kinds and report fields in another order than at the start. Workers in the
+        # endpoint table keep the zone and kind numbers of the start; reports use the new order of fields.
         own_zone = names.zones.index(config.zones[settings.own_zone]) if config.zones else settings.own_zone
         classes = [self._with_first_kind_number(job_class, config) for job_class in settings.classes]
         self.classes, changes = self.classes.updated(config.classes, classes, now)
@@ -112,18 +112,18 @@
         return changes
 
     def _with_first_kind_number(self, job_class: JobClass, config: Config) -> JobClass:
-        """The class with its worker kind by the number that the kind's name had first."""
+        """The class with the number that its worker kind had at the start."""
         kind = job_class.worker_kind
         if kind is None or kind >= len(config.kinds):
             return job_class
         return replace(job_class, worker_kind=self._parts.names.kinds.index(config.kinds[kind]))
 
     def _drop_expired_classes(self) -> None:
-        """Accept classes that a file dropped no more, once their grace is over."""
+        """Stop accepting dropped classes whose grace period is over."""
         now = self._loop.time()
         accepted = self.classes.accepted_at(now)
         self._parts.http_frontend.parser.apply_settings(accepted, self._parts.names.tenants.accepted())
-        # uvloop's timers may fire a little early: the grace is then not over yet.
+        # A uvloop timer may fire slightly early, before the grace period is over.
         if pending := [entry.until for entry in self.classes.leaving.values() if entry.until > now]:
             self._loop.call_later(min(pending) - now + TIMER_MARGIN_S, self._drop_expired_classes)
         else:
--- a/pipitshed/server/server.py
+++ b/pipitshed/server/server.py
@@ -1,4 +1,4 @@
-"""Runs the scheduler from the start to the last answer."""
+"""Runs the scheduler process from its start to the end of its shutdown."""
 
 from __future__ import annotations
 
@@ -25,28 +25,26 @@
 SHUTDOWN_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 HANDLED_SIGNALS = (*SHUTDOWN_SIGNALS, signal.SIGHUP)
 
-# Times from SIGTERM on.
-LISTEN_AFTER_SIGTERM_S = 0.5  # for which it listens on: new connections keep coming for up to 0.4 s
-KEEP_CONNECTIONS_S = 2.0  # for which open connections are served on: a peer may be starting again by then
-SIGKILL_MARGIN_S = 0.7  # beside the longest deadline, after which SIGKILL comes
-LONGEST_DEADLINE_MAX_S = 3.0  # that the longest deadline counts at most for that
-ANSWER_BEFORE_SIGKILL_S = (
-    0.3  # by which all that came after LISTEN_AFTER_SIGTERM_S is answered before SIGKILL
-)
-KEEP_CONNECTIONS_FRACTION = 0.6  # of the time until then, for which connections are served on at most
-ANNOUNCE_CLOSE_S = 0.5  # for which a connection in use is kept, so that its next response announces its close
-ANNOUNCE_CLOSE_FRACTION = 0.2  # of the time until all is answered, for which it is kept at most
-SHUTDOWN_MARGIN_S = 1.0  # beyond the longest deadline, after which no answer can be outstanding
-IDLE_CHECK_INTERVAL_S = 0.02  # between checks whether all is answered
-
-READY_WITHOUT_LIST_S = 4.0  # after the start, from which the process is ready without discovery's list
+# Times of the shutdown, from SIGTERM on.
+LISTEN_AFTER_SIGTERM_S = 0.5  # new connections keep arriving for up to 0.4 s
+KEEP_CONNECTIONS_S = 2.0  # open connections are served so long, for a restarted peer to be up
+SIGKILL_MARGIN_S = 0.7  # SIGKILL comes this long after the longest deadline
+LONGEST_DEADLINE_MAX_S = 3.0  # a longer deadline counts as this in the time until SIGKILL
+ANSWER_BEFORE_SIGKILL_S = 0.3  # all accepted requests are answered this long before SIGKILL
+KEEP_CONNECTIONS_FRACTION = 0.6  # of the time to answer all requests; bounds KEEP_CONNECTIONS_S
+ANNOUNCE_CLOSE_S = 0.5  # an idle connection is kept so long, so that its next response announces the close
+ANNOUNCE_CLOSE_FRACTION = 0.2  # of the time to answer all requests; bounds ANNOUNCE_CLOSE_S
+SHUTDOWN_MARGIN_S = 1.0  # after the longest deadline; no answer can be outstanding then
+IDLE_CHECK_INTERVAL_S = 0.02  # between checks whether all requests are answered
+
+READY_WITHOUT_LIST_S = 4.0  # after the start; the process is then ready without a list from discovery
 GC_THRESHOLDS = (50_000, 20, 100)
 
 log = logging.getLogger("pipitshed")
 
 
 class Scheduler:
-    """One running scheduler: its start, its readiness and its end."""
+    """One running scheduler: its start, readiness and shutdown."""
 
     def __init__(
         self,
@@ -74,10 +72,10 @@
             )
 
     def ready(self) -> bool:
-        """Whether this process is ready to serve: not ending, and with a list from discovery.
+        """Whether this process is ready to serve: not shutting down, and with a list from discovery.
 
-        The list that it had cached when it was killed is not enough: workers that were removed since would
-        be sent jobs. Where discovery can't be reached, or some time after the start, it is ready without.
+        The cached list of an earlier process does not suffice, as jobs would go to workers removed since.
+        Where discovery cannot be reached, or READY_WITHOUT_LIST_S after the start, no list is needed.
         """
         discovery = self.parts.discovery
         has_list = (
@@ -109,13 +107,11 @@
         return discovery.counters if discovery is not None else Counter()
 
     async def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, and then until all requests are answered."""
+        """Serve until SIGTERM or SIGINT, then until all accepted requests are answered."""
         for number in SHUTDOWN_SIGNALS:
             self._loop.add_signal_handler(number, self.drain)
         self._loop.add_signal_handler(signal.SIGHUP, self.reloader.reload)
-        signal.pthread_sigmask(
-            signal.SIG_UNBLOCK, HANDLED_SIGNALS
-        )  # what was sent since the start arrives now
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)  # delivers signals sent since the start
         for listener in self.parts.listeners:
             log.info("listening on %s:%d%s", *listener.address, " (passed)" if listener.passed else "")
         if self.parts.admin_listener is not None:
@@ -123,34 +119,34 @@
         if self.parts.cluster_node is not None:
             await self.parts.cluster_node.start()
         await self._ended.wait()
-        # The handlers go with the loop: a signal after that would change the exit code.
+        # The handlers are removed with the loop; a signal after that would change the exit code.
         signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
         counters = self.parts.forwarder.counters + self._discovery_counters()
         log.info("ended: %s", " ".join(f"{name}={count}" for name, count in sorted(counters.items())))
 
     def drain(self) -> None:
-        """Begin to end: listen on while clients may still be sent here, answer all requests, then end."""
+        """Begin the shutdown: listen while clients may still connect, answer all requests, then end."""
         if self._draining:
             return
         self._draining = True
-        log.info("ending: no longer ready; all that was taken is answered first")
+        log.info("ending: no longer ready; accepted requests are answered first")
         self._shutdown_deadline_at = (
             self._loop.time() + LISTEN_AFTER_SIGTERM_S + self._longest_deadline_s() + SHUTDOWN_MARGIN_S
         )
         self._loop.call_later(LISTEN_AFTER_SIGTERM_S, self._stop_listening)
-        # Clients sent away at once would find the peer that was restarted just before still down.
+        # Clients disconnected at once might find the peer that was restarted just before still down.
         keep_s = min(KEEP_CONNECTIONS_S, KEEP_CONNECTIONS_FRACTION * self._answer_within_s())
         self._loop.call_later(keep_s, self._close_connections)
         if self.parts.cluster_node is not None:
-            self.parts.cluster_node.leave()  # last: an error in it must not keep the program from its end
+            self.parts.cluster_node.leave()  # last: an error in it must not prevent the shutdown
 
     def _longest_deadline_s(self) -> float:
         return max(cls.deadline_ms for cls in self.parts.forwarder.settings.classes) / 1000
 
     def _answer_within_s(self) -> float:
-        """The time after SIGTERM by which all that came late is answered.
+        """The time after SIGTERM within which all accepted requests are answered.
 
-        It goes by the deadlines of this deployment: where they are short, SIGKILL comes sooner.
+        It follows the deadlines of the deployment: where they are short, SIGKILL comes sooner.
         """
         longest_s = self._longest_deadline_s()
         return min(longest_s, LONGEST_DEADLINE_MAX_S) + SIGKILL_MARGIN_S - ANSWER_BEFORE_SIGKILL_S
@@ -164,16 +160,16 @@
         self.parts.forwarder.set_answer_deadline(answer_deadline_at)
 
     def _close_connections(self) -> None:
-        """Close each connection with its next answer, and those that are not in use at once."""
+        """Close each connection with its next response, and idle ones after ANNOUNCE_CLOSE_S."""
         self.parts.http_frontend.draining = True
         self.parts.http_frontend.linger = LINGER_ENDING
-        # A little later, what stood in the listeners' queues has its connection.
+        # By the first check, clients in the listeners' accept queues have their connections.
         self._loop.call_later(IDLE_CHECK_INTERVAL_S, self._end_when_idle)
 
     def _end_when_idle(self) -> None:
         announce_s = min(ANNOUNCE_CLOSE_S, ANNOUNCE_CLOSE_FRACTION * self._answer_within_s())
         self.parts.http_frontend.close_idle(announce_s)
-        # A client that never ends the request it has begun must not keep the program from its end.
+        # A client that never completes its request must not prevent the shutdown.
         if self._busy() and self._loop.time() < self._shutdown_deadline_at:
             self._loop.call_later(IDLE_CHECK_INTERVAL_S, self._end_when_idle)
             return
@@ -181,7 +177,7 @@
         self._loop.call_later(IDLE_CHECK_INTERVAL_S, self._ended.set)
 
     def _busy(self) -> bool:
-        """Whether any client is connected, or waits for an answer."""
+        """Whether any client is connected or waits for an answer."""
         http, gearman = self.parts.http_frontend, self.parts.gearman_frontend
         return bool(
             http.connections
@@ -192,11 +188,11 @@
 
 
 def serve(config: Config, front: FrontConfig, cluster_config: ClusterConfig | None = None) -> None:
-    """Run one scheduler to its end, alone or among the peers that a file names."""
+    """Run one scheduler until its shutdown is complete, alone or as a node of a cluster."""
 
     async def run() -> None:
         scheduler = Scheduler(config, front, asyncio.get_running_loop(), cluster_config)
-        # What is there now stays; a full collection in the middle of traffic would make timers late.
+        # The objects of the start are permanent; a full collection during traffic would delay timers.
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
--- a/pipitshed/server/translation.py
+++ b/pipitshed/server/translation.py
@@ -1,4 +1,4 @@
-"""The parts that translation adds to a scheduler; imported only where it is configured."""
+"""The components that message translation adds to a scheduler; imported only where it is configured."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class TranslationParts:
-    """The translator, the client of workers with the gRPC interface, and the registry of who speaks which."""
+    """The translator, the client of gRPC workers, and the registry of each worker's interface."""
 
     def __init__(
         self,
@@ -57,6 +57,6 @@
         self.interfaces.drains(endpoint.id)
 
     def close(self) -> None:
-        """Stop probing, and close the connections to workers."""
+        """Stop probing interfaces, and close the connections to gRPC workers."""
         self.prober.close()
         self.grpc_workers.close()
