--- a/pipitshed/config/platform.py
+++ b/pipitshed/config/platform.py
@@ -124,7 +124,7 @@
     return replace(settings, endpoints_polled=True, endpoints_pushed=not settings.endpoints_polled)
 
 
-def inherited_descriptor(environment: Mapping[str, str]) -> int | None:
+def read_inherited_descriptor(environment: Mapping[str, str]) -> int | None:
     """The descriptor that `LB_PASSED_SOCKET` names: its number, or the default for any other name."""
     text = environment.get("LB_PASSED_SOCKET", "").strip()
     if not text:
@@ -157,7 +157,7 @@
         kinds=names.shapes,
         report_fields=names.stats.fields,
         admin_address=parse_address(admin_address) if admin_address else None,
-        inherited_descriptor=inherited_descriptor(environment),
+        inherited_descriptor=read_inherited_descriptor(environment),
         raw=raw,
         trace_target=environment.get("LB_TRACE", ""),
     )
