--- a/benchmarks/capacity/reload.py
+++ b/benchmarks/capacity/reload.py
@@ -38,7 +38,7 @@
                 await running.idle()
                 before, began = running.cpu_s(), monotonic()
                 running.process.send_signal(signal.SIGHUP)
-                await running.line("configuration is read again")
+                await running.line("configuration reloaded")
                 took.append((monotonic() - began) * 1000)
                 await running.job()  # the pools are made anew by the first job behind it
                 await running.idle()
--- a/pipitshed/server/reload.py
+++ b/pipitshed/server/reload.py
@@ -48,15 +48,15 @@
         try:
             config = load_platform_config()
             if (missing := missing_key(self.config.raw, config.raw)) is not None:
-                raise ConfigError(f"the file lacks {missing}")
+                raise ConfigError(f"the file lacks the key {missing}")
             changes = self._apply_with_rows(config)
         except ConfigError as error:
             self.invalid_count += 1
-            log.error("the configuration stays as it was: %s", error)
+            log.error("configuration rejected, the previous one stays in force: %s", error)
             return
         self.loaded_count += 1
         max_attempts = self.config.settings.limits.max_attempts
-        log.info("settings read anew: %s; at most %d attempts", changes, max_attempts)
+        log.info("settings applied: %s; at most %d attempts for a job", changes, max_attempts)
         self._follow_discovery(self.config)
 
     def _apply_with_rows(self, config: Config) -> ClassChanges:
@@ -71,12 +71,14 @@
     def _follow_discovery(self, config: Config) -> None:
         discovery = self._parts.discovery
         if discovery is None or config.discovery is None:
-            log.warning("the configuration is read again; discovery can't be followed from or to nowhere")
+            log.warning(
+                "configuration reloaded; discovery not followed: the old or the new file names no address"
+            )
             return
         apply_discovery_timeouts(discovery, config.settings)
         discovery.size_limit = update_size_limit(config.memory_mb)
         discovery.follow(config.discovery)
-        log.info("the configuration is read again; discovery is at %s:%d", *config.discovery)
+        log.info("configuration reloaded; discovery is at %s:%d", *config.discovery)
 
     def apply_row_settings(self, settings: dict[str, Any]) -> ClassChanges:
         """Apply the given settings: those of the file in force, with the cluster's rows over them."""
@@ -127,4 +129,4 @@
         if pending := [entry.until for entry in self.classes.leaving.values() if entry.until > now]:
             self._loop.call_later(min(pending) - now + TIMER_MARGIN_S, self._drop_expired_classes)
         else:
-            log.info("classes taken now: %s", ", ".join(accepted))
+            log.info("classes accepted now: %s", ", ".join(accepted))
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -137,9 +137,9 @@
     async with Planner("p1") as planner, program(planner, mgmt=True) as running:
         good = running.config.read_text()
         running.reload('{"settings": ')
-        await running.logged("stays as it was")
+        await running.logged("the previous one stays in force")
         running.reload(good)
-        await running.logged("read again")
+        await running.logged("configuration reloaded")
         told = await figures(running.mgmt_port)
         assert (told["scheduler.conf_loaded"], told["scheduler.conf_invalid"]) == (1, 1)
         client = await HttpClient.to(running.port)
--- a/tests/frontends/test_http_frontend.py
+++ b/tests/frontends/test_http_frontend.py
@@ -173,7 +173,7 @@
         run = await old.wait_for(1)
         told = running.config.read_text()
         running.reload('{"settings": ')
-        await running.logged("stays as it was")
+        await running.logged("the previous one stays in force")
         running.reload(told.replace(f"127.0.0.1:{first.port}", f"127.0.0.1:{second.port}"))
         begun = asyncio.get_running_loop().time()
         watch = await second.watches.get()
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -173,7 +173,7 @@
         assert planner.runs[-1].headers["x-request-id"] == "r1"
         held[0].serve()  # type: ignore[attr-defined]
         assert (await waiting.answer())[0] == 200
-        await running.logged("classes taken now: quote, rush")
+        await running.logged("classes accepted now: quote, rush")
         client.ask("b2", "book", Idempotency_Key="k2")
         assert (await client.answer())[0] == 400
         told = await figures(running.mgmt_port)
@@ -236,7 +236,7 @@
 
             await ask()
             running.reload(_file(running.config.read_text(), tenants=[sur, norte, andes]))
-            await running.logged("settings read anew")
+            await running.logged("settings applied")
             await ask()
         told = [
             int(line.partition("tenant=")[2].split()[0])
@@ -260,7 +260,7 @@
         await catalog.watches.get()
         permissions = SETTINGS["permissions"] | {"maxAttempts": 1}
         running.reload(_file(running.config.read_text(), permissions=permissions))
-        await running.logged("at most 1 attempts")
+        await running.logged("at most 1 attempts for a job")
         client = await HttpClient.to(running.port)
         for number in range(4):
             client.ask(f"q{number}")
@@ -291,7 +291,7 @@
             broken.append(_file(good, permissions=SETTINGS["permissions"] | {"maxAttempts": attempts}))
         for number, text in enumerate(broken, 1):
             running.reload(text)
-            await running.logged("stays as it was", number)
+            await running.logged("the previous one stays in force", number)
         figures_now = await figures(running.mgmt_port)
         counted = (figures_now["scheduler.conf_invalid"], figures_now["scheduler.conf_loaded"])
         assert counted == (len(broken), 0)
@@ -299,7 +299,7 @@
         client.ask("b1", "book", Idempotency_Key="k1")
         assert (await client.answer())[0] == 200
         assert planner.runs[-1].headers["idempotency-key"] == "k1"
-        assert not any("read anew" in line for line in running.log)
+        assert not any("settings applied" in line for line in running.log)
 
 
 def test_names_told_in_another_order_keep_their_places(tmp_path: Path) -> None:
--- a/tests/server/test_signals.py
+++ b/tests/server/test_signals.py
@@ -66,7 +66,7 @@
             held.close()
             assert process.stdout is not None
             lines = []
-            awaited = "read again" if early is signal.SIGHUP else "ended:"
+            awaited = "configuration reloaded" if early is signal.SIGHUP else "ended:"
             while not any(awaited in line for line in lines):
                 lines.append((await process.stdout.readline()).decode())
                 assert lines[-1], lines
@@ -95,9 +95,9 @@
         await running.logged("ending:")
         running.process.send_signal(signal.SIGTERM)
         running.reload('{"settings": ')
-        await running.logged("stays as it was")
+        await running.logged("the previous one stays in force")
         running.reload(told)
-        await running.logged("read again")
+        await running.logged("configuration reloaded")
         run.say("done", result="kept")
         assert (await client.answer())[::2] == (200, b"kept")
         await running.logged("ended:")
