--- a/pipitshed/config/__init__.py
+++ b/pipitshed/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: the files that are read, their checks, and how new settings replace those in force."""
+"""Configuration: reading and checking its files, and replacing the settings in force with new ones."""
--- a/pipitshed/config/class_registry.py
+++ b/pipitshed/config/class_registry.py
@@ -1,11 +1,11 @@
-"""Numbers for the job classes, which stay as they are while files add, change and drop classes.
+"""Assigns numbers to job classes, which stay the same when a file adds, changes or drops classes.
 
-A class is numbered by its name and its definition, so that a job in progress keeps the class that it was
-accepted with. A class that a file adds or changes gets the next number. One that it drops keeps its number,
-and is accepted for a grace period: clients learn of the change no sooner than of new classes.
+A number stands for a name and a definition, so that a job in progress keeps the class with which it was
+accepted. A class that a file adds or changes gets the next number. A dropped class keeps its number and is
+accepted for a grace period, because clients learn of dropped classes no sooner than of new ones.
 
-Settings rows may change the limits of a class many times a day. A number that no job can have any more is
-therefore given again to its name where nothing but the limits has changed.
+Settings rows may change the limits of a class many times a day. To bound the count of numbers, a number that
+no job can have any more is reused for a class of the same name that differs in its limits alone.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 from pipitshed.scheduling.settings import JobClass
 
-NUMBER_REUSE_DELAY_S = 60.0  # beyond the deadline and the window of the class
-DROPPED_CLASS_GRACE_S = 1.2  # how long a class that a file dropped is still accepted
+NUMBER_REUSE_DELAY_S = 60.0  # after the deadline and the idempotency window of the class
+DROPPED_CLASS_GRACE_S = 1.2  # for which a class that a file dropped is still accepted
 MS_PER_S = 1000
 
 
@@ -34,12 +34,12 @@
             for label, names in (("added", self.added), ("changed", self.changed), ("dropped", self.dropped))
             if names
         ]
-        return "; ".join(parts) or "classes as they were"
+        return "; ".join(parts) or "classes unchanged"
 
 
 @dataclass(frozen=True, slots=True)
 class LeavingClass:
-    """A class that a file dropped; it is accepted until the loop's time `until`."""
+    """A class that a file dropped; it is accepted until the loop time `until`, in seconds."""
 
     number: int
     until: float
@@ -47,14 +47,14 @@
 
 @dataclass(frozen=True)
 class ClassRegistry:
-    """All classes in force since the start, by number.
+    """All classes of the files read since the start, by number.
 
     Attributes:
         classes: The definitions by number.
         names: The names by number.
         accepted: The numbers of the classes of the file in force, by name.
         leaving: The classes that a file dropped, by name.
-        unused_since: Numbers that no new job gets, with the time from which on that is so.
+        unused_since: Numbers that no new job gets, with the loop time since which this holds.
     """
 
     classes: tuple[JobClass, ...]
@@ -65,11 +65,11 @@
 
     @classmethod
     def first(cls, names: Sequence[str], classes: Sequence[JobClass]) -> ClassRegistry:
-        """The registry at the start."""
+        """The registry of the first file, whose classes are numbered in the file's order."""
         return cls(tuple(classes), tuple(names), {name: number for number, name in enumerate(names)})
 
     def number(self, name: str, now: float) -> int | None:
-        """The number for a job of this class accepted at `now`; None where there is no such class."""
+        """The number for a job of this class at loop time `now`; None where it is not accepted then."""
         number = self.accepted.get(name)
         if number is not None:
             return number
@@ -77,7 +77,7 @@
         return leaving.number if leaving is not None and now < leaving.until else None
 
     def accepted_at(self, now: float) -> dict[str, int]:
-        """The numbers of all classes accepted at `now`, by name."""
+        """The numbers of all classes accepted at loop time `now`, by name."""
         in_grace = {name: leaving.number for name, leaving in self.leaving.items() if now < leaving.until}
         return in_grace | self.accepted
 
@@ -88,7 +88,7 @@
         now: float,
         grace_s: float = DROPPED_CLASS_GRACE_S,
     ) -> tuple[ClassRegistry, ClassChanges]:
-        """The registry after a file with these classes was read at `now`, and what the file changed."""
+        """The registry once a file with these classes is read at loop time `now`, and the classes changed."""
         all_classes, all_names = list(self.classes), list(self.names)
         numbers: list[int] = []
         for name, job_class in zip(names, classes, strict=True):
@@ -112,7 +112,7 @@
     def _number_for(
         self, name: str, job_class: JobClass, now: float, classes: list[JobClass], names: list[str]
     ) -> int:
-        """The number of this class, one that can be reused for it, or the next one."""
+        """The known number of this class, else one that can be reused for it, else the next number."""
         for number, known in enumerate(classes):
             if names[number] == name and known == job_class:
                 return number
@@ -120,7 +120,7 @@
         return len(classes) if reusable is None else reusable
 
     def _reusable_number(self, name: str, job_class: JobClass, now: float) -> int | None:
-        """A number of this name that no job can have any more, whose class differs in its limits alone."""
+        """A number of this name that no job can have any more, where its class differs in limits alone."""
         for number, since in self.unused_since.items():
             known = self.classes[number]
             job_lifetime_s = (known.deadline_ms + known.idempotency_window_ms) / MS_PER_S
@@ -133,7 +133,7 @@
         return None
 
     def _leaving(self, accepted: dict[str, int], now: float, grace_s: float) -> dict[str, LeavingClass]:
-        """The classes in their grace period once these are accepted."""
+        """The dropped classes in their grace period, once a file with the classes `accepted` is in force."""
         leaving = {
             name: entry for name, entry in self.leaving.items() if name not in accepted and now < entry.until
         }
@@ -155,7 +155,7 @@
 
 
 def _with_limits_of(job_class: JobClass, source: JobClass) -> JobClass:
-    """The class with those values of another that settings rows may change."""
+    """The class with the limits of another class: the values that settings rows may change."""
     return replace(
         job_class,
         latency_objective_ms=source.latency_objective_ms,
--- a/pipitshed/config/completeness.py
+++ b/pipitshed/config/completeness.py
@@ -1,4 +1,4 @@
-"""Checks that a configuration file read at SIGHUP holds all the keys of the one in force."""
+"""Checks that a configuration file read at SIGHUP has all the keys of the file in force."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def missing_key(before: Any, after: Any, path: str = "") -> str | None:
-    """Find the first key of `before`, the file in force, that `after` lacks; None where it lacks none.
+    """Return the first key of `before`, the file in force, that `after` lacks; None where it has them all.
 
-    Objects are compared key by key, all the way down. In a list of objects (classes, tenants, workers), each
-    object of `after` must hold the keys that every object of `before` holds: items may come and go.
+    Objects are compared recursively. A list of objects (classes, tenants, workers) may gain and lose items;
+    each object in it must have the keys that are common to all objects of the list in force.
     """
     if not isinstance(before, dict):
         return None
@@ -31,7 +31,7 @@
 
 
 def _missing_in_list(before: Any, after: Any, path: str) -> str | None:
-    """Compare lists of objects; other values have no keys to lack."""
+    """Return the first key that an object of the list `after` lacks; None where `before` is no such list."""
     if not isinstance(before, list) or not before or not all(isinstance(item, dict) for item in before):
         return None
     if not isinstance(after, list):
--- a/pipitshed/config/errors.py
+++ b/pipitshed/config/errors.py
@@ -1,4 +1,4 @@
-"""The errors of this package: a configuration, a setting or a settings row that cannot be used."""
+"""Errors for a configuration, a setting or a settings row that cannot be used."""
 
 from __future__ import annotations
 
@@ -6,11 +6,14 @@
 
 
 class ConfigError(ValueError):
-    """The configuration cannot be used; the text says why in one line."""
+    """The configuration cannot be used; the message gives the reason in one line."""
 
 
 class FrontFileError(ConfigError):
-    """A key of the front file does not fit the settings."""
+    """A key of the front file does not match the settings.
+
+    The message is `PATH:LINE: KEY: REASON`, with the key as `keys` joined by dots.
+    """
 
     def __init__(self, path: Path, line: int, keys: tuple[str, ...], reason: str) -> None:
         super().__init__(f"{path}:{line}: {'.'.join(keys)}: {reason}")
@@ -21,17 +24,17 @@
 
 
 class SettingsError(ConfigError):
-    """The settings do not have their form."""
+    """The settings do not have the expected form."""
 
 
 class InvalidFieldError(SettingsError):
-    """One field of the settings has an impossible value.
+    """One field of the settings has an invalid value.
 
     Attributes:
         field: The full name of the field, for example `services[0].deadline`.
         value: The value that was read.
-        reason: Why it is rejected, as it follows the field (and its value) in the text.
-        detail: What the text says after the field's name.
+        reason: Why the value is rejected; the message has it after the field's name (and value).
+        detail: The message after the field's name.
     """
 
     def __init__(self, field: str, value: object, reason: str, *, show_value: bool = False) -> None:
@@ -43,7 +46,7 @@
 
 
 class RowRejectedError(ConfigError):
-    """A settings row cannot be applied; the text is the reason alone."""
+    """A settings row cannot be applied; the message is the reason, without the key."""
 
     def __init__(self, key: str, reason: str) -> None:
         super().__init__(reason)
--- a/pipitshed/config/front.py
+++ b/pipitshed/config/front.py
@@ -1,4 +1,4 @@
-"""The front file: Gearman, DNS-SD, translation and placement, each of them off where no file asks for it."""
+"""The front file, which enables Gearman, DNS-SD, translation and placement; without it all four are off."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     job_class: str = msgspec.field(name="class")
     tenant: str = ""
     patience_s: float | None = None
-    form: int | None = None  # version of the message form in which its clients speak; none: `clients.gearman`
+    form: int | None = None  # version of its clients' message form; `clients.gearman` where missing
 
 
 class _Workers(msgspec.Struct):
@@ -47,18 +47,18 @@
 
 
 class _Translation(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
-    file: str  # beside the front file
-    interface: Literal[0, 1, 2] = 0  # of workers whose interface nobody names; 0: it is detected
+    file: str  # path relative to the front file
+    interface: Literal[0, 1, 2] = 0  # of workers for which no source gives it; 0: it is detected
     keepalive_s: float = 10.0
-    planners: dict[str, Literal[1, 2]] = {}  # interfaces by instance id
+    planners: dict[str, Literal[1, 2]] = {}  # interface by instance id
 
 
 class _Placement(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
-    plan: str  # beside the front file; read at the start and on SIGHUP
+    plan: str  # path relative to the front file; read at the start and on SIGHUP
 
 
 class FrontFile(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
-    """The front file as it is written."""
+    """The contents of the front file."""
 
     gearman: _Gearman = msgspec.field(default_factory=_Gearman)
     dns_sd: _DnsSd | None = None
@@ -68,11 +68,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FunctionConfig:
-    """A Gearman function: what its jobs are submitted as.
+    """The class, tenant, timeout and message form with which the jobs of a Gearman function are submitted.
 
     Attributes:
-        client_timeout_ms: How long its clients wait; infinite where the file does not say.
-        form_version: The version of the message form of its clients; None for the default of all.
+        client_timeout_ms: How long its clients wait; infinite where the file has no `patience-s`.
+        form_version: The version of its clients' message form; None for that of all Gearman clients.
     """
 
     job_class: str
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True)
 class Translation:
-    """The translation file, and what is known of the workers' interfaces.
+    """The translation file, and the configured interfaces of workers.
 
     Attributes:
         default_interface: The interface of workers that `interface_by_instance` lacks; 0: it is detected.
@@ -98,10 +98,10 @@
 
 @dataclass(frozen=True)
 class FrontConfig:
-    """What the front file asks for.
+    """The checked contents of the front file.
 
     Attributes:
-        gearman_addresses: The addresses of the Gearman frontend; it is off where there are none.
+        gearman_addresses: The addresses of the Gearman frontend; the frontend is off where there are none.
         gearman_functions: Gearman functions by name.
     """
 
@@ -117,10 +117,10 @@
 def load_front(path: Path | None, config: Config) -> FrontConfig:
     """Read the front file.
 
-    Without a path everything is off: a file at some default place turns nothing on.
+    Without a path all parts are off; no file is read from a default location.
 
     Raises:
-        ConfigError: The file cannot be read or used, or does not fit the settings.
+        ConfigError: The file cannot be read or parsed, or does not match the settings.
     """
     if path is None:
         return FrontConfig([], {}, _Workers(), None, "")
@@ -157,14 +157,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Mismatch:
-    """A key of the front file that does not fit the settings."""
+    """A key of the front file that does not match the settings."""
 
     keys: tuple[str, ...]
     reason: str
 
 
 def _find_mismatch(file: FrontFile, config: Config) -> _Mismatch | None:
-    """The first key of the front file that does not fit the settings; None where all of them do."""
+    """Return the first key of the front file that does not match the settings; None where all match."""
     for name, function in file.gearman.functions.items():
         if mismatch := _function_mismatch(name, function, config):
             return mismatch
@@ -173,7 +173,9 @@
         if value and value not in known:
             return _Mismatch(("gearman", "workers", key), _unknown(key, value, known))
     if file.gearman.listen and not file.gearman.functions:
-        return _Mismatch(("gearman", "listen"), "gearman listens, but has no functions")
+        return _Mismatch(
+            ("gearman", "listen"), "listening for Gearman needs at least one entry in gearman.functions"
+        )
     return None
 
 
@@ -184,32 +186,36 @@
     if function.tenant and function.tenant not in config.tenants:
         return _Mismatch((*keys, "tenant"), _unknown("tenant", function.tenant, config.tenants))
     if function.patience_s is not None and not 0 < function.patience_s < math.inf:
-        return _Mismatch((*keys, "patience-s"), f"{function.patience_s} is not a time above 0")
+        return _Mismatch((*keys, "patience-s"), f"{function.patience_s} is not a finite time above 0 s")
     return None
 
 
 def _unknown(kind: str, name: str, known: list[str]) -> str:
-    return f"the settings have no {kind} {name!r} ({', '.join(known) or 'none at all'})"
+    return f"the settings have no {kind} {name!r}; known: {', '.join(known) or 'none at all'}"
 
 
 def _load_translation(path: Path, file: FrontFile, classes: list[str]) -> Translation | None:
-    """Read the translation file that the front file names; its libraries are imported only then."""
+    """Read the translation file that the front file names, and import the libraries that it needs."""
     table = file.translation
     if table is None:
         return None
     if not 0 < table.keepalive_s < math.inf:
-        raise ConfigError(f"{path}: translation: keepalive-s = {table.keepalive_s}")
+        raise ConfigError(
+            f"{path}: translation: keepalive-s = {table.keepalive_s} is not a finite time above 0 s"
+        )
     try:
-        import google.protobuf  # noqa: F401 - is the extra there?
+        import google.protobuf  # noqa: F401 - checks that the extra is installed
         import h2  # noqa: F401
     except ImportError as error:
-        raise ConfigError(f"{path}: translation needs the extra `translation`: {error}") from None
+        raise ConfigError(
+            f"{path}: translation needs the extra `translation` of pipitshed: {error}"
+        ) from None
     translation_path = path.parent / table.file
     forms = _read_translation_file(translation_path)
     versions = [form.version for form in forms.forms]
     for name, function in file.gearman.functions.items():
         if function.form is not None and function.form not in versions:
-            raise ConfigError(f"{path}: function {name}: there is no form {function.form}")
+            raise ConfigError(f"{path}: function {name}: the translation file has no form {function.form}")
     translated_classes = {job_class for form in forms.forms for job_class in form.classes}
     for unknown in sorted(translated_classes - set(classes)):
         raise ConfigError(f"{translation_path}: the settings have no class {unknown!r}")
--- a/pipitshed/config/platform.py
+++ b/pipitshed/config/platform.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: the file that LB_CONFIG names, and the variables beside it."""
+"""The platform's configuration: the file that LB_CONFIG names, and other LB_ environment variables."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from pipitshed.protocols.address import parse_address
 from pipitshed.scheduling.settings import Settings
 
-DEFAULT_INHERITED_SOCKET = 3  # the first descriptor beyond the standard streams
+DEFAULT_INHERITED_SOCKET = 3  # the first file descriptor after the standard streams
 SEED_BASE = 16
 
 
@@ -35,7 +35,7 @@
 
 
 class _Names(msgspec.Struct):
-    """The names in the settings, which the decisions know by their places only."""
+    """The names in the settings; the scheduling code refers to them by index."""
 
     services: list[_Named] = []
     tenants: list[_Named] = []
@@ -45,7 +45,7 @@
 
 
 class _PlatformFile(msgspec.Struct):
-    """The file as it is written."""
+    """The contents of the file."""
 
     settings: dict[str, Any]
     name: str = ""
@@ -59,15 +59,15 @@
 
 @dataclass(frozen=True)
 class Config:
-    """The platform's configuration, typed.
+    """The checked configuration of the platform.
 
     Attributes:
-        cached_list: The endpoint list that the file holds for the start.
-        report_fields: The fields of the workers' reports, by the protocol's names.
+        cached_list: The endpoint list of the file, with which the process starts.
+        report_fields: The fields of workers' load reports, by their names in the protocol.
         admin_address: The address of the admin frontend; None where there is none.
         inherited_descriptor: The descriptor of a listening socket that the process inherits.
-        raw: The file as it was read; a file read later is compared with it.
-        trace_target: LB_TRACE: where the decision trace goes, `-` for the standard error; empty for none.
+        raw: The file as it was read, for comparison with a file that is read later.
+        trace_target: LB_TRACE, the path of the decision trace; `-` for standard error, empty for no trace.
     """
 
     name: str
@@ -93,7 +93,7 @@
     """Read the file that LB_CONFIG names.
 
     Raises:
-        ConfigError: The file cannot be read or used.
+        ConfigError: LB_CONFIG is not set, or the file cannot be read or parsed.
     """
     path = environment.get("LB_CONFIG", "")
     if not path:
@@ -107,25 +107,25 @@
 
 
 def with_settings(config: Config, settings: dict[str, Any]) -> Config:
-    """Replace the settings by those of another file that has the same names; `raw` stays as it was.
+    """Return the configuration with other settings, which must have the same names; `raw` is kept.
 
     Raises:
-        SettingsError: The settings cannot be used.
+        SettingsError: The settings are invalid.
     """
     return replace(config, settings=settings_for_sockets(settings_from(settings)))
 
 
 def settings_for_sockets(settings: Settings) -> Settings:
-    """The settings as they hold for a scheduler on sockets.
+    """The settings with discovery set as a scheduler on sockets needs it.
 
-    Discovery answers only those who call it, so the endpoint list is always polled. Where the settings say
-    that it is pushed, a watch is kept open to receive it.
+    Discovery only answers calls, so the endpoint list is always polled. Where the settings say that the list
+    is pushed, the scheduler keeps a watch open to receive it.
     """
     return replace(settings, endpoints_polled=True, endpoints_pushed=not settings.endpoints_polled)
 
 
 def read_inherited_descriptor(environment: Mapping[str, str]) -> int | None:
-    """The descriptor that `LB_PASSED_SOCKET` names: its number, or the default for any other name."""
+    """The descriptor in `LB_PASSED_SOCKET`: its number, or the default where the value is no number."""
     text = environment.get("LB_PASSED_SOCKET", "").strip()
     if not text:
         return None
@@ -135,12 +135,12 @@
 def _parse(data: bytes, environment: Mapping[str, str]) -> Config:
     raw = msgspec.json.decode(data)
     if not isinstance(raw, dict):
-        raise ValueError("the file holds no object")
+        raise ValueError("the file does not hold a JSON object")
     file = msgspec.convert(raw, _PlatformFile)
     names = msgspec.convert(file.settings, _Names)
     listen = parse_address(file.listen or environment.get("LB_LISTEN", ""))
     discovery = file.discovery or environment.get("LB_DISCOVERY", "")
-    # The environment comes first: two processes share one file during an upgrade.
+    # The environment overrides the file, because two processes share one file during an upgrade.
     admin_address = environment.get("LB_MGMT", "") or file.mgmt
     return Config(
         name=file.name or environment.get("LB_NAME", ""),
--- a/pipitshed/config/row_overlay.py
+++ b/pipitshed/config/row_overlay.py
@@ -1,8 +1,8 @@
-"""Lays settings rows over a settings file: which values a row may change, and the check of a row. No I/O.
+"""Checks settings rows, and lays them over the settings of a file. No I/O.
 
-A key is `tenant/NAME/FIELD` or `class/NAME/FIELD`, with the names and fields of the file in force; a body is
-a JSON number. The idempotency of a class decides whether a job may run twice: it is no limit to be adjusted,
-and no row can change it.
+The key of a row is `tenant/NAME/FIELD` or `class/NAME/FIELD`, with the names and fields of the file in force;
+its body is a JSON number. No row can change the idempotency of a class, which decides whether a job may run
+twice.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 _JSON_NUMBER = re.compile(rb"-?(0|[1-9][0-9]*)(\.[0-9]+)?([eE][+-]?[0-9]+)?")
 _LIST_BY_KIND = {"tenant": "tenants", "class": "services"}
 
-IndexesByName = dict[str, list[int]]  # where each name stands in a list of the file
+IndexesByName = dict[str, list[int]]  # the indexes of a name's entries in a list of the file
 
 
 @dataclass(frozen=True, slots=True)
 class Overlay:
-    """The outcome of laying rows over a file.
+    """The settings of a file with rows laid over them.
 
     Attributes:
-        raw: The file as it would read with the values of the rows in it.
-        applied: The applied row by key, deleted rows too. It may be older than a row that was rejected.
-        rejected: The reason by key of a rejected row.
+        raw: The file's contents with the values of the applied rows.
+        applied: The applied row by key, including deleted rows; it may be older than a rejected row.
+        rejected: The reason of the rejection, by key of the rejected row.
     """
 
     raw: dict[str, Any]
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Change:
-    """A checked row: the value it gives to a field of one entry of a list of the file."""
+    """The change by a checked row: a new value for a field of one entry in a list of the file."""
 
     kind: str
     index: int
@@ -67,16 +67,16 @@
     previously_applied: Mapping[str, Row] | None = None,
     fixed_classes: Container[str] = (),
 ) -> Overlay:
-    """Lay rows over a file as it was read, which is not changed.
+    """Lay rows over the settings of a file; `raw` itself is not changed.
 
-    Where a row is rejected, the row that was applied for its key before stays applied; where there was none,
-    the file's value holds.
+    Where a row is rejected, the row applied for its key before stays applied; where there was none, the value
+    of the file is in force.
 
     Args:
-        raw: The file.
-        rows: The rows, one for a key.
+        raw: The file as it was read.
+        rows: The rows, one for each key.
         previously_applied: The rows applied before, by key.
-        fixed_classes: Names of classes that no row can change here.
+        fixed_classes: Names of classes that no row can change in this process.
     """
     indexes = {kind: _indexes_by_name(raw, kind) for kind in _LIST_BY_KIND}
     previous_rows = previously_applied or {}
@@ -99,7 +99,7 @@
 
 
 def check(raw: dict[str, Any], row: Row, fixed_classes: Container[str] = ()) -> float:
-    """Return the value of a row that the file in force permits.
+    """Return the value of a row that can be applied over the file in force.
 
     Raises:
         RowRejectedError: The row cannot be applied.
@@ -109,7 +109,7 @@
 
 
 def file_value(raw: dict[str, Any], key: str) -> float | None:
-    """The value that the file itself has at a key; None where it has none."""
+    """The file's own value at a key, without rows; None where it has none."""
     try:
         parts = _parse_key(key)
     except RowRejectedError:
@@ -143,28 +143,28 @@
     raw: dict[str, Any], indexes_by_kind: dict[str, IndexesByName], row: Row, fixed_classes: Container[str]
 ) -> _Change:
     if not row.readable:
-        raise RowRejectedError(row.key, f"it is of a newer program (form {row.format_version})")
+        raise RowRejectedError(row.key, f"a newer version of pipitshed wrote it (form {row.format_version})")
     key = _parse_key(row.key)
     if key.kind == "class" and key.name in fixed_classes:
-        reason = f"Gearman's functions keep the limits that {key.name!r} had at the start"
+        reason = f"Gearman's functions use class {key.name!r} with its limits of the start"
         raise RowRejectedError(row.key, reason)
     indexes = indexes_by_kind[key.kind].get(key.name, [])
     if len(indexes) != 1:
         count = "no" if not indexes else "more than one"
         raise RowRejectedError(row.key, f"the settings in force have {count} {key.kind} {key.name!r}")
     if len(row.body) > VALUE_LIMIT_BYTES or not _JSON_NUMBER.fullmatch(row.body):
-        raise RowRejectedError(row.key, f"a value is a JSON number of {VALUE_LIMIT_BYTES} bytes at most")
+        raise RowRejectedError(row.key, f"a value is a JSON number of at most {VALUE_LIMIT_BYTES} bytes")
     value = float(row.body)
     entry = raw["settings"][_LIST_BY_KIND[key.kind]][indexes[0]]
     try:
-        check_entry(key.kind, entry | {key.field: value})  # the check that a file's value goes through
+        check_entry(key.kind, entry | {key.field: value})  # the same check as for a value in the file
     except InvalidFieldError as error:
         raise RowRejectedError(row.key, key.field + error.detail) from None
     return _Change(key.kind, indexes[0], key.field, value)
 
 
 def _changed_settings(settings: dict[str, Any], changes: Iterable[_Change]) -> dict[str, Any]:
-    """A copy of the settings with these changes; what is not changed is shared."""
+    """A copy of the settings with these changes; unchanged entries are shared with the original."""
     changed = dict(settings)
     for name in _LIST_BY_KIND.values():
         if name in changed:
--- a/pipitshed/config/settings_parser.py
+++ b/pipitshed/config/settings_parser.py
@@ -1,7 +1,7 @@
-"""Parses the start settings of the platform's protocol into `Settings`.
+"""Parses the settings of the platform's protocol into `Settings`.
 
-This is the one place where the names of the protocol become the names of the code. It checks the form and the
-range of values; it makes no decision. An impossible value raises `InvalidFieldError`.
+This is the only module that maps the names of the protocol to the names of the code. It checks the type and
+range of each value; an invalid value raises `InvalidFieldError`.
 """
 
 from __future__ import annotations
@@ -41,25 +41,25 @@
     "x0": "free_slots",
     "x1": "free_memory",
 }
-_NO_WORKER_KIND = -1  # the protocol's number for a class that any kind of worker serves
+_NO_WORKER_KIND = -1  # in the protocol, the class may be served by any kind of worker
 _LOWEST_PRIORITY = -math.inf
 
 
 class _TableReader:
-    """Reads a JSON object key by key; an error names the key in full."""
+    """Reads a JSON object key by key; an error has the full path of the key."""
 
     def __init__(self, value: Any, name: str) -> None:
         if not isinstance(value, dict):
-            raise InvalidFieldError(name or "the whole", value, "is not an object")
+            raise InvalidFieldError(name or "the whole object", value, "is not an object")
         self.value = value
         self.name = name
 
     def full_name(self, key: str) -> str:
-        """The name of a key, with the names of the tables around it."""
+        """The path of a key from the root of the settings, for example `services[0].deadline`."""
         return f"{self.name}.{key}" if self.name else key
 
     def table(self, key: str) -> _TableReader:
-        """The table at this key; an empty one where the key is missing."""
+        """The object at this key; an empty one where the key is missing."""
         return _TableReader(self.value.get(key, {}), self.full_name(key))
 
     def items(self, key: str) -> list[Any]:
@@ -70,14 +70,18 @@
         return value
 
     def tables(self, key: str) -> list[_TableReader]:
-        """The list of tables at this key."""
+        """The list of objects at this key; an empty one where the key is missing."""
         name = self.full_name(key)
         return [_TableReader(item, f"{name}[{index}]") for index, item in enumerate(self.items(key))]
 
     def number(
         self, key: str, default: float | None, minimum: float = 0.0, maximum: float = math.inf
     ) -> float:
-        """The finite number at this key, within these bounds."""
+        """The finite number at this key; both bounds are valid values.
+
+        Raises:
+            InvalidFieldError: The value is no finite number or out of range, or key and default are missing.
+        """
         value = self.value.get(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
             raise InvalidFieldError(self.full_name(key), value, "is not a number")
@@ -93,14 +97,14 @@
         return int(value)
 
     def flag(self, key: str, default: bool = False) -> bool:
-        """The true or false at this key."""
+        """The boolean at this key."""
         value = self.value.get(key, default)
         if not isinstance(value, bool):
             raise InvalidFieldError(self.full_name(key), value, "is not true or false")
         return value
 
     def word(self, key: str, words: dict[str, Any], default: str) -> Any:
-        """What the word at this key stands for."""
+        """The value to which `words` maps the word at this key."""
         value = self.value.get(key, default)
         if not isinstance(value, str) or value not in words:
             reason = f"is not one of {', '.join(words)}"
@@ -109,12 +113,10 @@
 
 
 def settings_from(value: Any) -> settings.Settings:
-    """Parse the start settings.
-
-    Unknown keys are skipped.
+    """Parse the settings; unknown keys are ignored.
 
     Raises:
-        InvalidFieldError: A value is impossible.
+        InvalidFieldError: A value is invalid.
     """
     root = _TableReader(value, "")
     families = root.table("familyInfo")
@@ -146,10 +148,10 @@
 
 
 def check_entry(kind: str, value: Any) -> None:
-    """Check one entry alone, a `class` or a `tenant`, as `settings_from` does.
+    """Check a single entry of the settings, of the kind `class` or `tenant`, as `settings_from` does.
 
     Raises:
-        InvalidFieldError: A value of the entry is impossible.
+        InvalidFieldError: A value of the entry is invalid.
     """
     if kind == "class":
         _job_class(_TableReader(value, kind), 0, _TableReader({}, "familyInfo"))
@@ -166,7 +168,7 @@
 
 
 def _job_class(table: _TableReader, index: int, families: _TableReader) -> settings.JobClass:
-    """Parse one class; part of it stands in lists of `familyInfo`, at the class's place."""
+    """Parse one class; some of its values are in lists of `familyInfo`, at the index of the class."""
 
     def family_number(key: str, default: float, minimum: float) -> float:
         values = families.items(key)
@@ -242,7 +244,7 @@
 
 
 def _report_fields(table: _TableReader) -> tuple[str, ...]:
-    """The fields of the workers' reports in order; empty names for those that the decisions do not read."""
+    """The fields of workers' load reports in order; an empty name for a field that the scheduler ignores."""
     if not table.word("source", _REPORTS_ENABLED_BY_WORD, "off"):
         return ()
     return tuple(
--- a/pipitshed/config/tenant_registry.py
+++ b/pipitshed/config/tenant_registry.py
@@ -1,6 +1,6 @@
-"""Numbers for the tenants, which stay as they are while files add, reorder and drop tenants.
+"""Assigns numbers to tenants, which stay the same when a file adds, reorders or drops tenants.
 
-The dispatcher counts a tenant's jobs by its number, and requests and Gearman's functions carry it.
+The dispatcher counts jobs by tenant number; requests and Gearman functions hold the number.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantRegistry:
-    """All tenants of the files since the start.
+    """All tenants of the files read since the start.
 
     Attributes:
-        names: The names by number.
+        names: The tenants' names by number.
         numbers: The numbers of the tenants of the file in force, in the file's order.
     """
 
@@ -28,11 +28,11 @@
 
     @classmethod
     def first(cls, names: Sequence[str]) -> TenantRegistry:
-        """The registry of the first file, which numbers its tenants in their order."""
+        """The registry of the first file, whose tenants are numbered in the file's order."""
         return cls(tuple(names), tuple(range(len(names))))
 
     def updated(self, names: Sequence[str]) -> TenantRegistry:
-        """The registry with another file in force: a name keeps its number, a new one gets the next."""
+        """The registry with another file in force: a known name keeps its number, a new one gets the next."""
         known: defaultdict[str, deque[int]] = defaultdict(deque)
         for number, name in enumerate(self.names):
             known[name].append(number)
@@ -47,10 +47,10 @@
         return TenantRegistry(tuple(all_names), tuple(numbers))
 
     def accepted(self) -> TenantNumbers:
-        """The numbers of the tenants of the file in force, by name; all others share the next number."""
+        """The numbers of the tenants of the file in force, by name; all other names share the next number."""
         return TenantNumbers({self.names[number]: number for number in self.numbers}, len(self.names))
 
     def by_number(self, tenants: Sequence[Tenant]) -> tuple[Tenant, ...]:
-        """The file's tenants by their numbers; those that it dropped have neither share nor quota."""
+        """The given tenants of the file in force by number; dropped tenants get a share and quota of 0."""
         held = dict(zip(self.numbers, tenants, strict=True))
         return tuple(held.get(number, _DROPPED_TENANT) for number in range(len(self.names)))
