--- a/pipitshed/cli/__init__.py
+++ b/pipitshed/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one module for each group of commands."""
+"""The command line, with one module for each command group."""
--- a/pipitshed/cli/client.py
+++ b/pipitshed/cli/client.py
@@ -1,4 +1,4 @@
-"""The operators' client of a scheduler's peer address: the options that name it, one request, one answer."""
+"""The command line's client of a scheduler's peer address: its options, and single requests."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from pipitshed.membership.members import Address
 from pipitshed.protocols.address import parse_address
 
-REQUEST_TIMEOUT_S = 3.0
+REQUEST_TIMEOUT_S = 3.0  # for the connection, and for each wait for data
 EXIT_NO_ANSWER = 1
 
 _Answer = TypeVar("_Answer", bound=ClusterMessage)
@@ -27,7 +27,7 @@
 
 
 class RequestError(Exception):
-    """A request without an answer; the text says why."""
+    """A request got no valid answer; the message gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,16 +44,16 @@
         click.option(
             "--secret-file",
             type=click.Path(path_type=Path, exists=True, dir_okay=False),
-            help="Its first line keys the checksums, where the fleet has a secret.",
+            help="A file whose first line is the fleet's secret, if it has one.",
         ),
-        click.option("--cluster", default="pipitshed", show_default=True, help="The cluster's name."),
+        click.option("--cluster", default="pipitshed", show_default=True, help="The name of the cluster."),
         click.option(
             "--fleet",
             "file",
             type=click.Path(path_type=Path, exists=True, dir_okay=False),
-            help="The file that `serve --fleet` has: address, cluster and secret come from it.",
+            help="The file given to `serve --fleet`, for the address, cluster and secret.",
         ),
-        click.option("--peer", help="The peer address of any live scheduler, host:port."),
+        click.option("--peer", help="The peer address of a live scheduler, as host:port."),
     ):
         command = option(command)
     return command
@@ -62,7 +62,7 @@
 def resolve_target(
     peer: str | None, file: Path | None, cluster: str, secret_file: Path | None
 ) -> SchedulerTarget:
-    """The scheduler that the options name; the program ends where they name none."""
+    """Return the scheduler that the options name; exit with EXIT_USAGE where they name none."""
     try:
         if file is not None:
             config = read(file)
@@ -77,7 +77,7 @@
 
 
 def request_or_exit(target: SchedulerTarget, message: ClusterMessage, answer_type: type[_Answer]) -> _Answer:
-    """The answer to a request; the program ends where there is none."""
+    """Send a request and return its answer; exit with EXIT_NO_ANSWER where there is none."""
     try:
         return send_request(target.address, target.codec, message, answer_type)
     except RequestError as error:
@@ -89,10 +89,10 @@
 def send_request(
     address: Address, codec: Codec, message: ClusterMessage, answer_type: type[_Answer]
 ) -> _Answer:
-    """Send a request to a scheduler's peer address, and wait for its answer.
+    """Send a request to a scheduler's peer address, and return its answer.
 
     Raises:
-        RequestError: No answer of this type has come in time.
+        RequestError: No valid answer of this type came within REQUEST_TIMEOUT_S.
     """
     try:
         with socket.create_connection(address, REQUEST_TIMEOUT_S) as connection:
@@ -100,14 +100,14 @@
             connection.sendall(framed(codec.encode(message)))
             (length,) = LENGTH.unpack(_receive(connection, LENGTH.size))
             if length > FRAME_LIMIT:
-                raise RequestError("the answer is longer than any can be")
+                raise RequestError("the answer exceeds the size limit of a message")
             answer = codec.decode(_receive(connection, length))
     except OSError as error:
-        raise RequestError(str(error) or "no answer in time") from None
+        raise RequestError(str(error) or "no answer within the time limit") from None
     except MessageRejectedError as error:
-        raise RequestError(f"the answer is of no scheduler of this cluster ({error})") from None
+        raise RequestError(f"the answer is not from a scheduler of this cluster ({error})") from None
     if not isinstance(answer, answer_type):
-        raise RequestError("the answer is not of what was asked")
+        raise RequestError("the answer has another message type than the request asks for")
     return answer
 
 
@@ -116,6 +116,8 @@
     while len(data) < size:
         part = connection.recv(size - len(data))
         if not part:
-            raise RequestError("it closed without an answer: another cluster, version or secret")
+            raise RequestError(
+                "connection closed without an answer: check the cluster's name, the version and the secret"
+            )
         data += part
     return data
--- a/pipitshed/cli/fleet.py
+++ b/pipitshed/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`pipitshed fleet`: the membership view of a scheduler, and its leaving of the cluster."""
+"""`pipitshed fleet`: shows a scheduler's view of the cluster's members, or lets the scheduler leave."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 WATCH_INTERVAL_S = 1.0
 LIVE_STATES = ("alive", "suspect")
-_HEADINGS = ("NAME", "ZONE", "ADDRESS", "STATE", "INCARNATION", "FOR", "SAID BY", "SAME VIEW")
+_HEADINGS = ("NAME", "ZONE", "ADDRESS", "STATE", "INCARNATION", "FOR", "REPORTED BY", "SAME VIEW")
 _SAME_VIEW_WORDS = {True: "yes", False: "no", None: "-"}
 
 
 @click.group()
 def fleet() -> None:
-    """The schedulers' own view of their fleet."""
+    """Show the fleet as a scheduler sees it, or let a scheduler leave the fleet."""
 
 
 @fleet.command()
 @target_options
-@click.option("--json", "as_json", is_flag=True, help="The view as one JSON object.")
-@click.option("--watch", is_flag=True, help="Again each second, until Ctrl-C.")
+@click.option("--json", "as_json", is_flag=True, help="Print the view as one JSON object.")
+@click.option("--watch", is_flag=True, help="Print the view each second, until Ctrl-C.")
 def show(as_json: bool, watch: bool, **target_values: Any) -> None:
-    """Print the view of one scheduler: who lives, since when, who said so, and who agrees."""
+    """Print one scheduler's view of the members: their states, since when, from whom, and who agrees."""
     target = resolve_target(**target_values)
     while True:
         view = request_or_exit(target, Show(), Shown)
@@ -41,7 +41,7 @@
 @fleet.command()
 @target_options
 def leave(**target_values: Any) -> None:
-    """Let one scheduler leave the fleet in good order; it serves its clients on."""
+    """Let one scheduler leave the fleet; it continues to serve its clients."""
     view = request_or_exit(resolve_target(**target_values), Leave(), Shown)
     click.echo(f"{view.name} has left the fleet, and serves on")
 
@@ -57,11 +57,11 @@
     summary = f"{view.name}: view {view.number}, hash {view.digest}; "
     summary += f"{agreeing} of {len(live) - 1} others agree"
     if view.health:
-        summary += f"; doubts itself by {view.health}"
+        summary += f"; local health score {view.health}"
     if view.leaving:
-        summary += "; is leaving"
+        summary += "; leaving the fleet"
     if view.displaced:
-        summary += "; ITS NAME IS HELD BY ANOTHER PROCESS"
+        summary += "; ITS NAME IS USED BY ANOTHER PROCESS"
     return "\n".join([summary, *table_lines([_HEADINGS, *map(_cells, view.members)])])
 
 
--- a/pipitshed/cli/settings.py
+++ b/pipitshed/cli/settings.py
@@ -1,4 +1,4 @@
-"""`pipitshed settings`: put settings rows at any live scheduler, and wait until all members apply them."""
+"""`pipitshed settings`: change settings rows at any live scheduler, and wait until all members apply them."""
 
 from __future__ import annotations
 
@@ -18,42 +18,42 @@
 EXIT_IN_FORCE = 0
 EXIT_REJECTED = 2
 EXIT_NOT_EVERYWHERE = 3
-POLL_INTERVAL_S = 0.1  # between questions whether a change is applied by all
+POLL_INTERVAL_S = 0.1  # between requests whether all members apply a change
 DEFAULT_WAIT_S = 15.0
 MAX_WAIT_S = 3600.0
-MAX_NAMED_MEMBERS = 12  # of those that do not apply a change
-MAX_SHOWN_VALUE_CHARS = 40  # characters of a value that is rejected
+MAX_NAMED_MEMBERS = 12  # shown of the members that do not apply a change
+MAX_SHOWN_VALUE_CHARS = 40  # shown of a rejected value
 NO_ROW_VERSION = (0, 0)
 _HEADINGS = ("KEY", "IN FORCE", "FILE", "ROW", "WRITER", "")
 
-# The texts of `--help`, apart from the doc comments.
+# The texts of `--help`; the docstrings of the functions are for their readers.
 PUT_HELP = (
-    "Put a value, such as `tenant/NAME/share 0.4` or `class/NAME/deadline 5000`, and wait until all in touch "
-    "act on it. Exit code 0: in force; 3: accepted, and not in force everywhere in time; 2: refused; 1: no "
-    "answer."
+    "Set a value, such as `tenant/NAME/share 0.4` or `class/NAME/deadline 5000`, and wait until all "
+    "reachable schedulers apply it. Exit code 0: in force; 3: accepted, but not in force everywhere in time; "
+    "2: refused; 1: no answer."
 )
 STATUS_HELP = (
-    "Ask every scheduler which rows it acts on. Exit code 0 where all that live act on the same ones and "
-    "refuse none, 3 else."
+    "Ask every scheduler which rows it applies. Exit code 0: all live schedulers apply the same rows and "
+    "refuse none; 3: otherwise."
 )
 
 
 @click.group()
 def settings() -> None:
-    """Settings by row: a value that stands over the settings file's, in all schedulers of the fleet."""
+    """Change settings by rows: values that override the settings file in all schedulers of the fleet."""
 
 
 def _change_options(command: Any) -> Any:
-    """Add the options of a change, and those that name a scheduler."""
+    """Add the options of a change, and the options that name a scheduler."""
     for option in (
-        click.option("--take-over", is_flag=True, help="Though another scheduler writes this row."),
+        click.option("--take-over", is_flag=True, help="Change the row even if another scheduler writes it."),
         click.option(
             "--wait",
             "wait_s",
             default=DEFAULT_WAIT_S,
             show_default=True,
             type=click.FloatRange(0.0, MAX_WAIT_S),
-            help="Seconds until it must be in force.",
+            help="Maximum seconds to wait until the change is in force.",
         ),
     ):
         command = option(command)
@@ -65,7 +65,7 @@
 @click.argument("value")
 @_change_options
 def put(key: str, value: str, wait_s: float, take_over: bool, **target_values: Any) -> None:
-    """Put a value, and wait until all live members apply it."""
+    """Set a value, and wait until all live members apply it."""
     _change_row(resolve_target(**target_values), key, value.encode(), wait_s, take_over)
 
 
@@ -73,7 +73,7 @@
 @click.argument("key")
 @_change_options
 def delete(key: str, wait_s: float, take_over: bool, **target_values: Any) -> None:
-    """Delete a row, so that the settings file's value is in force again. Exit codes as of `put`."""
+    """Delete a row, so that the settings file's value is in force again. Exit codes are those of `put`."""
     _change_row(resolve_target(**target_values), key, None, wait_s, take_over)
 
 
@@ -81,7 +81,7 @@
 @target_options
 @click.option("--json", "as_json", is_flag=True, help="As one JSON object.")
 def show(as_json: bool, **target_values: Any) -> None:
-    """Print the rows that one scheduler holds: what is in force there, and what the file says."""
+    """Print the rows of one scheduler, with the value in force there and the value of its file."""
     shown = request_or_exit(resolve_target(**target_values), ShowRows(), ShownRows)
     if as_json:
         rows = [msgspec.structs.asdict(row) for row in shown.rows]
@@ -95,7 +95,7 @@
 @target_options
 @click.option("--json", "as_json", is_flag=True, help="As one JSON object.")
 def status(as_json: bool, **target_values: Any) -> None:
-    """Print which rows every scheduler applies."""
+    """Print which rows each scheduler applies."""
     cluster_status = collect_status(resolve_target(**target_values))
     click.echo(status_json(cluster_status) if as_json else status_text(cluster_status))
     sys.exit(EXIT_IN_FORCE if cluster_status.is_uniform else EXIT_NOT_EVERYWHERE)
@@ -104,7 +104,7 @@
 def _change_row(
     target: SchedulerTarget, key: str, body: bytes | None, wait_s: float, take_over: bool
 ) -> None:
-    """Put or delete a row, print the outcome, and end the program with its exit code."""
+    """Set or delete a row, print the outcome, and exit with its code."""
     rows = request_or_exit(target, ShowRows(key), ShownRows).rows if key else ()
     version = (rows[0].term, rows[0].number) if rows else NO_ROW_VERSION
     done = request_or_exit(target, Put(key, body, version, take_over), PutDone)
@@ -119,7 +119,7 @@
 
 
 def _wait_until_applied(target: SchedulerTarget, question: AskForce, wait_s: float) -> Force:
-    """Repeat the question until all apply the row, nobody can any more, or the time is up."""
+    """Repeat the request until all members apply the row, none can apply it any more, or `wait_s` is over."""
     deadline = time.monotonic() + wait_s
     while True:
         answer = request_or_exit(target, question, Force)
@@ -131,17 +131,17 @@
 
 def _outcome_text(outcome: Force) -> str:
     if outcome.superseded:
-        return f"not in force: {outcome.superseded} has taken its place"
+        return f"not in force: superseded by {outcome.superseded}"
     if outcome.in_force:
         text = f"in force at all {len(outcome.acting)} in touch"
     else:
         missing = [
-            f"{name} refuses it: {reason}" if reason else f"{name} has not said that it does"
+            f"{name} refuses it: {reason}" if reason else f"{name} has not confirmed it"
             for name, reason in outcome.missing
         ]
         unnamed_count = len(missing) - MAX_NAMED_MEMBERS
         more = [f"and {unnamed_count} more"] if unnamed_count > 0 else []
-        text = f"not in force everywhere: {len(outcome.acting)} act on it; "
+        text = f"not in force everywhere: {len(outcome.acting)} apply it; "
         text += "; ".join(missing[:MAX_NAMED_MEMBERS] + more)
     if outcome.out_of_touch:
         text += f"; out of touch: {', '.join(outcome.out_of_touch)}"
--- a/pipitshed/cli/settings_status.py
+++ b/pipitshed/cli/settings_status.py
@@ -1,4 +1,4 @@
-"""The status of the settings rows at every member of a cluster, for `pipitshed settings status`."""
+"""Collects which settings rows each member of a cluster applies, for `pipitshed settings status`."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """What one member applies; the fields are the keys of `settings status --json`.
+    """The rows that one member applies; the fields are the keys of `settings status --json`.
 
     Attributes:
-        same: Whether it applies the same rows as the member that was asked first; None where it is not known.
-        refused: The keys and reasons of rows that it rejects.
+        same: Whether it applies the same rows as the member asked first; None where that is unknown.
+        refused: The keys of the rows that it rejects, with the reasons.
     """
 
     name: str
@@ -39,20 +39,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterStatus:
-    """The status of all members, and that of the member that was asked first."""
+    """The status of all members, and the answer of the member asked first."""
 
     first: Status
     members: list[MemberStatus]
 
     @property
     def is_uniform(self) -> bool:
-        """Whether all live members apply the same rows, without a remark."""
+        """Whether all live members apply the same rows and have no remarks."""
         live = [member for member in self.members if member.state in LIVE_STATES]
         return all(member.same and not member.remarks for member in live)
 
 
 def collect_status(target: SchedulerTarget) -> ClusterStatus:
-    """Ask one scheduler for the members, and then each of them for its status."""
+    """Ask one scheduler for the cluster's members, and each live member for its status."""
     first = request_or_exit(target, AskStatus(), Status)
 
     def member_status(member: tuple[str, str, str]) -> MemberStatus:
@@ -80,7 +80,7 @@
 
 def status_text(status: ClusterStatus) -> str:
     """The status as a table."""
-    headings = ("NAME", "STATE", "ACTS ON", "ROWS", "FOR", "SAME AS " + status.first.name, "")
+    headings = ("NAME", "STATE", "DIGEST", "ROWS", "FOR", "SAME AS " + status.first.name, "")
     return "\n".join(table_lines([headings, *map(_cells, status.members)]))
 
 
@@ -95,7 +95,7 @@
     if answer.unsaved:
         remarks.append(f"its rows are not kept: {answer.unsaved}")
     if not answer.caught_up:
-        remarks.append("has not caught up after its start")
+        remarks.append("has not received all rows since its start")
     return MemberStatus(
         name=member.name,
         address=member.address,
--- a/pipitshed/cli/testbed.py
+++ b/pipitshed/cli/testbed.py
@@ -1,4 +1,4 @@
-"""`pipitshed testbed`, also accepted as `pipitshed lab`: runs of a scheduler between stand-ins."""
+"""`pipitshed testbed`, formerly `pipitshed lab`: runs schedulers with simulated clients and planners."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 if TYPE_CHECKING:
     from pipitshed.testbed.fleet.scenario import Fault, Put, Scenario
 
-EXIT_CHECK_FAILED = 1  # a rule broke, or an oracle failed
+EXIT_CHECK_FAILED = 1  # a run violated a rule or failed an oracle
 MAX_PLANNERS = 200
 MAX_PROCESSES = 60
 ANY_LOOPBACK_PORT = "127.0.0.1:0"
-# The texts of `--help`, apart from the doc comments.
+# The texts of `--help`; the docstrings of the functions are for their readers.
 RUN_HELP = (
-    "Play an experiment on loopback and give the exact account, or compare its arms; exit code 1 where a "
-    "rule broke."
+    "Run an experiment on loopback and print its results as JSON, or compare its arms. Exit code 1: a rule "
+    "was violated."
 )
 FLEET_HELP = (
-    "Play a scenario with several processes and faults between them; exit code 1 where an oracle says no, "
-    "with the script that fails."
+    "Run a scenario with several scheduler processes and faults between them. Exit code 1: an oracle failed; "
+    "the failing script is printed."
 )
 
 
 @click.group()
 def testbed() -> None:
-    """A scheduler between stand-ins, to try things and to measure them."""
+    """Run schedulers with simulated clients, discovery and planners, for trials and measurements."""
 
 
 @testbed.command()
@@ -49,19 +49,19 @@
     default=6,
     show_default=True,
     type=click.IntRange(1, MAX_PLANNERS),
-    help="How many.",
+    help="Number of planners.",
 )
 @click.option(
     "--interface",
     default="mixed",
     show_default=True,
     type=click.Choice(["1", "2", "mixed"]),
-    help="What they speak.",
+    help="The interface of the planners.",
 )
-@click.option("--gearman/--no-gearman", default=False, help="Listen for Gearman clients and workers too.")
-@click.option("--listen", default=ANY_LOOPBACK_PORT, show_default=True, help="Where HTTP clients connect.")
+@click.option("--gearman/--no-gearman", default=False, help="Also listen for Gearman clients and workers.")
+@click.option("--listen", default=ANY_LOOPBACK_PORT, show_default=True, help="The address for HTTP clients.")
 def up(worker_count: int, interface: str, gearman: bool, listen: str) -> None:
-    """Start a scheduler, stand-in discovery and planners on loopback; a live table until Ctrl-C."""
+    """Start a scheduler with simulated discovery and planners on loopback; show a live table until Ctrl-C."""
     experiments.raise_descriptors()
     shape = experiments.FleetFile(planners=worker_count, interface=interface)  # type: ignore[arg-type]
     try:
@@ -72,13 +72,17 @@
 
 @testbed.command(help=RUN_HELP)
 @click.argument("file", type=click.Path(path_type=Path, exists=True, dir_okay=False))
-@click.option("--json", "out", type=click.Path(path_type=Path), help="Where the account goes.")
-@click.option("--short", is_flag=True, help="As many requests as the file's `short-requests`.")
-@click.option("--seed", type=int, help="Instead of the file's.")
+@click.option("--json", "out", type=click.Path(path_type=Path), help="The file for the results.")
+@click.option("--short", is_flag=True, help="Send the file's `short-requests` instead of `requests`.")
+@click.option("--seed", type=int, help="Overrides the file's seed.")
 @click.option(
-    "--seeds", "seed_count", default=20, show_default=True, help="For a file with arms: pairs of plays."
+    "--seeds",
+    "seed_count",
+    default=20,
+    show_default=True,
+    help="For a file with arms: number of paired runs.",
 )
-@click.option("--jobs", default=3, show_default=True, help="For a file with arms: plays at a time.")
+@click.option("--jobs", default=3, show_default=True, help="For a file with arms: number of parallel runs.")
 def run(file: Path, out: Path | None, short: bool, seed: int | None, seed_count: int, jobs: int) -> None:
     """Run an experiment, or compare its variants."""
     try:
@@ -88,7 +92,7 @@
     experiments.raise_descriptors()
     request_count = experiment.clients.short_requests if short else experiment.clients.requests
     if experiment.arms:
-        from pipitshed.testbed.arms import compare  # it needs the solver, an extra of its own
+        from pipitshed.testbed.arms import compare  # needs the solver, which is in another extra
 
         compared = compare(experiment, request_count, seed_count, jobs)
         _write_json(compared, out)
@@ -96,7 +100,7 @@
     figures = _run_once(experiment, request_count, experiment.seed if seed is None else seed)
     _write_json(figures, out)
     for rule in broken(figures):
-        click.echo(f"pipitshed: broken: {rule}", err=True)
+        click.echo(f"pipitshed: violated rule: {rule}", err=True)
     sys.exit(EXIT_CHECK_FAILED if broken(figures) else 0)
 
 
@@ -114,7 +118,7 @@
 
 
 def _write_json(figures: Any, out: Path | None) -> None:
-    """Print figures, and write them to a file where one is given."""
+    """Print figures as JSON, and also write them to `out` where it is given."""
     text = json.dumps(figures, indent=1)
     if out is not None:
         out.write_text(text + "\n")
@@ -124,25 +128,35 @@
 @testbed.command(help=FLEET_HELP)
 @click.argument("file", type=click.Path(path_type=Path, exists=True, dir_okay=False))
 @click.option(
-    "--seed", "first_seed", default=1, show_default=True, help="Of the faults that the scenario draws."
+    "--seed",
+    "first_seed",
+    default=1,
+    show_default=True,
+    help="The seed for the random faults of the scenario.",
 )
 @click.option(
-    "--seeds", "seed_count", default=1, show_default=True, help="Plays, with this seed and the next ones."
+    "--seeds",
+    "seed_count",
+    default=1,
+    show_default=True,
+    help="Number of runs, with this seed and the following ones.",
 )
 @click.option(
     "--processes",
     "process_count",
     type=click.IntRange(1, MAX_PROCESSES),
-    help="Instead of the file's.",
+    help="Overrides the file's number of processes.",
+)
+@click.option(
+    "--report", type=click.Path(path_type=Path), help="The file for the verdicts, one JSON line for each run."
 )
-@click.option("--report", type=click.Path(path_type=Path), help="Where the verdicts go, a JSON line a play.")
-@click.option("--logs", type=click.Path(path_type=Path), help="A folder that keeps the logs of each play.")
+@click.option("--logs", type=click.Path(path_type=Path), help="The folder for the logs of each run.")
 @click.option(
     "--shrink",
     "max_shrink_runs",
     default=0,
     show_default=True,
-    help="Plays at most to find the smallest script.",
+    help="Maximum number of extra runs to find the smallest failing script.",
 )
 def fleet(
     file: Path,
@@ -153,7 +167,7 @@
     logs: Path | None,
     max_shrink_runs: int,
 ) -> None:
-    """Run a scenario with several processes, once for each seed."""
+    """Run a scenario with several scheduler processes, once for each seed."""
     from pipitshed.testbed.fleet.scenario import ScenarioError, read
 
     try:
@@ -169,12 +183,12 @@
         if verdict["wrong"]:
             failed_count += 1
             script = scenario_run.failing_script(max_shrink_runs)
-            click.echo(f"# it fails with seed {seed}:\n{script}", err=True)
+            click.echo(f"# the scenario fails with seed {seed}:\n{script}", err=True)
     sys.exit(EXIT_CHECK_FAILED if failed_count else 0)
 
 
 def _report_verdict(verdict: dict[str, Any], report: Path | None) -> None:
-    """Print a verdict, and append it to the report where one is given."""
+    """Print a verdict as JSON, and also append it to `report` where it is given."""
     text = json.dumps(verdict)
     click.echo(text)
     if report is not None:
@@ -184,7 +198,7 @@
 
 @dataclass(frozen=True)
 class _ScenarioRun:
-    """A scenario with the faults and settings changes that one seed draws."""
+    """A scenario with the random faults and settings changes of one seed."""
 
     scenario: Scenario
     seed: int
@@ -198,13 +212,13 @@
         return cls(scenario, seed, drawn(scenario, seed), drawn_puts(scenario, seed))
 
     def run(self, faults: tuple[Fault, ...], logs: Path | None = None) -> dict[str, Any]:
-        """Run it with these faults, and return the verdict."""
+        """Run the scenario with these faults, and return the verdict."""
         from pipitshed.testbed.fleet.play import play
 
         return uvloop.run(play(self.scenario, faults, self.seed, logs, self.puts))
 
     def failing_script(self, max_shrink_runs: int) -> str:
-        """The script of the run, with the fewest faults that still fail."""
+        """Return the script of the run, with the faults reduced as far as `max_shrink_runs` allow."""
         from pipitshed.testbed.fleet.play import smallest
         from pipitshed.testbed.fleet.scenario import script
 
