--- a/pipitshed/templates/__init__.py
+++ b/pipitshed/templates/__init__.py
@@ -1,1 +1,1 @@
-"""Files that `init` writes and the laboratory uses."""
+"""Example files that `pipitshed init` writes, and that the testbed uses."""
