--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -1,5 +1,5 @@
-"""Settings read anew at SIGHUP: classes come, change and go, attempts become fewer, and a broken file changes
-nothing. Jobs under way keep their class."""
+"""Tests of the reload at SIGHUP: classes, tenants and limits change, running jobs keep their class, and an
+invalid file changes nothing."""
 
 import asyncio
 import copy
@@ -34,20 +34,20 @@
 RUSH = JobClass(500.0, 1000.0)
 
 
-def test_a_class_that_changes_gets_a_number_of_its_own_and_one_that_goes_is_taken_for_a_grace() -> None:
-    book = ClassRegistry.first(["quote", "book"], [QUOTE, BOOK])
-    stricter = JobClass(2500.0, 5000.0, idempotency=Idempotency.NON_IDEMPOTENT)
-    after, change = book.updated(["rush", "quote"], [RUSH, stricter], now=10.0)
-    assert after.classes == (QUOTE, BOOK, RUSH, stricter)
-    assert after.accepted == {"rush": 2, "quote": 3}
-    assert (change.added, change.changed, change.dropped) == (("rush",), ("quote",), ("book",))
-    assert after.number("book", 11.0) == 1 and after.number("book", 11.3) is None
-    assert after.accepted_at(10.5) == {"book": 1, "rush": 2, "quote": 3}
-    back, change = after.updated(["quote", "book"], [QUOTE, BOOK], now=12.0)
-    assert back.classes == after.classes and back.accepted == {"quote": 0, "book": 1}
-    assert change.added == ("book",) and change.dropped == ("rush",)
-    same, change = back.updated(["quote", "book"], [QUOTE, BOOK], now=13.0)
-    assert same.classes == back.classes and str(change) == "classes unchanged"
+def test_a_changed_class_gets_a_new_number_and_a_dropped_class_has_a_grace_period() -> None:
+    registry = ClassRegistry.first(["quote", "book"], [QUOTE, BOOK])
+    non_idempotent = JobClass(2500.0, 5000.0, idempotency=Idempotency.NON_IDEMPOTENT)
+    reloaded, changes = registry.updated(["rush", "quote"], [RUSH, non_idempotent], now=10.0)
+    assert reloaded.classes == (QUOTE, BOOK, RUSH, non_idempotent)
+    assert reloaded.accepted == {"rush": 2, "quote": 3}
+    assert (changes.added, changes.changed, changes.dropped) == (("rush",), ("quote",), ("book",))
+    assert reloaded.number("book", 11.0) == 1 and reloaded.number("book", 11.3) is None
+    assert reloaded.accepted_at(10.5) == {"book": 1, "rush": 2, "quote": 3}
+    restored, changes = reloaded.updated(["quote", "book"], [QUOTE, BOOK], now=12.0)
+    assert restored.classes == reloaded.classes and restored.accepted == {"quote": 0, "book": 1}
+    assert changes.added == ("book",) and changes.dropped == ("rush",)
+    unchanged, changes = restored.updated(["quote", "book"], [QUOTE, BOOK], now=13.0)
+    assert unchanged.classes == restored.classes and str(changes) == "classes unchanged"
 
 
 @given(
@@ -58,44 +58,49 @@
     ),
     st.lists(st.sampled_from([QUOTE, BOOK, RUSH]), min_size=24, max_size=24),
 )
-def test_numbers_once_given_keep_their_class(files: list[list[str]], kinds: list[JobClass]) -> None:
-    """Whatever files come, a number always stands for the class it was first given, and the door names only
-    classes of the file in force, or of one just before it."""
-    book, drawn = ClassRegistry.first(["quote"], [QUOTE]), iter(kinds)
+def test_a_class_number_keeps_its_class(files: list[list[str]], definitions: list[JobClass]) -> None:
+    """After any sequence of files, a number stands for the class that it was first assigned to, and the
+    accepted names stand for the classes of the file in force."""
+    registry, drawn_classes = ClassRegistry.first(["quote"], [QUOTE]), iter(definitions)
     seen = {0: ("quote", QUOTE)}
-    for step, names in enumerate(files):
-        classes = [next(drawn) for _ in names]
-        book, _ = book.updated(names, classes, now=float(step))
-        for place, job_class in enumerate(book.classes):
-            seen.setdefault(place, (book.names[place], job_class))
-            assert seen[place] == (book.names[place], job_class)
-        door = {name: book.classes[book.accepted[name]] for name in names}
-        assert door == dict(zip(names, classes, strict=True))
-
-
-def test_a_day_of_changed_limits_needs_as_many_numbers_as_jobs_can_still_have() -> None:
-    book, given = ClassRegistry.first(["quote", "book"], [QUOTE, BOOK]), dict[int, tuple[float, JobClass]]()
+    for now_s, names in enumerate(files):
+        classes = [next(drawn_classes) for _ in names]
+        registry, _ = registry.updated(names, classes, now=float(now_s))
+        for number, job_class in enumerate(registry.classes):
+            seen.setdefault(number, (registry.names[number], job_class))
+            assert seen[number] == (registry.names[number], job_class)
+        accepted = {name: registry.classes[registry.accepted[name]] for name in names}
+        assert accepted == dict(zip(names, classes, strict=True))
+
+
+def test_class_numbers_are_reused_during_a_day_of_changed_limits() -> None:
+    registry, issued = (
+        ClassRegistry.first(["quote", "book"], [QUOTE, BOOK]),
+        dict[int, tuple[float, JobClass]](),
+    )
     for step in range(7800):
-        now, goal = step * 11.0, 1000.0 + step
-        book, _ = book.updated(
-            ["quote", "book"], [JobClass(goal, 5000.0, idempotency=Idempotency.IDEMPOTENT), BOOK], now
+        now_s, objective_ms = step * 11.0, 1000.0 + step
+        registry, _ = registry.updated(
+            ["quote", "book"],
+            [JobClass(objective_ms, 5000.0, idempotency=Idempotency.IDEMPOTENT), BOOK],
+            now_s,
         )
-        number = book.accepted["quote"]
-        if number in given:  # no job that was taken with it is left
-            assert now - given[number][0] > 5.0 + 60.0
-        for place, (last, job_class) in list(given.items()):
-            if now - last <= 65.0:
-                assert book.classes[place] == job_class
-        given[number] = now, book.classes[number]
-    assert len(book.classes) < 12 and set(book.names) == {"quote", "book"}
-    other = JobClass(
+        number = registry.accepted["quote"]
+        if number in issued:  # no job that was accepted with it can be left
+            assert now_s - issued[number][0] > 5.0 + 60.0
+        for other_number, (last_issued_at, job_class) in list(issued.items()):
+            if now_s - last_issued_at <= 65.0:
+                assert registry.classes[other_number] == job_class
+        issued[number] = now_s, registry.classes[number]
+    assert len(registry.classes) < 12 and set(registry.names) == {"quote", "book"}
+    non_idempotent = JobClass(
         1.0, 5000.0, idempotency=Idempotency.NON_IDEMPOTENT
-    )  # no limit alone: a number of its own
-    assert book.updated(["quote"], [other], 1e6)[0].accepted["quote"] == len(book.classes)
+    )  # differs in more than limits: gets a new number
+    assert registry.updated(["quote"], [non_idempotent], 1e6)[0].accepted["quote"] == len(registry.classes)
 
 
-def test_a_key_that_the_file_in_force_has_must_be_there() -> None:
-    before = {
+def test_a_key_of_the_file_in_force_must_be_present() -> None:
+    in_force = {
         "name": "n0",
         "settings": {
             "permissions": {"maxAttempts": 3},
@@ -105,32 +110,32 @@
             ],
         },
     }
-    assert missing_key(before, copy.deepcopy(before)) is None
-    added = copy.deepcopy(before)
-    added["settings"]["services"].append({"name": "rush", "deadline": 900, "goalTime": 400})
-    assert missing_key(before, added) is None
+    assert missing_key(in_force, copy.deepcopy(in_force)) is None
+    with_added_class = copy.deepcopy(in_force)
+    with_added_class["settings"]["services"].append({"name": "rush", "deadline": 900, "goalTime": 400})
+    assert missing_key(in_force, with_added_class) is None
     for path, expected in [
         (("name",), "name"),
         (("settings", "permissions", "maxAttempts"), "settings.permissions.maxAttempts"),
     ]:
-        broken = copy.deepcopy(before)
-        *way, last = path
-        place = broken
-        for key in way:
-            place = place[key]
-        del place[last]
-        assert missing_key(before, broken) == expected
-    broken = copy.deepcopy(before)
-    del broken["settings"]["services"][1]["goalTime"]
-    assert missing_key(before, broken) == "settings.services[1].goalTime"
-    assert missing_key(before, {"name": "n0", "settings": []}) == "settings"
-
-
-def test_rows_that_a_file_can_not_carry_count_as_an_invalid_file(
+        incomplete = copy.deepcopy(in_force)
+        *parents, key_to_delete = path
+        parent = incomplete
+        for key in parents:
+            parent = parent[key]
+        del parent[key_to_delete]
+        assert missing_key(in_force, incomplete) == expected
+    incomplete = copy.deepcopy(in_force)
+    del incomplete["settings"]["services"][1]["goalTime"]
+    assert missing_key(in_force, incomplete) == "settings.services[1].goalTime"
+    assert missing_key(in_force, {"name": "n0", "settings": []}) == "settings"
+
+
+def test_rows_that_do_not_fit_the_file_count_as_an_invalid_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a file that is counted as loaded though none of it was applied, and an exception in the
-    signal's handler: the error was that of the cluster's rows over the file."""
+    """Guards against counting a file as loaded when the cluster's rows cannot be laid over it, and against
+    the exception leaving the signal handler."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": SETTINGS}))
     monkeypatch.setenv("LB_CONFIG", str(path))
@@ -144,41 +149,42 @@
 
 
 def _file(running_config: str, **settings: object) -> str:
-    told = json.loads(running_config)
-    told["settings"] = told["settings"] | settings
-    return json.dumps(told)
+    raw = json.loads(running_config)
+    raw["settings"] = raw["settings"] | settings
+    return json.dumps(raw)
 
 
 @story
-async def test_classes_come_and_go_and_a_job_under_way_keeps_its_own() -> None:
-    held: list[object] = []
+async def test_classes_are_added_and_dropped_and_a_running_job_keeps_its_class() -> None:
+    held_runs: list[object] = []
     async with (
         Planner(
-            "p1", act=lambda run: held.append(run) if run.headers["x-request-id"][0] == "b" else run.serve()
+            "p1",
+            act=lambda run: held_runs.append(run) if run.headers["x-request-id"][0] == "b" else run.serve(),
         ) as planner,
         Catalog(planner) as catalog,
         program(catalog=catalog, mgmt=True) as running,
     ):
         await catalog.watches.get()
-        first = running.config.read_text()
-        waiting = await HttpClient.to(running.port)
-        waiting.ask("b1", "book", Idempotency_Key="k1")
+        first_file = running.config.read_text()
+        waiting_client = await HttpClient.to(running.port)
+        waiting_client.ask("b1", "book", Idempotency_Key="k1")
         await planner.wait_for(1)
         rush = {"name": "rush", "deadline": 3000.0, "goalTime": 1000.0, "repeat": "retryable"}
-        running.reload(_file(first, services=[SETTINGS["services"][0], rush]))
+        running.reload(_file(first_file, services=[SETTINGS["services"][0], rush]))
         await running.logged("added rush; dropped book")
         client = await HttpClient.to(running.port)
         client.ask("r1", "rush")
         assert (await client.answer())[0] == 200
         assert planner.runs[-1].headers["x-request-id"] == "r1"
-        held[0].serve()  # type: ignore[attr-defined]
-        assert (await waiting.answer())[0] == 200
+        held_runs[0].serve()  # type: ignore[attr-defined]
+        assert (await waiting_client.answer())[0] == 200
         await running.logged("classes accepted now: quote, rush")
         client.ask("b2", "book", Idempotency_Key="k2")
         assert (await client.answer())[0] == 400
-        told = await figures(running.mgmt_port)
-        assert told["scheduler.answered.book"] == 1 and told["scheduler.answered.rush"] == 1
-        assert told["scheduler.conf_loaded"] == 1
+        metrics = await figures(running.mgmt_port)
+        assert metrics["scheduler.answered.book"] == 1 and metrics["scheduler.answered.rush"] == 1
+        assert metrics["scheduler.conf_loaded"] == 1
 
 
 @given(
@@ -188,28 +194,34 @@
         max_size=6,
     )
 )
-def test_a_tenant_keeps_its_number_over_files(files: list[list[tuple[str, float]]]) -> None:
-    """Whatever files come, a number stands for one name, and has the share that the file in force says."""
+def test_a_tenant_keeps_its_number_across_files(files: list[list[tuple[str, float]]]) -> None:
+    """After any sequence of files, a number stands for one name and has the share of the file in force."""
     registry = TenantRegistry.first([name for name, _ in files[0]])
-    seen = dict(enumerate(registry.names))
+    name_by_number = dict(enumerate(registry.names))
     for file in files:
         registry = registry.updated([name for name, _ in file])
-        held = registry.by_number([Tenant(share) for _, share in file])
+        tenants_by_number = registry.by_number([Tenant(share) for _, share in file])
         assert len(set(registry.numbers)) == len(file)
         for number, (name, share) in zip(registry.numbers, file, strict=True):
-            assert seen.setdefault(number, name) == name and held[number].quota_share == share
-        assert sum(tenant.quota_share for tenant in held) == pytest.approx(sum(share for _, share in file))
-        tenants = registry.accepted()
-        assert tenants.number("nobody") == tenants.unknown == len(held)
-        assert set(tenants.by_name) == {name for name, _ in file}
+            assert (
+                name_by_number.setdefault(number, name) == name
+                and tenants_by_number[number].quota_share == share
+            )
+        assert sum(tenant.quota_share for tenant in tenants_by_number) == pytest.approx(
+            sum(share for _, share in file)
+        )
+        accepted = registry.accepted()
+        assert accepted.number("nobody") == accepted.unknown == len(tenants_by_number)
+        assert set(accepted.by_name) == {name for name, _ in file}
 
 
 @story
-async def test_tenants_in_another_order_keep_their_counts_at_both_fronts() -> None:
-    """Guards against jobs counted for another tenant after SIGHUP: for two seconds at the HTTP front, and for
-    good at the Gearman front, whose functions kept a place in the first file."""
+async def test_tenants_in_another_order_keep_their_counts_at_both_frontends() -> None:
+    """Guards against jobs counted for another tenant after SIGHUP. This happened for 2 s at the HTTP
+    frontend, and permanently at the Gearman frontend, whose functions kept the tenant's index in the first
+    file."""
     andes, norte, sur = [{"name": name, "share": 1.0} for name in ("andes-retail", "norte", "sur")]
-    untold = FRONT + '[gearman.functions.plan_any]\nclass = "quote"\n'
+    front_file = FRONT + '[gearman.functions.plan_any]\nclass = "quote"\n'
     with tempfile.TemporaryDirectory() as folder:
         trace = Path(folder) / "trace"
         async with (
@@ -217,7 +229,7 @@
             Catalog(planner) as catalog,
             program(
                 catalog=catalog,
-                front=untold,
+                front=front_file,
                 settings={"tenants": [andes, norte]},
                 env={"LB_TRACE": str(trace)},
             ) as running,
@@ -226,7 +238,7 @@
             client = await HttpClient.to(running.port)
             gearman = await GearmanPeer.to(running.gearman_port)
 
-            async def ask() -> None:
+            async def send_jobs() -> None:
                 for tenant in ("andes-retail", "norte", "sur"):
                     client.ask(f"{tenant}-{len(planner.runs)}", X_Tenant=tenant)
                     assert (await client.answer())[0] == 200
@@ -234,27 +246,27 @@
                     await gearman.submit(function, b"", b"six")
                     await gearman.expect(Kind.WORK_COMPLETE)
 
-            await ask()
+            await send_jobs()
             running.reload(_file(running.config.read_text(), tenants=[sur, norte, andes]))
             await running.logged("settings applied")
-            await ask()
-        told = [
+            await send_jobs()
+        tenant_numbers = [
             int(line.partition("tenant=")[2].split()[0])
             for line in trace.read_text().splitlines()
             if " < Submitted " in line
         ]
-    assert told == [0, 1, 2, 0, 2] + [0, 1, 2, 0, 3]
+    assert tenant_numbers == [0, 1, 2, 0, 2] + [0, 1, 2, 0, 3]
 
 
 @story
-async def test_fewer_attempts_are_never_exceeded() -> None:
-    def away(run: Run) -> None:
+async def test_a_lower_attempt_limit_is_never_exceeded() -> None:
+    def return_job(run: Run) -> None:
         run.say("returned")
 
     async with (
-        Planner("p1", act=away) as one,
-        Planner("p2", act=away) as two,
-        Catalog(one, two) as catalog,
+        Planner("p1", act=return_job) as first,
+        Planner("p2", act=return_job) as second,
+        Catalog(first, second) as catalog,
         program(catalog=catalog) as running,
     ):
         await catalog.watches.get()
@@ -265,36 +277,38 @@
         for number in range(4):
             client.ask(f"q{number}")
             assert (await client.answer())[0] == 503
-        assert len(one.runs) + len(two.runs) == 4
+        assert len(first.runs) + len(second.runs) == 4
 
 
 @story
-async def test_a_broken_file_changes_nothing_and_is_counted() -> None:
+async def test_an_invalid_file_changes_nothing_and_is_counted() -> None:
     async with (
         Planner("p1") as planner,
         Catalog(planner) as catalog,
         program(catalog=catalog, mgmt=True) as running,
     ):
         await catalog.watches.get()
-        good = running.config.read_text()
-        told = json.loads(good)
-        no_attempts = copy.deepcopy(told)
-        del no_attempts["settings"]["permissions"]["maxAttempts"]
-        broken = ["", good[: len(good) // 2], json.dumps(no_attempts)]
+        valid = running.config.read_text()
+        raw = json.loads(valid)
+        without_max_attempts = copy.deepcopy(raw)
+        del without_max_attempts["settings"]["permissions"]["maxAttempts"]
+        invalid_files = ["", valid[: len(valid) // 2], json.dumps(without_max_attempts)]
         for services in (
             [SETTINGS["services"][0] | {"deadline": 0}],
             [SETTINGS["services"][0] | {"deadline": -5.0}],
             [SETTINGS["services"][0] | {"deadline": "soon"}],
         ):
-            broken.append(_file(good, services=services))
-        for attempts in (0, -1, 2.5, "two"):
-            broken.append(_file(good, permissions=SETTINGS["permissions"] | {"maxAttempts": attempts}))
-        for number, text in enumerate(broken, 1):
+            invalid_files.append(_file(valid, services=services))
+        for max_attempts in (0, -1, 2.5, "two"):
+            invalid_files.append(
+                _file(valid, permissions=SETTINGS["permissions"] | {"maxAttempts": max_attempts})
+            )
+        for number, text in enumerate(invalid_files, 1):
             running.reload(text)
             await running.logged("the previous one stays in force", number)
-        figures_now = await figures(running.mgmt_port)
-        counted = (figures_now["scheduler.conf_invalid"], figures_now["scheduler.conf_loaded"])
-        assert counted == (len(broken), 0)
+        metrics = await figures(running.mgmt_port)
+        invalid_and_loaded = (metrics["scheduler.conf_invalid"], metrics["scheduler.conf_loaded"])
+        assert invalid_and_loaded == (len(invalid_files), 0)
         client = await HttpClient.to(running.port)
         client.ask("b1", "book", Idempotency_Key="k1")
         assert (await client.answer())[0] == 200
@@ -302,14 +316,14 @@
         assert not any("settings applied" in line for line in running.log)
 
 
-def test_names_told_in_another_order_keep_their_places(tmp_path: Path) -> None:
-    """Planners are listed by the places that names had at the start; a file that tells the same names in
-    another order must not move the own zone, or give a class the planners of another kind."""
+def test_names_listed_in_another_order_keep_their_numbers(tmp_path: Path) -> None:
+    """The endpoint table keeps the zone and kind numbers of the start. A file with the same names in another
+    order must not change the scheduler's own zone, or give a class the planners of another kind."""
 
     async def check() -> None:
         services = SETTINGS["services"]
-        told = SETTINGS | {"familyInfo": {"classKind": [-1, 2]}}
-        turned = told | {
+        listed = SETTINGS | {"familyInfo": {"classKind": [-1, 2]}}
+        reordered = listed | {
             "areas": SETTINGS["areas"][::-1],
             "locality": 1,
             "shapes": SETTINGS["shapes"][::-1],
@@ -318,10 +332,10 @@
             "stats": {"fields": ["x1", "x0"], "source": "inline"},
         }
         path = tmp_path / "config.json"
-        path.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": told}))
+        path.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": listed}))
         config = load_platform_config({"LB_CONFIG": str(path)})
         scheduler = Scheduler(config, load_front(None, config), asyncio.get_running_loop())
-        path.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": turned}))
+        path.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": reordered}))
         scheduler.reloader.apply(load_platform_config({"LB_CONFIG": str(path)}))
         settings = scheduler.parts.forwarder.settings
         assert settings.own_zone == 0 and [cls.worker_kind for cls in settings.classes] == [None, 2]
@@ -333,7 +347,7 @@
     asyncio.run(check())
 
 
-def test_a_class_that_came_after_the_plan_is_drawn_by_the_list() -> None:
+def test_a_class_added_after_the_plan_uses_the_weights_of_the_list() -> None:
     dispatcher = Dispatcher(Settings(classes=(QUOTE,), weight_kind=WeightKind.ROUGH), 1)
     dispatcher.handle(
         0.0,
--- a/tests/server/test_signals.py
+++ b/tests/server/test_signals.py
@@ -1,4 +1,4 @@
-"""Starts and ends: signals before their handlers, twice and beside each other; how soon a start is ready."""
+"""Tests of start and shutdown: signals before their handlers and during shutdown, and time to readiness."""
 
 from __future__ import annotations
 
@@ -39,35 +39,39 @@
 
 
 @pytest.mark.parametrize("early", [signal.SIGTERM, signal.SIGHUP])
-def test_a_signal_before_its_handler_is_there_is_kept(early: signal.Signals, tmp_path: Path) -> None:
-    """The program has begun to read its configuration, and is held there: a SIGHUP used to end it (129), a
-    SIGTERM too, whatever stood in the queue of its listener by then."""
+def test_a_signal_before_its_handler_is_installed_is_delivered_later(
+    early: signal.Signals, tmp_path: Path
+) -> None:
+    """Guards against a signal that ends the process before its handler is installed (exit code 129 for
+    SIGHUP): clients in the listener's accept queue then get no answer. The configuration file is a named
+    pipe, which holds the process at that point."""
 
     @story
     async def run() -> None:
-        pipe = tmp_path / "config.json"
-        os.mkfifo(pipe)
+        config_pipe = tmp_path / "config.json"
+        os.mkfifo(config_pipe)
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "pipitshed",
             "serve",
             cwd=ROOT,
-            env=os.environ | {"LB_CONFIG": str(pipe)},
+            env=os.environ | {"LB_CONFIG": str(config_pipe)},
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
         )
         try:
-            held = await asyncio.to_thread(open, pipe, "w")  # it is there once the program opens its end
+            # returns once the process has opened its end of the pipe
+            pipe_end = await asyncio.to_thread(open, config_pipe, "w")
             process.send_signal(early)
-            pipe.unlink()
-            pipe.write_text(CONFIG)  # what SIGHUP reads
-            held.write(CONFIG)
-            held.close()
+            config_pipe.unlink()
+            config_pipe.write_text(CONFIG)  # read at SIGHUP
+            pipe_end.write(CONFIG)
+            pipe_end.close()
             assert process.stdout is not None
             lines = []
-            awaited = "configuration reloaded" if early is signal.SIGHUP else "ended:"
-            while not any(awaited in line for line in lines):
+            awaited_text = "configuration reloaded" if early is signal.SIGHUP else "ended:"
+            while not any(awaited_text in line for line in lines):
                 lines.append((await process.stdout.readline()).decode())
                 assert lines[-1], lines
             if early is signal.SIGHUP:
@@ -83,67 +87,69 @@
 
 
 @story
-async def test_signals_during_the_end_neither_end_it_sooner_nor_hold_it() -> None:
-    """A second SIGTERM, a SIGHUP with a file that is no use, and one with a file that is: what was taken is
-    answered, and the exit code is 0."""
+async def test_signals_during_shutdown_neither_shorten_nor_prolong_it() -> None:
+    """After SIGTERM come a second SIGTERM, a SIGHUP with an invalid file, and one with a valid file. The
+    accepted request is still answered, and the exit code is 0."""
     async with Planner("p1", act=lambda run: run.say("started")) as planner, program(planner) as running:
         client = await HttpClient.to(running.port)
         client.ask("a1")
         run = await planner.wait_for(1)
-        told = running.config.read_text()
+        valid_file = running.config.read_text()
         running.process.send_signal(signal.SIGTERM)
         await running.logged("ending:")
         running.process.send_signal(signal.SIGTERM)
         running.reload('{"settings": ')
         await running.logged("the previous one stays in force")
-        running.reload(told)
+        running.reload(valid_file)
         await running.logged("configuration reloaded")
         run.say("done", result="kept")
         assert (await client.answer())[::2] == (200, b"kept")
         await running.logged("ended:")
 
 
-def cpu_seconds(process: int) -> float:
-    """User and system time of a process so far."""
-    told = Path(f"/proc/{process}/stat").read_text().rpartition(")")[2].split()
-    return (int(told[11]) + int(told[12])) / os.sysconf("SC_CLK_TCK")
+def cpu_seconds(pid: int) -> float:
+    """User and system time of a process so far, in seconds."""
+    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-@pytest.mark.parametrize("discovery", ["hangs", "turns calls down", "is gone"])
-def test_ten_restarted_processes_are_ready_within_10_s_whatever_discovery_does(discovery: str) -> None:
-    """Nine in ten have to be: each is by the list it knew, a while after its start or once nobody takes its
-    calls, and needs so little of the processor for it that a tenth of a core would do. The operators' address
-    says so too."""
+@pytest.mark.parametrize("discovery", ["hangs", "rejects calls", "is gone"])
+def test_ten_restarted_processes_are_ready_within_10_s_when_discovery_fails(discovery: str) -> None:
+    """Nine of ten processes must be ready: each serves with its cached list, either READY_WITHOUT_LIST_S
+    after the start or once discovery refuses connections. They use so little CPU that a tenth of a core
+    suffices. The admin address reports readiness too."""
 
-    class Down(Peer):
+    class FailingCatalog(Peer):
         async def serve(self, reader: Reader, writer: Writer) -> None:
             if discovery == "hangs":
                 await reader.read()
             else:
                 writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 
-    async def start(planner: Planner, down: Catalog) -> tuple[float, float, bool]:
+    async def start(planner: Planner, failing_catalog: Catalog) -> tuple[float, float, bool]:
         loop = asyncio.get_running_loop()
-        begun = loop.time()
-        async with program(planner, catalog=down, mgmt=True) as running:
+        started_at = loop.time()
+        async with program(planner, catalog=failing_catalog, mgmt=True) as running:
             await healthy(running.port)
-            took, used = loop.time() - begun, cpu_seconds(running.process.pid)
+            ready_s, cpu_s = loop.time() - started_at, cpu_seconds(running.process.pid)
             client = await HttpClient.to(running.port)
             client.ask("a1")
-            served = (await client.answer())[0] == 200
-            operators = 503
-            while served and operators != 200 and loop.time() - begun < 10:
-                operators, _ = await call(running.mgmt_port, b"GET /-/ready HTTP/1.1\r\nHost: mgmt\r\n\r\n")
+            answered = (await client.answer())[0] == 200
+            admin_status = 503
+            while answered and admin_status != 200 and loop.time() - started_at < 10:
+                admin_status, _ = await call(
+                    running.mgmt_port, b"GET /-/ready HTTP/1.1\r\nHost: mgmt\r\n\r\n"
+                )
                 await asyncio.sleep(0.1)
-            return took, used, served and operators == 200
+            return ready_s, cpu_s, answered and admin_status == 200
 
     @story
     async def run() -> None:
-        async with Planner("p1") as planner, Down() as down:
+        async with Planner("p1") as planner, FailingCatalog() as failing_catalog:
             if discovery == "is gone":
-                await down.__aexit__()
-            starts = await asyncio.gather(*(start(planner, down) for _ in range(10)))
-        assert sum(took < 10.0 and ready for took, _, ready in starts) >= 9
-        assert sorted(used for _, used, _ in starts)[8] < 1.0
+                await failing_catalog.__aexit__()
+            starts = await asyncio.gather(*(start(planner, failing_catalog) for _ in range(10)))
+        assert sum(ready_s < 10.0 and ready for ready_s, _, ready in starts) >= 9
+        assert sorted(cpu_s for _, cpu_s, _ in starts)[8] < 1.0
 
     run()
--- a/tests/server/test_upgrade.py
+++ b/tests/server/test_upgrade.py
@@ -1,5 +1,5 @@
-"""An upgrade: a second process on the listening socket that the platform holds, then SIGTERM to the first.
-Nothing is refused, reset or left unread on the way."""
+"""Tests of an upgrade: a second process starts on the listening socket that the platform holds, then the
+first gets SIGTERM. No connection is refused or reset, and no request stays unanswered."""
 
 import asyncio
 import signal
@@ -11,46 +11,46 @@
 
 
 async def _ready(port: int) -> None:
-    """Ask until the process says yes, as the platform does."""
+    """Poll the readiness of the process until it is ready, as the platform does."""
     while (await call(port, READY))[0] != 200:
         await asyncio.sleep(0.05)
 
 
 @story
-async def test_a_new_process_takes_over_the_passed_socket_and_nothing_is_refused() -> None:
-    held = socket.socket(socket.AF_INET, socket.SOCK_STREAM)  # the platform's
-    held.bind(("127.0.0.1", 0))
-    held.listen(64)
-    port, number = held.getsockname()[1], held.fileno()
-    passed = {"env": {"LB_PASSED_SOCKET": str(number)}, "pass_fds": (number,), "mgmt": True}
+async def test_a_new_process_takes_over_the_inherited_socket_and_no_request_fails() -> None:
+    listening_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)  # held by the platform
+    listening_socket.bind(("127.0.0.1", 0))
+    listening_socket.listen(64)
+    port, descriptor = listening_socket.getsockname()[1], listening_socket.fileno()
+    options = {"env": {"LB_PASSED_SOCKET": str(descriptor)}, "pass_fds": (descriptor,), "mgmt": True}
     statuses: list[int] = []
-    keep_going = asyncio.Event()
+    stop_traffic = asyncio.Event()
 
     async def traffic() -> None:
-        """One job on each new connection, one after another, and one kept connection beside them."""
-        kept = await HttpClient.to(port)
+        """Send jobs in turn on a new connection each and on a kept connection."""
+        kept_client = await HttpClient.to(port)
         count = 0
-        while not keep_going.is_set():
+        while not stop_traffic.is_set():
             count += 1
-            fresh = await HttpClient.to(port)
-            fresh.ask(f"n{count}")
-            statuses.append((await fresh.answer())[0])
-            fresh.writer.close()
-            kept.ask(f"k{count}")
-            status, headers, _ = await kept.answer()
+            new_client = await HttpClient.to(port)
+            new_client.ask(f"n{count}")
+            statuses.append((await new_client.answer())[0])
+            new_client.writer.close()
+            kept_client.ask(f"k{count}")
+            status, headers, _ = await kept_client.answer()
             statuses.append(status)
             if headers.get("connection") == "close":
-                kept = await HttpClient.to(port)
+                kept_client = await HttpClient.to(port)
 
     async with (
         Planner("p1") as planner,
         Catalog(planner) as catalog,
-        program(catalog=catalog, **passed) as old,
+        program(catalog=catalog, **options) as old,
     ):  # type: ignore[arg-type]
         assert old.port == port
         await _ready(old.mgmt_port)
-        load = asyncio.create_task(traffic())
-        async with program(catalog=catalog, **passed) as new:  # type: ignore[arg-type]
+        traffic_task = asyncio.create_task(traffic())
+        async with program(catalog=catalog, **options) as new:  # type: ignore[arg-type]
             assert new.port == port and new.mgmt_port != old.mgmt_port
             await _ready(new.mgmt_port)
             served_before = len(statuses)
@@ -58,22 +58,22 @@
             assert await old.process.wait() == 0
             old.log.append((await old.process.stdout.read()).decode())  # type: ignore[union-attr]
             assert "ended:" in "".join(old.log)
-            taken_after = len(statuses)
-            while len(statuses) < taken_after + 10:
+            served_at_exit = len(statuses)
+            while len(statuses) < served_at_exit + 10:
                 await asyncio.sleep(0.05)
-            keep_going.set()
-            await load
+            stop_traffic.set()
+            await traffic_task
             assert served_before > 0 and set(statuses) == {200}, statuses
             assert (await call(new.mgmt_port, READY))[0] == 200
-    held.close()
+    listening_socket.close()
 
 
 @story
-async def test_a_connection_in_use_at_the_end_is_told_of_its_close() -> None:
-    """Guards against a close without notice between two requests of a client that asks again and again: the
-    next one crossed it, and the client had to send it once more elsewhere."""
+async def test_a_response_announces_the_close_of_a_connection_in_use_at_shutdown() -> None:
+    """Guards against a close without notice between two requests of a client on a kept connection: its next
+    request would cross the close, and the client would have to send it again elsewhere."""
 
-    async def ask_on(client: HttpClient, name: str) -> None:
+    async def send_until_close(client: HttpClient, name: str) -> None:
         headers: dict[str, str] = {}
         count = 0
         while headers.get("connection") != "close":
@@ -81,13 +81,15 @@
             client.ask(f"{name}{count}")
             status, headers, _ = await client.answer()
             assert status == 200
-            await asyncio.sleep(0.12)  # the client's own pace
+            await asyncio.sleep(0.12)  # between two requests of the client
         assert await client.reader.read() == b""
 
     async with Planner("p1") as planner, program(planner) as running:
         clients = []
-        for place in range(6):  # at paces that are spread, so that no moment suits all of them
-            clients.append(asyncio.create_task(ask_on(await HttpClient.to(running.port), f"c{place}-")))
+        for index in range(6):  # started apart, so that SIGTERM comes at another point of each client's cycle
+            clients.append(
+                asyncio.create_task(send_until_close(await HttpClient.to(running.port), f"c{index}-"))
+            )
             await asyncio.sleep(0.02)
         running.process.send_signal(signal.SIGTERM)
         await asyncio.gather(*clients)
@@ -95,7 +97,7 @@
 
 
 @story
-async def test_without_a_passed_socket_the_program_binds_its_address() -> None:
+async def test_without_an_inherited_socket_the_program_binds_its_address() -> None:
     async with Planner("p1") as planner, program(planner, mgmt=True) as running:
         assert running.port != 0 and "(passed)" not in "".join(running.log)
         client = await HttpClient.to(running.port)
@@ -104,14 +106,14 @@
 
 
 @story
-async def test_the_end_comes_before_sigkill_where_all_deadlines_are_short() -> None:
-    """SIGKILL comes the longest deadline and 0.7 s after SIGTERM. The figures of deployments with deadlines
-    over 3 s, which both have had, would keep the program up for 2 s and lose what came in then."""
-    brief = {"services": [SETTINGS["services"][0] | {"deadline": 600.0, "goalTime": 300.0}]}
+async def test_shutdown_ends_before_sigkill_where_all_deadlines_are_short() -> None:
+    """SIGKILL comes the longest deadline plus 0.7 s after SIGTERM. Shutdown times for deadlines over 3 s
+    would keep this process up for 2 s, and lose the requests that arrive until SIGKILL."""
+    short_deadlines = {"services": [SETTINGS["services"][0] | {"deadline": 600.0, "goalTime": 300.0}]}
     async with (
         Planner("p1") as planner,
         Catalog(planner) as catalog,
-        program(planner, catalog=catalog, settings=brief) as running,
+        program(planner, catalog=catalog, settings=short_deadlines) as running,
     ):
         client = await HttpClient.to(running.port)
         client.ask("n1", X_Deadline="0.600")
