--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The commands, as a user calls them."""
+"""Tests of the commands `version`, `check` and `serve` with valid and invalid files."""
 
 import json
 from pathlib import Path
@@ -11,13 +11,13 @@
 from pipitshed.cli.commands import main
 
 
-def call(folder: Path, *words: str, config: object = None, front: str = "") -> Result:
+def call(folder: Path, *arguments: str, config: object = None, front: str = "") -> Result:
     (folder / "config.json").write_text(
         json.dumps(config or {"name": "n0", "listen": "127.0.0.1:0", "seed": "8c", "settings": SETTINGS})
     )
     (folder / "front.toml").write_text(front)
-    asked = ["--front", str(folder / "front.toml")] if words != ("version",) else []
-    return CliRunner().invoke(main, [*words, *asked], env={"LB_CONFIG": str(folder / "config.json")})
+    options = ["--front", str(folder / "front.toml")] if arguments != ("version",) else []
+    return CliRunner().invoke(main, [*arguments, *options], env={"LB_CONFIG": str(folder / "config.json")})
 
 
 def test_version_and_check(tmp_path: Path) -> None:
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    ("config", "front", "what"),
+    ("config", "front", "expected_text"),
     [
         ({"name": "n0"}, "", "settings"),
         ({"listen": "here", "settings": SETTINGS}, "", "host:port"),
@@ -46,30 +46,32 @@
         (None, "[gearman", "front.toml"),
     ],
 )
-def test_what_cannot_be_used_ends_in_one_line(tmp_path: Path, config: object, front: str, what: str) -> None:
+def test_an_invalid_file_gives_one_line_and_exit_code_2(
+    tmp_path: Path, config: object, front: str, expected_text: str
+) -> None:
     for command in ("serve", "check"):
         result = call(tmp_path, command, config=config, front=front)
-        assert result.exit_code == 2 and what in result.output and result.output.count("\n") == 1
+        assert result.exit_code == 2 and expected_text in result.output and result.output.count("\n") == 1
 
 
-def test_no_front_file_is_read_that_nobody_asked_for(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The failure met: a front file at a default place, written for other names, kept the program from its
-    start in a second deployment; one that fits would have opened a socket that nobody asked for."""
-    others = SETTINGS | {
+def test_no_front_file_is_read_without_the_option(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against reading a front file from a default path: written for other classes, it prevented the
+    start in a second deployment; a matching one would have opened a Gearman socket without being enabled."""
+    settings = SETTINGS | {
         "services": [{"name": "render", "deadline": 6000.0, "goalTime": 250.0}],
         "tenants": [],
         "areas": ["aswan"],
         "shapes": [],
     }
-    (tmp_path / "config.json").write_text(json.dumps({"listen": "127.0.0.1:0", "settings": others}))
+    (tmp_path / "config.json").write_text(json.dumps({"listen": "127.0.0.1:0", "settings": settings}))
     (tmp_path / "deploy").mkdir()
     (tmp_path / "deploy" / "front.toml").write_text(FRONT)
     monkeypatch.chdir(tmp_path)
-    asked = CliRunner().invoke(main, ["check"], env={"LB_CONFIG": str(tmp_path / "config.json")})
-    assert asked.exit_code == 0 and "classes render" in asked.output and "Gearman off" in asked.output
+    result = CliRunner().invoke(main, ["check"], env={"LB_CONFIG": str(tmp_path / "config.json")})
+    assert result.exit_code == 0 and "classes render" in result.output and "Gearman off" in result.output
 
 
-def test_a_front_file_that_is_not_there_ends_in_one_line(tmp_path: Path) -> None:
+def test_a_missing_front_file_gives_one_line_and_exit_code_2(tmp_path: Path) -> None:
     (tmp_path / "config.json").write_text(json.dumps({"listen": "127.0.0.1:0", "settings": SETTINGS}))
     result = CliRunner().invoke(
         main,
@@ -79,13 +81,13 @@
     assert result.exit_code == 2 and "none.toml" in result.output and result.output.count("\n") == 1
 
 
-def test_the_shipped_front_file_fits_any_deployment(tmp_path: Path) -> None:
-    others = SETTINGS | {
+def test_the_shipped_front_file_matches_any_deployment(tmp_path: Path) -> None:
+    settings = SETTINGS | {
         "services": [{"name": "render", "deadline": 6000.0, "goalTime": 250.0}],
         "tenants": [],
         "areas": ["aswan"],
         "shapes": [],
     }
-    shipped = (ROOT / "deploy" / "front.toml").read_text()
-    config = {"listen": "127.0.0.1:0", "settings": others}
-    assert call(tmp_path, "check", config=config, front=shipped).exit_code == 0
+    shipped_front_file = (ROOT / "deploy" / "front.toml").read_text()
+    config = {"listen": "127.0.0.1:0", "settings": settings}
+    assert call(tmp_path, "check", config=config, front=shipped_front_file).exit_code == 0
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -1,4 +1,4 @@
-"""Deployments drawn from all that may be told: a scheduler starts, answers, stops, and breaks no rule."""
+"""Property tests over generated settings: a scheduler starts, answers and stops, and violates no rule."""
 
 from __future__ import annotations
 
@@ -32,6 +32,8 @@
 )
 from pipitshed.scheduling.settings import Settings
 
+# Hypothesis derives the seed from the source of a test function: renaming the test, its parameters or names
+# in its body draws other deployments.
 REPRODUCIBLE = settings(
     derandomize=True,
     database=None,
@@ -41,11 +43,12 @@
 )
 
 
-SHORTEST_GRACE = 100.0  # ms
+MAX_DRAIN_WAIT_MS = 100.0
 
 
 class Fleet:
-    """Workers that end each attempt in their own time, and tell what the settings say they tell."""
+    """Simulated workers that end attempts after random times, and send the reports that the settings
+    enable."""
 
     def __init__(self, config: Settings, zones: int, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -54,35 +57,39 @@
             EndpointEntry(worker_id(n), zone=n % zones, cell=n // 3, weight=1.0 + n % 2) for n in range(1, 9)
         )
         self.bench = Bench(config, self.entries, seed)
-        self.due: list[tuple[float, int, Event]] = []
-        self.numbers = count()
+        self.scheduled: list[tuple[float, int, Event]] = []
+        self.event_numbers = count()
         self.attempts: dict[int, list[StartAttempt]] = {}
-        self.over: set[tuple[int, int]] = set()
+        self.ended_attempts: set[tuple[int, int]] = set()
         self.settled: set[int] = set()
 
-    def at(self, after: float, event: Event) -> None:
-        heappush(self.due, (self.bench.now + after, next(self.numbers), event))
+    def schedule(self, delay_ms: float, event: Event) -> None:
+        heappush(self.scheduled, (self.bench.now + delay_ms, next(self.event_numbers), event))
 
     def carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, StartAttempt):
-                sends = self.attempts.setdefault(action.job_id, [])
-                sends.append(action)
-                assert len(sends) <= self.config.limits.max_attempts
-                self._attempt(action, len(sends) - 1)
+                starts = self.attempts.setdefault(action.job_id, [])
+                starts.append(action)
+                assert len(starts) <= self.config.limits.max_attempts
+                self._attempt(action, len(starts) - 1)
             elif isinstance(action, CancelAttempt):
                 assert self.config.limits.may_cancel
-                send = self.attempts[action.job_id][action.attempt_index]
-                self.at(0.5, self._finished(send, action.attempt_index, Outcome.CANCELLED, 1.0))
+                start = self.attempts[action.job_id][action.attempt_index]
+                self.schedule(0.5, self._finished(start, action.attempt_index, Outcome.CANCELLED, 1.0))
 
-    def _attempt(self, send: StartAttempt, attempt: int) -> None:
-        """Most are served; a few are turned away, fail, break, or are never heard of again."""
-        held = self.bench.checker.jobs[send.job_id]
-        took = self.rng.expovariate(1 / 150.0)
+    def _attempt(self, start: StartAttempt, attempt: int) -> None:
+        """Schedule the end of an attempt: most succeed; a few are rejected, fail, are reset or time out."""
+        job_record = self.bench.checker.jobs[start.job_id]
+        duration_ms = self.rng.expovariate(1 / 150.0)
         if self.config.workers_report_start and self.rng.random() < 0.9:
-            self.at(took * 0.3, AttemptProgressed(send.job_id, attempt, send.worker, ProgressKind.STARTED))
-            self.at(
-                took * 0.6, AttemptProgressed(send.job_id, attempt, send.worker, ProgressKind.PROGRESS, 0.5)
+            self.schedule(
+                duration_ms * 0.3,
+                AttemptProgressed(start.job_id, attempt, start.worker, ProgressKind.STARTED),
+            )
+            self.schedule(
+                duration_ms * 0.6,
+                AttemptProgressed(start.job_id, attempt, start.worker, ProgressKind.PROGRESS, 0.5),
             )
         outcome = self.rng.choices(
             (
@@ -95,43 +102,45 @@
             ),
             (70, 12, 5, 5, 4, 4),
         )[0]
-        left = max(0.0, held.deadline - self.bench.now)
-        if outcome is Outcome.TIMEOUT or took >= left:
-            outcome, took = Outcome.TIMEOUT, left
-        self.at(took, self._finished(send, attempt, outcome, took))
-
-    def _finished(self, send: StartAttempt, attempt: int, outcome: Outcome, took: float) -> AttemptFinished:
+        remaining_ms = max(0.0, job_record.deadline - self.bench.now)
+        if outcome is Outcome.TIMEOUT or duration_ms >= remaining_ms:
+            outcome, duration_ms = Outcome.TIMEOUT, remaining_ms
+        self.schedule(duration_ms, self._finished(start, attempt, outcome, duration_ms))
+
+    def _finished(
+        self, start: StartAttempt, attempt: int, outcome: Outcome, duration_ms: float
+    ) -> AttemptFinished:
         report = tuple(self.rng.uniform(0, 6) for _ in self.config.report_fields)
         return AttemptFinished(
-            send.job_id,
+            start.job_id,
             attempt,
-            send.worker,
+            start.worker,
             outcome,
-            took,
+            duration_ms,
             outcome is Outcome.OK,
             report if outcome in (Outcome.OK, Outcome.REJECTED) else (),
         )
 
-    def _still(self, event: Event) -> Event | None:
-        """What becomes of an event by now: an attempt ends once, and one answer settles a job."""
+    def _current(self, event: Event) -> Event | None:
+        """Return the event as it is at this time: an attempt ends once, and a job has one answer."""
         if isinstance(event, AttemptProgressed):
-            return None if (event.job_id, event.attempt_index) in self.over else event
+            return None if (event.job_id, event.attempt_index) in self.ended_attempts else event
         if isinstance(event, AttemptFinished):
-            if (event.job_id, event.attempt_index) in self.over:
+            if (event.job_id, event.attempt_index) in self.ended_attempts:
                 return None
-            self.over.add((event.job_id, event.attempt_index))
+            self.ended_attempts.add((event.job_id, event.attempt_index))
             if self.bench.checker.jobs[event.job_id].answered and event.outcome is Outcome.OK:
                 return AttemptFinished(
                     event.job_id, event.attempt_index, event.worker, Outcome.OK, event.elapsed_ms, True
                 )
         return event
 
-    def play(self, until: float) -> None:
+    def play(self, until_ms: float) -> None:
         bench = self.bench
-        while bench.now < until:
+        while bench.now < until_ms:
             self.carry_out(bench.run(bench.now + self.config.tick_ms))
-            while self.due and self.due[0][0] <= bench.now:
-                event = self._still(heappop(self.due)[2])
+            while self.scheduled and self.scheduled[0][0] <= bench.now:
+                event = self._current(heappop(self.scheduled)[2])
                 if event is not None:
                     self.carry_out(bench.feed(event))
 
@@ -174,44 +183,45 @@
     assert not fleet.bench.dispatcher.waiting
 
 
-def _serve(told: dict[str, Any]) -> Any:
-    """A planner that tells of starts, progress and its load where the settings say so."""
+def _planner_behaviour(raw_settings: dict[str, Any]) -> Any:
+    """Make a planner that reports starts, progress and load where the settings enable them."""
 
     def act(run: Run) -> None:
         load = {}
-        if told["stats"]["source"] == "inline" and told["stats"]["fields"]:
-            load = {"load": {name: 2.0 for name in told["stats"]["fields"]}}
-        if told["familyInfo"]["tellsStart"]:
+        if raw_settings["stats"]["source"] == "inline" and raw_settings["stats"]["fields"]:
+            load = {"load": {name: 2.0 for name in raw_settings["stats"]["fields"]}}
+        if raw_settings["familyInfo"]["tellsStart"]:
             run.say("started")
-        if told["familyInfo"]["progress"]:
+        if raw_settings["familyInfo"]["progress"]:
             run.say("running", share=0.5)
         run.say("done", result=f"plan of {run.body.decode()}", **load)
 
     return act
 
 
-async def _calm(told: dict[str, Any]) -> None:
-    kinds, areas = told["shapes"], told["areas"] * 2
+async def _calm(raw_settings: dict[str, Any]) -> None:
+    """Run a scheduler with planners that do not fail, and drain one planner half way."""
+    kinds, areas = raw_settings["shapes"], raw_settings["areas"] * 2
     planners = [
-        Planner(f"s-{place:08x}", zone, _serve(told), kinds[place % len(kinds)])
-        for place, zone in enumerate(areas)
+        Planner(f"s-{index:08x}", zone, _planner_behaviour(raw_settings), kinds[index % len(kinds)])
+        for index, zone in enumerate(areas)
     ]
     async with contextlib.AsyncExitStack() as stack:
         for planner in planners:
             await stack.enter_async_context(planner)
         catalog = await stack.enter_async_context(Catalog(*planners))
-        running = await stack.enter_async_context(program(*planners, catalog=catalog, settings=told))
+        running = await stack.enter_async_context(program(*planners, catalog=catalog, settings=raw_settings))
         client = await HttpClient.to(running.port)
 
-        async def ask(number: str) -> None:
-            one = told["services"][zlib.crc32(number.encode()) % len(told["services"])]
-            tenant = {"X_Tenant": told["tenants"][0]["name"]} if told["tenants"] else {}
+        async def send_job(number: str) -> None:
+            service = raw_settings["services"][zlib.crc32(number.encode()) % len(raw_settings["services"])]
+            tenant = {"X_Tenant": raw_settings["tenants"][0]["name"]} if raw_settings["tenants"] else {}
             client.ask(
                 number,
-                one["name"],
+                service["name"],
                 f"body {number}".encode(),
                 Idempotency_Key=f"k{number}",
-                X_Deadline=f"{one['deadline'] / 1000:.3f}",
+                X_Deadline=f"{service['deadline'] / 1000:.3f}",
                 X_Cost_Hint="120000",
                 X_Extras="slots=1",
                 **tenant,
@@ -220,17 +230,17 @@
             assert (status, body) == (200, f"plan of body {number}".encode())
 
         for number in range(12):
-            await ask(f"before-{number}")
-        writer = await catalog.watches.get()  # the program asks for the list, pushed or not
+            await send_job(f"before-{number}")
+        writer = await catalog.watches.get()  # the program watches the list, pushed or not
         drained = planners[0]
         catalog.tell(writer, False, [drained.line("draining")])
-        # However long the grace is told to be, the news counts at once: no test has to wait for it.
-        await asyncio.sleep(min(told["rules"]["drainGrace"], SHORTEST_GRACE) / 1000)
-        had = len(drained.runs)
+        # The scheduler applies the update at once, so a long drain grace period need not pass.
+        await asyncio.sleep(min(raw_settings["rules"]["drainGrace"], MAX_DRAIN_WAIT_MS) / 1000)
+        run_count = len(drained.runs)
         for number in range(12):
-            await ask(f"after-{number}")
-        assert len(drained.runs) == had or len(planners) == 1
-        assert sum(len(planner.runs) for planner in planners) == 24  # one attempt each in a calm story
+            await send_job(f"after-{number}")
+        assert len(drained.runs) == run_count or len(planners) == 1
+        assert sum(len(planner.runs) for planner in planners) == 24  # no job needed a second attempt
 
 
 @settings(parent=REPRODUCIBLE, max_examples=6)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as it stands."""
+"""Tests that the Python example in README.md runs unchanged."""
 
 import re
 from pathlib import Path
