--- a/pipitshed/server/server.py
+++ b/pipitshed/server/server.py
@@ -146,7 +146,7 @@
     def _answer_within_s(self) -> float:
         """The time after SIGTERM within which all accepted requests are answered.
 
-        It follows the deadlines of the deployment: where they are short, SIGKILL comes sooner.
+        It depends on the deadlines of the deployment: where they are short, SIGKILL comes sooner.
         """
         longest_s = self._longest_deadline_s()
         return min(longest_s, LONGEST_DEADLINE_MAX_S) + SIGKILL_MARGIN_S - ANSWER_BEFORE_SIGKILL_S
@@ -160,7 +160,7 @@
         self.parts.forwarder.set_answer_deadline(answer_deadline_at)
 
     def _close_connections(self) -> None:
-        """Close each connection with its next response, and idle ones after ANNOUNCE_CLOSE_S."""
+        """Close each connection with its next response, and idle ones within ANNOUNCE_CLOSE_S."""
         self.parts.http_frontend.draining = True
         self.parts.http_frontend.linger = LINGER_ENDING
         # By the first check, clients in the listeners' accept queues have their connections.
