--- a/pipitshed/cli/files.py
+++ b/pipitshed/cli/files.py
@@ -19,8 +19,8 @@
 @click.argument("which", type=click.Choice(["front", "translation", "experiment", "fleet", "peers"]))
 def schema(which: str) -> None:
     """Print the JSON Schema of one kind of file, generated from the type that reads it."""
-    made = {"$schema": SCHEMA_DIALECT} | msgspec.json.schema(_file_type(which))
-    click.echo(msgspec.json.format(msgspec.json.encode(made), indent=2).decode())
+    document = {"$schema": SCHEMA_DIALECT} | msgspec.json.schema(_file_type(which))
+    click.echo(msgspec.json.format(msgspec.json.encode(document), indent=2).decode())
 
 
 @click.command()
--- a/pipitshed/cli/place.py
+++ b/pipitshed/cli/place.py
@@ -109,8 +109,8 @@
 @click.argument("logs", type=file_argument, nargs=-1, required=True)
 def learn_command(logs: tuple[Path, ...]) -> None:
     """Estimate speeds and demand from the log lines of finished attempts (JSON lines)."""
-    learnt = learn_from_lines(line for path in logs for line in path.read_bytes().splitlines())
-    click.echo(msgspec.json.format(msgspec.json.encode(learnt), indent=1).decode())
+    estimates = learn_from_lines(line for path in logs for line in path.read_bytes().splitlines())
+    click.echo(msgspec.json.format(msgspec.json.encode(estimates), indent=1).decode())
 
 
 def _read_fleet(path: Path) -> Fleet:
--- a/pipitshed/cli/settings.py
+++ b/pipitshed/cli/settings.py
@@ -21,8 +21,8 @@
 POLL_INTERVAL_S = 0.1  # between requests whether all members apply a change
 DEFAULT_WAIT_S = 15.0
 MAX_WAIT_S = 3600.0
-MAX_NAMED_MEMBERS = 12  # shown of the members that do not apply a change
-MAX_SHOWN_VALUE_CHARS = 40  # shown of a rejected value
+MAX_NAMED_MEMBERS = 12  # names printed of members that do not apply a change
+MAX_SHOWN_VALUE_CHARS = 40  # a longer rejected value is cut off
 NO_ROW_VERSION = (0, 0)
 _HEADINGS = ("KEY", "IN FORCE", "FILE", "ROW", "WRITER", "")
 
--- a/pipitshed/config/tenant_registry.py
+++ b/pipitshed/config/tenant_registry.py
@@ -52,5 +52,5 @@
 
     def by_number(self, tenants: Sequence[Tenant]) -> tuple[Tenant, ...]:
         """The given tenants of the file in force by number; dropped tenants get a share and quota of 0."""
-        held = dict(zip(self.numbers, tenants, strict=True))
-        return tuple(held.get(number, _DROPPED_TENANT) for number in range(len(self.names)))
+        tenant_by_number = dict(zip(self.numbers, tenants, strict=True))
+        return tuple(tenant_by_number.get(number, _DROPPED_TENANT) for number in range(len(self.names)))
