--- a/pipitshed/cli/serve.py
+++ b/pipitshed/cli/serve.py
@@ -1,4 +1,4 @@
-"""The commands `serve` and `check`, which read the same configuration."""
+"""The commands `serve` and `check`, which load the same files."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 @front_option
 @fleet_option
 def serve(front: Path | None, fleet: Path | None) -> None:
-    """Serve as LB_CONFIG and the front file say, until SIGTERM."""
+    """Run a scheduler with the configuration that LB_CONFIG names, until SIGTERM."""
     config, front_config = load_configuration(front)
     cluster = load_cluster_config(fleet)
     try:
@@ -34,19 +34,19 @@
 @front_option
 @fleet_option
 def check(front: Path | None, fleet: Path | None) -> None:
-    """Read the configuration and the front file, and say what they ask for."""
+    """Check the files that `serve` would load, and print a summary of them."""
     config, front_config = load_configuration(front)
     cluster = load_cluster_config(fleet)
     parts = [
         f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}",
         f"classes {', '.join(config.classes)}",
-        f"{len(config.known.instances) if config.known else 0} planners known",
-        "Gearman " + (", ".join(f"{host}:{port}" for host, port in front_config.listen) or "off"),
+        f"{len(config.cached_list.instances) if config.cached_list else 0} planners known",
+        "Gearman " + (", ".join(f"{host}:{port}" for host, port in front_config.gearman_addresses) or "off"),
     ]
     if front_config.translation is not None:
         parts.append(f"forms {_form_versions(front_config.translation)} translated")
-    if front_config.plan is not None:
-        parts.append(f"plan {_plan_number(front_config.plan)} followed")
+    if front_config.plan_path is not None:
+        parts.append(f"plan {_plan_number(front_config.plan_path)} followed")
     if cluster is not None:
         parts.append(f"in cluster {cluster.cluster} as {cluster.name}")
         parts.append(f"{len(cluster.seeds)} seeds")
@@ -58,7 +58,7 @@
 
 
 def _plan_number(path: Path) -> int:
-    """The number of a plan; the program ends where `serve` would reject it."""
+    """Return the number of a plan; exit with EXIT_USAGE where `serve` would reject the plan."""
     from pipitshed.placement.plan import PlanError, read
 
     try:
@@ -66,4 +66,4 @@
     except OSError as error:
         fail(f"{path}: {error.strerror}")
     except PlanError as error:
-        fail(f"{path}: it {error}")
+        fail(f"{path}: unusable plan: {error}")
--- a/pipitshed/server/translation.py
+++ b/pipitshed/server/translation.py
@@ -1,4 +1,4 @@
-"""The parts that translation adds to a scheduler; imported only where it is configured."""
+"""The components that message translation adds to a scheduler; imported only where it is configured."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class TranslationParts:
-    """The translator, the client of workers with the gRPC interface, and the registry of who speaks which."""
+    """The translator, the client of gRPC workers, and the registry of each worker's interface."""
 
     def __init__(
         self,
@@ -32,31 +32,31 @@
     ) -> None:
         self.translator = Translator(config.file, class_names)
         self.grpc_workers = GrpcWorkerClient(forwarder, class_names, loop, config.keepalive_s)
-        self.prober = InterfaceProber(loop, self._detected)
+        self.prober = InterfaceProber(loop, self._on_interface_detected)
         self.interfaces = InterfaceRegistry(
             forwarder.endpoints,
             {HTTP_INTERFACE: http_workers, GRPC_INTERFACE: self.grpc_workers},
-            config.planners,
-            config.interface,
+            config.interface_by_instance,
+            config.default_interface,
             self.prober.probe,
             loop.call_later,
         )
         forwarder.attach_translator(self.translator)
         forwarder.endpoints.attach_forgotten_listener(self.interfaces.forget)
         http_workers.classes = class_names
-        http_workers.on_wrong_interface = self.grpc_workers.on_wrong_interface = self._mismatched
-        self.grpc_workers.on_drain = self._drains
+        http_workers.on_wrong_interface = self.grpc_workers.on_wrong_interface = self._on_wrong_interface
+        self.grpc_workers.on_drain = self._on_drain
 
-    def _detected(self, worker: WorkerId, address: tuple[str, int], interface: int) -> None:
+    def _on_interface_detected(self, worker: WorkerId, address: tuple[str, int], interface: int) -> None:
         self.interfaces.detected(worker, address, interface)
 
-    def _mismatched(self, endpoint: Endpoint) -> None:
+    def _on_wrong_interface(self, endpoint: Endpoint) -> None:
         self.interfaces.mismatched(endpoint.id)
 
-    def _drains(self, endpoint: Endpoint) -> None:
+    def _on_drain(self, endpoint: Endpoint) -> None:
         self.interfaces.drain_announced(endpoint.id)
 
     def close(self) -> None:
-        """Stop probing, and close the connections to workers."""
+        """Stop probing interfaces, and close the connections to gRPC workers."""
         self.prober.close()
         self.grpc_workers.close()
--- a/tests/cluster/test_settings_fleet.py
+++ b/tests/cluster/test_settings_fleet.py
@@ -201,7 +201,7 @@
     async with nodes(folder, {}, {}, {}) as (s0, s1, s2):
         s2.cluster_node.send = lambda to, message: None  # type: ignore[method-assign]
         output = await call("put", SHARE, "0.4", "--wait", "1.5", "--peer", s0.peer)
-        assert output.startswith("3 ") and "2 act on it; s2 has not said that it does" in output
+        assert output.startswith("3 ") and "2 apply it; s2 has not confirmed it" in output
         await wait_until(lambda: s2.share == 0.4)  # it applies the row, but does not confirm it
         del s2.cluster_node.send
         outcome = await call("put", SHARE, "0.5", "--peer", s0.peer)
--- a/tests/frontends/test_http_frontend.py
+++ b/tests/frontends/test_http_frontend.py
@@ -179,7 +179,7 @@
         run = await old.wait_for(1)
         config = running.config.read_text()
         running.reload('{"settings": ')
-        await running.logged("stays as it was")
+        await running.logged("the previous one stays in force")
         running.reload(config.replace(f"127.0.0.1:{first.port}", f"127.0.0.1:{second.port}"))
         started_at = asyncio.get_running_loop().time()
         watch = await second.watches.get()
--- a/tests/replication/test_settings_rows.py
+++ b/tests/replication/test_settings_rows.py
@@ -138,7 +138,7 @@
     result = overlay(
         raw_file(),
         [make_row(GOAL_TIME_KEY, b"1500"), make_row("class/book/goalTime", b"1500"), make_row()],
-        fixed={"book"},
+        fixed_classes={"book"},
     )
     assert (
         set(result.applied) == {GOAL_TIME_KEY, SHARE_KEY}
