--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -14,7 +14,7 @@
 from benchmarks.soak.drawing import LONGEST_DEADLINE_S, Play, Reload, Stop, Trouble
 from benchmarks.soak.rules import Break, Records, breaks
 from pipitshed.server.descriptors import DescriptorBudget
-from pipitshed.testbed.clients import Asked, GearmanClients, HttpClients, draw
+from pipitshed.testbed.clients import ClientRequest, GearmanClients, HttpClients, draw
 from pipitshed.testbed.fleet.standins import Fleet
 from pipitshed.testbed.planner import Behaviour
 from pipitshed.testbed.program import Running, scheduler
@@ -57,7 +57,7 @@
 
     def __init__(self, play: Play, fleet: Fleet, running: Running) -> None:
         self.play, self.fleet, self.running = play, fleet, running
-        self.asked: list[Asked] = []
+        self.asked: list[ClientRequest] = []
         self.stops: list[tuple[float, float]] = []
         self.sigterm_at = float("inf")
         self.worst_holdup_s = 0.0
--- a/benchmarks/soak/rules.py
+++ b/benchmarks/soak/rules.py
@@ -8,7 +8,7 @@
 
 from benchmarks.soak.drawing import JobClassDraw
 from pipitshed.testbed.accounts import account
-from pipitshed.testbed.clients import SLACK, Asked
+from pipitshed.testbed.clients import SLACK, ClientRequest
 from pipitshed.testbed.fleet.standins import Member
 from pipitshed.testbed.planner import Run
 
@@ -33,7 +33,7 @@
 class Records:
     """All that was noted during a play. Times are seconds of the monotonic clock."""
 
-    asked: Sequence[Asked]
+    asked: Sequence[ClientRequest]
     runs: list[Run]
     members: Sequence[Member]
     stops: Sequence[tuple[float, float]]  # when the program stood still
@@ -84,7 +84,7 @@
     ]
 
 
-def _answer_breaks(records: Records, asked: Asked, runs: list[Run]) -> list[Break]:
+def _answer_breaks(records: Records, asked: ClientRequest, runs: list[Run]) -> list[Break]:
     """One final answer in time, and no attempt behind it."""
     told = (
         f"{describe(asked, runs)}\n  SIGTERM came {records.sigterm_at - asked.sent:.3f} s after it was sent"
@@ -113,7 +113,7 @@
     return sum(max(0.0, min(end, until) - max(begin, since)) for begin, end in stops)
 
 
-def _repeat_breaks(job_class: JobClassDraw, asked: Asked, runs: list[Run]) -> list[Break]:
+def _repeat_breaks(job_class: JobClassDraw, asked: ClientRequest, runs: list[Run]) -> list[Break]:
     """Repeats as the class allows, and "never ran" only where no worker has a record of it."""
     ran = [run for run in runs if run.how != "returned"]
     told = describe(asked, runs)
@@ -130,7 +130,7 @@
     return found
 
 
-def describe(asked: Asked, runs: Iterable[Run]) -> str:
+def describe(asked: ClientRequest, runs: Iterable[Run]) -> str:
     """The records of one request, in order, with times since it was sent."""
     lines = [
         f"{asked.kind} {asked.job_class} patience {asked.patience:.3f} leaves {asked.leave_after:.3f}: "
--- a/pipitshed/testbed/accounts.py
+++ b/pipitshed/testbed/accounts.py
@@ -8,7 +8,7 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 
-from pipitshed.testbed.clients import Asked
+from pipitshed.testbed.clients import ClientRequest
 from pipitshed.testbed.fleet.standins import Member
 from pipitshed.testbed.planner import DEDUP_WINDOW, Run
 
@@ -18,7 +18,7 @@
 ZERO = ("unanswered", "answered_twice", "ran_twice_forbidden", "two_outstanding", "after_drain")
 
 
-def account(asked: Iterable[Asked], runs: list[Run], members: Iterable[Member]) -> dict[str, object]:
+def account(asked: Iterable[ClientRequest], runs: list[Run], members: Iterable[Member]) -> dict[str, object]:
     """All figures, and the tokens behind each that should be zero."""
     asked = list(asked)
     outcomes = Counter(one.outcome for one in asked)
--- a/pipitshed/testbed/clients.py
+++ b/pipitshed/testbed/clients.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class ClientRequest:
     """One request and what its client got."""
 
     token: str
@@ -52,7 +52,7 @@
 
 def draw(
     rng: random.Random, token: str, mix: dict[str, float], cancel: float, unfit: float, book: float
-) -> Asked:
+) -> ClientRequest:
     """One request by these shares."""
     kind = rng.choices(list(mix), list(mix.values()))[0]
     job_class = "book" if rng.random() < book else "quote"
@@ -62,7 +62,7 @@
     # Gearman's unique id is the key of every job; over HTTP only `book` comes with one.
     key = f"k-{token}" if job_class == "book" else ""
     patience = 5.0 if job_class == "quote" else 15.0
-    return Asked(
+    return ClientRequest(
         token,
         kind,
         job_class,
@@ -75,7 +75,7 @@
     )
 
 
-def body(asked: Asked) -> bytes:
+def body(asked: ClientRequest) -> bytes:
     """The job in the client's form."""
     if asked.kind.endswith("v1"):
         job = {
@@ -107,7 +107,7 @@
     return urlencode(pairs).encode()
 
 
-def judge(asked: Asked, result: bytes) -> str:
+def judge(asked: ClientRequest, result: bytes) -> str:
     """What of a result is not the one that was asked for; empty where it is."""
     departs = 1_800_000_000 + asked.pallets
     try:
@@ -143,14 +143,14 @@
         self.host, self.port = host, port
         self._free: deque[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = deque()
 
-    async def ask(self, asked: Asked) -> None:
+    async def ask(self, asked: ClientRequest) -> None:
         try:
             await self._ask(asked)
         except OSError as error:
             asked.outcome, asked.detail, asked.ended = "unanswered", repr(error), monotonic()
             asked.untaken = isinstance(error, ConnectionRefusedError)
 
-    async def _ask(self, asked: Asked) -> None:
+    async def _ask(self, asked: ClientRequest) -> None:
         asked.kept = bool(self._free)
         reader, writer = (
             self._free.pop() if asked.kept else await asyncio.open_connection(self.host, self.port)
@@ -197,7 +197,7 @@
             writer.transport.abort()
 
     @staticmethod
-    def _settle(asked: Asked, status: int, result: bytes) -> None:
+    def _settle(asked: ClientRequest, status: int, result: bytes) -> None:
         asked.outcome = {200: "served", 503: "refused", 429: "refused", 422: "unfit"}.get(status, "failed")
         asked.detail = f"{status} {result[:200].decode('utf-8', 'replace')}" if status != 200 else ""
         if status == 200:
@@ -236,7 +236,7 @@
         await link.packet()
         return link
 
-    async def ask(self, asked: Asked) -> None:
+    async def ask(self, asked: ClientRequest) -> None:
         try:
             await self._ask(asked)
         except (OSError, asyncio.IncompleteReadError) as error:
@@ -244,7 +244,7 @@
             asked.outcome, asked.detail, asked.untaken = "unanswered", repr(error), True
             asked.sent = asked.ended = monotonic()
 
-    async def _ask(self, asked: Asked) -> None:
+    async def _ask(self, asked: ClientRequest) -> None:
         link = await self._link()
         asked.sent = monotonic()
         function, unique = _FUNCTIONS[asked.kind, asked.job_class], b"k-" + asked.token.encode()
--- a/pipitshed/testbed/experiment.py
+++ b/pipitshed/testbed/experiment.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from pipitshed.testbed.accounts import account
-from pipitshed.testbed.clients import KINDS, Asked, GearmanClients, HttpClients, draw
+from pipitshed.testbed.clients import KINDS, ClientRequest, GearmanClients, HttpClients, draw
 from pipitshed.testbed.fleet.standins import ZONES, Fleet
 from pipitshed.testbed.planner import Behaviour
 from pipitshed.testbed.program import Running, scheduler
@@ -131,7 +131,7 @@
         from pipitshed.testbed.arms import solved  # the solver is an extra of its own
 
         plan = solved(experiment, fleet)
-    asked: list[Asked] = []
+    asked: list[ClientRequest] = []
     try:
         async with scheduler(fleet.discovery.port, plan=plan) as running:
             await asyncio.sleep(EASED if plan else SETTLE)
@@ -177,7 +177,7 @@
     traffic: ClientsFile,
     requests: int,
     rng: random.Random,
-    asked: list[Asked],
+    asked: list[ClientRequest],
     progress: Callable[[int], None],
 ) -> None:
     http, gearman = HttpClients(running.http), GearmanClients(running.gearman)
--- a/pipitshed/testbed/fleet/oracles.py
+++ b/pipitshed/testbed/fleet/oracles.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from pipitshed.testbed.clients import Asked
+from pipitshed.testbed.clients import ClientRequest
 
 TOUCH = 1.0  # s around what was done to a process, within which its clients' requests may be lost
 
@@ -195,7 +195,7 @@
 
 
 def requests(
-    asked: list[Asked], targets: dict[str, Instance], wanted_ms: float, all_in_time: bool
+    asked: list[ClientRequest], targets: dict[str, Instance], wanted_ms: float, all_in_time: bool
 ) -> tuple[dict[str, Any], list[str]]:
     """The clients' figures, and requests that were lost though nothing was done to their scheduler."""
     wrong = []
--- a/pipitshed/testbed/fleet/play.py
+++ b/pipitshed/testbed/fleet/play.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from pipitshed.testbed.accounts import account
-from pipitshed.testbed.clients import Asked, HttpClients, draw
+from pipitshed.testbed.clients import ClientRequest, HttpClients, draw
 from pipitshed.testbed.fleet import oracles, row_oracles
 from pipitshed.testbed.fleet.faults import Faults
 from pipitshed.testbed.fleet.oracles import Instance
@@ -61,7 +61,7 @@
         self.planners = Planners(Behaviour(), seed)
         self.processes = Processes(shape, folder, seed, self.planners.members, self.log)
         self._reading = oracles.Reading(folder)
-        self.asked: list[Asked] = []
+        self.asked: list[ClientRequest] = []
         self.targets: dict[str, tuple[int, int]] = {}
         self._rng = random.Random(f"traffic:{seed}")
         self._clients: dict[int, HttpClients] = {}
@@ -166,7 +166,7 @@
         self._asking.add(task)
         task.add_done_callback(self._asking.discard)
 
-    async def _asked(self, one: Asked, process: Process) -> None:
+    async def _asked(self, one: ClientRequest, process: Process) -> None:
         """Ask until a scheduler has taken the request: one that refuses the connection, or had closed a kept
         one before the request came, has not, and another is asked as the platform's front would do.
         """
--- a/tests/cluster/test_fleet_rig.py
+++ b/tests/cluster/test_fleet_rig.py
@@ -14,7 +14,7 @@
 import uvloop
 
 from pipitshed.membership.timing import ProtocolTimings
-from pipitshed.testbed.clients import Asked, HttpClients
+from pipitshed.testbed.clients import ClientRequest, HttpClients
 from pipitshed.testbed.fleet import oracles
 from pipitshed.testbed.fleet.play import Play, play, smallest
 from pipitshed.testbed.fleet.scenario import (
@@ -244,7 +244,7 @@
         testbed._clients = {
             place: HttpClients(server.sockets[0].getsockname()[1]) for place, server in enumerate(servers)
         }
-        jobs = [Asked(token, "http-v1", job_class, token, "t", 1.0, 1) for token in ("a", "b")]
+        jobs = [ClientRequest(token, "http-v1", job_class, token, "t", 1.0, 1) for token in ("a", "b")]
         for job in jobs:
             await testbed._asked(job, places[0])  # type: ignore[arg-type]
         assert heads[:2] == [0, 0] and (len(heads) > 2) == retried
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -10,7 +10,7 @@
 from benchmarks.soak.drawing import JobClassDraw, draw_play
 from benchmarks.soak.play import DISTURBED_S, Result
 from benchmarks.soak.rules import Break, Records, breaks
-from pipitshed.testbed.clients import Asked
+from pipitshed.testbed.clients import ClientRequest
 from pipitshed.testbed.planner import Run
 
 SIGTERM_AT = 100.0
@@ -18,9 +18,9 @@
 ZONED = (CLASSES[0], JobClassDraw("book", 1.5, "dedup", "zone"))
 
 
-def asked(outcome: str = "served", job_class: str = "book", **changes: object) -> Asked:
+def asked(outcome: str = "served", job_class: str = "book", **changes: object) -> ClientRequest:
     """A request that was sent at 10 s and has its answer 0.5 s later."""
-    one = Asked("t1", "http-v1", job_class, "k-t1", "andes-retail", 1.0, 3)
+    one = ClientRequest("t1", "http-v1", job_class, "k-t1", "andes-retail", 1.0, 3)
     one.sent, one.ended, one.outcome, one.answers = 10.0, 10.5, outcome, 1
     for name, value in changes.items():
         setattr(one, name, value)
@@ -31,7 +31,9 @@
     return Run("t1", "book", "k-t1", "andes-retail", 0.8, planner, zone, 1, came, came + 0.1, how)
 
 
-def rules(one: Asked, *runs: Run, classes: tuple[JobClassDraw, ...] = CLASSES, **changes: object) -> set[str]:
+def rules(
+    one: ClientRequest, *runs: Run, classes: tuple[JobClassDraw, ...] = CLASSES, **changes: object
+) -> set[str]:
     """The rules that this request breaks."""
     records = Records([one], list(runs), [], [], SIGTERM_AT, False, 0, ["INFO ended:"], 40.0, 64.0)
     return {broken.rule for broken in breaks(replace(records, **changes), classes)}  # type: ignore[arg-type]
@@ -72,7 +74,7 @@
     ],
 )
 def test_each_rule_finds_its_break(
-    one: Asked, runs: list[Run], classes: tuple[JobClassDraw, ...], rule: str
+    one: ClientRequest, runs: list[Run], classes: tuple[JobClassDraw, ...], rule: str
 ) -> None:
     assert rules(one, *runs, classes=classes) == {rule}
 
