--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -124,7 +124,7 @@
         one = draw(self._rng, f"{number:06d}", play.mix, play.cancel, 0.0, play.book)
         deadline_s = next(each.deadline_s for each in play.classes if each.name == one.job_class)
         is_http = one.kind.startswith("http")
-        one.patience = self._rng.uniform(0.3, deadline_s) if is_http else deadline_s
+        one.timeout = self._rng.uniform(0.3, deadline_s) if is_http else deadline_s
         one.slack = LISTEN_ON_S
         resting_s = [at for at in play.resting if self.sigterm_at < monotonic() < self.sigterm_at + at]
         if monotonic() > self.sigterm_at and len(resting_s) == len(play.resting):
--- a/benchmarks/soak/rules.py
+++ b/benchmarks/soak/rules.py
@@ -99,7 +99,7 @@
         return [] if excused and not runs else [Break("one_answer", asked.token, told)]
     found = []
     if asked.outcome != "withdrawn":
-        late_s = asked.ended - (asked.sent + asked.patience) - SLACK
+        late_s = asked.ended - (asked.sent + asked.timeout) - SLACK
         if late_s > _stood_still(records.stops, asked.sent, asked.ended):
             found.append(Break("answer_in_time", asked.token, f"{late_s:.3f} s late: {told}", timed=True))
     late_runs = [run for run in runs if run.came > asked.ended + AFTER_END_S]
@@ -133,7 +133,7 @@
 def describe(asked: ClientRequest, runs: Iterable[Run]) -> str:
     """The records of one request, in order, with times since it was sent."""
     lines = [
-        f"{asked.kind} {asked.job_class} patience {asked.patience:.3f} leaves {asked.leave_after:.3f}: "
+        f"{asked.kind} {asked.job_class} patience {asked.timeout:.3f} leaves {asked.leave_after:.3f}: "
         f"{asked.outcome} after {asked.ended - asked.sent:.3f} s {asked.detail}"
     ]
     lines += [
--- a/pipitshed/testbed/accounts.py
+++ b/pipitshed/testbed/accounts.py
@@ -58,7 +58,7 @@
             if run.key != key
             or run.tenant != one.tenant
             or run.job_class != one.job_class
-            or not 0 < run.left <= one.patience
+            or not 0 < run.left <= one.timeout
         ]
         if told:
             faults["envelope_changed"].append(f"{one.token}: " + "; ".join(told))
--- a/pipitshed/testbed/clients.py
+++ b/pipitshed/testbed/clients.py
@@ -35,7 +35,7 @@
     job_class: str
     key: str
     tenant: str
-    patience: float  # s
+    timeout: float  # s
     pallets: int
     hazard: bool = False  # what interface 2 can't express
     leave_after: float = 0.0  # s after which the client goes; 0: it stays
@@ -61,14 +61,14 @@
     )[0]
     # Gearman's unique id is the key of every job; over HTTP only `book` comes with one.
     key = f"k-{token}" if job_class == "book" else ""
-    patience = 5.0 if job_class == "quote" else 15.0
+    timeout = 5.0 if job_class == "quote" else 15.0
     return ClientRequest(
         token,
         kind,
         job_class,
         key,
         tenant,
-        patience,
+        timeout,
         rng.randint(1, 60),
         kind.endswith("v1") and rng.random() < unfit,
         rng.uniform(0.0005, 0.08) if rng.random() < cancel else 0.0,
@@ -101,7 +101,7 @@
         "rem": asked.token,
     }
     if asked.kind == "http-v0":
-        pairs |= {"req": asked.token, "cls": asked.job_class, "member": asked.tenant, "wait": asked.patience}
+        pairs |= {"req": asked.token, "cls": asked.job_class, "member": asked.tenant, "wait": asked.timeout}
         if asked.key:
             pairs["key"] = asked.key
     return urlencode(pairs).encode()
@@ -164,7 +164,7 @@
                 "X-Request-Id": asked.token,
                 "X-Class": asked.job_class,
                 "X-Tenant": asked.tenant,
-                "X-Deadline": f"{asked.patience:.3f}",
+                "X-Deadline": f"{asked.timeout:.3f}",
                 "Content-Type": "application/json",
             }
             if asked.key:
@@ -174,7 +174,7 @@
         writer.write(f"POST /api HTTP/1.1\r\n{lines}\r\n".encode() + data)
         kept = False
         try:
-            async with asyncio.timeout(asked.leave_after or asked.patience + asked.slack):
+            async with asyncio.timeout(asked.leave_after or asked.timeout + asked.slack):
                 top = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
                 length = int(top.partition("content-length:")[2].split("\r\n")[0] or 0)
                 result = await reader.readexactly(length)
@@ -253,7 +253,7 @@
         )
         kept, handle = False, b""
         try:
-            async with asyncio.timeout(asked.leave_after or asked.patience + asked.slack):
+            async with asyncio.timeout(asked.leave_after or asked.timeout + asked.slack):
                 while not asked.outcome:
                     kind, arguments = await link.packet()
                     if kind is PacketType.JOB_CREATED:
