--- a/benchmarks/soak/rules.py
+++ b/benchmarks/soak/rules.py
@@ -133,7 +133,7 @@
 def describe(asked: ClientRequest, runs: Iterable[Run]) -> str:
     """The records of one request, in order, with times since it was sent."""
     lines = [
-        f"{asked.kind} {asked.job_class} patience {asked.timeout:.3f} leaves {asked.leave_after:.3f}: "
+        f"{asked.kind} {asked.job_class} patience {asked.timeout:.3f} leaves {asked.cancel_after:.3f}: "
         f"{asked.outcome} after {asked.ended - asked.sent:.3f} s {asked.detail}"
     ]
     lines += [
--- a/pipitshed/testbed/clients.py
+++ b/pipitshed/testbed/clients.py
@@ -38,7 +38,7 @@
     timeout: float  # s
     pallets: int
     hazard: bool = False  # what interface 2 can't express
-    leave_after: float = 0.0  # s after which the client goes; 0: it stays
+    cancel_after: float = 0.0  # s after which the client goes; 0: it stays
     sent: float = 0.0
     ended: float = 0.0
     outcome: str = ""  # served, refused, unfit, failed, withdrawn, unanswered
@@ -174,7 +174,7 @@
         writer.write(f"POST /api HTTP/1.1\r\n{lines}\r\n".encode() + data)
         kept = False
         try:
-            async with asyncio.timeout(asked.leave_after or asked.timeout + asked.slack):
+            async with asyncio.timeout(asked.cancel_after or asked.timeout + asked.slack):
                 top = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
                 length = int(top.partition("content-length:")[2].split("\r\n")[0] or 0)
                 result = await reader.readexactly(length)
@@ -182,7 +182,7 @@
             self._settle(asked, int(top.split()[1]), result)
             kept = "connection: close" not in top
         except TimeoutError:
-            asked.outcome = "withdrawn" if asked.leave_after else "unanswered"
+            asked.outcome = "withdrawn" if asked.cancel_after else "unanswered"
         except (asyncio.IncompleteReadError, ConnectionError) as error:
             asked.outcome, asked.detail = "unanswered", repr(error)
             empty = isinstance(error, asyncio.IncompleteReadError) and not error.partial
@@ -253,7 +253,7 @@
         )
         kept, handle = False, b""
         try:
-            async with asyncio.timeout(asked.leave_after or asked.timeout + asked.slack):
+            async with asyncio.timeout(asked.cancel_after or asked.timeout + asked.slack):
                 while not asked.outcome:
                     kind, arguments = await link.packet()
                     if kind is PacketType.JOB_CREATED:
@@ -281,7 +281,7 @@
                         )
                 kept = True
         except TimeoutError:
-            asked.outcome = "withdrawn" if asked.leave_after else "unanswered"
+            asked.outcome = "withdrawn" if asked.cancel_after else "unanswered"
         except (asyncio.IncompleteReadError, ConnectionError) as error:
             asked.outcome, asked.detail = "unanswered", repr(error)
             asked.untaken = not handle
