--- a/pipitshed/testbed/clients.py
+++ b/pipitshed/testbed/clients.py
@@ -45,7 +45,7 @@
     answers: int = 0
     wrong: str = ""  # what of a served result is not as asked for
     detail: str = ""
-    untaken: bool = False  # the connection was refused, or a kept one had been closed before the request
+    not_accepted: bool = False  # the connection was refused, or a kept one had been closed before the request
     kept: bool = False  # it went out on a kept connection
     slack: float = SLACK  # s beyond its patience for which its client listens on
 
@@ -148,7 +148,7 @@
             await self._ask(asked)
         except OSError as error:
             asked.outcome, asked.detail, asked.ended = "unanswered", repr(error), monotonic()
-            asked.untaken = isinstance(error, ConnectionRefusedError)
+            asked.not_accepted = isinstance(error, ConnectionRefusedError)
 
     async def _ask(self, asked: ClientRequest) -> None:
         asked.kept = bool(self._free)
@@ -186,7 +186,7 @@
         except (asyncio.IncompleteReadError, ConnectionError) as error:
             asked.outcome, asked.detail = "unanswered", repr(error)
             empty = isinstance(error, asyncio.IncompleteReadError) and not error.partial
-            asked.untaken = asked.kept and empty
+            asked.not_accepted = asked.kept and empty
         asked.ended = monotonic()
         # Anything more that stands there unread is a second answer.
         if kept and reader._buffer:  # type: ignore[attr-defined]
@@ -241,7 +241,7 @@
             await self._ask(asked)
         except (OSError, asyncio.IncompleteReadError) as error:
             # Before the job was written: its connection did not come up.
-            asked.outcome, asked.detail, asked.untaken = "unanswered", repr(error), True
+            asked.outcome, asked.detail, asked.not_accepted = "unanswered", repr(error), True
             asked.sent = asked.ended = monotonic()
 
     async def _ask(self, asked: ClientRequest) -> None:
@@ -284,7 +284,7 @@
             asked.outcome = "withdrawn" if asked.cancel_after else "unanswered"
         except (asyncio.IncompleteReadError, ConnectionError) as error:
             asked.outcome, asked.detail = "unanswered", repr(error)
-            asked.untaken = not handle
+            asked.not_accepted = not handle
         asked.ended = monotonic()
         if kept:
             self._free.append(link)
