--- a/benchmarks/soak/rules.py
+++ b/benchmarks/soak/rules.py
@@ -95,7 +95,9 @@
         # A close may cross a request that was not read; a closed door refuses one. Neither was taken.
         closing = asked.ended > records.sigterm_at
         door_closed = asked.ended > records.sigterm_at + DOORS_OPEN_S
-        excused = (closing and asked.not_accepted and asked.kept) or (door_closed and asked.not_accepted)
+        excused = (closing and asked.not_accepted and asked.reused_connection) or (
+            door_closed and asked.not_accepted
+        )
         return [] if excused and not runs else [Break("one_answer", asked.token, told)]
     found = []
     if asked.outcome != "withdrawn":
--- a/pipitshed/testbed/clients.py
+++ b/pipitshed/testbed/clients.py
@@ -46,7 +46,7 @@
     wrong: str = ""  # what of a served result is not as asked for
     detail: str = ""
     not_accepted: bool = False  # the connection was refused, or a kept one had been closed before the request
-    kept: bool = False  # it went out on a kept connection
+    reused_connection: bool = False  # it went out on a kept connection
     slack: float = SLACK  # s beyond its patience for which its client listens on
 
 
@@ -151,9 +151,11 @@
             asked.not_accepted = isinstance(error, ConnectionRefusedError)
 
     async def _ask(self, asked: ClientRequest) -> None:
-        asked.kept = bool(self._free)
+        asked.reused_connection = bool(self._free)
         reader, writer = (
-            self._free.pop() if asked.kept else await asyncio.open_connection(self.host, self.port)
+            self._free.pop()
+            if asked.reused_connection
+            else await asyncio.open_connection(self.host, self.port)
         )
         data = body(asked)
         head = {"Host": "lab", "Content-Length": str(len(data))}
@@ -172,7 +174,7 @@
         asked.sent = monotonic()
         lines = "".join(f"{name}: {value}\r\n" for name, value in head.items())
         writer.write(f"POST /api HTTP/1.1\r\n{lines}\r\n".encode() + data)
-        kept = False
+        keep_open = False
         try:
             async with asyncio.timeout(asked.cancel_after or asked.timeout + asked.slack):
                 top = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
@@ -180,18 +182,18 @@
                 result = await reader.readexactly(length)
             asked.answers += 1
             self._settle(asked, int(top.split()[1]), result)
-            kept = "connection: close" not in top
+            keep_open = "connection: close" not in top
         except TimeoutError:
             asked.outcome = "withdrawn" if asked.cancel_after else "unanswered"
         except (asyncio.IncompleteReadError, ConnectionError) as error:
             asked.outcome, asked.detail = "unanswered", repr(error)
             empty = isinstance(error, asyncio.IncompleteReadError) and not error.partial
-            asked.not_accepted = asked.kept and empty
+            asked.not_accepted = asked.reused_connection and empty
         asked.ended = monotonic()
         # Anything more that stands there unread is a second answer.
-        if kept and reader._buffer:  # type: ignore[attr-defined]
+        if keep_open and reader._buffer:  # type: ignore[attr-defined]
             asked.answers += 1
-        if kept:
+        if keep_open:
             self._free.append((reader, writer))
         else:
             writer.transport.abort()
@@ -251,7 +253,7 @@
         link.writer.write(
             encode_packet(PacketType.SUBMIT_JOB, function, unique, body(asked), magic=REQUEST_MAGIC)
         )
-        kept, handle = False, b""
+        keep_open, handle = False, b""
         try:
             async with asyncio.timeout(asked.cancel_after or asked.timeout + asked.slack):
                 while not asked.outcome:
@@ -279,14 +281,14 @@
                             if asked.detail.startswith("hazard:")
                             else "failed"
                         )
-                kept = True
+                keep_open = True
         except TimeoutError:
             asked.outcome = "withdrawn" if asked.cancel_after else "unanswered"
         except (asyncio.IncompleteReadError, ConnectionError) as error:
             asked.outcome, asked.detail = "unanswered", repr(error)
             asked.not_accepted = not handle
         asked.ended = monotonic()
-        if kept:
+        if keep_open:
             self._free.append(link)
         else:
             with contextlib.suppress(OSError):
--- a/pipitshed/testbed/fleet/play.py
+++ b/pipitshed/testbed/fleet/play.py
@@ -173,12 +173,16 @@
         for _ in range(TRIES):
             self.targets[one.token] = (process.place, process.starts)
             clients = self._clients.setdefault(process.place, HttpClients(HTTP_PORT, process.real[0]))
-            one.not_accepted, one.outcome, one.kept = False, "", False
+            one.not_accepted, one.outcome, one.reused_connection = False, "", False
             await clients.ask(one)
             up = [other for other in self.processes.all if other.up]
             # Guards a keyed job against a second run in another zone that the rig itself asks for: a kept
             # connection ends without a byte also where a process was killed that had taken the request.
-            killed = one.kept and process.killed == self.targets[one.token][1] and one.job_class == "book"
+            killed = (
+                one.reused_connection
+                and process.killed == self.targets[one.token][1]
+                and one.job_class == "book"
+            )
             if not one.not_accepted or killed or not up:
                 return
             process = self._rng.choice(up)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -86,11 +86,13 @@
 
 
 def test_a_request_that_crossed_the_close_was_never_taken_and_one_that_ran_was() -> None:
-    crossed = asked("unanswered", answers=0, not_accepted=True, kept=True, sent=102.0, ended=102.1)
+    crossed = asked(
+        "unanswered", answers=0, not_accepted=True, reused_connection=True, sent=102.0, ended=102.1
+    )
     assert rules(crossed) == set()
     assert rules(crossed, run(102.05)) == {"one_answer"}
     assert rules(replace(crossed, sent=90.0, ended=90.1)) == {"one_answer"}
-    refused = replace(crossed, kept=False, sent=100.1, ended=100.15)
+    refused = replace(crossed, reused_connection=False, sent=100.1, ended=100.15)
     assert rules(refused) == {"one_answer"} and rules(replace(refused, ended=100.3)) == set()
 
 
