--- a/benchmarks/soak/rules.py
+++ b/benchmarks/soak/rules.py
@@ -48,7 +48,7 @@
 def breaks(records: Records, classes: Iterable[JobClassDraw]) -> list[Break]:
     """All rules that were broken."""
     by_token: dict[str, list[Run]] = defaultdict(list)
-    for run in sorted(records.runs, key=lambda run: run.came):
+    for run in sorted(records.runs, key=lambda run: run.arrived):
         by_token[run.token].append(run)
     by_name = {job_class.name: job_class for job_class in classes}
     found = _process_breaks(records) + _account_breaks(records)
@@ -104,7 +104,7 @@
         late_s = asked.ended - (asked.sent + asked.timeout) - SLACK
         if late_s > _stood_still(records.stops, asked.sent, asked.ended):
             found.append(Break("answer_in_time", asked.token, f"{late_s:.3f} s late: {told}", timed=True))
-    late_runs = [run for run in runs if run.came > asked.ended + AFTER_END_S]
+    late_runs = [run for run in runs if run.arrived > asked.ended + AFTER_END_S]
     if late_runs:
         found.append(Break("attempt_after_the_end", asked.token, told, timed=True))
     return found
@@ -139,7 +139,7 @@
         f"{asked.outcome} after {asked.ended - asked.sent:.3f} s {asked.detail}"
     ]
     lines += [
-        f"  {run.planner} ({run.zone}, interface {run.interface}) came {run.came - asked.sent:.3f} "
+        f"  {run.planner} ({run.zone}, interface {run.interface}) came {run.arrived - asked.sent:.3f} "
         f"ended {run.ended - asked.sent:.3f} {run.how}"
         for run in runs
     ]
--- a/pipitshed/testbed/accounts.py
+++ b/pipitshed/testbed/accounts.py
@@ -33,7 +33,7 @@
             faults["wrong_result"].append(f"{one.token}: {one.wrong}")
         if one.outcome == "unanswered":
             faults["unanswered"].append(f"{one.token}: {one.kind} {one.job_class} {one.detail}")
-        mine = sorted(by_token.pop(one.token, ()), key=lambda run: run.came)
+        mine = sorted(by_token.pop(one.token, ()), key=lambda run: run.arrived)
         ran = [run for run in mine if run.how != "returned"]
         if one.outcome == "served" and not any(run.how in ("done", "repeat") for run in ran):
             faults["served_unrun"].append(one.token)
@@ -42,13 +42,13 @@
         if one.job_class == "book" and _twice(ran):
             faults["ran_twice_forbidden"].append(one.token)
         if any(
-            later.came < (earlier.ended or float("inf")) - OVERLAP
+            later.arrived < (earlier.ended or float("inf")) - OVERLAP
             for place, earlier in enumerate(mine)
             for later in mine[place + 1 :]
         ):
             faults["two_outstanding"].append(
                 f"{one.token}: "
-                + "; ".join(f"{run.planner} {run.came:.3f}..{run.ended:.3f} {run.how}" for run in mine)
+                + "; ".join(f"{run.planner} {run.arrived:.3f}..{run.ended:.3f} {run.how}" for run in mine)
             )
         # Gearman's unique id is the key of every job.
         key = f"k-{one.token}" if one.kind.startswith("gearman") else one.key
@@ -66,8 +66,10 @@
         faults["ran_unasked"].append(token)
     for member in members:
         for began, until in member.drains:
-            late = [run for run in runs if run.planner == member.name and began + DRAIN < run.came < until]
-            faults["after_drain"] += [f"{run.token}: {member.name} {run.came - began:.3f} s" for run in late]
+            late = [run for run in runs if run.planner == member.name and began + DRAIN < run.arrived < until]
+            faults["after_drain"] += [
+                f"{run.token}: {member.name} {run.arrived - began:.3f} s" for run in late
+            ]
     figures: dict[str, object] = {
         "sent": len(asked),
         "served": outcomes["served"],
@@ -106,4 +108,4 @@
     """
     if len({run.zone for run in ran}) > 1:
         return True
-    return any(later.came - earlier.came > DEDUP_WINDOW for earlier in ran for later in ran)
+    return any(later.arrived - earlier.arrived > DEDUP_WINDOW for earlier in ran for later in ran)
--- a/pipitshed/testbed/planner.py
+++ b/pipitshed/testbed/planner.py
@@ -24,7 +24,7 @@
     planner: str
     zone: str
     interface: int
-    came: float
+    arrived: float
     ended: float = 0.0  # 0 while it is out
     how: str = "out"  # done, failed, returned, repeat, cancelled
 
@@ -96,10 +96,10 @@
         self._rng = random.Random(seed)
         self._slots = asyncio.Semaphore(behaviour.slots)
 
-    def _known_result(self, place: tuple[str, str], came: float) -> asyncio.Future[dict[str, Any]] | None:
+    def _known_result(self, place: tuple[str, str], arrived: float) -> asyncio.Future[dict[str, Any]] | None:
         """The result of a run of this key in its zone, which may be under way; None where none counts."""
         began, result = self.record.keys.get(place, (float("-inf"), None))
-        if result is None or came - began >= DEDUP_WINDOW or result.cancelled():
+        if result is None or arrived - began >= DEDUP_WINDOW or result.cancelled():
             return None
         return result
 
@@ -117,7 +117,7 @@
             monotonic(),
         )
         if self.draining or self.held >= self.behaviour.slots + self.behaviour.queue:
-            run.ended, run.how = run.came, "returned"
+            run.ended, run.how = run.arrived, "returned"
             self.record.runs.append(run)
             yield "returned", "draining" if self.draining else "full"
             return
@@ -127,7 +127,7 @@
         try:
             place = (self.zone, job.key)
             # Where the attempt that ran is given up, and so comes to nothing, this one runs in its place.
-            while job.key and (known := self._known_result(place, run.came)) is not None:
+            while job.key and (known := self._known_result(place, run.arrived)) is not None:
                 yield "started", None
                 await asyncio.wait([known])
                 if not known.cancelled():
@@ -136,7 +136,7 @@
                     return
             result: asyncio.Future[dict[str, Any]] = asyncio.get_running_loop().create_future()
             if job.key:
-                self.record.keys[place] = (run.came, result)
+                self.record.keys[place] = (run.arrived, result)
             try:
                 async with self._slots:
                     yield "started", None
