--- a/pipitshed/testbed/accounts.py
+++ b/pipitshed/testbed/accounts.py
@@ -53,12 +53,12 @@
         # Gearman's unique id is the key of every job.
         key = f"k-{one.token}" if one.kind.startswith("gearman") else one.key
         told = [
-            f"{run.planner}: {run.key!r} {run.tenant!r} {run.left:.3f}"
+            f"{run.planner}: {run.key!r} {run.tenant!r} {run.remaining:.3f}"
             for run in mine
             if run.key != key
             or run.tenant != one.tenant
             or run.job_class != one.job_class
-            or not 0 < run.left <= one.timeout
+            or not 0 < run.remaining <= one.timeout
         ]
         if told:
             faults["envelope_changed"].append(f"{one.token}: " + "; ".join(told))
--- a/pipitshed/testbed/planner.py
+++ b/pipitshed/testbed/planner.py
@@ -20,7 +20,7 @@
     job_class: str
     key: str
     tenant: str
-    left: float  # s that the scheduler said it would wait
+    remaining: float  # s that the scheduler said it would wait
     planner: str
     zone: str
     interface: int
@@ -36,7 +36,7 @@
     job_class: str
     key: str
     tenant: str
-    left: float
+    remaining: float
     body: dict[str, Any]
 
 
@@ -110,7 +110,7 @@
             job.job_class,
             job.key,
             job.tenant,
-            job.left,
+            job.remaining,
             self.name,
             self.zone,
             self.interface,
