--- a/benchmarks/soak/rules.py
+++ b/benchmarks/soak/rules.py
@@ -117,7 +117,7 @@
 
 def _repeat_breaks(job_class: JobClassDraw, asked: ClientRequest, runs: list[Run]) -> list[Break]:
     """Repeats as the class allows, and "never ran" only where no worker has a record of it."""
-    ran = [run for run in runs if run.how != "returned"]
+    ran = [run for run in runs if run.outcome != "returned"]
     told = describe(asked, runs)
     if job_class.repeat == "retryable":
         return []
@@ -140,7 +140,7 @@
     ]
     lines += [
         f"  {run.planner} ({run.zone}, interface {run.interface}) came {run.arrived - asked.sent:.3f} "
-        f"ended {run.ended - asked.sent:.3f} {run.how}"
+        f"ended {run.ended - asked.sent:.3f} {run.outcome}"
         for run in runs
     ]
     return "\n".join(lines)
--- a/pipitshed/testbed/accounts.py
+++ b/pipitshed/testbed/accounts.py
@@ -34,8 +34,8 @@
         if one.outcome == "unanswered":
             faults["unanswered"].append(f"{one.token}: {one.kind} {one.job_class} {one.detail}")
         mine = sorted(by_token.pop(one.token, ()), key=lambda run: run.arrived)
-        ran = [run for run in mine if run.how != "returned"]
-        if one.outcome == "served" and not any(run.how in ("done", "repeat") for run in ran):
+        ran = [run for run in mine if run.outcome != "returned"]
+        if one.outcome == "served" and not any(run.outcome in ("done", "repeat") for run in ran):
             faults["served_unrun"].append(one.token)
         if one.outcome == "unfit" and ran:
             faults["unfit_but_ran"].append(one.token)
@@ -48,7 +48,7 @@
         ):
             faults["two_outstanding"].append(
                 f"{one.token}: "
-                + "; ".join(f"{run.planner} {run.arrived:.3f}..{run.ended:.3f} {run.how}" for run in mine)
+                + "; ".join(f"{run.planner} {run.arrived:.3f}..{run.ended:.3f} {run.outcome}" for run in mine)
             )
         # Gearman's unique id is the key of every job.
         key = f"k-{one.token}" if one.kind.startswith("gearman") else one.key
@@ -85,7 +85,7 @@
         figures[name] = len(faults[name])
     parts = sum(outcomes[name] for name in PARTS) + outcomes["unfit"]
     figures["adds_up"] = parts == len(asked)
-    figures["runs"] = dict(Counter(f"interface {run.interface} {run.how}" for run in runs))
+    figures["runs"] = dict(Counter(f"interface {run.interface} {run.outcome}" for run in runs))
     figures["clients"] = {
         kind: dict(Counter(one.outcome for one in asked if one.kind == kind))
         for kind in sorted({one.kind for one in asked})
--- a/pipitshed/testbed/planner.py
+++ b/pipitshed/testbed/planner.py
@@ -26,7 +26,7 @@
     interface: int
     arrived: float
     ended: float = 0.0  # 0 while it is out
-    how: str = "out"  # done, failed, returned, repeat, cancelled
+    outcome: str = "out"  # done, failed, returned, repeat, cancelled
 
 
 @dataclass(slots=True)
@@ -117,13 +117,13 @@
             monotonic(),
         )
         if self.draining or self.held >= self.behaviour.slots + self.behaviour.queue:
-            run.ended, run.how = run.arrived, "returned"
+            run.ended, run.outcome = run.arrived, "returned"
             self.record.runs.append(run)
             yield "returned", "draining" if self.draining else "full"
             return
         self.record.runs.append(run)
         self.held += 1
-        run.how = "cancelled"  # unless it comes to another end
+        run.outcome = "cancelled"  # unless it comes to another end
         try:
             place = (self.zone, job.key)
             # Where the attempt that ran is given up, and so comes to nothing, this one runs in its place.
@@ -131,7 +131,7 @@
                 yield "started", None
                 await asyncio.wait([known])
                 if not known.cancelled():
-                    run.how = "repeat"
+                    run.outcome = "repeat"
                     yield "done", known.result()
                     return
             result: asyncio.Future[dict[str, Any]] = asyncio.get_running_loop().create_future()
@@ -148,11 +148,11 @@
                         if part < 1.0:
                             yield "running", part
                     if self._rng.random() < self.behaviour.fail:
-                        run.how = "failed"
+                        run.outcome = "failed"
                         yield "failed", ("NO_ROUTE", "no truck goes there")
                         return
                 result.set_result(plan(job))
-                run.how = "done"
+                run.outcome = "done"
                 yield "done", result.result()
             finally:
                 if not result.done():
--- a/pipitshed/testbed/up.py
+++ b/pipitshed/testbed/up.py
@@ -25,8 +25,8 @@
     for member in fleet.members:
         mine = [run for run in runs if run.planner == member.name]
         count = {
-            how: str(sum(run.how == how for run in mine))
-            for how in ("done", "failed", "cancelled", "returned")
+            outcome: str(sum(run.outcome == outcome for run in mine))
+            for outcome in ("done", "failed", "cancelled", "returned")
         }
         table.add_row(
             member.name,
