--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -158,9 +158,9 @@
             elif trouble.kind == "discovery":
                 await fleet.discovery.silence(trouble.lasts)
             else:
-                fleet.behaviour.slow = HANG_FACTOR if trouble.kind == "hang" else SLOW_FACTOR
+                fleet.behaviour.slowdown = HANG_FACTOR if trouble.kind == "hang" else SLOW_FACTOR
                 await asyncio.sleep(trouble.lasts)
-                fleet.behaviour.slow = 1.0
+                fleet.behaviour.slowdown = 1.0
 
     def _signal(self, number: signal.Signals) -> None:
         if self.running.process.returncode is None:
--- a/pipitshed/testbed/experiment.py
+++ b/pipitshed/testbed/experiment.py
@@ -223,9 +223,9 @@
     elif trouble.do == "cut":
         member.gate.cut()
     else:
-        fleet.behaviour.slow = trouble.factor
+        fleet.behaviour.slowdown = trouble.factor
         await asyncio.sleep(trouble.seconds)
-        fleet.behaviour.slow = 1.0
+        fleet.behaviour.slowdown = 1.0
 
 
 def raise_descriptors(wanted: int = 8192) -> None:
--- a/pipitshed/testbed/planner.py
+++ b/pipitshed/testbed/planner.py
@@ -50,7 +50,7 @@
 
 @dataclass
 class Behaviour:
-    """How planners work; `slow` may be changed while they run."""
+    """How planners work; `slowdown` may be changed while they run."""
 
     slots: int = 16
     queue: int = 64
@@ -58,7 +58,7 @@
         default_factory=lambda: {"quote": (10.0, 40.0), "book": (30.0, 90.0)}
     )
     fail: float = 0.0  # part of the jobs that run and come to nothing
-    slow: float = 1.0
+    slowdown: float = 1.0
 
 
 def plan(job: Job) -> dict[str, Any]:
@@ -142,7 +142,7 @@
                     yield "started", None
                     least, most = self.behaviour.work_ms[job.job_class]
                     for part in (0.5, 1.0):
-                        took = self._rng.uniform(least, most) / 2000 * self.behaviour.slow / self.speed
+                        took = self._rng.uniform(least, most) / 2000 * self.behaviour.slowdown / self.speed
                         self.busy += took
                         await asyncio.sleep(took)
                         if part < 1.0:
