--- a/pipitshed/testbed/interfaces.py
+++ b/pipitshed/testbed/interfaces.py
@@ -42,7 +42,7 @@
         if self._server is not None:
             self._server.close()
         until = asyncio.get_running_loop().time() + grace
-        while self.planner.held and asyncio.get_running_loop().time() < until:
+        while self.planner.job_count and asyncio.get_running_loop().time() < until:
             await asyncio.sleep(0.01)
         for writer in list(self._writers):
             writer.transport.abort()
--- a/pipitshed/testbed/planner.py
+++ b/pipitshed/testbed/planner.py
@@ -92,7 +92,7 @@
         self.busy = 0.0  # s of slots at work so far
         self.behaviour, self.record = behaviour, record
         self.draining = False
-        self.held = 0
+        self.job_count = 0
         self._rng = random.Random(seed)
         self._slots = asyncio.Semaphore(behaviour.slots)
 
@@ -116,13 +116,13 @@
             self.interface,
             monotonic(),
         )
-        if self.draining or self.held >= self.behaviour.slots + self.behaviour.queue:
+        if self.draining or self.job_count >= self.behaviour.slots + self.behaviour.queue:
             run.ended, run.outcome = run.arrived, "returned"
             self.record.runs.append(run)
             yield "returned", "draining" if self.draining else "full"
             return
         self.record.runs.append(run)
-        self.held += 1
+        self.job_count += 1
         run.outcome = "cancelled"  # unless it comes to another end
         try:
             place = (self.zone, job.key)
@@ -159,4 +159,4 @@
                     result.cancel()
         finally:
             run.ended = monotonic()
-            self.held -= 1
+            self.job_count -= 1
--- a/pipitshed/testbed/up.py
+++ b/pipitshed/testbed/up.py
@@ -33,7 +33,7 @@
             member.zone,
             str(member.interface),
             member.lifecycle,
-            str(member.planner.held),
+            str(member.planner.job_count),
             count["done"],
             count["failed"],
             count["cancelled"],
