--- a/pipitshed/testbed/experiment.py
+++ b/pipitshed/testbed/experiment.py
@@ -150,7 +150,9 @@
         mine = [one for one in asked if one.job_class == name and one.outcome != "withdrawn"]
         good = sum(one.outcome == "served" and (one.ended - one.sent) * 1000 <= wanted for one in mine)
         figures[f"in_time_{name}"] = round(good / len(mine), 4) if mine else 1.0
-    figures["worst_use"] = round(max(member.planner.busy / took / shape.slots for member in fleet.members), 4)
+    figures["worst_use"] = round(
+        max(member.planner.busy_seconds / took / shape.slots for member in fleet.members), 4
+    )
     ran = [run for run in fleet.record.runs if run.outcome != "returned"]
     figures["crossings"] = round(sum(run.zone != ZONES[0] for run in ran) / max(1, len(ran)), 4)
     times = sorted(one.ended - one.sent for one in asked if one.outcome == "served")
--- a/pipitshed/testbed/planner.py
+++ b/pipitshed/testbed/planner.py
@@ -89,7 +89,7 @@
         speed: float = 1.0,
     ) -> None:
         self.name, self.zone, self.interface, self.speed = name, zone, interface, speed
-        self.busy = 0.0  # s of slots at work so far
+        self.busy_seconds = 0.0  # s of slots at work so far
         self.behaviour, self.record = behaviour, record
         self.draining = False
         self.job_count = 0
@@ -143,7 +143,7 @@
                     least, most = self.behaviour.work_ms[job.job_class]
                     for part in (0.5, 1.0):
                         took = self._rng.uniform(least, most) / 2000 * self.behaviour.slowdown / self.speed
-                        self.busy += took
+                        self.busy_seconds += took
                         await asyncio.sleep(took)
                         if part < 1.0:
                             yield "running", part
