--- a/pipitshed/testbed/planner.py
+++ b/pipitshed/testbed/planner.py
@@ -61,7 +61,7 @@
     slowdown: float = 1.0
 
 
-def plan(job: Job) -> dict[str, Any]:
+def job_result(job: Job) -> dict[str, Any]:
     """A job's result, made of nothing but the job, so that a client can tell its own."""
     body = job.body
     offer = {
@@ -151,7 +151,7 @@
                         run.outcome = "failed"
                         yield "failed", ("NO_ROUTE", "no truck goes there")
                         return
-                result.set_result(plan(job))
+                result.set_result(job_result(job))
                 run.outcome = "done"
                 yield "done", result.result()
             finally:
