--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -154,7 +154,7 @@
             elif trouble.kind == "crash":
                 await fleet.crash(member, trouble.lasts)
             elif trouble.kind == "cut":
-                member.gate.cut()
+                member.forwarder.cut()
             elif trouble.kind == "discovery":
                 await fleet.discovery.silence(trouble.lasts)
             else:
--- a/pipitshed/testbed/experiment.py
+++ b/pipitshed/testbed/experiment.py
@@ -223,7 +223,7 @@
     elif trouble.do == "crash":
         await fleet.crash(member, trouble.seconds)
     elif trouble.do == "cut":
-        member.gate.cut()
+        member.forwarder.cut()
     else:
         fleet.behaviour.slowdown = trouble.factor
         await asyncio.sleep(trouble.seconds)
--- a/pipitshed/testbed/fleet/processes.py
+++ b/pipitshed/testbed/fleet/processes.py
@@ -74,7 +74,7 @@
         await self.discovery.start()
         outside = f"{self.fleet.block}.{OUTSIDE}"
         first = PLANNERS_FROM + self.place * 64
-        targets = [("discovery", self.discovery.port), *((one.name, one.gate.port) for one in members)]
+        targets = [("discovery", self.discovery.port), *((one.name, one.forwarder.port) for one in members)]
         for number, (name, port) in enumerate(targets):
             relay = Relay(
                 name,
--- a/pipitshed/testbed/fleet/standins.py
+++ b/pipitshed/testbed/fleet/standins.py
@@ -18,12 +18,12 @@
 HEARTBEAT = 2.0  # s
 
 
-class Gate:
+class TcpForwarder:
     """A planner's address, which stays when what stands behind it changes; it can be cut."""
 
     def __init__(self) -> None:
         self.port = 0
-        self.behind = 0  # the port; 0: nothing, connections are refused by a close
+        self.target_port = 0  # the port; 0: nothing, connections are refused by a close
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
@@ -44,10 +44,10 @@
     async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
         try:
-            if not self.behind:
+            if not self.target_port:
                 writer.transport.abort()
                 return
-            inner_reader, inner_writer = await asyncio.open_connection("127.0.0.1", self.behind)
+            inner_reader, inner_writer = await asyncio.open_connection("127.0.0.1", self.target_port)
             self._writers.add(inner_writer)
             await asyncio.gather(self._pump(reader, inner_writer), self._pump(inner_reader, writer))
             self._writers.discard(inner_writer)
@@ -73,7 +73,7 @@
     zone: str
     interface: int
     tells: bool  # whether its row tells its interface
-    gate: Gate
+    forwarder: TcpForwarder
     planner: Planner
     door: HttpInterface | GrpcInterface
     started_ms: float = 0.0
@@ -86,7 +86,7 @@
     def row(self) -> dict[str, object]:
         row = {
             "instanceId": self.name,
-            "hostPort": f"127.0.0.1:{self.gate.port}",
+            "hostPort": f"127.0.0.1:{self.forwarder.port}",
             "zone": self.zone,
             "cell": 0,
             "machineType": "standard",
@@ -187,15 +187,15 @@
         for place, (interface, told) in enumerate(zip(interfaces, tells, strict=True)):
             speed = speeds[place] if speeds else 1.0
             name, zone = f"planner-{place + 1}", ZONES[place % len(ZONES)]
-            gate = Gate()
-            await gate.start()
+            forwarder = TcpForwarder()
+            await forwarder.start()
             planner, door = self._make(name, zone, interface, speed)
             member = Member(
                 name,
                 zone,
                 interface,
                 told,
-                gate,
+                forwarder,
                 planner,
                 door,
                 speed=speed,
@@ -216,7 +216,7 @@
     @staticmethod
     async def _open(member: Member) -> None:
         await member.door.start()
-        member.gate.behind = member.door.port
+        member.forwarder.target_port = member.door.port
 
     async def roll(self, member: Member, interface: int, goaway_only: bool = False) -> None:
         """Drain, by discovery's word or by GOAWAY alone, end what runs, and come back with this interface."""
@@ -225,14 +225,14 @@
             member.lifecycle = "draining"
             self.discovery.tell(member)
             await asyncio.sleep(1.5)
-        old, member.gate.behind = member.door, 0
+        old, member.forwarder.target_port = member.door, 0
         await old.stop(3.0)
         await self.come_back(member, interface, told)
 
     async def crash(self, member: Member, down: float) -> None:
         """Die at once, be listed as gone a little later, and come back."""
-        member.gate.behind = 0
-        member.gate.cut()
+        member.forwarder.target_port = 0
+        member.forwarder.cut()
         await member.door.stop(0.0)
         await asyncio.sleep(0.3)
         member.lifecycle = "gone"
@@ -253,5 +253,5 @@
     async def close(self) -> None:
         self.discovery.close()
         for member in self.members:
-            member.gate.close()
+            member.forwarder.close()
         await asyncio.gather(*(member.door.stop(0.0) for member in self.members))
