--- a/pipitshed/testbed/fleet/standins.py
+++ b/pipitshed/testbed/fleet/standins.py
@@ -75,7 +75,7 @@
     tells: bool  # whether its row tells its interface
     forwarder: TcpForwarder
     planner: Planner
-    door: HttpInterface | GrpcInterface
+    interface_server: HttpInterface | GrpcInterface
     started_ms: float = 0.0
     lifecycle: str = "ready"
     starts: int = 0
@@ -189,7 +189,7 @@
             name, zone = f"planner-{place + 1}", ZONES[place % len(ZONES)]
             forwarder = TcpForwarder()
             await forwarder.start()
-            planner, door = self._make(name, zone, interface, speed)
+            planner, interface_server = self._make(name, zone, interface, speed)
             member = Member(
                 name,
                 zone,
@@ -197,7 +197,7 @@
                 told,
                 forwarder,
                 planner,
-                door,
+                interface_server,
                 speed=speed,
                 weight=weights[place] if weights else 1.0,
             )
@@ -215,8 +215,8 @@
 
     @staticmethod
     async def _open(member: Member) -> None:
-        await member.door.start()
-        member.forwarder.target_port = member.door.port
+        await member.interface_server.start()
+        member.forwarder.target_port = member.interface_server.port
 
     async def roll(self, member: Member, interface: int, goaway_only: bool = False) -> None:
         """Drain, by discovery's word or by GOAWAY alone, end what runs, and come back with this interface."""
@@ -225,7 +225,7 @@
             member.lifecycle = "draining"
             self.discovery.tell(member)
             await asyncio.sleep(1.5)
-        old, member.forwarder.target_port = member.door, 0
+        old, member.forwarder.target_port = member.interface_server, 0
         await old.stop(3.0)
         await self.come_back(member, interface, told)
 
@@ -233,7 +233,7 @@
         """Die at once, be listed as gone a little later, and come back."""
         member.forwarder.target_port = 0
         member.forwarder.cut()
-        await member.door.stop(0.0)
+        await member.interface_server.stop(0.0)
         await asyncio.sleep(0.3)
         member.lifecycle = "gone"
         told = monotonic()
@@ -243,7 +243,9 @@
 
     async def come_back(self, member: Member, interface: int, told: float) -> None:
         member.interface = interface
-        member.planner, member.door = self._make(member.name, member.zone, interface, member.speed)
+        member.planner, member.interface_server = self._make(
+            member.name, member.zone, interface, member.speed
+        )
         member.starts += 1
         await self._open(member)
         member.lifecycle, member.started_ms = "ready", time.time() * 1000
@@ -254,4 +256,4 @@
         self.discovery.close()
         for member in self.members:
             member.forwarder.close()
-        await asyncio.gather(*(member.door.stop(0.0) for member in self.members))
+        await asyncio.gather(*(member.interface_server.stop(0.0) for member in self.members))
