--- a/pipitshed/testbed/fleet/standins.py
+++ b/pipitshed/testbed/fleet/standins.py
@@ -72,7 +72,7 @@
     name: str
     zone: str
     interface: int
-    tells: bool  # whether its row tells its interface
+    lists_interface: bool  # whether its row lists_interface its interface
     forwarder: TcpForwarder
     planner: Planner
     interface_server: HttpInterface | GrpcInterface
@@ -94,7 +94,7 @@
             "weight": self.weight,
             "startedAtMs": self.started_ms,
         }
-        return row | ({"interface": self.interface} if self.tells else {})
+        return row | ({"interface": self.interface} if self.lists_interface else {})
 
 
 class Listed(Protocol):
@@ -180,11 +180,11 @@
     async def start(
         self,
         interfaces: list[int],
-        tells: list[bool],
+        lists_interface: list[bool],
         speeds: Sequence[float] = (),
         weights: Sequence[float] = (),
     ) -> None:
-        for place, (interface, told) in enumerate(zip(interfaces, tells, strict=True)):
+        for place, (interface, told) in enumerate(zip(interfaces, lists_interface, strict=True)):
             speed = speeds[place] if speeds else 1.0
             name, zone = f"planner-{place + 1}", ZONES[place % len(ZONES)]
             forwarder = TcpForwarder()
