--- a/benchmarks/capacity/planners.py
+++ b/benchmarks/capacity/planners.py
@@ -33,7 +33,7 @@
 async def _tell(catalog: Catalog, running: Scheduler, members: Sequence[Listed]) -> float:
     """CPU (s) of one read of these rows and the job behind it."""
     before = running.cpu_s()
-    catalog.tell(*members)
+    catalog.announce(*members)
     await running.idle()
     await running.job()
     await running.idle()
@@ -44,7 +44,7 @@
     """CPU (s) of these rows in a read each, a job behind each."""
     before = running.cpu_s()
     for member in members:
-        catalog.tell(member)
+        catalog.announce(member)
         await asyncio.sleep(SPACING_S)
         await running.job()
     await running.idle()
--- a/pipitshed/testbed/fleet/standins.py
+++ b/pipitshed/testbed/fleet/standins.py
@@ -97,7 +97,7 @@
         return row | ({"interface": self.interface} if self.lists_interface else {})
 
 
-class Listed(Protocol):
+class DiscoveryEntry(Protocol):
     """What discovery lists."""
 
     def row(self) -> dict[str, object]: ...
@@ -109,7 +109,7 @@
     def __init__(self) -> None:
         self.port = 0
         self.generation = 1
-        self.members: Sequence[Listed] = []
+        self.members: Sequence[DiscoveryEntry] = []
         self._watches: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
         self._speaks = asyncio.Event()
@@ -125,12 +125,12 @@
         await asyncio.sleep(seconds)
         self._speaks.set()
 
-    def text(self, reset: bool, members: Sequence[Listed]) -> bytes:
+    def text(self, reset: bool, members: Sequence[DiscoveryEntry]) -> bytes:
         return json.dumps(
             {"generation": self.generation, "reset": reset, "instances": [member.row() for member in members]}
         ).encode()
 
-    def tell(self, *members: Listed) -> None:
+    def announce(self, *members: DiscoveryEntry) -> None:
         """Write a change to all watches."""
         self.generation += 1
         text = self.text(False, members) + b"\n"
@@ -223,7 +223,7 @@
         told = monotonic()
         if not goaway_only:
             member.lifecycle = "draining"
-            self.discovery.tell(member)
+            self.discovery.announce(member)
             await asyncio.sleep(1.5)
         old, member.forwarder.target_port = member.interface_server, 0
         await old.stop(3.0)
@@ -237,7 +237,7 @@
         await asyncio.sleep(0.3)
         member.lifecycle = "gone"
         told = monotonic()
-        self.discovery.tell(member)
+        self.discovery.announce(member)
         await asyncio.sleep(down)
         await self.come_back(member, member.interface, told)
 
@@ -249,7 +249,7 @@
         member.starts += 1
         await self._open(member)
         member.lifecycle, member.started_ms = "ready", time.time() * 1000
-        self.discovery.tell(member)
+        self.discovery.announce(member)
         member.drains.append((told, monotonic()))
 
     async def close(self) -> None:
