--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -156,7 +156,7 @@
             elif trouble.kind == "cut":
                 member.forwarder.cut()
             elif trouble.kind == "discovery":
-                await fleet.discovery.silence(trouble.lasts)
+                await fleet.discovery.stop_responding(trouble.lasts)
             else:
                 fleet.behaviour.slowdown = HANG_FACTOR if trouble.kind == "hang" else SLOW_FACTOR
                 await asyncio.sleep(trouble.lasts)
--- a/pipitshed/testbed/fleet/standins.py
+++ b/pipitshed/testbed/fleet/standins.py
@@ -112,18 +112,18 @@
         self.members: Sequence[DiscoveryEntry] = []
         self._watches: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
-        self._speaks = asyncio.Event()
-        self._speaks.set()
+        self._responding = asyncio.Event()
+        self._responding.set()
 
     async def start(self) -> None:
         self._server = await asyncio.start_server(self._connected, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
-    async def silence(self, seconds: float) -> None:
+    async def stop_responding(self, seconds: float) -> None:
         """Say nothing for so long, on open watches and to new calls."""
-        self._speaks.clear()
+        self._responding.clear()
         await asyncio.sleep(seconds)
-        self._speaks.set()
+        self._responding.set()
 
     def text(self, reset: bool, members: Sequence[DiscoveryEntry]) -> bytes:
         return json.dumps(
@@ -140,7 +140,7 @@
     async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             head = await reader.readuntil(b"\r\n\r\n")
-            await self._speaks.wait()
+            await self._responding.wait()
             text = self.text(True, self.members)
             if b"watch=1" not in head.split(b"\r\n")[0]:
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(text), text))
@@ -154,7 +154,7 @@
                 with contextlib.suppress(TimeoutError):
                     if not await asyncio.wait_for(reader.read(1), HEARTBEAT):
                         break
-                await self._speaks.wait()
+                await self._responding.wait()
                 writer.write(b"1\r\n\n\r\n")
         self._watches.discard(writer)
         writer.close()
