--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -15,7 +15,7 @@
 from benchmarks.soak.rules import Break, Records, breaks
 from pipitshed.server.descriptors import DescriptorBudget
 from pipitshed.testbed.clients import ClientRequest, GearmanClients, HttpClients, draw
-from pipitshed.testbed.fleet.standins import Fleet
+from pipitshed.testbed.fleet.standins import PlannerFleet
 from pipitshed.testbed.planner import Behaviour
 from pipitshed.testbed.program import Running, scheduler
 
@@ -55,7 +55,7 @@
 class _Player:
     """One play under way."""
 
-    def __init__(self, play: Play, fleet: Fleet, running: Running) -> None:
+    def __init__(self, play: Play, fleet: PlannerFleet, running: Running) -> None:
         self.play, self.fleet, self.running = play, fleet, running
         self.asked: list[ClientRequest] = []
         self.stops: list[tuple[float, float]] = []
@@ -206,7 +206,7 @@
 
 async def run(play: Play) -> Result:
     """Play it once, and judge it."""
-    fleet = Fleet(Behaviour(slots=play.slots, fail=play.fail), play.seed)
+    fleet = PlannerFleet(Behaviour(slots=play.slots, fail=play.fail), play.seed)
     await fleet.start(list(play.interfaces), [place % 2 == 0 for place in range(len(play.interfaces))])
     peak_mb = 0.0
     try:
--- a/pipitshed/testbed/arms.py
+++ b/pipitshed/testbed/arms.py
@@ -18,13 +18,13 @@
 from pipitshed.placement.solve import solve
 from pipitshed.testbed.accounts import broken
 from pipitshed.testbed.experiment import Experiment, play, raise_descriptors
-from pipitshed.testbed.fleet.standins import ZONES, Fleet
+from pipitshed.testbed.fleet.standins import ZONES, PlannerFleet
 
 FIGURES = ("in_time_quote", "in_time_book", "worst_use", "crossings")
 T95 = {4: 3.18, 5: 2.78, 8: 2.36, 10: 2.26, 20: 2.09}  # Student's, by the number of pairs
 
 
-def solved(experiment: Experiment, fleet: Fleet) -> bytes:
+def solved(experiment: Experiment, fleet: PlannerFleet) -> bytes:
     """A plan for the experiment's fleet and traffic."""
     shape, traffic = experiment.fleet, experiment.clients
     planners = tuple(
--- a/pipitshed/testbed/experiment.py
+++ b/pipitshed/testbed/experiment.py
@@ -14,7 +14,7 @@
 
 from pipitshed.testbed.accounts import account
 from pipitshed.testbed.clients import KINDS, ClientRequest, GearmanClients, HttpClients, draw
-from pipitshed.testbed.fleet.standins import ZONES, Fleet
+from pipitshed.testbed.fleet.standins import ZONES, PlannerFleet
 from pipitshed.testbed.planner import Behaviour
 from pipitshed.testbed.program import Running, scheduler
 
@@ -121,7 +121,7 @@
     shape, traffic = experiment.fleet, experiment.clients
     work = {"quote": shape.quote_ms, "book": shape.book_ms}
     behaviour = Behaviour(shape.slots, shape.queue, work, shape.fail)
-    fleet = Fleet(behaviour, seed)
+    fleet = PlannerFleet(behaviour, seed)
     # By zone pairs, so that each zone has planners that tell and planners that are found out.
     tells = [(place // 2 + 1) / max(1, shape.planners // 2) <= shape.tells for place in range(shape.planners)]
     weights = arm.weights if arm is not None and arm.weights else shape.weights
@@ -203,7 +203,7 @@
     gearman.close()
 
 
-async def _script(experiment: Experiment, fleet: Fleet, rng: random.Random, length: float) -> None:
+async def _script(experiment: Experiment, fleet: PlannerFleet, rng: random.Random, length: float) -> None:
     begun = monotonic()
     tasks = []
     for trouble in sorted(experiment.troubles, key=lambda one: one.at):
@@ -212,7 +212,7 @@
     await asyncio.gather(*tasks)
 
 
-async def _trouble(trouble: Trouble, fleet: Fleet, rng: random.Random) -> None:
+async def _trouble(trouble: Trouble, fleet: PlannerFleet, rng: random.Random) -> None:
     member = fleet.members[trouble.planner - 1 if trouble.planner else rng.randrange(len(fleet.members))]
     while member.lifecycle != "ready":
         await asyncio.sleep(0.05)  # one trouble of this kind at a time
--- a/pipitshed/testbed/fleet/play.py
+++ b/pipitshed/testbed/fleet/play.py
@@ -20,7 +20,7 @@
 from pipitshed.testbed.fleet.processes import HTTP_PORT, Process, ProcessError, Processes
 from pipitshed.testbed.fleet.puts import Puts
 from pipitshed.testbed.fleet.scenario import KEYS, Fault, Put, Scenario, name_of
-from pipitshed.testbed.fleet.standins import Fleet as Planners
+from pipitshed.testbed.fleet.standins import PlannerFleet
 from pipitshed.testbed.planner import Behaviour
 
 LOOK = 0.05  # s between looks whether all hold the truth
@@ -58,7 +58,7 @@
         self.scenario, self.faults, self.seed, self.folder, self.puts = scenario, faults, seed, folder, puts
         self.log = Log(folder / "rig.jsonl")
         shape = scenario.fleet
-        self.planners = Planners(Behaviour(), seed)
+        self.planners = PlannerFleet(Behaviour(), seed)
         self.processes = Processes(shape, folder, seed, self.planners.members, self.log)
         self._reading = oracles.Reading(folder)
         self.asked: list[ClientRequest] = []
--- a/pipitshed/testbed/fleet/standins.py
+++ b/pipitshed/testbed/fleet/standins.py
@@ -166,7 +166,7 @@
             writer.transport.abort()
 
 
-class Fleet:
+class PlannerFleet:
     """Planners, their gates and discovery; rolled, cut and slowed by those who experiment."""
 
     def __init__(self, behaviour: Behaviour, seed: int) -> None:
--- a/pipitshed/testbed/up.py
+++ b/pipitshed/testbed/up.py
@@ -10,14 +10,14 @@
 from rich.table import Table
 
 from pipitshed.testbed.experiment import FleetFile, interfaces
-from pipitshed.testbed.fleet.standins import Fleet
+from pipitshed.testbed.fleet.standins import PlannerFleet
 from pipitshed.testbed.planner import Behaviour
 from pipitshed.testbed.program import scheduler
 
 REFRESH = 0.5  # s
 
 
-def _table(fleet: Fleet) -> Table:
+def _table(fleet: PlannerFleet) -> Table:
     table = Table(
         "planner", "zone", "interface", "state", "at work", "done", "failed", "cancelled", "returned"
     )
@@ -47,7 +47,7 @@
     ended = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, ended.set)
-    fleet = Fleet(Behaviour(shape.slots, shape.queue), 1)
+    fleet = PlannerFleet(Behaviour(shape.slots, shape.queue), 1)
     await fleet.start(interfaces(shape), [place % 2 == 0 for place in range(shape.planners)])
     try:
         async with scheduler(fleet.discovery.port, http, gearman) as running:
