--- a/pipitshed/testbed/fleet/standins.py
+++ b/pipitshed/testbed/fleet/standins.py
@@ -227,7 +227,7 @@
             await asyncio.sleep(1.5)
         old, member.forwarder.target_port = member.interface_server, 0
         await old.stop(3.0)
-        await self.come_back(member, interface, told)
+        await self.restart(member, interface, told)
 
     async def crash(self, member: Member, down: float) -> None:
         """Die at once, be listed as gone a little later, and come back."""
@@ -239,9 +239,9 @@
         told = monotonic()
         self.discovery.announce(member)
         await asyncio.sleep(down)
-        await self.come_back(member, member.interface, told)
+        await self.restart(member, member.interface, told)
 
-    async def come_back(self, member: Member, interface: int, told: float) -> None:
+    async def restart(self, member: Member, interface: int, told: float) -> None:
         member.interface = interface
         member.planner, member.interface_server = self._make(
             member.name, member.zone, interface, member.speed
