--- a/benchmarks/capacity/regions.py
+++ b/benchmarks/capacity/regions.py
@@ -19,7 +19,7 @@
     key,
     number_of,
 )
-from pipitshed.testbed.virtual_fleet import Fleet, region
+from pipitshed.testbed.virtual_fleet import VirtualFleet, region
 from pipitshed.testbed.virtual_view import Node
 
 SLOPE = "regions"
@@ -31,7 +31,7 @@
 WAVES, WAVE_EVERY, WAVE_CHANGES = 10, 10.0, 20  # parts of the fleet, virtual s, changes between two
 
 
-def restart(fleet: Fleet, nodes: Sequence[Node]) -> None:
+def restart(fleet: VirtualFleet, nodes: Sequence[Node]) -> None:
     """These end in good order and come back under their names, with the rows that their files kept."""
     for node in nodes:
         fleet.leave(node)
@@ -42,14 +42,14 @@
             again.tables[0].apply(row)
 
 
-def side(fleet: Fleet, lost: bool) -> list[Node]:
+def side(fleet: VirtualFleet, lost: bool) -> list[Node]:
     """Who lives in the region that is cut off, or in the others."""
     return [
         node for node in fleet.nodes.values() if (region(fleet.zone(node.address)) == LOST_REGION) is lost
     ]
 
 
-def differed(fleet: Fleet) -> float:
+def differed(fleet: VirtualFleet) -> float:
     """Bytes of the rows and words that a scheduler lacks, in the mean."""
     newest = {row.key: row for node in fleet.nodes.values() for row in node.tables[0]}
     for node in fleet.nodes.values():
@@ -127,7 +127,7 @@
     rows: list[Row] = []
     until = time.monotonic() + limit_s
     for case in (apart, waves):
-        play = Play(Fleet(seed=3), size, until, SLOPE, rows)
+        play = Play(VirtualFleet(seed=3), size, until, SLOPE, rows)
         try:
             play.fleet.fleet(size)
             play.holds(play.fleet.quiet, QUIET_WITHIN, 1.0)
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -19,7 +19,7 @@
 from benchmarks.capacity.machine import memory_mb
 from benchmarks.capacity.records import Row
 from pipitshed.membership.members import MemberState
-from pipitshed.testbed.virtual_fleet import Fleet, worst
+from pipitshed.testbed.virtual_fleet import VirtualFleet, worst
 from pipitshed.testbed.virtual_view import Node
 
 SLOPE = "schedulers"
@@ -49,7 +49,7 @@
 class Play:
     """One fleet, and the cases that are played on it one after the other."""
 
-    fleet: Fleet
+    fleet: VirtualFleet
     size: int
     until: float  # time.monotonic() at which it stops
     slope: str = SLOPE
@@ -131,7 +131,7 @@
     return f"tenant/team-{team:03}/allowancePerS"
 
 
-def body(fleet: Fleet) -> bytes:
+def body(fleet: VirtualFleet) -> bytes:
     """A team's quota, as a row holds it."""
     return b"%.3f" % (fleet.rng.random() * 10)
 
@@ -142,7 +142,7 @@
     return row.number if row is not None else 0
 
 
-def words_of(fleet: Fleet, since: float, state: MemberState) -> float:
+def words_of(fleet: VirtualFleet, since: float, state: MemberState) -> float:
     """How many times one that lived was said to be in this state, counted once for each word."""
     return float(
         len(
@@ -213,7 +213,7 @@
 def cases(size: int, limit_s: float) -> list[Row]:
     """All cases of one size, in one fleet."""
     before = memory_mb(os.getpid())
-    play = Play(Fleet(seed=1), size, time.monotonic() + limit_s)
+    play = Play(VirtualFleet(seed=1), size, time.monotonic() + limit_s)
     fleet = play.fleet
     try:
         first, *_ = fleet.fleet(size)
--- a/pipitshed/testbed/virtual_fleet.py
+++ b/pipitshed/testbed/virtual_fleet.py
@@ -45,7 +45,7 @@
         self.worst = max(self.worst, self._now)
 
 
-class Fleet(Network):
+class VirtualFleet(Network):
     """Schedulers in zones."""
 
     def __init__(self, seed: int, loss: float = 0.0, scales: ProtocolTimings | None = None) -> None:
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -13,7 +13,7 @@
 from pipitshed.membership.protocol import Membership
 from pipitshed.membership.timing import ProtocolTimings, suspicion_timeout_s
 from pipitshed.replication.messages import Rows, pack
-from pipitshed.testbed.virtual_fleet import Fleet, region, worst
+from pipitshed.testbed.virtual_fleet import VirtualFleet, region, worst
 from pipitshed.testbed.virtual_view import Node
 
 
@@ -21,9 +21,9 @@
     return MemberRecord(f"n{number}", "127.0.0.1", 10_000 + number, "z", 1, 1, state, "n0")
 
 
-def joined(size: int, rows: int = 0) -> Fleet:
+def joined(size: int, rows: int = 0) -> VirtualFleet:
     """A fleet in 3 regions that agrees, with so many rows of settings, and has nothing left to tell."""
-    fleet = Fleet(seed=7)
+    fleet = VirtualFleet(seed=7)
     first, *_ = fleet.fleet(size)
     assert fleet.until(fleet.quiet, 30.0, 0.5) is not None
     put(fleet, first, range(rows))
@@ -32,7 +32,7 @@
     return fleet
 
 
-def put(fleet: Fleet, writer: Node, rows: Iterable[int]) -> None:
+def put(fleet: VirtualFleet, writer: Node, rows: Iterable[int]) -> None:
     fleet.put(writer, *((f"team-{row:03}", b'{"share":%.6f}' % fleet.rng.random()) for row in rows))
 
 
