--- a/pipitshed/cli/testbed.py
+++ b/pipitshed/cli/testbed.py
@@ -16,7 +16,7 @@
 
 from pipitshed.cli.options import fail
 from pipitshed.testbed import experiment as experiments
-from pipitshed.testbed.accounts import broken
+from pipitshed.testbed.accounts import broken_rules
 from pipitshed.testbed.up import up as run_up
 
 if TYPE_CHECKING:
@@ -95,9 +95,9 @@
         sys.exit(EXIT_BROKEN if compared["broken"] else 0)
     figures = _run_once(experiment, request_count, experiment.seed if seed is None else seed)
     _write_json(figures, out)
-    for rule in broken(figures):
+    for rule in broken_rules(figures):
         click.echo(f"pipitshed: broken: {rule}", err=True)
-    sys.exit(EXIT_BROKEN if broken(figures) else 0)
+    sys.exit(EXIT_BROKEN if broken_rules(figures) else 0)
 
 
 def _run_once(experiment: experiments.Experiment, request_count: int, seed: int) -> dict[str, object]:
--- a/pipitshed/testbed/accounts.py
+++ b/pipitshed/testbed/accounts.py
@@ -94,7 +94,7 @@
     return figures
 
 
-def broken(figures: dict[str, object]) -> list[str]:
+def broken_rules(figures: dict[str, object]) -> list[str]:
     """What should be zero and is not."""
     names = (*ZERO, "wrong_result", "served_unrun", "unfit_but_ran", "envelope_changed", "ran_unasked")
     return [f"{name} = {figures[name]}" for name in names if figures[name]] + (
--- a/pipitshed/testbed/arms.py
+++ b/pipitshed/testbed/arms.py
@@ -16,7 +16,7 @@
 from pipitshed.placement.plan import Place, Plan
 from pipitshed.placement.score import capacity
 from pipitshed.placement.solve import solve
-from pipitshed.testbed.accounts import broken
+from pipitshed.testbed.accounts import broken_rules
 from pipitshed.testbed.experiment import Experiment, play, raise_descriptors
 from pipitshed.testbed.fleet.standins import ZONES, PlannerFleet
 
@@ -59,7 +59,7 @@
     experiment, place, requests, seed = job
     raise_descriptors()
     figures = asyncio.run(play(experiment, requests, seed, arm=experiment.arms[place]))
-    return {name: figures[name] for name in FIGURES} | {"broken": broken(figures)}
+    return {name: figures[name] for name in FIGURES} | {"broken": broken_rules(figures)}
 
 
 def compare(experiment: Experiment, requests: int, seeds: int, jobs: int) -> dict[str, Any]:
