--- a/pipitshed/cli/testbed.py
+++ b/pipitshed/cli/testbed.py
@@ -104,7 +104,7 @@
     with Progress(console=Console(stderr=True), transient=True) as progress:
         task = progress.add_task(experiment.name, total=request_count)
         return asyncio.run(
-            experiments.play(
+            experiments.run_experiment(
                 experiment,
                 request_count,
                 seed,
--- a/pipitshed/testbed/experiment.py
+++ b/pipitshed/testbed/experiment.py
@@ -109,7 +109,7 @@
     return [1 + place // 2 % 2 for place in range(fleet.planners)]
 
 
-async def play(
+async def run_experiment(
     experiment: Experiment,
     requests: int,
     seed: int,
