--- a/pipitshed/testbed/experiment.py
+++ b/pipitshed/testbed/experiment.py
@@ -102,7 +102,7 @@
     return experiment
 
 
-def interfaces(fleet: FleetFile) -> list[int]:
+def initial_interfaces(fleet: FleetFile) -> list[int]:
     """The interface of each planner at the start; a mixed fleet has both in each zone."""
     if fleet.interface != "mixed":
         return [int(fleet.interface)] * fleet.planners
@@ -125,7 +125,7 @@
     # By zone pairs, so that each zone has planners that tell and planners that are found out.
     tells = [(place // 2 + 1) / max(1, shape.planners // 2) <= shape.tells for place in range(shape.planners)]
     weights = arm.weights if arm is not None and arm.weights else shape.weights
-    await fleet.start(interfaces(shape), tells, shape.speeds, weights)
+    await fleet.start(initial_interfaces(shape), tells, shape.speeds, weights)
     plan = b""
     if arm is not None and arm.solved:
         from pipitshed.testbed.arms import solved  # the solver is an extra of its own
--- a/pipitshed/testbed/up.py
+++ b/pipitshed/testbed/up.py
@@ -9,7 +9,7 @@
 from rich.live import Live
 from rich.table import Table
 
-from pipitshed.testbed.experiment import FleetFile, interfaces
+from pipitshed.testbed.experiment import FleetFile, initial_interfaces
 from pipitshed.testbed.fleet.standins import PlannerFleet
 from pipitshed.testbed.planner import Behaviour
 from pipitshed.testbed.program import scheduler
@@ -48,7 +48,7 @@
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, ended.set)
     fleet = PlannerFleet(Behaviour(shape.slots, shape.queue), 1)
-    await fleet.start(interfaces(shape), [place % 2 == 0 for place in range(shape.planners)])
+    await fleet.start(initial_interfaces(shape), [place % 2 == 0 for place in range(shape.planners)])
     try:
         async with scheduler(fleet.discovery.port, http, gearman) as running:
             console.print(
