--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -18,7 +18,7 @@
 from benchmarks.capacity.machine import cpu_s, descriptors, memory_mb
 from benchmarks.capacity.records import ROOT
 from pipitshed.testbed import program
-from pipitshed.testbed.experiment import raise_descriptors
+from pipitshed.testbed.experiment import raise_descriptor_limit
 from pipitshed.testbed.fleet.standins import Discovery
 
 REGIONS = ("norte", "centro", "sur")
@@ -259,7 +259,7 @@
 @contextlib.asynccontextmanager
 async def scheduler(made: dict[str, Any], *words: str) -> AsyncIterator[Scheduler]:
     """`serve` with this configuration, and these words on its command line; it ends with the block."""
-    raise_descriptors(20000)
+    raise_descriptor_limit(20000)
     with tempfile.TemporaryDirectory(prefix="pipitshed-capacity-") as folder:
         path = Path(folder)
         (path / "config.json").write_text(json.dumps(made))
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -13,7 +13,7 @@
 
 from benchmarks.soak.drawing import draw_play
 from benchmarks.soak.play import Result, run
-from pipitshed.testbed.experiment import raise_descriptors
+from pipitshed.testbed.experiment import raise_descriptor_limit
 
 SECONDS = 20.0  # of traffic in a play
 SHORT_SECONDS = 6.0
@@ -66,7 +66,7 @@
 @click.option("--report", type=click.Path(path_type=Path, file_okay=False), help="For one JSON file a play.")
 def main(seeds: str, seconds: float | None, short: bool, report: Path | None) -> None:
     """Play the seeds one after another."""
-    raise_descriptors()
+    raise_descriptor_limit()
     length_s = seconds or (SHORT_SECONDS if short else SECONDS)
     results = []
     for seed in seeds_of(seeds):
--- a/pipitshed/cli/testbed.py
+++ b/pipitshed/cli/testbed.py
@@ -62,7 +62,7 @@
 @click.option("--listen", default=ANY_LOOPBACK_PORT, show_default=True, help="Where HTTP clients connect.")
 def up(worker_count: int, interface: str, gearman: bool, listen: str) -> None:
     """Start a scheduler, stand-in discovery and planners on loopback; a live table until Ctrl-C."""
-    experiments.raise_descriptors()
+    experiments.raise_descriptor_limit()
     shape = experiments.FleetFile(planners=worker_count, interface=interface)  # type: ignore[arg-type]
     try:
         asyncio.run(run_up(shape, listen, ANY_LOOPBACK_PORT if gearman else "", Console()))
@@ -85,7 +85,7 @@
         experiment = experiments.read(file.read_text())
     except experiments.ExperimentError as error:
         fail(f"{file}: {error}")
-    experiments.raise_descriptors()
+    experiments.raise_descriptor_limit()
     request_count = experiment.clients.short_requests if short else experiment.clients.requests
     if experiment.arms:
         from pipitshed.testbed.arms import compare  # it needs the solver, an extra of its own
@@ -160,7 +160,7 @@
         scenario = read(file.read_text(), process_count)
     except ScenarioError as error:
         fail(f"{file}: {error}")
-    experiments.raise_descriptors()
+    experiments.raise_descriptor_limit()
     failed_count = 0
     for seed in range(first_seed, first_seed + seed_count):
         scenario_run = _ScenarioRun.draw(scenario, seed)
--- a/pipitshed/testbed/arms.py
+++ b/pipitshed/testbed/arms.py
@@ -17,7 +17,7 @@
 from pipitshed.placement.score import capacity
 from pipitshed.placement.solve import solve
 from pipitshed.testbed.accounts import broken_rules
-from pipitshed.testbed.experiment import Experiment, raise_descriptors, run_experiment
+from pipitshed.testbed.experiment import Experiment, raise_descriptor_limit, run_experiment
 from pipitshed.testbed.fleet.standins import ZONES, PlannerFleet
 
 FIGURES = ("in_time_quote", "in_time_book", "worst_use", "crossings")
@@ -57,7 +57,7 @@
 
 def _one(job: tuple[Experiment, int, int, int]) -> dict[str, Any]:
     experiment, place, requests, seed = job
-    raise_descriptors()
+    raise_descriptor_limit()
     figures = asyncio.run(run_experiment(experiment, requests, seed, arm=experiment.arms[place]))
     return {name: figures[name] for name in FIGURES} | {"broken": broken_rules(figures)}
 
--- a/pipitshed/testbed/experiment.py
+++ b/pipitshed/testbed/experiment.py
@@ -230,7 +230,7 @@
         fleet.behaviour.slowdown = 1.0
 
 
-def raise_descriptors(wanted: int = 8192) -> None:
+def raise_descriptor_limit(wanted: int = 8192) -> None:
     """Stand-ins, gates and clients share this process's descriptors."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < wanted:
