--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -17,7 +17,7 @@
 from pipitshed.testbed.clients import ClientRequest, GearmanClients, HttpClients, draw
 from pipitshed.testbed.fleet.standins import PlannerFleet
 from pipitshed.testbed.planner import Behaviour
-from pipitshed.testbed.program import Running, scheduler
+from pipitshed.testbed.program import RunningScheduler, scheduler
 
 SETTLE_S = 0.3  # after the start: interfaces that nobody tells are found out
 KILL_MARGIN_S = 0.7  # beside the longest deadline, after which SIGKILL comes
@@ -55,7 +55,7 @@
 class _Player:
     """One play under way."""
 
-    def __init__(self, play: Play, fleet: PlannerFleet, running: Running) -> None:
+    def __init__(self, play: Play, fleet: PlannerFleet, running: RunningScheduler) -> None:
         self.play, self.fleet, self.running = play, fleet, running
         self.asked: list[ClientRequest] = []
         self.stops: list[tuple[float, float]] = []
--- a/benchmarks/translation.py
+++ b/benchmarks/translation.py
@@ -25,7 +25,7 @@
 
 from pipitshed.protocols.grpc import frame_message
 from pipitshed.testbed.fleet.standins import Discovery
-from pipitshed.testbed.program import Running, scheduler
+from pipitshed.testbed.program import RunningScheduler, scheduler
 from pipitshed.worker_api import planner_pb2 as pb
 
 JOB = {
@@ -225,13 +225,15 @@
         return self.answers[200]
 
 
-def resident(running: Running) -> int:
+def resident(running: RunningScheduler) -> int:
     text = Path(f"/proc/{running.process.pid}/statm").read_text()
     return int(text.split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 @contextlib.asynccontextmanager
-async def stand(kind: type[asyncio.Protocol], interface: int, translate: bool) -> AsyncIterator[Running]:
+async def stand(
+    kind: type[asyncio.Protocol], interface: int, translate: bool
+) -> AsyncIterator[RunningScheduler]:
     """A scheduler before four planners of this kind."""
     loop = asyncio.get_running_loop()
     servers = [await loop.create_server(kind, "127.0.0.1", 0) for _ in range(4)]
--- a/pipitshed/testbed/experiment.py
+++ b/pipitshed/testbed/experiment.py
@@ -16,7 +16,7 @@
 from pipitshed.testbed.clients import KINDS, ClientRequest, GearmanClients, HttpClients, draw
 from pipitshed.testbed.fleet.standins import ZONES, PlannerFleet
 from pipitshed.testbed.planner import Behaviour
-from pipitshed.testbed.program import Running, scheduler
+from pipitshed.testbed.program import RunningScheduler, scheduler
 
 EASED = 9.0  # s in which a plan is eased in
 SETTLE = 0.3  # s after the start before traffic: what has no told interface is found out
@@ -175,7 +175,7 @@
 
 
 async def _traffic(
-    running: Running,
+    running: RunningScheduler,
     traffic: ClientsFile,
     requests: int,
     rng: random.Random,
--- a/pipitshed/testbed/program.py
+++ b/pipitshed/testbed/program.py
@@ -102,7 +102,7 @@
 
 
 @dataclass
-class Running:
+class RunningScheduler:
     """The process and where it listens."""
 
     process: asyncio.subprocess.Process
@@ -134,7 +134,7 @@
     known: list[dict[str, object]] | None = None,
     plan: bytes = b"",
     adjust: Callable[[dict[str, Any]], None] | None = None,
-) -> AsyncIterator[Running]:
+) -> AsyncIterator[RunningScheduler]:
     """One scheduler; it ends with the block.
 
     Args:
@@ -167,7 +167,7 @@
             start_new_session=True,
             cwd=root,
         )
-        running = Running(process, 0, 0, [], path / "config.json")
+        running = RunningScheduler(process, 0, 0, [], path / "config.json")
         assert process.stdout is not None
         try:
             ports: list[int] = []
