--- a/pipitshed/cli/testbed.py
+++ b/pipitshed/cli/testbed.py
@@ -199,9 +199,9 @@
 
     def run(self, faults: tuple[Fault, ...], logs: Path | None = None) -> dict[str, Any]:
         """Run it with these faults, and return the verdict."""
-        from pipitshed.testbed.fleet.play import play
+        from pipitshed.testbed.fleet.play import run_scenario
 
-        return uvloop.run(play(self.scenario, faults, self.seed, logs, self.puts))
+        return uvloop.run(run_scenario(self.scenario, faults, self.seed, logs, self.puts))
 
     def failing_script(self, max_shrink_runs: int) -> str:
         """The script of the run, with the fewest faults that still fail."""
--- a/pipitshed/testbed/fleet/play.py
+++ b/pipitshed/testbed/fleet/play.py
@@ -44,7 +44,7 @@
         self._out.close()
 
 
-class Play:
+class ScenarioRun:
     """One play of a scenario in a folder of its own."""
 
     def __init__(
@@ -235,7 +235,7 @@
     return hashlib.blake2b(json.dumps(told, sort_keys=True).encode(), digest_size=6).hexdigest()
 
 
-async def play(
+async def run_scenario(
     scenario: Scenario,
     faults: tuple[Fault, ...],
     seed: int,
@@ -245,9 +245,9 @@
     """Play these faults and changes once; the logs stay in `keep` where one is given."""
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
-        return await Play(scenario, faults, seed, keep, puts).run()
+        return await ScenarioRun(scenario, faults, seed, keep, puts).run()
     with tempfile.TemporaryDirectory(prefix="pipitshed-fleet-") as folder:
-        return await Play(scenario, faults, seed, Path(folder), puts).run()
+        return await ScenarioRun(scenario, faults, seed, Path(folder), puts).run()
 
 
 def smallest(
--- a/tests/cluster/test_fleet_rig.py
+++ b/tests/cluster/test_fleet_rig.py
@@ -16,7 +16,7 @@
 from pipitshed.membership.timing import ProtocolTimings
 from pipitshed.testbed.clients import ClientRequest, HttpClients
 from pipitshed.testbed.fleet import oracles
-from pipitshed.testbed.fleet.play import Play, play, smallest
+from pipitshed.testbed.fleet.play import ScenarioRun, run_scenario, smallest
 from pipitshed.testbed.fleet.scenario import (
     Fault,
     Mix,
@@ -45,7 +45,7 @@
         settle_within=SETTLE_WITHIN_S,
         **changes,
     )
-    return uvloop.run(play(scenario, faults, 1))
+    return uvloop.run(run_scenario(scenario, faults, 1))
 
 
 @GROUPS[0]
@@ -61,7 +61,9 @@
         scenario = Scenario(
             "still", Shape(4, 2, 2, scales=FAST_TIMINGS), Traffic(30.0), settle_within=SETTLE_WITHIN_S
         )
-        result = uvloop.run(play(scenario, (Fault(0.0, "pause", ("s2",), lasts=5.0),), 1, Path(folder)))
+        result = uvloop.run(
+            run_scenario(scenario, (Fault(0.0, "pause", ("s2",), lasts=5.0),), 1, Path(folder))
+        )
         assert result["wrong"] == [] and result["false_deaths"] == 0
         [paused] = [instance for instance in oracles.read(Path(folder)).instances if instance.name == "s2"]
         assert [death for death in paused.deaths if death[1] != "s2"] == []
@@ -239,7 +241,7 @@
             SimpleNamespace(place=place, starts=1, up=True, killed=0, real=("127.0.0.1", 0))
             for place in range(2)
         ]
-        testbed = Play.__new__(Play)
+        testbed = ScenarioRun.__new__(ScenarioRun)
         testbed.processes, testbed.targets, testbed._rng = SimpleNamespace(all=places), {}, random.Random(2)  # type: ignore
         testbed._clients = {
             place: HttpClients(server.sockets[0].getsockname()[1]) for place, server in enumerate(servers)
--- a/tests/cluster/test_settings_rig.py
+++ b/tests/cluster/test_settings_rig.py
@@ -16,7 +16,7 @@
 from pipitshed.replication.row_table import NOT_COMPARED
 from pipitshed.testbed.fleet import oracles, row_oracles
 from pipitshed.testbed.fleet.oracles import InForce, Instance, Logs
-from pipitshed.testbed.fleet.play import play
+from pipitshed.testbed.fleet.play import run_scenario
 from pipitshed.testbed.fleet.puts import Puts
 from pipitshed.testbed.fleet.scenario import (
     Fault,
@@ -39,7 +39,7 @@
 def run_case(puts: tuple[Put, ...], *faults: Fault, processes: int = 4) -> dict[str, Any]:
     """Run these changes and faults; return the testbed's result."""
     scenario = Scenario("case", Shape(processes, 2, 2, scales=FAST_TIMINGS), Traffic(20.0), settle_within=6.0)
-    return uvloop.run(play(scenario, faults, 1, None, puts))
+    return uvloop.run(run_scenario(scenario, faults, 1, None, puts))
 
 
 @GROUPS[0]
