--- a/pipitshed/testbed/fleet/play.py
+++ b/pipitshed/testbed/fleet/play.py
@@ -250,7 +250,7 @@
         return await ScenarioRun(scenario, faults, seed, Path(folder), puts).run()
 
 
-def smallest(
+def shrink_faults(
     faults: tuple[Fault, ...], fails: Callable[[tuple[Fault, ...]], bool], most: int
 ) -> tuple[Fault, ...]:
     """The fewest of these faults that still fail, by leaving out ever smaller parts, in at most so many
--- a/tests/cluster/test_fleet_rig.py
+++ b/tests/cluster/test_fleet_rig.py
@@ -16,7 +16,7 @@
 from pipitshed.membership.timing import ProtocolTimings
 from pipitshed.testbed.clients import ClientRequest, HttpClients
 from pipitshed.testbed.fleet import oracles
-from pipitshed.testbed.fleet.play import ScenarioRun, run_scenario, smallest
+from pipitshed.testbed.fleet.play import ScenarioRun, run_scenario, shrink_faults
 from pipitshed.testbed.fleet.scenario import (
     Fault,
     Mix,
@@ -161,7 +161,7 @@
 def test_shrunk_script_keeps_the_faults_that_the_failure_needs() -> None:
     faults = tuple(Fault(float(at), "cut", ("s1",)) for at in range(12))
     needed = {faults[2], faults[9]}
-    assert set(smallest(faults, lambda some: needed <= set(some), 100)) == needed
+    assert set(shrink_faults(faults, lambda some: needed <= set(some), 100)) == needed
 
 
 def test_events_after_the_run_are_not_part_of_the_verdict(tmp_path: Path) -> None:
