--- a/pipitshed/cli/testbed.py
+++ b/pipitshed/cli/testbed.py
@@ -20,7 +20,7 @@
 from pipitshed.testbed.up import up as run_up
 
 if TYPE_CHECKING:
-    from pipitshed.testbed.fleet.scenario import Fault, Put, Scenario
+    from pipitshed.testbed.fleet.scenario import Fault, Scenario, SettingChange
 
 EXIT_BROKEN = 1  # a rule broke, or an oracle failed
 MAX_PLANNERS = 200
@@ -189,7 +189,7 @@
     scenario: Scenario
     seed: int
     faults: tuple[Fault, ...]
-    puts: tuple[Put, ...]
+    puts: tuple[SettingChange, ...]
 
     @classmethod
     def draw(cls, scenario: Scenario, seed: int) -> _ScenarioRun:
--- a/pipitshed/testbed/fleet/play.py
+++ b/pipitshed/testbed/fleet/play.py
@@ -18,8 +18,8 @@
 from pipitshed.testbed.fleet.faults import Faults
 from pipitshed.testbed.fleet.oracles import Instance
 from pipitshed.testbed.fleet.processes import HTTP_PORT, Process, ProcessError, Processes
-from pipitshed.testbed.fleet.puts import Puts
-from pipitshed.testbed.fleet.scenario import KEYS, Fault, Put, Scenario, name_of
+from pipitshed.testbed.fleet.puts import SettingChanges
+from pipitshed.testbed.fleet.scenario import KEYS, Fault, Scenario, SettingChange, name_of
 from pipitshed.testbed.fleet.standins import PlannerFleet
 from pipitshed.testbed.planner import Behaviour
 
@@ -53,7 +53,7 @@
         faults: tuple[Fault, ...],
         seed: int,
         folder: Path,
-        puts: tuple[Put, ...] = (),
+        puts: tuple[SettingChange, ...] = (),
     ) -> None:
         self.scenario, self.faults, self.seed, self.folder, self.puts = scenario, faults, seed, folder, puts
         self.log = Log(folder / "rig.jsonl")
@@ -81,7 +81,7 @@
                 self.log("wrong", text=f"the fleet had not joined after {self.scenario.joined_within} s")
             traffic = asyncio.create_task(self._traffic())
             await asyncio.sleep(CALM)
-            faults, puts = Faults(self.processes, self.log), Puts(self.processes, self.log)
+            faults, puts = Faults(self.processes, self.log), SettingChanges(self.processes, self.log)
             putting = asyncio.create_task(puts.play(self.puts))
             await faults.play(self.faults)
             self.log("over")
@@ -89,7 +89,7 @@
             await putting
             if self.puts:
                 # In a fleet that has settled, a change must come in force.
-                last = await puts.one(Put(0.0, name_of(0), KEYS[0], "0.5"))
+                last = await puts.one(SettingChange(0.0, name_of(0), KEYS[0], "0.5"))
                 if last != "in force":
                     self.log("wrong", text=f"the last change, with all faults over, was {last}")
             await asyncio.sleep(STAYS)
@@ -240,7 +240,7 @@
     faults: tuple[Fault, ...],
     seed: int,
     keep: Path | None = None,
-    puts: tuple[Put, ...] = (),
+    puts: tuple[SettingChange, ...] = (),
 ) -> dict[str, Any]:
     """Play these faults and changes once; the logs stay in `keep` where one is given."""
     if keep is not None:
--- a/pipitshed/testbed/fleet/puts.py
+++ b/pipitshed/testbed/fleet/puts.py
@@ -21,14 +21,14 @@
 from pipitshed.cluster.messages import Put as PutRow
 from pipitshed.replication.row_table import NOT_COMPARED
 from pipitshed.testbed.fleet.processes import Process, Processes
-from pipitshed.testbed.fleet.scenario import Put
+from pipitshed.testbed.fleet.scenario import SettingChange
 
 LOOK = 0.1  # s between questions whether one is in force
 WITHIN = 20.0  # s for which one is followed
 _Told = TypeVar("_Told", bound=ClusterMessage)
 
 
-class Puts:
+class SettingChanges:
     """The changes of one play."""
 
     def __init__(self, processes: Processes, log: Callable[..., None]) -> None:
@@ -36,7 +36,7 @@
         self._log = log
         self._codec = Codec("rig")
 
-    async def play(self, puts: Iterable[Put]) -> None:
+    async def play(self, puts: Iterable[SettingChange]) -> None:
         """Put each at its time, and return when all are in force, or refused, or their time is over."""
         began = monotonic()
         tasks = []
@@ -45,7 +45,7 @@
             tasks.append(asyncio.create_task(self.one(put)))
         await asyncio.gather(*tasks)
 
-    async def one(self, put: Put) -> str:
+    async def one(self, put: SettingChange) -> str:
         """Put one, and say how it ended."""
         named = [one for one in self._processes.all if one.name == put.a and one.up]
         up = named or [one for one in self._processes.all if one.up]
@@ -69,7 +69,7 @@
             )
         return how
 
-    async def _follow(self, process: Process, put: Put) -> tuple[str, tuple[int, int]]:
+    async def _follow(self, process: Process, put: SettingChange) -> tuple[str, tuple[int, int]]:
         """Put a change, and ask whether it is in force until it is.
 
         One that the process refuses as it has just started is put again, as the operators' page says.
@@ -91,7 +91,7 @@
             await asyncio.sleep(LOOK)
         return "not in force", version
 
-    async def _put(self, process: Process, put: Put) -> PutResponse:
+    async def _put(self, process: Process, put: SettingChange) -> PutResponse:
         """Put a change once; where another process writes the row, it is taken over."""
         held = (await self._ask(process, RowsRequest(put.key), RowsResponse)).rows
         over = (held[0].term, held[0].number) if held else (0, 0)
--- a/pipitshed/testbed/fleet/scenario.py
+++ b/pipitshed/testbed/fleet/scenario.py
@@ -77,7 +77,7 @@
     kinds: dict[Do, float] = {}  # and their weights
 
 
-class Put(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
+class SettingChange(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
     """One change of a setting by row, put at a process; `at` counts as a fault's."""
 
     at: float
@@ -86,7 +86,7 @@
     value: str
 
 
-class PutMix(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
+class SettingChangeMix(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
     """Changes drawn by the seed."""
 
     count: int = 0
@@ -119,8 +119,8 @@
     traffic: Traffic = msgspec.field(default_factory=Traffic)
     fault: tuple[Fault, ...] = ()
     mix: Mix = msgspec.field(default_factory=Mix)
-    put: tuple[Put, ...] = ()
-    put_mix: PutMix = msgspec.field(default_factory=PutMix)
+    put: tuple[SettingChange, ...] = ()
+    put_mix: SettingChangeMix = msgspec.field(default_factory=SettingChangeMix)
     settle_within: float = 5.0  # s after the last fault by which all views are the truth
     joined_within: float = 15.0  # s from the first start
     all_in_time: bool = False  # every request must be served in time: no process or planner is touched
@@ -191,7 +191,7 @@
     return tuple(sorted(faults, key=lambda fault: fault.at))
 
 
-def drawn_puts(scenario: Scenario, seed: int) -> tuple[Put, ...]:
+def drawn_puts(scenario: Scenario, seed: int) -> tuple[SettingChange, ...]:
     """The scripted changes of settings and those that the seed draws, in the order in which they are put."""
     rng = random.Random(f"puts:{scenario.name}:{seed}:{scenario.fleet.processes}")
     puts = list(scenario.put)
@@ -199,7 +199,7 @@
         key = rng.choice(KEYS)
         value = rng.uniform(800.0, 2000.0) if key.startswith("class") else rng.uniform(0.1, 0.9)
         puts.append(
-            Put(
+            SettingChange(
                 round(rng.uniform(0.0, scenario.put_mix.over), 3),
                 name_of(rng.randrange(scenario.fleet.processes)),
                 key,
@@ -209,7 +209,7 @@
     return tuple(sorted(puts, key=lambda put: put.at))
 
 
-def script(scenario: Scenario, faults: tuple[Fault, ...], puts: tuple[Put, ...] = ()) -> str:
+def script(scenario: Scenario, faults: tuple[Fault, ...], puts: tuple[SettingChange, ...] = ()) -> str:
     """A scenario with exactly these faults and changes, as a file to be played again."""
     lines = [
         f'name = "{scenario.name}"',
--- a/tests/cluster/test_settings_rig.py
+++ b/tests/cluster/test_settings_rig.py
@@ -17,13 +17,13 @@
 from pipitshed.testbed.fleet import oracles, row_oracles
 from pipitshed.testbed.fleet.oracles import InForce, Instance, Logs
 from pipitshed.testbed.fleet.play import run_scenario
-from pipitshed.testbed.fleet.puts import Puts
+from pipitshed.testbed.fleet.puts import SettingChanges
 from pipitshed.testbed.fleet.scenario import (
     Fault,
-    Put,
-    PutMix,
     Scenario,
     ScenarioError,
+    SettingChange,
+    SettingChangeMix,
     Shape,
     Traffic,
     drawn_puts,
@@ -36,7 +36,7 @@
 GROUPS = [pytest.mark.xdist_group("rig-1"), pytest.mark.xdist_group("rig-2")]
 
 
-def run_case(puts: tuple[Put, ...], *faults: Fault, processes: int = 4) -> dict[str, Any]:
+def run_case(puts: tuple[SettingChange, ...], *faults: Fault, processes: int = 4) -> dict[str, Any]:
     """Run these changes and faults; return the testbed's result."""
     scenario = Scenario("case", Shape(processes, 2, 2, scales=FAST_TIMINGS), Traffic(20.0), settle_within=6.0)
     return uvloop.run(run_scenario(scenario, faults, 1, None, puts))
@@ -44,9 +44,11 @@
 
 @GROUPS[0]
 def test_changes_with_a_killed_writer_a_lost_disk_and_a_wrong_clock() -> None:
-    puts = tuple(Put(at, "s1", SHARE, f"0.{place}") for place, at in enumerate((0.0, 0.4, 2.5, 3.0), 1))
+    puts = tuple(
+        SettingChange(at, "s1", SHARE, f"0.{place}") for place, at in enumerate((0.0, 0.4, 2.5, 3.0), 1)
+    )
     result = run_case(
-        (*puts, Put(0.2, "s2", QUOTA, "80")),
+        (*puts, SettingChange(0.2, "s2", QUOTA, "80")),
         Fault(0.6, "kill", ("s1",), lasts=0.8),
         Fault(0.7, "kill", ("s3",), lasts=0.5, disk=False),
         Fault(1.8, "clock", ("s2",), lasts=1.5, amount=-3000.0),
@@ -57,10 +59,10 @@
 @GROUPS[1]
 def test_changes_in_both_halves_of_a_partition_and_at_a_paused_process() -> None:
     puts = (
-        Put(0.5, "s1", SHARE, "0.1"),
-        Put(3.0, "s2", SHARE, "0.2"),
-        Put(3.2, "s1", QUOTA, "70"),
-        Put(6.0, "s3", SHARE, "0.3"),
+        SettingChange(0.5, "s1", SHARE, "0.1"),
+        SettingChange(3.0, "s2", SHARE, "0.2"),
+        SettingChange(3.2, "s1", QUOTA, "70"),
+        SettingChange(6.0, "s3", SHARE, "0.3"),
     )
     result = run_case(
         puts,
@@ -77,7 +79,7 @@
     answers = [NOT_COMPARED, NOT_COMPARED, "", "has changed meanwhile"]
     messages: list[ClusterMessage] = []
 
-    class Scripted(Puts):
+    class Scripted(SettingChanges):
         async def _ask(self, process: Any, message: Any, wanted: Any) -> Any:
             messages.append(message)
             if wanted is RowsResponse:
@@ -92,9 +94,9 @@
     up = Mock(up=True)
     up.name = "s1"
     puts = Scripted(Mock(all=[up]), lambda event, **_fields: log.append(event))
-    assert uvloop.run(puts.one(Put(0.0, "s1", SHARE, "0.1"))) == "in force"
+    assert uvloop.run(puts.one(SettingChange(0.0, "s1", SHARE, "0.1"))) == "in force"
     assert sum(isinstance(message, PutRow) for message in messages) == 3 and log == ["put"]
-    assert uvloop.run(puts.one(Put(0.0, "s1", SHARE, "0.1"))) == "refused" and not answers
+    assert uvloop.run(puts.one(SettingChange(0.0, "s1", SHARE, "0.1"))) == "refused" and not answers
 
 
 # ---- The oracles
@@ -188,7 +190,7 @@
 
 
 def test_changes_are_drawn_by_the_seed_and_a_script_repeats_them() -> None:
-    scenario = Scenario("drawn", Shape(5), put_mix=PutMix(8, 5.0))
+    scenario = Scenario("drawn", Shape(5), put_mix=SettingChangeMix(8, 5.0))
     assert len(drawn_puts(scenario, 3)) == 8
     assert drawn_puts(scenario, 3) == drawn_puts(scenario, 3) != drawn_puts(scenario, 4)
     assert drawn_puts(read(script(scenario, (), drawn_puts(scenario, 3))), 9) == drawn_puts(scenario, 3)
