--- a/pipitshed/cli/testbed.py
+++ b/pipitshed/cli/testbed.py
@@ -193,9 +193,9 @@
 
     @classmethod
     def draw(cls, scenario: Scenario, seed: int) -> _ScenarioRun:
-        from pipitshed.testbed.fleet.scenario import drawn, drawn_puts
+        from pipitshed.testbed.fleet.scenario import draw_faults, draw_setting_changes
 
-        return cls(scenario, seed, drawn(scenario, seed), drawn_puts(scenario, seed))
+        return cls(scenario, seed, draw_faults(scenario, seed), draw_setting_changes(scenario, seed))
 
     def run(self, faults: tuple[Fault, ...], logs: Path | None = None) -> dict[str, Any]:
         """Run it with these faults, and return the verdict."""
--- a/pipitshed/testbed/fleet/scenario.py
+++ b/pipitshed/testbed/fleet/scenario.py
@@ -160,7 +160,7 @@
     return made
 
 
-def drawn(scenario: Scenario, seed: int) -> tuple[Fault, ...]:
+def draw_faults(scenario: Scenario, seed: int) -> tuple[Fault, ...]:
     """The scripted faults and those that the seed draws, in the order in which they begin. The same scenario
     and seed give the same faults at the same times.
     """
@@ -191,7 +191,7 @@
     return tuple(sorted(faults, key=lambda fault: fault.at))
 
 
-def drawn_puts(scenario: Scenario, seed: int) -> tuple[SettingChange, ...]:
+def draw_setting_changes(scenario: Scenario, seed: int) -> tuple[SettingChange, ...]:
     """The scripted changes of settings and those that the seed draws, in the order in which they are put."""
     rng = random.Random(f"puts:{scenario.name}:{seed}:{scenario.fleet.processes}")
     puts = list(scenario.put)
--- a/tests/cluster/test_fleet_rig.py
+++ b/tests/cluster/test_fleet_rig.py
@@ -24,7 +24,7 @@
     ScenarioError,
     Shape,
     Traffic,
-    drawn,
+    draw_faults,
     read,
     script,
 )
@@ -139,9 +139,9 @@
 
 def test_same_scenario_and_seed_give_the_same_faults_and_a_script_repeats_them() -> None:
     scenario = Scenario("drawn", Shape(5), mix=Mix(8, 5.0, kinds={"cut": 1.0, "kill": 1.0, "loss": 1.0}))
-    assert drawn(scenario, 3) == drawn(scenario, 3) != drawn(scenario, 4)
-    again = read(script(scenario, drawn(scenario, 3)))
-    assert drawn(again, 9) == drawn(scenario, 3)
+    assert draw_faults(scenario, 3) == draw_faults(scenario, 3) != draw_faults(scenario, 4)
+    again = read(script(scenario, draw_faults(scenario, 3)))
+    assert draw_faults(again, 9) == draw_faults(scenario, 3)
 
 
 @pytest.mark.parametrize(
--- a/tests/cluster/test_settings_rig.py
+++ b/tests/cluster/test_settings_rig.py
@@ -26,7 +26,7 @@
     SettingChangeMix,
     Shape,
     Traffic,
-    drawn_puts,
+    draw_setting_changes,
     read,
     script,
 )
@@ -191,8 +191,14 @@
 
 def test_changes_are_drawn_by_the_seed_and_a_script_repeats_them() -> None:
     scenario = Scenario("drawn", Shape(5), put_mix=SettingChangeMix(8, 5.0))
-    assert len(drawn_puts(scenario, 3)) == 8
-    assert drawn_puts(scenario, 3) == drawn_puts(scenario, 3) != drawn_puts(scenario, 4)
-    assert drawn_puts(read(script(scenario, (), drawn_puts(scenario, 3))), 9) == drawn_puts(scenario, 3)
+    assert len(draw_setting_changes(scenario, 3)) == 8
+    assert (
+        draw_setting_changes(scenario, 3)
+        == draw_setting_changes(scenario, 3)
+        != draw_setting_changes(scenario, 4)
+    )
+    assert draw_setting_changes(
+        read(script(scenario, (), draw_setting_changes(scenario, 3))), 9
+    ) == draw_setting_changes(scenario, 3)
     with pytest.raises(ScenarioError, match="line 4: there is no 's9'"):
         read('name = "x"\n[[put]]\nat = 1.0\na = "s9"\nkey = "k"\nvalue = "1"')
