--- a/pipitshed/cli/testbed.py
+++ b/pipitshed/cli/testbed.py
@@ -206,9 +206,9 @@
     def failing_script(self, max_shrink_runs: int) -> str:
         """The script of the run, with the fewest faults that still fail."""
         from pipitshed.testbed.fleet.play import shrink_faults
-        from pipitshed.testbed.fleet.scenario import script
+        from pipitshed.testbed.fleet.scenario import scenario_text
 
         faults = self.faults
         if max_shrink_runs:
             faults = shrink_faults(faults, lambda fewer: bool(self.run(fewer)["wrong"]), max_shrink_runs)
-        return script(self.scenario, faults, self.puts)
+        return scenario_text(self.scenario, faults, self.puts)
--- a/pipitshed/testbed/fleet/scenario.py
+++ b/pipitshed/testbed/fleet/scenario.py
@@ -209,7 +209,7 @@
     return tuple(sorted(puts, key=lambda put: put.at))
 
 
-def script(scenario: Scenario, faults: tuple[Fault, ...], puts: tuple[SettingChange, ...] = ()) -> str:
+def scenario_text(scenario: Scenario, faults: tuple[Fault, ...], puts: tuple[SettingChange, ...] = ()) -> str:
     """A scenario with exactly these faults and changes, as a file to be played again."""
     lines = [
         f'name = "{scenario.name}"',
--- a/tests/cluster/test_fleet_rig.py
+++ b/tests/cluster/test_fleet_rig.py
@@ -26,7 +26,7 @@
     Traffic,
     draw_faults,
     read,
-    script,
+    scenario_text,
 )
 
 # Three times as fast as the defaults, so that a case takes seconds.
@@ -140,7 +140,7 @@
 def test_same_scenario_and_seed_give_the_same_faults_and_a_script_repeats_them() -> None:
     scenario = Scenario("drawn", Shape(5), mix=Mix(8, 5.0, kinds={"cut": 1.0, "kill": 1.0, "loss": 1.0}))
     assert draw_faults(scenario, 3) == draw_faults(scenario, 3) != draw_faults(scenario, 4)
-    again = read(script(scenario, draw_faults(scenario, 3)))
+    again = read(scenario_text(scenario, draw_faults(scenario, 3)))
     assert draw_faults(again, 9) == draw_faults(scenario, 3)
 
 
--- a/tests/cluster/test_settings_rig.py
+++ b/tests/cluster/test_settings_rig.py
@@ -28,7 +28,7 @@
     Traffic,
     draw_setting_changes,
     read,
-    script,
+    scenario_text,
 )
 
 FAST_TIMINGS = ProtocolTimings(period=0.1, ack_within=0.05, sync=0.6, sync_with_gone=1.0, tombstones=30.0)
@@ -198,7 +198,7 @@
         != draw_setting_changes(scenario, 4)
     )
     assert draw_setting_changes(
-        read(script(scenario, (), draw_setting_changes(scenario, 3))), 9
+        read(scenario_text(scenario, (), draw_setting_changes(scenario, 3))), 9
     ) == draw_setting_changes(scenario, 3)
     with pytest.raises(ScenarioError, match="line 4: there is no 's9'"):
         read('name = "x"\n[[put]]\nat = 1.0\na = "s9"\nkey = "k"\nvalue = "1"')
