--- a/pipitshed/testbed/fleet/play.py
+++ b/pipitshed/testbed/fleet/play.py
@@ -19,7 +19,7 @@
 from pipitshed.testbed.fleet.oracles import Instance
 from pipitshed.testbed.fleet.processes import HTTP_PORT, Process, ProcessError, Processes
 from pipitshed.testbed.fleet.puts import SettingChanges
-from pipitshed.testbed.fleet.scenario import KEYS, Fault, Scenario, SettingChange, name_of
+from pipitshed.testbed.fleet.scenario import KEYS, Fault, Scenario, SettingChange, process_name
 from pipitshed.testbed.fleet.standins import PlannerFleet
 from pipitshed.testbed.planner import Behaviour
 
@@ -89,7 +89,7 @@
             await putting
             if self.puts:
                 # In a fleet that has settled, a change must come in force.
-                last = await puts.one(SettingChange(0.0, name_of(0), KEYS[0], "0.5"))
+                last = await puts.one(SettingChange(0.0, process_name(0), KEYS[0], "0.5"))
                 if last != "in force":
                     self.log("wrong", text=f"the last change, with all faults over, was {last}")
             await asyncio.sleep(STAYS)
--- a/pipitshed/testbed/fleet/processes.py
+++ b/pipitshed/testbed/fleet/processes.py
@@ -17,7 +17,7 @@
 
 from pipitshed.testbed.fleet.links import Links
 from pipitshed.testbed.fleet.relays import Address, Relay
-from pipitshed.testbed.fleet.scenario import Shape, name_of, zone_of
+from pipitshed.testbed.fleet.scenario import Shape, process_name, process_zone
 from pipitshed.testbed.fleet.standins import Discovery, Member
 from pipitshed.testbed.program import configuration
 
@@ -54,7 +54,7 @@
 
     def __init__(self, fleet: Processes, place: int, name: str) -> None:
         self.fleet, self.place, self.name = fleet, place, name
-        self.zone = zone_of(place, fleet.shape.zones)
+        self.zone = process_zone(place, fleet.shape.zones)
         self.real: Address = (f"{fleet.block}.{REAL + place}", PEER_PORT)
         self.public: Address = (f"{fleet.block}.{PUBLIC + place}", PEER_PORT)
         self.relay = Relay(name, self.public, self.real, fleet.links, fleet.caller)
@@ -226,7 +226,7 @@
         """A new place, with its relays; nothing runs there yet."""
         if len(self.all) >= MOST:
             raise ProcessError(f"no more than {MOST} places")
-        process = Process(self, len(self.all), name or name_of(len(self.all)))
+        process = Process(self, len(self.all), name or process_name(len(self.all)))
         self.all.append(process)
         await process.open(self._members)
         return process
--- a/pipitshed/testbed/fleet/row_oracles.py
+++ b/pipitshed/testbed/fleet/row_oracles.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from pipitshed.testbed.fleet.oracles import TOUCH, InForce, Instance, Logs, Version, living
-from pipitshed.testbed.fleet.scenario import LINKS, zone_of
+from pipitshed.testbed.fleet.scenario import LINKS, process_zone
 
 NONE: Version = (0, 0)
 
@@ -63,7 +63,7 @@
         if fault["t"] > said.when or fault["t"] + fault.get("for", 0.0) < since:
             continue
         if fault["do"] == "cut-zone":
-            if len({zone_of(one.place, zones) in fault["a"] for one in (writer, other)}) == 2:
+            if len({process_zone(one.place, zones) in fault["a"] for one in (writer, other)}) == 2:
                 return False
         elif {writer.name, other.name} & {*fault["a"], *fault.get("b", ())}:
             return False
--- a/pipitshed/testbed/fleet/scenario.py
+++ b/pipitshed/testbed/fleet/scenario.py
@@ -12,7 +12,7 @@
 from pipitshed.protocols.toml import line_of_item
 from pipitshed.testbed.program import TENANTS
 
-Do = Literal[
+FaultKind = Literal[
     "cut",
     "cut-one-way",
     "cut-zone",
@@ -59,7 +59,7 @@
     """One fault. Times are seconds; `at` counts from when the fleet has settled first."""
 
     at: float
-    do: Do
+    do: FaultKind
     a: tuple[str, ...] = ()  # processes, or zones where a zone is cut off
     b: tuple[str, ...] = ()  # the other side of a link; empty: all others
     lasts: float = msgspec.field(default=0.0, name="for")
@@ -74,7 +74,7 @@
     count: int = 0
     over: float = 10.0  # s
     longest: float = 4.0  # s that one lasts at most
-    kinds: dict[Do, float] = {}  # and their weights
+    kinds: dict[FaultKind, float] = {}  # and their weights
 
 
 class SettingChange(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
@@ -126,12 +126,12 @@
     all_in_time: bool = False  # every request must be served in time: no process or planner is touched
 
 
-def name_of(place: int) -> str:
+def process_name(place: int) -> str:
     """The name of the process at a place, from 0."""
     return f"s{place + 1}"
 
 
-def zone_of(place: int, zones: int) -> str:
+def process_zone(place: int, zones: int) -> str:
     """The zone of a process, in turn."""
     return f"zone-{place % zones + 1}"
 
@@ -146,8 +146,8 @@
         made = msgspec.structs.replace(made, fleet=msgspec.structs.replace(made.fleet, processes=processes))
     if not 1 <= made.fleet.processes <= 60 or not 1 <= made.fleet.zones <= 8:
         raise ScenarioError("fleet: 1 to 60 processes in 1 to 8 zones")
-    names = {name_of(place) for place in range(made.fleet.processes)}
-    zones = {zone_of(place, made.fleet.zones) for place in range(made.fleet.processes)}
+    names = {process_name(place) for place in range(made.fleet.processes)}
+    zones = {process_zone(place, made.fleet.zones) for place in range(made.fleet.processes)}
     for place, put in enumerate(made.put):
         if put.a not in names:
             raise ScenarioError(f"line {line_of_item(text, 'put', place, 'a')}: there is no {put.a!r}")
@@ -165,8 +165,8 @@
     and seed give the same faults at the same times.
     """
     rng = random.Random(f"{scenario.name}:{seed}:{scenario.fleet.processes}")
-    names = [name_of(place) for place in range(scenario.fleet.processes)]
-    zones = sorted({zone_of(place, scenario.fleet.zones) for place in range(scenario.fleet.processes)})
+    names = [process_name(place) for place in range(scenario.fleet.processes)]
+    zones = sorted({process_zone(place, scenario.fleet.zones) for place in range(scenario.fleet.processes)})
     faults = list(scenario.fault)
     kinds, weights = list(scenario.mix.kinds), list(scenario.mix.kinds.values())
     for _ in range(scenario.mix.count if kinds else 0):
@@ -201,7 +201,7 @@
         puts.append(
             SettingChange(
                 round(rng.uniform(0.0, scenario.put_mix.over), 3),
-                name_of(rng.randrange(scenario.fleet.processes)),
+                process_name(rng.randrange(scenario.fleet.processes)),
                 key,
                 f"{value:.3f}{number:03d}",
             )
