--- a/pipitshed/testbed/fleet/faults.py
+++ b/pipitshed/testbed/fleet/faults.py
@@ -43,7 +43,9 @@
             for name in fault.a:
                 await (await self._processes.add(name)).start()
         else:
-            await asyncio.gather(*(self._on_process(self._processes.named(name), fault) for name in fault.a))
+            await asyncio.gather(
+                *(self._on_process(self._processes.by_name(name), fault) for name in fault.a)
+            )
 
     # ---- links
 
@@ -62,7 +64,7 @@
         links, pairs = self._processes.links, self._pairs(fault)
         if fault.do == "reset":
             for a, b in pairs:
-                self._processes.named(b).relay.reset(a)
+                self._processes.by_name(b).relay.reset(a)
             return
         put = ("cut" if fault.do.startswith("cut") else fault.do, fault.amount)
         for pair in pairs:
@@ -76,27 +78,27 @@
     async def _on_process(self, process: Process, fault: Fault) -> None:
         if fault.do == "pause":
             async with self._alone(process):
-                if process.lives:
+                if process.alive:
                     process.pause()
                     await asyncio.sleep(fault.lasts)
-                    process.wake()
+                    process.resume()
         elif fault.do == "kill-for-good":
             async with self._alone(process):
                 process.kill()
-                await process.gone()
+                await process.wait_ended()
         else:
             await self._again(process, fault, good=fault.do == "term")
 
     async def _again(self, process: Process, fault: Fault, good: bool) -> None:
         """End a process and start it anew, where it still lives."""
         async with self._alone(process):
-            if not process.lives:
+            if not process.alive:
                 return
             if good:
-                await process.term()
+                await process.terminate()
             else:
                 process.kill()
-                await process.gone()
+                await process.wait_ended()
             await asyncio.sleep(fault.lasts)
             await process.start(fault.disk, fault.amount if fault.do == "clock" else 0.0)
 
--- a/pipitshed/testbed/fleet/play.py
+++ b/pipitshed/testbed/fleet/play.py
@@ -75,7 +75,7 @@
         traffic = None
         try:
             began = monotonic()
-            await self.processes.begin()
+            await self.processes.start_all()
             joined = await self._agreed(self.scenario.joined_within)
             if joined is None:
                 self.log("wrong", text=f"the fleet had not joined after {self.scenario.joined_within} s")
@@ -109,7 +109,7 @@
     async def _stop(self) -> None:
         """End the processes in good order, then all that the rig has open."""
         for ended in await asyncio.gather(
-            *(one.term() for one in self.processes.all if one.lives), return_exceptions=True
+            *(one.terminate() for one in self.processes.all if one.alive), return_exceptions=True
         ):
             if isinstance(ended, ProcessError):
                 self.log("wrong", text=str(ended))
@@ -137,7 +137,7 @@
                 if ended and (one.place, one.starts) not in seen:
                     assert one.running is not None
                     seen.add((one.place, one.starts))
-                    one.up = False
+                    one.accepts_clients = False
                     self.log(
                         "died",
                         process=one.name,
@@ -154,7 +154,7 @@
         rate = self.scenario.traffic.rate
         while rate:
             await asyncio.sleep(max(0.0, began + number / rate - monotonic()))
-            up = [one for one in self.processes.all if one.up]
+            up = [one for one in self.processes.all if one.accepts_clients]
             if up:
                 self._ask(up[number % len(up)], number)
             number += 1
@@ -175,7 +175,7 @@
             clients = self._clients.setdefault(process.place, HttpClients(HTTP_PORT, process.real[0]))
             one.not_accepted, one.outcome, one.reused_connection = False, "", False
             await clients.ask(one)
-            up = [other for other in self.processes.all if other.up]
+            up = [other for other in self.processes.all if other.accepts_clients]
             # Guards a keyed job against a second run in another zone that the rig itself asks for: a kept
             # connection ends without a byte also where a process was killed that had taken the request.
             killed = (
--- a/pipitshed/testbed/fleet/processes.py
+++ b/pipitshed/testbed/fleet/processes.py
@@ -62,7 +62,7 @@
         self._relays = [self.relay]
         self.folder = fleet.folder / f"{name}-{place + 1}"
         self.starts = 0
-        self.up = False  # takes clients
+        self.accepts_clients = False  # takes clients
         self.paused = False
         self.ending = False  # was told to end, or killed
         self.killed = 0  # the last of its starts that was killed
@@ -146,23 +146,23 @@
                     f"{self.name} did not start: see log-{self.name}-{self.place + 1}-{self.starts}.txt"
                 )
             await asyncio.sleep(LOOK)
-        self.up = True
+        self.accepts_clients = True
 
     def kill(self) -> None:
         """SIGKILL; whatever it was doing."""
-        self.up, self.ending, self.killed = False, True, self.starts
+        self.accepts_clients, self.ending, self.killed = False, True, self.starts
         if self.running is not None and self.running.returncode is None:
             self.running.kill()
         self.fleet.log("kill", process=self.name, place=self.place, start=self.starts)
 
-    async def gone(self) -> None:
+    async def wait_ended(self) -> None:
         """Wait until the process has ended."""
         if self.running is not None:
             await self.running.wait()
 
-    async def term(self) -> None:
+    async def terminate(self) -> None:
         """SIGTERM, and wait for a good end."""
-        self.up, self.ending = False, True
+        self.accepts_clients, self.ending = False, True
         self.fleet.log("term", process=self.name, place=self.place, start=self.starts)
         if self.running is None or self.running.returncode is not None:
             return
@@ -178,19 +178,19 @@
     def pause(self) -> None:
         """SIGSTOP."""
         if self.running is not None and self.running.returncode is None:
-            self.up, self.paused = False, True
+            self.accepts_clients, self.paused = False, True
             self.fleet.log("pause", process=self.name, place=self.place, start=self.starts)
             self.running.send_signal(signal.SIGSTOP)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """SIGCONT."""
         if self.running is not None and self.running.returncode is None and self.paused:
             self.running.send_signal(signal.SIGCONT)
             self.fleet.log("wake", process=self.name, place=self.place, start=self.starts)
-            self.up, self.paused = not self.ending, False
+            self.accepts_clients, self.paused = not self.ending, False
 
     @property
-    def lives(self) -> bool:
+    def alive(self) -> bool:
         """Whether a process runs here that nobody has told to end."""
         return self.running is not None and self.running.returncode is None and not self.ending
 
@@ -231,12 +231,12 @@
         await process.open(self._members)
         return process
 
-    async def begin(self) -> None:
+    async def start_all(self) -> None:
         """As many as the scenario asks for, at once."""
         processes = [await self.add() for _ in range(self.shape.processes)]
         await asyncio.gather(*(process.start() for process in processes))
 
-    def named(self, name: str) -> Process:
+    def by_name(self, name: str) -> Process:
         """The process that has a name; the latest where it was taken."""
         return [process for process in self.all if process.name == name][-1]
 
--- a/pipitshed/testbed/fleet/puts.py
+++ b/pipitshed/testbed/fleet/puts.py
@@ -47,8 +47,8 @@
 
     async def one(self, put: SettingChange) -> str:
         """Put one, and say how it ended."""
-        named = [one for one in self._processes.all if one.name == put.a and one.up]
-        up = named or [one for one in self._processes.all if one.up]
+        named = [one for one in self._processes.all if one.name == put.a and one.accepts_clients]
+        up = named or [one for one in self._processes.all if one.accepts_clients]
         began, how, version = monotonic(), "unanswered", (0, 0)
         try:
             if up:
--- a/tests/cluster/test_fleet_rig.py
+++ b/tests/cluster/test_fleet_rig.py
@@ -228,7 +228,7 @@
                 heads.append(place)
                 if place == 0 and len(heads) > 1:
                     if killed:
-                        places[0].up, places[0].killed = False, places[0].starts
+                        places[0].accepts_clients, places[0].killed = False, places[0].starts
                     writer.close()
                     return
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
@@ -238,7 +238,7 @@
 
         servers = [await asyncio.start_server(on(place), "127.0.0.1", 0) for place in range(2)]
         places = [
-            SimpleNamespace(place=place, starts=1, up=True, killed=0, real=("127.0.0.1", 0))
+            SimpleNamespace(place=place, starts=1, accepts_clients=True, killed=0, real=("127.0.0.1", 0))
             for place in range(2)
         ]
         testbed = ScenarioRun.__new__(ScenarioRun)
--- a/tests/cluster/test_settings_rig.py
+++ b/tests/cluster/test_settings_rig.py
@@ -91,7 +91,7 @@
             )
 
     log: list[str] = []
-    up = Mock(up=True)
+    up = Mock(accepts_clients=True)
     up.name = "s1"
     puts = Scripted(Mock(all=[up]), lambda event, **_fields: log.append(event))
     assert uvloop.run(puts.one(SettingChange(0.0, "s1", SHARE, "0.1"))) == "in force"
