--- a/pipitshed/testbed/fleet/processes.py
+++ b/pipitshed/testbed/fleet/processes.py
@@ -33,7 +33,7 @@
     """A process did not do what it must."""
 
 
-def block() -> str:
+def loopback_block() -> str:
     """A block of loopback addresses that no other rig on this machine uses at the same time."""
     pid = os.getpid()
     return f"127.{64 + (pid >> 8) % 128}.{pid & 255}"
@@ -211,7 +211,7 @@
         self, shape: Shape, folder: Path, seed: int, members: Sequence[Member], log: Callable[..., None]
     ) -> None:
         self.shape, self.folder, self.seed, self.log = shape, folder, seed, log
-        self.block = block()
+        self.block = loopback_block()
         self.links = Links(seed)
         self.all: list[Process] = []
         self._members = members
--- a/tests/cluster/test_settings_fleet.py
+++ b/tests/cluster/test_settings_fleet.py
@@ -40,7 +40,7 @@
 from pipitshed.config.platform import Config, load_platform_config, with_settings
 from pipitshed.replication.commit_tracking import AppliedReport
 from pipitshed.server.server import Scheduler
-from pipitshed.testbed.fleet.processes import block
+from pipitshed.testbed.fleet.processes import loopback_block
 
 SHARE, DEADLINE = "tenant/andes-retail/share", "class/quote/deadline"
 
@@ -377,7 +377,7 @@
 def private_hosts(count: int) -> list[str]:
     """Loopback addresses that only this process uses: on 127.0.0.1, another process may take a free port
     before the scheduler binds it."""
-    return [f"{block()}.{number}" for number in range(1, count + 1)]
+    return [f"{loopback_block()}.{number}" for number in range(1, count + 1)]
 
 
 async def times_out_early(running: Program, number: str) -> bool:
