--- a/pipitshed/testbed/fleet/oracles.py
+++ b/pipitshed/testbed/fleet/oracles.py
@@ -58,7 +58,7 @@
     puts: list[dict[str, Any]] = field(default_factory=list)  # changes of settings, as they were answered
 
 
-class Reading:
+class LogReader:
     """The logs in a play's folder, read on from where the last look ended: looks are many while a play waits
     for agreement, and logs grow.
     """
@@ -70,7 +70,7 @@
         self._events: dict[str, Instance] = {}  # by file
         self._read: dict[str, int] = {}  # bytes, by file
 
-    def look(self) -> Logs:
+    def read_new(self) -> Logs:
         """All that is there by now."""
         for line in self._lines("rig.jsonl"):
             self._rig(json.loads(line))
@@ -123,7 +123,7 @@
 
 def read(folder: Path) -> Logs:
     """The logs in a play's folder, up to the play's end."""
-    logs = Reading(folder).look()
+    logs = LogReader(folder).read_new()
     if logs.end:
         # Guards the verdict against what comes after the play: all are told to end then, and a fleet of
         # nobody would be in agreement whatever it held before.
--- a/pipitshed/testbed/fleet/play.py
+++ b/pipitshed/testbed/fleet/play.py
@@ -60,7 +60,7 @@
         shape = scenario.fleet
         self.planners = PlannerFleet(Behaviour(), seed)
         self.processes = Processes(shape, folder, seed, self.planners.members, self.log)
-        self._reading = oracles.Reading(folder)
+        self._reading = oracles.LogReader(folder)
         self.asked: list[ClientRequest] = []
         self.targets: dict[str, tuple[int, int]] = {}
         self._rng = random.Random(f"traffic:{seed}")
@@ -122,7 +122,7 @@
         """How long until the events of all processes show the truth (s); None where they don't in time."""
         began = monotonic()
         while monotonic() - began <= within:
-            logs = self._reading.look()
+            logs = self._reading.read_new()
             if not oracles.settled(logs)[1] and not row_oracles.settled(logs):
                 return monotonic() - began
             await asyncio.sleep(LOOK)
--- a/tests/cluster/test_settings_rig.py
+++ b/tests/cluster/test_settings_rig.py
@@ -177,16 +177,16 @@
         json.dumps({"t": 1.0, "event": "spawn", "process": "s1", "place": 0, "start": 1, "events": "e1"})
         + "\n"
     )
-    reading = oracles.Reading(tmp_path)
-    assert [instance.name for instance in reading.look().instances] == ["s1"]
+    reading = oracles.LogReader(tmp_path)
+    assert [instance.name for instance in reading.read_new().instances] == ["s1"]
     line = json.dumps({"t": 2.0, "event": "acting", "rows": [[SHARE, 1, 1]], "refused": [["k", "no"]]}) + "\n"
     events.write_text(line[:20])
-    assert reading.look().instances[0].acting == []
+    assert reading.read_new().instances[0].acting == []
     with events.open("a") as log:
         log.write(line[20:] + line)
-    [instance] = reading.look().instances
+    [instance] = reading.read_new().instances
     assert instance.acting == [(2.0, {SHARE: (1, 1)})] * 2 and instance.refused == [(2.0, "k", "no")] * 2
-    assert len(reading.look().instances[0].acting) == 2  # no event is read twice
+    assert len(reading.read_new().instances[0].acting) == 2  # no event is read twice
 
 
 def test_changes_are_drawn_by_the_seed_and_a_script_repeats_them() -> None:
