--- a/pipitshed/testbed/fleet/oracles.py
+++ b/pipitshed/testbed/fleet/oracles.py
@@ -38,7 +38,7 @@
     views: list[tuple[float, dict[str, int]]] = field(default_factory=list)  # who lives, by name and life
     deaths: list[tuple[float, str, int]] = field(default_factory=list)  # declared or heard: when, name, life
     displaced: bool = False
-    away: list[tuple[float, float]] = field(default_factory=list)  # it stood still
+    paused: list[tuple[float, float]] = field(default_factory=list)  # it stood still
     disk: bool = True  # it found the folder of the start before
     started: float = 0.0
     acting: list[tuple[float, dict[str, Version]]] = field(default_factory=list)  # rows acted on from then
@@ -54,7 +54,7 @@
     faults: list[dict[str, Any]]
     over: float  # when the last fault was over
     end: float  # when the play was
-    outside: list[str]  # what the rig itself found wrong
+    rig_errors: list[str]  # what the rig itself found wrong
     puts: list[dict[str, Any]] = field(default_factory=list)  # changes of settings, as they were answered
 
 
@@ -104,15 +104,15 @@
             if key in instances and instances[key].ended is None:
                 instances[key].ended = told["t"]
             if event == "died":
-                logs.outside.append(f"{told['process']} ended by itself, with {told['code']}")
+                logs.rig_errors.append(f"{told['process']} ended by itself, with {told['code']}")
         elif event == "pause":
-            instances[key].away.append((told["t"], float("inf")))
-        elif event == "wake" and instances[key].away:
-            instances[key].away[-1] = (instances[key].away[-1][0], told["t"])
+            instances[key].paused.append((told["t"], float("inf")))
+        elif event == "wake" and instances[key].paused:
+            instances[key].paused[-1] = (instances[key].paused[-1][0], told["t"])
         elif event == "fault":
             logs.faults.append(told)
         elif event == "wrong":
-            logs.outside.append(told["text"])
+            logs.rig_errors.append(told["text"])
         elif event == "over":
             logs.over = told["t"]
         elif event == "end":
@@ -188,7 +188,7 @@
             if (
                 other is not None
                 and (other.ended is None or when < other.ended)
-                and not any(since <= when <= until + TOUCH for since, until in (*other.away, *one.away))
+                and not any(since <= when <= until + TOUCH for since, until in (*other.paused, *one.paused))
             ):
                 count += 1
     return count
@@ -203,7 +203,7 @@
         instance = targets[one.token]
         touched = [instance.spawned] if instance.ended is None else [instance.spawned, instance.ended]
         near = any(one.sent - TOUCH <= when <= one.ended + TOUCH for when in touched) or any(
-            since - TOUCH <= one.ended and one.sent <= until + TOUCH for since, until in instance.away
+            since - TOUCH <= one.ended and one.sent <= until + TOUCH for since, until in instance.paused
         )
         if one.outcome == "unanswered" and not near:
             wrong.append(f"request {one.token} at {instance.name} was not answered: {one.detail}")
--- a/pipitshed/testbed/fleet/play.py
+++ b/pipitshed/testbed/fleet/play.py
@@ -209,7 +209,7 @@
                 + row_oracles.settled(logs)
             )
             figures |= row_oracles.figures(logs)
-        wrong += logs.outside + lost
+        wrong += logs.rig_errors + lost
         return (
             {
                 "scenario": self.scenario.name,
--- a/pipitshed/testbed/fleet/row_oracles.py
+++ b/pipitshed/testbed/fleet/row_oracles.py
@@ -55,7 +55,7 @@
             return False
         if one.ended is not None and one.ended <= said.when + TOUCH:
             return False
-        if any(left <= said.when + TOUCH and back >= since for left, back in one.away):
+        if any(left <= said.when + TOUCH and back >= since for left, back in one.paused):
             return False
     for fault in logs.faults:
         if fault["do"] not in (*LINKS, "cut-zone"):
--- a/tests/cluster/test_fleet_rig.py
+++ b/tests/cluster/test_fleet_rig.py
@@ -196,7 +196,7 @@
         for instance in (s1, s2):
             instance.views.append((2.0, wrong.get(instance.name, {"s1": 11, "s2": 22})))
         s2.deaths += wrong.get("deaths", [])
-        s2.away += wrong.get("away", [])
+        s2.paused += wrong.get("away", [])
         return oracles.Logs([s1, s2], [], 5.0, 9.0, [])
 
     assert oracles.settled(logs()) == (0.0, [])
--- a/tests/cluster/test_settings_rig.py
+++ b/tests/cluster/test_settings_rig.py
@@ -121,9 +121,9 @@
     alone = {"s1": 11}
     assert row_oracles.exact(logs(said=alone), 6.0, 2) == []  # it applies the row, though it is not named
     assert "without s2" in row_oracles.exact(logs(said=alone, acting=late), 6.0, 2)[0]
-    for exemption in ({"started": 16.0}, {"away": [(12.0, 15.0)]}, {"ended": 20.5}):
+    for exemption in ({"started": 16.0}, {"paused": [(12.0, 15.0)]}, {"ended": 20.5}):
         assert row_oracles.exact(logs(said=alone, acting=late, **exemption), 6.0, 2) == []
-    for exemption in ({"away": [(2.0, 13.0)]}, {"ended": 22.0}):
+    for exemption in ({"paused": [(2.0, 13.0)]}, {"ended": 22.0}):
         assert row_oracles.exact(logs(said=alone, acting=late, **exemption), 6.0, 2) != []
     for fault, exempt in (
         ({"do": "cut", "a": ["s2"], "t": 12.0, "for": 3.0}, True),
