--- a/pipitshed/testbed/fleet/oracles.py
+++ b/pipitshed/testbed/fleet/oracles.py
@@ -9,7 +9,7 @@
 
 from pipitshed.testbed.clients import ClientRequest
 
-TOUCH = 1.0  # s around what was done to a process, within which its clients' requests may be lost
+DISRUPTION_MARGIN = 1.0  # s around what was done to a process, within which its clients' requests may be lost
 
 
 Version = tuple[int, int]  # a row's term and number
@@ -152,7 +152,7 @@
         )
 
 
-def living(logs: Logs) -> list[Instance]:
+def live_instances(logs: Logs) -> list[Instance]:
     """Who lives at the end, by the rig's log; of a name that two hold, the later start."""
     last: dict[str, Instance] = {}
     for one in sorted(logs.instances, key=lambda one: one.spawned):
@@ -163,7 +163,7 @@
 
 def settled(logs: Logs) -> tuple[float | None, list[str]]:
     """How long after the last fault every living process held the truth for good (s), and what is wrong."""
-    alive = living(logs)
+    alive = live_instances(logs)
     truth = {one.name: one.life for one in alive}
     latest = logs.over
     wrong = [] if alive else ["nobody lives"]
@@ -188,13 +188,16 @@
             if (
                 other is not None
                 and (other.ended is None or when < other.ended)
-                and not any(since <= when <= until + TOUCH for since, until in (*other.paused, *one.paused))
+                and not any(
+                    since <= when <= until + DISRUPTION_MARGIN
+                    for since, until in (*other.paused, *one.paused)
+                )
             ):
                 count += 1
     return count
 
 
-def requests(
+def check_requests(
     asked: list[ClientRequest], targets: dict[str, Instance], wanted_ms: float, all_in_time: bool
 ) -> tuple[dict[str, Any], list[str]]:
     """The clients' figures, and requests that were lost though nothing was done to their scheduler."""
@@ -202,8 +205,11 @@
     for one in asked:
         instance = targets[one.token]
         touched = [instance.spawned] if instance.ended is None else [instance.spawned, instance.ended]
-        near = any(one.sent - TOUCH <= when <= one.ended + TOUCH for when in touched) or any(
-            since - TOUCH <= one.ended and one.sent <= until + TOUCH for since, until in instance.paused
+        near = any(
+            one.sent - DISRUPTION_MARGIN <= when <= one.ended + DISRUPTION_MARGIN for when in touched
+        ) or any(
+            since - DISRUPTION_MARGIN <= one.ended and one.sent <= until + DISRUPTION_MARGIN
+            for since, until in instance.paused
         )
         if one.outcome == "unanswered" and not near:
             wrong.append(f"request {one.token} at {instance.name} was not answered: {one.detail}")
--- a/pipitshed/testbed/fleet/play.py
+++ b/pipitshed/testbed/fleet/play.py
@@ -195,7 +195,7 @@
         after, wrong = oracles.settled(logs)
         by_key: dict[tuple[int, int], Instance] = {(one.place, one.start): one for one in logs.instances}
         targets = {token: by_key[key] for token, key in self.targets.items()}
-        figures, lost = oracles.requests(
+        figures, lost = oracles.check_requests(
             self.asked, targets, self.scenario.traffic.wanted_ms, self.scenario.all_in_time
         )
         accounts = account(self.asked, self.planners.record.runs, self.planners.members)
--- a/pipitshed/testbed/fleet/row_oracles.py
+++ b/pipitshed/testbed/fleet/row_oracles.py
@@ -5,7 +5,14 @@
 from itertools import pairwise
 from typing import Any
 
-from pipitshed.testbed.fleet.oracles import TOUCH, InForce, Instance, Logs, Version, living
+from pipitshed.testbed.fleet.oracles import (
+    DISRUPTION_MARGIN,
+    InForce,
+    Instance,
+    Logs,
+    Version,
+    live_instances,
+)
 from pipitshed.testbed.fleet.scenario import LINKS, process_zone
 
 NONE: Version = (0, 0)
@@ -53,9 +60,9 @@
     for one in (writer, other):
         if not one.started or one.started > since:
             return False
-        if one.ended is not None and one.ended <= said.when + TOUCH:
+        if one.ended is not None and one.ended <= said.when + DISRUPTION_MARGIN:
             return False
-        if any(left <= said.when + TOUCH and back >= since for left, back in one.paused):
+        if any(left <= said.when + DISRUPTION_MARGIN and back >= since for left, back in one.paused):
             return False
     for fault in logs.faults:
         if fault["do"] not in (*LINKS, "cut-zone"):
@@ -94,7 +101,7 @@
 def settled(logs: Logs) -> list[str]:
     """Where those that live do not act on the same rows now, or on older ones than were in force."""
     wrong = []
-    alive = living(logs)
+    alive = live_instances(logs)
     held = [
         {key: acted(one, key, float("inf")) for key in {key for _, rows in one.acting for key in rows}}
         for one in alive
