--- a/pipitshed/testbed/fleet/play.py
+++ b/pipitshed/testbed/fleet/play.py
@@ -204,8 +204,8 @@
             wrong.append(f"settled {after:.2f} s after the last fault, not {self.scenario.settle_within}")
         if self.puts:
             wrong += (
-                row_oracles.exact(logs, self.scenario.settle_within, self.scenario.fleet.zones)
-                + row_oracles.backwards(logs)
+                row_oracles.check_in_force(logs, self.scenario.settle_within, self.scenario.fleet.zones)
+                + row_oracles.check_no_regression(logs)
                 + row_oracles.settled(logs)
             )
             figures |= row_oracles.figures(logs)
--- a/pipitshed/testbed/fleet/row_oracles.py
+++ b/pipitshed/testbed/fleet/row_oracles.py
@@ -18,7 +18,7 @@
 NONE: Version = (0, 0)
 
 
-def acted(one: Instance, key: str, when: float) -> Version:
+def version_acted_on(one: Instance, key: str, when: float) -> Version:
     """The version of a row that a process acted on at a time."""
     version = NONE
     for at, rows in one.acting:
@@ -28,7 +28,7 @@
     return version
 
 
-def backwards(logs: Logs) -> list[str]:
+def check_no_regression(logs: Logs) -> list[str]:
     """Where a process acted on an older row than before, over restarts that found their folder too."""
     wrong = []
     by_place: dict[int, list[Instance]] = {}
@@ -48,7 +48,10 @@
                 continue
             keys = {key for _, rows in before.acting for key in rows}
             for key in sorted(keys):
-                was, then = acted(before, key, float("inf")), acted(after, key, after.started)
+                was, then = (
+                    version_acted_on(before, key, float("inf")),
+                    version_acted_on(after, key, after.started),
+                )
                 if then < was:
                     wrong.append(f"{after.name} started with {key} at {then}, and had acted on {was}")
     return wrong
@@ -77,7 +80,7 @@
     return True
 
 
-def exact(logs: Logs, settle: float, zones: int) -> list[str]:
+def check_in_force(logs: Logs, settle: float, zones: int) -> list[str]:
     """Where `in force` was said of a row that one in touch did not act on at that moment."""
     by_life = {(one.name, one.life): one for one in logs.instances}
     wrong = []
@@ -86,12 +89,12 @@
             row = f"{said.key} {said.version} of {writer.name}"
             for name, life in said.acting.items():
                 one = by_life.get((name, life))
-                if one is None or acted(one, said.key, said.when) < said.version:
+                if one is None or version_acted_on(one, said.key, said.when) < said.version:
                     wrong.append(f"{row} was said to be in force, and {name} did not act on it")
             for one in logs.instances:
                 if (
                     one.name not in said.acting
-                    and acted(one, said.key, said.when) < said.version
+                    and version_acted_on(one, said.key, said.when) < said.version
                     and _reached(logs, said, writer, one, settle, zones)
                 ):
                     wrong.append(f"{row} was said to be in force, without {one.name}, which was in touch")
@@ -103,7 +106,10 @@
     wrong = []
     alive = live_instances(logs)
     held = [
-        {key: acted(one, key, float("inf")) for key in {key for _, rows in one.acting for key in rows}}
+        {
+            key: version_acted_on(one, key, float("inf"))
+            for key in {key for _, rows in one.acting for key in rows}
+        }
         for one in alive
     ]
     for one, rows in zip(alive, held, strict=True):
--- a/tests/cluster/test_settings_rig.py
+++ b/tests/cluster/test_settings_rig.py
@@ -115,16 +115,20 @@
 
 def test_in_force_is_rejected_if_a_named_or_reachable_member_does_not_apply_the_row() -> None:
     late = [(9.0, {SHARE: (1, 1)}), (20.1, {SHARE: (1, 2)})]
-    assert row_oracles.exact(logs(), 6.0, 2) == []
-    assert "s2 did not act on it" in row_oracles.exact(logs(acting=late), 6.0, 2)[0]
-    assert "s2 did not act" in row_oracles.exact(logs(life=23), 6.0, 2)[0]  # reported of another instance
+    assert row_oracles.check_in_force(logs(), 6.0, 2) == []
+    assert "s2 did not act on it" in row_oracles.check_in_force(logs(acting=late), 6.0, 2)[0]
+    assert (
+        "s2 did not act" in row_oracles.check_in_force(logs(life=23), 6.0, 2)[0]
+    )  # reported of another instance
     alone = {"s1": 11}
-    assert row_oracles.exact(logs(said=alone), 6.0, 2) == []  # it applies the row, though it is not named
-    assert "without s2" in row_oracles.exact(logs(said=alone, acting=late), 6.0, 2)[0]
+    assert (
+        row_oracles.check_in_force(logs(said=alone), 6.0, 2) == []
+    )  # it applies the row, though it is not named
+    assert "without s2" in row_oracles.check_in_force(logs(said=alone, acting=late), 6.0, 2)[0]
     for exemption in ({"started": 16.0}, {"paused": [(12.0, 15.0)]}, {"ended": 20.5}):
-        assert row_oracles.exact(logs(said=alone, acting=late, **exemption), 6.0, 2) == []
+        assert row_oracles.check_in_force(logs(said=alone, acting=late, **exemption), 6.0, 2) == []
     for exemption in ({"paused": [(2.0, 13.0)]}, {"ended": 22.0}):
-        assert row_oracles.exact(logs(said=alone, acting=late, **exemption), 6.0, 2) != []
+        assert row_oracles.check_in_force(logs(said=alone, acting=late, **exemption), 6.0, 2) != []
     for fault, exempt in (
         ({"do": "cut", "a": ["s2"], "t": 12.0, "for": 3.0}, True),
         ({"do": "cut", "a": ["s2"], "t": 2.0, "for": 3.0}, False),
@@ -134,13 +138,13 @@
     ):
         changed_logs = logs(said=alone, acting=late)
         changed_logs.faults.append(fault)
-        assert (row_oracles.exact(changed_logs, 6.0, 2) == []) is exempt, fault
+        assert (row_oracles.check_in_force(changed_logs, 6.0, 2) == []) is exempt, fault
 
 
 def test_older_row_is_rejected_in_one_instance_and_after_a_restart_with_its_folder() -> None:
-    assert row_oracles.backwards(logs()) == []
+    assert row_oracles.check_no_regression(logs()) == []
     back = [(9.0, {SHARE: (1, 2)}), (10.0, {SHARE: (1, 1)})]
-    assert "went back" in row_oracles.backwards(logs(acting=back))[0]
+    assert "went back" in row_oracles.check_no_regression(logs(acting=back))[0]
     for rows, disk, wrong in (
         ({}, True, True),
         ({}, False, False),
@@ -160,7 +164,7 @@
                 acting=[(25.4, rows), (25.6, {SHARE: (1, 2)})][: 1 + (rows == {})],
             )
         )
-        assert ("started with" in "".join(row_oracles.backwards(changed_logs))) is wrong, rows
+        assert ("started with" in "".join(row_oracles.check_no_regression(changed_logs))) is wrong, rows
 
 
 def test_all_apply_the_same_rows_at_the_end_and_none_older_than_one_in_force() -> None:
