--- a/pipitshed/testbed/fleet/row_oracles.py
+++ b/pipitshed/testbed/fleet/row_oracles.py
@@ -57,7 +57,9 @@
     return wrong
 
 
-def _reached(logs: Logs, said: InForce, writer: Instance, other: Instance, settle: float, zones: int) -> bool:
+def _in_contact(
+    logs: Logs, said: InForce, writer: Instance, other: Instance, settle: float, zones: int
+) -> bool:
     """Whether nothing was done to either of two, or to what is between them, for a while before."""
     since = said.when - settle
     for one in (writer, other):
@@ -95,7 +97,7 @@
                 if (
                     one.name not in said.acting
                     and version_acted_on(one, said.key, said.when) < said.version
-                    and _reached(logs, said, writer, one, settle, zones)
+                    and _in_contact(logs, said, writer, one, settle, zones)
                 ):
                     wrong.append(f"{row} was said to be in force, without {one.name}, which was in touch")
     return wrong
