--- a/pipitshed/testbed/fleet/links.py
+++ b/pipitshed/testbed/fleet/links.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-DRIPPED_AT_ONCE = 64  # bytes
+DRIP_CHUNK = 64  # bytes
 
 
 @dataclass
@@ -33,7 +33,7 @@
         return self._most("delay") + (self.rng.uniform(0.0, jitter) if jitter else 0.0)
 
     @property
-    def pace(self) -> float:
+    def bytes_per_second(self) -> float:
         """Bytes a second on a stream; 0 for no bound."""
         return min((amount for kind, amount in self.faults if kind == "drip"), default=0.0)
 
@@ -52,15 +52,13 @@
             copies[0] += self.rng.uniform(0.02, 0.15)
         return copies
 
-    def dripped(self, size: int) -> list[tuple[int, float]]:
+    def throttled(self, size: int) -> list[tuple[int, float]]:
         """How so many bytes of a stream go on: parts, and the pause (s) behind each."""
-        pace = self.pace
-        if not pace:
+        bytes_per_second = self.bytes_per_second
+        if not bytes_per_second:
             return [(size, 0.0)]
-        parts = [DRIPPED_AT_ONCE] * (size // DRIPPED_AT_ONCE) + (
-            [size % DRIPPED_AT_ONCE] if size % DRIPPED_AT_ONCE else []
-        )
-        return [(part, part / pace) for part in parts]
+        parts = [DRIP_CHUNK] * (size // DRIP_CHUNK) + ([size % DRIP_CHUNK] if size % DRIP_CHUNK else [])
+        return [(part, part / bytes_per_second) for part in parts]
 
 
 class Links:
--- a/pipitshed/testbed/fleet/relays.py
+++ b/pipitshed/testbed/fleet/relays.py
@@ -112,7 +112,7 @@
                 if delay := link.delay:
                     await asyncio.sleep(delay)
                 place = 0
-                for size, pause in link.dripped(len(data)):
+                for size, pause in link.throttled(len(data)):
                     writer.write(data[place : place + size])
                     place += size
                     await writer.drain()
