--- a/pipitshed/testbed/fleet/faults.py
+++ b/pipitshed/testbed/fleet/faults.py
@@ -35,7 +35,7 @@
             await self._on_links(fault)
         elif fault.do == "roll":
             for process in list(self._processes.all):
-                await self._again(process, fault, good=True)
+                await self._restart(process, fault, graceful=True)
         elif fault.do == "join":
             processes = [await self._processes.add() for _ in range(fault.count)]
             await asyncio.gather(*(process.start() for process in processes))
@@ -77,24 +77,24 @@
 
     async def _on_process(self, process: Process, fault: Fault) -> None:
         if fault.do == "pause":
-            async with self._alone(process):
+            async with self._lock(process):
                 if process.alive:
                     process.pause()
                     await asyncio.sleep(fault.lasts)
                     process.resume()
         elif fault.do == "kill-for-good":
-            async with self._alone(process):
+            async with self._lock(process):
                 process.kill()
                 await process.wait_ended()
         else:
-            await self._again(process, fault, good=fault.do == "term")
+            await self._restart(process, fault, graceful=fault.do == "term")
 
-    async def _again(self, process: Process, fault: Fault, good: bool) -> None:
+    async def _restart(self, process: Process, fault: Fault, graceful: bool) -> None:
         """End a process and start it anew, where it still lives."""
-        async with self._alone(process):
+        async with self._lock(process):
             if not process.alive:
                 return
-            if good:
+            if graceful:
                 await process.terminate()
             else:
                 process.kill()
@@ -102,5 +102,5 @@
             await asyncio.sleep(fault.lasts)
             await process.start(fault.disk, fault.amount if fault.do == "clock" else 0.0)
 
-    def _alone(self, process: Process) -> asyncio.Lock:
+    def _lock(self, process: Process) -> asyncio.Lock:
         return self._busy.setdefault(process.place, asyncio.Lock())
--- a/pipitshed/testbed/fleet/oracles.py
+++ b/pipitshed/testbed/fleet/oracles.py
@@ -91,34 +91,36 @@
             self._read[name] = self._read.get(name, 0) + len(data) + 1
         return data.splitlines()
 
-    def _rig(self, told: dict[str, Any]) -> None:
-        event, key = told["event"], (told.get("place", -1), told.get("start", -1))
+    def _rig(self, event_record: dict[str, Any]) -> None:
+        event, key = event_record["event"], (event_record.get("place", -1), event_record.get("start", -1))
         logs, instances = self.logs, self._instances
         if event == "spawn":
             one = instances[key] = Instance(
-                told["process"], *key, spawned=told["t"], disk=told.get("disk", True)
+                event_record["process"], *key, spawned=event_record["t"], disk=event_record.get("disk", True)
             )
             logs.instances.append(one)
-            self._events[told["events"]] = one
+            self._events[event_record["events"]] = one
         elif event in ("kill", "term", "died"):
             if key in instances and instances[key].ended is None:
-                instances[key].ended = told["t"]
+                instances[key].ended = event_record["t"]
             if event == "died":
-                logs.rig_errors.append(f"{told['process']} ended by itself, with {told['code']}")
+                logs.rig_errors.append(
+                    f"{event_record['process']} ended by itself, with {event_record['code']}"
+                )
         elif event == "pause":
-            instances[key].paused.append((told["t"], float("inf")))
+            instances[key].paused.append((event_record["t"], float("inf")))
         elif event == "wake" and instances[key].paused:
-            instances[key].paused[-1] = (instances[key].paused[-1][0], told["t"])
+            instances[key].paused[-1] = (instances[key].paused[-1][0], event_record["t"])
         elif event == "fault":
-            logs.faults.append(told)
+            logs.faults.append(event_record)
         elif event == "wrong":
-            logs.rig_errors.append(told["text"])
+            logs.rig_errors.append(event_record["text"])
         elif event == "over":
-            logs.over = told["t"]
+            logs.over = event_record["t"]
         elif event == "end":
-            logs.end = told["t"]
+            logs.end = event_record["t"]
         elif event == "put":
-            logs.puts.append(told)
+            logs.puts.append(event_record)
 
 
 def read(folder: Path) -> Logs:
@@ -133,22 +135,29 @@
     return logs
 
 
-def _event(one: Instance, told: dict[str, Any]) -> None:
-    event = told["event"]
+def _event(one: Instance, event_record: dict[str, Any]) -> None:
+    event = event_record["event"]
     if event == "started":
-        one.life, one.started = told["life"], told.get("t", 0.0)
+        one.life, one.started = event_record["life"], event_record.get("t", 0.0)
     elif event == "view":
-        one.views.append((told["t"], {name: life for name, life in told["living"]}))
-    elif event == "member" and told["state"] == "dead":
-        one.deaths.append((told["t"], told["name"], told["life"]))
+        one.views.append((event_record["t"], {name: life for name, life in event_record["living"]}))
+    elif event == "member" and event_record["state"] == "dead":
+        one.deaths.append((event_record["t"], event_record["name"], event_record["life"]))
     elif event == "displaced":
         one.displaced = True
     elif event == "acting":
-        one.acting.append((told["t"], {key: (term, number) for key, term, number in told["rows"]}))
-        one.refused += [(told["t"], key, why) for key, why in told["refused"]]
+        one.acting.append(
+            (event_record["t"], {key: (term, number) for key, term, number in event_record["rows"]})
+        )
+        one.refused += [(event_record["t"], key, why) for key, why in event_record["refused"]]
     elif event == "in_force":
         one.in_force.append(
-            InForce(told["t"], told["key"], (told["term"], told["number"]), dict(told["acting"]))
+            InForce(
+                event_record["t"],
+                event_record["key"],
+                (event_record["term"], event_record["number"]),
+                dict(event_record["acting"]),
+            )
         )
 
 
--- a/pipitshed/testbed/fleet/play.py
+++ b/pipitshed/testbed/fleet/play.py
@@ -23,12 +23,12 @@
 from pipitshed.testbed.fleet.standins import PlannerFleet
 from pipitshed.testbed.planner import Behaviour
 
-LOOK = 0.05  # s between looks whether all hold the truth
-STAYS = 1.0  # s for which it must be held then
-CALM = 1.0  # s of traffic before the first fault
+POLL_INTERVAL = 0.05  # s between looks whether all hold the truth
+AGREEMENT_HOLD = 1.0  # s for which it must be held then
+WARM_UP = 1.0  # s of traffic before the first fault
 MIX = {"http-v1": 1.0}
-TRIES = 8  # schedulers that a client asks until one takes its request
-NEVER = ("answered_twice", "ran_twice_forbidden", "wrong_result", "served_unrun", "ran_unasked")
+MAX_ATTEMPTS = 8  # schedulers that a client asks until one takes its request
+MUST_BE_ZERO = ("answered_twice", "ran_twice_forbidden", "wrong_result", "served_unrun", "ran_unasked")
 
 
 class Log:
@@ -80,7 +80,7 @@
             if joined is None:
                 self.log("wrong", text=f"the fleet had not joined after {self.scenario.joined_within} s")
             traffic = asyncio.create_task(self._traffic())
-            await asyncio.sleep(CALM)
+            await asyncio.sleep(WARM_UP)
             faults, puts = Faults(self.processes, self.log), SettingChanges(self.processes, self.log)
             putting = asyncio.create_task(puts.play(self.puts))
             await faults.play(self.faults)
@@ -92,7 +92,7 @@
                 last = await puts.one(SettingChange(0.0, process_name(0), KEYS[0], "0.5"))
                 if last != "in force":
                     self.log("wrong", text=f"the last change, with all faults over, was {last}")
-            await asyncio.sleep(STAYS)
+            await asyncio.sleep(AGREEMENT_HOLD)
             traffic.cancel()
             await asyncio.gather(*self._asking)
             self.log("end", joined=joined, began=began)
@@ -125,7 +125,7 @@
             logs = self._reading.read_new()
             if not oracles.settled(logs)[1] and not row_oracles.settled(logs):
                 return monotonic() - began
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL)
         return None
 
     async def _watch(self) -> None:
@@ -145,7 +145,7 @@
                         start=one.starts,
                         code=one.running.returncode,
                     )
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL)
 
     # ---- clients
 
@@ -170,7 +170,7 @@
         """Ask until a scheduler has taken the request: one that refuses the connection, or had closed a kept
         one before the request came, has not, and another is asked as the platform's front would do.
         """
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             self.targets[one.token] = (process.place, process.starts)
             clients = self._clients.setdefault(process.place, HttpClients(HTTP_PORT, process.real[0]))
             one.not_accepted, one.outcome, one.reused_connection = False, "", False
@@ -199,7 +199,7 @@
             self.asked, targets, self.scenario.traffic.wanted_ms, self.scenario.all_in_time
         )
         accounts = account(self.asked, self.planners.record.runs, self.planners.members)
-        wrong += [f"{name}: {accounts['faults'][name][:2]}" for name in NEVER if accounts[name]]  # type: ignore[index]
+        wrong += [f"{name}: {accounts['faults'][name][:2]}" for name in MUST_BE_ZERO if accounts[name]]  # type: ignore[index]
         if after is not None and after > self.scenario.settle_within:
             wrong.append(f"settled {after:.2f} s after the last fault, not {self.scenario.settle_within}")
         if self.puts:
--- a/pipitshed/testbed/fleet/processes.py
+++ b/pipitshed/testbed/fleet/processes.py
@@ -22,11 +22,15 @@
 from pipitshed.testbed.program import configuration
 
 PEER_PORT, HTTP_PORT, PLANNERS_FROM = 7946, 8000, 9000
-REAL, PUBLIC, OUTSIDE = 10, 110, 210  # last part of the loopback addresses of processes, relays and stand-ins
-MOST = 95  # places
-STARTS_WITHIN = 20.0  # s
-ENDS_WITHIN = 25.0  # s after SIGTERM
-LOOK = 0.02  # s
+PROCESS_HOSTS, RELAY_HOSTS, OUTSIDE_HOST = (
+    10,
+    110,
+    210,
+)  # last part of the loopback addresses of processes, relays and stand-ins
+MAX_PROCESSES = 95  # places
+START_TIMEOUT = 20.0  # s
+STOP_TIMEOUT = 25.0  # s after SIGTERM
+POLL_INTERVAL = 0.02  # s
 
 
 class ProcessError(RuntimeError):
@@ -39,7 +43,7 @@
     return f"127.{64 + (pid >> 8) % 128}.{pid & 255}"
 
 
-class _Via:
+class _RelayedMember:
     """A planner as one scheduler reaches it."""
 
     def __init__(self, member: Member, address: Address) -> None:
@@ -55,8 +59,8 @@
     def __init__(self, fleet: Processes, place: int, name: str) -> None:
         self.fleet, self.place, self.name = fleet, place, name
         self.zone = process_zone(place, fleet.shape.zones)
-        self.real: Address = (f"{fleet.block}.{REAL + place}", PEER_PORT)
-        self.public: Address = (f"{fleet.block}.{PUBLIC + place}", PEER_PORT)
+        self.real: Address = (f"{fleet.block}.{PROCESS_HOSTS + place}", PEER_PORT)
+        self.public: Address = (f"{fleet.block}.{RELAY_HOSTS + place}", PEER_PORT)
         self.relay = Relay(name, self.public, self.real, fleet.links, fleet.caller)
         self.discovery = Discovery()
         self._relays = [self.relay]
@@ -72,7 +76,7 @@
         """Relays for its peers, and to its discovery and planners."""
         await self.relay.start()
         await self.discovery.start()
-        outside = f"{self.fleet.block}.{OUTSIDE}"
+        outside = f"{self.fleet.block}.{OUTSIDE_HOST}"
         first = PLANNERS_FROM + self.place * 64
         targets = [("discovery", self.discovery.port), *((one.name, one.forwarder.port) for one in members)]
         for number, (name, port) in enumerate(targets):
@@ -86,7 +90,7 @@
             await relay.start()
             self._relays.append(relay)
         self.discovery.members = [
-            _Via(one, (outside, first + 1 + number)) for number, one in enumerate(members)
+            _RelayedMember(one, (outside, first + 1 + number)) for number, one in enumerate(members)
         ]
         self._outside: Address = (outside, first)
 
@@ -97,7 +101,7 @@
         config["settings"]["siblings"] = self.fleet.shape.processes
         (self.folder / "config.json").write_text(json.dumps(config))
         shape = self.fleet.shape
-        seeds = [f"{self.fleet.block}.{PUBLIC + place}:{PEER_PORT}" for place in range(shape.seeds)]
+        seeds = [f"{self.fleet.block}.{RELAY_HOSTS + place}:{PEER_PORT}" for place in range(shape.seeds)]
         scales = "\n".join(
             f"{name.replace('_', '-')} = {value}"
             for name, value in msgspec.structs.asdict(shape.scales).items()
@@ -139,13 +143,13 @@
             clock=clock,
             disk=disk,
         )
-        until = monotonic() + STARTS_WITHIN
+        until = monotonic() + START_TIMEOUT
         while not (events.exists() and events.stat().st_size):
             if self.running.returncode is not None or monotonic() > until:
                 raise ProcessError(
                     f"{self.name} did not start: see log-{self.name}-{self.place + 1}-{self.starts}.txt"
                 )
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL)
         self.accepts_clients = True
 
     def kill(self) -> None:
@@ -168,10 +172,10 @@
             return
         self.running.send_signal(signal.SIGTERM)
         try:
-            code = await asyncio.wait_for(self.running.wait(), ENDS_WITHIN)
+            code = await asyncio.wait_for(self.running.wait(), STOP_TIMEOUT)
         except TimeoutError:
             self.running.kill()
-            raise ProcessError(f"{self.name} did not end {ENDS_WITHIN:.0f} s after SIGTERM") from None
+            raise ProcessError(f"{self.name} did not end {STOP_TIMEOUT:.0f} s after SIGTERM") from None
         if code != 0:
             raise ProcessError(f"{self.name} ended with {code} after SIGTERM")
 
@@ -219,13 +223,13 @@
     def caller(self, host: str) -> Relay | None:
         """The relay of the process at a loopback address; None for anyone else."""
         head, _, last = host.rpartition(".")
-        place = int(last) - REAL
+        place = int(last) - PROCESS_HOSTS
         return self.all[place].relay if head == self.block and 0 <= place < len(self.all) else None
 
     async def add(self, name: str = "") -> Process:
         """A new place, with its relays; nothing runs there yet."""
-        if len(self.all) >= MOST:
-            raise ProcessError(f"no more than {MOST} places")
+        if len(self.all) >= MAX_PROCESSES:
+            raise ProcessError(f"no more than {MAX_PROCESSES} places")
         process = Process(self, len(self.all), name or process_name(len(self.all)))
         self.all.append(process)
         await process.open(self._members)
--- a/pipitshed/testbed/fleet/puts.py
+++ b/pipitshed/testbed/fleet/puts.py
@@ -7,7 +7,7 @@
 from time import monotonic
 from typing import TypeVar
 
-from pipitshed.cli.client import RequestError as AskError
+from pipitshed.cli.client import RequestError
 from pipitshed.cli.client import send_request as ask
 from pipitshed.cluster.codec import Codec
 from pipitshed.cluster.messages import (
@@ -23,9 +23,9 @@
 from pipitshed.testbed.fleet.processes import Process, Processes
 from pipitshed.testbed.fleet.scenario import SettingChange
 
-LOOK = 0.1  # s between questions whether one is in force
-WITHIN = 20.0  # s for which one is followed
-_Told = TypeVar("_Told", bound=ClusterMessage)
+POLL_INTERVAL = 0.1  # s between questions whether one is in force
+FOLLOW_TIMEOUT = 20.0  # s for which one is followed
+_Reply = TypeVar("_Reply", bound=ClusterMessage)
 
 
 class SettingChanges:
@@ -53,7 +53,7 @@
         try:
             if up:
                 how, version = await self._follow(up[-1], put)
-        except AskError:
+        except RequestError:
             pass  # it was killed, or stands still: whether the change was taken is not known
         finally:
             self._log(
@@ -74,21 +74,21 @@
 
         One that the process refuses as it has just started is put again, as the operators' page says.
         """
-        until = monotonic() + WITHIN
+        until = monotonic() + FOLLOW_TIMEOUT
         done = await self._put(process, put)
         while done.why == NOT_COMPARED and monotonic() < until:
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL)
             done = await self._put(process, put)
         if done.why:
             self._log("refused", key=put.key, process=process.name, why=done.why)
             return "refused", (0, 0)
         version = done.term, done.number
-        until = monotonic() + WITHIN
+        until = monotonic() + FOLLOW_TIMEOUT
         while monotonic() < until:
             force = await self._ask(process, CommitStatusRequest(put.key, *version), CommitStatusResponse)
             if force.in_force or force.superseded:
                 return "in force" if force.in_force else "superseded", version
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL)
         return "not in force", version
 
     async def _put(self, process: Process, put: SettingChange) -> PutResponse:
@@ -98,5 +98,5 @@
         other = bool(held) and held[0].writer != process.name
         return await self._ask(process, PutRow(put.key, put.value.encode(), over, other), PutResponse)
 
-    async def _ask(self, process: Process, message: ClusterMessage, wanted: type[_Told]) -> _Told:
+    async def _ask(self, process: Process, message: ClusterMessage, wanted: type[_Reply]) -> _Reply:
         return await asyncio.to_thread(ask, process.real, self._codec, message, wanted)
--- a/pipitshed/testbed/fleet/relays.py
+++ b/pipitshed/testbed/fleet/relays.py
@@ -15,7 +15,7 @@
 from pipitshed.testbed.fleet.links import Link, Links
 
 Address = tuple[str, int]
-BLACK_HOLE = 0.02  # s between looks whether a cut link is whole again
+CUT_POLL_INTERVAL = 0.02  # s between looks whether a cut link is whole again
 
 
 class _Datagrams(asyncio.DatagramProtocol):
@@ -88,7 +88,7 @@
         self._streams[writer.transport] = name
         try:
             while there.cut or back.cut:  # it never comes up, until the caller gives up
-                await asyncio.sleep(BLACK_HOLE)
+                await asyncio.sleep(CUT_POLL_INTERVAL)
                 if writer.is_closing() or reader.at_eof():
                     return
             await asyncio.sleep(there.delay)
@@ -108,7 +108,7 @@
         with contextlib.suppress(OSError, RuntimeError):  # the latter where uvloop's other end has closed
             while data := await reader.read(65536):
                 while link.cut:
-                    await asyncio.sleep(BLACK_HOLE)
+                    await asyncio.sleep(CUT_POLL_INTERVAL)
                 if delay := link.delay:
                     await asyncio.sleep(delay)
                 place = 0
--- a/pipitshed/testbed/fleet/row_oracles.py
+++ b/pipitshed/testbed/fleet/row_oracles.py
@@ -58,21 +58,21 @@
 
 
 def _in_contact(
-    logs: Logs, said: InForce, writer: Instance, other: Instance, settle: float, zones: int
+    logs: Logs, claim: InForce, writer: Instance, other: Instance, settle: float, zones: int
 ) -> bool:
     """Whether nothing was done to either of two, or to what is between them, for a while before."""
-    since = said.when - settle
+    since = claim.when - settle
     for one in (writer, other):
         if not one.started or one.started > since:
             return False
-        if one.ended is not None and one.ended <= said.when + DISRUPTION_MARGIN:
+        if one.ended is not None and one.ended <= claim.when + DISRUPTION_MARGIN:
             return False
-        if any(left <= said.when + DISRUPTION_MARGIN and back >= since for left, back in one.paused):
+        if any(left <= claim.when + DISRUPTION_MARGIN and back >= since for left, back in one.paused):
             return False
     for fault in logs.faults:
         if fault["do"] not in (*LINKS, "cut-zone"):
             continue
-        if fault["t"] > said.when or fault["t"] + fault.get("for", 0.0) < since:
+        if fault["t"] > claim.when or fault["t"] + fault.get("for", 0.0) < since:
             continue
         if fault["do"] == "cut-zone":
             if len({process_zone(one.place, zones) in fault["a"] for one in (writer, other)}) == 2:
@@ -87,17 +87,17 @@
     by_life = {(one.name, one.life): one for one in logs.instances}
     wrong = []
     for writer in logs.instances:
-        for said in writer.in_force:
-            row = f"{said.key} {said.version} of {writer.name}"
-            for name, life in said.acting.items():
+        for claim in writer.in_force:
+            row = f"{claim.key} {claim.version} of {writer.name}"
+            for name, life in claim.acting.items():
                 one = by_life.get((name, life))
-                if one is None or version_acted_on(one, said.key, said.when) < said.version:
+                if one is None or version_acted_on(one, claim.key, claim.when) < claim.version:
                     wrong.append(f"{row} was said to be in force, and {name} did not act on it")
             for one in logs.instances:
                 if (
-                    one.name not in said.acting
-                    and version_acted_on(one, said.key, said.when) < said.version
-                    and _in_contact(logs, said, writer, one, settle, zones)
+                    one.name not in claim.acting
+                    and version_acted_on(one, claim.key, claim.when) < claim.version
+                    and _in_contact(logs, claim, writer, one, settle, zones)
                 ):
                     wrong.append(f"{row} was said to be in force, without {one.name}, which was in touch")
     return wrong
@@ -121,9 +121,9 @@
                 f"acts on {sorted(held[0].items() - rows.items())}"
             )
     for writer in logs.instances:
-        for said in writer.in_force:
-            if held and held[0].get(said.key, NONE) < said.version:
-                wrong.append(f"{said.key} {said.version} was in force, and is gone")
+        for claim in writer.in_force:
+            if held and held[0].get(claim.key, NONE) < claim.version:
+                wrong.append(f"{claim.key} {claim.version} was in force, and is gone")
     return wrong
 
 
