--- a/benchmarks/capacity/regions.py
+++ b/benchmarks/capacity/regions.py
@@ -76,7 +76,7 @@
     for lost, writer in writers.items():
         play.settings(writer, keys[lost])
     play.holds(fleet.quiet, QUIET_WITHIN, 1.0)
-    fleet.part_region(LOST_REGION)
+    fleet.isolate_region(LOST_REGION)
     with play.counted() as spent:
         for number in range(RESTARTS):
             for lost in (True, False):
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -59,7 +59,7 @@
     def counted(self) -> Iterator[Spent]:
         """Count what is sent in the block, and whose work it was."""
         fleet, spent = self.fleet, Spent()
-        fleet.count_anew()
+        fleet.reset_counts()
         begun, cpu, wall = fleet.now, time.process_time(), time.perf_counter()
         yield spent
         spent.seconds = fleet.now - begun
@@ -243,7 +243,7 @@
         fleet.kill(last)
         fleet.start(size - 1, fleet.seeds)
         play.to_one_view("one restarted")
-        fleet.lose_zone(LOST_ZONE)
+        fleet.kill_zone(LOST_ZONE)
         play.to_one_view("zone lost", lost=float(size - len(fleet.nodes)))
     except TimeOverError:
         play.rows.append(
--- a/pipitshed/testbed/virtual_fleet.py
+++ b/pipitshed/testbed/virtual_fleet.py
@@ -66,19 +66,19 @@
         self.seeds = [seed for seed in SEEDS if seed < size]
         return [self.start(number, self.seeds) for number in range(size)]
 
-    def count_anew(self) -> None:
+    def reset_counts(self) -> None:
         """Count from here on."""
         self.out, self.into, self.busy, self.too_long = {}, {}, 0.0, 0
         self.sent.clear()
         self.bytes_out.clear()
 
-    def lose_zone(self, zone: str) -> None:
+    def kill_zone(self, zone: str) -> None:
         """All in a zone are gone, and nobody is told."""
         for node in list(self.nodes.values()):
             if self.zone(node.address) == zone:
                 self.kill(node)
 
-    def part_region(self, lost: str) -> None:
+    def isolate_region(self, lost: str) -> None:
         """Cut one region off from the others, both ways."""
         self.cut = lambda source, target: (
             (region(self.zone(source)) == lost) != (region(self.zone(target)) == lost)
@@ -88,7 +88,7 @@
         """No more cuts."""
         self.cut = lambda source, target: False
 
-    def one_view(self) -> bool:
+    def views_agree(self) -> bool:
         """Whether all hold exactly those alive that live. Compares digests, which each keeps anyway."""
         views = [node.membership.view for node in self.nodes.values()]
         return (
@@ -97,7 +97,7 @@
             and all(word.state is not MemberState.SUSPECT for view in views for word in view)
         )
 
-    def one_table(self) -> bool:
+    def tables_agree(self) -> bool:
         """Whether all hold the same settings, and know that they do."""
         return len({node.tables[0].digest() for node in self.nodes.values()}) == 1 and all(
             node.tables[0].caught_up for node in self.nodes.values()
@@ -105,7 +105,7 @@
 
     def whole(self) -> bool:
         """Whether all hold one true view, and the same settings."""
-        return self.one_table() and self.one_view()
+        return self.tables_agree() and self.views_agree()
 
     def quiet(self) -> bool:
         """Whether that is so and nobody has anything left to tell."""
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -28,7 +28,7 @@
     assert fleet.until(fleet.quiet, 30.0, 0.5) is not None
     put(fleet, first, range(rows))
     assert fleet.until(fleet.quiet, 60.0, 0.5) is not None
-    fleet.count_anew()
+    fleet.reset_counts()
     return fleet
 
 
@@ -62,20 +62,20 @@
     for change in range(20):
         put(fleet, writer, [change])
         fleet.run(0.05)
-    assert fleet.until(fleet.one_table, 4.0, 0.1) is not None
+    assert fleet.until(fleet.tables_agree, 4.0, 0.1) is not None
     assert worst(fleet.out.values()) < 9000
 
 
 def test_regions_that_changed_apart_are_whole_within_ten_seconds_of_meeting() -> None:
     fleet = joined(20, rows=100)
-    fleet.part_region("centro")
+    fleet.isolate_region("centro")
     inside = next(node for node in fleet.nodes.values() if region(fleet.zone(node.address)) == "centro")
     outside = next(iter(fleet.nodes.values()))
     put(fleet, inside, range(1000, 1050))
     put(fleet, outside, range(50))
     fleet.run(130.0)  # longer than a tombstone
     fleet.heal()
-    fleet.count_anew()
+    fleet.reset_counts()
     assert fleet.until(fleet.whole, 10.0, 0.1) is not None
     assert worst(fleet.out.values()) < 9000
 
