--- a/benchmarks/capacity/regions.py
+++ b/benchmarks/capacity/regions.py
@@ -75,7 +75,7 @@
     keys = {lost: [key(number) for number in range(lost, TEAMS, 2)] for lost in (True, False)}
     for lost, writer in writers.items():
         play.settings(writer, keys[lost])
-    play.holds(fleet.quiet, QUIET_WITHIN, 1.0)
+    play.holds(fleet.quiescent, QUIET_WITHIN, 1.0)
     fleet.isolate_region(LOST_REGION)
     with play.counted() as spent:
         for number in range(RESTARTS):
@@ -100,7 +100,7 @@
     nodes, older = list(fleet.nodes.values()), 0
     writer = nodes[-1].address
     play.settings(nodes[-1], [key(number) for number in range(TEAMS)])
-    play.holds(fleet.quiet, QUIET_WITHIN, 1.0)
+    play.holds(fleet.quiescent, QUIET_WITHIN, 1.0)
     with play.counted() as spent:
         for wave in range(WAVES):
             going = [fleet.nodes[node.address] for node in nodes[wave::WAVES]]
@@ -116,7 +116,7 @@
                 for node in going
                 for row in node.tables[0]
             )
-        settled = play.holds(fleet.whole, SETTLED_WITHIN)
+        settled = play.holds(fleet.converged, SETTLED_WITHIN)
     told = {"rows_older": float(older), "changes": float(WAVES * WAVE_CHANGES)}
     why = "" if settled is not None else f"not one view after {SETTLED_WITHIN:.0f} virtual s"
     play.row("restart wave", spent, why, **told, settled_ms=(settled or 0.0) * 1000)
@@ -130,7 +130,7 @@
         play = Play(VirtualFleet(seed=3), size, until, SLOPE, rows)
         try:
             play.fleet.fleet(size)
-            play.holds(play.fleet.quiet, QUIET_WITHIN, 1.0)
+            play.holds(play.fleet.quiescent, QUIET_WITHIN, 1.0)
             case(play)
         except TimeOverError:
             rows.append(
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -73,7 +73,7 @@
             self.in_time()
             return what()
 
-        return self.fleet.until(looked, within, step)
+        return self.fleet.run_until(looked, within, step)
 
     def run(self, seconds: float) -> None:
         """Let so much virtual time pass."""
@@ -109,8 +109,8 @@
         """Count until all hold one true view and the same settings, then until nothing is left to tell."""
         begun = self.fleet.now
         with self.counted() as spent:
-            settled = self.holds(self.fleet.whole, SETTLED_WITHIN)
-            quiet = self.holds(self.fleet.quiet, QUIET_WITHIN, 1.0)
+            settled = self.holds(self.fleet.converged, SETTLED_WITHIN)
+            quiet = self.holds(self.fleet.quiescent, QUIET_WITHIN, 1.0)
         figures = dict(told)
         if settled is not None:
             figures["settled_ms"] = settled * 1000
@@ -236,9 +236,9 @@
         )
         changes(play, "changes, loss 1%")
         fleet.loss = 0.0
-        play.holds(fleet.quiet, QUIET_WITHIN, 1.0)
+        play.holds(fleet.quiescent, QUIET_WITHIN, 1.0)
         lost_everything(play)
-        play.holds(fleet.quiet, QUIET_WITHIN, 1.0)
+        play.holds(fleet.quiescent, QUIET_WITHIN, 1.0)
         last = next(reversed(fleet.nodes.values()))
         fleet.kill(last)
         fleet.start(size - 1, fleet.seeds)
--- a/pipitshed/testbed/virtual_fleet.py
+++ b/pipitshed/testbed/virtual_fleet.py
@@ -103,17 +103,17 @@
             node.tables[0].caught_up for node in self.nodes.values()
         )
 
-    def whole(self) -> bool:
+    def converged(self) -> bool:
         """Whether all hold one true view, and the same settings."""
         return self.tables_agree() and self.views_agree()
 
-    def quiet(self) -> bool:
+    def quiescent(self) -> bool:
         """Whether that is so and nobody has anything left to tell."""
-        return self.whole() and not any(
+        return self.converged() and not any(
             len(queue) for node in self.nodes.values() for queue in node.membership.replicator.queues
         )
 
-    def until(self, holds: Callable[[], bool], within: float, step: float) -> float | None:
+    def run_until(self, holds: Callable[[], bool], within: float, step: float) -> float | None:
         """How long (s) until it holds, looked at each `step`; None where it does not within the time."""
         begun = self.now
         for looked in itertools.count():
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -25,9 +25,9 @@
     """A fleet in 3 regions that agrees, with so many rows of settings, and has nothing left to tell."""
     fleet = VirtualFleet(seed=7)
     first, *_ = fleet.fleet(size)
-    assert fleet.until(fleet.quiet, 30.0, 0.5) is not None
+    assert fleet.run_until(fleet.quiescent, 30.0, 0.5) is not None
     put(fleet, first, range(rows))
-    assert fleet.until(fleet.quiet, 60.0, 0.5) is not None
+    assert fleet.run_until(fleet.quiescent, 60.0, 0.5) is not None
     fleet.reset_counts()
     return fleet
 
@@ -51,7 +51,7 @@
     fleet.kill(lost)
     fleet.run(1.0)
     fleet.start(19, fleet.seeds)
-    assert fleet.until(fleet.whole, 5.0, 0.1) is not None
+    assert fleet.run_until(fleet.converged, 5.0, 0.1) is not None
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.01])
@@ -62,7 +62,7 @@
     for change in range(20):
         put(fleet, writer, [change])
         fleet.run(0.05)
-    assert fleet.until(fleet.tables_agree, 4.0, 0.1) is not None
+    assert fleet.run_until(fleet.tables_agree, 4.0, 0.1) is not None
     assert worst(fleet.out.values()) < 9000
 
 
@@ -76,7 +76,7 @@
     fleet.run(130.0)  # longer than a tombstone
     fleet.heal()
     fleet.reset_counts()
-    assert fleet.until(fleet.whole, 10.0, 0.1) is not None
+    assert fleet.run_until(fleet.converged, 10.0, 0.1) is not None
     assert worst(fleet.out.values()) < 9000
 
 
