--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -35,7 +35,7 @@
 from pipitshed.membership.members import Address
 from pipitshed.membership.timing import ProtocolTimings
 from pipitshed.protocols.address import parse_address
-from pipitshed.testbed.virtual_fleet import DATAGRAM_HEADERS, ZONES, Second, worst
+from pipitshed.testbed.virtual_fleet import DATAGRAM_HEADERS, ZONES, TrafficCounter, peak_bytes_per_second
 
 SLOPE = "hollow"
 SIZES = (40, 100, 150, 300)
@@ -55,7 +55,7 @@
 
     def __init__(self, cluster: str, secret: bytes = b"") -> None:
         super().__init__(cluster, secret)
-        self.out = Second()
+        self.out = TrafficCounter()
         self.made.append(self)
 
     def encode(self, message: ClusterMessage) -> bytes:
@@ -128,14 +128,14 @@
         if line == b"count\n":
             looks.all = looks.late = 0
             for codec in CountingCodec.made:
-                codec.out = Second()
+                codec.out = TrafficCounter()
         elif line == b"tell\n":
             out = [codec.out for codec in CountingCodec.made]
             views = [fleet.membership.view for fleet in fleets]
             _say(
                 {
                     "out_bytes": [one.bytes for one in out],
-                    "worst": worst(out),
+                    "worst": peak_bytes_per_second(out),
                     "late": looks.late / max(1, looks.all),
                     "views": sorted({view.digest() for view in views}),
                     "alive": sorted({view.live_count for view in views}),
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -19,7 +19,7 @@
 from benchmarks.capacity.machine import memory_mb
 from benchmarks.capacity.records import Row
 from pipitshed.membership.members import MemberState
-from pipitshed.testbed.virtual_fleet import VirtualFleet, worst
+from pipitshed.testbed.virtual_fleet import VirtualFleet, peak_bytes_per_second
 from pipitshed.testbed.virtual_view import Node
 
 SLOPE = "schedulers"
@@ -96,10 +96,10 @@
             "out_bytes_per_s": sum(one.bytes for one in out) / share,
             "heaviest_out_bytes_per_s": max(one.bytes for one in out) / spent.seconds,
             "heaviest_in_bytes_per_s": max(one.bytes for one in into) / spent.seconds,
-            "worst_second_out_bytes": float(worst(out)),
-            "worst_second_in_bytes": float(worst(into)),
+            "worst_second_out_bytes": float(peak_bytes_per_second(out)),
+            "worst_second_in_bytes": float(peak_bytes_per_second(into)),
             "messages_per_s": sum(fleet.sent.values()) / share,
-            "too_long": float(fleet.too_long),
+            "too_long": float(fleet.oversized),
             "cpu_share": spent.cpu / share,
             "virtual_s": spent.seconds,
         }
--- a/pipitshed/testbed/virtual_fleet.py
+++ b/pipitshed/testbed/virtual_fleet.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Second:
+class TrafficCounter:
     """Bytes of one scheduler: in all, and in its worst whole second."""
 
     bytes: int = 0
@@ -52,10 +52,10 @@
         super().__init__(seed, scales, loss, tables=(SETTINGS,), zones=ZONES)
         self.codec = Codec("fleet")
         self.seeds: list[int] = []
-        self.out: dict[Address, Second] = {}
-        self.into: dict[Address, Second] = {}
+        self.out: dict[Address, TrafficCounter] = {}
+        self.into: dict[Address, TrafficCounter] = {}
         self.busy = 0.0  # s of this process's time in the schedulers' own work
-        self.too_long = 0  # messages beyond a datagram, which the edge drops
+        self.oversized = 0  # messages beyond a datagram, which the edge drops
 
     def zone(self, address: Address) -> str:
         """The zone of whoever has this address, alive or not."""
@@ -68,7 +68,7 @@
 
     def reset_counts(self) -> None:
         """Count from here on."""
-        self.out, self.into, self.busy, self.too_long = {}, {}, 0.0, 0
+        self.out, self.into, self.busy, self.oversized = {}, {}, 0.0, 0
         self.sent.clear()
         self.bytes_out.clear()
 
@@ -140,16 +140,16 @@
         )
         return takes * (1.0 + self.rng.random() * JITTER)
 
-    def _add(self, counted: dict[Address, Second], address: Address, size: int) -> None:
+    def _add(self, counted: dict[Address, TrafficCounter], address: Address, size: int) -> None:
         if (second := counted.get(address)) is None:
-            second = counted[address] = Second()
+            second = counted[address] = TrafficCounter()
         second.add(self.now, size)
 
     def _send(self, node: Node, to: Address, message: Message) -> None:
         data = self.codec.encode(message)
         self.sent[node.name] += 1
         if len(data) > DATAGRAM_LIMIT:
-            self.too_long += 1
+            self.oversized += 1
             return
         size = len(data) + DATAGRAM_HEADERS
         self._add(self.out, node.address, size)
@@ -160,6 +160,6 @@
         self._post(self._takes(node.address, to), node.address, to, cast(Message, self.codec.decode(data)))
 
 
-def worst(counted: Iterable[Second]) -> int:
+def peak_bytes_per_second(counted: Iterable[TrafficCounter]) -> int:
     """The most bytes that one of these had in one second."""
     return max((one.worst for one in counted), default=0)
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -13,7 +13,7 @@
 from pipitshed.membership.protocol import Membership
 from pipitshed.membership.timing import ProtocolTimings, suspicion_timeout_s
 from pipitshed.replication.messages import Rows, pack
-from pipitshed.testbed.virtual_fleet import VirtualFleet, region, worst
+from pipitshed.testbed.virtual_fleet import VirtualFleet, peak_bytes_per_second, region
 from pipitshed.testbed.virtual_view import Node
 
 
@@ -63,7 +63,7 @@
         put(fleet, writer, [change])
         fleet.run(0.05)
     assert fleet.run_until(fleet.tables_agree, 4.0, 0.1) is not None
-    assert worst(fleet.out.values()) < 9000
+    assert peak_bytes_per_second(fleet.out.values()) < 9000
 
 
 def test_regions_that_changed_apart_are_whole_within_ten_seconds_of_meeting() -> None:
@@ -77,7 +77,7 @@
     fleet.heal()
     fleet.reset_counts()
     assert fleet.run_until(fleet.converged, 10.0, 0.1) is not None
-    assert worst(fleet.out.values()) < 9000
+    assert peak_bytes_per_second(fleet.out.values()) < 9000
 
 
 def test_many_suspected_one_after_the_other_cost_one_judgement_each(monkeypatch: pytest.MonkeyPatch) -> None:
