--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -148,7 +148,7 @@
         len(
             {
                 (news.record.name, news.record.incarnation)
-                for when, _, news in fleet.news
+                for when, _, news in fleet.state_changes
                 if when >= since and news.record.state is state
             }
         )
@@ -164,7 +164,7 @@
     """Bursts of changes within a second each: how long until each is in force at each scheduler."""
     fleet = play.fleet
     writer = next(iter(fleet.nodes.values()))
-    fleet.row_news.clear()
+    fleet.row_changes.clear()
     put: dict[tuple[str, int], float] = {}
     with play.counted() as spent:
         for burst in range(BURSTS):
@@ -173,7 +173,7 @@
                 play.run(1.0 / BURST)
             play.run(EVERY - 1.0)
     took: dict[tuple[str, int], list[float]] = {change: [] for change in put}
-    for when, _, row in fleet.row_news:
+    for when, _, row in fleet.row_changes:
         if (row.key, row.number) in put:
             took[row.key, row.number].append((when - put[row.key, row.number]) * 1000)
     every = [one for times in took.values() for one in times]
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -46,7 +46,7 @@
     all_know = network.settle(60.0, STEP)
     told = [
         when
-        for when, _, news in network.news
+        for when, _, news in network.state_changes
         if when > killed and news.record.name == victim.name and news.record.state is MemberState.DEAD
     ]
     apart = {node.address for node in list(network.nodes.values())[: max(1, size // 5)]}
@@ -94,16 +94,16 @@
     """How often one that lives is declared dead in so many hours, by any that lives, counted once for each
     time it was; with `slow`, one in ten stands still for 0.3 s every 2 s."""
     network = settled(size, seed, loss)
-    network.news.clear()
+    network.state_changes.clear()
     until = network.now + hours * 3600
     slowed = list(network.nodes.values())[::10] if slow else []
     while network.now < until:
         for node in slowed:
-            network.stop(node, 0.3)
+            network.stall(node, 0.3)
         network.run(2.0 if slow else 60.0)
     said = {
         (news.record.name, news.record.incarnation)
-        for _, _, news in network.news
+        for _, _, news in network.state_changes
         if news.record.state is MemberState.DEAD
     }
     return {
--- a/pipitshed/testbed/virtual_view.py
+++ b/pipitshed/testbed/virtual_view.py
@@ -39,7 +39,7 @@
     membership: Membership
     tables: tuple[RowTable, ...] = ()
     alarm: int = -1  # the wake that counts; earlier ones are void
-    stopped_until: float = 0.0  # its loop stands still until then; what comes is read after that
+    stalled_until: float = 0.0  # its loop stands still until then; what comes is read after that
     backlog: list[tuple[Message, Address]] = field(default_factory=list)
 
 
@@ -66,8 +66,8 @@
         self.nodes: dict[Address, Node] = {}
         self.timers_first = False  # a loop that wakes runs its timers before it reads its sockets
         self.cut: Callable[[Address, Address], bool] = lambda source, target: False
-        self.news: list[tuple[float, str, MemberStateChanged]] = []
-        self.row_news: list[tuple[float, str, Row]] = []
+        self.state_changes: list[tuple[float, str, MemberStateChanged]] = []
+        self.row_changes: list[tuple[float, str, Row]] = []
         self.displaced: list[str] = []
         self.reinstated: list[str] = []
         self.sent: Counter[str] = Counter()
@@ -123,9 +123,9 @@
         self._carry_out(node, node.membership.disseminate(self.now, node.tables[table].name, put))
         self._wake(node)
 
-    def stop(self, node: Node, seconds: float) -> None:
+    def stall(self, node: Node, seconds: float) -> None:
         """Its loop stands still: the kernel takes what comes, and nothing is read or sent until later."""
-        node.stopped_until = self.now + seconds
+        node.stalled_until = self.now + seconds
         self._wake(node)
 
     def run(self, seconds: float) -> None:
@@ -137,7 +137,7 @@
             node = self.nodes.get(address)
             if node is None or (message is None and node.alarm != alarm):
                 continue
-            if self.now < node.stopped_until:
+            if self.now < node.stalled_until:
                 if message is not None:
                     node.backlog.append((message, source))
                 continue
@@ -168,7 +168,7 @@
 
     def false_deaths(self) -> int:
         """How often one that lived was declared dead by one that lived."""
-        return sum(news.record.state is MemberState.DEAD for _, _, news in self.news)
+        return sum(change.record.state is MemberState.DEAD for _, _, change in self.state_changes)
 
     @property
     def log_hash(self) -> str:
@@ -194,7 +194,7 @@
     def _wake(self, node: Node) -> None:
         """Set the node's one alarm anew."""
         node.alarm = next(self._order)
-        when = max(node.membership.next_due_at(), self.now, node.stopped_until)
+        when = max(node.membership.next_due_at(), self.now, node.stalled_until)
         heappush(self._events, (when, node.alarm, node.address, node.alarm, None, node.address))
 
     def _carry_out(self, node: Node, effects: list[Instruction]) -> None:
@@ -202,11 +202,11 @@
             if isinstance(effect, SendMessage):
                 self._send(node, effect.to, effect.message)
             elif isinstance(effect, MemberStateChanged):
-                self.news.append((self.now, node.name, effect))
+                self.state_changes.append((self.now, node.name, effect))
                 line = f"{self.now:.6f} {node.name} {effect.record.name} {effect.record.state}\n"
                 self._log.update(line.encode())
             elif isinstance(effect, RowsChanged):
-                self.row_news += [(self.now, node.name, row) for row in effect.rows]
+                self.row_changes += [(self.now, node.name, row) for row in effect.rows]
             elif isinstance(effect, Superseded):
                 self.displaced.append(node.name)
             elif isinstance(effect, Reinstated):
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -64,7 +64,9 @@
         network.kill(node)
     assert network.settle(SETTLE_LIMIT_S) is not None
     # Each was suspected first, which would have let it refute.
-    suspected = {news.record.name for _, _, news in network.news if news.record.state is MemberState.SUSPECT}
+    suspected = {
+        news.record.name for _, _, news in network.state_changes if news.record.state is MemberState.SUSPECT
+    }
     assert {"n3", "n4", "n5"} <= suspected
 
 
@@ -103,7 +105,7 @@
     network.run(60.0)
     assert network.false_deaths() == 0
     # No member is even suspected, as an indirect probe reaches a member that a direct one does not.
-    assert [news for _, _, news in network.news if news.record.state is MemberState.SUSPECT] == []
+    assert [news for _, _, news in network.state_changes if news.record.state is MemberState.SUSPECT] == []
     network.cut = lambda source, target: False
     assert network.settle(SETTLE_LIMIT_S) is not None
 
@@ -111,11 +113,13 @@
 def test_a_stalled_member_declares_nobody_dead() -> None:
     network = joined_network(6)
     node = list(network.nodes.values())[5]
-    network.stop(node, 5.0)
+    network.stall(node, 5.0)
     network.run(5.0)
     assert network.settle(SETTLE_LIMIT_S) is not None
     declared_dead = [
-        news for _, name, news in network.news if name == node.name and news.record.state is MemberState.DEAD
+        news
+        for _, name, news in network.state_changes
+        if name == node.name and news.record.state is MemberState.DEAD
     ]
     assert declared_dead == []
 
@@ -127,11 +131,11 @@
     network.timers_first = True
     node = list(network.nodes.values())[5]
     for _ in range(4):
-        network.stop(node, 5.0)
+        network.stall(node, 5.0)
         network.run(9.0)
     accusations = [
         news
-        for _, name, news in network.news
+        for _, name, news in network.state_changes
         if name == node.name
         and news.record.state >= MemberState.SUSPECT
         and news.record.reported_by == node.name
@@ -149,9 +153,9 @@
         network.start(8, [0, 1])
         network.run(0.6)
     assert network.settle(SETTLE_LIMIT_S) is not None
-    assert {news.record.name for _, _, news in network.news if news.record.state is MemberState.DEAD} <= {
-        name
-    }
+    assert {
+        news.record.name for _, _, news in network.state_changes if news.record.state is MemberState.DEAD
+    } <= {name}
 
 
 def test_a_member_that_restarts_at_another_address_is_alive() -> None:
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -403,7 +403,7 @@
     stopped = nodes(network)[6]
     request = stopped.membership.replicator.start_exchange(network.now, 1, nodes(network)[3].address)
     stopped.membership.outbox.send_admitted(request)
-    network.stop(stopped, 20.0)
+    network.stall(stopped, 20.0)
     for number in range(20):
         network.put(nodes(network)[number % 5], (f"quota/t{number}", b"1"))
         network.run(1.0)
@@ -545,7 +545,7 @@
     network.put(nodes(network)[3], ("quota/red", b"1"))
     run_until(network, lambda: tables_agree(network), 1.5)
     network.run(3.0)
-    arrival_times = sorted(when for when, _, row in network.row_news if row.key == "quota/red")
+    arrival_times = sorted(when for when, _, row in network.row_changes if row.key == "quota/red")
     assert len(arrival_times) == 40 and arrival_times[20] - arrival_times[0] < 0.3
     assert 0 < crossings[0] < 20
 
