--- a/pipitshed/testbed/virtual_fleet.py
+++ b/pipitshed/testbed/virtual_fleet.py
@@ -93,7 +93,7 @@
         views = [node.membership.view for node in self.nodes.values()]
         return (
             len({view.digest() for view in views}) == 1
-            and [(word.name, word.address) for word in views[0].live_members()] == self.truth()
+            and [(word.name, word.address) for word in views[0].live_members()] == self.running_members()
             and all(word.state is not MemberState.SUSPECT for view in views for word in view)
         )
 
@@ -126,12 +126,12 @@
 
     # ---- how it happens
 
-    def _turn(self, node: Node, message: Message | None, source: Address) -> None:
+    def _deliver(self, node: Node, message: Message | None, source: Address) -> None:
         begun = time.perf_counter()
-        super()._turn(node, message, source)
+        super()._deliver(node, message, source)
         self.busy += time.perf_counter() - begun
 
-    def _takes(self, source: Address, target: Address) -> float:
+    def _one_way_delay(self, source: Address, target: Address) -> float:
         here, there = self.zone(source), self.zone(target)
         takes = (
             WITHIN_ZONE
@@ -157,7 +157,9 @@
             return
         self._add(self.into, to, size)
         # A message of its own for the receiver, so that no two share their words in memory.
-        self._post(self._takes(node.address, to), node.address, to, cast(Message, self.codec.decode(data)))
+        self._post(
+            self._one_way_delay(node.address, to), node.address, to, cast(Message, self.codec.decode(data))
+        )
 
 
 def peak_bytes_per_second(counted: Iterable[TrafficCounter]) -> int:
--- a/pipitshed/testbed/virtual_view.py
+++ b/pipitshed/testbed/virtual_view.py
@@ -38,7 +38,7 @@
     address: Address
     membership: Membership
     tables: tuple[RowTable, ...] = ()
-    alarm: int = -1  # the wake that counts; earlier ones are void
+    timer_id: int = -1  # the wake that counts; earlier ones are void
     stalled_until: float = 0.0  # its loop stands still until then; what comes is read after that
     backlog: list[tuple[Message, Address]] = field(default_factory=list)
 
@@ -114,13 +114,13 @@
 
     def leave(self, node: Node) -> None:
         """It goes in good order."""
-        self._carry_out(node, node.membership.leave(self.now))
+        self._execute(node, node.membership.leave(self.now))
         self.kill(node)
 
     def put(self, node: Node, *rows: tuple[str, bytes], table: int = 0) -> None:
         """Put rows into one of its tables."""
         put = [node.tables[table].put(key, body, node.name) for key, body in rows]
-        self._carry_out(node, node.membership.disseminate(self.now, node.tables[table].name, put))
+        self._execute(node, node.membership.disseminate(self.now, node.tables[table].name, put))
         self._wake(node)
 
     def stall(self, node: Node, seconds: float) -> None:
@@ -132,16 +132,16 @@
         """Let time pass."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
-            when, _, address, alarm, message, source = heappop(self._events)
+            when, _, address, timer_id, message, source = heappop(self._events)
             self.now = max(self.now, when)
             node = self.nodes.get(address)
-            if node is None or (message is None and node.alarm != alarm):
+            if node is None or (message is None and node.timer_id != timer_id):
                 continue
             if self.now < node.stalled_until:
                 if message is not None:
                     node.backlog.append((message, source))
                 continue
-            self._turn(node, message, source)
+            self._deliver(node, message, source)
         self.now = until
 
     def settle(self, within: float, step: float = 0.1) -> float | None:
@@ -155,14 +155,14 @@
 
     def agreed(self) -> bool:
         """Whether all that live hold exactly those alive that live."""
-        truth = self.truth()
+        expected = self.running_members()
         return all(
-            [(word.name, word.address) for word in node.membership.view.live_members()] == truth
+            [(word.name, word.address) for word in node.membership.view.live_members()] == expected
             and all(word.state is MemberState.ALIVE for word in node.membership.view.live_members())
             for node in self.nodes.values()
         )
 
-    def truth(self) -> list[tuple[str, Address]]:
+    def running_members(self) -> list[tuple[str, Address]]:
         """Who lives, by name."""
         return sorted((node.name, node.address) for node in self.nodes.values())
 
@@ -177,27 +177,27 @@
 
     # ---- how it happens
 
-    def _turn(self, node: Node, message: Message | None, source: Address) -> None:
+    def _deliver(self, node: Node, message: Message | None, source: Address) -> None:
         membership = node.membership
         if self.timers_first and node.backlog and membership.next_due_at() <= self.now:
-            self._carry_out(node, membership.handle_timeouts(self.now))
+            self._execute(node, membership.handle_timeouts(self.now))
         backlog, node.backlog = node.backlog, []
         for earlier, came_from in backlog:
-            self._carry_out(node, membership.handle_message(self.now, earlier, came_from))
+            self._execute(node, membership.handle_message(self.now, earlier, came_from))
         if message is not None:
-            self._carry_out(node, membership.handle_message(self.now, message, source))
+            self._execute(node, membership.handle_message(self.now, message, source))
         else:
             if membership.next_due_at() <= self.now:
-                self._carry_out(node, membership.handle_timeouts(self.now))
+                self._execute(node, membership.handle_timeouts(self.now))
             self._wake(node)
 
     def _wake(self, node: Node) -> None:
         """Set the node's one alarm anew."""
-        node.alarm = next(self._order)
+        node.timer_id = next(self._order)
         when = max(node.membership.next_due_at(), self.now, node.stalled_until)
-        heappush(self._events, (when, node.alarm, node.address, node.alarm, None, node.address))
+        heappush(self._events, (when, node.timer_id, node.address, node.timer_id, None, node.address))
 
-    def _carry_out(self, node: Node, effects: list[Instruction]) -> None:
+    def _execute(self, node: Node, effects: list[Instruction]) -> None:
         for effect in effects:
             if isinstance(effect, SendMessage):
                 self._send(node, effect.to, effect.message)
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -112,7 +112,7 @@
     network.run(30.0)
     writer = nodes(network)[2]
     row = writer.tables[0].delete("quota/red", writer.name)
-    network._carry_out(writer, writer.membership.disseminate(network.now, "settings", [row]))
+    network._execute(writer, writer.membership.disseminate(network.now, "settings", [row]))
     network.run(400.0)
     assert not away.tables[0].get("quota/red").deleted  # type: ignore[union-attr]
     network.cut = lambda source, target: False
@@ -208,7 +208,7 @@
     for number in (2, 3):
         node = nodes(network)[number]
         row = node.tables[0].put("quota/red", b"%d" % number, node.name, take_over=True)
-        network._carry_out(node, node.membership.disseminate(network.now, "settings", [row]))
+        network._execute(node, node.membership.disseminate(network.now, "settings", [row]))
     network.run(10.0)
     assert not tables_agree(network)
     network.cut = lambda source, target: False
@@ -244,7 +244,7 @@
     newer = Row("quota/red", 1, 7, "n9", b"\xff\x00 who knows", format_version=FORMAT_VERSION + 1)
     node = nodes(network)[3]
     assert node.tables[0].apply(newer) is ApplyResult.NEW
-    network._carry_out(node, node.membership.disseminate(network.now, "settings", [newer]))
+    network._execute(node, node.membership.disseminate(network.now, "settings", [newer]))
     run_until(
         network,
         lambda: all(node.tables[0].get("quota/red") == newer for node in nodes(network)),
@@ -323,9 +323,7 @@
 
     def deliver(self, target: Node, message: object) -> None:
         membership = target.membership
-        self.network._carry_out(
-            target, membership.handle_message(self.network.now, message, self.node.address)
-        )  # type: ignore[arg-type]
+        self.network._execute(target, membership.handle_message(self.network.now, message, self.node.address))  # type: ignore[arg-type]
         self.network._wake(target)
 
 
