--- a/pipitshed/testbed/accounts.py
+++ b/pipitshed/testbed/accounts.py
@@ -14,8 +14,8 @@
 
 OVERLAP = 0.05  # s that two attempts may seem to overlap: a cancel and a send travel on two connections
 DRAIN = 1.5 + 0.05  # s
-PARTS = ("served", "refused", "failed", "withdrawn", "unanswered")
-ZERO = ("unanswered", "answered_twice", "ran_twice_forbidden", "two_outstanding", "after_drain")
+OUTCOMES = ("served", "refused", "failed", "withdrawn", "unanswered")
+MUST_BE_ZERO = ("unanswered", "answered_twice", "ran_twice_forbidden", "two_outstanding", "after_drain")
 
 
 def account(asked: Iterable[ClientRequest], runs: list[Run], members: Iterable[Member]) -> dict[str, object]:
@@ -39,7 +39,7 @@
             faults["served_unrun"].append(one.token)
         if one.outcome == "unfit" and ran:
             faults["unfit_but_ran"].append(one.token)
-        if one.job_class == "book" and _twice(ran):
+        if one.job_class == "book" and _may_have_run_twice(ran):
             faults["ran_twice_forbidden"].append(one.token)
         if any(
             later.arrived < (earlier.ended or float("inf")) - OVERLAP
@@ -78,12 +78,12 @@
         "withdrawn": outcomes["withdrawn"],
         "unanswered": outcomes["unanswered"],
     }
-    for name in ZERO[1:]:
+    for name in MUST_BE_ZERO[1:]:
         figures[name] = len(faults[name])
     figures["of_refused_unfit"] = outcomes["unfit"]
     for name in ("wrong_result", "served_unrun", "unfit_but_ran", "envelope_changed", "ran_unasked"):
         figures[name] = len(faults[name])
-    parts = sum(outcomes[name] for name in PARTS) + outcomes["unfit"]
+    parts = sum(outcomes[name] for name in OUTCOMES) + outcomes["unfit"]
     figures["adds_up"] = parts == len(asked)
     figures["runs"] = dict(Counter(f"interface {run.interface} {run.outcome}" for run in runs))
     figures["clients"] = {
@@ -96,13 +96,20 @@
 
 def broken_rules(figures: dict[str, object]) -> list[str]:
     """What should be zero and is not."""
-    names = (*ZERO, "wrong_result", "served_unrun", "unfit_but_ran", "envelope_changed", "ran_unasked")
+    names = (
+        *MUST_BE_ZERO,
+        "wrong_result",
+        "served_unrun",
+        "unfit_but_ran",
+        "envelope_changed",
+        "ran_unasked",
+    )
     return [f"{name} = {figures[name]}" for name in names if figures[name]] + (
         [] if figures["adds_up"] else ["the parts do not add up to what was sent"]
     )
 
 
-def _twice(ran: list[Run]) -> bool:
+def _may_have_run_twice(ran: list[Run]) -> bool:
     """Whether a keyed job may have taken effect twice: in two zones, or again behind the window in which its
     zone's planners drop a repeat.
     """
--- a/pipitshed/testbed/arms.py
+++ b/pipitshed/testbed/arms.py
@@ -12,7 +12,7 @@
 
 from pipitshed.placement import plan as plans
 from pipitshed.placement.model import Constraints, Demand, Planner
-from pipitshed.placement.model import Fleet as Told
+from pipitshed.placement.model import Fleet as PlacementFleet
 from pipitshed.placement.plan import Place, Plan
 from pipitshed.placement.score import capacity
 from pipitshed.placement.solve import solve
@@ -38,7 +38,7 @@
             ("book", traffic.rate * traffic.book, shape.book_ms),
         )
     )
-    told = Told(planners, (), demand, Constraints(), 1000)
+    told = PlacementFleet(planners, (), demand, Constraints(), 1000)
     answer = solve(told)
     if answer.parts is None or answer.conflict:
         raise SystemExit(f"no plan for this fleet: {answer.conflict}")
--- a/pipitshed/testbed/clients.py
+++ b/pipitshed/testbed/clients.py
@@ -75,7 +75,7 @@
     )
 
 
-def body(asked: ClientRequest) -> bytes:
+def request_body(asked: ClientRequest) -> bytes:
     """The job in the client's form."""
     if asked.kind.endswith("v1"):
         job = {
@@ -107,7 +107,7 @@
     return urlencode(pairs).encode()
 
 
-def judge(asked: ClientRequest, result: bytes) -> str:
+def check_result(asked: ClientRequest, result: bytes) -> str:
     """What of a result is not the one that was asked for; empty where it is."""
     departs = 1_800_000_000 + asked.pallets
     try:
@@ -141,7 +141,7 @@
 
     def __init__(self, port: int, host: str = "127.0.0.1") -> None:
         self.host, self.port = host, port
-        self._free: deque[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = deque()
+        self._idle: deque[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = deque()
 
     async def ask(self, asked: ClientRequest) -> None:
         try:
@@ -151,13 +151,13 @@
             asked.not_accepted = isinstance(error, ConnectionRefusedError)
 
     async def _ask(self, asked: ClientRequest) -> None:
-        asked.reused_connection = bool(self._free)
+        asked.reused_connection = bool(self._idle)
         reader, writer = (
-            self._free.pop()
+            self._idle.pop()
             if asked.reused_connection
             else await asyncio.open_connection(self.host, self.port)
         )
-        data = body(asked)
+        data = request_body(asked)
         head = {"Host": "lab", "Content-Length": str(len(data))}
         if asked.kind == "http-v0":
             head["Content-Type"] = "application/x-www-form-urlencoded"
@@ -181,7 +181,7 @@
                 length = int(top.partition("content-length:")[2].split("\r\n")[0] or 0)
                 result = await reader.readexactly(length)
             asked.answers += 1
-            self._settle(asked, int(top.split()[1]), result)
+            self._set_outcome(asked, int(top.split()[1]), result)
             keep_open = "connection: close" not in top
         except TimeoutError:
             asked.outcome = "withdrawn" if asked.cancel_after else "unanswered"
@@ -194,19 +194,19 @@
         if keep_open and reader._buffer:  # type: ignore[attr-defined]
             asked.answers += 1
         if keep_open:
-            self._free.append((reader, writer))
+            self._idle.append((reader, writer))
         else:
             writer.transport.abort()
 
     @staticmethod
-    def _settle(asked: ClientRequest, status: int, result: bytes) -> None:
+    def _set_outcome(asked: ClientRequest, status: int, result: bytes) -> None:
         asked.outcome = {200: "served", 503: "refused", 429: "refused", 422: "unfit"}.get(status, "failed")
         asked.detail = f"{status} {result[:200].decode('utf-8', 'replace')}" if status != 200 else ""
         if status == 200:
-            asked.wrong = judge(asked, result)
+            asked.wrong = check_result(asked, result)
 
     def close(self) -> None:
-        for _, writer in self._free:
+        for _, writer in self._idle:
             writer.transport.abort()
 
 
@@ -228,11 +228,11 @@
 
     def __init__(self, port: int) -> None:
         self.port = port
-        self._free: deque[_GearmanLink] = deque()
+        self._idle: deque[_GearmanLink] = deque()
 
     async def _link(self) -> _GearmanLink:
-        if self._free:
-            return self._free.pop()
+        if self._idle:
+            return self._idle.pop()
         link = _GearmanLink(*await asyncio.open_connection("127.0.0.1", self.port))
         link.writer.write(encode_packet(PacketType.OPTION_REQ, b"exceptions", magic=REQUEST_MAGIC))
         await link.packet()
@@ -251,7 +251,7 @@
         asked.sent = monotonic()
         function, unique = _FUNCTIONS[asked.kind, asked.job_class], b"k-" + asked.token.encode()
         link.writer.write(
-            encode_packet(PacketType.SUBMIT_JOB, function, unique, body(asked), magic=REQUEST_MAGIC)
+            encode_packet(PacketType.SUBMIT_JOB, function, unique, request_body(asked), magic=REQUEST_MAGIC)
         )
         keep_open, handle = False, b""
         try:
@@ -271,7 +271,7 @@
                         asked.detail = arguments[1].decode("utf-8", "replace")
                     elif kind is PacketType.WORK_COMPLETE:
                         asked.answers += 1
-                        asked.outcome, asked.wrong = "served", judge(asked, arguments[1])
+                        asked.outcome, asked.wrong = "served", check_result(asked, arguments[1])
                     elif kind is PacketType.WORK_FAIL:
                         asked.answers += 1
                         asked.outcome = (
@@ -289,11 +289,11 @@
             asked.not_accepted = not handle
         asked.ended = monotonic()
         if keep_open:
-            self._free.append(link)
+            self._idle.append(link)
         else:
             with contextlib.suppress(OSError):
                 link.writer.transport.abort()
 
     def close(self) -> None:
-        for link in self._free:
+        for link in self._idle:
             link.writer.transport.abort()
--- a/pipitshed/testbed/experiment.py
+++ b/pipitshed/testbed/experiment.py
@@ -18,8 +18,8 @@
 from pipitshed.testbed.planner import Behaviour
 from pipitshed.testbed.program import RunningScheduler, scheduler
 
-EASED = 9.0  # s in which a plan is eased in
-SETTLE = 0.3  # s after the start before traffic: what has no told interface is found out
+PLAN_RAMP = 9.0  # s in which a plan is eased in
+DETECTION_TIME = 0.3  # s after the start before traffic: what has no told interface is found out
 
 
 class FleetFile(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
@@ -134,7 +134,7 @@
     asked: list[ClientRequest] = []
     try:
         async with scheduler(fleet.discovery.port, plan=plan) as running:
-            await asyncio.sleep(EASED if plan else SETTLE)
+            await asyncio.sleep(PLAN_RAMP if plan else DETECTION_TIME)
             begun, before = monotonic(), running.cpu()
             length = requests / traffic.rate
             script = asyncio.create_task(_script(experiment, fleet, rng, length))
--- a/pipitshed/testbed/up.py
+++ b/pipitshed/testbed/up.py
@@ -14,7 +14,7 @@
 from pipitshed.testbed.planner import Behaviour
 from pipitshed.testbed.program import scheduler
 
-REFRESH = 0.5  # s
+REFRESH_INTERVAL = 0.5  # s
 
 
 def _table(fleet: PlannerFleet) -> Table:
@@ -75,7 +75,7 @@
                 while not ended.is_set() and running.process.returncode is None:
                     live.update(_table(fleet), refresh=True)
                     try:
-                        await asyncio.wait_for(ended.wait(), REFRESH)
+                        await asyncio.wait_for(ended.wait(), REFRESH_INTERVAL)
                     except TimeoutError:
                         continue
     finally:
