--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -133,7 +133,7 @@
         if self._busy(clients) >= self._connection_limits[clients]:
             return  # the door turns further connections away, unread
         self.asked.append(one)
-        task = asyncio.create_task((self._http if is_http else self._gearman).ask(one))
+        task = asyncio.create_task((self._http if is_http else self._gearman).send(one))
         self._asking.add(task)
         task.add_done_callback(self._asking.discard)
 
--- a/pipitshed/testbed/clients.py
+++ b/pipitshed/testbed/clients.py
@@ -143,14 +143,14 @@
         self.host, self.port = host, port
         self._idle: deque[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = deque()
 
-    async def ask(self, asked: ClientRequest) -> None:
+    async def send(self, asked: ClientRequest) -> None:
         try:
-            await self._ask(asked)
+            await self._send(asked)
         except OSError as error:
             asked.outcome, asked.detail, asked.ended = "unanswered", repr(error), monotonic()
             asked.not_accepted = isinstance(error, ConnectionRefusedError)
 
-    async def _ask(self, asked: ClientRequest) -> None:
+    async def _send(self, asked: ClientRequest) -> None:
         asked.reused_connection = bool(self._idle)
         reader, writer = (
             self._idle.pop()
@@ -238,15 +238,15 @@
         await link.packet()
         return link
 
-    async def ask(self, asked: ClientRequest) -> None:
+    async def send(self, asked: ClientRequest) -> None:
         try:
-            await self._ask(asked)
+            await self._send(asked)
         except (OSError, asyncio.IncompleteReadError) as error:
             # Before the job was written: its connection did not come up.
             asked.outcome, asked.detail, asked.not_accepted = "unanswered", repr(error), True
             asked.sent = asked.ended = monotonic()
 
-    async def _ask(self, asked: ClientRequest) -> None:
+    async def _send(self, asked: ClientRequest) -> None:
         link = await self._link()
         asked.sent = monotonic()
         function, unique = _FUNCTIONS[asked.kind, asked.job_class], b"k-" + asked.token.encode()
--- a/pipitshed/testbed/experiment.py
+++ b/pipitshed/testbed/experiment.py
@@ -192,7 +192,7 @@
         one = draw(rng, f"{number:06d}", traffic.mix, traffic.cancel, traffic.unfit, traffic.book)
         asked.append(one)
         clients = http if one.kind.startswith("http") else gearman
-        task = asyncio.create_task(clients.ask(one))
+        task = asyncio.create_task(clients.send(one))
         tasks.add(task)
         task.add_done_callback(tasks.discard)
         if number % 100 == 99:
--- a/pipitshed/testbed/fleet/play.py
+++ b/pipitshed/testbed/fleet/play.py
@@ -174,7 +174,7 @@
             self.targets[one.token] = (process.place, process.starts)
             clients = self._clients.setdefault(process.place, HttpClients(HTTP_PORT, process.real[0]))
             one.not_accepted, one.outcome, one.reused_connection = False, "", False
-            await clients.ask(one)
+            await clients.send(one)
             up = [other for other in self.processes.all if other.accepts_clients]
             # Guards a keyed job against a second run in another zone that the rig itself asks for: a kept
             # connection ends without a byte also where a process was killed that had taken the request.
