--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -14,7 +14,7 @@
 from benchmarks.soak.drawing import LONGEST_DEADLINE_S, Play, Reload, Stop, Trouble
 from benchmarks.soak.rules import Break, Records, breaks
 from pipitshed.server.descriptors import DescriptorBudget
-from pipitshed.testbed.clients import ClientRequest, GearmanClients, HttpClients, draw
+from pipitshed.testbed.clients import ClientRequest, GearmanClients, HttpClients, draw_request
 from pipitshed.testbed.fleet.standins import PlannerFleet
 from pipitshed.testbed.planner import Behaviour
 from pipitshed.testbed.program import RunningScheduler, scheduler
@@ -121,7 +121,7 @@
 
     def _ask(self, number: int) -> None:
         play = self.play
-        one = draw(self._rng, f"{number:06d}", play.mix, play.cancel, 0.0, play.book)
+        one = draw_request(self._rng, f"{number:06d}", play.mix, play.cancel, 0.0, play.book)
         deadline_s = next(each.deadline_s for each in play.classes if each.name == one.job_class)
         is_http = one.kind.startswith("http")
         one.timeout = self._rng.uniform(0.3, deadline_s) if is_http else deadline_s
--- a/pipitshed/testbed/clients.py
+++ b/pipitshed/testbed/clients.py
@@ -50,7 +50,7 @@
     slack: float = SLACK  # s beyond its patience for which its client listens on
 
 
-def draw(
+def draw_request(
     rng: random.Random, token: str, mix: dict[str, float], cancel: float, unfit: float, book: float
 ) -> ClientRequest:
     """One request by these shares."""
--- a/pipitshed/testbed/experiment.py
+++ b/pipitshed/testbed/experiment.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from pipitshed.testbed.accounts import account
-from pipitshed.testbed.clients import KINDS, ClientRequest, GearmanClients, HttpClients, draw
+from pipitshed.testbed.clients import KINDS, ClientRequest, GearmanClients, HttpClients, draw_request
 from pipitshed.testbed.fleet.standins import ZONES, PlannerFleet
 from pipitshed.testbed.planner import Behaviour
 from pipitshed.testbed.program import RunningScheduler, scheduler
@@ -189,7 +189,7 @@
         wait = begun + number / traffic.rate - monotonic()
         if wait > 0:
             await asyncio.sleep(wait)
-        one = draw(rng, f"{number:06d}", traffic.mix, traffic.cancel, traffic.unfit, traffic.book)
+        one = draw_request(rng, f"{number:06d}", traffic.mix, traffic.cancel, traffic.unfit, traffic.book)
         asked.append(one)
         clients = http if one.kind.startswith("http") else gearman
         task = asyncio.create_task(clients.send(one))
--- a/pipitshed/testbed/fleet/play.py
+++ b/pipitshed/testbed/fleet/play.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from pipitshed.testbed.accounts import account
-from pipitshed.testbed.clients import ClientRequest, HttpClients, draw
+from pipitshed.testbed.clients import ClientRequest, HttpClients, draw_request
 from pipitshed.testbed.fleet import oracles, row_oracles
 from pipitshed.testbed.fleet.faults import Faults
 from pipitshed.testbed.fleet.oracles import Instance
@@ -160,7 +160,7 @@
             number += 1
 
     def _ask(self, process: Process, number: int) -> None:
-        one = draw(self._rng, f"{number:06d}", MIX, 0.0, 0.0, self.scenario.traffic.book)
+        one = draw_request(self._rng, f"{number:06d}", MIX, 0.0, 0.0, self.scenario.traffic.book)
         self.asked.append(one)
         task = asyncio.create_task(self._asked(one, process))
         self._asking.add(task)
