--- a/pipitshed/testbed/accounts.py
+++ b/pipitshed/testbed/accounts.py
@@ -18,50 +18,56 @@
 MUST_BE_ZERO = ("unanswered", "answered_twice", "ran_twice_forbidden", "two_outstanding", "after_drain")
 
 
-def account(asked: Iterable[ClientRequest], runs: list[Run], members: Iterable[Member]) -> dict[str, object]:
+def account(
+    requests: Iterable[ClientRequest], runs: list[Run], members: Iterable[Member]
+) -> dict[str, object]:
     """All figures, and the tokens behind each that should be zero."""
-    asked = list(asked)
-    outcomes = Counter(one.outcome for one in asked)
+    requests = list(requests)
+    outcomes = Counter(request.outcome for request in requests)
     faults: dict[str, list[str]] = defaultdict(list)
     by_token: dict[str, list[Run]] = defaultdict(list)
     for run in runs:
         by_token[run.token].append(run)
-    for one in asked:
-        if one.answers > 1:
-            faults["answered_twice"].append(one.token)
-        if one.wrong:
-            faults["wrong_result"].append(f"{one.token}: {one.wrong}")
-        if one.outcome == "unanswered":
-            faults["unanswered"].append(f"{one.token}: {one.kind} {one.job_class} {one.detail}")
-        mine = sorted(by_token.pop(one.token, ()), key=lambda run: run.arrived)
-        ran = [run for run in mine if run.outcome != "returned"]
-        if one.outcome == "served" and not any(run.outcome in ("done", "repeat") for run in ran):
-            faults["served_unrun"].append(one.token)
-        if one.outcome == "unfit" and ran:
-            faults["unfit_but_ran"].append(one.token)
-        if one.job_class == "book" and _may_have_run_twice(ran):
-            faults["ran_twice_forbidden"].append(one.token)
+    for request in requests:
+        if request.answers > 1:
+            faults["answered_twice"].append(request.token)
+        if request.wrong:
+            faults["wrong_result"].append(f"{request.token}: {request.wrong}")
+        if request.outcome == "unanswered":
+            faults["unanswered"].append(
+                f"{request.token}: {request.kind} {request.job_class} {request.detail}"
+            )
+        attempts = sorted(by_token.pop(request.token, ()), key=lambda run: run.arrived)
+        ran = [run for run in attempts if run.outcome != "returned"]
+        if request.outcome == "served" and not any(run.outcome in ("done", "repeat") for run in ran):
+            faults["served_unrun"].append(request.token)
+        if request.outcome == "unfit" and ran:
+            faults["unfit_but_ran"].append(request.token)
+        if request.job_class == "book" and _may_have_run_twice(ran):
+            faults["ran_twice_forbidden"].append(request.token)
         if any(
             later.arrived < (earlier.ended or float("inf")) - OVERLAP
-            for place, earlier in enumerate(mine)
-            for later in mine[place + 1 :]
+            for place, earlier in enumerate(attempts)
+            for later in attempts[place + 1 :]
         ):
             faults["two_outstanding"].append(
-                f"{one.token}: "
-                + "; ".join(f"{run.planner} {run.arrived:.3f}..{run.ended:.3f} {run.outcome}" for run in mine)
+                f"{request.token}: "
+                + "; ".join(
+                    f"{run.planner} {run.arrived:.3f}..{run.ended:.3f} {run.outcome}" for run in attempts
+                )
             )
         # Gearman's unique id is the key of every job.
-        key = f"k-{one.token}" if one.kind.startswith("gearman") else one.key
-        told = [
+        key = f"k-{request.token}" if request.kind.startswith("gearman") else request.key
+        changed = [
             f"{run.planner}: {run.key!r} {run.tenant!r} {run.remaining:.3f}"
-            for run in mine
+            for run in attempts
             if run.key != key
-            or run.tenant != one.tenant
-            or run.job_class != one.job_class
-            or not 0 < run.remaining <= one.timeout
+            or run.tenant != request.tenant
+            or run.job_class != request.job_class
+            or not 0 < run.remaining <= request.timeout
         ]
-        if told:
-            faults["envelope_changed"].append(f"{one.token}: " + "; ".join(told))
+        if changed:
+            faults["envelope_changed"].append(f"{request.token}: " + "; ".join(changed))
     for token in by_token:
         faults["ran_unasked"].append(token)
     for member in members:
@@ -71,7 +77,7 @@
                 f"{run.token}: {member.name} {run.arrived - began:.3f} s" for run in late
             ]
     figures: dict[str, object] = {
-        "sent": len(asked),
+        "sent": len(requests),
         "served": outcomes["served"],
         "refused": outcomes["refused"] + outcomes["unfit"],
         "failed": outcomes["failed"],
@@ -84,11 +90,11 @@
     for name in ("wrong_result", "served_unrun", "unfit_but_ran", "envelope_changed", "ran_unasked"):
         figures[name] = len(faults[name])
     parts = sum(outcomes[name] for name in OUTCOMES) + outcomes["unfit"]
-    figures["adds_up"] = parts == len(asked)
+    figures["adds_up"] = parts == len(requests)
     figures["runs"] = dict(Counter(f"interface {run.interface} {run.outcome}" for run in runs))
     figures["clients"] = {
-        kind: dict(Counter(one.outcome for one in asked if one.kind == kind))
-        for kind in sorted({one.kind for one in asked})
+        kind: dict(Counter(request.outcome for request in requests if request.kind == kind))
+        for kind in sorted({request.kind for request in requests})
     }
     figures["faults"] = {name: found[:20] for name, found in faults.items() if found}
     return figures
--- a/pipitshed/testbed/clients.py
+++ b/pipitshed/testbed/clients.py
@@ -75,51 +75,56 @@
     )
 
 
-def request_body(asked: ClientRequest) -> bytes:
+def request_body(request: ClientRequest) -> bytes:
     """The job in the client's form."""
-    if asked.kind.endswith("v1"):
+    if request.kind.endswith("v1"):
         job = {
             "origin": "LIM-03",
             "destination": "AQP-01",
-            "pallets": asked.pallets,
+            "pallets": request.pallets,
             "weight_kg": 812.5,
             "cutoff": datetime.fromtimestamp(CUTOFF, UTC).strftime("%Y-%m-%dT%H:%M:%SZ"),
             "fragile": True,
-            "remark": asked.token,
-            "goods": [{"sku": "PAL-1", "count": asked.pallets}],
+            "remark": request.token,
+            "goods": [{"sku": "PAL-1", "count": request.pallets}],
         }
-        if asked.hazard:
+        if request.hazard:
             job["hazard"] = "flammable"
         return json.dumps(job).encode()
     pairs = {
         "from": "LIM-03",
         "to": "AQP-01",
-        "plts": asked.pallets,
+        "plts": request.pallets,
         "kg": "812.5",
         "by": CUTOFF,
         "frag": 1,
-        "rem": asked.token,
+        "rem": request.token,
     }
-    if asked.kind == "http-v0":
-        pairs |= {"req": asked.token, "cls": asked.job_class, "member": asked.tenant, "wait": asked.timeout}
-        if asked.key:
-            pairs["key"] = asked.key
+    if request.kind == "http-v0":
+        pairs |= {
+            "req": request.token,
+            "cls": request.job_class,
+            "member": request.tenant,
+            "wait": request.timeout,
+        }
+        if request.key:
+            pairs["key"] = request.key
     return urlencode(pairs).encode()
 
 
-def check_result(asked: ClientRequest, result: bytes) -> str:
+def check_result(request: ClientRequest, result: bytes) -> str:
     """What of a result is not the one that was asked for; empty where it is."""
-    departs = 1_800_000_000 + asked.pallets
+    departs = 1_800_000_000 + request.pallets
     try:
-        if asked.kind.endswith("v1"):
+        if request.kind.endswith("v1"):
             told = json.loads(result)
             got = (
                 told["truck"],
                 datetime.fromisoformat(told["departs"]).timestamp(),
                 told["lane"],
-                told["price"] if asked.job_class == "quote" else told["booking_ref"],
+                told["price"] if request.job_class == "quote" else told["booking_ref"],
             )
-            price: object = 12.5 * asked.pallets
+            price: object = 12.5 * request.pallets
             night: object = "night"
         else:
             form = {name: values[0] for name, values in parse_qs(result.decode()).items()}
@@ -127,12 +132,17 @@
                 form["truck"],
                 float(form["leaves"]),
                 form["night"],
-                float(form["price"]) if asked.job_class == "quote" else form["ref"],
+                float(form["price"]) if request.job_class == "quote" else form["ref"],
             )
-            price, night = 12.5 * asked.pallets, "1"
+            price, night = 12.5 * request.pallets, "1"
     except (ValueError, KeyError) as error:
         return f"unreadable: {error!r}"
-    wanted = (f"T-{asked.token}", departs, night, price if asked.job_class == "quote" else f"B-{asked.token}")
+    wanted = (
+        f"T-{request.token}",
+        departs,
+        night,
+        price if request.job_class == "quote" else f"B-{request.token}",
+    )
     return "" if got == wanted else f"{got} instead of {wanted}"
 
 
@@ -143,67 +153,67 @@
         self.host, self.port = host, port
         self._idle: deque[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = deque()
 
-    async def send(self, asked: ClientRequest) -> None:
+    async def send(self, request: ClientRequest) -> None:
         try:
-            await self._send(asked)
+            await self._send(request)
         except OSError as error:
-            asked.outcome, asked.detail, asked.ended = "unanswered", repr(error), monotonic()
-            asked.not_accepted = isinstance(error, ConnectionRefusedError)
+            request.outcome, request.detail, request.ended = "unanswered", repr(error), monotonic()
+            request.not_accepted = isinstance(error, ConnectionRefusedError)
 
-    async def _send(self, asked: ClientRequest) -> None:
-        asked.reused_connection = bool(self._idle)
+    async def _send(self, request: ClientRequest) -> None:
+        request.reused_connection = bool(self._idle)
         reader, writer = (
             self._idle.pop()
-            if asked.reused_connection
+            if request.reused_connection
             else await asyncio.open_connection(self.host, self.port)
         )
-        data = request_body(asked)
+        data = request_body(request)
         head = {"Host": "lab", "Content-Length": str(len(data))}
-        if asked.kind == "http-v0":
+        if request.kind == "http-v0":
             head["Content-Type"] = "application/x-www-form-urlencoded"
         else:
             head |= {
-                "X-Request-Id": asked.token,
-                "X-Class": asked.job_class,
-                "X-Tenant": asked.tenant,
-                "X-Deadline": f"{asked.timeout:.3f}",
+                "X-Request-Id": request.token,
+                "X-Class": request.job_class,
+                "X-Tenant": request.tenant,
+                "X-Deadline": f"{request.timeout:.3f}",
                 "Content-Type": "application/json",
             }
-            if asked.key:
-                head["Idempotency-Key"] = asked.key
-        asked.sent = monotonic()
+            if request.key:
+                head["Idempotency-Key"] = request.key
+        request.sent = monotonic()
         lines = "".join(f"{name}: {value}\r\n" for name, value in head.items())
         writer.write(f"POST /api HTTP/1.1\r\n{lines}\r\n".encode() + data)
         keep_open = False
         try:
-            async with asyncio.timeout(asked.cancel_after or asked.timeout + asked.slack):
+            async with asyncio.timeout(request.cancel_after or request.timeout + request.slack):
                 top = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
                 length = int(top.partition("content-length:")[2].split("\r\n")[0] or 0)
                 result = await reader.readexactly(length)
-            asked.answers += 1
-            self._set_outcome(asked, int(top.split()[1]), result)
+            request.answers += 1
+            self._set_outcome(request, int(top.split()[1]), result)
             keep_open = "connection: close" not in top
         except TimeoutError:
-            asked.outcome = "withdrawn" if asked.cancel_after else "unanswered"
+            request.outcome = "withdrawn" if request.cancel_after else "unanswered"
         except (asyncio.IncompleteReadError, ConnectionError) as error:
-            asked.outcome, asked.detail = "unanswered", repr(error)
+            request.outcome, request.detail = "unanswered", repr(error)
             empty = isinstance(error, asyncio.IncompleteReadError) and not error.partial
-            asked.not_accepted = asked.reused_connection and empty
-        asked.ended = monotonic()
+            request.not_accepted = request.reused_connection and empty
+        request.ended = monotonic()
         # Anything more that stands there unread is a second answer.
         if keep_open and reader._buffer:  # type: ignore[attr-defined]
-            asked.answers += 1
+            request.answers += 1
         if keep_open:
             self._idle.append((reader, writer))
         else:
             writer.transport.abort()
 
     @staticmethod
-    def _set_outcome(asked: ClientRequest, status: int, result: bytes) -> None:
-        asked.outcome = {200: "served", 503: "refused", 429: "refused", 422: "unfit"}.get(status, "failed")
-        asked.detail = f"{status} {result[:200].decode('utf-8', 'replace')}" if status != 200 else ""
+    def _set_outcome(request: ClientRequest, status: int, result: bytes) -> None:
+        request.outcome = {200: "served", 503: "refused", 429: "refused", 422: "unfit"}.get(status, "failed")
+        request.detail = f"{status} {result[:200].decode('utf-8', 'replace')}" if status != 200 else ""
         if status == 200:
-            asked.wrong = check_result(asked, result)
+            request.wrong = check_result(request, result)
 
     def close(self) -> None:
         for _, writer in self._idle:
@@ -238,56 +248,56 @@
         await link.packet()
         return link
 
-    async def send(self, asked: ClientRequest) -> None:
+    async def send(self, request: ClientRequest) -> None:
         try:
-            await self._send(asked)
+            await self._send(request)
         except (OSError, asyncio.IncompleteReadError) as error:
             # Before the job was written: its connection did not come up.
-            asked.outcome, asked.detail, asked.not_accepted = "unanswered", repr(error), True
-            asked.sent = asked.ended = monotonic()
+            request.outcome, request.detail, request.not_accepted = "unanswered", repr(error), True
+            request.sent = request.ended = monotonic()
 
-    async def _send(self, asked: ClientRequest) -> None:
+    async def _send(self, request: ClientRequest) -> None:
         link = await self._link()
-        asked.sent = monotonic()
-        function, unique = _FUNCTIONS[asked.kind, asked.job_class], b"k-" + asked.token.encode()
+        request.sent = monotonic()
+        function, unique = _FUNCTIONS[request.kind, request.job_class], b"k-" + request.token.encode()
         link.writer.write(
-            encode_packet(PacketType.SUBMIT_JOB, function, unique, request_body(asked), magic=REQUEST_MAGIC)
+            encode_packet(PacketType.SUBMIT_JOB, function, unique, request_body(request), magic=REQUEST_MAGIC)
         )
         keep_open, handle = False, b""
         try:
-            async with asyncio.timeout(asked.cancel_after or asked.timeout + asked.slack):
-                while not asked.outcome:
+            async with asyncio.timeout(request.cancel_after or request.timeout + request.slack):
+                while not request.outcome:
                     kind, arguments = await link.packet()
                     if kind is PacketType.JOB_CREATED:
                         handle = arguments[0]
                         continue
                     if kind is PacketType.ERROR:
-                        asked.outcome, asked.detail = "failed", repr(arguments)
+                        request.outcome, request.detail = "failed", repr(arguments)
                     elif arguments[0] != handle:
-                        asked.answers += kind in (PacketType.WORK_COMPLETE, PacketType.WORK_FAIL)
+                        request.answers += kind in (PacketType.WORK_COMPLETE, PacketType.WORK_FAIL)
                     elif kind is PacketType.WORK_WARNING:
-                        asked.detail = arguments[1].decode()
+                        request.detail = arguments[1].decode()
                     elif kind is PacketType.WORK_EXCEPTION:
-                        asked.detail = arguments[1].decode("utf-8", "replace")
+                        request.detail = arguments[1].decode("utf-8", "replace")
                     elif kind is PacketType.WORK_COMPLETE:
-                        asked.answers += 1
-                        asked.outcome, asked.wrong = "served", check_result(asked, arguments[1])
+                        request.answers += 1
+                        request.outcome, request.wrong = "served", check_result(request, arguments[1])
                     elif kind is PacketType.WORK_FAIL:
-                        asked.answers += 1
-                        asked.outcome = (
+                        request.answers += 1
+                        request.outcome = (
                             "refused"
-                            if asked.detail.startswith("retry-after")
+                            if request.detail.startswith("retry-after")
                             else "unfit"
-                            if asked.detail.startswith("hazard:")
+                            if request.detail.startswith("hazard:")
                             else "failed"
                         )
                 keep_open = True
         except TimeoutError:
-            asked.outcome = "withdrawn" if asked.cancel_after else "unanswered"
+            request.outcome = "withdrawn" if request.cancel_after else "unanswered"
         except (asyncio.IncompleteReadError, ConnectionError) as error:
-            asked.outcome, asked.detail = "unanswered", repr(error)
-            asked.not_accepted = not handle
-        asked.ended = monotonic()
+            request.outcome, request.detail = "unanswered", repr(error)
+            request.not_accepted = not handle
+        request.ended = monotonic()
         if keep_open:
             self._idle.append(link)
         else:
