--- a/pipitshed/testbed/experiment.py
+++ b/pipitshed/testbed/experiment.py
@@ -111,7 +111,7 @@
 
 async def run_experiment(
     experiment: Experiment,
-    requests: int,
+    request_count: int,
     seed: int,
     progress: Callable[[int], None] = lambda done: None,
     arm: Arm | None = None,
@@ -131,36 +131,41 @@
         from pipitshed.testbed.arms import solved  # the solver is an extra of its own
 
         plan = solved(experiment, fleet)
-    asked: list[ClientRequest] = []
+    requests: list[ClientRequest] = []
     try:
         async with scheduler(fleet.discovery.port, plan=plan) as running:
             await asyncio.sleep(PLAN_RAMP if plan else DETECTION_TIME)
-            begun, before = monotonic(), running.cpu()
-            length = requests / traffic.rate
+            started, before = monotonic(), running.cpu()
+            length = request_count / traffic.rate
             script = asyncio.create_task(_script(experiment, fleet, rng, length))
-            await _traffic(running, traffic, requests, rng, asked, progress)
-            took = monotonic() - begun
+            await _traffic(running, traffic, request_count, rng, requests, progress)
+            took = monotonic() - started
             await script
             cpu = running.cpu()
             memory = running.peak_mb()
     finally:
         await fleet.close()
-    figures = account(asked, fleet.record.runs, fleet.members)
+    figures = account(requests, fleet.record.runs, fleet.members)
     for name, wanted in traffic.wanted_ms.items():
-        mine = [one for one in asked if one.job_class == name and one.outcome != "withdrawn"]
-        good = sum(one.outcome == "served" and (one.ended - one.sent) * 1000 <= wanted for one in mine)
-        figures[f"in_time_{name}"] = round(good / len(mine), 4) if mine else 1.0
+        answered = [
+            request for request in requests if request.job_class == name and request.outcome != "withdrawn"
+        ]
+        in_time = sum(
+            request.outcome == "served" and (request.ended - request.sent) * 1000 <= wanted
+            for request in answered
+        )
+        figures[f"in_time_{name}"] = round(in_time / len(answered), 4) if answered else 1.0
     figures["worst_use"] = round(
         max(member.planner.busy_seconds / took / shape.slots for member in fleet.members), 4
     )
     ran = [run for run in fleet.record.runs if run.outcome != "returned"]
     figures["crossings"] = round(sum(run.zone != ZONES[0] for run in ran) / max(1, len(ran)), 4)
-    times = sorted(one.ended - one.sent for one in asked if one.outcome == "served")
+    times = sorted(request.ended - request.sent for request in requests if request.outcome == "served")
     figures |= {
         "experiment": experiment.name,
         "seed": seed,
         "seconds": round(took, 2),
-        "scheduler_cpu_us_per_request": round((cpu - before) / max(1, len(asked)) * 1e6, 1),
+        "scheduler_cpu_us_per_request": round((cpu - before) / max(1, len(requests)) * 1e6, 1),
         "scheduler_peak_mb": round(memory, 1),
         "served_ms": {
             f"p{part}": round(times[min(len(times) - 1, len(times) * part // 100)] * 1000, 1)
@@ -177,37 +182,37 @@
 async def _traffic(
     running: RunningScheduler,
     traffic: ClientsFile,
-    requests: int,
+    request_count: int,
     rng: random.Random,
-    asked: list[ClientRequest],
+    requests: list[ClientRequest],
     progress: Callable[[int], None],
 ) -> None:
     http, gearman = HttpClients(running.http), GearmanClients(running.gearman)
     tasks: set[asyncio.Task[None]] = set()
-    begun = monotonic()
-    for number in range(requests):
-        wait = begun + number / traffic.rate - monotonic()
+    started = monotonic()
+    for number in range(request_count):
+        wait = started + number / traffic.rate - monotonic()
         if wait > 0:
             await asyncio.sleep(wait)
-        one = draw_request(rng, f"{number:06d}", traffic.mix, traffic.cancel, traffic.unfit, traffic.book)
-        asked.append(one)
-        clients = http if one.kind.startswith("http") else gearman
-        task = asyncio.create_task(clients.send(one))
+        request = draw_request(rng, f"{number:06d}", traffic.mix, traffic.cancel, traffic.unfit, traffic.book)
+        requests.append(request)
+        clients = http if request.kind.startswith("http") else gearman
+        task = asyncio.create_task(clients.send(request))
         tasks.add(task)
         task.add_done_callback(tasks.discard)
         if number % 100 == 99:
             progress(number + 1)
     await asyncio.gather(*tasks)
-    progress(requests)
+    progress(request_count)
     http.close()
     gearman.close()
 
 
 async def _script(experiment: Experiment, fleet: PlannerFleet, rng: random.Random, length: float) -> None:
-    begun = monotonic()
+    started = monotonic()
     tasks = []
     for trouble in sorted(experiment.troubles, key=lambda one: one.at):
-        await asyncio.sleep(max(0.0, begun + trouble.at * length - monotonic()))
+        await asyncio.sleep(max(0.0, started + trouble.at * length - monotonic()))
         tasks.append(asyncio.create_task(_trouble(trouble, fleet, rng)))
     await asyncio.gather(*tasks)
 
