--- a/pipitshed/testbed/fleet/oracles.py
+++ b/pipitshed/testbed/fleet/oracles.py
@@ -207,28 +207,35 @@
 
 
 def check_requests(
-    asked: list[ClientRequest], targets: dict[str, Instance], wanted_ms: float, all_in_time: bool
+    client_requests: list[ClientRequest], targets: dict[str, Instance], wanted_ms: float, all_in_time: bool
 ) -> tuple[dict[str, Any], list[str]]:
     """The clients' figures, and requests that were lost though nothing was done to their scheduler."""
     wrong = []
-    for one in asked:
-        instance = targets[one.token]
+    for request in client_requests:
+        instance = targets[request.token]
         touched = [instance.spawned] if instance.ended is None else [instance.spawned, instance.ended]
         near = any(
-            one.sent - DISRUPTION_MARGIN <= when <= one.ended + DISRUPTION_MARGIN for when in touched
+            request.sent - DISRUPTION_MARGIN <= when <= request.ended + DISRUPTION_MARGIN for when in touched
         ) or any(
-            since - DISRUPTION_MARGIN <= one.ended and one.sent <= until + DISRUPTION_MARGIN
+            since - DISRUPTION_MARGIN <= request.ended and request.sent <= until + DISRUPTION_MARGIN
             for since, until in instance.paused
         )
-        if one.outcome == "unanswered" and not near:
-            wrong.append(f"request {one.token} at {instance.name} was not answered: {one.detail}")
-    in_time = sum(one.outcome == "served" and (one.ended - one.sent) * 1000 <= wanted_ms for one in asked)
+        if request.outcome == "unanswered" and not near:
+            wrong.append(f"request {request.token} at {instance.name} was not answered: {request.detail}")
+    in_time = sum(
+        request.outcome == "served" and (request.ended - request.sent) * 1000 <= wanted_ms
+        for request in client_requests
+    )
     figures = {
-        "requests": len(asked),
-        "in_time": round(in_time / max(1, len(asked)), 4),
-        "unanswered": sum(one.outcome == "unanswered" for one in asked),
+        "requests": len(client_requests),
+        "in_time": round(in_time / max(1, len(client_requests)), 4),
+        "unanswered": sum(request.outcome == "unanswered" for request in client_requests),
     }
-    if all_in_time and in_time < len(asked):
-        late = [f"{one.token} {one.outcome} {one.detail}" for one in asked if one.outcome != "served"]
-        wrong.append(f"{len(asked) - in_time} requests were not served in time: {late[:3]}")
+    if all_in_time and in_time < len(client_requests):
+        late = [
+            f"{request.token} {request.outcome} {request.detail}"
+            for request in client_requests
+            if request.outcome != "served"
+        ]
+        wrong.append(f"{len(client_requests) - in_time} requests were not served in time: {late[:3]}")
     return figures, wrong
--- a/pipitshed/testbed/fleet/play.py
+++ b/pipitshed/testbed/fleet/play.py
@@ -61,11 +61,11 @@
         self.planners = PlannerFleet(Behaviour(), seed)
         self.processes = Processes(shape, folder, seed, self.planners.members, self.log)
         self._reading = oracles.LogReader(folder)
-        self.asked: list[ClientRequest] = []
+        self.requests: list[ClientRequest] = []
         self.targets: dict[str, tuple[int, int]] = {}
         self._rng = random.Random(f"traffic:{seed}")
         self._clients: dict[int, HttpClients] = {}
-        self._asking: set[asyncio.Task[None]] = set()
+        self._sending: set[asyncio.Task[None]] = set()
 
     async def run(self) -> dict[str, Any]:
         """Play it; the verdict."""
@@ -94,7 +94,7 @@
                     self.log("wrong", text=f"the last change, with all faults over, was {last}")
             await asyncio.sleep(AGREEMENT_HOLD)
             traffic.cancel()
-            await asyncio.gather(*self._asking)
+            await asyncio.gather(*self._sending)
             self.log("end", joined=joined, began=began)
         except ProcessError as error:
             self.log("wrong", text=str(error))
@@ -156,34 +156,34 @@
             await asyncio.sleep(max(0.0, began + number / rate - monotonic()))
             up = [one for one in self.processes.all if one.accepts_clients]
             if up:
-                self._ask(up[number % len(up)], number)
+                self._send(up[number % len(up)], number)
             number += 1
 
-    def _ask(self, process: Process, number: int) -> None:
-        one = draw_request(self._rng, f"{number:06d}", MIX, 0.0, 0.0, self.scenario.traffic.book)
-        self.asked.append(one)
-        task = asyncio.create_task(self._asked(one, process))
-        self._asking.add(task)
-        task.add_done_callback(self._asking.discard)
+    def _send(self, process: Process, number: int) -> None:
+        request = draw_request(self._rng, f"{number:06d}", MIX, 0.0, 0.0, self.scenario.traffic.book)
+        self.requests.append(request)
+        task = asyncio.create_task(self._send_until_accepted(request, process))
+        self._sending.add(task)
+        task.add_done_callback(self._sending.discard)
 
-    async def _asked(self, one: ClientRequest, process: Process) -> None:
+    async def _send_until_accepted(self, request: ClientRequest, process: Process) -> None:
         """Ask until a scheduler has taken the request: one that refuses the connection, or had closed a kept
         one before the request came, has not, and another is asked as the platform's front would do.
         """
         for _ in range(MAX_ATTEMPTS):
-            self.targets[one.token] = (process.place, process.starts)
+            self.targets[request.token] = (process.place, process.starts)
             clients = self._clients.setdefault(process.place, HttpClients(HTTP_PORT, process.real[0]))
-            one.not_accepted, one.outcome, one.reused_connection = False, "", False
-            await clients.send(one)
+            request.not_accepted, request.outcome, request.reused_connection = False, "", False
+            await clients.send(request)
             up = [other for other in self.processes.all if other.accepts_clients]
             # Guards a keyed job against a second run in another zone that the rig itself asks for: a kept
             # connection ends without a byte also where a process was killed that had taken the request.
             killed = (
-                one.reused_connection
-                and process.killed == self.targets[one.token][1]
-                and one.job_class == "book"
+                request.reused_connection
+                and process.killed == self.targets[request.token][1]
+                and request.job_class == "book"
             )
-            if not one.not_accepted or killed or not up:
+            if not request.not_accepted or killed or not up:
                 return
             process = self._rng.choice(up)
 
@@ -196,9 +196,9 @@
         by_key: dict[tuple[int, int], Instance] = {(one.place, one.start): one for one in logs.instances}
         targets = {token: by_key[key] for token, key in self.targets.items()}
         figures, lost = oracles.check_requests(
-            self.asked, targets, self.scenario.traffic.wanted_ms, self.scenario.all_in_time
+            self.requests, targets, self.scenario.traffic.wanted_ms, self.scenario.all_in_time
         )
-        accounts = account(self.asked, self.planners.record.runs, self.planners.members)
+        accounts = account(self.requests, self.planners.record.runs, self.planners.members)
         wrong += [f"{name}: {accounts['faults'][name][:2]}" for name in MUST_BE_ZERO if accounts[name]]  # type: ignore[index]
         if after is not None and after > self.scenario.settle_within:
             wrong.append(f"settled {after:.2f} s after the last fault, not {self.scenario.settle_within}")
--- a/tests/cluster/test_fleet_rig.py
+++ b/tests/cluster/test_fleet_rig.py
@@ -248,7 +248,7 @@
         }
         jobs = [ClientRequest(token, "http-v1", job_class, token, "t", 1.0, 1) for token in ("a", "b")]
         for job in jobs:
-            await testbed._asked(job, places[0])  # type: ignore[arg-type]
+            await testbed._send_until_accepted(job, places[0])  # type: ignore[arg-type]
         assert heads[:2] == [0, 0] and (len(heads) > 2) == retried
         for clients in testbed._clients.values():
             clients.close()
