--- a/pipitshed/testbed/virtual_fleet.py
+++ b/pipitshed/testbed/virtual_fleet.py
@@ -93,8 +93,9 @@
         views = [node.membership.view for node in self.nodes.values()]
         return (
             len({view.digest() for view in views}) == 1
-            and [(word.name, word.address) for word in views[0].live_members()] == self.running_members()
-            and all(word.state is not MemberState.SUSPECT for view in views for word in view)
+            and [(member.name, member.address) for member in views[0].live_members()]
+            == self.running_members()
+            and all(member.state is not MemberState.SUSPECT for view in views for member in view)
         )
 
     def tables_agree(self) -> bool:
@@ -115,11 +116,11 @@
 
     def run_until(self, holds: Callable[[], bool], within: float, step: float) -> float | None:
         """How long (s) until it holds, looked at each `step`; None where it does not within the time."""
-        begun = self.now
+        started = self.now
         for looked in itertools.count():
             if holds():
                 return looked * step
-            if self.now - begun >= within:
+            if self.now - started >= within:
                 return None
             self.run(step)
         raise AssertionError("unreachable")
@@ -127,18 +128,18 @@
     # ---- how it happens
 
     def _deliver(self, node: Node, message: Message | None, source: Address) -> None:
-        begun = time.perf_counter()
+        started = time.perf_counter()
         super()._deliver(node, message, source)
-        self.busy += time.perf_counter() - begun
+        self.busy += time.perf_counter() - started
 
     def _one_way_delay(self, source: Address, target: Address) -> float:
         here, there = self.zone(source), self.zone(target)
-        takes = (
+        delay = (
             WITHIN_ZONE
             if here == there
             else (WITHIN_REGION if region(here) == region(there) else BETWEEN_REGIONS)
         )
-        return takes * (1.0 + self.rng.random() * JITTER)
+        return delay * (1.0 + self.rng.random() * JITTER)
 
     def _add(self, counted: dict[Address, TrafficCounter], address: Address, size: int) -> None:
         if (second := counted.get(address)) is None:
--- a/pipitshed/testbed/virtual_view.py
+++ b/pipitshed/testbed/virtual_view.py
@@ -146,10 +146,10 @@
 
     def settle(self, within: float, step: float = 0.1) -> float | None:
         """How long until every view is the truth, at most `within`; None where it is not by then."""
-        begun = self.now
-        while self.now - begun <= within:
+        started = self.now
+        while self.now - started <= within:
             if self.agreed():
-                return self.now - begun
+                return self.now - started
             self.run(step)
         return None
 
@@ -157,8 +157,8 @@
         """Whether all that live hold exactly those alive that live."""
         expected = self.running_members()
         return all(
-            [(word.name, word.address) for word in node.membership.view.live_members()] == expected
-            and all(word.state is MemberState.ALIVE for word in node.membership.view.live_members())
+            [(member.name, member.address) for member in node.membership.view.live_members()] == expected
+            and all(member.state is MemberState.ALIVE for member in node.membership.view.live_members())
             for node in self.nodes.values()
         )
 
@@ -219,6 +219,6 @@
             return
         self._post(self.rng.uniform(*self.delay), node.address, to, message)
 
-    def _post(self, takes: float, source: Address, to: Address, message: Message) -> None:
+    def _post(self, delay: float, source: Address, to: Address, message: Message) -> None:
         """It is there after so long (s)."""
-        heappush(self._events, (self.now + takes, next(self._order), to, 0, message, source))
+        heappush(self._events, (self.now + delay, next(self._order), to, 0, message, source))
