--- a/pipitshed/testbed/__init__.py
+++ b/pipitshed/testbed/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for clients, workers and discovery, and experiments between them."""
+"""Stand-ins for clients, planners and discovery, and experiments that run a scheduler between them."""
--- a/pipitshed/testbed/accounts.py
+++ b/pipitshed/testbed/accounts.py
@@ -1,6 +1,6 @@
-"""The exact account of a run: for each request what its client got and what every planner ran.
+"""The account of a run: what the client of each request received, and what each planner ran for it.
 
-It reads the clients' and the planners' records alone, not the program's own counters.
+The account is made from the records of clients and planners alone, never from the scheduler's own counters.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from pipitshed.testbed.fleet.standins import Member
 from pipitshed.testbed.planner import DEDUP_WINDOW, Run
 
-OVERLAP = 0.05  # s that two attempts may seem to overlap: a cancel and a send travel on two connections
-DRAIN = 1.5 + 0.05  # s
+OVERLAP = 0.05  # s; two attempts may appear to overlap, as cancel and send use separate connections
+DRAIN = 1.5 + 0.05  # s after the drain notice in which attempts may still arrive: `drainGrace` and a margin
 OUTCOMES = ("served", "refused", "failed", "withdrawn", "unanswered")
 MUST_BE_ZERO = ("unanswered", "answered_twice", "ran_twice_forbidden", "two_outstanding", "after_drain")
 
@@ -21,7 +21,7 @@
 def account(
     requests: Iterable[ClientRequest], runs: list[Run], members: Iterable[Member]
 ) -> dict[str, object]:
-    """All figures, and the tokens behind each that should be zero."""
+    """Return all figures; `faults` lists request tokens for each figure that should be zero."""
     requests = list(requests)
     outcomes = Counter(request.outcome for request in requests)
     faults: dict[str, list[str]] = defaultdict(list)
@@ -101,7 +101,7 @@
 
 
 def broken_rules(figures: dict[str, object]) -> list[str]:
-    """What should be zero and is not."""
+    """Return one line for each figure that must be zero and is not."""
     names = (
         *MUST_BE_ZERO,
         "wrong_result",
@@ -111,13 +111,13 @@
         "ran_unasked",
     )
     return [f"{name} = {figures[name]}" for name in names if figures[name]] + (
-        [] if figures["adds_up"] else ["the parts do not add up to what was sent"]
+        [] if figures["adds_up"] else ["the outcomes do not add up to the number of requests sent"]
     )
 
 
 def _may_have_run_twice(ran: list[Run]) -> bool:
-    """Whether a keyed job may have taken effect twice: in two zones, or again behind the window in which its
-    zone's planners drop a repeat.
+    """Whether a job with a key may have taken effect twice: in two zones, or twice in one zone with more
+    time between than the window in which planners recognise a repeat.
     """
     if len({run.zone for run in ran}) > 1:
         return True
--- a/pipitshed/testbed/clients.py
+++ b/pipitshed/testbed/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in old clients: HTTP terminals of version 0 and 1, Gearman dispatch tools of version 0 and 1."""
+"""Stand-in clients: HTTP and Gearman clients that send message forms of version 0 and version 1."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from pipitshed.testbed.program import TENANTS
 
 KINDS = ("http-v0", "http-v1", "gearman-v0", "gearman-v1")
-SLACK = 0.06  # s beyond its deadline after which an answer counts as none
-CUTOFF = 1_800_003_600
+SLACK = 0.06  # s after the deadline; an answer that is later counts as missing
+CUTOFF = 1_800_003_600  # Unix time in s; a field of each job
 _FUNCTIONS = {
     ("gearman-v0", "quote"): b"plan_quote",
     ("gearman-v0", "book"): b"book_pallet",
@@ -28,38 +28,38 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request and what its client got."""
+    """One request and the result that its client received. Times are seconds of the monotonic clock."""
 
     token: str
     kind: str
     job_class: str
     key: str
     tenant: str
-    timeout: float  # s
+    timeout: float  # s that the client waits for an answer
     pallets: int
-    hazard: bool = False  # what interface 2 can't express
-    cancel_after: float = 0.0  # s after which the client goes; 0: it stays
+    hazard: bool = False  # it has a field that interface 2 can't express
+    cancel_after: float = 0.0  # s after which the client closes its connection; 0: never
     sent: float = 0.0
     ended: float = 0.0
     outcome: str = ""  # served, refused, unfit, failed, withdrawn, unanswered
     answers: int = 0
-    wrong: str = ""  # what of a served result is not as asked for
+    wrong: str = ""  # how a served result differs from the expected one; empty: it does not
     detail: str = ""
-    not_accepted: bool = False  # the connection was refused, or a kept one had been closed before the request
-    reused_connection: bool = False  # it went out on a kept connection
-    slack: float = SLACK  # s beyond its patience for which its client listens on
+    not_accepted: bool = False  # refused connection, or a reused one that was closed already
+    reused_connection: bool = False  # it was sent on a connection that was kept open
+    slack: float = SLACK  # s after the timeout for which the client still reads
 
 
 def draw_request(
     rng: random.Random, token: str, mix: dict[str, float], cancel: float, unfit: float, book: float
 ) -> ClientRequest:
-    """One request by these shares."""
+    """Draw one request; `mix` has a weight for each client kind; the last three are shares from 0 to 1."""
     kind = rng.choices(list(mix), list(mix.values()))[0]
     job_class = "book" if rng.random() < book else "quote"
     tenant = {"gearman-v0": "selva-trans", "gearman-v1": "sur-express"}.get(kind) or rng.choices(
         list(TENANTS), list(TENANTS.values())
     )[0]
-    # Gearman's unique id is the key of every job; over HTTP only `book` comes with one.
+    # Every Gearman job has its unique id as key; over HTTP only `book` requests have one.
     key = f"k-{token}" if job_class == "book" else ""
     timeout = 5.0 if job_class == "quote" else 15.0
     return ClientRequest(
@@ -76,7 +76,7 @@
 
 
 def request_body(request: ClientRequest) -> bytes:
-    """The job in the client's form."""
+    """Encode the job in the form of the request's client."""
     if request.kind.endswith("v1"):
         job = {
             "origin": "LIM-03",
@@ -113,22 +113,22 @@
 
 
 def check_result(request: ClientRequest, result: bytes) -> str:
-    """What of a result is not the one that was asked for; empty where it is."""
+    """Describe how a result differs from the expected one; empty where it does not."""
     departs = 1_800_000_000 + request.pallets
     try:
         if request.kind.endswith("v1"):
-            told = json.loads(result)
-            got = (
-                told["truck"],
-                datetime.fromisoformat(told["departs"]).timestamp(),
-                told["lane"],
-                told["price"] if request.job_class == "quote" else told["booking_ref"],
+            offer = json.loads(result)
+            actual = (
+                offer["truck"],
+                datetime.fromisoformat(offer["departs"]).timestamp(),
+                offer["lane"],
+                offer["price"] if request.job_class == "quote" else offer["booking_ref"],
             )
             price: object = 12.5 * request.pallets
             night: object = "night"
         else:
             form = {name: values[0] for name, values in parse_qs(result.decode()).items()}
-            got = (
+            actual = (
                 form["truck"],
                 float(form["leaves"]),
                 form["night"],
@@ -137,17 +137,17 @@
             price, night = 12.5 * request.pallets, "1"
     except (ValueError, KeyError) as error:
         return f"unreadable: {error!r}"
-    wanted = (
+    expected = (
         f"T-{request.token}",
         departs,
         night,
         price if request.job_class == "quote" else f"B-{request.token}",
     )
-    return "" if got == wanted else f"{got} instead of {wanted}"
+    return "" if actual == expected else f"{actual} instead of {expected}"
 
 
 class HttpClients:
-    """Kept connections, as many as are busy at once."""
+    """HTTP clients with keep-alive connections: as many as there are concurrent requests."""
 
     def __init__(self, port: int, host: str = "127.0.0.1") -> None:
         self.host, self.port = host, port
@@ -200,7 +200,7 @@
             empty = isinstance(error, asyncio.IncompleteReadError) and not error.partial
             request.not_accepted = request.reused_connection and empty
         request.ended = monotonic()
-        # Anything more that stands there unread is a second answer.
+        # Unread bytes after the answer count as a second answer.
         if keep_open and reader._buffer:  # type: ignore[attr-defined]
             request.answers += 1
         if keep_open:
@@ -222,7 +222,7 @@
 
 @dataclass(eq=False)
 class _GearmanLink:
-    """One Gearman client's connection with one job at a time."""
+    """One Gearman client's connection; it carries one job at a time."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -234,7 +234,7 @@
 
 
 class GearmanClients:
-    """The same for Gearman."""
+    """Gearman clients with open connections: as many as there are concurrent requests."""
 
     def __init__(self, port: int) -> None:
         self.port = port
@@ -252,7 +252,7 @@
         try:
             await self._send(request)
         except (OSError, asyncio.IncompleteReadError) as error:
-            # Before the job was written: its connection did not come up.
+            # The connection failed before the job was written.
             request.outcome, request.detail, request.not_accepted = "unanswered", repr(error), True
             request.sent = request.ended = monotonic()
 
--- a/pipitshed/testbed/fleet/standins.py
+++ b/pipitshed/testbed/fleet/standins.py
@@ -1,4 +1,4 @@
-"""A fleet of stand-in planners behind gates, and the stand-in discovery that lists it."""
+"""A fleet of stand-in planners behind TCP forwarders, and the stand-in discovery that lists it."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from pipitshed.testbed.planner import Behaviour, Planner, Record
 
 ZONES = ("lima-norte", "arequipa")
-HEARTBEAT = 2.0  # s
+HEARTBEAT = 2.0  # s between empty lines on a discovery watch
 
 
 class TcpForwarder:
-    """A planner's address, which stays when what stands behind it changes; it can be cut."""
+    """Forwards a planner's fixed address to its current server, and can break all connections."""
 
     def __init__(self) -> None:
         self.port = 0
-        self.target_port = 0  # the port; 0: nothing, connections are refused by a close
+        self.target_port = 0  # 0: no server, connections are aborted on accept
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
@@ -32,7 +32,7 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     def cut(self) -> None:
-        """Break all connections with a reset."""
+        """Abort all connections with a reset."""
         for writer in list(self._writers):
             writer.transport.abort()
 
@@ -67,12 +67,12 @@
 
 @dataclass
 class Member:
-    """One planner of the fleet."""
+    """One planner of the fleet, as discovery lists it."""
 
     name: str
     zone: str
     interface: int
-    lists_interface: bool  # whether its row lists_interface its interface
+    lists_interface: bool  # whether its discovery row has the key `interface`
     forwarder: TcpForwarder
     planner: Planner
     interface_server: HttpInterface | GrpcInterface
@@ -81,7 +81,7 @@
     starts: int = 0
     speed: float = 1.0
     weight: float = 1.0
-    drains: list[tuple[float, float]] = field(default_factory=list)  # told of a drain, and of the next start
+    drains: list[tuple[float, float]] = field(default_factory=list)  # (drain announced, restarted)
 
     def row(self) -> dict[str, object]:
         row = {
@@ -98,13 +98,13 @@
 
 
 class DiscoveryEntry(Protocol):
-    """What discovery lists."""
+    """An entry of the stand-in discovery's list."""
 
     def row(self) -> dict[str, object]: ...
 
 
 class Discovery:
-    """The list and its watch, as the platform's protocol has them."""
+    """Stand-in discovery: the list and its watch in the platform's protocol."""
 
     def __init__(self) -> None:
         self.port = 0
@@ -120,7 +120,7 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def stop_responding(self, seconds: float) -> None:
-        """Say nothing for so long, on open watches and to new calls."""
+        """Answer nothing for some seconds, neither on open watches nor to new requests."""
         self._responding.clear()
         await asyncio.sleep(seconds)
         self._responding.set()
@@ -131,7 +131,7 @@
         ).encode()
 
     def announce(self, *members: DiscoveryEntry) -> None:
-        """Write a change to all watches."""
+        """Send a change of these entries to all watches, with a new generation."""
         self.generation += 1
         text = self.text(False, members) + b"\n"
         for writer in list(self._watches):
@@ -167,7 +167,7 @@
 
 
 class PlannerFleet:
-    """Planners, their gates and discovery; rolled, cut and slowed by those who experiment."""
+    """Planners with their forwarders, and discovery; an experiment restarts, cuts off and slows them."""
 
     def __init__(self, behaviour: Behaviour, seed: int) -> None:
         self.behaviour = behaviour
@@ -184,7 +184,7 @@
         speeds: Sequence[float] = (),
         weights: Sequence[float] = (),
     ) -> None:
-        for place, (interface, told) in enumerate(zip(interfaces, lists_interface, strict=True)):
+        for place, (interface, listed) in enumerate(zip(interfaces, lists_interface, strict=True)):
             speed = speeds[place] if speeds else 1.0
             name, zone = f"planner-{place + 1}", ZONES[place % len(ZONES)]
             forwarder = TcpForwarder()
@@ -194,7 +194,7 @@
                 name,
                 zone,
                 interface,
-                told,
+                listed,
                 forwarder,
                 planner,
                 interface_server,
@@ -219,29 +219,29 @@
         member.forwarder.target_port = member.interface_server.port
 
     async def roll(self, member: Member, interface: int, goaway_only: bool = False) -> None:
-        """Drain, by discovery's word or by GOAWAY alone, end what runs, and come back with this interface."""
-        told = monotonic()
+        """Drain a planner (by discovery, or by GOAWAY alone), stop it, and restart it with this interface."""
+        announced_at = monotonic()
         if not goaway_only:
             member.lifecycle = "draining"
             self.discovery.announce(member)
             await asyncio.sleep(1.5)
         old, member.forwarder.target_port = member.interface_server, 0
         await old.stop(3.0)
-        await self.restart(member, interface, told)
+        await self.restart(member, interface, announced_at)
 
     async def crash(self, member: Member, down: float) -> None:
-        """Die at once, be listed as gone a little later, and come back."""
+        """Stop a planner at once, list it as gone 0.3 s later, and restart it after `down` seconds."""
         member.forwarder.target_port = 0
         member.forwarder.cut()
         await member.interface_server.stop(0.0)
         await asyncio.sleep(0.3)
         member.lifecycle = "gone"
-        told = monotonic()
+        announced_at = monotonic()
         self.discovery.announce(member)
         await asyncio.sleep(down)
-        await self.restart(member, member.interface, told)
+        await self.restart(member, member.interface, announced_at)
 
-    async def restart(self, member: Member, interface: int, told: float) -> None:
+    async def restart(self, member: Member, interface: int, announced_at: float) -> None:
         member.interface = interface
         member.planner, member.interface_server = self._make(
             member.name, member.zone, interface, member.speed
@@ -250,7 +250,7 @@
         await self._open(member)
         member.lifecycle, member.started_ms = "ready", time.time() * 1000
         self.discovery.announce(member)
-        member.drains.append((told, monotonic()))
+        member.drains.append((announced_at, monotonic()))
 
     async def close(self) -> None:
         self.discovery.close()
--- a/pipitshed/testbed/interfaces.py
+++ b/pipitshed/testbed/interfaces.py
@@ -1,6 +1,6 @@
-"""The two interfaces before a stand-in planner: HTTP/1.1 with JSON lines, and gRPC on grpcio's own server.
+"""The two interfaces of a stand-in planner: HTTP/1.1 with JSON lines, and gRPC on grpcio's own server.
 
-grpcio is another implementation of the protocol than the one under `egress`, so that it judges ours.
+grpcio is independent of the gRPC client in `upstream`, so that it checks that implementation.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from pipitshed.testbed.planner import Job, Planner
 from pipitshed.worker_api import planner_pb2 as pb
 
-# It tells of each connection that is cut on purpose, unless it is asked not to before it is loaded.
+# grpcio logs each connection that is cut on purpose, unless this is set before the import.
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 import grpc  # noqa: E402
 
@@ -25,7 +25,7 @@
 
 
 class HttpInterface:
-    """Interface 1."""
+    """The server of interface 1: one request at a time on each connection, answered in JSON lines."""
 
     def __init__(self, planner: Planner) -> None:
         self.planner = planner
@@ -38,7 +38,7 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self, grace: float) -> None:
-        """Take no connections any more, and end the open ones after the grace."""
+        """Stop listening, and abort open connections once no job is left or after `grace` seconds."""
         if self._server is not None:
             self._server.close()
         until = asyncio.get_running_loop().time() + grace
@@ -50,22 +50,22 @@
     async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, ValueError):
-            while await self._one(reader, writer):
+            while await self._serve_request(reader, writer):
                 pass
         self._writers.discard(writer)
         writer.close()
 
-    async def _one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def _serve_request(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
         if not head[0].startswith("POST "):
-            return False  # what it can't read, it closes on
+            return False  # the caller closes the connection on a request that it can't read
         headers = {
             name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:])
         }
         text = await reader.readexactly(int(headers.get("content-length", "0")))
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         answering = asyncio.create_task(self._answer(writer, headers, text))
-        gone = asyncio.create_task(reader.read(1))  # a scheduler that gives up closes
+        gone = asyncio.create_task(reader.read(1))  # a scheduler that cancels closes its connection
         try:
             await asyncio.wait({answering, gone}, return_when=asyncio.FIRST_COMPLETED)
             if not answering.done():
@@ -87,7 +87,7 @@
         number = headers["x-request-id"]
         body = json.loads(text)
         key = headers.get("idempotency-key", "")
-        # A scheduler that translates nothing tells no class: only `book` comes with a key.
+        # A scheduler without translation sends no class; only `book` requests have a key.
         job_class = headers.get("x-class", "book" if key else "quote")
         job = Job(job_class, key, headers.get("x-tenant", ""), float(headers.get("x-deadline", "0")), body)
         events = self.planner.work(job)
@@ -109,7 +109,7 @@
 
 
 def _as_json(result: dict[str, Any]) -> dict[str, Any]:
-    """A result in version 1 of the form."""
+    """Convert a result to version 1 of the form."""
     made = {name: value for name, value in result.items() if name not in ("price_cents", "departs_ms")}
     moment = datetime.fromtimestamp(result["departs_ms"] / 1000, UTC)
     made["departs"] = moment.strftime("%Y-%m-%dT%H:%M:%SZ")
@@ -119,7 +119,7 @@
 
 
 class GrpcInterface:
-    """Interface 2."""
+    """The server of interface 2: a gRPC call with a stream of events."""
 
     def __init__(self, planner: Planner) -> None:
         self.planner = planner
@@ -139,16 +139,16 @@
         await self._server.start()
 
     async def stop(self, grace: float) -> None:
-        """GOAWAY, then the end of all streams after the grace."""
+        """Send GOAWAY, and end all streams after `grace` seconds."""
         await self._server.stop(grace or None)
 
     async def _run(
         self, request: pb.RunRequest, context: grpc.aio.ServicerContext[Any, Any]
     ) -> AsyncIterator[pb.RunEvent]:
-        told = dict(context.invocation_metadata() or ())
-        number = str(told["x-request-id"])
+        metadata = dict(context.invocation_metadata() or ())
+        number = str(metadata["x-request-id"])
         kind = request.WhichOneof("job") or "quote"
-        if kind != told["x-class"]:
+        if kind != metadata["x-class"]:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "class and message differ")
         part = getattr(request, kind)
         body = {
@@ -160,8 +160,8 @@
         }
         job = Job(
             kind,
-            str(told.get("idempotency-key", "")),
-            str(told.get("x-tenant", "")),
+            str(metadata.get("idempotency-key", "")),
+            str(metadata.get("x-tenant", "")),
             context.time_remaining() or 0.0,
             body,
         )
--- a/pipitshed/testbed/planner.py
+++ b/pipitshed/testbed/planner.py
@@ -1,4 +1,4 @@
-"""What a stand-in planner does with a job, whatever interface it speaks, and the record of all that ran."""
+"""How a stand-in planner runs a job, for either interface, and the record of all attempts."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 from time import monotonic
 from typing import Any
 
-DEDUP_WINDOW = 25.0  # s for which the planners of one zone drop a repeat
+DEDUP_WINDOW = 25.0  # s in which the planners of one zone answer a repeated key with the first result
 
 
 @dataclass(slots=True)
 class Run:
-    """One attempt that came to a planner whole."""
+    """One attempt whose message reached a planner completely. Times are seconds of the monotonic clock."""
 
-    token: str  # the client's own name for the request, carried in its body
+    token: str  # the client's identifier of the request, carried in the body
     job_class: str
     key: str
     tenant: str
-    remaining: float  # s that the scheduler said it would wait
+    remaining: float  # s until the deadline that the scheduler sent
     planner: str
     zone: str
     interface: int
     arrived: float
-    ended: float = 0.0  # 0 while it is out
+    ended: float = 0.0  # 0 while the attempt runs
     outcome: str = "out"  # done, failed, returned, repeat, cancelled
 
 
 @dataclass(slots=True)
 class Job:
-    """A job as a planner was told it, in words that both interfaces share."""
+    """A job as a planner received it, independent of the interface."""
 
     job_class: str
     key: str
@@ -42,7 +42,7 @@
 
 @dataclass
 class Record:
-    """All runs, and what each zone's planners know of keys."""
+    """All attempts, and for each zone and key the start and result of the attempt that ran."""
 
     runs: list[Run] = field(default_factory=list)
     keys: dict[tuple[str, str], tuple[float, asyncio.Future[dict[str, Any]]]] = field(default_factory=dict)
@@ -50,19 +50,19 @@
 
 @dataclass
 class Behaviour:
-    """How planners work; `slowdown` may be changed while they run."""
+    """Capacity, working times and failure rate of planners; `slowdown` may be changed while they run."""
 
     slots: int = 16
     queue: int = 64
     work_ms: dict[str, tuple[float, float]] = field(
         default_factory=lambda: {"quote": (10.0, 40.0), "book": (30.0, 90.0)}
     )
-    fail: float = 0.0  # part of the jobs that run and come to nothing
-    slowdown: float = 1.0
+    fail: float = 0.0  # share of the jobs that run and fail
+    slowdown: float = 1.0  # factor on the working time
 
 
 def job_result(job: Job) -> dict[str, Any]:
-    """A job's result, made of nothing but the job, so that a client can tell its own."""
+    """Make a job's result from the job alone, so that a client can check that the result is its own."""
     body = job.body
     offer = {
         "departs_ms": 1_800_000_000_000 + 1000 * int(body["pallets"]),
@@ -76,7 +76,7 @@
 
 
 class Planner:
-    """One planner's work; the interface before it hands jobs in and carries events out."""
+    """One stand-in planner: its interface server passes jobs to `work` and sends the events yielded."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
         speed: float = 1.0,
     ) -> None:
         self.name, self.zone, self.interface, self.speed = name, zone, interface, speed
-        self.busy_seconds = 0.0  # s of slots at work so far
+        self.busy_seconds = 0.0  # slot-seconds of work so far
         self.behaviour, self.record = behaviour, record
         self.draining = False
         self.job_count = 0
@@ -97,14 +97,14 @@
         self._slots = asyncio.Semaphore(behaviour.slots)
 
     def _known_result(self, place: tuple[str, str], arrived: float) -> asyncio.Future[dict[str, Any]] | None:
-        """The result of a run of this key in its zone, which may be under way; None where none counts."""
+        """Return the result of an earlier attempt with this key in its zone, which may still run, or None."""
         began, result = self.record.keys.get(place, (float("-inf"), None))
         if result is None or arrived - began >= DEDUP_WINDOW or result.cancelled():
             return None
         return result
 
     async def work(self, job: Job) -> AsyncIterator[tuple[str, Any]]:
-        """(state, what goes with it) as the job goes on; the last one ends it."""
+        """Yield (state, its data) as the job proceeds; the last one is final."""
         run = Run(
             job.body.get("remark", ""),
             job.job_class,
@@ -123,10 +123,10 @@
             return
         self.record.runs.append(run)
         self.job_count += 1
-        run.outcome = "cancelled"  # unless it comes to another end
+        run.outcome = "cancelled"  # unless another outcome follows
         try:
             place = (self.zone, job.key)
-            # Where the attempt that ran is given up, and so comes to nothing, this one runs in its place.
+            # Where the earlier attempt is cancelled and has no result, this attempt runs instead.
             while job.key and (known := self._known_result(place, run.arrived)) is not None:
                 yield "started", None
                 await asyncio.wait([known])
