--- a/pipitshed/testbed/arms.py
+++ b/pipitshed/testbed/arms.py
@@ -1,4 +1,4 @@
-"""Arms of an experiment, played side by side on the same seeds, and compared pair by pair."""
+"""Runs the arms (variants) of an experiment with the same seeds, and compares them in pairs."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from pipitshed.testbed.fleet.standins import ZONES, PlannerFleet
 
 FIGURES = ("in_time_quote", "in_time_book", "worst_use", "crossings")
-T95 = {4: 3.18, 5: 2.78, 8: 2.36, 10: 2.26, 20: 2.09}  # Student's, by the number of pairs
+T95 = {4: 3.18, 5: 2.78, 8: 2.36, 10: 2.26, 20: 2.09}  # Student's t for 95%, by the number of pairs
 
 
 def solved(experiment: Experiment, fleet: PlannerFleet) -> bytes:
-    """A plan for the experiment's fleet and traffic."""
+    """Solve a placement plan for the experiment's fleet and traffic; exits where there is none."""
     shape, traffic = experiment.fleet, experiment.clients
     planners = tuple(
-        Planner(one.name, one.zone, "m", float(shape.slots), one.speed, float(shape.slots))
-        for one in fleet.members
+        Planner(member.name, member.zone, "m", float(shape.slots), member.speed, float(shape.slots))
+        for member in fleet.members
     )
     demand = tuple(
         Demand(name, rate, sum(span) / 2000, wait=traffic.wanted_ms[name] / 1000, zone=ZONES[0])
@@ -38,8 +38,8 @@
             ("book", traffic.rate * traffic.book, shape.book_ms),
         )
     )
-    told = PlacementFleet(planners, (), demand, Constraints(), 1000)
-    answer = solve(told)
+    placement_fleet = PlacementFleet(planners, (), demand, Constraints(), 1000)
+    answer = solve(placement_fleet)
     if answer.parts is None or answer.conflict:
         raise SystemExit(f"no plan for this fleet: {answer.conflict}")
     return plans.write(
@@ -47,15 +47,15 @@
             plans.FORMAT,
             1,
             time.time(),
-            told.life_s,
+            placement_fleet.life_s,
             answer.units,
-            {one.id: Place(one.zone, one.model, capacity(one)) for one in planners},
+            {planner.id: Place(planner.zone, planner.model, capacity(planner)) for planner in planners},
             answer.parts,
         )
     )
 
 
-def _one(job: tuple[Experiment, int, int, int]) -> dict[str, Any]:
+def _run_one(job: tuple[Experiment, int, int, int]) -> dict[str, Any]:
     experiment, place, requests, seed = job
     raise_descriptor_limit()
     figures = asyncio.run(run_experiment(experiment, requests, seed, arm=experiment.arms[place]))
@@ -63,14 +63,14 @@
 
 
 def compare(experiment: Experiment, requests: int, seeds: int, jobs: int) -> dict[str, Any]:
-    """Each arm's means, and its differences from the first arm with their 95% intervals."""
+    """Run all arms; return each arm's means, and differences from the first arm with 95% intervals."""
     work = [
         (experiment, place, requests, experiment.seed + seed)
         for seed in range(seeds)
         for place in range(len(experiment.arms))
     ]
     with multiprocessing.get_context("spawn").Pool(jobs) as pool:
-        found = pool.map(_one, work, chunksize=1)
+        found = pool.map(_run_one, work, chunksize=1)
     by_arm = [found[place :: len(experiment.arms)] for place in range(len(experiment.arms))]
     arms: dict[str, Any] = {}
     for arm, runs in zip(experiment.arms, by_arm, strict=True):
@@ -84,12 +84,12 @@
         "seeds": seeds,
         "requests": requests,
         "arms": arms,
-        "broken": sorted({one for run in found for one in run["broken"]}),
+        "broken": sorted({rule for run in found for rule in run["broken"]}),
     }
 
 
 def _interval(differences: Sequence[float]) -> list[float]:
-    """Mean, low and high."""
+    """Mean, lower and upper bound of the 95% interval; the mean alone for fewer than two differences."""
     mean, count = statistics.fmean(differences), len(differences)
     if count < 2:
         return [round(mean, 4)]
--- a/pipitshed/testbed/experiment.py
+++ b/pipitshed/testbed/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: a fleet, clients and a script of troubles from a file, played against a live scheduler."""
+"""Experiments: a file describes planners, clients and faults, which are run against a live scheduler."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from pipitshed.testbed.planner import Behaviour
 from pipitshed.testbed.program import RunningScheduler, scheduler
 
-PLAN_RAMP = 9.0  # s in which a plan is eased in
-DETECTION_TIME = 0.3  # s after the start before traffic: what has no told interface is found out
+PLAN_RAMP = 9.0  # s in which the scheduler ramps up a placement plan
+DETECTION_TIME = 0.3  # s before the traffic, in which the scheduler detects unlisted interfaces
 
 
 class FleetFile(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
-    """The planners; `tells` is the part whose rows tell their interface."""
+    """The planners; `tells` is the share whose discovery rows have their interface."""
 
     planners: int = 6
     interface: Literal["1", "2", "mixed"] = "1"
@@ -33,44 +33,44 @@
     fail: float = 0.0
     quote_ms: tuple[float, float] = (10.0, 40.0)
     book_ms: tuple[float, float] = (30.0, 90.0)
-    speeds: tuple[float, ...] = ()  # of each planner; the yardstick is 1
-    weights: tuple[float, ...] = ()  # that discovery lists
+    speeds: tuple[float, ...] = ()  # factor for each planner; 1: the working times as given
+    weights: tuple[float, ...] = ()  # for each planner, as discovery lists them
 
 
 class ClientsFile(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
-    """The traffic, open loop: requests are due at a rate whatever becomes of the others."""
+    """The traffic, open loop: requests are sent at a fixed rate, whether or not others have ended."""
 
     requests: int = 20_000
     short_requests: int = 3_000
-    rate: float = 300.0  # a second
+    rate: float = 300.0  # requests per second
     mix: dict[str, float] = msgspec.field(default_factory=lambda: {"http-v1": 1.0})
-    book: float = 0.4  # part of the requests that are `book`
-    cancel: float = 0.0  # part whose client goes early
-    unfit: float = 0.0  # part of version 1 with a field that interface 2 can't express
+    book: float = 0.4  # share of the requests with class `book`
+    cancel: float = 0.0  # share whose client closes its connection early
+    unfit: float = 0.0  # share of version 1 requests with a field that interface 2 can't express
     wanted_ms: dict[str, float] = msgspec.field(default_factory=lambda: {"quote": 250.0, "book": 1000.0})
 
 
 class Trouble(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
-    """One event of the script, at a part of the traffic's length."""
+    """One fault; `at` is a fraction of the traffic's duration."""
 
     at: float
     do: Literal["roll", "goaway", "crash", "cut", "slow"]
-    planner: int = 0  # counted from 1; 0: drawn
-    interface: int = 2  # with which a rolled planner comes back
-    seconds: float = 1.0  # that it is down, or slow
-    factor: float = 8.0  # how much slower
+    planner: int = 0  # number from 1; 0: chosen at random
+    interface: int = 2  # of a rolled planner after its restart
+    seconds: float = 1.0  # duration of the outage or slowness
+    factor: float = 8.0  # on the working time, where `do` is `slow`
 
 
 class Arm(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
-    """One of the ways that are compared."""
+    """One of the variants that are compared."""
 
     name: str
-    weights: tuple[float, ...] = ()  # that discovery lists
-    solved: bool = False  # the scheduler follows a plan solved from the fleet and the traffic
+    weights: tuple[float, ...] = ()  # for each planner, as discovery lists them
+    solved: bool = False  # the scheduler follows a placement plan solved for fleet and traffic
 
 
 class Experiment(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
-    """The whole file."""
+    """An experiment file."""
 
     name: str
     seed: int = 1
@@ -81,21 +81,27 @@
 
 
 class ExperimentError(ValueError):
-    """The file can't be played; the text says why."""
+    """The experiment file is invalid; the message says why."""
 
 
 def read(text: str) -> Experiment:
-    """The typed experiment."""
+    """Parse and check an experiment file; raises ExperimentError."""
     try:
         experiment = msgspec.convert(tomllib.loads(text), Experiment)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise ExperimentError(str(error)) from None
     if unknown := set(experiment.clients.mix) - set(KINDS):
-        raise ExperimentError(f"clients.mix: no such clients: {', '.join(sorted(unknown))}")
-    told = (experiment.fleet.weights, experiment.fleet.speeds, *(arm.weights for arm in experiment.arms))
-    for weights in told:
+        raise ExperimentError(f"clients.mix: unknown kinds of clients: {', '.join(sorted(unknown))}")
+    per_planner = (
+        experiment.fleet.weights,
+        experiment.fleet.speeds,
+        *(arm.weights for arm in experiment.arms),
+    )
+    for weights in per_planner:
         if weights and len(weights) != experiment.fleet.planners:
-            raise ExperimentError(f"weights and speeds are {experiment.fleet.planners}, one for each planner")
+            raise ExperimentError(
+                f"weights and speeds must have {experiment.fleet.planners} values, one for each planner"
+            )
     for trouble in experiment.troubles:
         if not 0 <= trouble.planner <= experiment.fleet.planners:
             raise ExperimentError(f"troubles: there is no planner {trouble.planner}")
@@ -103,7 +109,7 @@
 
 
 def initial_interfaces(fleet: FleetFile) -> list[int]:
-    """The interface of each planner at the start; a mixed fleet has both in each zone."""
+    """The interface of each planner at the start; a mixed fleet has both interfaces in each zone."""
     if fleet.interface != "mixed":
         return [int(fleet.interface)] * fleet.planners
     return [1 + place // 2 % 2 for place in range(fleet.planners)]
@@ -116,19 +122,19 @@
     progress: Callable[[int], None] = lambda done: None,
     arm: Arm | None = None,
 ) -> dict[str, object]:
-    """Play it once; the account, with what the scheduler used."""
+    """Run an experiment once; return the account, with the scheduler's CPU and memory use."""
     rng = random.Random(seed)
     shape, traffic = experiment.fleet, experiment.clients
     work = {"quote": shape.quote_ms, "book": shape.book_ms}
     behaviour = Behaviour(shape.slots, shape.queue, work, shape.fail)
     fleet = PlannerFleet(behaviour, seed)
-    # By zone pairs, so that each zone has planners that tell and planners that are found out.
+    # In pairs over the two zones, so that each zone has planners with a listed interface and others without.
     tells = [(place // 2 + 1) / max(1, shape.planners // 2) <= shape.tells for place in range(shape.planners)]
     weights = arm.weights if arm is not None and arm.weights else shape.weights
     await fleet.start(initial_interfaces(shape), tells, shape.speeds, weights)
     plan = b""
     if arm is not None and arm.solved:
-        from pipitshed.testbed.arms import solved  # the solver is an extra of its own
+        from pipitshed.testbed.arms import solved  # the solver is an optional dependency
 
         plan = solved(experiment, fleet)
     requests: list[ClientRequest] = []
@@ -220,7 +226,7 @@
 async def _trouble(trouble: Trouble, fleet: PlannerFleet, rng: random.Random) -> None:
     member = fleet.members[trouble.planner - 1 if trouble.planner else rng.randrange(len(fleet.members))]
     while member.lifecycle != "ready":
-        await asyncio.sleep(0.05)  # one trouble of this kind at a time
+        await asyncio.sleep(0.05)  # one fault at a time on a planner
     if trouble.do == "roll":
         await fleet.roll(member, trouble.interface)
     elif trouble.do == "goaway":
@@ -236,7 +242,7 @@
 
 
 def raise_descriptor_limit(wanted: int = 8192) -> None:
-    """Stand-ins, gates and clients share this process's descriptors."""
+    """Raise the soft limit of open files: stand-ins, forwarders and clients all run in this process."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < wanted:
         resource.setrlimit(resource.RLIMIT_NOFILE, (min(wanted, hard), hard))
--- a/pipitshed/testbed/program.py
+++ b/pipitshed/testbed/program.py
@@ -1,4 +1,4 @@
-"""The scheduler as a process of its own between stand-ins, with a configuration made for it."""
+"""Runs the scheduler as a child process between stand-ins, with a generated configuration."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 TENANTS = {"andes-retail": 0.51, "costa-carga": 0.18, "sur-express": 0.18, "selva-trans": 0.13}
 TEMPLATES = importlib.resources.files("pipitshed.templates")
-START_TIMEOUT = 20.0  # s
+START_TIMEOUT = 20.0  # s for each line of the start-up log
 
 
 def settings(rate: float = 1000.0) -> dict[str, Any]:
@@ -72,9 +72,9 @@
 def configuration(
     listen: str, discovery: str, known: list[dict[str, object]] | None = None
 ) -> dict[str, Any]:
-    """LB_CONFIG's content."""
-    told = {"known": {"generation": 1, "reset": True, "instances": known}} if known is not None else {}
-    return told | {
+    """Make the content of the file that LB_CONFIG names."""
+    rows = {"known": {"generation": 1, "reset": True, "instances": known}} if known is not None else {}
+    return rows | {
         "name": "lab",
         "listen": listen,
         "discovery": discovery,
@@ -85,7 +85,7 @@
 
 
 def front_text(gearman: str) -> str:
-    """The front file: translation on, and Gearman where an address is given."""
+    """Make the front file: translation enabled, and Gearman where an address is given."""
     listen = f'listen = ["{gearman}"]' if gearman else "listen = []"
     return f"""[gearman]
 {listen}
@@ -103,21 +103,21 @@
 
 @dataclass
 class RunningScheduler:
-    """The process and where it listens."""
+    """The scheduler's process, its ports and its log lines."""
 
     process: asyncio.subprocess.Process
     http: int
     gearman: int
     log: list[str]
-    config: Path = Path()  # the file that SIGHUP reads again
+    config: Path = Path()  # SIGHUP reloads this file
 
     def cpu(self) -> float:
-        """Seconds of CPU that the process has used so far, by the kernel's count."""
+        """CPU seconds that the process has used so far, from /proc."""
         stat = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(stat[11]) + int(stat[12])) / os.sysconf("SC_CLK_TCK")
 
     def peak_mb(self) -> float:
-        """The most memory that it has held so far."""
+        """Peak resident memory of the process in MiB."""
         for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
             if line.startswith("VmHWM"):
                 return int(line.split()[1]) / 1024
@@ -135,16 +135,16 @@
     plan: bytes = b"",
     adjust: Callable[[dict[str, Any]], None] | None = None,
 ) -> AsyncIterator[RunningScheduler]:
-    """One scheduler; it ends with the block.
+    """Run one scheduler; SIGTERM stops it at the end of the block.
 
     Args:
-        discovery_port: Of the stand-in discovery.
-        http: Where it listens for HTTP clients.
-        gearman: Where it listens for Gearman clients; nowhere if empty.
+        discovery_port: Port of the stand-in discovery.
+        http: Address for HTTP clients.
+        gearman: Address for Gearman clients; empty for none.
         translate: Whether messages are translated.
-        root: A checkout other than this one.
-        known: The rows that its configuration holds.
-        plan: A placement plan.
+        root: Working directory, to run another checkout than this one.
+        known: Discovery rows in the configuration.
+        plan: Content of a placement plan file; empty for none.
         adjust: Changes the configuration before it is written.
     """
     with tempfile.TemporaryDirectory(prefix="pipitshed-lab-") as folder:
@@ -191,7 +191,7 @@
 
 
 def _write_front(folder: Path, gearman: str, translate: bool, plan: bytes) -> None:
-    """Write the front file, and the files that it names."""
+    """Write the front file, and the files that it refers to."""
     text = front_text(gearman)
     if not translate:
         text = text.partition("[translation]")[0].replace(", form = 0", "").replace(", form = 1", "")
--- a/pipitshed/testbed/up.py
+++ b/pipitshed/testbed/up.py
@@ -1,4 +1,4 @@
-"""`lab up`: a scheduler with stand-in discovery and planners, a live table, and a clean end."""
+"""`pipitshed testbed up`: a scheduler with stand-in discovery and planners, and a live table of them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from pipitshed.testbed.planner import Behaviour
 from pipitshed.testbed.program import scheduler
 
-REFRESH_INTERVAL = 0.5  # s
+REFRESH_INTERVAL = 0.5  # s between updates of the table
 
 
 def _table(fleet: PlannerFleet) -> Table:
@@ -43,7 +43,7 @@
 
 
 async def up(shape: FleetFile, http: str, gearman: str, console: Console) -> None:
-    """Run until Ctrl-C."""
+    """Run until SIGINT or SIGTERM, or until the scheduler's process ends."""
     ended = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, ended.set)
@@ -60,7 +60,7 @@
                     "book_pallet (version 0), plan_quote_v1, book_pallet_v1"
                 )
             console.print(f"discovery: http://127.0.0.1:{fleet.discovery.port}/catalog/members\n\ntry:")
-            # One line each, so that it can be copied.
+            # Each command is one line, so that it can be copied.
             print(
                 f"curl -s http://127.0.0.1:{running.http}/api -H 'X-Request-Id: try-1' -H 'X-Class: quote' "
                 "-H 'X-Tenant: andes-retail' -H 'Content-Type: application/json' "
