--- a/pipitshed/testbed/virtual_fleet.py
+++ b/pipitshed/testbed/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet over regions and zones in virtual time: each message goes through the codec and is counted."""
+"""A fleet over regions and zones in virtual time; each message is encoded, counted and decoded."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 ZONES = ("norte/1", "norte/2", "norte/3", "centro/1", "centro/2", "sur/1", "sur/2")
 WITHIN_ZONE, WITHIN_REGION, BETWEEN_REGIONS = 0.0005, 0.001, 0.040  # s, one way
-JITTER = 0.1  # part of them by which they vary
+JITTER = 0.1  # upper bound of the random extra delay, as a share of the delay
 DATAGRAM_HEADERS = 28  # bytes of IP and UDP
 SEEDS = (0, 3, 5)  # one in each region
-SETTINGS = "settings"  # the table beside the view
+SETTINGS = "settings"  # name of the replicated table
 
 
 def region(zone: str) -> str:
-    """The region that a zone is in."""
+    """The region of a zone: the part of its name before the slash."""
     return zone.partition("/")[0]
 
 
 @dataclass(slots=True)
 class TrafficCounter:
-    """Bytes of one scheduler: in all, and in its worst whole second."""
+    """Bytes of one scheduler in one direction: in total, and in the whole second with the most."""
 
     bytes: int = 0
     worst: int = 0
@@ -37,7 +37,7 @@
     _now: int = 0
 
     def add(self, now: float, size: int) -> None:
-        """So many bytes at `now`."""
+        """Count `size` bytes at the time `now` (s)."""
         self.bytes += size
         if int(now) != self._second:
             self._second, self._now = int(now), 0
@@ -46,7 +46,7 @@
 
 
 class VirtualFleet(Network):
-    """Schedulers in zones."""
+    """Schedulers in seven zones of three regions, with delays by distance."""
 
     def __init__(self, seed: int, loss: float = 0.0, scales: ProtocolTimings | None = None) -> None:
         super().__init__(seed, scales, loss, tables=(SETTINGS,), zones=ZONES)
@@ -54,42 +54,42 @@
         self.seeds: list[int] = []
         self.out: dict[Address, TrafficCounter] = {}
         self.into: dict[Address, TrafficCounter] = {}
-        self.busy = 0.0  # s of this process's time in the schedulers' own work
-        self.oversized = 0  # messages beyond a datagram, which the edge drops
+        self.busy = 0.0  # s of this process spent in the schedulers' protocol code
+        self.oversized = 0  # messages longer than a datagram, which are dropped before the network
 
     def zone(self, address: Address) -> str:
-        """The zone of whoever has this address, alive or not."""
+        """The zone of the scheduler at an address, whether it runs or not."""
         return self.zone_of(address[1] - self.first_port)
 
     def fleet(self, size: int) -> list[Node]:
-        """So many at once, that join by one seed in each region."""
+        """Start `size` schedulers at once; they join through one seed in each region."""
         self.seeds = [seed for seed in SEEDS if seed < size]
         return [self.start(number, self.seeds) for number in range(size)]
 
     def reset_counts(self) -> None:
-        """Count from here on."""
+        """Reset all traffic counters."""
         self.out, self.into, self.busy, self.oversized = {}, {}, 0.0, 0
         self.sent.clear()
         self.bytes_out.clear()
 
     def kill_zone(self, zone: str) -> None:
-        """All in a zone are gone, and nobody is told."""
+        """Kill all schedulers of a zone without notice."""
         for node in list(self.nodes.values()):
             if self.zone(node.address) == zone:
                 self.kill(node)
 
     def isolate_region(self, lost: str) -> None:
-        """Cut one region off from the others, both ways."""
+        """Cut one region off from the others, in both directions."""
         self.cut = lambda source, target: (
             (region(self.zone(source)) == lost) != (region(self.zone(target)) == lost)
         )
 
     def heal(self) -> None:
-        """No more cuts."""
+        """Remove all cuts."""
         self.cut = lambda source, target: False
 
     def views_agree(self) -> bool:
-        """Whether all hold exactly those alive that live. Compares digests, which each keeps anyway."""
+        """Whether every view has exactly the running schedulers as alive. Compares the views' digests."""
         views = [node.membership.view for node in self.nodes.values()]
         return (
             len({view.digest() for view in views}) == 1
@@ -99,23 +99,23 @@
         )
 
     def tables_agree(self) -> bool:
-        """Whether all hold the same settings, and know that they do."""
+        """Whether all have the same settings table, and each knows that it is up to date."""
         return len({node.tables[0].digest() for node in self.nodes.values()}) == 1 and all(
             node.tables[0].caught_up for node in self.nodes.values()
         )
 
     def converged(self) -> bool:
-        """Whether all hold one true view, and the same settings."""
+        """Whether all views are correct and all settings tables agree."""
         return self.tables_agree() and self.views_agree()
 
     def quiescent(self) -> bool:
-        """Whether that is so and nobody has anything left to tell."""
+        """Whether the fleet has converged and no scheduler has anything left to send."""
         return self.converged() and not any(
             len(queue) for node in self.nodes.values() for queue in node.membership.replicator.queues
         )
 
     def run_until(self, holds: Callable[[], bool], within: float, step: float) -> float | None:
-        """How long (s) until it holds, looked at each `step`; None where it does not within the time."""
+        """Run until a condition holds, checked each `step` s; return the seconds, None after `within` s."""
         started = self.now
         for looked in itertools.count():
             if holds():
@@ -125,7 +125,7 @@
             self.run(step)
         raise AssertionError("unreachable")
 
-    # ---- how it happens
+    # ---- implementation
 
     def _deliver(self, node: Node, message: Message | None, source: Address) -> None:
         started = time.perf_counter()
@@ -157,12 +157,12 @@
         if self.cut(node.address, to) or self.rng.random() < self.loss or to not in self.nodes:
             return
         self._add(self.into, to, size)
-        # A message of its own for the receiver, so that no two share their words in memory.
+        # Decodes the message for each receiver, so that no two schedulers share records in memory.
         self._post(
             self._one_way_delay(node.address, to), node.address, to, cast(Message, self.codec.decode(data))
         )
 
 
 def peak_bytes_per_second(counted: Iterable[TrafficCounter]) -> int:
-    """The most bytes that one of these had in one second."""
+    """The most bytes that any of these counters had in one second."""
     return max((one.worst for one in counted), default=0)
--- a/pipitshed/testbed/virtual_view.py
+++ b/pipitshed/testbed/virtual_view.py
@@ -1,4 +1,4 @@
-"""The membership code under a network in virtual time: seeded, cut, lossy, and the same to the last event."""
+"""Runs the membership code on a simulated network in virtual time; the same seed gives the same events."""
 
 from __future__ import annotations
 
@@ -27,24 +27,24 @@
 from pipitshed.replication.row_table import RowTable
 
 ZONES = ("one", "two", "three")
-ENVELOPE = 22  # bytes that `peers.codec` puts around a message of a cluster with the usual name
+ENVELOPE = 22  # bytes that the cluster's codec adds to a message, with a cluster name of usual length
 
 
 @dataclass
 class Node:
-    """One scheduler's process in the network."""
+    """One scheduler process of the simulated network."""
 
     name: str
     address: Address
     membership: Membership
     tables: tuple[RowTable, ...] = ()
-    timer_id: int = -1  # the wake that counts; earlier ones are void
-    stalled_until: float = 0.0  # its loop stands still until then; what comes is read after that
+    timer_id: int = -1  # of the timer event that is valid; earlier ones are ignored
+    stalled_until: float = 0.0  # its event loop is blocked until then; messages wait in `backlog`
     backlog: list[tuple[Message, Address]] = field(default_factory=list)
 
 
 class Network:
-    """Nodes, what is on its way between them, and what cuts them off. Times are seconds."""
+    """Nodes, the messages in flight between them, and the cuts between them. Times are seconds."""
 
     first_port = 10_000
 
@@ -57,29 +57,29 @@
         tables: tuple[str, ...] = (),
         zones: tuple[str, ...] = ZONES,
     ) -> None:
-        """Each process carries a table of each of the names `tables`."""
+        """`tables` are the names of the replicated tables that each process has."""
         self.rng = random.Random(seed)
         self.scales = scales or ProtocolTimings()
         self.loss, self.delay = loss, delay
         self.tables, self.zones = tables, zones
         self.now = 0.0
         self.nodes: dict[Address, Node] = {}
-        self.timers_first = False  # a loop that wakes runs its timers before it reads its sockets
+        self.timers_first = False  # whether a loop that was blocked runs its timers before it reads messages
         self.cut: Callable[[Address, Address], bool] = lambda source, target: False
         self.state_changes: list[tuple[float, str, MemberStateChanged]] = []
         self.row_changes: list[tuple[float, str, Row]] = []
         self.displaced: list[str] = []
         self.reinstated: list[str] = []
         self.sent: Counter[str] = Counter()
-        self.bytes_out: Counter[tuple[str, int]] = Counter()  # by name and whole second
+        self.bytes_out: Counter[tuple[str, int]] = Counter()  # by node name and whole second
         self._events: list[tuple[float, int, Address, int, Message | None, Address]] = []
         self._order = count()
         self._log = hashlib.blake2b(digest_size=16)
 
-    # ---- what a test does
+    # ---- the calls of a test
 
     def start(self, number: int, seeds: Sequence[int], clock: float = 0.0, name: str = "") -> Node:
-        """Start a process at address `number`; `clock` is what its own clock is off by."""
+        """Start a process at address `number`; `clock` is the error of its own clock."""
         address = ("127.0.0.1", self.first_port + number)
         incarnation = int((1_000_000 + self.now + clock) * 1000)
         name = name or f"n{number}"
@@ -104,32 +104,32 @@
         return self.zones[number % len(self.zones)]
 
     def fleet(self, size: int) -> list[Node]:
-        """So many at once, that join by the first two."""
+        """Start `size` processes at once; they join through the first two."""
         return [self.start(number, [0, 1]) for number in range(size)]
 
     def kill(self, node: Node) -> None:
-        """The process is gone, and nobody is told."""
+        """End a process without notice."""
         if self.nodes.get(node.address) is node:
             del self.nodes[node.address]
 
     def leave(self, node: Node) -> None:
-        """It goes in good order."""
+        """Let a process announce that it leaves, and end it."""
         self._execute(node, node.membership.leave(self.now))
         self.kill(node)
 
     def put(self, node: Node, *rows: tuple[str, bytes], table: int = 0) -> None:
-        """Put rows into one of its tables."""
+        """Put rows into one of a node's tables, and send them to the others."""
         put = [node.tables[table].put(key, body, node.name) for key, body in rows]
         self._execute(node, node.membership.disseminate(self.now, node.tables[table].name, put))
         self._wake(node)
 
     def stall(self, node: Node, seconds: float) -> None:
-        """Its loop stands still: the kernel takes what comes, and nothing is read or sent until later."""
+        """Block a node's event loop for some seconds: the kernel buffers messages, none is read or sent."""
         node.stalled_until = self.now + seconds
         self._wake(node)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time and process all events that are due."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
             when, _, address, timer_id, message, source = heappop(self._events)
@@ -145,7 +145,7 @@
         self.now = until
 
     def settle(self, within: float, step: float = 0.1) -> float | None:
-        """How long until every view is the truth, at most `within`; None where it is not by then."""
+        """Run until every view is correct; return the seconds, or None if this takes more than `within`."""
         started = self.now
         while self.now - started <= within:
             if self.agreed():
@@ -154,7 +154,7 @@
         return None
 
     def agreed(self) -> bool:
-        """Whether all that live hold exactly those alive that live."""
+        """Whether every running node has exactly the running nodes in its view, all as alive."""
         expected = self.running_members()
         return all(
             [(member.name, member.address) for member in node.membership.view.live_members()] == expected
@@ -163,19 +163,19 @@
         )
 
     def running_members(self) -> list[tuple[str, Address]]:
-        """Who lives, by name."""
+        """Names and addresses of the running nodes, sorted by name."""
         return sorted((node.name, node.address) for node in self.nodes.values())
 
     def false_deaths(self) -> int:
-        """How often one that lived was declared dead by one that lived."""
+        """Number of changes to DEAD that nodes have reported; all are false where no node was killed."""
         return sum(change.record.state is MemberState.DEAD for _, _, change in self.state_changes)
 
     @property
     def log_hash(self) -> str:
-        """Of all that happened: the same for the same seed and script."""
+        """Hash of all state changes: the same for the same seed and calls."""
         return self._log.hexdigest()
 
-    # ---- how it happens
+    # ---- implementation
 
     def _deliver(self, node: Node, message: Message | None, source: Address) -> None:
         membership = node.membership
@@ -192,7 +192,7 @@
             self._wake(node)
 
     def _wake(self, node: Node) -> None:
-        """Set the node's one alarm anew."""
+        """Schedule the node's next timer event, which replaces the earlier one."""
         node.timer_id = next(self._order)
         when = max(node.membership.next_due_at(), self.now, node.stalled_until)
         heappush(self._events, (when, node.timer_id, node.address, node.timer_id, None, node.address))
@@ -220,5 +220,5 @@
         self._post(self.rng.uniform(*self.delay), node.address, to, message)
 
     def _post(self, delay: float, source: Address, to: Address, message: Message) -> None:
-        """It is there after so long (s)."""
+        """Deliver a message after a delay (s)."""
         heappush(self._events, (self.now + delay, next(self._order), to, 0, message, source))
