--- a/pipitshed/testbed/fleet/__init__.py
+++ b/pipitshed/testbed/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Several scheduler processes with faults between them, and oracles that judge their views."""
+"""Runs several scheduler processes with faults between them; oracles check their logs."""
--- a/pipitshed/testbed/fleet/faults.py
+++ b/pipitshed/testbed/fleet/faults.py
@@ -1,4 +1,4 @@
-"""Carries out faults on processes and links, and notes each as it begins and ends."""
+"""Injects a scenario's faults into processes and links, and logs each when it begins."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 class Faults:
-    """The faults of one play."""
+    """Injects the faults of one scenario run."""
 
     def __init__(self, processes: Processes, log: Callable[..., None]) -> None:
         self._processes = processes
         self._log = log
-        self._busy: dict[int, asyncio.Lock] = {}  # of a place: one thing at a time is done to a process
+        self._busy: dict[int, asyncio.Lock] = {}  # by place: one fault at a time for a process
 
-    async def play(self, faults: Iterable[Fault]) -> None:
-        """Begin each at its time, and return when the last one is over."""
+    async def run(self, faults: Iterable[Fault]) -> None:
+        """Begin each fault at its time; return when the last one is over."""
         began = monotonic()
         tasks = []
         for fault in faults:
             await asyncio.sleep(max(0.0, began + fault.at - monotonic()))
             self._log("fault", **msgspec.to_builtins(fault))
-            tasks.append(asyncio.create_task(self._one(fault)))
+            tasks.append(asyncio.create_task(self._inject(fault)))
         await asyncio.gather(*tasks)
 
-    async def _one(self, fault: Fault) -> None:
+    async def _inject(self, fault: Fault) -> None:
         if fault.do in LINKS or fault.do == "cut-zone":
             await self._on_links(fault)
         elif fault.do == "roll":
@@ -66,12 +66,12 @@
             for a, b in pairs:
                 self._processes.by_name(b).relay.reset(a)
             return
-        put = ("cut" if fault.do.startswith("cut") else fault.do, fault.amount)
+        link_fault = ("cut" if fault.do.startswith("cut") else fault.do, fault.amount)
         for pair in pairs:
-            links[pair].faults.append(put)
+            links[pair].faults.append(link_fault)
         await asyncio.sleep(fault.lasts)
         for pair in pairs:
-            links[pair].faults.remove(put)
+            links[pair].faults.remove(link_fault)
 
     # ---- processes
 
@@ -90,7 +90,7 @@
             await self._restart(process, fault, graceful=fault.do == "term")
 
     async def _restart(self, process: Process, fault: Fault, graceful: bool) -> None:
-        """End a process and start it anew, where it still lives."""
+        """Stop a process that runs, by SIGTERM or SIGKILL, and start it again after the fault's duration."""
         async with self._lock(process):
             if not process.alive:
                 return
--- a/pipitshed/testbed/fleet/links.py
+++ b/pipitshed/testbed/fleet/links.py
@@ -1,4 +1,4 @@
-"""The way from one party to another: what faults are on it, and what becomes of what passes. No I/O."""
+"""Network links with faults: whether and when a datagram or a part of a stream arrives. No I/O."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-DRIP_CHUNK = 64  # bytes
+DRIP_CHUNK = 64  # bytes sent at once on a throttled stream
 
 
 @dataclass
 class Link:
-    """One direction between two parties. Faults of one kind stack; each is taken off as it was put on."""
+    """One direction between two parties. Faults may overlap; `faults` holds (kind, amount) of each."""
 
     name: str
     rng: random.Random
@@ -23,18 +23,18 @@
 
     @property
     def cut(self) -> bool:
-        """Whether nothing passes, and nobody is told."""
+        """Whether the link silently drops everything."""
         return any(kind == "cut" for kind, _ in self.faults)
 
     @property
     def delay(self) -> float:
-        """Seconds that what passes now takes."""
+        """Delay in seconds, with a random jitter."""
         jitter = self._most("jitter")
         return self._most("delay") + (self.rng.uniform(0.0, jitter) if jitter else 0.0)
 
     @property
     def bytes_per_second(self) -> float:
-        """Bytes a second on a stream; 0 for no bound."""
+        """Rate limit of a stream; 0 for no limit."""
         return min((amount for kind, amount in self.faults if kind == "drip"), default=0.0)
 
     def datagram(self) -> list[float]:
@@ -53,7 +53,7 @@
         return copies
 
     def throttled(self, size: int) -> list[tuple[int, float]]:
-        """How so many bytes of a stream go on: parts, and the pause (s) behind each."""
+        """Split `size` bytes of a stream into (bytes, pause in s after them) by the rate limit."""
         bytes_per_second = self.bytes_per_second
         if not bytes_per_second:
             return [(size, 0.0)]
@@ -62,8 +62,8 @@
 
 
 class Links:
-    """All directed pairs, made as they are asked for. Each has its own dice, so that what happens on one does
-    not depend on how much passes on another.
+    """All links by (from, to), made on first use. Each has its own random generator, so that its faults
+    do not depend on the traffic of other links.
     """
 
     def __init__(self, seed: int) -> None:
@@ -77,7 +77,7 @@
         return self._links[pair]
 
     def counts(self) -> dict[str, int]:
-        """What happened on all of them."""
+        """Counts of datagrams, streams, losses, duplicates and reorderings over all links."""
         total: Counter[str] = Counter()
         for link in self._links.values():
             total += link.counts
--- a/pipitshed/testbed/fleet/node.py
+++ b/pipitshed/testbed/fleet/node.py
@@ -1,4 +1,4 @@
-"""Starts the program with a clock that stands off by some seconds, as on a machine whose clock is wrong.
+"""Starts the scheduler with a clock that is wrong by some seconds, as on a machine with a wrong clock.
 
 python -m pipitshed.testbed.fleet.node SECONDS serve --fleet FILE
 """
@@ -10,13 +10,13 @@
 
 
 def main() -> None:
-    """Set the clock off, then be the program."""
-    off = float(sys.argv.pop(1))
-    right = time.time
-    time.time = lambda: right() + off
-    from pipitshed.cli.commands import main as program
+    """Shift `time.time`, then run the pipitshed command."""
+    offset = float(sys.argv.pop(1))
+    original_time = time.time
+    time.time = lambda: original_time() + offset
+    from pipitshed.cli.commands import main as pipitshed_main
 
-    program(prog_name="pipitshed")
+    pipitshed_main(prog_name="pipitshed")
 
 
 if __name__ == "__main__":
--- a/pipitshed/testbed/fleet/oracles.py
+++ b/pipitshed/testbed/fleet/oracles.py
@@ -1,4 +1,7 @@
-"""What a play must have shown, judged from logs alone: the rig's, the processes' events, and accounts."""
+"""Checks of a scenario run, made from logs alone: the rig's log, the processes' event logs and the requests.
+
+The rig is the code that starts the processes and injects the faults.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 from pipitshed.testbed.clients import ClientRequest
 
-DISRUPTION_MARGIN = 1.0  # s around what was done to a process, within which its clients' requests may be lost
+DISRUPTION_MARGIN = 1.0  # s around a fault of a process in which its requests may be lost
 
 
 Version = tuple[int, int]  # a row's term and number
@@ -17,50 +20,50 @@
 
 @dataclass(frozen=True)
 class InForce:
-    """A scheduler has said that a row is in force."""
+    """A scheduler's statement that a row is in force."""
 
     when: float
     key: str
     version: Version
-    acting: dict[str, int]  # who acts on it, and in which life
+    acting: dict[str, int]  # names of the schedulers that act on it, with their lives
 
 
 @dataclass
 class Instance:
-    """One start of the program."""
+    """One start of a scheduler process. Times are seconds of the monotonic clock."""
 
     name: str
     place: int
-    start: int
-    life: int = 0
+    start: int  # number of the start, from 1
+    life: int = 0  # its incarnation number
     spawned: float = 0.0
-    ended: float | None = None  # killed, or told to end
-    views: list[tuple[float, dict[str, int]]] = field(default_factory=list)  # who lives, by name and life
-    deaths: list[tuple[float, str, int]] = field(default_factory=list)  # declared or heard: when, name, life
+    ended: float | None = None  # SIGKILL or SIGTERM was sent, or it ended by itself
+    views: list[tuple[float, dict[str, int]]] = field(default_factory=list)  # time, life by name of the alive
+    deaths: list[tuple[float, str, int]] = field(default_factory=list)  # seen as dead: time, name, life
     displaced: bool = False
-    paused: list[tuple[float, float]] = field(default_factory=list)  # it stood still
-    disk: bool = True  # it found the folder of the start before
+    paused: list[tuple[float, float]] = field(default_factory=list)  # from and to
+    disk: bool = True  # whether it kept the folder of the previous start
     started: float = 0.0
-    acting: list[tuple[float, dict[str, Version]]] = field(default_factory=list)  # rows acted on from then
-    refused: list[tuple[float, str, str]] = field(default_factory=list)  # when, key and reason
+    acting: list[tuple[float, dict[str, Version]]] = field(default_factory=list)  # time, rows acted on since
+    refused: list[tuple[float, str, str]] = field(default_factory=list)  # time, key and reason
     in_force: list[InForce] = field(default_factory=list)
 
 
 @dataclass
 class Logs:
-    """All that was written during a play."""
+    """The content of all logs of a scenario run."""
 
     instances: list[Instance]
     faults: list[dict[str, Any]]
-    over: float  # when the last fault was over
-    end: float  # when the play was
-    rig_errors: list[str]  # what the rig itself found wrong
-    puts: list[dict[str, Any]] = field(default_factory=list)  # changes of settings, as they were answered
+    over: float  # end of the last fault
+    end: float  # end of the run
+    rig_errors: list[str]  # errors found by the rig itself
+    puts: list[dict[str, Any]] = field(default_factory=list)  # setting changes with their outcomes
 
 
 class LogReader:
-    """The logs in a play's folder, read on from where the last look ended: looks are many while a play waits
-    for agreement, and logs grow.
+    """Reads the logs in a run's folder; each read continues where the last one ended, as a run that waits for
+    agreement reads them often.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -71,16 +74,16 @@
         self._read: dict[str, int] = {}  # bytes, by file
 
     def read_new(self) -> Logs:
-        """All that is there by now."""
+        """Read what was added, and return all logs so far."""
         for line in self._lines("rig.jsonl"):
-            self._rig(json.loads(line))
-        for name, one in self._events.items():
+            self._apply_rig_event(json.loads(line))
+        for name, instance in self._events.items():
             for line in self._lines(name):
-                _event(one, json.loads(line))
+                _apply_process_event(instance, json.loads(line))
         return self.logs
 
     def _lines(self, name: str) -> list[bytes]:
-        """The whole lines since the last look; one that a process was killed over never gets its end."""
+        """The complete lines added since the last read; a killed process may leave an incomplete one."""
         path = self._folder / name
         if not path.exists():
             return []
@@ -91,21 +94,21 @@
             self._read[name] = self._read.get(name, 0) + len(data) + 1
         return data.splitlines()
 
-    def _rig(self, event_record: dict[str, Any]) -> None:
+    def _apply_rig_event(self, event_record: dict[str, Any]) -> None:
         event, key = event_record["event"], (event_record.get("place", -1), event_record.get("start", -1))
         logs, instances = self.logs, self._instances
         if event == "spawn":
-            one = instances[key] = Instance(
+            instance = instances[key] = Instance(
                 event_record["process"], *key, spawned=event_record["t"], disk=event_record.get("disk", True)
             )
-            logs.instances.append(one)
-            self._events[event_record["events"]] = one
+            logs.instances.append(instance)
+            self._events[event_record["events"]] = instance
         elif event in ("kill", "term", "died"):
             if key in instances and instances[key].ended is None:
                 instances[key].ended = event_record["t"]
             if event == "died":
                 logs.rig_errors.append(
-                    f"{event_record['process']} ended by itself, with {event_record['code']}"
+                    f"{event_record['process']} ended by itself with exit code {event_record['code']}"
                 )
         elif event == "pause":
             instances[key].paused.append((event_record["t"], float("inf")))
@@ -124,34 +127,36 @@
 
 
 def read(folder: Path) -> Logs:
-    """The logs in a play's folder, up to the play's end."""
+    """Read the logs in a run's folder, up to the end of the run."""
     logs = LogReader(folder).read_new()
     if logs.end:
-        # Guards the verdict against what comes after the play: all are told to end then, and a fleet of
-        # nobody would be in agreement whatever it held before.
-        for one in logs.instances:
-            one.views = [view for view in one.views if view[0] <= logs.end]
-            one.ended = one.ended if one.ended is not None and one.ended <= logs.end else None
+        # All processes are stopped after the run. Without this cut they would count as ended, and an empty
+        # fleet would always agree.
+        for instance in logs.instances:
+            instance.views = [view for view in instance.views if view[0] <= logs.end]
+            instance.ended = (
+                instance.ended if instance.ended is not None and instance.ended <= logs.end else None
+            )
     return logs
 
 
-def _event(one: Instance, event_record: dict[str, Any]) -> None:
+def _apply_process_event(instance: Instance, event_record: dict[str, Any]) -> None:
     event = event_record["event"]
     if event == "started":
-        one.life, one.started = event_record["life"], event_record.get("t", 0.0)
+        instance.life, instance.started = event_record["life"], event_record.get("t", 0.0)
     elif event == "view":
-        one.views.append((event_record["t"], {name: life for name, life in event_record["living"]}))
+        instance.views.append((event_record["t"], {name: life for name, life in event_record["living"]}))
     elif event == "member" and event_record["state"] == "dead":
-        one.deaths.append((event_record["t"], event_record["name"], event_record["life"]))
+        instance.deaths.append((event_record["t"], event_record["name"], event_record["life"]))
     elif event == "displaced":
-        one.displaced = True
+        instance.displaced = True
     elif event == "acting":
-        one.acting.append(
+        instance.acting.append(
             (event_record["t"], {key: (term, number) for key, term, number in event_record["rows"]})
         )
-        one.refused += [(event_record["t"], key, why) for key, why in event_record["refused"]]
+        instance.refused += [(event_record["t"], key, why) for key, why in event_record["refused"]]
     elif event == "in_force":
-        one.in_force.append(
+        instance.in_force.append(
             InForce(
                 event_record["t"],
                 event_record["key"],
@@ -162,44 +167,44 @@
 
 
 def live_instances(logs: Logs) -> list[Instance]:
-    """Who lives at the end, by the rig's log; of a name that two hold, the later start."""
+    """The processes that run at the end by the rig's log; the later start where two have one name."""
     last: dict[str, Instance] = {}
-    for one in sorted(logs.instances, key=lambda one: one.spawned):
-        if one.ended is None:
-            last[one.name] = one
+    for instance in sorted(logs.instances, key=lambda instance: instance.spawned):
+        if instance.ended is None:
+            last[instance.name] = instance
     return [last[name] for name in sorted(last)]
 
 
 def settled(logs: Logs) -> tuple[float | None, list[str]]:
-    """How long after the last fault every living process held the truth for good (s), and what is wrong."""
+    """Return the seconds from the last fault until all views were correct for good, and what is wrong."""
     alive = live_instances(logs)
-    truth = {one.name: one.life for one in alive}
+    expected = {instance.name: instance.life for instance in alive}
     latest = logs.over
-    wrong = [] if alive else ["nobody lives"]
-    for one in alive:
-        if not one.views or one.views[-1][1] != truth:
-            held = one.views[-1][1] if one.views else {}
-            missing = sorted(name for name in truth if held.get(name) != truth[name])
-            strange = sorted(name for name in held if name not in truth)
-            wrong.append(f"{one.name} holds another view: lacks {missing}, has {strange}")
+    wrong = [] if alive else ["no process runs"]
+    for instance in alive:
+        if not instance.views or instance.views[-1][1] != expected:
+            view = instance.views[-1][1] if instance.views else {}
+            missing = sorted(name for name in expected if view.get(name) != expected[name])
+            strange = sorted(name for name in view if name not in expected)
+            wrong.append(f"{instance.name} holds another view: lacks {missing}, has {strange}")
         else:
-            latest = max(latest, one.views[-1][0])
+            latest = max(latest, instance.views[-1][0])
     return (None if wrong else latest - logs.over), wrong
 
 
 def false_deaths(logs: Logs) -> int:
-    """How often a process that lived, and did not stand still, was held dead by one that lived."""
-    by_life = {(one.name, one.life): one for one in logs.instances}
+    """Count how often a running process declared another dead that ran, with neither of them paused."""
+    by_life = {(instance.name, instance.life): instance for instance in logs.instances}
     count = 0
-    for one in logs.instances:
-        for when, name, life in one.deaths:
+    for instance in logs.instances:
+        for when, name, life in instance.deaths:
             other = by_life.get((name, life))
             if (
                 other is not None
                 and (other.ended is None or when < other.ended)
                 and not any(
                     since <= when <= until + DISRUPTION_MARGIN
-                    for since, until in (*other.paused, *one.paused)
+                    for since, until in (*other.paused, *instance.paused)
                 )
             ):
                 count += 1
@@ -209,7 +214,7 @@
 def check_requests(
     client_requests: list[ClientRequest], targets: dict[str, Instance], wanted_ms: float, all_in_time: bool
 ) -> tuple[dict[str, Any], list[str]]:
-    """The clients' figures, and requests that were lost though nothing was done to their scheduler."""
+    """Return the clients' figures, and the requests lost although their scheduler had no fault."""
     wrong = []
     for request in client_requests:
         instance = targets[request.token]
--- a/pipitshed/testbed/fleet/play.py
+++ b/pipitshed/testbed/fleet/play.py
@@ -1,4 +1,4 @@
-"""Plays a scenario: processes, traffic, faults at their times, and the verdict of the oracles."""
+"""Runs a scenario: starts processes and traffic, injects faults, and returns the verdict of the oracles."""
 
 from __future__ import annotations
 
@@ -23,29 +23,29 @@
 from pipitshed.testbed.fleet.standins import PlannerFleet
 from pipitshed.testbed.planner import Behaviour
 
-POLL_INTERVAL = 0.05  # s between looks whether all hold the truth
-AGREEMENT_HOLD = 1.0  # s for which it must be held then
+POLL_INTERVAL = 0.05  # s between checks whether all views are correct
+AGREEMENT_HOLD = 1.0  # s for which the views must then stay correct
 WARM_UP = 1.0  # s of traffic before the first fault
 MIX = {"http-v1": 1.0}
-MAX_ATTEMPTS = 8  # schedulers that a client asks until one takes its request
+MAX_ATTEMPTS = 8  # schedulers that a client tries until one accepts its request
 MUST_BE_ZERO = ("answered_twice", "ran_twice_forbidden", "wrong_result", "served_unrun", "ran_unasked")
 
 
 class Log:
-    """The rig's own log."""
+    """The rig's own log: one JSON line for each event."""
 
     def __init__(self, path: Path) -> None:
         self._out = path.open("a", buffering=1)
 
-    def __call__(self, event: str, **told: Any) -> None:
-        self._out.write(json.dumps({"t": monotonic(), "event": event} | told) + "\n")
+    def __call__(self, event: str, **details: Any) -> None:
+        self._out.write(json.dumps({"t": monotonic(), "event": event} | details) + "\n")
 
     def close(self) -> None:
         self._out.close()
 
 
 class ScenarioRun:
-    """One play of a scenario in a folder of its own."""
+    """One run of a scenario, with its logs in a folder of its own."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         shape = scenario.fleet
         self.planners = PlannerFleet(Behaviour(), seed)
         self.processes = Processes(shape, folder, seed, self.planners.members, self.log)
-        self._reading = oracles.LogReader(folder)
+        self._log_reader = oracles.LogReader(folder)
         self.requests: list[ClientRequest] = []
         self.targets: dict[str, tuple[int, int]] = {}
         self._rng = random.Random(f"traffic:{seed}")
@@ -68,28 +68,28 @@
         self._sending: set[asyncio.Task[None]] = set()
 
     async def run(self) -> dict[str, Any]:
-        """Play it; the verdict."""
+        """Run the scenario once; return the verdict."""
         shape = self.scenario.fleet
         await self.planners.start([1] * shape.planners, [True] * shape.planners)
-        watching = asyncio.create_task(self._watch())
+        watching = asyncio.create_task(self._watch_exits())
         traffic = None
         try:
             began = monotonic()
             await self.processes.start_all()
-            joined = await self._agreed(self.scenario.joined_within)
+            joined = await self._wait_for_agreement(self.scenario.joined_within)
             if joined is None:
                 self.log("wrong", text=f"the fleet had not joined after {self.scenario.joined_within} s")
             traffic = asyncio.create_task(self._traffic())
             await asyncio.sleep(WARM_UP)
             faults, puts = Faults(self.processes, self.log), SettingChanges(self.processes, self.log)
-            putting = asyncio.create_task(puts.play(self.puts))
-            await faults.play(self.faults)
+            putting = asyncio.create_task(puts.run(self.puts))
+            await faults.run(self.faults)
             self.log("over")
-            await self._agreed(self.scenario.settle_within)
+            await self._wait_for_agreement(self.scenario.settle_within)
             await putting
             if self.puts:
-                # In a fleet that has settled, a change must come in force.
-                last = await puts.one(SettingChange(0.0, process_name(0), KEYS[0], "0.5"))
+                # A change in a fleet without faults must come in force.
+                last = await puts.put_and_follow(SettingChange(0.0, process_name(0), KEYS[0], "0.5"))
                 if last != "in force":
                     self.log("wrong", text=f"the last change, with all faults over, was {last}")
             await asyncio.sleep(AGREEMENT_HOLD)
@@ -107,9 +107,9 @@
         return self.verdict()
 
     async def _stop(self) -> None:
-        """End the processes in good order, then all that the rig has open."""
+        """Stop the processes with SIGTERM, then close the clients, relays and planners."""
         for ended in await asyncio.gather(
-            *(one.terminate() for one in self.processes.all if one.alive), return_exceptions=True
+            *(process.terminate() for process in self.processes.all if process.alive), return_exceptions=True
         ):
             if isinstance(ended, ProcessError):
                 self.log("wrong", text=str(ended))
@@ -118,32 +118,36 @@
         await self.processes.close()
         await self.planners.close()
 
-    async def _agreed(self, within: float) -> float | None:
-        """How long until the events of all processes show the truth (s); None where they don't in time."""
+    async def _wait_for_agreement(self, within: float) -> float | None:
+        """Wait until the logs show agreement on views and settings; return the seconds, None on time-out."""
         began = monotonic()
         while monotonic() - began <= within:
-            logs = self._reading.read_new()
+            logs = self._log_reader.read_new()
             if not oracles.settled(logs)[1] and not row_oracles.settled(logs):
                 return monotonic() - began
             await asyncio.sleep(POLL_INTERVAL)
         return None
 
-    async def _watch(self) -> None:
-        """Note a process that ends by itself."""
+    async def _watch_exits(self) -> None:
+        """Log each process that ends by itself."""
         seen: set[tuple[int, int]] = set()
         while True:
-            for one in self.processes.all:
-                ended = one.running is not None and one.running.returncode is not None and not one.ending
-                if ended and (one.place, one.starts) not in seen:
-                    assert one.running is not None
-                    seen.add((one.place, one.starts))
-                    one.accepts_clients = False
+            for watched in self.processes.all:
+                ended = (
+                    watched.running is not None
+                    and watched.running.returncode is not None
+                    and not watched.ending
+                )
+                if ended and (watched.place, watched.starts) not in seen:
+                    assert watched.running is not None
+                    seen.add((watched.place, watched.starts))
+                    watched.accepts_clients = False
                     self.log(
                         "died",
-                        process=one.name,
-                        place=one.place,
-                        start=one.starts,
-                        code=one.running.returncode,
+                        process=watched.name,
+                        place=watched.place,
+                        start=watched.starts,
+                        code=watched.running.returncode,
                     )
             await asyncio.sleep(POLL_INTERVAL)
 
@@ -154,7 +158,7 @@
         rate = self.scenario.traffic.rate
         while rate:
             await asyncio.sleep(max(0.0, began + number / rate - monotonic()))
-            up = [one for one in self.processes.all if one.accepts_clients]
+            up = [process for process in self.processes.all if process.accepts_clients]
             if up:
                 self._send(up[number % len(up)], number)
             number += 1
@@ -167,8 +171,10 @@
         task.add_done_callback(self._sending.discard)
 
     async def _send_until_accepted(self, request: ClientRequest, process: Process) -> None:
-        """Ask until a scheduler has taken the request: one that refuses the connection, or had closed a kept
-        one before the request came, has not, and another is asked as the platform's front would do.
+        """Send a request until a scheduler accepts it, as the platform's front would do.
+
+        A scheduler has not accepted a request if it refused the connection, or had closed a reused connection
+        before the request arrived; another one is tried then.
         """
         for _ in range(MAX_ATTEMPTS):
             self.targets[request.token] = (process.place, process.starts)
@@ -176,8 +182,8 @@
             request.not_accepted, request.outcome, request.reused_connection = False, "", False
             await clients.send(request)
             up = [other for other in self.processes.all if other.accepts_clients]
-            # Guards a keyed job against a second run in another zone that the rig itself asks for: a kept
-            # connection ends without a byte also where a process was killed that had taken the request.
+            # A reused connection also ends without a byte where the process was killed after it had accepted
+            # the request. The rig would then cause a second run in another zone by sending a keyed job again.
             killed = (
                 request.reused_connection
                 and process.killed == self.targets[request.token][1]
@@ -190,10 +196,12 @@
     # ---- the verdict
 
     def verdict(self) -> dict[str, Any]:
-        """What the oracles say of the logs and accounts."""
+        """Check the logs and the account with all oracles; return the figures and what is wrong."""
         logs = oracles.read(self.folder)
         after, wrong = oracles.settled(logs)
-        by_key: dict[tuple[int, int], Instance] = {(one.place, one.start): one for one in logs.instances}
+        by_key: dict[tuple[int, int], Instance] = {
+            (instance.place, instance.start): instance for instance in logs.instances
+        }
         targets = {token: by_key[key] for token, key in self.targets.items()}
         figures, lost = oracles.check_requests(
             self.requests, targets, self.scenario.traffic.wanted_ms, self.scenario.all_in_time
@@ -220,7 +228,7 @@
                 "settled_s": None if after is None else round(after, 3),
                 "false_deaths": oracles.false_deaths(logs),
                 "links": self.processes.links.counts(),
-                "displaced": sum(one.displaced for one in logs.instances),
+                "displaced": sum(instance.displaced for instance in logs.instances),
             }
             | figures
             | {"wrong": wrong}
@@ -228,11 +236,9 @@
 
 
 def digest(faults: list[dict[str, Any]]) -> str:
-    """A hash of which faults were played, on whom and when by the script: the same for the same scenario and
-    seed.
-    """
-    told = [{key: value for key, value in one.items() if key != "t"} for one in faults]
-    return hashlib.blake2b(json.dumps(told, sort_keys=True).encode(), digest_size=6).hexdigest()
+    """Hash of the faults with their targets and scripted times: the same for the same scenario and seed."""
+    without_time = [{key: value for key, value in one.items() if key != "t"} for one in faults]
+    return hashlib.blake2b(json.dumps(without_time, sort_keys=True).encode(), digest_size=6).hexdigest()
 
 
 async def run_scenario(
@@ -242,7 +248,7 @@
     keep: Path | None = None,
     puts: tuple[SettingChange, ...] = (),
 ) -> dict[str, Any]:
-    """Play these faults and changes once; the logs stay in `keep` where one is given."""
+    """Run a scenario once with these faults and changes; the logs stay in `keep` if it is given."""
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
         return await ScenarioRun(scenario, faults, seed, keep, puts).run()
@@ -253,8 +259,9 @@
 def shrink_faults(
     faults: tuple[Fault, ...], fails: Callable[[tuple[Fault, ...]], bool], most: int
 ) -> tuple[Fault, ...]:
-    """The fewest of these faults that still fail, by leaving out ever smaller parts, in at most so many
-    plays.
+    """Return a smaller list of faults that still fails, found by leaving out ever smaller parts.
+
+    `most` limits the number of runs.
     """
     parts = 2
     while len(faults) > 1 and most > 0:
--- a/pipitshed/testbed/fleet/processes.py
+++ b/pipitshed/testbed/fleet/processes.py
@@ -1,4 +1,4 @@
-"""The program's processes: started, stopped, killed and started anew, each behind a relay of its own."""
+"""Starts, stops, kills and restarts the scheduler processes of a fleet, each behind its own relay."""
 
 from __future__ import annotations
 
@@ -22,29 +22,26 @@
 from pipitshed.testbed.program import configuration
 
 PEER_PORT, HTTP_PORT, PLANNERS_FROM = 7946, 8000, 9000
-PROCESS_HOSTS, RELAY_HOSTS, OUTSIDE_HOST = (
-    10,
-    110,
-    210,
-)  # last part of the loopback addresses of processes, relays and stand-ins
-MAX_PROCESSES = 95  # places
-START_TIMEOUT = 20.0  # s
+# The last byte of the loopback addresses of processes and relays (from here on), and of stand-ins.
+PROCESS_HOSTS, RELAY_HOSTS, OUTSIDE_HOST = 10, 110, 210
+MAX_PROCESSES = 95  # limited by the last byte of the addresses
+START_TIMEOUT = 20.0  # s until the first event is logged
 STOP_TIMEOUT = 25.0  # s after SIGTERM
-POLL_INTERVAL = 0.02  # s
+POLL_INTERVAL = 0.02  # s between checks for the first event
 
 
 class ProcessError(RuntimeError):
-    """A process did not do what it must."""
+    """A process did not start or stop as it must, or there are too many."""
 
 
 def loopback_block() -> str:
-    """A block of loopback addresses that no other rig on this machine uses at the same time."""
+    """Return the first three bytes of loopback addresses for this run, made from the process id."""
     pid = os.getpid()
     return f"127.{64 + (pid >> 8) % 128}.{pid & 255}"
 
 
 class _RelayedMember:
-    """A planner as one scheduler reaches it."""
+    """A planner's discovery row with the address of one scheduler's relay to it."""
 
     def __init__(self, member: Member, address: Address) -> None:
         self._member, self._address = member, address
@@ -54,7 +51,7 @@
 
 
 class Process:
-    """One place in the fleet: a name, its addresses, and the process that runs there now."""
+    """One place in the fleet: its number and name, its addresses, and the process that runs there now."""
 
     def __init__(self, fleet: Processes, place: int, name: str) -> None:
         self.fleet, self.place, self.name = fleet, place, name
@@ -66,19 +63,22 @@
         self._relays = [self.relay]
         self.folder = fleet.folder / f"{name}-{place + 1}"
         self.starts = 0
-        self.accepts_clients = False  # takes clients
+        self.accepts_clients = False  # whether it accepts requests of clients
         self.paused = False
-        self.ending = False  # was told to end, or killed
-        self.killed = 0  # the last of its starts that was killed
+        self.ending = False  # SIGTERM or SIGKILL was sent
+        self.killed = 0  # number of the last start that was killed
         self.running: asyncio.subprocess.Process | None = None
 
     async def open(self, members: Sequence[Member]) -> None:
-        """Relays for its peers, and to its discovery and planners."""
+        """Start the relay for its peers, and the relays to its discovery and its planners."""
         await self.relay.start()
         await self.discovery.start()
         outside = f"{self.fleet.block}.{OUTSIDE_HOST}"
         first = PLANNERS_FROM + self.place * 64
-        targets = [("discovery", self.discovery.port), *((one.name, one.forwarder.port) for one in members)]
+        targets = [
+            ("discovery", self.discovery.port),
+            *((member.name, member.forwarder.port) for member in members),
+        ]
         for number, (name, port) in enumerate(targets):
             relay = Relay(
                 name,
@@ -90,7 +90,7 @@
             await relay.start()
             self._relays.append(relay)
         self.discovery.members = [
-            _RelayedMember(one, (outside, first + 1 + number)) for number, one in enumerate(members)
+            _RelayedMember(member, (outside, first + 1 + number)) for number, member in enumerate(members)
         ]
         self._outside: Address = (outside, first)
 
@@ -113,7 +113,7 @@
         )
 
     async def start(self, disk: bool = True, clock: float = 0.0) -> None:
-        """Start the process and wait until it has joined and takes clients."""
+        """Start the process and wait for its first event; raises ProcessError after START_TIMEOUT."""
         if not disk:
             shutil.rmtree(self.folder, ignore_errors=True)
         self.starts += 1
@@ -153,7 +153,7 @@
         self.accepts_clients = True
 
     def kill(self) -> None:
-        """SIGKILL; whatever it was doing."""
+        """Send SIGKILL, and log it."""
         self.accepts_clients, self.ending, self.killed = False, True, self.starts
         if self.running is not None and self.running.returncode is None:
             self.running.kill()
@@ -165,7 +165,7 @@
             await self.running.wait()
 
     async def terminate(self) -> None:
-        """SIGTERM, and wait for a good end."""
+        """Send SIGTERM and wait for exit code 0; raises ProcessError otherwise."""
         self.accepts_clients, self.ending = False, True
         self.fleet.log("term", process=self.name, place=self.place, start=self.starts)
         if self.running is None or self.running.returncode is not None:
@@ -180,14 +180,14 @@
             raise ProcessError(f"{self.name} ended with {code} after SIGTERM")
 
     def pause(self) -> None:
-        """SIGSTOP."""
+        """Send SIGSTOP, and log it."""
         if self.running is not None and self.running.returncode is None:
             self.accepts_clients, self.paused = False, True
             self.fleet.log("pause", process=self.name, place=self.place, start=self.starts)
             self.running.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """SIGCONT."""
+        """Send SIGCONT to a paused process, and log it."""
         if self.running is not None and self.running.returncode is None and self.paused:
             self.running.send_signal(signal.SIGCONT)
             self.fleet.log("wake", process=self.name, place=self.place, start=self.starts)
@@ -195,11 +195,11 @@
 
     @property
     def alive(self) -> bool:
-        """Whether a process runs here that nobody has told to end."""
+        """Whether a process runs here that has not been sent SIGTERM or SIGKILL."""
         return self.running is not None and self.running.returncode is None and not self.ending
 
     async def close(self) -> None:
-        """End what runs, and the relays."""
+        """Kill the process, and close its relays and its discovery."""
         if self.running is not None and self.running.returncode is None:
             self.running.kill()
             await self.running.wait()
@@ -209,7 +209,7 @@
 
 
 class Processes:
-    """All places of the fleet."""
+    """All places of the fleet, with the links between them."""
 
     def __init__(
         self, shape: Shape, folder: Path, seed: int, members: Sequence[Member], log: Callable[..., None]
@@ -221,13 +221,13 @@
         self._members = members
 
     def caller(self, host: str) -> Relay | None:
-        """The relay of the process at a loopback address; None for anyone else."""
+        """The relay of the process with a loopback address; None for other callers."""
         head, _, last = host.rpartition(".")
         place = int(last) - PROCESS_HOSTS
         return self.all[place].relay if head == self.block and 0 <= place < len(self.all) else None
 
     async def add(self, name: str = "") -> Process:
-        """A new place, with its relays; nothing runs there yet."""
+        """Add a place with its relays, without a process; raises ProcessError beyond MAX_PROCESSES."""
         if len(self.all) >= MAX_PROCESSES:
             raise ProcessError(f"no more than {MAX_PROCESSES} places")
         process = Process(self, len(self.all), name or process_name(len(self.all)))
@@ -236,19 +236,19 @@
         return process
 
     async def start_all(self) -> None:
-        """As many as the scenario asks for, at once."""
+        """Add and start as many processes as the scenario has, at once."""
         processes = [await self.add() for _ in range(self.shape.processes)]
         await asyncio.gather(*(process.start() for process in processes))
 
     def by_name(self, name: str) -> Process:
-        """The process that has a name; the latest where it was taken."""
+        """The process with a name; the latest one where several have it."""
         return [process for process in self.all if process.name == name][-1]
 
     def in_zone(self, zone: str) -> list[Process]:
-        """Those of a zone."""
+        """The processes of a zone."""
         return [process for process in self.all if process.zone == zone]
 
     async def close(self) -> None:
-        """End all."""
+        """Kill all processes and close their relays."""
         with contextlib.suppress(ProcessLookupError):
             await asyncio.gather(*(process.close() for process in self.all))
--- a/pipitshed/testbed/fleet/puts.py
+++ b/pipitshed/testbed/fleet/puts.py
@@ -1,4 +1,4 @@
-"""Changes of settings during a play: put at a process, and followed until they are in force."""
+"""Changes of settings during a scenario run: sent to a process, and polled until they are in force."""
 
 from __future__ import annotations
 
@@ -7,8 +7,7 @@
 from time import monotonic
 from typing import TypeVar
 
-from pipitshed.cli.client import RequestError
-from pipitshed.cli.client import send_request as ask
+from pipitshed.cli.client import RequestError, send_request
 from pipitshed.cluster.codec import Codec
 from pipitshed.cluster.messages import (
     ClusterMessage,
@@ -23,45 +22,51 @@
 from pipitshed.testbed.fleet.processes import Process, Processes
 from pipitshed.testbed.fleet.scenario import SettingChange
 
-POLL_INTERVAL = 0.1  # s between questions whether one is in force
-FOLLOW_TIMEOUT = 20.0  # s for which one is followed
+POLL_INTERVAL = 0.1  # s between queries whether a change is in force
+FOLLOW_TIMEOUT = 20.0  # s after which a change is no longer polled
 _Reply = TypeVar("_Reply", bound=ClusterMessage)
 
 
 class SettingChanges:
-    """The changes of one play."""
+    """Sends the setting changes of one scenario run."""
 
     def __init__(self, processes: Processes, log: Callable[..., None]) -> None:
         self._processes = processes
         self._log = log
         self._codec = Codec("rig")
 
-    async def play(self, puts: Iterable[SettingChange]) -> None:
-        """Put each at its time, and return when all are in force, or refused, or their time is over."""
+    async def run(self, puts: Iterable[SettingChange]) -> None:
+        """Put each change at its time; return when each is in force, superseded, refused or timed out."""
         began = monotonic()
         tasks = []
         for put in puts:
             await asyncio.sleep(max(0.0, began + put.at - monotonic()))
-            tasks.append(asyncio.create_task(self.one(put)))
+            tasks.append(asyncio.create_task(self.put_and_follow(put)))
         await asyncio.gather(*tasks)
 
-    async def one(self, put: SettingChange) -> str:
-        """Put one, and say how it ended."""
-        named = [one for one in self._processes.all if one.name == put.a and one.accepts_clients]
-        up = named or [one for one in self._processes.all if one.accepts_clients]
+    async def put_and_follow(self, put: SettingChange) -> str:
+        """Put one change; return its outcome, which is also logged."""
+        preferred = [
+            candidate
+            for candidate in self._processes.all
+            if candidate.name == put.a and candidate.accepts_clients
+        ]
+        candidates = preferred or [
+            candidate for candidate in self._processes.all if candidate.accepts_clients
+        ]
         began, how, version = monotonic(), "unanswered", (0, 0)
         try:
-            if up:
-                how, version = await self._follow(up[-1], put)
+            if candidates:
+                how, version = await self._follow(candidates[-1], put)
         except RequestError:
-            pass  # it was killed, or stands still: whether the change was taken is not known
+            pass  # the process was killed or is paused: whether it accepted the change is unknown
         finally:
             self._log(
                 "put",
                 key=put.key,
                 value=put.value,
                 at=put.at,
-                process=up[-1].name if up else "",
+                process=candidates[-1].name if candidates else "",
                 how=how,
                 term=version[0],
                 number=version[1],
@@ -70,9 +75,10 @@
         return how
 
     async def _follow(self, process: Process, put: SettingChange) -> tuple[str, tuple[int, int]]:
-        """Put a change, and ask whether it is in force until it is.
+        """Put a change, and query until it is in force; return the outcome and the row's version.
 
-        One that the process refuses as it has just started is put again, as the operators' page says.
+        A process that has just started refuses with NOT_COMPARED; the change is then put again, as the
+        operators' page says.
         """
         until = monotonic() + FOLLOW_TIMEOUT
         done = await self._put(process, put)
@@ -85,18 +91,20 @@
         version = done.term, done.number
         until = monotonic() + FOLLOW_TIMEOUT
         while monotonic() < until:
-            force = await self._ask(process, CommitStatusRequest(put.key, *version), CommitStatusResponse)
+            force = await self._request(process, CommitStatusRequest(put.key, *version), CommitStatusResponse)
             if force.in_force or force.superseded:
                 return "in force" if force.in_force else "superseded", version
             await asyncio.sleep(POLL_INTERVAL)
         return "not in force", version
 
     async def _put(self, process: Process, put: SettingChange) -> PutResponse:
-        """Put a change once; where another process writes the row, it is taken over."""
-        held = (await self._ask(process, RowsRequest(put.key), RowsResponse)).rows
-        over = (held[0].term, held[0].number) if held else (0, 0)
-        other = bool(held) and held[0].writer != process.name
-        return await self._ask(process, PutRow(put.key, put.value.encode(), over, other), PutResponse)
+        """Put a change once; a row of another writer is taken over."""
+        current = (await self._request(process, RowsRequest(put.key), RowsResponse)).rows
+        expected_version = (current[0].term, current[0].number) if current else (0, 0)
+        take_over = bool(current) and current[0].writer != process.name
+        return await self._request(
+            process, PutRow(put.key, put.value.encode(), expected_version, take_over), PutResponse
+        )
 
-    async def _ask(self, process: Process, message: ClusterMessage, wanted: type[_Reply]) -> _Reply:
-        return await asyncio.to_thread(ask, process.real, self._codec, message, wanted)
+    async def _request(self, process: Process, message: ClusterMessage, wanted: type[_Reply]) -> _Reply:
+        return await asyncio.to_thread(send_request, process.real, self._codec, message, wanted)
--- a/pipitshed/testbed/fleet/relays.py
+++ b/pipitshed/testbed/fleet/relays.py
@@ -1,8 +1,8 @@
-"""Relays: each party's public address, behind which the links between it and who calls it are kept.
+"""Relays: the public address of each party, where the faults of the links to its callers take effect.
 
-A process of the fleet tells others the address of its relay. The relay knows a caller by its loopback address
-(each process has its own), and hands what comes on as from the relay of the caller, so that answers come back
-the same way.
+A process of the fleet advertises the address of its relay. The relay identifies a caller by its loopback
+address (each process has its own), and forwards datagrams from the address of the caller's relay, so that
+answers return through the relays.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from pipitshed.testbed.fleet.links import Link, Links
 
 Address = tuple[str, int]
-CUT_POLL_INTERVAL = 0.02  # s between looks whether a cut link is whole again
+CUT_POLL_INTERVAL = 0.02  # s between checks whether a cut link works again
 
 
 class _Datagrams(asyncio.DatagramProtocol):
@@ -31,18 +31,18 @@
 
 
 class Relay:
-    """The public address of one party."""
+    """Forwards datagrams and streams from a party's public address to its real one."""
 
     def __init__(
         self, name: str, public: Address, real: Address, links: Links, caller: Callable[[str], Relay | None]
     ) -> None:
-        """`caller` tells the relay of who calls from a loopback address."""
+        """`caller` finds the relay of the process with a loopback address; None for other callers."""
         self.name, self.public, self.real = name, public, real
         self._links = links
         self._caller = caller
         self._datagrams: _Datagrams | None = None
         self._server: asyncio.Server | None = None
-        self._streams: dict[asyncio.WriteTransport, str] = {}  # and who opened each
+        self._streams: dict[asyncio.WriteTransport, str] = {}  # with the name of the party that opened each
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
@@ -53,7 +53,7 @@
         self._server = await asyncio.start_server(self._connected, *self.public)
 
     def datagram(self, data: bytes, source: Address) -> None:
-        """Hand a datagram on, as from the public address of who sent it."""
+        """Forward a datagram from its sender's public address; one of an unknown sender is dropped."""
         sender = self._caller(source[0])
         if sender is None:
             return
@@ -65,13 +65,13 @@
                 sender.send(data, self.real)
 
     def send(self, data: bytes, to: Address) -> None:
-        """Send from the public address."""
+        """Send a datagram from the public address."""
         transport = self._datagrams.transport if self._datagrams is not None else None
         if transport is not None and not transport.is_closing():
             transport.sendto(data, to)
 
     def reset(self, caller: str) -> None:
-        """Break the streams that this one opened, with a reset."""
+        """Reset the streams that a party has opened."""
         for transport, name in list(self._streams.items()):
             if name == caller:
                 transport.abort()
@@ -87,7 +87,7 @@
         transports: list[asyncio.WriteTransport] = [writer.transport]
         self._streams[writer.transport] = name
         try:
-            while there.cut or back.cut:  # it never comes up, until the caller gives up
+            while there.cut or back.cut:  # the stream is not connected; the caller may give up
                 await asyncio.sleep(CUT_POLL_INTERVAL)
                 if writer.is_closing() or reader.at_eof():
                     return
@@ -97,7 +97,7 @@
             self._streams[inner.transport] = name
             await asyncio.gather(self._pump(reader, inner, there), self._pump(inner_reader, writer, back))
         except (OSError, asyncio.CancelledError):
-            pass  # nobody listens there, or the rig ends: the caller's stream ends with a reset
+            pass  # no listener, or the run ends: the caller's stream is reset
         finally:
             for transport in transports:
                 self._streams.pop(transport, None)
@@ -105,7 +105,7 @@
             self._tasks.discard(task)
 
     async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, link: Link) -> None:
-        with contextlib.suppress(OSError, RuntimeError):  # the latter where uvloop's other end has closed
+        with contextlib.suppress(OSError, RuntimeError):  # uvloop raises RuntimeError on a closed transport
             while data := await reader.read(65536):
                 while link.cut:
                     await asyncio.sleep(CUT_POLL_INTERVAL)
@@ -122,7 +122,7 @@
                 writer.write_eof()
 
     def close(self) -> None:
-        """End it."""
+        """Stop listening and cancel all streams."""
         if self._server is not None:
             self._server.close()
         if self._datagrams is not None and self._datagrams.transport is not None:
--- a/pipitshed/testbed/fleet/row_oracles.py
+++ b/pipitshed/testbed/fleet/row_oracles.py
@@ -1,4 +1,4 @@
-"""What the settings of a play must have shown: `in force` is exact, and nobody goes back to an older row."""
+"""Checks of the settings in a scenario run: `in force` is true, and no process returns to an older row."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 NONE: Version = (0, 0)
 
 
-def version_acted_on(one: Instance, key: str, when: float) -> Version:
-    """The version of a row that a process acted on at a time."""
+def version_acted_on(instance: Instance, key: str, when: float) -> Version:
+    """The version of a row that a process acted on at a time; NONE before the first."""
     version = NONE
-    for at, rows in one.acting:
+    for at, rows in instance.acting:
         if at > when:
             break
         version = rows.get(key, version)
@@ -29,15 +29,15 @@
 
 
 def check_no_regression(logs: Logs) -> list[str]:
-    """Where a process acted on an older row than before, over restarts that found their folder too."""
+    """Return where a process acted on an older row than before, also over restarts that kept the folder."""
     wrong = []
     by_place: dict[int, list[Instance]] = {}
-    for one in sorted(logs.instances, key=lambda one: one.spawned):
-        by_place.setdefault(one.place, []).append(one)
+    for instance in sorted(logs.instances, key=lambda instance: instance.spawned):
+        by_place.setdefault(instance.place, []).append(instance)
         held: dict[str, Version] = {}
-        for _, rows in one.acting:
+        for _, rows in instance.acting:
             wrong += [
-                f"{one.name} went back at {key} from {held[key]} to {version}"
+                f"{instance.name} went back at {key} from {held[key]} to {version}"
                 for key, version in rows.items()
                 if version < held.get(key, NONE)
             ]
@@ -48,26 +48,29 @@
                 continue
             keys = {key for _, rows in before.acting for key in rows}
             for key in sorted(keys):
-                was, then = (
+                previous, current = (
                     version_acted_on(before, key, float("inf")),
                     version_acted_on(after, key, after.started),
                 )
-                if then < was:
-                    wrong.append(f"{after.name} started with {key} at {then}, and had acted on {was}")
+                if current < previous:
+                    wrong.append(f"{after.name} started with {key} at {current}, and had acted on {previous}")
     return wrong
 
 
 def _in_contact(
     logs: Logs, claim: InForce, writer: Instance, other: Instance, settle: float, zones: int
 ) -> bool:
-    """Whether nothing was done to either of two, or to what is between them, for a while before."""
+    """Whether neither process nor the link between them had a fault for `settle` seconds before a claim."""
     since = claim.when - settle
-    for one in (writer, other):
-        if not one.started or one.started > since:
+    for instance in (writer, other):
+        if not instance.started or instance.started > since:
             return False
-        if one.ended is not None and one.ended <= claim.when + DISRUPTION_MARGIN:
+        if instance.ended is not None and instance.ended <= claim.when + DISRUPTION_MARGIN:
             return False
-        if any(left <= claim.when + DISRUPTION_MARGIN and back >= since for left, back in one.paused):
+        if any(
+            paused_at <= claim.when + DISRUPTION_MARGIN and resumed_at >= since
+            for paused_at, resumed_at in instance.paused
+        ):
             return False
     for fault in logs.faults:
         if fault["do"] not in (*LINKS, "cut-zone"):
@@ -75,7 +78,7 @@
         if fault["t"] > claim.when or fault["t"] + fault.get("for", 0.0) < since:
             continue
         if fault["do"] == "cut-zone":
-            if len({process_zone(one.place, zones) in fault["a"] for one in (writer, other)}) == 2:
+            if len({process_zone(instance.place, zones) in fault["a"] for instance in (writer, other)}) == 2:
                 return False
         elif {writer.name, other.name} & {*fault["a"], *fault.get("b", ())}:
             return False
@@ -83,41 +86,43 @@
 
 
 def check_in_force(logs: Logs, settle: float, zones: int) -> list[str]:
-    """Where `in force` was said of a row that one in touch did not act on at that moment."""
-    by_life = {(one.name, one.life): one for one in logs.instances}
+    """Return each claim that a row is in force which a reachable process did not act on at that time."""
+    by_life = {(instance.name, instance.life): instance for instance in logs.instances}
     wrong = []
     for writer in logs.instances:
         for claim in writer.in_force:
             row = f"{claim.key} {claim.version} of {writer.name}"
             for name, life in claim.acting.items():
-                one = by_life.get((name, life))
-                if one is None or version_acted_on(one, claim.key, claim.when) < claim.version:
-                    wrong.append(f"{row} was said to be in force, and {name} did not act on it")
-            for one in logs.instances:
+                instance = by_life.get((name, life))
+                if instance is None or version_acted_on(instance, claim.key, claim.when) < claim.version:
+                    wrong.append(f"{row} was reported to be in force, and {name} did not act on it")
+            for instance in logs.instances:
                 if (
-                    one.name not in claim.acting
-                    and version_acted_on(one, claim.key, claim.when) < claim.version
-                    and _in_contact(logs, claim, writer, one, settle, zones)
+                    instance.name not in claim.acting
+                    and version_acted_on(instance, claim.key, claim.when) < claim.version
+                    and _in_contact(logs, claim, writer, instance, settle, zones)
                 ):
-                    wrong.append(f"{row} was said to be in force, without {one.name}, which was in touch")
+                    wrong.append(
+                        f"{row} was reported to be in force, without {instance.name}, which was reachable"
+                    )
     return wrong
 
 
 def settled(logs: Logs) -> list[str]:
-    """Where those that live do not act on the same rows now, or on older ones than were in force."""
+    """Return where running processes act on different rows now, or on older ones than were in force."""
     wrong = []
     alive = live_instances(logs)
     held = [
         {
-            key: version_acted_on(one, key, float("inf"))
-            for key in {key for _, rows in one.acting for key in rows}
+            key: version_acted_on(instance, key, float("inf"))
+            for key in {key for _, rows in instance.acting for key in rows}
         }
-        for one in alive
+        for instance in alive
     ]
-    for one, rows in zip(alive, held, strict=True):
+    for instance, rows in zip(alive, held, strict=True):
         if rows != held[0]:
             wrong.append(
-                f"{one.name} acts on {sorted(rows.items() - held[0].items())} where {alive[0].name} "
+                f"{instance.name} acts on {sorted(rows.items() - held[0].items())} where {alive[0].name} "
                 f"acts on {sorted(held[0].items() - rows.items())}"
             )
     for writer in logs.instances:
@@ -128,12 +133,12 @@
 
 
 def figures(logs: Logs) -> dict[str, Any]:
-    """How the changes ended, and how long one took until it was in force (s)."""
+    """Number of changes by outcome, and seconds until a change was in force: median and maximum."""
     took = sorted(put["took"] for put in logs.puts if put["how"] == "in force")
-    told = {
+    result = {
         f"puts_{how.replace(' ', '_')}": sum(put["how"] == how for put in logs.puts)
         for how in ("in force", "not in force", "superseded", "refused", "unanswered")
     }
     if took:
-        told |= {"in_force_p50_s": round(took[len(took) // 2], 3), "in_force_worst_s": round(took[-1], 3)}
-    return told
+        result |= {"in_force_p50_s": round(took[len(took) // 2], 3), "in_force_worst_s": round(took[-1], 3)}
+    return result
--- a/pipitshed/testbed/fleet/scenario.py
+++ b/pipitshed/testbed/fleet/scenario.py
@@ -1,4 +1,4 @@
-"""What a scenario says: a fleet, its clients, and faults, scripted or drawn by the seed. No I/O."""
+"""Scenario files: a fleet, its clients, faults and setting changes, scripted or drawn by a seed. No I/O."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     "clock",
 ]
 LINKS = ("cut", "cut-one-way", "delay", "jitter", "loss", "duplicate", "reorder", "drip", "reset")
-AMOUNTS: dict[str, tuple[float, float]] = {  # what a drawn fault's amount lies between
+AMOUNTS: dict[str, tuple[float, float]] = {  # range of the amount of a drawn fault
     "delay": (0.05, 0.4),
     "jitter": (0.02, 0.2),
     "loss": (0.05, 0.4),
@@ -44,7 +44,7 @@
 }
 
 
-# What drawn changes change: keys of the settings that the rig's processes have.
+# Settings that drawn changes are made to; all processes of the fleet have them.
 KEYS = (
     *(f"tenant/{name}/{field}" for name in TENANTS for field in ("share", "allowancePerS")),
     "class/quote/goalTime",
@@ -52,67 +52,67 @@
 
 
 class ScenarioError(ValueError):
-    """The scenario can't be played; the text says why, with the line where it is known."""
+    """The scenario file is invalid; the message says why, with the line where it is known."""
 
 
 class Fault(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True, omit_defaults=True):
-    """One fault. Times are seconds; `at` counts from when the fleet has settled first."""
+    """One fault. Times are seconds; `at` counts from the moment when all processes have joined."""
 
     at: float
     do: FaultKind
-    a: tuple[str, ...] = ()  # processes, or zones where a zone is cut off
-    b: tuple[str, ...] = ()  # the other side of a link; empty: all others
+    a: tuple[str, ...] = ()  # names of processes, or of zones for `cut-zone`
+    b: tuple[str, ...] = ()  # processes on the other side of a link; empty: all others
     lasts: float = msgspec.field(default=0.0, name="for")
-    amount: float = 0.0  # s, a part of the messages, bytes a second, or s of clock
-    count: int = 1  # processes that join
-    disk: bool = True  # whether what starts again finds its folder
+    amount: float = 0.0  # by kind: s, share of the messages, bytes/s, or s of clock error
+    count: int = 1  # number of processes that join
+    disk: bool = True  # whether a restarted process keeps its folder
 
 
 class Mix(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
-    """Faults drawn by the seed."""
+    """How many faults the seed draws, and of which kinds."""
 
     count: int = 0
-    over: float = 10.0  # s
-    longest: float = 4.0  # s that one lasts at most
-    kinds: dict[FaultKind, float] = {}  # and their weights
+    over: float = 10.0  # s in which the faults begin
+    longest: float = 4.0  # s; longest duration of a fault
+    kinds: dict[FaultKind, float] = {}  # with their weights
 
 
 class SettingChange(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
-    """One change of a setting by row, put at a process; `at` counts as a fault's."""
+    """One change of a setting by a row, sent to a process; `at` counts from the same moment as a fault's."""
 
     at: float
-    a: str  # the process; another one where it does not take clients then
+    a: str  # name of the process; another one if it does not accept clients then
     key: str
     value: str
 
 
 class SettingChangeMix(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
-    """Changes drawn by the seed."""
+    """How many setting changes the seed draws."""
 
     count: int = 0
-    over: float = 10.0  # s
+    over: float = 10.0  # s in which the changes are made
 
 
 class Shape(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
-    """The processes, and the planners that they share."""
+    """The scheduler processes, and the planners that they share."""
 
     processes: int = 5
     zones: int = 3
     planners: int = 4
-    seeds: int = 2  # processes that others join by
+    seeds: int = 2  # number of processes that the others join through
     scales: ProtocolTimings = msgspec.field(default_factory=ProtocolTimings)
 
 
 class Traffic(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
-    """Clients' requests a second, over all schedulers; each request is sent to one of them in turn."""
+    """Client traffic: `rate` is requests per second over all schedulers, which receive them in turn."""
 
     rate: float = 40.0
-    book: float = 0.4
-    wanted_ms: float = 1000.0  # an answer by then is in time
+    book: float = 0.4  # share of the requests with class `book`
+    wanted_ms: float = 1000.0  # a result within this time counts as in time
 
 
 class Scenario(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
-    """The file."""
+    """A scenario file."""
 
     name: str
     fleet: Shape = msgspec.field(default_factory=Shape)
@@ -121,23 +121,25 @@
     mix: Mix = msgspec.field(default_factory=Mix)
     put: tuple[SettingChange, ...] = ()
     put_mix: SettingChangeMix = msgspec.field(default_factory=SettingChangeMix)
-    settle_within: float = 5.0  # s after the last fault by which all views are the truth
-    joined_within: float = 15.0  # s from the first start
-    all_in_time: bool = False  # every request must be served in time: no process or planner is touched
+    settle_within: float = 5.0  # s after the last fault within which all views must be correct
+    joined_within: float = 15.0  # s from the first start within which all processes must have joined
+    all_in_time: bool = (
+        False  # every request must be served in time; for faults that spare processes and planners
+    )
 
 
 def process_name(place: int) -> str:
-    """The name of the process at a place, from 0."""
+    """The name of the process at a place; places count from 0."""
     return f"s{place + 1}"
 
 
 def process_zone(place: int, zones: int) -> str:
-    """The zone of a process, in turn."""
+    """The zone of the process at a place; zones are assigned in turn."""
     return f"zone-{place % zones + 1}"
 
 
 def read(text: str, processes: int | None = None) -> Scenario:
-    """The scenario in this text, with so many processes where a number is given."""
+    """Parse and check a scenario; `processes` overrides the file's number. Raises ScenarioError."""
     try:
         made = msgspec.convert(tomllib.loads(text), Scenario)
     except ValueError as error:
@@ -156,13 +158,13 @@
         if unknown := [one for one in (*fault.a, *fault.b) if one not in known]:
             raise ScenarioError(f"line {line_of_item(text, 'fault', place, 'a')}: there is no {unknown[0]!r}")
         if fault.do != "roll" and fault.do != "join" and not fault.a:
-            raise ScenarioError(f"line {line_of_item(text, 'fault', place)}: `a` names nobody")
+            raise ScenarioError(f"line {line_of_item(text, 'fault', place)}: `a` names no process or zone")
     return made
 
 
 def draw_faults(scenario: Scenario, seed: int) -> tuple[Fault, ...]:
-    """The scripted faults and those that the seed draws, in the order in which they begin. The same scenario
-    and seed give the same faults at the same times.
+    """Return the scripted faults and those drawn by the seed, in the order in which they begin. The same
+    scenario and seed give the same faults at the same times.
     """
     rng = random.Random(f"{scenario.name}:{seed}:{scenario.fleet.processes}")
     names = [process_name(place) for place in range(scenario.fleet.processes)]
@@ -192,7 +194,7 @@
 
 
 def draw_setting_changes(scenario: Scenario, seed: int) -> tuple[SettingChange, ...]:
-    """The scripted changes of settings and those that the seed draws, in the order in which they are put."""
+    """Return the scripted setting changes and those drawn by the seed, in order of time."""
     rng = random.Random(f"puts:{scenario.name}:{seed}:{scenario.fleet.processes}")
     puts = list(scenario.put)
     for number in range(scenario.put_mix.count):
@@ -210,7 +212,7 @@
 
 
 def scenario_text(scenario: Scenario, faults: tuple[Fault, ...], puts: tuple[SettingChange, ...] = ()) -> str:
-    """A scenario with exactly these faults and changes, as a file to be played again."""
+    """Write a scenario file with exactly these faults and changes, to repeat a run."""
     lines = [
         f'name = "{scenario.name}"',
         f"settle-within = {scenario.settle_within}",
--- a/tests/cluster/test_fleet_rig.py
+++ b/tests/cluster/test_fleet_rig.py
@@ -148,7 +148,7 @@
     ("text", "what"),
     [
         ('name = "x"\n[[fault]]\nat = 1.0\ndo = "cut"\na = ["s9"]', "line 5: there is no 's9'"),
-        ('name = "x"\n[[fault]]\nat = 1.0\ndo = "cut"', "names nobody"),
+        ('name = "x"\n[[fault]]\nat = 1.0\ndo = "cut"', "names no process or zone"),
         ('name = "x"\n[[fault]]\nat = 1.0\ndo = "eat"\na = ["s1"]', "eat"),
         ('name = "x"\n[fleet]\nprocesses = 90', "1 to 60"),
     ],
@@ -200,7 +200,7 @@
         return oracles.Logs([s1, s2], [], 5.0, 9.0, [])
 
     assert oracles.settled(logs()) == (0.0, [])
-    assert oracles.settled(oracles.Logs([], [], 5.0, 9.0, []))[1] == ["nobody lives"]
+    assert oracles.settled(oracles.Logs([], [], 5.0, 9.0, []))[1] == ["no process runs"]
     assert "lacks ['s1']" in oracles.settled(logs(s2={"s2": 22}))[1][0]
     assert "lacks ['s1']" in oracles.settled(logs(s2={"s1": 10, "s2": 22}))[1][0]  # of an earlier instance
     assert "has ['s3']" in oracles.settled(logs(s1={"s1": 11, "s2": 22, "s3": 33}))[1][0]
--- a/tests/cluster/test_settings_rig.py
+++ b/tests/cluster/test_settings_rig.py
@@ -80,7 +80,7 @@
     messages: list[ClusterMessage] = []
 
     class Scripted(SettingChanges):
-        async def _ask(self, process: Any, message: Any, wanted: Any) -> Any:
+        async def _request(self, process: Any, message: Any, wanted: Any) -> Any:
             messages.append(message)
             if wanted is RowsResponse:
                 return RowsResponse("s1", ())
@@ -94,9 +94,11 @@
     up = Mock(accepts_clients=True)
     up.name = "s1"
     puts = Scripted(Mock(all=[up]), lambda event, **_fields: log.append(event))
-    assert uvloop.run(puts.one(SettingChange(0.0, "s1", SHARE, "0.1"))) == "in force"
+    assert uvloop.run(puts.put_and_follow(SettingChange(0.0, "s1", SHARE, "0.1"))) == "in force"
     assert sum(isinstance(message, PutRow) for message in messages) == 3 and log == ["put"]
-    assert uvloop.run(puts.one(SettingChange(0.0, "s1", SHARE, "0.1"))) == "refused" and not answers
+    assert (
+        uvloop.run(puts.put_and_follow(SettingChange(0.0, "s1", SHARE, "0.1"))) == "refused" and not answers
+    )
 
 
 # ---- The oracles
