--- a/pipitshed/testbed/fleet/processes.py
+++ b/pipitshed/testbed/fleet/processes.py
@@ -17,7 +17,7 @@
 
 from pipitshed.testbed.fleet.links import Links
 from pipitshed.testbed.fleet.relays import Address, Relay
-from pipitshed.testbed.fleet.scenario import Shape, process_name, process_zone
+from pipitshed.testbed.fleet.scenario import FleetShape, process_name, process_zone
 from pipitshed.testbed.fleet.standins import Discovery, Member
 from pipitshed.testbed.program import configuration
 
@@ -212,7 +212,7 @@
     """All places of the fleet, with the links between them."""
 
     def __init__(
-        self, shape: Shape, folder: Path, seed: int, members: Sequence[Member], log: Callable[..., None]
+        self, shape: FleetShape, folder: Path, seed: int, members: Sequence[Member], log: Callable[..., None]
     ) -> None:
         self.shape, self.folder, self.seed, self.log = shape, folder, seed, log
         self.block = loopback_block()
--- a/pipitshed/testbed/fleet/scenario.py
+++ b/pipitshed/testbed/fleet/scenario.py
@@ -93,7 +93,7 @@
     over: float = 10.0  # s in which the changes are made
 
 
-class Shape(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
+class FleetShape(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
     """The scheduler processes, and the planners that they share."""
 
     processes: int = 5
@@ -115,7 +115,7 @@
     """A scenario file."""
 
     name: str
-    fleet: Shape = msgspec.field(default_factory=Shape)
+    fleet: FleetShape = msgspec.field(default_factory=FleetShape)
     traffic: Traffic = msgspec.field(default_factory=Traffic)
     fault: tuple[Fault, ...] = ()
     mix: Mix = msgspec.field(default_factory=Mix)
--- a/tests/cluster/test_fleet_rig.py
+++ b/tests/cluster/test_fleet_rig.py
@@ -19,10 +19,10 @@
 from pipitshed.testbed.fleet.play import ScenarioRun, run_scenario, shrink_faults
 from pipitshed.testbed.fleet.scenario import (
     Fault,
+    FleetShape,
     Mix,
     Scenario,
     ScenarioError,
-    Shape,
     Traffic,
     draw_faults,
     read,
@@ -40,7 +40,7 @@
     """Run these faults; return the testbed's result."""
     scenario = Scenario(
         "case",
-        Shape(processes, 2, 2, scales=FAST_TIMINGS),
+        FleetShape(processes, 2, 2, scales=FAST_TIMINGS),
         Traffic(30.0, wanted_ms=WANTED_MS),
         settle_within=SETTLE_WITHIN_S,
         **changes,
@@ -59,7 +59,7 @@
 def test_process_paused_for_five_seconds_rejoins_and_declares_no_member_dead() -> None:
     with tempfile.TemporaryDirectory() as folder:
         scenario = Scenario(
-            "still", Shape(4, 2, 2, scales=FAST_TIMINGS), Traffic(30.0), settle_within=SETTLE_WITHIN_S
+            "still", FleetShape(4, 2, 2, scales=FAST_TIMINGS), Traffic(30.0), settle_within=SETTLE_WITHIN_S
         )
         result = uvloop.run(
             run_scenario(scenario, (Fault(0.0, "pause", ("s2",), lasts=5.0),), 1, Path(folder))
@@ -138,7 +138,7 @@
 
 
 def test_same_scenario_and_seed_give_the_same_faults_and_a_script_repeats_them() -> None:
-    scenario = Scenario("drawn", Shape(5), mix=Mix(8, 5.0, kinds={"cut": 1.0, "kill": 1.0, "loss": 1.0}))
+    scenario = Scenario("drawn", FleetShape(5), mix=Mix(8, 5.0, kinds={"cut": 1.0, "kill": 1.0, "loss": 1.0}))
     assert draw_faults(scenario, 3) == draw_faults(scenario, 3) != draw_faults(scenario, 4)
     again = read(scenario_text(scenario, draw_faults(scenario, 3)))
     assert draw_faults(again, 9) == draw_faults(scenario, 3)
--- a/tests/cluster/test_settings_rig.py
+++ b/tests/cluster/test_settings_rig.py
@@ -20,11 +20,11 @@
 from pipitshed.testbed.fleet.puts import SettingChanges
 from pipitshed.testbed.fleet.scenario import (
     Fault,
+    FleetShape,
     Scenario,
     ScenarioError,
     SettingChange,
     SettingChangeMix,
-    Shape,
     Traffic,
     draw_setting_changes,
     read,
@@ -38,7 +38,9 @@
 
 def run_case(puts: tuple[SettingChange, ...], *faults: Fault, processes: int = 4) -> dict[str, Any]:
     """Run these changes and faults; return the testbed's result."""
-    scenario = Scenario("case", Shape(processes, 2, 2, scales=FAST_TIMINGS), Traffic(20.0), settle_within=6.0)
+    scenario = Scenario(
+        "case", FleetShape(processes, 2, 2, scales=FAST_TIMINGS), Traffic(20.0), settle_within=6.0
+    )
     return uvloop.run(run_scenario(scenario, faults, 1, None, puts))
 
 
@@ -196,7 +198,7 @@
 
 
 def test_changes_are_drawn_by_the_seed_and_a_script_repeats_them() -> None:
-    scenario = Scenario("drawn", Shape(5), put_mix=SettingChangeMix(8, 5.0))
+    scenario = Scenario("drawn", FleetShape(5), put_mix=SettingChangeMix(8, 5.0))
     assert len(draw_setting_changes(scenario, 3)) == 8
     assert (
         draw_setting_changes(scenario, 3)
