--- a/pipitshed/testbed/experiment.py
+++ b/pipitshed/testbed/experiment.py
@@ -143,7 +143,7 @@
             await asyncio.sleep(PLAN_RAMP if plan else DETECTION_TIME)
             started, before = monotonic(), running.cpu()
             length = request_count / traffic.rate
-            script = asyncio.create_task(_script(experiment, fleet, rng, length))
+            script = asyncio.create_task(_run_troubles(experiment, fleet, rng, length))
             await _traffic(running, traffic, request_count, rng, requests, progress)
             took = monotonic() - started
             await script
@@ -214,16 +214,18 @@
     gearman.close()
 
 
-async def _script(experiment: Experiment, fleet: PlannerFleet, rng: random.Random, length: float) -> None:
+async def _run_troubles(
+    experiment: Experiment, fleet: PlannerFleet, rng: random.Random, length: float
+) -> None:
     started = monotonic()
     tasks = []
-    for trouble in sorted(experiment.troubles, key=lambda one: one.at):
+    for trouble in sorted(experiment.troubles, key=lambda trouble: trouble.at):
         await asyncio.sleep(max(0.0, started + trouble.at * length - monotonic()))
-        tasks.append(asyncio.create_task(_trouble(trouble, fleet, rng)))
+        tasks.append(asyncio.create_task(_inject(trouble, fleet, rng)))
     await asyncio.gather(*tasks)
 
 
-async def _trouble(trouble: Trouble, fleet: PlannerFleet, rng: random.Random) -> None:
+async def _inject(trouble: Trouble, fleet: PlannerFleet, rng: random.Random) -> None:
     member = fleet.members[trouble.planner - 1 if trouble.planner else rng.randrange(len(fleet.members))]
     while member.lifecycle != "ready":
         await asyncio.sleep(0.05)  # one fault at a time on a planner
--- a/pipitshed/testbed/up.py
+++ b/pipitshed/testbed/up.py
@@ -23,9 +23,9 @@
     )
     runs = fleet.record.runs
     for member in fleet.members:
-        mine = [run for run in runs if run.planner == member.name]
+        planner_runs = [run for run in runs if run.planner == member.name]
         count = {
-            outcome: str(sum(run.outcome == outcome for run in mine))
+            outcome: str(sum(run.outcome == outcome for run in planner_runs))
             for outcome in ("done", "failed", "cancelled", "returned")
         }
         table.add_row(
--- a/pipitshed/testbed/virtual_fleet.py
+++ b/pipitshed/testbed/virtual_fleet.py
@@ -32,17 +32,17 @@
     """Bytes of one scheduler in one direction: in total, and in the whole second with the most."""
 
     bytes: int = 0
-    worst: int = 0
+    peak: int = 0
     _second: int = -1
-    _now: int = 0
+    _bytes_this_second: int = 0
 
     def add(self, now: float, size: int) -> None:
         """Count `size` bytes at the time `now` (s)."""
         self.bytes += size
         if int(now) != self._second:
-            self._second, self._now = int(now), 0
-        self._now += size
-        self.worst = max(self.worst, self._now)
+            self._second, self._bytes_this_second = int(now), 0
+        self._bytes_this_second += size
+        self.peak = max(self.peak, self._bytes_this_second)
 
 
 class VirtualFleet(Network):
@@ -117,9 +117,9 @@
     def run_until(self, holds: Callable[[], bool], within: float, step: float) -> float | None:
         """Run until a condition holds, checked each `step` s; return the seconds, None after `within` s."""
         started = self.now
-        for looked in itertools.count():
+        for step_count in itertools.count():
             if holds():
-                return looked * step
+                return step_count * step
             if self.now - started >= within:
                 return None
             self.run(step)
@@ -133,11 +133,11 @@
         self.busy += time.perf_counter() - started
 
     def _one_way_delay(self, source: Address, target: Address) -> float:
-        here, there = self.zone(source), self.zone(target)
+        source_zone, target_zone = self.zone(source), self.zone(target)
         delay = (
             WITHIN_ZONE
-            if here == there
-            else (WITHIN_REGION if region(here) == region(there) else BETWEEN_REGIONS)
+            if source_zone == target_zone
+            else (WITHIN_REGION if region(source_zone) == region(target_zone) else BETWEEN_REGIONS)
         )
         return delay * (1.0 + self.rng.random() * JITTER)
 
@@ -163,6 +163,6 @@
         )
 
 
-def peak_bytes_per_second(counted: Iterable[TrafficCounter]) -> int:
+def peak_bytes_per_second(counters: Iterable[TrafficCounter]) -> int:
     """The most bytes that any of these counters had in one second."""
-    return max((one.worst for one in counted), default=0)
+    return max((counter.peak for counter in counters), default=0)
