--- a/pipitshed/cli/testbed.py
+++ b/pipitshed/cli/testbed.py
@@ -199,14 +199,14 @@
 
     def run(self, faults: tuple[Fault, ...], logs: Path | None = None) -> dict[str, Any]:
         """Run it with these faults, and return the verdict."""
-        from pipitshed.testbed.fleet.play import run_scenario
+        from pipitshed.testbed.fleet.scenario_run import run_scenario
 
         return uvloop.run(run_scenario(self.scenario, faults, self.seed, logs, self.puts))
 
     def failing_script(self, max_shrink_runs: int) -> str:
         """The script of the run, with the fewest faults that still fail."""
-        from pipitshed.testbed.fleet.play import shrink_faults
         from pipitshed.testbed.fleet.scenario import scenario_text
+        from pipitshed.testbed.fleet.scenario_run import shrink_faults
 
         faults = self.faults
         if max_shrink_runs:
--- a/tests/cluster/test_fleet_rig.py
+++ b/tests/cluster/test_fleet_rig.py
@@ -16,7 +16,6 @@
 from pipitshed.membership.timing import ProtocolTimings
 from pipitshed.testbed.clients import ClientRequest, HttpClients
 from pipitshed.testbed.fleet import oracles
-from pipitshed.testbed.fleet.play import ScenarioRun, run_scenario, shrink_faults
 from pipitshed.testbed.fleet.scenario import (
     Fault,
     FleetShape,
@@ -28,6 +27,7 @@
     read,
     scenario_text,
 )
+from pipitshed.testbed.fleet.scenario_run import ScenarioRun, run_scenario, shrink_faults
 
 # Three times as fast as the defaults, so that a case takes seconds.
 FAST_TIMINGS = ProtocolTimings(period=0.1, ack_within=0.05, sync=0.6, sync_with_gone=1.0, tombstones=30.0)
