--- a/pipitshed/testbed/fleet/scenario_run.py
+++ b/pipitshed/testbed/fleet/scenario_run.py
@@ -18,8 +18,8 @@
 from pipitshed.testbed.fleet.faults import Faults
 from pipitshed.testbed.fleet.oracles import Instance
 from pipitshed.testbed.fleet.processes import HTTP_PORT, Process, ProcessError, Processes
-from pipitshed.testbed.fleet.puts import SettingChanges
 from pipitshed.testbed.fleet.scenario import KEYS, Fault, Scenario, SettingChange, process_name
+from pipitshed.testbed.fleet.setting_changes import SettingChanges
 from pipitshed.testbed.fleet.standins import PlannerFleet
 from pipitshed.testbed.planner import Behaviour
 
--- a/tests/cluster/test_settings_rig.py
+++ b/tests/cluster/test_settings_rig.py
@@ -16,7 +16,6 @@
 from pipitshed.replication.row_table import NOT_COMPARED
 from pipitshed.testbed.fleet import oracles, row_oracles
 from pipitshed.testbed.fleet.oracles import InForce, Instance, Logs
-from pipitshed.testbed.fleet.puts import SettingChanges
 from pipitshed.testbed.fleet.scenario import (
     Fault,
     FleetShape,
@@ -30,6 +29,7 @@
     scenario_text,
 )
 from pipitshed.testbed.fleet.scenario_run import run_scenario
+from pipitshed.testbed.fleet.setting_changes import SettingChanges
 
 FAST_TIMINGS = ProtocolTimings(period=0.1, ack_within=0.05, sync=0.6, sync_with_gone=1.0, tombstones=30.0)
 SHARE, QUOTA = "tenant/andes-retail/share", "tenant/andes-retail/allowancePerS"
