--- a/benchmarks/capacity/regions.py
+++ b/benchmarks/capacity/regions.py
@@ -20,7 +20,7 @@
     number_of,
 )
 from pipitshed.testbed.virtual_fleet import VirtualFleet, region
-from pipitshed.testbed.virtual_view import Node
+from pipitshed.testbed.virtual_network import Node
 
 SLOPE = "regions"
 SIZES = (40, 80, 150, 300)
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -20,7 +20,7 @@
 from benchmarks.capacity.records import Row
 from pipitshed.membership.members import MemberState
 from pipitshed.testbed.virtual_fleet import VirtualFleet, peak_bytes_per_second
-from pipitshed.testbed.virtual_view import Node
+from pipitshed.testbed.virtual_network import Node
 
 SLOPE = "schedulers"
 SIZES = (5, 40, 150, 300, 600)
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -20,7 +20,7 @@
 
 from pipitshed.cluster.codec import Codec
 from pipitshed.membership.members import MemberState
-from pipitshed.testbed.virtual_view import Network
+from pipitshed.testbed.virtual_network import Network
 
 HEADERS = 28  # bytes of IP and UDP around a datagram
 STEP = 0.02  # s
--- a/pipitshed/testbed/virtual_fleet.py
+++ b/pipitshed/testbed/virtual_fleet.py
@@ -12,7 +12,7 @@
 from pipitshed.membership.members import Address, MemberState
 from pipitshed.membership.messages import Message
 from pipitshed.membership.timing import ProtocolTimings
-from pipitshed.testbed.virtual_view import Network, Node
+from pipitshed.testbed.virtual_network import Network, Node
 
 ZONES = ("norte/1", "norte/2", "norte/3", "centro/1", "centro/2", "sur/1", "sur/2")
 WITHIN_ZONE, WITHIN_REGION, BETWEEN_REGIONS = 0.0005, 0.001, 0.040  # s, one way
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -12,7 +12,7 @@
 from pipitshed.membership.members import Address, MemberRecord, MemberState, precedence
 from pipitshed.membership.timing import ProtocolTimings, suspicion_timeout_s
 from pipitshed.membership.view import MembershipView
-from pipitshed.testbed.virtual_view import Network
+from pipitshed.testbed.virtual_network import Network
 
 SETTLE_LIMIT_S = 5.0  # time within which 20 schedulers agree after the last fault
 
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -28,8 +28,8 @@
 )
 from pipitshed.replication.row import FORMAT_VERSION, Row, precedence
 from pipitshed.replication.row_table import ApplyResult, RowError, RowTable
-from pipitshed.testbed import virtual_view
-from pipitshed.testbed.virtual_view import ENVELOPE, Network, Node
+from pipitshed.testbed import virtual_network
+from pipitshed.testbed.virtual_network import ENVELOPE, Network, Node
 
 PEER_ADDRESS = ("127.0.0.1", 1)
 ROWS_DECODER = msgspec.msgpack.Decoder(tuple[Row, ...])
@@ -470,13 +470,13 @@
             node.tables[0].apply(row)
     network.run(3.0)
     longest, codec = [0], Codec("pipitshed")
-    size = virtual_view.message_size
+    size = virtual_network.message_size
 
     def record_size(message: object) -> int:
         longest[0] = max(longest[0], len(codec.encode(message)))  # type: ignore[arg-type]
         return size(message)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(virtual_view, "message_size", record_size)
+    monkeypatch.setattr(virtual_network, "message_size", record_size)
     network.kill(nodes(network)[9])
     network.run(1.0)
     start_second = int(network.now)
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -14,7 +14,7 @@
 from pipitshed.membership.timing import ProtocolTimings, suspicion_timeout_s
 from pipitshed.replication.messages import Rows, pack
 from pipitshed.testbed.virtual_fleet import VirtualFleet, peak_bytes_per_second, region
-from pipitshed.testbed.virtual_view import Node
+from pipitshed.testbed.virtual_network import Node
 
 
 def word(number: int, state: MemberState = MemberState.ALIVE) -> MemberRecord:
