--- a/pipitshed/testbed/fleet/processes.py
+++ b/pipitshed/testbed/fleet/processes.py
@@ -26,7 +26,7 @@
 PROCESS_HOSTS, RELAY_HOSTS, OUTSIDE_HOST = 10, 110, 210
 MAX_PROCESSES = 95  # limited by the last byte of the addresses
 START_TIMEOUT = 20.0  # s until the first event is logged
-STOP_TIMEOUT = 25.0  # s after SIGTERM
+STOP_TIMEOUT = 25.0  # s from SIGTERM to SIGKILL
 POLL_INTERVAL = 0.02  # s between checks for the first event
 
 
@@ -177,7 +177,7 @@
             self.running.kill()
             raise ProcessError(f"{self.name} did not end {STOP_TIMEOUT:.0f} s after SIGTERM") from None
         if code != 0:
-            raise ProcessError(f"{self.name} ended with {code} after SIGTERM")
+            raise ProcessError(f"{self.name} ended with exit code {code} after SIGTERM")
 
     def pause(self) -> None:
         """Send SIGSTOP, and log it."""
--- a/pipitshed/testbed/fleet/scenario.py
+++ b/pipitshed/testbed/fleet/scenario.py
@@ -56,7 +56,7 @@
 
 
 class Fault(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True, omit_defaults=True):
-    """One fault. Times are seconds; `at` counts from the moment when all processes have joined."""
+    """One fault. Times are seconds; `at` counts from the end of the warm-up, when all have joined."""
 
     at: float
     do: FaultKind
@@ -123,9 +123,7 @@
     put_mix: SettingChangeMix = msgspec.field(default_factory=SettingChangeMix)
     settle_within: float = 5.0  # s after the last fault within which all views must be correct
     joined_within: float = 15.0  # s from the first start within which all processes must have joined
-    all_in_time: bool = (
-        False  # every request must be served in time; for faults that spare processes and planners
-    )
+    all_in_time: bool = False  # every request must be served in time, as no process or planner has a fault
 
 
 def process_name(place: int) -> str:
@@ -141,25 +139,27 @@
 def read(text: str, processes: int | None = None) -> Scenario:
     """Parse and check a scenario; `processes` overrides the file's number. Raises ScenarioError."""
     try:
-        made = msgspec.convert(tomllib.loads(text), Scenario)
+        scenario = msgspec.convert(tomllib.loads(text), Scenario)
     except ValueError as error:
         raise ScenarioError(str(error)) from None
     if processes is not None:
-        made = msgspec.structs.replace(made, fleet=msgspec.structs.replace(made.fleet, processes=processes))
-    if not 1 <= made.fleet.processes <= 60 or not 1 <= made.fleet.zones <= 8:
+        scenario = msgspec.structs.replace(
+            scenario, fleet=msgspec.structs.replace(scenario.fleet, processes=processes)
+        )
+    if not 1 <= scenario.fleet.processes <= 60 or not 1 <= scenario.fleet.zones <= 8:
         raise ScenarioError("fleet: 1 to 60 processes in 1 to 8 zones")
-    names = {process_name(place) for place in range(made.fleet.processes)}
-    zones = {process_zone(place, made.fleet.zones) for place in range(made.fleet.processes)}
-    for place, put in enumerate(made.put):
+    names = {process_name(place) for place in range(scenario.fleet.processes)}
+    zones = {process_zone(place, scenario.fleet.zones) for place in range(scenario.fleet.processes)}
+    for place, put in enumerate(scenario.put):
         if put.a not in names:
             raise ScenarioError(f"line {line_of_item(text, 'put', place, 'a')}: there is no {put.a!r}")
-    for place, fault in enumerate(made.fault):
+    for place, fault in enumerate(scenario.fault):
         known = zones if fault.do == "cut-zone" else names
-        if unknown := [one for one in (*fault.a, *fault.b) if one not in known]:
+        if unknown := [name for name in (*fault.a, *fault.b) if name not in known]:
             raise ScenarioError(f"line {line_of_item(text, 'fault', place, 'a')}: there is no {unknown[0]!r}")
         if fault.do != "roll" and fault.do != "join" and not fault.a:
             raise ScenarioError(f"line {line_of_item(text, 'fault', place)}: `a` names no process or zone")
-    return made
+    return scenario
 
 
 def draw_faults(scenario: Scenario, seed: int) -> tuple[Fault, ...]:
--- a/pipitshed/testbed/fleet/scenario_run.py
+++ b/pipitshed/testbed/fleet/scenario_run.py
@@ -78,7 +78,7 @@
             await self.processes.start_all()
             joined = await self._wait_for_agreement(self.scenario.joined_within)
             if joined is None:
-                self.log("wrong", text=f"the fleet had not joined after {self.scenario.joined_within} s")
+                self.log("wrong", text=f"not all processes had joined after {self.scenario.joined_within} s")
             traffic = asyncio.create_task(self._traffic())
             await asyncio.sleep(WARM_UP)
             faults, puts = Faults(self.processes, self.log), SettingChanges(self.processes, self.log)
@@ -91,7 +91,7 @@
                 # A change in a fleet without faults must come in force.
                 last = await puts.put_and_follow(SettingChange(0.0, process_name(0), KEYS[0], "0.5"))
                 if last != "in force":
-                    self.log("wrong", text=f"the last change, with all faults over, was {last}")
+                    self.log("wrong", text=f"a setting change after all faults were over was {last}")
             await asyncio.sleep(AGREEMENT_HOLD)
             traffic.cancel()
             await asyncio.gather(*self._sending)
@@ -209,7 +209,9 @@
         accounts = account(self.requests, self.planners.record.runs, self.planners.members)
         wrong += [f"{name}: {accounts['faults'][name][:2]}" for name in MUST_BE_ZERO if accounts[name]]  # type: ignore[index]
         if after is not None and after > self.scenario.settle_within:
-            wrong.append(f"settled {after:.2f} s after the last fault, not {self.scenario.settle_within}")
+            wrong.append(
+                f"settled {after:.2f} s after the last fault; the limit is {self.scenario.settle_within} s"
+            )
         if self.puts:
             wrong += (
                 row_oracles.check_in_force(logs, self.scenario.settle_within, self.scenario.fleet.zones)
--- a/pipitshed/testbed/interfaces.py
+++ b/pipitshed/testbed/interfaces.py
@@ -92,14 +92,14 @@
         job = Job(job_class, key, headers.get("x-tenant", ""), float(headers.get("x-deadline", "0")), body)
         events = self.planner.work(job)
         try:
-            async for state, what in events:
+            async for state, payload in events:
                 line: dict[str, Any] = {"id": number, "state": state}
                 if state == "running":
-                    line["share"] = what
+                    line["share"] = payload
                 elif state == "done":
-                    line["result"] = json.dumps(_as_json(what))
+                    line["result"] = json.dumps(_as_json(payload))
                 elif state == "failed":
-                    line["result"] = ": ".join(what)
+                    line["result"] = ": ".join(payload)
                 data = json.dumps(line).encode() + b"\n"
                 writer.write(b"%x\r\n%s\r\n" % (len(data), data))
                 await writer.drain()
@@ -167,23 +167,23 @@
         )
         events = self.planner.work(job)
         try:
-            async for state, what in events:
-                yield self._event(number, kind, state, what)
+            async for state, payload in events:
+                yield self._event(number, kind, state, payload)
             if state == "returned":
                 context.set_trailing_metadata((("grpc-retry-pushback-ms", "20"),))
         finally:
             await events.aclose()  # type: ignore[attr-defined]
 
     @staticmethod
-    def _event(number: str, kind: str, state: str, what: Any) -> pb.RunEvent:
+    def _event(number: str, kind: str, state: str, payload: Any) -> pb.RunEvent:
         if state == "started":
             return pb.RunEvent(id=number, started=pb.Started())
         if state == "running":
-            return pb.RunEvent(id=number, running=pb.Running(share=what))
+            return pb.RunEvent(id=number, running=pb.Running(share=payload))
         if state == "failed":
-            return pb.RunEvent(id=number, failed=pb.Failed(code=what[0], text=what[1]))
+            return pb.RunEvent(id=number, failed=pb.Failed(code=payload[0], text=payload[1]))
         if state == "returned":
-            return pb.RunEvent(id=number, returned=pb.Returned(reason=what))
-        made = dict(what, lane=LANES[what["lane"]])
+            return pb.RunEvent(id=number, returned=pb.Returned(reason=payload))
+        made = dict(payload, lane=LANES[payload["lane"]])
         done = pb.Done(offer=pb.Offer(**made)) if kind == "quote" else pb.Done(booking=pb.Booking(**made))
         return pb.RunEvent(id=number, done=done)
--- a/pipitshed/testbed/program.py
+++ b/pipitshed/testbed/program.py
@@ -149,10 +149,10 @@
     """
     with tempfile.TemporaryDirectory(prefix="pipitshed-lab-") as folder:
         path = Path(folder)
-        made = configuration(http, f"127.0.0.1:{discovery_port}", known)
+        config = configuration(http, f"127.0.0.1:{discovery_port}", known)
         if adjust is not None:
-            adjust(made)
-        (path / "config.json").write_text(json.dumps(made))
+            adjust(config)
+        (path / "config.json").write_text(json.dumps(config))
         _write_front(path, gearman, translate, plan)
         process = await asyncio.create_subprocess_exec(
             sys.executable,
