--- a/pipitshed/testbed/fleet/row_oracles.py
+++ b/pipitshed/testbed/fleet/row_oracles.py
@@ -37,7 +37,7 @@
         held: dict[str, Version] = {}
         for _, rows in instance.acting:
             wrong += [
-                f"{instance.name} went back from version {held[key]} to {version} of {key}"
+                f"{instance.name} went back on {key} from version {held[key]} to {version}"
                 for key, version in rows.items()
                 if version < held.get(key, NONE)
             ]
