--- a/pipitshed/testbed/fleet/processes.py
+++ b/pipitshed/testbed/fleet/processes.py
@@ -35,7 +35,7 @@
 
 
 def loopback_block() -> str:
-    """Return the first three bytes of loopback addresses for this run, made from the process id."""
+    """Return three bytes of loopback addresses, made from the process id so that parallel runs differ."""
     pid = os.getpid()
     return f"127.{64 + (pid >> 8) % 128}.{pid & 255}"
 
