--- a/tests/cluster/test_settings_rig.py
+++ b/tests/cluster/test_settings_rig.py
@@ -121,13 +121,11 @@
     late = [(9.0, {SHARE: (1, 1)}), (20.1, {SHARE: (1, 2)})]
     assert row_oracles.check_in_force(logs(), 6.0, 2) == []
     assert "s2 did not act on it" in row_oracles.check_in_force(logs(acting=late), 6.0, 2)[0]
-    assert (
-        "s2 did not act" in row_oracles.check_in_force(logs(life=23), 6.0, 2)[0]
-    )  # reported of another instance
+    # Reported of another instance.
+    assert "s2 did not act" in row_oracles.check_in_force(logs(life=23), 6.0, 2)[0]
     alone = {"s1": 11}
-    assert (
-        row_oracles.check_in_force(logs(said=alone), 6.0, 2) == []
-    )  # it applies the row, though it is not named
+    # The second process applies the row, though it is not named.
+    assert row_oracles.check_in_force(logs(said=alone), 6.0, 2) == []
     assert "without s2" in row_oracles.check_in_force(logs(said=alone, acting=late), 6.0, 2)[0]
     for exemption in ({"started": 16.0}, {"paused": [(12.0, 15.0)]}, {"ended": 20.5}):
         assert row_oracles.check_in_force(logs(said=alone, acting=late, **exemption), 6.0, 2) == []
