--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -36,7 +36,7 @@
 from pipitshed.membership.members import Address
 from pipitshed.membership.timing import ProtocolTimings
 from pipitshed.protocols.address import parse_address
-from pipitshed.testbed.virtual_fleet import DATAGRAM_HEADERS, ZONES, Second, worst
+from pipitshed.testbed.virtual_fleet import DATAGRAM_HEADERS, ZONES, TrafficCounter, peak_bytes_per_second
 
 SLOPE = "hollow"
 SIZES = (40, 100, 150, 300)
@@ -56,7 +56,7 @@
 
     def __init__(self, cluster: str, secret: bytes = b"") -> None:
         super().__init__(cluster, secret)
-        self.out = Second()
+        self.out = TrafficCounter()
         self.instances.append(self)
 
     def encode(self, message: ClusterMessage) -> bytes:
@@ -129,14 +129,14 @@
         if line == b"count\n":
             samples.total = samples.late = 0
             for codec in CountingCodec.instances:
-                codec.out = Second()
+                codec.out = TrafficCounter()
         elif line == b"tell\n":
             out = [codec.out for codec in CountingCodec.instances]
             views = [node.membership.view for node in nodes]
             _write_line(
                 {
                     "out_bytes": [one.bytes for one in out],
-                    "worst": worst(out),
+                    "worst": peak_bytes_per_second(out),
                     "late": samples.late / max(1, samples.total),
                     "views": sorted({view.digest() for view in views}),
                     "alive": sorted({view.live_count for view in views}),
--- a/benchmarks/capacity/planners.py
+++ b/benchmarks/capacity/planners.py
@@ -41,7 +41,7 @@
 async def _one_read_cpu_s(catalog: Catalog, running: Scheduler, members: Sequence[ListedPlanner]) -> float:
     """CPU time (s) of these rows in one update and one job that follows."""
     before = running.cpu_s()
-    catalog.tell(*members)
+    catalog.announce(*members)
     await running.wait_until_idle()
     await running.send_job()
     await running.wait_until_idle()
@@ -54,7 +54,7 @@
     """CPU time (s) of these rows in one update each, each followed by a job."""
     before = running.cpu_s()
     for member in members:
-        catalog.tell(member)
+        catalog.announce(member)
         await asyncio.sleep(SPACING_S)
         await running.send_job()
     await running.wait_until_idle()
--- a/benchmarks/capacity/regions.py
+++ b/benchmarks/capacity/regions.py
@@ -20,8 +20,8 @@
     run_sizes,
     version_of,
 )
-from pipitshed.testbed.virtual_fleet import Fleet, region
-from pipitshed.testbed.virtual_view import Node
+from pipitshed.testbed.virtual_fleet import VirtualFleet, region
+from pipitshed.testbed.virtual_network import Node
 
 SLOPE = "regions"
 SIZES = (40, 80, 150, 300)
@@ -32,7 +32,7 @@
 WAVES, WAVE_INTERVAL_S, WAVE_CHANGES = 10, 10.0, 20  # count, virtual s, changes between two waves
 
 
-def restart(fleet: Fleet, nodes: Sequence[Node]) -> None:
+def restart(fleet: VirtualFleet, nodes: Sequence[Node]) -> None:
     """Shut nodes down cleanly and start them under their old names with the rows that they had stored."""
     for node in nodes:
         fleet.leave(node)
@@ -43,14 +43,14 @@
             restarted_node.tables[0].apply(row)
 
 
-def nodes_by_region(fleet: Fleet, lost: bool) -> list[Node]:
+def nodes_by_region(fleet: VirtualFleet, lost: bool) -> list[Node]:
     """The nodes of the region that is cut off (`lost`), or those of the other regions."""
     return [
         node for node in fleet.nodes.values() if (region(fleet.zone(node.address)) == LOST_REGION) is lost
     ]
 
 
-def missing_bytes(fleet: Fleet) -> float:
+def missing_bytes(fleet: VirtualFleet) -> float:
     """Mean bytes of the rows and member records that a scheduler lacks."""
     newest = {row.key: row for node in fleet.nodes.values() for row in node.tables[0]}
     for node in fleet.nodes.values():
@@ -76,8 +76,8 @@
     keys = {lost: [key(number) for number in range(lost, TEAMS, 2)] for lost in (True, False)}
     for lost, writer in writers.items():
         run.put_quotas(writer, keys[lost])
-    run.wait_until(fleet.quiet, QUIET_TIMEOUT_S, 1.0)
-    fleet.part_region(LOST_REGION)
+    run.wait_until(fleet.quiescent, QUIET_TIMEOUT_S, 1.0)
+    fleet.isolate_region(LOST_REGION)
     with run.measured() as cost:
         for number in range(RESTARTS):
             for lost in (True, False):
@@ -106,7 +106,7 @@
     nodes, older = list(fleet.nodes.values()), 0
     writer = nodes[-1].address
     run.put_quotas(nodes[-1], [key(number) for number in range(TEAMS)])
-    run.wait_until(fleet.quiet, QUIET_TIMEOUT_S, 1.0)
+    run.wait_until(fleet.quiescent, QUIET_TIMEOUT_S, 1.0)
     with run.measured() as cost:
         for wave in range(WAVES):
             restarted = [fleet.nodes[node.address] for node in nodes[wave::WAVES]]
@@ -122,7 +122,7 @@
                 for node in restarted
                 for row in node.tables[0]
             )
-        settled = run.wait_until(fleet.whole, SETTLE_TIMEOUT_S)
+        settled = run.wait_until(fleet.converged, SETTLE_TIMEOUT_S)
     extra_figures = {"rows_older": float(older), "changes": float(WAVES * WAVE_CHANGES)}
     why = "" if settled is not None else f"not one view after {SETTLE_TIMEOUT_S:.0f} virtual s"
     run.row("restart wave", cost, why, **extra_figures, settled_ms=(settled or 0.0) * 1000)
@@ -133,10 +133,10 @@
     rows: list[Row] = []
     until = time.monotonic() + limit_s
     for case in (apart, waves):
-        run = FleetRun(Fleet(seed=3), size, until, SLOPE, rows)
+        run = FleetRun(VirtualFleet(seed=3), size, until, SLOPE, rows)
         try:
             run.fleet.fleet(size)
-            run.wait_until(run.fleet.quiet, QUIET_TIMEOUT_S, 1.0)
+            run.wait_until(run.fleet.quiescent, QUIET_TIMEOUT_S, 1.0)
             case(run)
         except TimeLimitError:
             rows.append(
--- a/benchmarks/capacity/schedulers.py
+++ b/benchmarks/capacity/schedulers.py
@@ -20,8 +20,8 @@
 from benchmarks.capacity.machine import memory_mb
 from benchmarks.capacity.records import Row
 from pipitshed.membership.members import MemberState
-from pipitshed.testbed.virtual_fleet import Fleet, worst
-from pipitshed.testbed.virtual_view import Node
+from pipitshed.testbed.virtual_fleet import VirtualFleet, peak_bytes_per_second
+from pipitshed.testbed.virtual_network import Node
 
 SLOPE = "schedulers"
 SIZES = (5, 40, 150, 300, 600)
@@ -50,7 +50,7 @@
 class FleetRun:
     """One fleet, and the rows of the cases that run on it one after the other."""
 
-    fleet: Fleet
+    fleet: VirtualFleet
     size: int
     stops_at: float  # time.monotonic() of the time limit
     slope: str = SLOPE
@@ -60,7 +60,7 @@
     def measured(self) -> Iterator[Cost]:
         """Reset the traffic counters, and measure the virtual and the CPU time of the block."""
         fleet, cost = self.fleet, Cost()
-        fleet.count_anew()
+        fleet.reset_counts()
         begun, cpu, wall = fleet.now, time.process_time(), time.perf_counter()
         yield cost
         cost.seconds = fleet.now - begun
@@ -74,7 +74,7 @@
             self.check_time_limit()
             return what()
 
-        return self.fleet.until(checked, within, step)
+        return self.fleet.run_until(checked, within, step)
 
     def advance(self, seconds: float) -> None:
         """Run the fleet for this many virtual seconds."""
@@ -97,10 +97,10 @@
             "out_bytes_per_s": sum(one.bytes for one in out) / share,
             "heaviest_out_bytes_per_s": max(one.bytes for one in out) / cost.seconds,
             "heaviest_in_bytes_per_s": max(one.bytes for one in into) / cost.seconds,
-            "worst_second_out_bytes": float(worst(out)),
-            "worst_second_in_bytes": float(worst(into)),
+            "worst_second_out_bytes": float(peak_bytes_per_second(out)),
+            "worst_second_in_bytes": float(peak_bytes_per_second(into)),
             "messages_per_s": sum(fleet.sent.values()) / share,
-            "too_long": float(fleet.too_long),
+            "too_long": float(fleet.oversized),
             "cpu_share": cost.cpu / share,
             "virtual_s": cost.seconds,
         }
@@ -112,8 +112,8 @@
         """Measure the time until all have a correct view and equal settings, and until no news is unsent."""
         begun = self.fleet.now
         with self.measured() as cost:
-            settled = self.wait_until(self.fleet.whole, SETTLE_TIMEOUT_S)
-            quiet = self.wait_until(self.fleet.quiet, QUIET_TIMEOUT_S, 1.0)
+            settled = self.wait_until(self.fleet.converged, SETTLE_TIMEOUT_S)
+            quiet = self.wait_until(self.fleet.quiescent, QUIET_TIMEOUT_S, 1.0)
         figures = dict(extra_figures)
         if settled is not None:
             figures["settled_ms"] = settled * 1000
@@ -134,7 +134,7 @@
     return f"tenant/team-{team:03}/allowancePerS"
 
 
-def quota_value(fleet: Fleet) -> bytes:
+def quota_value(fleet: VirtualFleet) -> bytes:
     """A random quota, as the value of a row."""
     return b"%.3f" % (fleet.rng.random() * 10)
 
@@ -145,13 +145,13 @@
     return row.number if row is not None else 0
 
 
-def count_reports(fleet: Fleet, since: float, state: MemberState) -> float:
+def count_reports(fleet: VirtualFleet, since: float, state: MemberState) -> float:
     """How many member records (name and incarnation) were reported in this state since a time."""
     return float(
         len(
             {
                 (news.record.name, news.record.incarnation)
-                for when, _, news in fleet.news
+                for when, _, news in fleet.state_changes
                 if when >= since and news.record.state is state
             }
         )
@@ -167,7 +167,7 @@
     """Put bursts of changes; measure the time until each change is in force at each scheduler."""
     fleet = run.fleet
     writer = next(iter(fleet.nodes.values()))
-    fleet.row_news.clear()
+    fleet.row_changes.clear()
     put: dict[tuple[str, int], float] = {}
     with run.measured() as cost:
         for burst in range(BURSTS):
@@ -176,7 +176,7 @@
                 run.advance(1.0 / BURST)
             run.advance(BURST_INTERVAL_S - 1.0)
     delays_ms: dict[tuple[str, int], list[float]] = {change: [] for change in put}
-    for when, _, row in fleet.row_news:
+    for when, _, row in fleet.row_changes:
         if (row.key, row.number) in put:
             delays_ms[row.key, row.number].append((when - put[row.key, row.number]) * 1000)
     all_delays_ms = [one for times in delays_ms.values() for one in times]
@@ -220,7 +220,7 @@
 def cases(size: int, limit_s: float) -> list[Row]:
     """The rows of all cases of one size, in one fleet."""
     before = memory_mb(os.getpid())
-    run = FleetRun(Fleet(seed=1), size, time.monotonic() + limit_s)
+    run = FleetRun(VirtualFleet(seed=1), size, time.monotonic() + limit_s)
     fleet = run.fleet
     try:
         first, *_ = fleet.fleet(size)
@@ -243,14 +243,14 @@
         )
         changes(run, "changes, loss 1%")
         fleet.loss = 0.0
-        run.wait_until(fleet.quiet, QUIET_TIMEOUT_S, 1.0)
+        run.wait_until(fleet.quiescent, QUIET_TIMEOUT_S, 1.0)
         lost_everything(run)
-        run.wait_until(fleet.quiet, QUIET_TIMEOUT_S, 1.0)
+        run.wait_until(fleet.quiescent, QUIET_TIMEOUT_S, 1.0)
         last = next(reversed(fleet.nodes.values()))
         fleet.kill(last)
         fleet.start(size - 1, fleet.seeds)
         run.measure_convergence("one restarted")
-        fleet.lose_zone(LOST_ZONE)
+        fleet.kill_zone(LOST_ZONE)
         run.measure_convergence("zone lost", lost=float(size - len(fleet.nodes)))
     except TimeLimitError:
         run.rows.append(
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -18,7 +18,7 @@
 from benchmarks.capacity.machine import cpu_s, descriptors, memory_mb
 from benchmarks.capacity.records import ROOT
 from pipitshed.testbed import program
-from pipitshed.testbed.experiment import raise_descriptors
+from pipitshed.testbed.experiment import raise_descriptor_limit
 from pipitshed.testbed.fleet.standins import Discovery
 
 REGIONS = ("norte", "centro", "sur")
@@ -260,7 +260,7 @@
 @contextlib.asynccontextmanager
 async def scheduler(config: dict[str, Any], *arguments: str) -> AsyncIterator[Scheduler]:
     """Run `serve` with this configuration and these arguments; it is killed at the end of the block."""
-    raise_descriptors(20000)
+    raise_descriptor_limit(20000)
     with tempfile.TemporaryDirectory(prefix="pipitshed-capacity-") as folder:
         path = Path(folder)
         (path / "config.json").write_text(json.dumps(config))
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -21,7 +21,7 @@
 
 from pipitshed.cluster.codec import Codec
 from pipitshed.membership.members import MemberState
-from pipitshed.testbed.virtual_view import Network
+from pipitshed.testbed.virtual_network import Network
 
 HEADER_BYTES = 28  # IP and UDP headers of a datagram
 STEP_S = 0.02  # resolution of the measured times
@@ -53,7 +53,7 @@
     all_s = network.settle(60.0, STEP_S)
     declared_dead_at = [
         when
-        for when, _, news in network.news
+        for when, _, news in network.state_changes
         if when > killed_at and news.record.name == victim.name and news.record.state is MemberState.DEAD
     ]
     isolated = {node.address for node in list(network.nodes.values())[: max(1, size // 5)]}
@@ -103,16 +103,16 @@
     With `slow`, one member in ten stops responding for 0.3 s every 2 s.
     """
     network = joined_network(size, seed, loss)
-    network.news.clear()
+    network.state_changes.clear()
     until = network.now + hours * 3600
     slow_nodes = list(network.nodes.values())[::10] if slow else []
     while network.now < until:
         for node in slow_nodes:
-            network.stop(node, 0.3)
+            network.stall(node, 0.3)
         network.run(2.0 if slow else 60.0)
     declared_dead = {
         (news.record.name, news.record.incarnation)
-        for _, _, news in network.news
+        for _, _, news in network.state_changes
         if news.record.state is MemberState.DEAD
     }
     return {
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -13,7 +13,7 @@
 
 from benchmarks.soak.drawing import draw_scenario
 from benchmarks.soak.play import Result, run
-from pipitshed.testbed.experiment import raise_descriptors
+from pipitshed.testbed.experiment import raise_descriptor_limit
 
 TRAFFIC_S = 20.0  # before SIGTERM
 SHORT_TRAFFIC_S = 6.0
@@ -68,7 +68,7 @@
 )
 def main(seeds: str, seconds: float | None, short: bool, report: Path | None) -> None:
     """Run the seeds one after another."""
-    raise_descriptors()
+    raise_descriptor_limit()
     traffic_s = seconds or (SHORT_TRAFFIC_S if short else TRAFFIC_S)
     results = []
     for seed in parse_seeds(seeds):
--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -14,10 +14,10 @@
 from benchmarks.soak.drawing import LONGEST_DEADLINE_S, Fault, Pause, Reload, Scenario
 from benchmarks.soak.rules import Records, Violation, find_violations
 from pipitshed.server.descriptors import DescriptorBudget
-from pipitshed.testbed.clients import Asked, GearmanClients, HttpClients, draw
-from pipitshed.testbed.fleet.standins import Fleet
+from pipitshed.testbed.clients import ClientRequest, GearmanClients, HttpClients, draw_request
+from pipitshed.testbed.fleet.standins import PlannerFleet
 from pipitshed.testbed.planner import Behaviour
-from pipitshed.testbed.program import Running, scheduler
+from pipitshed.testbed.program import RunningScheduler, scheduler
 
 DETECTION_S = 0.3  # after the start: the scheduler detects the interfaces that discovery does not list
 KILL_MARGIN_S = 0.7  # SIGKILL follows SIGTERM after the longest deadline plus this
@@ -55,9 +55,9 @@
 class _ScenarioRunner:
     """Sends one scenario's requests, faults and signals, and records what the clients saw."""
 
-    def __init__(self, scenario: Scenario, fleet: Fleet, running: Running) -> None:
+    def __init__(self, scenario: Scenario, fleet: PlannerFleet, running: RunningScheduler) -> None:
         self.scenario, self.fleet, self.running = scenario, fleet, running
-        self.requests: list[Asked] = []
+        self.requests: list[ClientRequest] = []
         self.pauses: list[tuple[float, float]] = []
         self.sigterm_at = float("inf")
         self.worst_holdup_s = 0.0
@@ -125,7 +125,7 @@
 
     def _send_request(self, number: int) -> None:
         scenario = self.scenario
-        request = draw(
+        request = draw_request(
             self._rng,
             f"{number:06d}",
             scenario.client_mix,
@@ -135,7 +135,7 @@
         )
         deadline_s = next(each.deadline_s for each in scenario.classes if each.name == request.job_class)
         is_http = request.kind.startswith("http")
-        request.patience = self._rng.uniform(0.3, deadline_s) if is_http else deadline_s
+        request.timeout = self._rng.uniform(0.3, deadline_s) if is_http else deadline_s
         request.slack = LATE_ANSWER_WAIT_S
         still_idle_s = [
             at for at in scenario.idle_until_s if self.sigterm_at < monotonic() < self.sigterm_at + at
@@ -146,7 +146,7 @@
         if self._open_request_count(clients) >= self._connection_limits[clients]:
             return  # the scheduler refuses further connections without reading them
         self.requests.append(request)
-        task = asyncio.create_task((self._http if is_http else self._gearman).ask(request))
+        task = asyncio.create_task((self._http if is_http else self._gearman).send(request))
         self._request_tasks.add(task)
         task.add_done_callback(self._request_tasks.discard)
 
@@ -170,13 +170,13 @@
             elif fault.kind == "crash":
                 await fleet.crash(member, fault.duration_s)
             elif fault.kind == "cut":
-                member.gate.cut()
+                member.forwarder.cut()
             elif fault.kind == "discovery":
-                await fleet.discovery.silence(fault.duration_s)
+                await fleet.discovery.stop_responding(fault.duration_s)
             else:
-                fleet.behaviour.slow = HANG_FACTOR if fault.kind == "hang" else SLOW_FACTOR
+                fleet.behaviour.slowdown = HANG_FACTOR if fault.kind == "hang" else SLOW_FACTOR
                 await asyncio.sleep(fault.duration_s)
-                fleet.behaviour.slow = 1.0
+                fleet.behaviour.slowdown = 1.0
 
     def _signal(self, number: signal.Signals) -> None:
         if self.running.process.returncode is None:
@@ -222,7 +222,7 @@
 
 async def run(scenario: Scenario) -> Result:
     """Run the scenario once and check the rules."""
-    fleet = Fleet(
+    fleet = PlannerFleet(
         Behaviour(slots=scenario.slots_per_worker, fail=scenario.failing_job_fraction), scenario.seed
     )
     await fleet.start(
--- a/benchmarks/soak/rules.py
+++ b/benchmarks/soak/rules.py
@@ -8,7 +8,7 @@
 
 from benchmarks.soak.drawing import JobClassSpec
 from pipitshed.testbed.accounts import account
-from pipitshed.testbed.clients import SLACK, Asked
+from pipitshed.testbed.clients import SLACK, ClientRequest
 from pipitshed.testbed.fleet.standins import Member
 from pipitshed.testbed.planner import Run
 
@@ -33,7 +33,7 @@
 class Records:
     """Everything recorded during a run. Times are seconds of the monotonic clock."""
 
-    requests: Sequence[Asked]
+    requests: Sequence[ClientRequest]
     runs: list[Run]
     members: Sequence[Member]
     pauses: Sequence[tuple[float, float]]  # start and end of each SIGSTOP
@@ -48,7 +48,7 @@
 def find_violations(records: Records, classes: Iterable[JobClassSpec]) -> list[Violation]:
     """All rule violations in these records."""
     runs_by_token: dict[str, list[Run]] = defaultdict(list)
-    for run in sorted(records.runs, key=lambda run: run.came):
+    for run in sorted(records.runs, key=lambda run: run.arrived):
         runs_by_token[run.token].append(run)
     classes_by_name = {job_class.name: job_class for job_class in classes}
     violations = _process_violations(records) + _account_violations(records)
@@ -86,7 +86,7 @@
     ]
 
 
-def _answer_violations(records: Records, request: Asked, runs: list[Run]) -> list[Violation]:
+def _answer_violations(records: Records, request: ClientRequest, runs: list[Run]) -> list[Violation]:
     """Exactly one final answer, in time, and no attempt after it."""
     details = (
         f"{describe(request, runs)}\n"
@@ -101,16 +101,18 @@
         # refused after it stopped listening.
         closing = request.ended > records.sigterm_at
         may_refuse = request.ended > records.sigterm_at + MIN_ACCEPT_AFTER_SIGTERM_S
-        excused = (closing and request.untaken and request.kept) or (may_refuse and request.untaken)
+        excused = (closing and request.not_accepted and request.reused_connection) or (
+            may_refuse and request.not_accepted
+        )
         return [] if excused and not runs else [Violation("one_answer", request.token, details)]
     violations = []
     if request.outcome != "withdrawn":
-        late_s = request.ended - (request.sent + request.patience) - SLACK
+        late_s = request.ended - (request.sent + request.timeout) - SLACK
         if late_s > _paused_s(records.pauses, request.sent, request.ended):
             violations.append(
                 Violation("answer_in_time", request.token, f"{late_s:.3f} s late: {details}", timed=True)
             )
-    late_runs = [run for run in runs if run.came > request.ended + LATE_ATTEMPT_TOLERANCE_S]
+    late_runs = [run for run in runs if run.arrived > request.ended + LATE_ATTEMPT_TOLERANCE_S]
     if late_runs:
         violations.append(Violation("attempt_after_the_end", request.token, details, timed=True))
     return violations
@@ -121,9 +123,9 @@
     return sum(max(0.0, min(end, until) - max(begin, since)) for begin, end in pauses)
 
 
-def _repeat_violations(job_class: JobClassSpec, request: Asked, runs: list[Run]) -> list[Violation]:
+def _repeat_violations(job_class: JobClassSpec, request: ClientRequest, runs: list[Run]) -> list[Violation]:
     """Repeats only as the class allows; `refused` (never ran) only if no worker ran the job."""
-    ran = [run for run in runs if run.how != "returned"]
+    ran = [run for run in runs if run.outcome != "returned"]
     details = describe(request, runs)
     if job_class.repeat == "retryable":
         return []
@@ -138,16 +140,16 @@
     return violations
 
 
-def describe(request: Asked, runs: Iterable[Run]) -> str:
+def describe(request: ClientRequest, runs: Iterable[Run]) -> str:
     """The records of one request in order, with times in seconds since it was sent."""
     lines = [
-        f"{request.kind} {request.job_class} patience {request.patience:.3f} "
-        f"leaves {request.leave_after:.3f}: "
+        f"{request.kind} {request.job_class} patience {request.timeout:.3f} "
+        f"leaves {request.cancel_after:.3f}: "
         f"{request.outcome} after {request.ended - request.sent:.3f} s {request.detail}"
     ]
     lines += [
-        f"  {run.planner} ({run.zone}, interface {run.interface}) came {run.came - request.sent:.3f} "
-        f"ended {run.ended - request.sent:.3f} {run.how}"
+        f"  {run.planner} ({run.zone}, interface {run.interface}) came {run.arrived - request.sent:.3f} "
+        f"ended {run.ended - request.sent:.3f} {run.outcome}"
         for run in runs
     ]
     return "\n".join(lines)
--- a/pipitshed/cli/testbed.py
+++ b/pipitshed/cli/testbed.py
@@ -16,11 +16,11 @@
 
 from pipitshed.cli.options import fail
 from pipitshed.testbed import experiment as experiments
-from pipitshed.testbed.accounts import broken
+from pipitshed.testbed.accounts import broken_rules
 from pipitshed.testbed.up import up as run_up
 
 if TYPE_CHECKING:
-    from pipitshed.testbed.fleet.scenario import Fault, Put, Scenario
+    from pipitshed.testbed.fleet.scenario import Fault, Scenario, SettingChange
 
 EXIT_CHECK_FAILED = 1  # a run violated a rule or failed an oracle
 MAX_PLANNERS = 200
@@ -62,7 +62,7 @@
 @click.option("--listen", default=ANY_LOOPBACK_PORT, show_default=True, help="The address for HTTP clients.")
 def up(worker_count: int, interface: str, gearman: bool, listen: str) -> None:
     """Start a scheduler with simulated discovery and planners on loopback; show a live table until Ctrl-C."""
-    experiments.raise_descriptors()
+    experiments.raise_descriptor_limit()
     shape = experiments.FleetFile(planners=worker_count, interface=interface)  # type: ignore[arg-type]
     try:
         asyncio.run(run_up(shape, listen, ANY_LOOPBACK_PORT if gearman else "", Console()))
@@ -89,7 +89,7 @@
         experiment = experiments.read(file.read_text())
     except experiments.ExperimentError as error:
         fail(f"{file}: {error}")
-    experiments.raise_descriptors()
+    experiments.raise_descriptor_limit()
     request_count = experiment.clients.short_requests if short else experiment.clients.requests
     if experiment.arms:
         from pipitshed.testbed.arms import compare  # needs the solver, which is in another extra
@@ -99,16 +99,16 @@
         sys.exit(EXIT_CHECK_FAILED if compared["broken"] else 0)
     figures = _run_once(experiment, request_count, experiment.seed if seed is None else seed)
     _write_json(figures, out)
-    for rule in broken(figures):
+    for rule in broken_rules(figures):
         click.echo(f"pipitshed: violated rule: {rule}", err=True)
-    sys.exit(EXIT_CHECK_FAILED if broken(figures) else 0)
+    sys.exit(EXIT_CHECK_FAILED if broken_rules(figures) else 0)
 
 
 def _run_once(experiment: experiments.Experiment, request_count: int, seed: int) -> dict[str, object]:
     with Progress(console=Console(stderr=True), transient=True) as progress:
         task = progress.add_task(experiment.name, total=request_count)
         return asyncio.run(
-            experiments.play(
+            experiments.run_experiment(
                 experiment,
                 request_count,
                 seed,
@@ -174,7 +174,7 @@
         scenario = read(file.read_text(), process_count)
     except ScenarioError as error:
         fail(f"{file}: {error}")
-    experiments.raise_descriptors()
+    experiments.raise_descriptor_limit()
     failed_count = 0
     for seed in range(first_seed, first_seed + seed_count):
         scenario_run = _ScenarioRun.draw(scenario, seed)
@@ -203,26 +203,26 @@
     scenario: Scenario
     seed: int
     faults: tuple[Fault, ...]
-    puts: tuple[Put, ...]
+    puts: tuple[SettingChange, ...]
 
     @classmethod
     def draw(cls, scenario: Scenario, seed: int) -> _ScenarioRun:
-        from pipitshed.testbed.fleet.scenario import drawn, drawn_puts
+        from pipitshed.testbed.fleet.scenario import draw_faults, draw_setting_changes
 
-        return cls(scenario, seed, drawn(scenario, seed), drawn_puts(scenario, seed))
+        return cls(scenario, seed, draw_faults(scenario, seed), draw_setting_changes(scenario, seed))
 
     def run(self, faults: tuple[Fault, ...], logs: Path | None = None) -> dict[str, Any]:
         """Run the scenario with these faults, and return the verdict."""
-        from pipitshed.testbed.fleet.play import play
+        from pipitshed.testbed.fleet.scenario_run import run_scenario
 
-        return uvloop.run(play(self.scenario, faults, self.seed, logs, self.puts))
+        return uvloop.run(run_scenario(self.scenario, faults, self.seed, logs, self.puts))
 
     def failing_script(self, max_shrink_runs: int) -> str:
         """Return the script of the run, with the faults reduced as far as `max_shrink_runs` allow."""
-        from pipitshed.testbed.fleet.play import smallest
-        from pipitshed.testbed.fleet.scenario import script
+        from pipitshed.testbed.fleet.scenario import scenario_text
+        from pipitshed.testbed.fleet.scenario_run import shrink_faults
 
         faults = self.faults
         if max_shrink_runs:
-            faults = smallest(faults, lambda fewer: bool(self.run(fewer)["wrong"]), max_shrink_runs)
-        return script(self.scenario, faults, self.puts)
+            faults = shrink_faults(faults, lambda fewer: bool(self.run(fewer)["wrong"]), max_shrink_runs)
+        return scenario_text(self.scenario, faults, self.puts)
--- a/pipitshed/testbed/clients.py
+++ b/pipitshed/testbed/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in old clients: HTTP terminals of version 0 and 1, Gearman dispatch tools of version 0 and 1."""
+"""Stand-in clients: HTTP and Gearman clients that send message forms of version 0 and version 1."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from pipitshed.testbed.program import TENANTS
 
 KINDS = ("http-v0", "http-v1", "gearman-v0", "gearman-v1")
-SLACK = 0.06  # s beyond its deadline after which an answer counts as none
-CUTOFF = 1_800_003_600
+SLACK = 0.06  # s after the deadline; an answer that is later counts as missing
+CUTOFF = 1_800_003_600  # Unix time in s; a field of each job
 _FUNCTIONS = {
     ("gearman-v0", "quote"): b"plan_quote",
     ("gearman-v0", "book"): b"book_pallet",
@@ -27,190 +27,202 @@
 
 
 @dataclass(slots=True)
-class Asked:
-    """One request and what its client got."""
+class ClientRequest:
+    """One request and the result that its client received. Times are seconds of the monotonic clock."""
 
     token: str
     kind: str
     job_class: str
     key: str
     tenant: str
-    patience: float  # s
+    timeout: float  # s that the client waits for an answer
     pallets: int
-    hazard: bool = False  # what interface 2 can't express
-    leave_after: float = 0.0  # s after which the client goes; 0: it stays
+    hazard: bool = False  # it has a field that interface 2 can't express
+    cancel_after: float = 0.0  # s after which the client closes its connection; 0: never
     sent: float = 0.0
     ended: float = 0.0
     outcome: str = ""  # served, refused, unfit, failed, withdrawn, unanswered
     answers: int = 0
-    wrong: str = ""  # what of a served result is not as asked for
+    wrong: str = ""  # how a served result differs from the expected one; empty: it does not
     detail: str = ""
-    untaken: bool = False  # the connection was refused, or a kept one had been closed before the request
-    kept: bool = False  # it went out on a kept connection
-    slack: float = SLACK  # s beyond its patience for which its client listens on
+    not_accepted: bool = False  # refused connection, or a reused one that was closed already
+    reused_connection: bool = False  # it was sent on a connection that was kept open
+    slack: float = SLACK  # s after the timeout for which the client still reads
 
 
-def draw(
+def draw_request(
     rng: random.Random, token: str, mix: dict[str, float], cancel: float, unfit: float, book: float
-) -> Asked:
-    """One request by these shares."""
+) -> ClientRequest:
+    """Draw one request; `mix` has a weight for each client kind; the last three are shares from 0 to 1."""
     kind = rng.choices(list(mix), list(mix.values()))[0]
     job_class = "book" if rng.random() < book else "quote"
     tenant = {"gearman-v0": "selva-trans", "gearman-v1": "sur-express"}.get(kind) or rng.choices(
         list(TENANTS), list(TENANTS.values())
     )[0]
-    # Gearman's unique id is the key of every job; over HTTP only `book` comes with one.
+    # Every Gearman job has its unique id as key; over HTTP only `book` requests have one.
     key = f"k-{token}" if job_class == "book" else ""
-    patience = 5.0 if job_class == "quote" else 15.0
-    return Asked(
+    timeout = 5.0 if job_class == "quote" else 15.0
+    return ClientRequest(
         token,
         kind,
         job_class,
         key,
         tenant,
-        patience,
+        timeout,
         rng.randint(1, 60),
         kind.endswith("v1") and rng.random() < unfit,
         rng.uniform(0.0005, 0.08) if rng.random() < cancel else 0.0,
     )
 
 
-def body(asked: Asked) -> bytes:
-    """The job in the client's form."""
-    if asked.kind.endswith("v1"):
+def request_body(request: ClientRequest) -> bytes:
+    """Encode the job in the form of the request's client."""
+    if request.kind.endswith("v1"):
         job = {
             "origin": "LIM-03",
             "destination": "AQP-01",
-            "pallets": asked.pallets,
+            "pallets": request.pallets,
             "weight_kg": 812.5,
             "cutoff": datetime.fromtimestamp(CUTOFF, UTC).strftime("%Y-%m-%dT%H:%M:%SZ"),
             "fragile": True,
-            "remark": asked.token,
-            "goods": [{"sku": "PAL-1", "count": asked.pallets}],
+            "remark": request.token,
+            "goods": [{"sku": "PAL-1", "count": request.pallets}],
         }
-        if asked.hazard:
+        if request.hazard:
             job["hazard"] = "flammable"
         return json.dumps(job).encode()
     pairs = {
         "from": "LIM-03",
         "to": "AQP-01",
-        "plts": asked.pallets,
+        "plts": request.pallets,
         "kg": "812.5",
         "by": CUTOFF,
         "frag": 1,
-        "rem": asked.token,
+        "rem": request.token,
     }
-    if asked.kind == "http-v0":
-        pairs |= {"req": asked.token, "cls": asked.job_class, "member": asked.tenant, "wait": asked.patience}
-        if asked.key:
-            pairs["key"] = asked.key
+    if request.kind == "http-v0":
+        pairs |= {
+            "req": request.token,
+            "cls": request.job_class,
+            "member": request.tenant,
+            "wait": request.timeout,
+        }
+        if request.key:
+            pairs["key"] = request.key
     return urlencode(pairs).encode()
 
 
-def judge(asked: Asked, result: bytes) -> str:
-    """What of a result is not the one that was asked for; empty where it is."""
-    departs = 1_800_000_000 + asked.pallets
+def check_result(request: ClientRequest, result: bytes) -> str:
+    """Describe how a result differs from the expected one; empty where it does not."""
+    departs = 1_800_000_000 + request.pallets
     try:
-        if asked.kind.endswith("v1"):
-            told = json.loads(result)
-            got = (
-                told["truck"],
-                datetime.fromisoformat(told["departs"]).timestamp(),
-                told["lane"],
-                told["price"] if asked.job_class == "quote" else told["booking_ref"],
+        if request.kind.endswith("v1"):
+            offer = json.loads(result)
+            actual = (
+                offer["truck"],
+                datetime.fromisoformat(offer["departs"]).timestamp(),
+                offer["lane"],
+                offer["price"] if request.job_class == "quote" else offer["booking_ref"],
             )
-            price: object = 12.5 * asked.pallets
+            price: object = 12.5 * request.pallets
             night: object = "night"
         else:
             form = {name: values[0] for name, values in parse_qs(result.decode()).items()}
-            got = (
+            actual = (
                 form["truck"],
                 float(form["leaves"]),
                 form["night"],
-                float(form["price"]) if asked.job_class == "quote" else form["ref"],
+                float(form["price"]) if request.job_class == "quote" else form["ref"],
             )
-            price, night = 12.5 * asked.pallets, "1"
+            price, night = 12.5 * request.pallets, "1"
     except (ValueError, KeyError) as error:
         return f"unreadable: {error!r}"
-    wanted = (f"T-{asked.token}", departs, night, price if asked.job_class == "quote" else f"B-{asked.token}")
-    return "" if got == wanted else f"{got} instead of {wanted}"
+    expected = (
+        f"T-{request.token}",
+        departs,
+        night,
+        price if request.job_class == "quote" else f"B-{request.token}",
+    )
+    return "" if actual == expected else f"{actual} instead of {expected}"
 
 
 class HttpClients:
-    """Kept connections, as many as are busy at once."""
+    """HTTP clients with keep-alive connections: as many as there are concurrent requests."""
 
     def __init__(self, port: int, host: str = "127.0.0.1") -> None:
         self.host, self.port = host, port
-        self._free: deque[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = deque()
+        self._idle: deque[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = deque()
 
-    async def ask(self, asked: Asked) -> None:
+    async def send(self, request: ClientRequest) -> None:
         try:
-            await self._ask(asked)
+            await self._send(request)
         except OSError as error:
-            asked.outcome, asked.detail, asked.ended = "unanswered", repr(error), monotonic()
-            asked.untaken = isinstance(error, ConnectionRefusedError)
+            request.outcome, request.detail, request.ended = "unanswered", repr(error), monotonic()
+            request.not_accepted = isinstance(error, ConnectionRefusedError)
 
-    async def _ask(self, asked: Asked) -> None:
-        asked.kept = bool(self._free)
+    async def _send(self, request: ClientRequest) -> None:
+        request.reused_connection = bool(self._idle)
         reader, writer = (
-            self._free.pop() if asked.kept else await asyncio.open_connection(self.host, self.port)
+            self._idle.pop()
+            if request.reused_connection
+            else await asyncio.open_connection(self.host, self.port)
         )
-        data = body(asked)
+        data = request_body(request)
         head = {"Host": "lab", "Content-Length": str(len(data))}
-        if asked.kind == "http-v0":
+        if request.kind == "http-v0":
             head["Content-Type"] = "application/x-www-form-urlencoded"
         else:
             head |= {
-                "X-Request-Id": asked.token,
-                "X-Class": asked.job_class,
-                "X-Tenant": asked.tenant,
-                "X-Deadline": f"{asked.patience:.3f}",
+                "X-Request-Id": request.token,
+                "X-Class": request.job_class,
+                "X-Tenant": request.tenant,
+                "X-Deadline": f"{request.timeout:.3f}",
                 "Content-Type": "application/json",
             }
-            if asked.key:
-                head["Idempotency-Key"] = asked.key
-        asked.sent = monotonic()
+            if request.key:
+                head["Idempotency-Key"] = request.key
+        request.sent = monotonic()
         lines = "".join(f"{name}: {value}\r\n" for name, value in head.items())
         writer.write(f"POST /api HTTP/1.1\r\n{lines}\r\n".encode() + data)
-        kept = False
+        keep_open = False
         try:
-            async with asyncio.timeout(asked.leave_after or asked.patience + asked.slack):
+            async with asyncio.timeout(request.cancel_after or request.timeout + request.slack):
                 top = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
                 length = int(top.partition("content-length:")[2].split("\r\n")[0] or 0)
                 result = await reader.readexactly(length)
-            asked.answers += 1
-            self._settle(asked, int(top.split()[1]), result)
-            kept = "connection: close" not in top
+            request.answers += 1
+            self._set_outcome(request, int(top.split()[1]), result)
+            keep_open = "connection: close" not in top
         except TimeoutError:
-            asked.outcome = "withdrawn" if asked.leave_after else "unanswered"
+            request.outcome = "withdrawn" if request.cancel_after else "unanswered"
         except (asyncio.IncompleteReadError, ConnectionError) as error:
-            asked.outcome, asked.detail = "unanswered", repr(error)
+            request.outcome, request.detail = "unanswered", repr(error)
             empty = isinstance(error, asyncio.IncompleteReadError) and not error.partial
-            asked.untaken = asked.kept and empty
-        asked.ended = monotonic()
-        # Anything more that stands there unread is a second answer.
-        if kept and reader._buffer:  # type: ignore[attr-defined]
-            asked.answers += 1
-        if kept:
-            self._free.append((reader, writer))
+            request.not_accepted = request.reused_connection and empty
+        request.ended = monotonic()
+        # Unread bytes after the answer count as a second answer.
+        if keep_open and reader._buffer:  # type: ignore[attr-defined]
+            request.answers += 1
+        if keep_open:
+            self._idle.append((reader, writer))
         else:
             writer.transport.abort()
 
     @staticmethod
-    def _settle(asked: Asked, status: int, result: bytes) -> None:
-        asked.outcome = {200: "served", 503: "refused", 429: "refused", 422: "unfit"}.get(status, "failed")
-        asked.detail = f"{status} {result[:200].decode('utf-8', 'replace')}" if status != 200 else ""
+    def _set_outcome(request: ClientRequest, status: int, result: bytes) -> None:
+        request.outcome = {200: "served", 503: "refused", 429: "refused", 422: "unfit"}.get(status, "failed")
+        request.detail = f"{status} {result[:200].decode('utf-8', 'replace')}" if status != 200 else ""
         if status == 200:
-            asked.wrong = judge(asked, result)
+            request.wrong = check_result(request, result)
 
     def close(self) -> None:
-        for _, writer in self._free:
+        for _, writer in self._idle:
             writer.transport.abort()
 
 
 @dataclass(eq=False)
 class _GearmanLink:
-    """One Gearman client's connection with one job at a time."""
+    """One Gearman client's connection; it carries one job at a time."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -222,76 +234,76 @@
 
 
 class GearmanClients:
-    """The same for Gearman."""
+    """Gearman clients with open connections: as many as there are concurrent requests."""
 
     def __init__(self, port: int) -> None:
         self.port = port
-        self._free: deque[_GearmanLink] = deque()
+        self._idle: deque[_GearmanLink] = deque()
 
     async def _link(self) -> _GearmanLink:
-        if self._free:
-            return self._free.pop()
+        if self._idle:
+            return self._idle.pop()
         link = _GearmanLink(*await asyncio.open_connection("127.0.0.1", self.port))
         link.writer.write(encode_packet(PacketType.OPTION_REQ, b"exceptions", magic=REQUEST_MAGIC))
         await link.packet()
         return link
 
-    async def ask(self, asked: Asked) -> None:
+    async def send(self, request: ClientRequest) -> None:
         try:
-            await self._ask(asked)
+            await self._send(request)
         except (OSError, asyncio.IncompleteReadError) as error:
-            # Before the job was written: its connection did not come up.
-            asked.outcome, asked.detail, asked.untaken = "unanswered", repr(error), True
-            asked.sent = asked.ended = monotonic()
+            # The connection failed before the job was written.
+            request.outcome, request.detail, request.not_accepted = "unanswered", repr(error), True
+            request.sent = request.ended = monotonic()
 
-    async def _ask(self, asked: Asked) -> None:
+    async def _send(self, request: ClientRequest) -> None:
         link = await self._link()
-        asked.sent = monotonic()
-        function, unique = _FUNCTIONS[asked.kind, asked.job_class], b"k-" + asked.token.encode()
+        request.sent = monotonic()
+        function, unique = _FUNCTIONS[request.kind, request.job_class], b"k-" + request.token.encode()
         link.writer.write(
-            encode_packet(PacketType.SUBMIT_JOB, function, unique, body(asked), magic=REQUEST_MAGIC)
+            encode_packet(PacketType.SUBMIT_JOB, function, unique, request_body(request), magic=REQUEST_MAGIC)
         )
-        kept, handle = False, b""
+        keep_open, handle = False, b""
         try:
-            async with asyncio.timeout(asked.leave_after or asked.patience + asked.slack):
-                while not asked.outcome:
+            async with asyncio.timeout(request.cancel_after or request.timeout + request.slack):
+                while not request.outcome:
                     kind, arguments = await link.packet()
                     if kind is PacketType.JOB_CREATED:
                         handle = arguments[0]
                         continue
                     if kind is PacketType.ERROR:
-                        asked.outcome, asked.detail = "failed", repr(arguments)
+                        request.outcome, request.detail = "failed", repr(arguments)
                     elif arguments[0] != handle:
-                        asked.answers += kind in (PacketType.WORK_COMPLETE, PacketType.WORK_FAIL)
+                        request.answers += kind in (PacketType.WORK_COMPLETE, PacketType.WORK_FAIL)
                     elif kind is PacketType.WORK_WARNING:
-                        asked.detail = arguments[1].decode()
+                        request.detail = arguments[1].decode()
                     elif kind is PacketType.WORK_EXCEPTION:
-                        asked.detail = arguments[1].decode("utf-8", "replace")
+                        request.detail = arguments[1].decode("utf-8", "replace")
                     elif kind is PacketType.WORK_COMPLETE:
-                        asked.answers += 1
-                        asked.outcome, asked.wrong = "served", judge(asked, arguments[1])
+                        request.answers += 1
+                        request.outcome, request.wrong = "served", check_result(request, arguments[1])
                     elif kind is PacketType.WORK_FAIL:
-                        asked.answers += 1
-                        asked.outcome = (
+                        request.answers += 1
+                        request.outcome = (
                             "refused"
-                            if asked.detail.startswith("retry-after")
+                            if request.detail.startswith("retry-after")
                             else "unfit"
-                            if asked.detail.startswith("hazard:")
+                            if request.detail.startswith("hazard:")
                             else "failed"
                         )
-                kept = True
+                keep_open = True
         except TimeoutError:
-            asked.outcome = "withdrawn" if asked.leave_after else "unanswered"
+            request.outcome = "withdrawn" if request.cancel_after else "unanswered"
         except (asyncio.IncompleteReadError, ConnectionError) as error:
-            asked.outcome, asked.detail = "unanswered", repr(error)
-            asked.untaken = not handle
-        asked.ended = monotonic()
-        if kept:
-            self._free.append(link)
+            request.outcome, request.detail = "unanswered", repr(error)
+            request.not_accepted = not handle
+        request.ended = monotonic()
+        if keep_open:
+            self._idle.append(link)
         else:
             with contextlib.suppress(OSError):
                 link.writer.transport.abort()
 
     def close(self) -> None:
-        for link in self._free:
+        for link in self._idle:
             link.writer.transport.abort()
--- a/pipitshed/testbed/experiment.py
+++ b/pipitshed/testbed/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: a fleet, clients and a script of troubles from a file, played against a live scheduler."""
+"""Experiments: a file describes planners, clients and faults, which are run against a live scheduler."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 import msgspec
 
 from pipitshed.testbed.accounts import account
-from pipitshed.testbed.clients import KINDS, Asked, GearmanClients, HttpClients, draw
-from pipitshed.testbed.fleet.standins import ZONES, Fleet
+from pipitshed.testbed.clients import KINDS, ClientRequest, GearmanClients, HttpClients, draw_request
+from pipitshed.testbed.fleet.standins import ZONES, PlannerFleet
 from pipitshed.testbed.planner import Behaviour
-from pipitshed.testbed.program import Running, scheduler
+from pipitshed.testbed.program import RunningScheduler, scheduler
 
-EASED = 9.0  # s in which a plan is eased in
-SETTLE = 0.3  # s after the start before traffic: what has no told interface is found out
+PLAN_RAMP = 9.0  # s in which the scheduler ramps up a placement plan
+DETECTION_TIME = 0.3  # s before the traffic, in which the scheduler detects unlisted interfaces
 
 
 class FleetFile(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
-    """The planners; `tells` is the part whose rows tell their interface."""
+    """The planners; `tells` is the share whose discovery rows have their interface."""
 
     planners: int = 6
     interface: Literal["1", "2", "mixed"] = "1"
@@ -33,44 +33,44 @@
     fail: float = 0.0
     quote_ms: tuple[float, float] = (10.0, 40.0)
     book_ms: tuple[float, float] = (30.0, 90.0)
-    speeds: tuple[float, ...] = ()  # of each planner; the yardstick is 1
-    weights: tuple[float, ...] = ()  # that discovery lists
+    speeds: tuple[float, ...] = ()  # factor for each planner; 1: the working times as given
+    weights: tuple[float, ...] = ()  # for each planner, as discovery lists them
 
 
 class ClientsFile(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
-    """The traffic, open loop: requests are due at a rate whatever becomes of the others."""
+    """The traffic, open loop: requests are sent at a fixed rate, whether or not others have ended."""
 
     requests: int = 20_000
     short_requests: int = 3_000
-    rate: float = 300.0  # a second
+    rate: float = 300.0  # requests per second
     mix: dict[str, float] = msgspec.field(default_factory=lambda: {"http-v1": 1.0})
-    book: float = 0.4  # part of the requests that are `book`
-    cancel: float = 0.0  # part whose client goes early
-    unfit: float = 0.0  # part of version 1 with a field that interface 2 can't express
+    book: float = 0.4  # share of the requests with class `book`
+    cancel: float = 0.0  # share whose client closes its connection early
+    unfit: float = 0.0  # share of version 1 requests with a field that interface 2 can't express
     wanted_ms: dict[str, float] = msgspec.field(default_factory=lambda: {"quote": 250.0, "book": 1000.0})
 
 
 class Trouble(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
-    """One event of the script, at a part of the traffic's length."""
+    """One fault; `at` is a fraction of the traffic's duration."""
 
     at: float
     do: Literal["roll", "goaway", "crash", "cut", "slow"]
-    planner: int = 0  # counted from 1; 0: drawn
-    interface: int = 2  # with which a rolled planner comes back
-    seconds: float = 1.0  # that it is down, or slow
-    factor: float = 8.0  # how much slower
+    planner: int = 0  # number from 1; 0: chosen at random
+    interface: int = 2  # of a rolled planner after its restart
+    seconds: float = 1.0  # duration of the outage or slowness
+    factor: float = 8.0  # on the working time, where `do` is `slow`
 
 
 class Arm(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
-    """One of the ways that are compared."""
+    """One of the variants that are compared."""
 
     name: str
-    weights: tuple[float, ...] = ()  # that discovery lists
-    solved: bool = False  # the scheduler follows a plan solved from the fleet and the traffic
+    weights: tuple[float, ...] = ()  # for each planner, as discovery lists them
+    solved: bool = False  # the scheduler follows a placement plan solved for fleet and traffic
 
 
 class Experiment(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
-    """The whole file."""
+    """An experiment file."""
 
     name: str
     seed: int = 1
@@ -81,84 +81,97 @@
 
 
 class ExperimentError(ValueError):
-    """The file can't be played; the text says why."""
+    """The experiment file is invalid; the message says why."""
 
 
 def read(text: str) -> Experiment:
-    """The typed experiment."""
+    """Parse and check an experiment file; raises ExperimentError."""
     try:
         experiment = msgspec.convert(tomllib.loads(text), Experiment)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise ExperimentError(str(error)) from None
     if unknown := set(experiment.clients.mix) - set(KINDS):
-        raise ExperimentError(f"clients.mix: no such clients: {', '.join(sorted(unknown))}")
-    told = (experiment.fleet.weights, experiment.fleet.speeds, *(arm.weights for arm in experiment.arms))
-    for weights in told:
+        raise ExperimentError(f"clients.mix: unknown kinds of clients: {', '.join(sorted(unknown))}")
+    per_planner = (
+        experiment.fleet.weights,
+        experiment.fleet.speeds,
+        *(arm.weights for arm in experiment.arms),
+    )
+    for weights in per_planner:
         if weights and len(weights) != experiment.fleet.planners:
-            raise ExperimentError(f"weights and speeds are {experiment.fleet.planners}, one for each planner")
+            raise ExperimentError(
+                f"weights and speeds must have {experiment.fleet.planners} values, one for each planner"
+            )
     for trouble in experiment.troubles:
         if not 0 <= trouble.planner <= experiment.fleet.planners:
             raise ExperimentError(f"troubles: there is no planner {trouble.planner}")
     return experiment
 
 
-def interfaces(fleet: FleetFile) -> list[int]:
-    """The interface of each planner at the start; a mixed fleet has both in each zone."""
+def initial_interfaces(fleet: FleetFile) -> list[int]:
+    """The interface of each planner at the start; a mixed fleet has both interfaces in each zone."""
     if fleet.interface != "mixed":
         return [int(fleet.interface)] * fleet.planners
     return [1 + place // 2 % 2 for place in range(fleet.planners)]
 
 
-async def play(
+async def run_experiment(
     experiment: Experiment,
-    requests: int,
+    request_count: int,
     seed: int,
     progress: Callable[[int], None] = lambda done: None,
     arm: Arm | None = None,
 ) -> dict[str, object]:
-    """Play it once; the account, with what the scheduler used."""
+    """Run an experiment once; return the account, with the scheduler's CPU and memory use."""
     rng = random.Random(seed)
     shape, traffic = experiment.fleet, experiment.clients
     work = {"quote": shape.quote_ms, "book": shape.book_ms}
     behaviour = Behaviour(shape.slots, shape.queue, work, shape.fail)
-    fleet = Fleet(behaviour, seed)
-    # By zone pairs, so that each zone has planners that tell and planners that are found out.
+    fleet = PlannerFleet(behaviour, seed)
+    # In pairs over the two zones, so that each zone has planners with a listed interface and others without.
     tells = [(place // 2 + 1) / max(1, shape.planners // 2) <= shape.tells for place in range(shape.planners)]
     weights = arm.weights if arm is not None and arm.weights else shape.weights
-    await fleet.start(interfaces(shape), tells, shape.speeds, weights)
+    await fleet.start(initial_interfaces(shape), tells, shape.speeds, weights)
     plan = b""
     if arm is not None and arm.solved:
-        from pipitshed.testbed.arms import solved  # the solver is an extra of its own
+        from pipitshed.testbed.arms import solved  # the solver is an optional dependency
 
         plan = solved(experiment, fleet)
-    asked: list[Asked] = []
+    requests: list[ClientRequest] = []
     try:
         async with scheduler(fleet.discovery.port, plan=plan) as running:
-            await asyncio.sleep(EASED if plan else SETTLE)
-            begun, before = monotonic(), running.cpu()
-            length = requests / traffic.rate
-            script = asyncio.create_task(_script(experiment, fleet, rng, length))
-            await _traffic(running, traffic, requests, rng, asked, progress)
-            took = monotonic() - begun
+            await asyncio.sleep(PLAN_RAMP if plan else DETECTION_TIME)
+            started, before = monotonic(), running.cpu()
+            length = request_count / traffic.rate
+            script = asyncio.create_task(_run_troubles(experiment, fleet, rng, length))
+            await _traffic(running, traffic, request_count, rng, requests, progress)
+            took = monotonic() - started
             await script
             cpu = running.cpu()
             memory = running.peak_mb()
     finally:
         await fleet.close()
-    figures = account(asked, fleet.record.runs, fleet.members)
+    figures = account(requests, fleet.record.runs, fleet.members)
     for name, wanted in traffic.wanted_ms.items():
-        mine = [one for one in asked if one.job_class == name and one.outcome != "withdrawn"]
-        good = sum(one.outcome == "served" and (one.ended - one.sent) * 1000 <= wanted for one in mine)
-        figures[f"in_time_{name}"] = round(good / len(mine), 4) if mine else 1.0
-    figures["worst_use"] = round(max(member.planner.busy / took / shape.slots for member in fleet.members), 4)
-    ran = [run for run in fleet.record.runs if run.how != "returned"]
+        answered = [
+            request for request in requests if request.job_class == name and request.outcome != "withdrawn"
+        ]
+        in_time = sum(
+            request.outcome == "served" and (request.ended - request.sent) * 1000 <= wanted
+            for request in answered
+        )
+        figures[f"in_time_{name}"] = round(in_time / len(answered), 4) if answered else 1.0
+    figures["worst_use"] = round(
+        max(member.planner.busy_seconds / took / shape.slots for member in fleet.members), 4
+    )
+    ran = [run for run in fleet.record.runs if run.outcome != "returned"]
     figures["crossings"] = round(sum(run.zone != ZONES[0] for run in ran) / max(1, len(ran)), 4)
-    times = sorted(one.ended - one.sent for one in asked if one.outcome == "served")
+    times = sorted(request.ended - request.sent for request in requests if request.outcome == "served")
     figures |= {
         "experiment": experiment.name,
         "seed": seed,
         "seconds": round(took, 2),
-        "scheduler_cpu_us_per_request": round((cpu - before) / max(1, len(asked)) * 1e6, 1),
+        "scheduler_cpu_us_per_request": round((cpu - before) / max(1, len(requests)) * 1e6, 1),
         "scheduler_peak_mb": round(memory, 1),
         "served_ms": {
             f"p{part}": round(times[min(len(times) - 1, len(times) * part // 100)] * 1000, 1)
@@ -173,47 +186,49 @@
 
 
 async def _traffic(
-    running: Running,
+    running: RunningScheduler,
     traffic: ClientsFile,
-    requests: int,
+    request_count: int,
     rng: random.Random,
-    asked: list[Asked],
+    requests: list[ClientRequest],
     progress: Callable[[int], None],
 ) -> None:
     http, gearman = HttpClients(running.http), GearmanClients(running.gearman)
     tasks: set[asyncio.Task[None]] = set()
-    begun = monotonic()
-    for number in range(requests):
-        wait = begun + number / traffic.rate - monotonic()
+    started = monotonic()
+    for number in range(request_count):
+        wait = started + number / traffic.rate - monotonic()
         if wait > 0:
             await asyncio.sleep(wait)
-        one = draw(rng, f"{number:06d}", traffic.mix, traffic.cancel, traffic.unfit, traffic.book)
-        asked.append(one)
-        clients = http if one.kind.startswith("http") else gearman
-        task = asyncio.create_task(clients.ask(one))
+        request = draw_request(rng, f"{number:06d}", traffic.mix, traffic.cancel, traffic.unfit, traffic.book)
+        requests.append(request)
+        clients = http if request.kind.startswith("http") else gearman
+        task = asyncio.create_task(clients.send(request))
         tasks.add(task)
         task.add_done_callback(tasks.discard)
         if number % 100 == 99:
             progress(number + 1)
     await asyncio.gather(*tasks)
-    progress(requests)
+    progress(request_count)
     http.close()
     gearman.close()
 
 
-async def _script(experiment: Experiment, fleet: Fleet, rng: random.Random, length: float) -> None:
-    begun = monotonic()
+async def _run_troubles(
+    experiment: Experiment, fleet: PlannerFleet, rng: random.Random, length: float
+) -> None:
+    started = monotonic()
     tasks = []
-    for trouble in sorted(experiment.troubles, key=lambda one: one.at):
-        await asyncio.sleep(max(0.0, begun + trouble.at * length - monotonic()))
-        tasks.append(asyncio.create_task(_trouble(trouble, fleet, rng)))
+    for trouble in sorted(experiment.troubles, key=lambda trouble: trouble.at):
+        await asyncio.sleep(max(0.0, started + trouble.at * length - monotonic()))
+        tasks.append(asyncio.create_task(_inject(trouble, fleet, rng)))
     await asyncio.gather(*tasks)
 
 
-async def _trouble(trouble: Trouble, fleet: Fleet, rng: random.Random) -> None:
+async def _inject(trouble: Trouble, fleet: PlannerFleet, rng: random.Random) -> None:
     member = fleet.members[trouble.planner - 1 if trouble.planner else rng.randrange(len(fleet.members))]
     while member.lifecycle != "ready":
-        await asyncio.sleep(0.05)  # one trouble of this kind at a time
+        await asyncio.sleep(0.05)  # one fault at a time on a planner
     if trouble.do == "roll":
         await fleet.roll(member, trouble.interface)
     elif trouble.do == "goaway":
@@ -221,15 +236,15 @@
     elif trouble.do == "crash":
         await fleet.crash(member, trouble.seconds)
     elif trouble.do == "cut":
-        member.gate.cut()
+        member.forwarder.cut()
     else:
-        fleet.behaviour.slow = trouble.factor
+        fleet.behaviour.slowdown = trouble.factor
         await asyncio.sleep(trouble.seconds)
-        fleet.behaviour.slow = 1.0
+        fleet.behaviour.slowdown = 1.0
 
 
-def raise_descriptors(wanted: int = 8192) -> None:
-    """Stand-ins, gates and clients share this process's descriptors."""
+def raise_descriptor_limit(wanted: int = 8192) -> None:
+    """Raise the soft limit of open files: stand-ins, forwarders and clients all run in this process."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < wanted:
         resource.setrlimit(resource.RLIMIT_NOFILE, (min(wanted, hard), hard))
--- a/pipitshed/testbed/fleet/faults.py
+++ b/pipitshed/testbed/fleet/faults.py
@@ -1,4 +1,4 @@
-"""Carries out faults on processes and links, and notes each as it begins and ends."""
+"""Injects a scenario's faults into processes and links, and logs each when it begins."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 
 
 class Faults:
-    """The faults of one play."""
+    """Injects the faults of one scenario run."""
 
     def __init__(self, processes: Processes, log: Callable[..., None]) -> None:
         self._processes = processes
         self._log = log
-        self._busy: dict[int, asyncio.Lock] = {}  # of a place: one thing at a time is done to a process
+        self._busy: dict[int, asyncio.Lock] = {}  # by place: one fault at a time for a process
 
-    async def play(self, faults: Iterable[Fault]) -> None:
-        """Begin each at its time, and return when the last one is over."""
+    async def run(self, faults: Iterable[Fault]) -> None:
+        """Begin each fault at its time; return when the last one is over."""
         began = monotonic()
         tasks = []
         for fault in faults:
             await asyncio.sleep(max(0.0, began + fault.at - monotonic()))
             self._log("fault", **msgspec.to_builtins(fault))
-            tasks.append(asyncio.create_task(self._one(fault)))
+            tasks.append(asyncio.create_task(self._inject(fault)))
         await asyncio.gather(*tasks)
 
-    async def _one(self, fault: Fault) -> None:
+    async def _inject(self, fault: Fault) -> None:
         if fault.do in LINKS or fault.do == "cut-zone":
             await self._on_links(fault)
         elif fault.do == "roll":
             for process in list(self._processes.all):
-                await self._again(process, fault, good=True)
+                await self._restart(process, fault, graceful=True)
         elif fault.do == "join":
             processes = [await self._processes.add() for _ in range(fault.count)]
             await asyncio.gather(*(process.start() for process in processes))
@@ -43,7 +43,9 @@
             for name in fault.a:
                 await (await self._processes.add(name)).start()
         else:
-            await asyncio.gather(*(self._on_process(self._processes.named(name), fault) for name in fault.a))
+            await asyncio.gather(
+                *(self._on_process(self._processes.by_name(name), fault) for name in fault.a)
+            )
 
     # ---- links
 
@@ -62,43 +64,43 @@
         links, pairs = self._processes.links, self._pairs(fault)
         if fault.do == "reset":
             for a, b in pairs:
-                self._processes.named(b).relay.reset(a)
+                self._processes.by_name(b).relay.reset(a)
             return
-        put = ("cut" if fault.do.startswith("cut") else fault.do, fault.amount)
+        link_fault = ("cut" if fault.do.startswith("cut") else fault.do, fault.amount)
         for pair in pairs:
-            links[pair].faults.append(put)
+            links[pair].faults.append(link_fault)
         await asyncio.sleep(fault.lasts)
         for pair in pairs:
-            links[pair].faults.remove(put)
+            links[pair].faults.remove(link_fault)
 
     # ---- processes
 
     async def _on_process(self, process: Process, fault: Fault) -> None:
         if fault.do == "pause":
-            async with self._alone(process):
-                if process.lives:
+            async with self._lock(process):
+                if process.alive:
                     process.pause()
                     await asyncio.sleep(fault.lasts)
-                    process.wake()
+                    process.resume()
         elif fault.do == "kill-for-good":
-            async with self._alone(process):
+            async with self._lock(process):
                 process.kill()
-                await process.gone()
+                await process.wait_ended()
         else:
-            await self._again(process, fault, good=fault.do == "term")
+            await self._restart(process, fault, graceful=fault.do == "term")
 
-    async def _again(self, process: Process, fault: Fault, good: bool) -> None:
-        """End a process and start it anew, where it still lives."""
-        async with self._alone(process):
-            if not process.lives:
+    async def _restart(self, process: Process, fault: Fault, graceful: bool) -> None:
+        """Stop a process that runs, by SIGTERM or SIGKILL, and start it again after the fault's duration."""
+        async with self._lock(process):
+            if not process.alive:
                 return
-            if good:
-                await process.term()
+            if graceful:
+                await process.terminate()
             else:
                 process.kill()
-                await process.gone()
+                await process.wait_ended()
             await asyncio.sleep(fault.lasts)
             await process.start(fault.disk, fault.amount if fault.do == "clock" else 0.0)
 
-    def _alone(self, process: Process) -> asyncio.Lock:
+    def _lock(self, process: Process) -> asyncio.Lock:
         return self._busy.setdefault(process.place, asyncio.Lock())
--- a/pipitshed/testbed/fleet/standins.py
+++ b/pipitshed/testbed/fleet/standins.py
@@ -1,4 +1,4 @@
-"""A fleet of stand-in planners behind gates, and the stand-in discovery that lists it."""
+"""A fleet of stand-in planners behind TCP forwarders, and the stand-in discovery that lists it."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from pipitshed.testbed.planner import Behaviour, Planner, Record
 
 ZONES = ("lima-norte", "arequipa")
-HEARTBEAT = 2.0  # s
+HEARTBEAT = 2.0  # s between empty lines on a discovery watch
 
 
-class Gate:
-    """A planner's address, which stays when what stands behind it changes; it can be cut."""
+class TcpForwarder:
+    """Forwards a planner's fixed address to its current server, and can break all connections."""
 
     def __init__(self) -> None:
         self.port = 0
-        self.behind = 0  # the port; 0: nothing, connections are refused by a close
+        self.target_port = 0  # 0: no server, connections are aborted on accept
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
@@ -32,7 +32,7 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     def cut(self) -> None:
-        """Break all connections with a reset."""
+        """Abort all connections with a reset."""
         for writer in list(self._writers):
             writer.transport.abort()
 
@@ -44,10 +44,10 @@
     async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
         try:
-            if not self.behind:
+            if not self.target_port:
                 writer.transport.abort()
                 return
-            inner_reader, inner_writer = await asyncio.open_connection("127.0.0.1", self.behind)
+            inner_reader, inner_writer = await asyncio.open_connection("127.0.0.1", self.target_port)
             self._writers.add(inner_writer)
             await asyncio.gather(self._pump(reader, inner_writer), self._pump(inner_reader, writer))
             self._writers.discard(inner_writer)
@@ -67,26 +67,26 @@
 
 @dataclass
 class Member:
-    """One planner of the fleet."""
+    """One planner of the fleet, as discovery lists it."""
 
     name: str
     zone: str
     interface: int
-    tells: bool  # whether its row tells its interface
-    gate: Gate
+    lists_interface: bool  # whether its discovery row has the key `interface`
+    forwarder: TcpForwarder
     planner: Planner
-    door: HttpInterface | GrpcInterface
+    interface_server: HttpInterface | GrpcInterface
     started_ms: float = 0.0
     lifecycle: str = "ready"
     starts: int = 0
     speed: float = 1.0
     weight: float = 1.0
-    drains: list[tuple[float, float]] = field(default_factory=list)  # told of a drain, and of the next start
+    drains: list[tuple[float, float]] = field(default_factory=list)  # (drain announced, restarted)
 
     def row(self) -> dict[str, object]:
         row = {
             "instanceId": self.name,
-            "hostPort": f"127.0.0.1:{self.gate.port}",
+            "hostPort": f"127.0.0.1:{self.forwarder.port}",
             "zone": self.zone,
             "cell": 0,
             "machineType": "standard",
@@ -94,44 +94,44 @@
             "weight": self.weight,
             "startedAtMs": self.started_ms,
         }
-        return row | ({"interface": self.interface} if self.tells else {})
+        return row | ({"interface": self.interface} if self.lists_interface else {})
 
 
-class Listed(Protocol):
-    """What discovery lists."""
+class DiscoveryEntry(Protocol):
+    """An entry of the stand-in discovery's list."""
 
     def row(self) -> dict[str, object]: ...
 
 
 class Discovery:
-    """The list and its watch, as the platform's protocol has them."""
+    """Stand-in discovery: the list and its watch in the platform's protocol."""
 
     def __init__(self) -> None:
         self.port = 0
         self.generation = 1
-        self.members: Sequence[Listed] = []
+        self.members: Sequence[DiscoveryEntry] = []
         self._watches: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
-        self._speaks = asyncio.Event()
-        self._speaks.set()
+        self._responding = asyncio.Event()
+        self._responding.set()
 
     async def start(self) -> None:
         self._server = await asyncio.start_server(self._connected, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
-    async def silence(self, seconds: float) -> None:
-        """Say nothing for so long, on open watches and to new calls."""
-        self._speaks.clear()
+    async def stop_responding(self, seconds: float) -> None:
+        """Answer nothing for some seconds, neither on open watches nor to new requests."""
+        self._responding.clear()
         await asyncio.sleep(seconds)
-        self._speaks.set()
+        self._responding.set()
 
-    def text(self, reset: bool, members: Sequence[Listed]) -> bytes:
+    def text(self, reset: bool, members: Sequence[DiscoveryEntry]) -> bytes:
         return json.dumps(
             {"generation": self.generation, "reset": reset, "instances": [member.row() for member in members]}
         ).encode()
 
-    def tell(self, *members: Listed) -> None:
-        """Write a change to all watches."""
+    def announce(self, *members: DiscoveryEntry) -> None:
+        """Send a change of these entries to all watches, with a new generation."""
         self.generation += 1
         text = self.text(False, members) + b"\n"
         for writer in list(self._watches):
@@ -140,7 +140,7 @@
     async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             head = await reader.readuntil(b"\r\n\r\n")
-            await self._speaks.wait()
+            await self._responding.wait()
             text = self.text(True, self.members)
             if b"watch=1" not in head.split(b"\r\n")[0]:
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(text), text))
@@ -154,7 +154,7 @@
                 with contextlib.suppress(TimeoutError):
                     if not await asyncio.wait_for(reader.read(1), HEARTBEAT):
                         break
-                await self._speaks.wait()
+                await self._responding.wait()
                 writer.write(b"1\r\n\n\r\n")
         self._watches.discard(writer)
         writer.close()
@@ -166,8 +166,8 @@
             writer.transport.abort()
 
 
-class Fleet:
-    """Planners, their gates and discovery; rolled, cut and slowed by those who experiment."""
+class PlannerFleet:
+    """Planners with their forwarders, and discovery; an experiment restarts, cuts off and slows them."""
 
     def __init__(self, behaviour: Behaviour, seed: int) -> None:
         self.behaviour = behaviour
@@ -180,24 +180,24 @@
     async def start(
         self,
         interfaces: list[int],
-        tells: list[bool],
+        lists_interface: list[bool],
         speeds: Sequence[float] = (),
         weights: Sequence[float] = (),
     ) -> None:
-        for place, (interface, told) in enumerate(zip(interfaces, tells, strict=True)):
+        for place, (interface, listed) in enumerate(zip(interfaces, lists_interface, strict=True)):
             speed = speeds[place] if speeds else 1.0
             name, zone = f"planner-{place + 1}", ZONES[place % len(ZONES)]
-            gate = Gate()
-            await gate.start()
-            planner, door = self._make(name, zone, interface, speed)
+            forwarder = TcpForwarder()
+            await forwarder.start()
+            planner, interface_server = self._make(name, zone, interface, speed)
             member = Member(
                 name,
                 zone,
                 interface,
-                told,
-                gate,
+                listed,
+                forwarder,
                 planner,
-                door,
+                interface_server,
                 speed=speed,
                 weight=weights[place] if weights else 1.0,
             )
@@ -215,43 +215,45 @@
 
     @staticmethod
     async def _open(member: Member) -> None:
-        await member.door.start()
-        member.gate.behind = member.door.port
+        await member.interface_server.start()
+        member.forwarder.target_port = member.interface_server.port
 
     async def roll(self, member: Member, interface: int, goaway_only: bool = False) -> None:
-        """Drain, by discovery's word or by GOAWAY alone, end what runs, and come back with this interface."""
-        told = monotonic()
+        """Drain a planner (by discovery, or by GOAWAY alone), stop it, and restart it with this interface."""
+        announced_at = monotonic()
         if not goaway_only:
             member.lifecycle = "draining"
-            self.discovery.tell(member)
+            self.discovery.announce(member)
             await asyncio.sleep(1.5)
-        old, member.gate.behind = member.door, 0
+        old, member.forwarder.target_port = member.interface_server, 0
         await old.stop(3.0)
-        await self.come_back(member, interface, told)
+        await self.restart(member, interface, announced_at)
 
     async def crash(self, member: Member, down: float) -> None:
-        """Die at once, be listed as gone a little later, and come back."""
-        member.gate.behind = 0
-        member.gate.cut()
-        await member.door.stop(0.0)
+        """Stop a planner at once, list it as gone 0.3 s later, and restart it after `down` seconds."""
+        member.forwarder.target_port = 0
+        member.forwarder.cut()
+        await member.interface_server.stop(0.0)
         await asyncio.sleep(0.3)
         member.lifecycle = "gone"
-        told = monotonic()
-        self.discovery.tell(member)
+        announced_at = monotonic()
+        self.discovery.announce(member)
         await asyncio.sleep(down)
-        await self.come_back(member, member.interface, told)
+        await self.restart(member, member.interface, announced_at)
 
-    async def come_back(self, member: Member, interface: int, told: float) -> None:
+    async def restart(self, member: Member, interface: int, announced_at: float) -> None:
         member.interface = interface
-        member.planner, member.door = self._make(member.name, member.zone, interface, member.speed)
+        member.planner, member.interface_server = self._make(
+            member.name, member.zone, interface, member.speed
+        )
         member.starts += 1
         await self._open(member)
         member.lifecycle, member.started_ms = "ready", time.time() * 1000
-        self.discovery.tell(member)
-        member.drains.append((told, monotonic()))
+        self.discovery.announce(member)
+        member.drains.append((announced_at, monotonic()))
 
     async def close(self) -> None:
         self.discovery.close()
         for member in self.members:
-            member.gate.close()
-        await asyncio.gather(*(member.door.stop(0.0) for member in self.members))
+            member.forwarder.close()
+        await asyncio.gather(*(member.interface_server.stop(0.0) for member in self.members))
--- a/pipitshed/testbed/up.py
+++ b/pipitshed/testbed/up.py
@@ -1,4 +1,4 @@
-"""`lab up`: a scheduler with stand-in discovery and planners, a live table, and a clean end."""
+"""`pipitshed testbed up`: a scheduler with stand-in discovery and planners, and a live table of them."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 from rich.live import Live
 from rich.table import Table
 
-from pipitshed.testbed.experiment import FleetFile, interfaces
-from pipitshed.testbed.fleet.standins import Fleet
+from pipitshed.testbed.experiment import FleetFile, initial_interfaces
+from pipitshed.testbed.fleet.standins import PlannerFleet
 from pipitshed.testbed.planner import Behaviour
 from pipitshed.testbed.program import scheduler
 
-REFRESH = 0.5  # s
+REFRESH_INTERVAL = 0.5  # s between updates of the table
 
 
-def _table(fleet: Fleet) -> Table:
+def _table(fleet: PlannerFleet) -> Table:
     table = Table(
         "planner", "zone", "interface", "state", "at work", "done", "failed", "cancelled", "returned"
     )
     runs = fleet.record.runs
     for member in fleet.members:
-        mine = [run for run in runs if run.planner == member.name]
+        planner_runs = [run for run in runs if run.planner == member.name]
         count = {
-            how: str(sum(run.how == how for run in mine))
-            for how in ("done", "failed", "cancelled", "returned")
+            outcome: str(sum(run.outcome == outcome for run in planner_runs))
+            for outcome in ("done", "failed", "cancelled", "returned")
         }
         table.add_row(
             member.name,
             member.zone,
             str(member.interface),
             member.lifecycle,
-            str(member.planner.held),
+            str(member.planner.job_count),
             count["done"],
             count["failed"],
             count["cancelled"],
@@ -43,12 +43,12 @@
 
 
 async def up(shape: FleetFile, http: str, gearman: str, console: Console) -> None:
-    """Run until Ctrl-C."""
+    """Run until SIGINT or SIGTERM, or until the scheduler's process ends."""
     ended = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, ended.set)
-    fleet = Fleet(Behaviour(shape.slots, shape.queue), 1)
-    await fleet.start(interfaces(shape), [place % 2 == 0 for place in range(shape.planners)])
+    fleet = PlannerFleet(Behaviour(shape.slots, shape.queue), 1)
+    await fleet.start(initial_interfaces(shape), [place % 2 == 0 for place in range(shape.planners)])
     try:
         async with scheduler(fleet.discovery.port, http, gearman) as running:
             console.print(
@@ -60,7 +60,7 @@
                     "book_pallet (version 0), plan_quote_v1, book_pallet_v1"
                 )
             console.print(f"discovery: http://127.0.0.1:{fleet.discovery.port}/catalog/members\n\ntry:")
-            # One line each, so that it can be copied.
+            # Each command is one line, so that it can be copied.
             print(
                 f"curl -s http://127.0.0.1:{running.http}/api -H 'X-Request-Id: try-1' -H 'X-Class: quote' "
                 "-H 'X-Tenant: andes-retail' -H 'Content-Type: application/json' "
@@ -75,7 +75,7 @@
                 while not ended.is_set() and running.process.returncode is None:
                     live.update(_table(fleet), refresh=True)
                     try:
-                        await asyncio.wait_for(ended.wait(), REFRESH)
+                        await asyncio.wait_for(ended.wait(), REFRESH_INTERVAL)
                     except TimeoutError:
                         continue
     finally:
--- a/tests/cluster/test_fleet_rig.py
+++ b/tests/cluster/test_fleet_rig.py
@@ -14,20 +14,20 @@
 import uvloop
 
 from pipitshed.membership.timing import ProtocolTimings
-from pipitshed.testbed.clients import Asked, HttpClients
+from pipitshed.testbed.clients import ClientRequest, HttpClients
 from pipitshed.testbed.fleet import oracles
-from pipitshed.testbed.fleet.play import Play, play, smallest
 from pipitshed.testbed.fleet.scenario import (
     Fault,
+    FleetShape,
     Mix,
     Scenario,
     ScenarioError,
-    Shape,
     Traffic,
-    drawn,
+    draw_faults,
     read,
-    script,
+    scenario_text,
 )
+from pipitshed.testbed.fleet.scenario_run import ScenarioRun, run_scenario, shrink_faults
 
 # Three times as fast as the defaults, so that a case takes seconds.
 FAST_TIMINGS = ProtocolTimings(period=0.1, ack_within=0.05, sync=0.6, sync_with_gone=1.0, tombstones=30.0)
@@ -40,12 +40,12 @@
     """Run these faults; return the testbed's result."""
     scenario = Scenario(
         "case",
-        Shape(processes, 2, 2, scales=FAST_TIMINGS),
+        FleetShape(processes, 2, 2, scales=FAST_TIMINGS),
         Traffic(30.0, wanted_ms=WANTED_MS),
         settle_within=SETTLE_WITHIN_S,
         **changes,
     )
-    return uvloop.run(play(scenario, faults, 1))
+    return uvloop.run(run_scenario(scenario, faults, 1))
 
 
 @GROUPS[0]
@@ -59,9 +59,11 @@
 def test_process_paused_for_five_seconds_rejoins_and_declares_no_member_dead() -> None:
     with tempfile.TemporaryDirectory() as folder:
         scenario = Scenario(
-            "still", Shape(4, 2, 2, scales=FAST_TIMINGS), Traffic(30.0), settle_within=SETTLE_WITHIN_S
+            "still", FleetShape(4, 2, 2, scales=FAST_TIMINGS), Traffic(30.0), settle_within=SETTLE_WITHIN_S
+        )
+        result = uvloop.run(
+            run_scenario(scenario, (Fault(0.0, "pause", ("s2",), lasts=5.0),), 1, Path(folder))
         )
-        result = uvloop.run(play(scenario, (Fault(0.0, "pause", ("s2",), lasts=5.0),), 1, Path(folder)))
         assert result["wrong"] == [] and result["false_deaths"] == 0
         [paused] = [instance for instance in oracles.read(Path(folder)).instances if instance.name == "s2"]
         assert [death for death in paused.deaths if death[1] != "s2"] == []
@@ -136,17 +138,17 @@
 
 
 def test_same_scenario_and_seed_give_the_same_faults_and_a_script_repeats_them() -> None:
-    scenario = Scenario("drawn", Shape(5), mix=Mix(8, 5.0, kinds={"cut": 1.0, "kill": 1.0, "loss": 1.0}))
-    assert drawn(scenario, 3) == drawn(scenario, 3) != drawn(scenario, 4)
-    again = read(script(scenario, drawn(scenario, 3)))
-    assert drawn(again, 9) == drawn(scenario, 3)
+    scenario = Scenario("drawn", FleetShape(5), mix=Mix(8, 5.0, kinds={"cut": 1.0, "kill": 1.0, "loss": 1.0}))
+    assert draw_faults(scenario, 3) == draw_faults(scenario, 3) != draw_faults(scenario, 4)
+    again = read(scenario_text(scenario, draw_faults(scenario, 3)))
+    assert draw_faults(again, 9) == draw_faults(scenario, 3)
 
 
 @pytest.mark.parametrize(
     ("text", "what"),
     [
         ('name = "x"\n[[fault]]\nat = 1.0\ndo = "cut"\na = ["s9"]', "line 5: there is no 's9'"),
-        ('name = "x"\n[[fault]]\nat = 1.0\ndo = "cut"', "names nobody"),
+        ('name = "x"\n[[fault]]\nat = 1.0\ndo = "cut"', "names no process or zone"),
         ('name = "x"\n[[fault]]\nat = 1.0\ndo = "eat"\na = ["s1"]', "eat"),
         ('name = "x"\n[fleet]\nprocesses = 90', "1 to 60"),
     ],
@@ -159,7 +161,7 @@
 def test_shrunk_script_keeps_the_faults_that_the_failure_needs() -> None:
     faults = tuple(Fault(float(at), "cut", ("s1",)) for at in range(12))
     needed = {faults[2], faults[9]}
-    assert set(smallest(faults, lambda some: needed <= set(some), 100)) == needed
+    assert set(shrink_faults(faults, lambda some: needed <= set(some), 100)) == needed
 
 
 def test_events_after_the_run_are_not_part_of_the_verdict(tmp_path: Path) -> None:
@@ -194,11 +196,11 @@
         for instance in (s1, s2):
             instance.views.append((2.0, wrong.get(instance.name, {"s1": 11, "s2": 22})))
         s2.deaths += wrong.get("deaths", [])
-        s2.away += wrong.get("away", [])
+        s2.paused += wrong.get("away", [])
         return oracles.Logs([s1, s2], [], 5.0, 9.0, [])
 
     assert oracles.settled(logs()) == (0.0, [])
-    assert oracles.settled(oracles.Logs([], [], 5.0, 9.0, []))[1] == ["nobody lives"]
+    assert oracles.settled(oracles.Logs([], [], 5.0, 9.0, []))[1] == ["no process runs"]
     assert "lacks ['s1']" in oracles.settled(logs(s2={"s2": 22}))[1][0]
     assert "lacks ['s1']" in oracles.settled(logs(s2={"s1": 10, "s2": 22}))[1][0]  # of an earlier instance
     assert "has ['s3']" in oracles.settled(logs(s1={"s1": 11, "s2": 22, "s3": 33}))[1][0]
@@ -226,7 +228,7 @@
                 heads.append(place)
                 if place == 0 and len(heads) > 1:
                     if killed:
-                        places[0].up, places[0].killed = False, places[0].starts
+                        places[0].accepts_clients, places[0].killed = False, places[0].starts
                     writer.close()
                     return
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
@@ -236,17 +238,17 @@
 
         servers = [await asyncio.start_server(on(place), "127.0.0.1", 0) for place in range(2)]
         places = [
-            SimpleNamespace(place=place, starts=1, up=True, killed=0, real=("127.0.0.1", 0))
+            SimpleNamespace(place=place, starts=1, accepts_clients=True, killed=0, real=("127.0.0.1", 0))
             for place in range(2)
         ]
-        testbed = Play.__new__(Play)
+        testbed = ScenarioRun.__new__(ScenarioRun)
         testbed.processes, testbed.targets, testbed._rng = SimpleNamespace(all=places), {}, random.Random(2)  # type: ignore
         testbed._clients = {
             place: HttpClients(server.sockets[0].getsockname()[1]) for place, server in enumerate(servers)
         }
-        jobs = [Asked(token, "http-v1", job_class, token, "t", 1.0, 1) for token in ("a", "b")]
+        jobs = [ClientRequest(token, "http-v1", job_class, token, "t", 1.0, 1) for token in ("a", "b")]
         for job in jobs:
-            await testbed._asked(job, places[0])  # type: ignore[arg-type]
+            await testbed._send_until_accepted(job, places[0])  # type: ignore[arg-type]
         assert heads[:2] == [0, 0] and (len(heads) > 2) == retried
         for clients in testbed._clients.values():
             clients.close()
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -28,8 +28,8 @@
 )
 from pipitshed.replication.row import FORMAT_VERSION, Row, precedence
 from pipitshed.replication.row_table import ApplyResult, RowError, RowTable
-from pipitshed.testbed import virtual_view
-from pipitshed.testbed.virtual_view import ENVELOPE, Network, Node
+from pipitshed.testbed import virtual_network
+from pipitshed.testbed.virtual_network import ENVELOPE, Network, Node
 
 PEER_ADDRESS = ("127.0.0.1", 1)
 ROWS_DECODER = msgspec.msgpack.Decoder(tuple[Row, ...])
@@ -112,7 +112,7 @@
     network.run(30.0)
     writer = nodes(network)[2]
     row = writer.tables[0].delete("quota/red", writer.name)
-    network._carry_out(writer, writer.membership.disseminate(network.now, "settings", [row]))
+    network._execute(writer, writer.membership.disseminate(network.now, "settings", [row]))
     network.run(400.0)
     assert not away.tables[0].get("quota/red").deleted  # type: ignore[union-attr]
     network.cut = lambda source, target: False
@@ -208,7 +208,7 @@
     for number in (2, 3):
         node = nodes(network)[number]
         row = node.tables[0].put("quota/red", b"%d" % number, node.name, take_over=True)
-        network._carry_out(node, node.membership.disseminate(network.now, "settings", [row]))
+        network._execute(node, node.membership.disseminate(network.now, "settings", [row]))
     network.run(10.0)
     assert not tables_agree(network)
     network.cut = lambda source, target: False
@@ -244,7 +244,7 @@
     newer = Row("quota/red", 1, 7, "n9", b"\xff\x00 who knows", format_version=FORMAT_VERSION + 1)
     node = nodes(network)[3]
     assert node.tables[0].apply(newer) is ApplyResult.NEW
-    network._carry_out(node, node.membership.disseminate(network.now, "settings", [newer]))
+    network._execute(node, node.membership.disseminate(network.now, "settings", [newer]))
     run_until(
         network,
         lambda: all(node.tables[0].get("quota/red") == newer for node in nodes(network)),
@@ -323,9 +323,7 @@
 
     def deliver(self, target: Node, message: object) -> None:
         membership = target.membership
-        self.network._carry_out(
-            target, membership.handle_message(self.network.now, message, self.node.address)
-        )  # type: ignore[arg-type]
+        self.network._execute(target, membership.handle_message(self.network.now, message, self.node.address))  # type: ignore[arg-type]
         self.network._wake(target)
 
 
@@ -403,7 +401,7 @@
     stopped = nodes(network)[6]
     request = stopped.membership.replicator.start_exchange(network.now, 1, nodes(network)[3].address)
     stopped.membership.outbox.send_admitted(request)
-    network.stop(stopped, 20.0)
+    network.stall(stopped, 20.0)
     for number in range(20):
         network.put(nodes(network)[number % 5], (f"quota/t{number}", b"1"))
         network.run(1.0)
@@ -472,13 +470,13 @@
             node.tables[0].apply(row)
     network.run(3.0)
     longest, codec = [0], Codec("pipitshed")
-    size = virtual_view.message_size
+    size = virtual_network.message_size
 
     def record_size(message: object) -> int:
         longest[0] = max(longest[0], len(codec.encode(message)))  # type: ignore[arg-type]
         return size(message)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(virtual_view, "message_size", record_size)
+    monkeypatch.setattr(virtual_network, "message_size", record_size)
     network.kill(nodes(network)[9])
     network.run(1.0)
     start_second = int(network.now)
@@ -545,7 +543,7 @@
     network.put(nodes(network)[3], ("quota/red", b"1"))
     run_until(network, lambda: tables_agree(network), 1.5)
     network.run(3.0)
-    arrival_times = sorted(when for when, _, row in network.row_news if row.key == "quota/red")
+    arrival_times = sorted(when for when, _, row in network.row_changes if row.key == "quota/red")
     assert len(arrival_times) == 40 and arrival_times[20] - arrival_times[0] < 0.3
     assert 0 < crossings[0] < 20
 
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -13,26 +13,26 @@
 from pipitshed.membership.protocol import Membership
 from pipitshed.membership.timing import ProtocolTimings, suspicion_timeout_s
 from pipitshed.replication.messages import Rows, pack
-from pipitshed.testbed.virtual_fleet import Fleet, region, worst
-from pipitshed.testbed.virtual_view import Node
+from pipitshed.testbed.virtual_fleet import VirtualFleet, peak_bytes_per_second, region
+from pipitshed.testbed.virtual_network import Node
 
 
 def record_of(number: int, state: MemberState = MemberState.ALIVE) -> MemberRecord:
     return MemberRecord(f"n{number}", "127.0.0.1", 10_000 + number, "z", 1, 1, state, "n0")
 
 
-def settled_fleet(size: int, rows: int = 0) -> Fleet:
+def settled_fleet(size: int, rows: int = 0) -> VirtualFleet:
     """A fleet in 3 regions with this many rows of settings; all agree, and no news is left to send."""
-    fleet = Fleet(seed=7)
+    fleet = VirtualFleet(seed=7)
     first, *_ = fleet.fleet(size)
-    assert fleet.until(fleet.quiet, 30.0, 0.5) is not None
+    assert fleet.run_until(fleet.quiescent, 30.0, 0.5) is not None
     put(fleet, first, range(rows))
-    assert fleet.until(fleet.quiet, 60.0, 0.5) is not None
-    fleet.count_anew()
+    assert fleet.run_until(fleet.quiescent, 60.0, 0.5) is not None
+    fleet.reset_counts()
     return fleet
 
 
-def put(fleet: Fleet, writer: Node, rows: Iterable[int]) -> None:
+def put(fleet: VirtualFleet, writer: Node, rows: Iterable[int]) -> None:
     fleet.put(writer, *((f"team-{row:03}", b'{"share":%.6f}' % fleet.rng.random()) for row in rows))
 
 
@@ -51,7 +51,7 @@
     fleet.kill(lost)
     fleet.run(1.0)
     fleet.start(19, fleet.seeds)
-    assert fleet.until(fleet.whole, 5.0, 0.1) is not None
+    assert fleet.run_until(fleet.converged, 5.0, 0.1) is not None
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.01])
@@ -64,22 +64,22 @@
     for change in range(20):
         put(fleet, writer, [change])
         fleet.run(0.05)
-    assert fleet.until(fleet.one_table, 4.0, 0.1) is not None
-    assert worst(fleet.out.values()) < 9000
+    assert fleet.run_until(fleet.tables_agree, 4.0, 0.1) is not None
+    assert peak_bytes_per_second(fleet.out.values()) < 9000
 
 
 def test_regions_that_changed_while_partitioned_agree_ten_seconds_after_healing() -> None:
     fleet = settled_fleet(20, rows=100)
-    fleet.part_region("centro")
+    fleet.isolate_region("centro")
     inside = next(node for node in fleet.nodes.values() if region(fleet.zone(node.address)) == "centro")
     outside = next(iter(fleet.nodes.values()))
     put(fleet, inside, range(1000, 1050))
     put(fleet, outside, range(50))
     fleet.run(130.0)  # longer than a tombstone
     fleet.heal()
-    fleet.count_anew()
-    assert fleet.until(fleet.whole, 10.0, 0.1) is not None
-    assert worst(fleet.out.values()) < 9000
+    fleet.reset_counts()
+    assert fleet.run_until(fleet.converged, 10.0, 0.1) is not None
+    assert peak_bytes_per_second(fleet.out.values()) < 9000
 
 
 def test_successive_suspicions_cost_one_judgement_each(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -10,7 +10,7 @@
 from benchmarks.soak.drawing import JobClassSpec, draw_scenario
 from benchmarks.soak.play import DISTURBED_S, Result
 from benchmarks.soak.rules import Records, Violation, find_violations
-from pipitshed.testbed.clients import Asked
+from pipitshed.testbed.clients import ClientRequest
 from pipitshed.testbed.planner import Run
 
 SIGTERM_AT = 100.0
@@ -18,9 +18,9 @@
 ZONE_SCOPED_CLASSES = (CLASSES[0], JobClassSpec("book", 1.5, "dedup", "zone"))
 
 
-def make_request(outcome: str = "served", job_class: str = "book", **changes: object) -> Asked:
+def make_request(outcome: str = "served", job_class: str = "book", **changes: object) -> ClientRequest:
     """A request that was sent at 10 s and answered 0.5 s later."""
-    request = Asked("t1", "http-v1", job_class, "k-t1", "andes-retail", 1.0, 3)
+    request = ClientRequest("t1", "http-v1", job_class, "k-t1", "andes-retail", 1.0, 3)
     request.sent, request.ended, request.outcome, request.answers = 10.0, 10.5, outcome, 1
     for name, value in changes.items():
         setattr(request, name, value)
@@ -34,7 +34,7 @@
 
 
 def violated_rules(
-    request: Asked, *runs: Run, classes: tuple[JobClassSpec, ...] = CLASSES, **changes: object
+    request: ClientRequest, *runs: Run, classes: tuple[JobClassSpec, ...] = CLASSES, **changes: object
 ) -> set[str]:
     """The rules that this request breaks; `changes` replace fields of Records."""
     records = Records([request], list(runs), [], [], SIGTERM_AT, False, 0, ["INFO ended:"], 40.0, 64.0)
@@ -88,7 +88,7 @@
     ],
 )
 def test_each_rule_detects_its_violation(
-    one: Asked, runs: list[Run], classes: tuple[JobClassSpec, ...], rule: str
+    one: ClientRequest, runs: list[Run], classes: tuple[JobClassSpec, ...], rule: str
 ) -> None:
     assert violated_rules(one, *runs, classes=classes) == {rule}
 
@@ -100,11 +100,13 @@
 
 
 def test_a_request_may_go_unanswered_only_if_it_crossed_the_close_and_never_ran() -> None:
-    crossed_close = make_request("unanswered", answers=0, untaken=True, kept=True, sent=102.0, ended=102.1)
+    crossed_close = make_request(
+        "unanswered", answers=0, not_accepted=True, reused_connection=True, sent=102.0, ended=102.1
+    )
     assert violated_rules(crossed_close) == set()
     assert violated_rules(crossed_close, make_run(102.05)) == {"one_answer"}
     assert violated_rules(replace(crossed_close, sent=90.0, ended=90.1)) == {"one_answer"}
-    refused_connection = replace(crossed_close, kept=False, sent=100.1, ended=100.15)
+    refused_connection = replace(crossed_close, reused_connection=False, sent=100.1, ended=100.15)
     assert (
         violated_rules(refused_connection) == {"one_answer"}
         and violated_rules(replace(refused_connection, ended=100.3)) == set()
