--- a/pipitshed/frontends/gearman/frontend.py
+++ b/pipitshed/frontends/gearman/frontend.py
@@ -70,7 +70,7 @@
         """Create the protocol of a new connection."""
         return GearmanConnection(self)
 
-    def has_room(self, pending: int) -> bool:
+    def may_accept(self, pending: int) -> bool:
         """Whether another connection may be accepted, with `pending` ones still being set up."""
         return len(self.connections) + pending < self._max_connections
 
--- a/pipitshed/frontends/http/frontend.py
+++ b/pipitshed/frontends/http/frontend.py
@@ -79,7 +79,7 @@
         del self.awaiting_first_request[connection]
         self.awaiting_first_request[connection] = None
 
-    def has_room(self, pending: int) -> bool:
+    def may_accept(self, pending: int) -> bool:
         """Whether another connection may be accepted, with `pending` ones still being set up.
 
         Busy connections are never evicted: without this limit they would exhaust the descriptors that
--- a/pipitshed/frontends/listener.py
+++ b/pipitshed/frontends/listener.py
@@ -12,7 +12,7 @@
 BACKLOG_COUNT = 1024  # connections that the kernel queues
 
 
-def _always_room(_pending_count: int) -> bool:
+def _accept_always(_pending_count: int) -> bool:
     return True
 
 
@@ -24,7 +24,7 @@
         address: tuple[str, int],
         factory: Callable[[], asyncio.Protocol],
         loop: asyncio.AbstractEventLoop,
-        has_room: Callable[[int], bool] = _always_room,
+        may_accept: Callable[[int], bool] = _accept_always,
         passed: int | None = None,
     ) -> None:
         """Start to listen; OSError if the address can't be bound.
@@ -33,7 +33,7 @@
             address: The host and port to bind.
             factory: Creates the protocol of each connection.
             loop: The event loop.
-            has_room: Whether one more connection may be accepted, given the number of those being set up.
+            may_accept: Whether one more connection may be accepted, given the number of those being set up.
             passed: The descriptor of a listening socket to use in place of `address`.
         """
         if passed is not None:
@@ -51,7 +51,7 @@
         self._socket.listen(BACKLOG_COUNT)
         self.address: tuple[str, int] = self._socket.getsockname()[:2]
         self._factory = factory
-        self._has_room = has_room
+        self._may_accept = may_accept
         self._loop = loop
         self._pending: set[asyncio.Task[object]] = set()  # accepted connections that are being set up
         self._open = True
@@ -63,7 +63,7 @@
 
     def _accept_up_to(self, limit: float) -> None:
         while self._open and limit > 0:
-            if limit <= ACCEPTS_PER_ITERATION and self._pending and not self._has_room(len(self._pending)):
+            if limit <= ACCEPTS_PER_ITERATION and self._pending and not self._may_accept(len(self._pending)):
                 return  # connections being set up may evict others; accept the rest in a later iteration
             limit -= 1
             try:
@@ -80,8 +80,8 @@
             self._connect(accepted)
 
     def _connect(self, accepted: socket.socket) -> None:
-        """Start the protocol on an accepted connection, or close it if there is no room."""
-        if not self._has_room(len(self._pending)):
+        """Start the protocol on an accepted connection, or close it if no more may be accepted."""
+        if not self._may_accept(len(self._pending)):
             accepted.close()
             return
         accepted.setblocking(False)
--- a/pipitshed/server/assembly.py
+++ b/pipitshed/server/assembly.py
@@ -267,12 +267,12 @@
         return http.connection()
 
     parts.listeners.append(
-        Listener(config.listen, accept_http_client, loop, http.has_room, config.inherited_descriptor)
+        Listener(config.listen, accept_http_client, loop, http.may_accept, config.inherited_descriptor)
     )
     if front.gearman_addresses:
         gearman = parts.gearman_frontend = build_gearman_frontend(parts, config, front, server, loop)
         for address in front.gearman_addresses:
-            parts.listeners.append(Listener(address, gearman.connection, loop, gearman.has_room))
+            parts.listeners.append(Listener(address, gearman.connection, loop, gearman.may_accept))
 
 
 def build_gearman_frontend(
--- a/tests/frontends/test_rare_moments.py
+++ b/tests/frontends/test_rare_moments.py
@@ -263,12 +263,12 @@
 
         served = asyncio.Event()
 
-        def has_room(pending: int) -> bool:
+        def may_accept(pending: int) -> bool:
             if len(up) + pending >= 20:
                 served.set()
             return len(up) + pending < 20
 
-        listener = Listener(("127.0.0.1", 0), CountingProtocol, asyncio.get_running_loop(), has_room)
+        listener = Listener(("127.0.0.1", 0), CountingProtocol, asyncio.get_running_loop(), may_accept)
         burst = [socket.create_connection(listener.address) for _ in range(200)]
         await asyncio.wait_for(served.wait(), 5)
         while listener._pending:
