--- a/pipitshed/proxy/attempt_runner.py
+++ b/pipitshed/proxy/attempt_runner.py
@@ -38,7 +38,7 @@
         self._loop = loop
 
     def start(self, action: StartAttempt) -> None:
-        """Start an attempt, unless its request has ended, its worker is gone or the deadline has passed."""
+        """Start an attempt, unless its request has ended, its worker is unknown or its limits are reached."""
         context = self._requests.find(action.job_id)
         if context is not None and context.detached:
             self._requests.fail(action.job_id)
--- a/pipitshed/proxy/deduplication.py
+++ b/pipitshed/proxy/deduplication.py
@@ -16,7 +16,7 @@
 from pipitshed.scheduling.settings import Idempotency
 
 DeduplicationKey = tuple[int, str]  # job class and idempotency key
-CACHED_RESULT_BYTES = 16 * 1024 * 1024  # the oldest results beyond it are dropped; that the jobs ran is kept
+CACHED_RESULT_BYTES = 16 * 1024 * 1024  # the oldest results beyond it are dropped; their entries are kept
 
 
 @dataclass(slots=True, eq=False)
@@ -72,7 +72,7 @@
         self._forwarder = forwarder
         self._loop = loop
         self._entries: dict[DeduplicationKey, DeduplicationEntry] = {}
-        self._cached: deque[DeduplicationEntry] = deque()  # entries that hold a result, the oldest first
+        self._cached: deque[DeduplicationEntry] = deque()  # entries with a result, the oldest first
         self._cached_bytes = 0
 
     def find(self, job_class: int, key: str) -> DeduplicationEntry | None:
@@ -130,7 +130,7 @@
         return job_class.idempotency is not Idempotency.IDEMPOTENT
 
     def finished(self, entry: DeduplicationEntry) -> None:
-        """Keep an entry that must not run again until its window ends, and remove any other."""
+        """Keep an entry whose job must not run again until its window ends; remove any other."""
         if entry.key is None or entry.context is None:
             return
         if not self._must_not_run_again(entry):
--- a/pipitshed/scheduling/attempt_watchdog.py
+++ b/pipitshed/scheduling/attempt_watchdog.py
@@ -28,8 +28,8 @@
     """How long an attempt may take to start; the timeout doubles with each attempt, as the pauses do.
 
     The timeout is longer where workers reject jobs: an accepted job has a short queue before it, and further
-    attempts of it would fill busy workers with duplicate work. While there is capacity the timeout is no
-    shorter than the connect timeout: handshakes that count as lack of capacity make idle workers look full.
+    attempts of it would fill busy workers with duplicate work. It is at least the connect timeout times the
+    probability of capacity: handshakes that count as lack of capacity make idle workers look full.
     """
     objective_fraction = (
         START_TIMEOUT_OBJECTIVE_FRACTION
@@ -66,7 +66,7 @@
 def may_replace_stalled(job: Job, settings: Settings, due_ms: float) -> bool:
     """Whether the job's class permits cancelling its stalled attempts and retrying it.
 
-    A machine that was cut off closes no connection; without this check its jobs wait until their deadline.
+    A machine that lost its network closes no connection; without a retry its jobs wait for their deadline.
     """
     limits, job_class = settings.limits, job.job_class
     if not settings.progress_interval_ms or not limits.may_cancel:
--- a/pipitshed/scheduling/capacity_estimate.py
+++ b/pipitshed/scheduling/capacity_estimate.py
@@ -79,9 +79,9 @@
             slots = self._slots_by_kind[worker.kind] = max(slots, round(free + used))
         elif in_flight is not None and queued is not None:
             slots = self._slots_by_kind[worker.kind] = max(slots, round(in_flight - queued))
-        in_hand = slots - (free or 0.0) + (queued or 0.0) if in_flight is None else in_flight
+        jobs_in_flight = slots - (free or 0.0) + (queued or 0.0) if in_flight is None else in_flight
         self.own_slots += MEAN_SMOOTHING * (worker.reserved_slots - self.own_slots)
-        self.total_slots += MEAN_SMOOTHING * (max(worker.reserved_slots, in_hand) - self.total_slots)
+        self.total_slots += MEAN_SMOOTHING * (max(worker.reserved_slots, jobs_in_flight) - self.total_slots)
 
 
 class ServiceStatistics:
--- a/pipitshed/scheduling/dispatcher.py
+++ b/pipitshed/scheduling/dispatcher.py
@@ -208,7 +208,7 @@
             self._wake_at(job, now_ms + self._start_timeout_ms(job))
             return
         # Starts are not reported, so the attempt counts as running from now on. With load reports, the slots
-        # that this dispatcher's jobs use show a lack of capacity at once; without them only late answers do.
+        # that this dispatcher's jobs use show a lack of capacity early; without them only late answers do.
         attempt.started = True
         attempt.capacity_recorded = self.load.total_slots > 0
         if attempt.capacity_recorded:
--- a/pipitshed/scheduling/events.py
+++ b/pipitshed/scheduling/events.py
@@ -20,7 +20,7 @@
 
 
 class UpdateKind(enum.IntEnum):
-    """What an update holds: the whole list, changes, nothing (a failed fetch), or a cached whole list."""
+    """What an update contains: the whole list, changes, nothing (a failed fetch), or a cached whole list."""
 
     SNAPSHOT = 0
     DELTA = 1
--- a/pipitshed/scheduling/outlier_ejection.py
+++ b/pipitshed/scheduling/outlier_ejection.py
@@ -18,7 +18,7 @@
 
 
 def is_ejected(worker: Worker, now_ms: float) -> bool:
-    """Whether an ejection of the worker is in force."""
+    """Whether the worker is ejected at `now_ms`, for either reason."""
     return worker.ejected_until_ms > now_ms or worker.error_ejected_until_ms > now_ms
 
 
--- a/pipitshed/scheduling/retry_policy.py
+++ b/pipitshed/scheduling/retry_policy.py
@@ -107,8 +107,8 @@
         return 1
     if probability >= 1:
         return max_attempts
-    wanted = math.ceil(math.log(job.allowed_failure_probability) / math.log(probability))
-    return max(1, min(max_attempts, wanted))
+    needed = math.ceil(math.log(job.allowed_failure_probability) / math.log(probability))
+    return max(1, min(max_attempts, needed))
 
 
 def reason_for_no_attempt(
