--- a/pipitshed/admin/frontend.py
+++ b/pipitshed/admin/frontend.py
@@ -105,7 +105,7 @@
         self._timer = self._frontend.loop.call_later(LINGER_S, transport.close)
 
     def close(self) -> None:
-        """Close at once, without sending the pending output."""
+        """Close immediately, without sending the pending output."""
         if self._transport is not None:
             self._transport.abort()
 
--- a/pipitshed/config/row_overlay.py
+++ b/pipitshed/config/row_overlay.py
@@ -1,4 +1,4 @@
-"""Checks settings rows, and lays them over the settings of a file. No I/O.
+"""Checks settings rows, and applies them to the settings of a file. No I/O.
 
 The key of a row is `tenant/NAME/FIELD` or `class/NAME/FIELD`, with the names and fields of the file in force;
 its body is a JSON number. No row can change the idempotency of a class, which decides whether a job may run
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Overlay:
-    """The settings of a file with rows laid over them.
+    """The settings of a file with rows applied to them.
 
     Attributes:
         raw: The file's contents with the values of the applied rows.
@@ -67,7 +67,7 @@
     previously_applied: Mapping[str, Row] | None = None,
     fixed_classes: Container[str] = (),
 ) -> Overlay:
-    """Lay rows over the settings of a file; `raw` itself is not changed.
+    """Apply rows to the settings of a file; `raw` itself is not changed.
 
     Where a row is rejected, the row applied for its key before stays applied; where there was none, the value
     of the file is in force.
@@ -99,7 +99,7 @@
 
 
 def check(raw: dict[str, Any], row: Row, fixed_classes: Container[str] = ()) -> float:
-    """Return the value of a row that can be applied over the file in force.
+    """Return the value of a row that can be applied to the file in force.
 
     Raises:
         RowRejectedError: The row cannot be applied.
--- a/pipitshed/discovery/catalog/client.py
+++ b/pipitshed/discovery/catalog/client.py
@@ -74,8 +74,8 @@
     def set_timeouts(self, grace_s: float) -> None:
         """Shorten the timeouts for a list that is pushed to an agent on this machine.
 
-        A pushed list counts as known as soon as the agent has it. The agent does not queue calls, so a call
-        that hangs is abandoned well within the grace period for drains (`grace_s`).
+        The scheduler counts as informed of a pushed list once the agent has it. The agent does not queue
+        calls, so a call that hangs is abandoned well within the grace period for drains (`grace_s`).
         """
         timeout_s = min(CONNECT_TIMEOUT_S, max(MIN_PUSH_TIMEOUT_S, grace_s / 3))
         self.connect_timeout_s = self.response_timeout_s = timeout_s
@@ -147,7 +147,7 @@
     def accept(self, call: CatalogCall, update: CatalogUpdate, advances_version: bool) -> None:
         """Apply an update to the endpoint table, after those that are already pending.
 
-        Parsing a long update at once would delay the event loop's timers, so its entries are parsed in
+        Parsing a long update in one step would delay the event loop's timers, so its entries are parsed in
         slices. The table still gets them as one change.
 
         Args:
--- a/pipitshed/discovery/catalog/size_limit.py
+++ b/pipitshed/discovery/catalog/size_limit.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 BASE_MEMORY_MB = 40.0  # used by the process and its clients' requests, without an endpoint list
-MEMORY_BYTES_PER_UPDATE_BYTE = 20.0  # peak, while an update is parsed and the previous list is still held
+MEMORY_BYTES_PER_UPDATE_BYTE = 20.0  # peak, while an update is parsed and the previous list is in memory
 MIN_SIZE_LIMIT_BYTES = 256 * 1024  # accepted at any memory limit
 
 
--- a/pipitshed/discovery/catalog/update_parser.py
+++ b/pipitshed/discovery/catalog/update_parser.py
@@ -25,7 +25,7 @@
     lifecycle: str = "ready"
     weight: float = 1.0
     started_at_ms: float = 0.0
-    interface: int = 0  # the version of the worker's interface; 0 where the entry does not say
+    interface: int = 0  # the version of the worker's interface; 0 where the entry lacks it
 
 
 class CatalogUpdate(msgspec.Struct):
--- a/pipitshed/discovery/catalog/watch.py
+++ b/pipitshed/discovery/catalog/watch.py
@@ -93,8 +93,8 @@
     def _set_update_timeout(self) -> None:
         """Fail the call if the update does not end in time, unless it arrives at the minimum rate.
 
-        Where many schedulers fetch a long list at once, it takes longer than the timeout. Aborting the call
-        would only start the same transfer again.
+        Where many schedulers fetch a long list at the same time, it takes longer than the timeout. Aborting
+        the call would only start the same transfer again.
         """
         received_before = self._received_bytes
 
@@ -135,8 +135,8 @@
         except Exception:
             log.exception("discovery update failed")
             self.fail()
-        # The timeout runs from an update's first byte: bytes that arrive one at a time must not renew it, as
-        # the list counts as known from when discovery sends it. Only a complete line renews it.
+        # The timeout runs from an update's first byte. Bytes that arrive one at a time must not renew it, as
+        # the scheduler counts as informed once discovery sends the list. Only a complete line renews it.
         if self._is_update_incomplete and not was_incomplete and self._oversized is None:
             self._set_update_timeout()
 
@@ -157,7 +157,7 @@
         if status != _STATUS_OK:
             self.fail()
         else:
-            self._set_update_timeout()  # the first update follows at once
+            self._set_update_timeout()  # the first update follows immediately
 
     def body_received(self) -> None:
         """Handle the reader's buffer: the lines of a watch, and updates beyond the size limit."""
--- a/pipitshed/frontends/gearman/connection.py
+++ b/pipitshed/frontends/gearman/connection.py
@@ -76,7 +76,7 @@
             self.worker.lost()
 
     def eof_received(self) -> None:
-        """Treat the peer as disconnected at once, even if output is still unread."""
+        """Treat the peer as disconnected immediately, even if output is still unread."""
         self._withdraw_jobs()
 
     def pause_writing(self) -> None:
@@ -179,6 +179,6 @@
             self._frontend.loop.call_later(LINGER_S, self.abort)
 
     def abort(self) -> None:
-        """Close the connection at once, without sending the pending output."""
+        """Close the connection immediately, without sending the pending output."""
         if self._transport is not None:
             self._transport.abort()
--- a/pipitshed/frontends/http/connection.py
+++ b/pipitshed/frontends/http/connection.py
@@ -100,7 +100,7 @@
         self._withdraw()
 
     def eof_received(self) -> None:
-        """Treat the client as disconnected at once, even if responses are still unread."""
+        """Treat the client as disconnected immediately, even if responses are still unread."""
         self._withdraw()
         self.close()
 
@@ -205,7 +205,7 @@
         self._parsed_head_bytes += len(name) + len(value) + _HEADER_FRAMING_BYTES
         if name in SINGLE_VALUE_HEADERS and name in self._headers:
             raise MalformedError(400, f"{name.decode()} is repeated")
-        # Whitespace around a value is not part of it (RFC 9110, 5.5); the parser keeps what trails the value.
+        # Whitespace around a value is not part of it (RFC 9110, 5.5); the parser keeps it after the value.
         self._headers[name] = value.strip(b" \t")
 
     def on_headers_complete(self) -> None:
@@ -377,7 +377,7 @@
             self._timer = self._frontend.loop.call_later(WRITE_TIMEOUT_S, self._transport.abort)
 
     def drop(self) -> None:
-        """Close the connection at once: it is idle, or has sent no complete request."""
+        """Close the connection immediately: it is idle, or has sent no complete request."""
         # Forgotten here rather than in connection_lost, which is called an iteration later: until then each
         # further client that connects would evict the same connection again.
         self._frontend.forget(self)
--- a/pipitshed/frontends/http/frontend.py
+++ b/pipitshed/frontends/http/frontend.py
@@ -62,7 +62,7 @@
         """Choose the connection to close for a new one; None if there is none.
 
         The order is: one without a complete request that has sent nothing or has stalled, the one that is
-        idle for longest, one that is still sending its first request. So clients that only hold connections
+        idle for longest, one that is still sending its first request. So clients that keep unused connections
         can't evict those that use theirs, nor those that send a request slowly.
         """
         now, candidates = self.loop.time(), self.awaiting_first_request
--- a/pipitshed/protocols/buffer.py
+++ b/pipitshed/protocols/buffer.py
@@ -26,15 +26,15 @@
 
     def append(self, data: bytes) -> None:
         """Append received bytes; TooLongError if that exceeds the limit."""
-        held, size = self._end - self._start, len(data)
-        if held + size > self.limit:
+        unread, size = self._end - self._start, len(data)
+        if unread + size > self.limit:
             raise TooLongError(f"over {self.limit} bytes")
         if self._end + size > len(self._data):
             if self._start:
-                self._data[:held] = self._data[self._start : self._end]
-                self._start, self._end = 0, held
-            if held + size > len(self._data):
-                self._data.extend(bytes(max(len(self._data), held + size - len(self._data))))
+                self._data[:unread] = self._data[self._start : self._end]
+                self._start, self._end = 0, unread
+            if unread + size > len(self._data):
+                self._data.extend(bytes(max(len(self._data), unread + size - len(self._data))))
         self._data[self._end : self._end + size] = data
         self._end += size
 
--- a/pipitshed/protocols/toml.py
+++ b/pipitshed/protocols/toml.py
@@ -33,8 +33,8 @@
         if item_index != index or names[:1] != [list_name]:
             continue
         matched = 0
-        for found, wanted in zip(names[1:], path, strict=False):
-            if found != wanted:
+        for found, expected in zip(names[1:], path, strict=False):
+            if found != expected:
                 break
             matched += 1
         if matched == len(names) - 1 and matched > best_depth:
--- a/pipitshed/server/assembly.py
+++ b/pipitshed/server/assembly.py
@@ -341,7 +341,7 @@
     apply_row_settings: Callable[[dict[str, Any]], object],
     loop: asyncio.AbstractEventLoop,
 ) -> ClusterNode:
-    """Build the node of the cluster; the callbacks read the configuration and apply settings rows over it."""
+    """Build the node of the cluster; the callbacks read the configuration and apply settings rows to it."""
     from pipitshed.cluster.node import ClusterNode
     from pipitshed.cluster.settings import SettingsTarget
 
--- a/pipitshed/server/reload.py
+++ b/pipitshed/server/reload.py
@@ -60,7 +60,7 @@
         self._follow_discovery(self.config)
 
     def _apply_with_rows(self, config: Config) -> ClassChanges:
-        """Apply the configuration, with the cluster's settings rows over the file's settings."""
+        """Apply the configuration, with the cluster's settings rows applied to the file's settings."""
         node = self._parts.cluster_node
         if node is None or node.settings is None or config.raw is None:
             return self.apply(config)
@@ -81,11 +81,11 @@
         log.info("configuration reloaded; discovery is at %s:%d", *config.discovery)
 
     def apply_row_settings(self, settings: dict[str, Any]) -> ClassChanges:
-        """Apply the given settings: those of the file in force, with the cluster's rows over them."""
+        """Apply the given settings: those of the file in force, with the cluster's rows applied to them."""
         return self.apply(with_settings(self.config, settings))
 
     def apply(self, config: Config) -> ClassChanges:
-        """Apply the settings of a complete file, or of a file with rows over it."""
+        """Apply the settings of a complete file, or of a file with rows applied to it."""
         now = self._loop.time()
         parts, names = self._parts, self._parts.names
         settings = config.settings
--- a/pipitshed/server/server.py
+++ b/pipitshed/server/server.py
@@ -27,12 +27,12 @@
 
 # Times of the shutdown, from SIGTERM on.
 LISTEN_AFTER_SIGTERM_S = 0.5  # new connections keep arriving for up to 0.4 s
-KEEP_CONNECTIONS_S = 2.0  # open connections are served so long, for a restarted peer to be up
+KEEP_CONNECTIONS_S = 2.0  # open connections are kept this long, so that a restarted peer is listening by then
 SIGKILL_MARGIN_S = 0.7  # SIGKILL comes this long after the longest deadline
 LONGEST_DEADLINE_MAX_S = 3.0  # a longer deadline counts as this in the time until SIGKILL
 ANSWER_BEFORE_SIGKILL_S = 0.3  # all accepted requests are answered this long before SIGKILL
 KEEP_CONNECTIONS_FRACTION = 0.6  # of the time to answer all requests; bounds KEEP_CONNECTIONS_S
-ANNOUNCE_CLOSE_S = 0.5  # an idle connection is kept so long, so that its next response announces the close
+ANNOUNCE_CLOSE_S = 0.5  # an idle connection is kept this long, so that its next response announces the close
 ANNOUNCE_CLOSE_FRACTION = 0.2  # of the time to answer all requests; bounds ANNOUNCE_CLOSE_S
 SHUTDOWN_MARGIN_S = 1.0  # after the longest deadline; no answer can be outstanding then
 IDLE_CHECK_INTERVAL_S = 0.02  # between checks whether all requests are answered
@@ -134,7 +134,7 @@
             self._loop.time() + LISTEN_AFTER_SIGTERM_S + self._longest_deadline_s() + SHUTDOWN_MARGIN_S
         )
         self._loop.call_later(LISTEN_AFTER_SIGTERM_S, self._stop_listening)
-        # Clients disconnected at once might find the peer that was restarted just before still down.
+        # Clients disconnected immediately might go to a peer that is still restarting.
         keep_s = min(KEEP_CONNECTIONS_S, KEEP_CONNECTIONS_FRACTION * self._answer_within_s())
         self._loop.call_later(keep_s, self._close_connections)
         if self.parts.cluster_node is not None:
@@ -163,7 +163,7 @@
         """Close each connection with its next response, and idle ones within ANNOUNCE_CLOSE_S."""
         self.parts.http_frontend.draining = True
         self.parts.http_frontend.linger = STOPPING_LINGER_S
-        # By the first check, clients in the listeners' accept queues have their connections.
+        # By the first check, the connections in the listeners' accept queues are set up.
         self._loop.call_later(IDLE_CHECK_INTERVAL_S, self._end_when_idle)
 
     def _end_when_idle(self) -> None:
--- a/pipitshed/upstream/gearman.py
+++ b/pipitshed/upstream/gearman.py
@@ -307,7 +307,7 @@
     # ---- attempts
 
     def start(self, attempt: Attempt) -> None:
-        """Queue an attempt for its worker; finish it at once if the worker can't run it."""
+        """Queue an attempt for its worker; finish it immediately if the worker can't run it."""
         worker: GearmanWorker = attempt.endpoint.address
         attempt.fully_sent = False
         if worker.is_removed:
--- a/pipitshed/upstream/grpc/connection.py
+++ b/pipitshed/upstream/grpc/connection.py
@@ -259,7 +259,7 @@
         self._flush()
 
     def _on_data(self, event: h2.events.DataReceived) -> None:
-        # Data is consumed at once, so the window is returned; the size of an incomplete message is limited.
+        # Data is consumed immediately, so its window is returned; an incomplete message has a size limit.
         if event.flow_controlled_length:
             self._http2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
         stream = self.streams.get(event.stream_id)
--- a/pipitshed/upstream/http/client.py
+++ b/pipitshed/upstream/http/client.py
@@ -139,8 +139,8 @@
         elif self.forwarder.may_begin(attempt):
             self._write_attempt(connection, attempt)
         else:
-            # The attempt was aborted meanwhile, or its write deadline has passed. Nothing was sent, so the
-            # connection can be reused.
+            # While the connection was opened, the attempt was aborted or its write deadline passed. Nothing
+            # was sent, so the connection can be reused.
             self.pool.put(connection)
             self.forwarder.attempt_finished(attempt, Outcome.CONNECT_FAILED)
 
--- a/pipitshed/upstream/http/connection.py
+++ b/pipitshed/upstream/http/connection.py
@@ -85,7 +85,7 @@
         self.probed_endpoint: Endpoint | None = None
         self.probe_started_at = 0.0  # loop time
         self.idle_timer: asyncio.TimerHandle | None = None
-        # Loop time. Stored here, as uvloop's timer handle does not have it for a timer that is due at once.
+        # Loop time. Stored here, as uvloop's timer handle does not have it for a timer that is already due.
         self.idle_deadline = 0.0
         self.idle_endpoint: Endpoint | None = None  # whose idle connections the scheduler counts
         self._client = client
@@ -147,7 +147,7 @@
         return not self._has_unsent_bytes
 
     def close(self) -> None:
-        """Close at once, without reporting an outcome."""
+        """Close immediately, without reporting an outcome."""
         self._is_outcome_reported = True
         self._cancel_timers()
         if self._transport is not None:
@@ -163,7 +163,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse what has arrived."""
         if self.attempt is None and self.probed_endpoint is None:
-            self.close()  # unrequested input could be taken for the answer to the next request
+            self.close()  # unrequested input could be parsed as the answer to the next request
             return
         try:
             self._reader.feed(data)
@@ -174,7 +174,7 @@
             self.close()
             return
         if self.attempt is None and self.probed_endpoint is None:
-            # A second answer has begun after the first: its rest must not be taken for the next one.
+            # A second answer has begun after the first: its rest must not be parsed as the next one.
             if self._reader.is_receiving:
                 self.close()
         elif self._is_outcome_reported and self._answer_end_timer is None:
