--- a/pipitshed/membership/dissemination.py
+++ b/pipitshed/membership/dissemination.py
@@ -35,9 +35,9 @@
     ) -> Gossip:
         """Choose the records and rows for one message.
 
-        A record that says the receiver is suspected or dead goes first, so that the receiver can refute it at
-        once (Lifeguard's buddy system). The digests do not cover suspicions, so while any member is suspected
-        records also go to receivers whose view has the same digest.
+        A record that says the receiver is suspected or dead goes first, so that the receiver can refute it
+        immediately (Lifeguard's buddy system). The digests do not cover suspicions, so while any member is
+        suspected records also go to receivers whose view has the same digest.
         """
         local = self._local
         current = local.view.get(receiver.name)
--- a/pipitshed/membership/instructions.py
+++ b/pipitshed/membership/instructions.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reinstated:
-    """The process that superseded this member is gone, so this member holds its name again."""
+    """The process that superseded this member has departed, so this member has its name again."""
 
     after: MemberRecord
 
--- a/pipitshed/membership/local_state.py
+++ b/pipitshed/membership/local_state.py
@@ -33,12 +33,15 @@
     rng: random.Random
     probe_numbers: Iterator[int]
     timers: TimerQueue
-    superseded: bool = False  # a process with this name has a later start time, and is not known to be gone
+    superseded: bool = False  # a process with this name started later, and is not known to have departed
     leaving: bool = False
 
     @property
     def is_silent(self) -> bool:
-        """Whether this member takes no part in anti-entropy, as it leaves or is superseded."""
+        """Whether this member is leaving or superseded.
+
+        It then starts no exchange over differing digests, and does not refute a record of its own instance.
+        """
         return self.leaving or self.superseded
 
     def sample_peers(self) -> list[Address]:
--- a/pipitshed/membership/protocol.py
+++ b/pipitshed/membership/protocol.py
@@ -72,7 +72,7 @@
         self._set_first_timers(now)
 
     def _set_first_timers(self, now: float) -> None:
-        # The first probe is at a random time within one period, as many members may start at once.
+        # The first probe is at a random time within one period, as many members may start together.
         self._timers.set(now + self._local.rng.random() * self.timings.period, Timer.PROBE)
         self._timers.set(now, Timer.SYNC)
         self._synchronizer.set_reconnect_timer(now)
@@ -84,7 +84,7 @@
 
     @property
     def superseded(self) -> bool:
-        """Whether another process with this name started later and is not known to be gone."""
+        """Whether another process with this name started later and is not known to have departed."""
         return self._local.superseded
 
     @property
--- a/pipitshed/membership/suspicion.py
+++ b/pipitshed/membership/suspicion.py
@@ -93,7 +93,7 @@
             return
         if record.is_departed or record.address == local.self_record.address:
             # The record is of an earlier instance of this member, whose clock was ahead, or of another
-            # process that is gone: no other process has this name now.
+            # process that has departed: no other process has this name now.
             if local.superseded:
                 local.superseded = False
                 self._outbox.add(Reinstated(record))
--- a/pipitshed/membership/sync.py
+++ b/pipitshed/membership/sync.py
@@ -17,7 +17,7 @@
 from pipitshed.replication.row import Row
 
 RANDOM_COMPARISON_PROBABILITY = 0.1  # that a sync compares a random range even if no digest differs
-JOIN_INTERVAL_FACTOR = 0.3  # of the sync interval, while this member knows no other
+JOIN_INTERVAL_FACTOR = 0.3  # of the sync interval, while this member knows no other member
 MIN_JITTER_FACTOR = 0.5  # intervals are drawn between 0.5 and 1.5 times their length
 _record_decoder = msgspec.msgpack.Decoder(tuple[MemberRecord, ...])
 _row_decoder = msgspec.msgpack.Decoder(tuple[Row, ...])
@@ -53,7 +53,7 @@
             self._start_exchanges(now)
 
     def _start_exchanges(self, now: float) -> None:
-        """Start exchanges with peers that differ, or with a seed while this member knows no other."""
+        """Start exchanges with peers that differ, or with a seed while it knows no other member."""
         local = self._local
         replicator = local.replicator
         if local.view.live_count > 1:
@@ -72,7 +72,7 @@
     def reconnect(self, now: float) -> None:
         """Set the next timer, and start an exchange with a dead member, or a seed that is not live.
 
-        Without it the two sides of a partition would consider each other dead for good after it has healed.
+        Without this exchange the two sides of a healed partition would consider each other dead for good.
         """
         local = self._local
         self.set_reconnect_timer(now)
--- a/pipitshed/membership/timers.py
+++ b/pipitshed/membership/timers.py
@@ -48,7 +48,7 @@
         return timer, probe_number
 
     def postpone_ack_timeouts(self, until: float) -> None:
-        """Postpone the timeouts of probes that wait for an ack to `until` or later."""
+        """Postpone to `until` or later the timeouts of probes that still wait for an ack."""
         self._heap = [
             (max(when, until) if timer in _WAIT_FOR_ACK else when, order, timer, probe_number)
             for when, order, timer, probe_number in self._heap
--- a/pipitshed/membership/view.py
+++ b/pipitshed/membership/view.py
@@ -61,7 +61,7 @@
     def forget_departed(self, now: float) -> list[str]:
         """Remove the members whose tombstones have expired, and return their names.
 
-        Without this the view would grow with every name that has ever joined.
+        Without the removal the view would grow with every name that has ever joined.
         """
         lifetime_s = self._tombstone_lifetime_s
         expired = [name for name in self._departed if now - self._state_since[name] >= lifetime_s]
--- a/pipitshed/replication/bandwidth_budget.py
+++ b/pipitshed/replication/bandwidth_budget.py
@@ -4,7 +4,8 @@
 
 RATE_BYTES_PER_S = 6800.0  # of all messages to peers, headers included
 BURST_BYTES = 1400.0  # beyond the rate; keeps the bytes sent in any second under 9,000
-# Of the refill. The rest stays for a member's own requests even if it has to answer very many probes.
+# Largest fraction of the refill that repays debt. The rest is left for a member's own requests even if it
+# has to answer very many probes.
 MAX_DEBT_REPAYMENT_FRACTION = 0.8
 RESERVATION_S = 1.0  # time for which the share of a deferred table is reserved
 
--- a/pipitshed/replication/replicator.py
+++ b/pipitshed/replication/replicator.py
@@ -124,7 +124,7 @@
     ) -> None:
         """Queue an item that anti-entropy fetched for a few transmissions, if few items are queued.
 
-        If this member lacks many items, other members know them, or fetch them as well.
+        If this member lacks many items, other members have them already, or fetch them as well.
 
         Args:
             now: The time.
@@ -156,7 +156,7 @@
         Args:
             now: The time.
             max_bytes: Space in the message.
-            receiver: Name of the receiver. Tables whose digest it has sent last are left out.
+            receiver: Name of the receiver. Tables of which it last sent the same digest are left out.
             cluster_size: Number of members.
             table_count: Number of tables, from the first, that are considered.
             always_index: A table that is never left out; -1 for none.
@@ -173,7 +173,7 @@
             queue = self.queues[index]
             share = (max_bytes - spent_bytes) // (len(table_indexes) - position)
             share = min(share, self.budget.available_bytes(now, index, OVERHEAD_BYTES))
-            # Most items of a very long queue would reach members that know them; anti-entropy sends these.
+            # Most items of a very long queue would reach members that have them: anti-entropy sends these.
             share = min(share, max(MIN_LONG_QUEUE_BYTES, max_bytes * LONG_QUEUE_ITEMS // len(queue)))
             chosen[index] = queue.take(share, cluster_size, exclude[index] if index < len(exclude) else ())
             used_bytes = sum(item.size for item in chosen[index])
