--- a/pipitshed/cluster/codec.py
+++ b/pipitshed/cluster/codec.py
@@ -42,8 +42,8 @@
 class Codec:
     """Encodes and decodes the messages of one cluster.
 
-    With a secret the checksum is keyed, so that nobody without it can forge a message. Without one the
-    checksum only detects damage.
+    With a secret the checksum is keyed, so that a message cannot be forged without the secret. Without
+    a secret the checksum only detects damage.
     """
 
     def __init__(self, cluster: str, secret: bytes = b"") -> None:
--- a/pipitshed/cluster/datagrams.py
+++ b/pipitshed/cluster/datagrams.py
@@ -18,7 +18,7 @@
 
 
 class RateLimiter:
-    """A token bucket with a rate in events per second and a limit on events at once."""
+    """A token bucket with a rate in events per second and a limit on events in one burst."""
 
     __slots__ = ("_rate_per_s", "_burst", "_tokens", "_updated_at")
 
--- a/pipitshed/cluster/node.py
+++ b/pipitshed/cluster/node.py
@@ -89,7 +89,7 @@
         self._datagrams = Datagrams(self._codec, loop, self._handle_message, self._is_member, self.count)
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_due_at = math.inf  # stored here as uvloop's handle has no time if it is due at once
+        self._timer_due_at = math.inf  # stored here as uvloop's handle has no time if it is due immediately
         self._logged_digest = ""
         self._closed = False
         if self.settings is not None:
@@ -273,7 +273,7 @@
     def _log_superseded(self, other: MemberRecord) -> None:
         log.error(
             "another process has the same name %s at %s:%d, started later by its clock; "
-            "this process is not in the membership view until the other one is gone",
+            "this process is not in the membership view until the other one has departed",
             other.name,
             other.host,
             other.port,
@@ -281,7 +281,7 @@
         self._events.write("displaced", by=f"{other.host}:{other.port}", life=other.instance_id)
 
     def _log_reinstated(self, other: MemberRecord) -> None:
-        log.warning("the other process with the same name at %s:%d is gone", other.host, other.port)
+        log.warning("the other process with the same name at %s:%d has departed", other.host, other.port)
         self._events.write("reinstated", after=f"{other.host}:{other.port}", life=other.instance_id)
 
     def _log_view(self) -> None:
--- a/pipitshed/cluster/settings.py
+++ b/pipitshed/cluster/settings.py
@@ -36,7 +36,7 @@
 MAX_ROWS = 4096
 MAX_TABLE_BYTES = 512 << 10
 MAX_ROW_BYTES = 300
-NO_PEERS_DELAY_S = 10.0  # from the start until a scheduler that met no other accepts changes
+NO_PEERS_DELAY_S = 10.0  # from the start until a scheduler without live peers accepts changes
 RNG_SEED_BITS = 64
 
 log = logging.getLogger("pipitshed.fleet")
@@ -133,7 +133,7 @@
         self.loop.call_later(NO_PEERS_DELAY_S, self.accept_changes_without_peers)
 
     def accept_changes_without_peers(self) -> None:
-        """Accept changes if no other scheduler was met: one whose seeds are gone never would otherwise."""
+        """Accept changes if no other scheduler is live; otherwise one without reachable seeds never would."""
         if not self.table.caught_up and len(self.live_instances()) <= 1:
             log.warning(
                 "no other scheduler answered within %.0f s; changes of settings are accepted without a peer",
--- a/pipitshed/cluster/settings_commands.py
+++ b/pipitshed/cluster/settings_commands.py
@@ -122,7 +122,7 @@
         current = self._table.get(message.key)
         version = (current.term, current.number) if current is not None else NO_ROW_VERSION
         if message.over != version:
-            raise RowError(f"{message.key} has changed meanwhile: show the row, and put it again")
+            raise RowError(f"{message.key} has changed since it was read: show the row, and put it again")
         name, target = self._settings.name, self._settings.target
         if message.body is None:
             return self._table.delete(message.key, name, message.take_over)
--- a/pipitshed/cluster/streams.py
+++ b/pipitshed/cluster/streams.py
@@ -73,7 +73,7 @@
             self.transport.close()
 
     def abort(self) -> None:
-        """Close the stream at once."""
+        """Close the stream immediately; data that was not sent is lost."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -136,6 +136,6 @@
         return stream.answer if stream is not None else None
 
     def close(self) -> None:
-        """Close all streams at once; answers that were not sent are lost."""
+        """Close all streams immediately; answers that were not sent are lost."""
         for stream in list(self._open):
             stream.abort()
--- a/pipitshed/testbed/fleet/links.py
+++ b/pipitshed/testbed/fleet/links.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-DRIP_CHUNK = 64  # bytes sent at once on a throttled stream
+DRIP_CHUNK = 64  # bytes that a throttled stream sends between two pauses
 
 
 @dataclass
--- a/pipitshed/testbed/fleet/oracles.py
+++ b/pipitshed/testbed/fleet/oracles.py
@@ -25,7 +25,7 @@
     when: float
     key: str
     version: Version
-    acting: dict[str, int]  # names of the schedulers that act on it, with their lives
+    acting: dict[str, int]  # names of the schedulers that act on it, with their instance ids
 
 
 @dataclass
@@ -35,13 +35,13 @@
     name: str
     place: int
     start: int  # number of the start, from 1
-    life: int = 0  # its incarnation number
+    life: int = 0  # its instance id, drawn at the start
     spawned: float = 0.0
     ended: float | None = None  # SIGKILL or SIGTERM was sent, or it ended by itself
-    views: list[tuple[float, dict[str, int]]] = field(default_factory=list)  # time, life by name of the alive
-    deaths: list[tuple[float, str, int]] = field(default_factory=list)  # seen as dead: time, name, life
+    views: list[tuple[float, dict[str, int]]] = field(default_factory=list)  # time, live ids by name
+    deaths: list[tuple[float, str, int]] = field(default_factory=list)  # seen as dead: time, name, id
     displaced: bool = False
-    paused: list[tuple[float, float]] = field(default_factory=list)  # from and to
+    paused: list[tuple[float, float]] = field(default_factory=list)  # start and end
     disk: bool = True  # whether it kept the folder of the previous start
     started: float = 0.0
     acting: list[tuple[float, dict[str, Version]]] = field(default_factory=list)  # time, rows acted on since
@@ -185,15 +185,15 @@
         if not instance.views or instance.views[-1][1] != expected:
             view = instance.views[-1][1] if instance.views else {}
             missing = sorted(name for name in expected if view.get(name) != expected[name])
-            strange = sorted(name for name in view if name not in expected)
-            wrong.append(f"{instance.name} holds another view: lacks {missing}, has {strange}")
+            unexpected = sorted(name for name in view if name not in expected)
+            wrong.append(f"{instance.name} holds another view: lacks {missing}, has {unexpected}")
         else:
             latest = max(latest, instance.views[-1][0])
     return (None if wrong else latest - logs.over), wrong
 
 
 def false_deaths(logs: Logs) -> int:
-    """Count how often a running process declared another dead that ran, with neither of them paused."""
+    """Count how often a process declared another one dead that ran, without a recent pause of either."""
     by_life = {(instance.name, instance.life): instance for instance in logs.instances}
     count = 0
     for instance in logs.instances:
--- a/pipitshed/testbed/fleet/processes.py
+++ b/pipitshed/testbed/fleet/processes.py
@@ -22,7 +22,7 @@
 from pipitshed.testbed.program import configuration
 
 PEER_PORT, HTTP_PORT, PLANNERS_FROM = 7946, 8000, 9000
-# The last byte of the loopback addresses of processes and relays (from here on), and of stand-ins.
+# The last byte of loopback addresses: the lowest of processes, the lowest of relays, and that of stand-ins.
 PROCESS_HOSTS, RELAY_HOSTS, OUTSIDE_HOST = 10, 110, 210
 MAX_PROCESSES = 95  # limited by the last byte of the addresses
 START_TIMEOUT = 20.0  # s until the first event is logged
@@ -236,7 +236,7 @@
         return process
 
     async def start_all(self) -> None:
-        """Add and start as many processes as the scenario has, at once."""
+        """Add and start as many processes as the scenario has, concurrently."""
         processes = [await self.add() for _ in range(self.shape.processes)]
         await asyncio.gather(*(process.start() for process in processes))
 
--- a/pipitshed/testbed/fleet/relays.py
+++ b/pipitshed/testbed/fleet/relays.py
@@ -87,7 +87,7 @@
         transports: list[asyncio.WriteTransport] = [writer.transport]
         self._streams[writer.transport] = name
         try:
-            while there.cut or back.cut:  # the stream is not connected; the caller may give up
+            while there.cut or back.cut:  # the stream is not connected; the caller may close it
                 await asyncio.sleep(CUT_POLL_INTERVAL)
                 if writer.is_closing() or reader.at_eof():
                     return
--- a/pipitshed/testbed/fleet/row_oracles.py
+++ b/pipitshed/testbed/fleet/row_oracles.py
@@ -34,14 +34,14 @@
     by_place: dict[int, list[Instance]] = {}
     for instance in sorted(logs.instances, key=lambda instance: instance.spawned):
         by_place.setdefault(instance.place, []).append(instance)
-        held: dict[str, Version] = {}
+        acted_on: dict[str, Version] = {}
         for _, rows in instance.acting:
             wrong += [
-                f"{instance.name} went back on {key} from version {held[key]} to {version}"
+                f"{instance.name}: {key} went back from version {acted_on[key]} to {version}"
                 for key, version in rows.items()
-                if version < held.get(key, NONE)
+                if version < acted_on.get(key, NONE)
             ]
-            held |= rows
+            acted_on |= rows
     for starts in by_place.values():
         for before, after in pairwise(starts):
             if not after.disk or not after.started:
@@ -112,23 +112,23 @@
     """Return where running processes act on different rows now, or on older ones than were in force."""
     wrong = []
     alive = live_instances(logs)
-    held = [
+    acted_on = [
         {
             key: version_acted_on(instance, key, float("inf"))
             for key in {key for _, rows in instance.acting for key in rows}
         }
         for instance in alive
     ]
-    for instance, rows in zip(alive, held, strict=True):
-        if rows != held[0]:
+    for instance, rows in zip(alive, acted_on, strict=True):
+        if rows != acted_on[0]:
             wrong.append(
-                f"{instance.name} acts on {sorted(rows.items() - held[0].items())} where {alive[0].name} "
-                f"acts on {sorted(held[0].items() - rows.items())}"
+                f"{instance.name} acts on {sorted(rows.items() - acted_on[0].items())} where {alive[0].name} "
+                f"acts on {sorted(acted_on[0].items() - rows.items())}"
             )
     for writer in logs.instances:
         for claim in writer.in_force:
-            if held and held[0].get(claim.key, NONE) < claim.version:
-                wrong.append(f"{claim.key} {claim.version} was in force, and is gone")
+            if acted_on and acted_on[0].get(claim.key, NONE) < claim.version:
+                wrong.append(f"{claim.key} {claim.version} was in force, and is no longer acted on")
     return wrong
 
 
--- a/pipitshed/testbed/fleet/scenario_run.py
+++ b/pipitshed/testbed/fleet/scenario_run.py
@@ -88,7 +88,7 @@
             await self._wait_for_agreement(self.scenario.settle_within)
             await putting
             if self.puts:
-                # A change in a fleet without faults must come in force.
+                # A change in a fleet without faults must come into force.
                 last = await puts.put_and_follow(SettingChange(0.0, process_name(0), KEYS[0], "0.5"))
                 if last != "in force":
                     self.log("wrong", text=f"a setting change after all faults were over was {last}")
--- a/pipitshed/testbed/fleet/standins.py
+++ b/pipitshed/testbed/fleet/standins.py
@@ -230,7 +230,7 @@
         await self.restart(member, interface, announced_at)
 
     async def crash(self, member: Member, down: float) -> None:
-        """Stop a planner at once, list it as gone 0.3 s later, and restart it after `down` seconds."""
+        """Stop a planner without drain, list it as gone 0.3 s later, and restart it after `down` seconds."""
         member.forwarder.target_port = 0
         member.forwarder.cut()
         await member.interface_server.stop(0.0)
--- a/pipitshed/testbed/interfaces.py
+++ b/pipitshed/testbed/interfaces.py
@@ -65,20 +65,20 @@
         text = await reader.readexactly(int(headers.get("content-length", "0")))
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         answering = asyncio.create_task(self._answer(writer, headers, text))
-        gone = asyncio.create_task(reader.read(1))  # a scheduler that cancels closes its connection
+        disconnected = asyncio.create_task(reader.read(1))  # a scheduler that cancels closes its connection
         try:
-            await asyncio.wait({answering, gone}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({answering, disconnected}, return_when=asyncio.FIRST_COMPLETED)
             if not answering.done():
                 return False
             answering.result()
-            if gone.done():
+            if disconnected.done():
                 return False
-            gone.cancel()
+            disconnected.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await gone
+                await disconnected
             return True
         finally:
-            for task in (answering, gone):
+            for task in (answering, disconnected):
                 task.cancel()
                 with contextlib.suppress(asyncio.CancelledError, ConnectionError):
                     await task
--- a/pipitshed/testbed/virtual_fleet.py
+++ b/pipitshed/testbed/virtual_fleet.py
@@ -62,7 +62,7 @@
         return self.zone_of(address[1] - self.first_port)
 
     def fleet(self, size: int) -> list[Node]:
-        """Start `size` schedulers at once; they join through one seed in each region."""
+        """Start `size` schedulers at the same time; they join through one seed in each region."""
         self.seeds = [seed for seed in SEEDS if seed < size]
         return [self.start(number, self.seeds) for number in range(size)]
 
@@ -99,7 +99,7 @@
         )
 
     def tables_agree(self) -> bool:
-        """Whether all have the same settings table, and each knows that it is up to date."""
+        """Whether all schedulers have the same settings table, and each table counts as caught up."""
         return len({node.tables[0].digest() for node in self.nodes.values()}) == 1 and all(
             node.tables[0].caught_up for node in self.nodes.values()
         )
--- a/pipitshed/testbed/virtual_network.py
+++ b/pipitshed/testbed/virtual_network.py
@@ -104,7 +104,7 @@
         return self.zones[number % len(self.zones)]
 
     def fleet(self, size: int) -> list[Node]:
-        """Start `size` processes at once; they join through the first two."""
+        """Start `size` processes at the same time; they join through the first two."""
         return [self.start(number, [0, 1]) for number in range(size)]
 
     def kill(self, node: Node) -> None:
--- a/tests/cluster/test_settings_fleet.py
+++ b/tests/cluster/test_settings_fleet.py
@@ -252,7 +252,9 @@
             return str(answers[0].why)
 
         assert await put(SHARE, b"0.4", (0, 0)) == ""
-        assert "changed meanwhile" in await put(SHARE, b"0.4", (0, 0))  # a repeated or a second change
+        assert "changed since it was read" in await put(
+            SHARE, b"0.4", (0, 0)
+        )  # a repeated or a second change
         assert await put(SHARE, b"0.5", (1, 1)) == ""
         assert "a key is" in await put("k" * 5000, b"0.4", (0, 0))
         assert "a value is" in await put(SHARE, b"1" * 5000, (1, 2))
--- a/tests/cluster/test_settings_rig.py
+++ b/tests/cluster/test_settings_rig.py
@@ -78,7 +78,7 @@
 def test_change_rejected_by_a_just_started_scheduler_is_put_again() -> None:
     """Guards against runs that depend on how fast a process starts: a change is put again if the scheduler
     rejected it because it had not compared its rows with a peer yet, and after no other rejection."""
-    answers = [NOT_COMPARED, NOT_COMPARED, "", "has changed meanwhile"]
+    answers = [NOT_COMPARED, NOT_COMPARED, "", "has changed since it was read"]
     messages: list[ClusterMessage] = []
 
     class Scripted(SettingChanges):
@@ -174,7 +174,7 @@
     assert "s2 acts on" in row_oracles.settled(logs(acting=[]))[0]
     gone = logs(acting=[(9.0, {SHARE: (1, 1)})])
     gone.instances[0].acting = [(9.0, {SHARE: (1, 1)})]
-    assert row_oracles.settled(gone) == [f"{SHARE} (1, 2) was in force, and is gone"]
+    assert row_oracles.settled(gone) == [f"{SHARE} (1, 2) was in force, and is no longer acted on"]
 
 
 def test_logs_are_read_incrementally_in_whole_lines(tmp_path: Path) -> None:
