--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -34,7 +34,7 @@
     outcomes = " ".join(f"{name}={count}" for name, count in sorted(result.outcomes.items()))
     text = (
         f"seed {result.seed}: {result.verdict}, {result.requests} requests ({outcomes}), "
-        f"stand-ins held up {result.worst_holdup_s * 1000:.0f} ms, peak {result.figures['peak_mb']} MB"
+        f"stand-ins delayed by {result.worst_holdup_s * 1000:.0f} ms, peak {result.figures['peak_mb']} MB"
     )
     if result.broken:
         text += f"\n  again: python -m benchmarks.soak --seeds {result.seed} --seconds {seconds:g}"
@@ -54,8 +54,8 @@
             rules[violation.rule] = rules.get(violation.rule, 0) + 1
     counts = ", ".join(f"{verdicts.count(name)} {name}" for name in ("passed", "disturbed", "broken"))
     return (
-        f"{len(results)} plays, {sum(result.requests for result in results)} requests: {counts}; "
-        f"breaks by rule: {rules or 'none'}; load average {os.getloadavg()[0]:.1f}"
+        f"{len(results)} runs, {sum(result.requests for result in results)} requests: {counts}; "
+        f"violations by rule: {rules or 'none'}; load average {os.getloadavg()[0]:.1f}"
     )
 
 
--- a/benchmarks/soak/drawing.py
+++ b/benchmarks/soak/drawing.py
@@ -8,7 +8,7 @@
 
 from pipitshed.testbed.clients import KINDS
 
-LONGEST_DEADLINE_S = 3.0  # SIGKILL follows SIGTERM later than this, so no request under way loses time
+LONGEST_DEADLINE_S = 3.0  # SIGKILL follows SIGTERM later than this, so no request in progress is cut short
 RepeatKind = Literal["retryable", "dedup", "fragile"]
 FaultKind = Literal["roll", "goaway", "crash", "cut", "slow", "hang", "discovery"]
 
@@ -81,7 +81,7 @@
     pauses: tuple[Pause, ...]  # also after SIGTERM
     reloads: tuple[Reload, ...]
     second_sigterm_delay_s: float | None
-    # After SIGTERM no request is sent until the earliest of these times, so that kept connections idle.
+    # Seconds after SIGTERM; no request is sent until the earliest of them, so that open connections are idle.
     idle_until_s: tuple[float, ...]
 
 
--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -141,7 +141,7 @@
             at for at in scenario.idle_until_s if self.sigterm_at < monotonic() < self.sigterm_at + at
         ]
         if monotonic() > self.sigterm_at and len(still_idle_s) == len(scenario.idle_until_s):
-            return  # the gap after SIGTERM in which kept connections are idle
+            return  # the gap after SIGTERM in which open connections are idle
         clients = "http" if is_http else "gearman"
         if self._open_request_count(clients) >= self._connection_limits[clients]:
             return  # the scheduler refuses further connections without reading them
--- a/benchmarks/soak/rules.py
+++ b/benchmarks/soak/rules.py
@@ -12,7 +12,7 @@
 from pipitshed.testbed.fleet.standins import Member
 from pipitshed.testbed.planner import Run
 
-LATE_ATTEMPT_TOLERANCE_S = 0.1  # no attempt begins later than this after its client has an answer or left
+LATE_ATTEMPT_TOLERANCE_S = 0.1  # no attempt begins later than this after its client was answered or left
 SHOWN_PAUSES_S = 2.0  # pauses this close to a request are shown with it
 MIN_ACCEPT_AFTER_SIGTERM_S = 0.2  # new connections are accepted this long after SIGTERM
 ACCOUNT_RULES = ("answered_twice", "wrong_result", "served_unrun", "unfit_but_ran", "ran_unasked")
@@ -94,10 +94,10 @@
     )
     pauses = [pause for pause in records.pauses if abs(pause[0] - request.sent) < SHOWN_PAUSES_S]
     details += "".join(
-        f"\n  stood still {start - request.sent:.3f} to {end - request.sent:.3f}" for start, end in pauses
+        f"\n  paused from {start - request.sent:.3f} to {end - request.sent:.3f}" for start, end in pauses
     )
     if request.outcome == "unanswered":
-        # The scheduler took neither a request that crossed its close of the connection nor one that it
+        # The scheduler did not accept a request that crossed its close of the connection, or one that it
         # refused after it stopped listening.
         closing = request.ended > records.sigterm_at
         may_refuse = request.ended > records.sigterm_at + MIN_ACCEPT_AFTER_SIGTERM_S
@@ -143,12 +143,12 @@
 def describe(request: ClientRequest, runs: Iterable[Run]) -> str:
     """The records of one request in order, with times in seconds since it was sent."""
     lines = [
-        f"{request.kind} {request.job_class} patience {request.timeout:.3f} "
-        f"leaves {request.cancel_after:.3f}: "
+        f"{request.kind} {request.job_class} timeout {request.timeout:.3f} "
+        f"cancels after {request.cancel_after:.3f}: "
         f"{request.outcome} after {request.ended - request.sent:.3f} s {request.detail}"
     ]
     lines += [
-        f"  {run.planner} ({run.zone}, interface {run.interface}) came {run.arrived - request.sent:.3f} "
+        f"  {run.planner} ({run.zone}, interface {run.interface}) arrived {run.arrived - request.sent:.3f} "
         f"ended {run.ended - request.sent:.3f} {run.outcome}"
         for run in runs
     ]
--- a/pipitshed/placement/follow.py
+++ b/pipitshed/placement/follow.py
@@ -144,11 +144,11 @@
     ) -> dict[WorkerId, float]:
         """One step from the old fractions towards the new ones.
 
-        The fraction of a planner that has left is shared out at once, in proportion.
+        The whole fraction of a planner that has left goes to the others in this step, in proportion.
         """
         remaining = {worker: fraction for worker, fraction in old.items() if worker in ready}
         total = sum(remaining.values())
-        # A planner that has appeared meanwhile starts at 0.
+        # A planner that has become ready since the last step starts at 0.
         start = {
             worker: remaining.get(worker, 0.0) / total if total else new.get(worker, 0.0) for worker in ready
         }
