--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -36,7 +36,12 @@
 from pipitshed.membership.members import Address
 from pipitshed.membership.timing import ProtocolTimings
 from pipitshed.protocols.address import parse_address
-from pipitshed.testbed.virtual_fleet import DATAGRAM_HEADERS, ZONES, TrafficCounter, peak_bytes_per_second
+from pipitshed.testbed.virtual_fleet import (
+    DATAGRAM_HEADER_BYTES,
+    ZONES,
+    TrafficCounter,
+    peak_bytes_per_second,
+)
 
 SLOPE = "hollow"
 SIZES = (40, 100, 150, 300)
@@ -61,7 +66,7 @@
 
     def encode(self, message: ClusterMessage) -> bytes:
         data = super().encode(message)
-        self.out.add(monotonic(), len(data) + DATAGRAM_HEADERS)
+        self.out.add(monotonic(), len(data) + DATAGRAM_HEADER_BYTES)
         return data
 
 
--- a/benchmarks/soak/rules.py
+++ b/benchmarks/soak/rules.py
@@ -8,7 +8,7 @@
 
 from benchmarks.soak.drawing import JobClassSpec
 from pipitshed.testbed.accounts import account
-from pipitshed.testbed.clients import SLACK, ClientRequest
+from pipitshed.testbed.clients import SLACK_S, ClientRequest
 from pipitshed.testbed.fleet.standins import Member
 from pipitshed.testbed.planner import Run
 
@@ -107,7 +107,7 @@
         return [] if excused and not runs else [Violation("one_answer", request.token, details)]
     violations = []
     if request.outcome != "withdrawn":
-        late_s = request.ended - (request.sent + request.timeout) - SLACK
+        late_s = request.ended - (request.sent + request.timeout) - SLACK_S
         if late_s > _paused_s(records.pauses, request.sent, request.ended):
             violations.append(
                 Violation("answer_in_time", request.token, f"{late_s:.3f} s late: {details}", timed=True)
--- a/pipitshed/cli/client.py
+++ b/pipitshed/cli/client.py
@@ -12,7 +12,7 @@
 import click
 
 from pipitshed.cli.options import fail
-from pipitshed.cluster.codec import FRAME_LIMIT, LENGTH_PREFIX, Codec, MessageRejectedError
+from pipitshed.cluster.codec import FRAME_LIMIT_BYTES, LENGTH_PREFIX, Codec, MessageRejectedError
 from pipitshed.cluster.config_file import ClusterConfigError, read, secret_from
 from pipitshed.cluster.messages import ClusterMessage
 from pipitshed.cluster.streams import with_length_prefix
@@ -99,7 +99,7 @@
             connection.settimeout(REQUEST_TIMEOUT_S)
             connection.sendall(with_length_prefix(codec.encode(message)))
             (length,) = LENGTH_PREFIX.unpack(_receive(connection, LENGTH_PREFIX.size))
-            if length > FRAME_LIMIT:
+            if length > FRAME_LIMIT_BYTES:
                 raise RequestError("the answer exceeds the size limit of a message")
             answer = codec.decode(_receive(connection, length))
     except OSError as error:
--- a/pipitshed/cluster/codec.py
+++ b/pipitshed/cluster/codec.py
@@ -11,8 +11,8 @@
 from pipitshed.cluster.messages import ClusterMessage
 
 VERSION = 2
-DATAGRAM_LIMIT = 1400  # bytes; a longer message is sent only as an answer on a stream
-FRAME_LIMIT = 1 << 20  # bytes of one message on a stream; a view of about 10,000 members fits
+DATAGRAM_LIMIT_BYTES = 1400  # bytes; a longer message is sent only as an answer on a stream
+FRAME_LIMIT_BYTES = 1 << 20  # bytes of one message on a stream; a view of about 10,000 members fits
 CHECKSUM_BYTES = 8
 LENGTH_PREFIX = struct.Struct("<I")  # before each message on a stream
 _MAGIC = b"PF"
--- a/pipitshed/cluster/config_file.py
+++ b/pipitshed/cluster/config_file.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from pipitshed.membership.members import NAME_LIMIT, Address
+from pipitshed.membership.members import NAME_LIMIT_BYTES, Address
 from pipitshed.membership.timing import ProtocolTimings
 from pipitshed.protocols.address import parse_address
 from pipitshed.protocols.toml import line_of_key
@@ -150,8 +150,8 @@
     ):
         if required and not name:
             yield _InvalidKey((key,), "must not be empty")
-        if len(name.encode()) > NAME_LIMIT:
-            yield _InvalidKey((key,), f"longer than {NAME_LIMIT} bytes")
+        if len(name.encode()) > NAME_LIMIT_BYTES:
+            yield _InvalidKey((key,), f"longer than {NAME_LIMIT_BYTES} bytes")
     yield from _invalid_addresses(file)
     if (scales_fault := file.scales.find_invalid_field()) is not None:
         yield _InvalidKey(("scales", scales_fault[0]), scales_fault[1])
--- a/pipitshed/cluster/datagrams.py
+++ b/pipitshed/cluster/datagrams.py
@@ -7,7 +7,7 @@
 from typing import cast
 
 from pipitshed.cluster import counters
-from pipitshed.cluster.codec import DATAGRAM_LIMIT, Codec, MessageRejectedError
+from pipitshed.cluster.codec import DATAGRAM_LIMIT_BYTES, Codec, MessageRejectedError
 from pipitshed.cluster.messages import ClusterMessage
 from pipitshed.membership.members import Address
 
@@ -72,7 +72,7 @@
         if not limiter.try_acquire(self._loop.time()):
             self._count(counters.DROPPED_RATE_LIMIT)
             return
-        if len(data) > DATAGRAM_LIMIT:
+        if len(data) > DATAGRAM_LIMIT_BYTES:
             self._count(counters.DROPPED_SIZE_LIMIT)
             return
         try:
--- a/pipitshed/cluster/node.py
+++ b/pipitshed/cluster/node.py
@@ -11,7 +11,7 @@
 from collections import Counter
 
 from pipitshed.cluster import counters, peer_sockets
-from pipitshed.cluster.codec import DATAGRAM_LIMIT, Codec
+from pipitshed.cluster.codec import DATAGRAM_LIMIT_BYTES, Codec
 from pipitshed.cluster.config_file import ClusterConfig
 from pipitshed.cluster.datagrams import Datagrams
 from pipitshed.cluster.event_log import EventLog
@@ -242,7 +242,7 @@
             self.counts[counters.REPAIR_BYTES_OUT] += len(data)
         if self._streams.answer(instruction.to, data):
             return
-        if len(data) > DATAGRAM_LIMIT:
+        if len(data) > DATAGRAM_LIMIT_BYTES:
             self.count(counters.DROPPED_TOO_LONG)
         else:
             self._datagrams.send(instruction.to, data)
--- a/pipitshed/cluster/streams.py
+++ b/pipitshed/cluster/streams.py
@@ -7,7 +7,7 @@
 from typing import cast
 
 from pipitshed.cluster import counters
-from pipitshed.cluster.codec import FRAME_LIMIT, LENGTH_PREFIX, Codec, MessageRejectedError
+from pipitshed.cluster.codec import FRAME_LIMIT_BYTES, LENGTH_PREFIX, Codec, MessageRejectedError
 from pipitshed.cluster.messages import ClusterMessage
 from pipitshed.membership.members import Address
 from pipitshed.protocols.buffer import Buffer, TooLongError
@@ -26,7 +26,7 @@
 
     def __init__(self, streams: Streams) -> None:
         self._streams = streams
-        self._buffer = Buffer(FRAME_LIMIT + LENGTH_PREFIX.size)
+        self._buffer = Buffer(FRAME_LIMIT_BYTES + LENGTH_PREFIX.size)
         self._timeout: asyncio.TimerHandle | None = None
         self.transport: asyncio.Transport | None = None
         self.address: Address = ("", 0)
@@ -58,7 +58,7 @@
     def _read_messages(self) -> None:
         while len(self._buffer) >= LENGTH_PREFIX.size:
             (length,) = LENGTH_PREFIX.unpack(self._buffer.peek(LENGTH_PREFIX.size))
-            if length > FRAME_LIMIT:
+            if length > FRAME_LIMIT_BYTES:
                 raise TooLongError(f"a message of {length} bytes")
             if len(self._buffer) < LENGTH_PREFIX.size + length:
                 return
--- a/pipitshed/membership/members.py
+++ b/pipitshed/membership/members.py
@@ -8,8 +8,8 @@
 
 from pipitshed.replication.merkle_tree import hash64
 
-NAME_LIMIT = 64  # bytes of a name, zone, host or region
-_ALWAYS_VALID_CHARS = NAME_LIMIT // 4  # a character has at most 4 bytes in UTF-8
+NAME_LIMIT_BYTES = 64  # bytes of a name, zone, host or region
+_ALWAYS_VALID_CHARS = NAME_LIMIT_BYTES // 4  # a character has at most 4 bytes in UTF-8
 _encoder = msgspec.msgpack.Encoder()
 Address = tuple[str, int]
 
@@ -80,7 +80,9 @@
         texts = (self.name, self.zone, self.host, self.reported_by, self.region)
         return (
             bool(self.name and self.host)
-            and all(len(text) <= _ALWAYS_VALID_CHARS or len(text.encode()) <= NAME_LIMIT for text in texts)
+            and all(
+                len(text) <= _ALWAYS_VALID_CHARS or len(text.encode()) <= NAME_LIMIT_BYTES for text in texts
+            )
             and 0 < self.port < 65536
             and 0 <= self.incarnation < 2**62
             and 0 <= self.instance_id < 2**32
--- a/pipitshed/testbed/accounts.py
+++ b/pipitshed/testbed/accounts.py
@@ -10,10 +10,10 @@
 
 from pipitshed.testbed.clients import ClientRequest
 from pipitshed.testbed.fleet.standins import Member
-from pipitshed.testbed.planner import DEDUP_WINDOW, Run
+from pipitshed.testbed.planner import DEDUP_WINDOW_S, Run
 
-OVERLAP = 0.05  # s; two attempts may appear to overlap, as cancel and send use separate connections
-DRAIN = 1.5 + 0.05  # s after the drain notice in which attempts may still arrive: `drainGrace` and a margin
+OVERLAP_S = 0.05  # s; two attempts may appear to overlap, as cancel and send use separate connections
+DRAIN_S = 1.5 + 0.05  # s after the drain notice in which attempts may still arrive: `drainGrace` and a margin
 OUTCOMES = ("served", "refused", "failed", "withdrawn", "unanswered")
 MUST_BE_ZERO = ("unanswered", "answered_twice", "ran_twice_forbidden", "two_outstanding", "after_drain")
 
@@ -46,7 +46,7 @@
         if request.job_class == "book" and _may_have_run_twice(ran):
             faults["ran_twice_forbidden"].append(request.token)
         if any(
-            later.arrived < (earlier.ended or float("inf")) - OVERLAP
+            later.arrived < (earlier.ended or float("inf")) - OVERLAP_S
             for place, earlier in enumerate(attempts)
             for later in attempts[place + 1 :]
         ):
@@ -72,7 +72,9 @@
         faults["ran_unasked"].append(token)
     for member in members:
         for began, until in member.drains:
-            late = [run for run in runs if run.planner == member.name and began + DRAIN < run.arrived < until]
+            late = [
+                run for run in runs if run.planner == member.name and began + DRAIN_S < run.arrived < until
+            ]
             faults["after_drain"] += [
                 f"{run.token}: {member.name} {run.arrived - began:.3f} s" for run in late
             ]
@@ -121,4 +123,4 @@
     """
     if len({run.zone for run in ran}) > 1:
         return True
-    return any(later.arrived - earlier.arrived > DEDUP_WINDOW for earlier in ran for later in ran)
+    return any(later.arrived - earlier.arrived > DEDUP_WINDOW_S for earlier in ran for later in ran)
--- a/pipitshed/testbed/clients.py
+++ b/pipitshed/testbed/clients.py
@@ -16,7 +16,7 @@
 from pipitshed.testbed.program import TENANTS
 
 KINDS = ("http-v0", "http-v1", "gearman-v0", "gearman-v1")
-SLACK = 0.06  # s after the deadline; an answer that is later counts as missing
+SLACK_S = 0.06  # s after the deadline; an answer that is later counts as missing
 CUTOFF = 1_800_003_600  # Unix time in s; a field of each job
 _FUNCTIONS = {
     ("gearman-v0", "quote"): b"plan_quote",
@@ -47,7 +47,7 @@
     detail: str = ""
     not_accepted: bool = False  # refused connection, or a reused one that was closed already
     reused_connection: bool = False  # it was sent on a connection that was kept open
-    slack: float = SLACK  # s after the timeout for which the client still reads
+    slack: float = SLACK_S  # s after the timeout for which the client still reads
 
 
 def draw_request(
--- a/pipitshed/testbed/experiment.py
+++ b/pipitshed/testbed/experiment.py
@@ -18,8 +18,8 @@
 from pipitshed.testbed.planner import Behaviour
 from pipitshed.testbed.program import RunningScheduler, scheduler
 
-PLAN_RAMP = 9.0  # s in which the scheduler ramps up a placement plan
-DETECTION_TIME = 0.3  # s before the traffic, in which the scheduler detects unlisted interfaces
+PLAN_RAMP_S = 9.0  # s in which the scheduler ramps up a placement plan
+DETECTION_TIME_S = 0.3  # s before the traffic, in which the scheduler detects unlisted interfaces
 
 
 class FleetFile(msgspec.Struct, rename="kebab", forbid_unknown_fields=True):
@@ -140,7 +140,7 @@
     requests: list[ClientRequest] = []
     try:
         async with scheduler(fleet.discovery.port, plan=plan) as running:
-            await asyncio.sleep(PLAN_RAMP if plan else DETECTION_TIME)
+            await asyncio.sleep(PLAN_RAMP_S if plan else DETECTION_TIME_S)
             started, before = monotonic(), running.cpu()
             length = request_count / traffic.rate
             script = asyncio.create_task(_run_troubles(experiment, fleet, rng, length))
--- a/pipitshed/testbed/fleet/links.py
+++ b/pipitshed/testbed/fleet/links.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-DRIP_CHUNK = 64  # bytes that a throttled stream sends between two pauses
+DRIP_CHUNK_BYTES = 64  # bytes that a throttled stream sends between two pauses
 
 
 @dataclass
@@ -57,7 +57,9 @@
         bytes_per_second = self.bytes_per_second
         if not bytes_per_second:
             return [(size, 0.0)]
-        parts = [DRIP_CHUNK] * (size // DRIP_CHUNK) + ([size % DRIP_CHUNK] if size % DRIP_CHUNK else [])
+        parts = [DRIP_CHUNK_BYTES] * (size // DRIP_CHUNK_BYTES) + (
+            [size % DRIP_CHUNK_BYTES] if size % DRIP_CHUNK_BYTES else []
+        )
         return [(part, part / bytes_per_second) for part in parts]
 
 
--- a/pipitshed/testbed/fleet/oracles.py
+++ b/pipitshed/testbed/fleet/oracles.py
@@ -12,7 +12,7 @@
 
 from pipitshed.testbed.clients import ClientRequest
 
-DISRUPTION_MARGIN = 1.0  # s around a fault of a process in which its requests may be lost
+DISRUPTION_MARGIN_S = 1.0  # s around a fault of a process in which its requests may be lost
 
 
 Version = tuple[int, int]  # a row's term and number
@@ -203,7 +203,7 @@
                 other is not None
                 and (other.ended is None or when < other.ended)
                 and not any(
-                    since <= when <= until + DISRUPTION_MARGIN
+                    since <= when <= until + DISRUPTION_MARGIN_S
                     for since, until in (*other.paused, *instance.paused)
                 )
             ):
@@ -220,9 +220,10 @@
         instance = targets[request.token]
         touched = [instance.spawned] if instance.ended is None else [instance.spawned, instance.ended]
         near = any(
-            request.sent - DISRUPTION_MARGIN <= when <= request.ended + DISRUPTION_MARGIN for when in touched
+            request.sent - DISRUPTION_MARGIN_S <= when <= request.ended + DISRUPTION_MARGIN_S
+            for when in touched
         ) or any(
-            since - DISRUPTION_MARGIN <= request.ended and request.sent <= until + DISRUPTION_MARGIN
+            since - DISRUPTION_MARGIN_S <= request.ended and request.sent <= until + DISRUPTION_MARGIN_S
             for since, until in instance.paused
         )
         if request.outcome == "unanswered" and not near:
--- a/pipitshed/testbed/fleet/processes.py
+++ b/pipitshed/testbed/fleet/processes.py
@@ -25,9 +25,9 @@
 # The last byte of loopback addresses: the lowest of processes, the lowest of relays, and that of stand-ins.
 PROCESS_HOSTS, RELAY_HOSTS, OUTSIDE_HOST = 10, 110, 210
 MAX_PROCESSES = 95  # limited by the last byte of the addresses
-START_TIMEOUT = 20.0  # s until the first event is logged
-STOP_TIMEOUT = 25.0  # s from SIGTERM to SIGKILL
-POLL_INTERVAL = 0.02  # s between checks for the first event
+START_TIMEOUT_S = 20.0  # s until the first event is logged
+STOP_TIMEOUT_S = 25.0  # s from SIGTERM to SIGKILL
+POLL_INTERVAL_S = 0.02  # s between checks for the first event
 
 
 class ProcessError(RuntimeError):
@@ -113,7 +113,7 @@
         )
 
     async def start(self, disk: bool = True, clock: float = 0.0) -> None:
-        """Start the process and wait for its first event; raises ProcessError after START_TIMEOUT."""
+        """Start the process and wait for its first event; raises ProcessError after START_TIMEOUT_S."""
         if not disk:
             shutil.rmtree(self.folder, ignore_errors=True)
         self.starts += 1
@@ -143,13 +143,13 @@
             clock=clock,
             disk=disk,
         )
-        until = monotonic() + START_TIMEOUT
+        until = monotonic() + START_TIMEOUT_S
         while not (events.exists() and events.stat().st_size):
             if self.running.returncode is not None or monotonic() > until:
                 raise ProcessError(
                     f"{self.name} did not start: see log-{self.name}-{self.place + 1}-{self.starts}.txt"
                 )
-            await asyncio.sleep(POLL_INTERVAL)
+            await asyncio.sleep(POLL_INTERVAL_S)
         self.accepts_clients = True
 
     def kill(self) -> None:
@@ -172,10 +172,10 @@
             return
         self.running.send_signal(signal.SIGTERM)
         try:
-            code = await asyncio.wait_for(self.running.wait(), STOP_TIMEOUT)
+            code = await asyncio.wait_for(self.running.wait(), STOP_TIMEOUT_S)
         except TimeoutError:
             self.running.kill()
-            raise ProcessError(f"{self.name} did not end {STOP_TIMEOUT:.0f} s after SIGTERM") from None
+            raise ProcessError(f"{self.name} did not end {STOP_TIMEOUT_S:.0f} s after SIGTERM") from None
         if code != 0:
             raise ProcessError(f"{self.name} ended with exit code {code} after SIGTERM")
 
--- a/pipitshed/testbed/fleet/relays.py
+++ b/pipitshed/testbed/fleet/relays.py
@@ -15,7 +15,7 @@
 from pipitshed.testbed.fleet.links import Link, Links
 
 Address = tuple[str, int]
-CUT_POLL_INTERVAL = 0.02  # s between checks whether a cut link works again
+CUT_POLL_INTERVAL_S = 0.02  # s between checks whether a cut link works again
 
 
 class _Datagrams(asyncio.DatagramProtocol):
@@ -88,7 +88,7 @@
         self._streams[writer.transport] = name
         try:
             while there.cut or back.cut:  # the stream is not connected; the caller may close it
-                await asyncio.sleep(CUT_POLL_INTERVAL)
+                await asyncio.sleep(CUT_POLL_INTERVAL_S)
                 if writer.is_closing() or reader.at_eof():
                     return
             await asyncio.sleep(there.delay)
@@ -108,7 +108,7 @@
         with contextlib.suppress(OSError, RuntimeError):  # uvloop raises RuntimeError on a closed transport
             while data := await reader.read(65536):
                 while link.cut:
-                    await asyncio.sleep(CUT_POLL_INTERVAL)
+                    await asyncio.sleep(CUT_POLL_INTERVAL_S)
                 if delay := link.delay:
                     await asyncio.sleep(delay)
                 place = 0
--- a/pipitshed/testbed/fleet/row_oracles.py
+++ b/pipitshed/testbed/fleet/row_oracles.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from pipitshed.testbed.fleet.oracles import (
-    DISRUPTION_MARGIN,
+    DISRUPTION_MARGIN_S,
     InForce,
     Instance,
     Logs,
@@ -65,10 +65,10 @@
     for instance in (writer, other):
         if not instance.started or instance.started > since:
             return False
-        if instance.ended is not None and instance.ended <= claim.when + DISRUPTION_MARGIN:
+        if instance.ended is not None and instance.ended <= claim.when + DISRUPTION_MARGIN_S:
             return False
         if any(
-            paused_at <= claim.when + DISRUPTION_MARGIN and resumed_at >= since
+            paused_at <= claim.when + DISRUPTION_MARGIN_S and resumed_at >= since
             for paused_at, resumed_at in instance.paused
         ):
             return False
--- a/pipitshed/testbed/fleet/scenario_run.py
+++ b/pipitshed/testbed/fleet/scenario_run.py
@@ -23,9 +23,9 @@
 from pipitshed.testbed.fleet.standins import PlannerFleet
 from pipitshed.testbed.planner import Behaviour
 
-POLL_INTERVAL = 0.05  # s between checks whether all views are correct
-AGREEMENT_HOLD = 1.0  # s for which the views must then stay correct
-WARM_UP = 1.0  # s of traffic before the first fault
+POLL_INTERVAL_S = 0.05  # s between checks whether all views are correct
+AGREEMENT_HOLD_S = 1.0  # s for which the views must then stay correct
+WARM_UP_S = 1.0  # s of traffic before the first fault
 MIX = {"http-v1": 1.0}
 MAX_ATTEMPTS = 8  # schedulers that a client tries until one accepts its request
 MUST_BE_ZERO = ("answered_twice", "ran_twice_forbidden", "wrong_result", "served_unrun", "ran_unasked")
@@ -80,7 +80,7 @@
             if joined is None:
                 self.log("wrong", text=f"not all processes had joined after {self.scenario.joined_within} s")
             traffic = asyncio.create_task(self._traffic())
-            await asyncio.sleep(WARM_UP)
+            await asyncio.sleep(WARM_UP_S)
             faults, puts = Faults(self.processes, self.log), SettingChanges(self.processes, self.log)
             putting = asyncio.create_task(puts.run(self.puts))
             await faults.run(self.faults)
@@ -92,7 +92,7 @@
                 last = await puts.put_and_follow(SettingChange(0.0, process_name(0), KEYS[0], "0.5"))
                 if last != "in force":
                     self.log("wrong", text=f"a setting change after all faults were over was {last}")
-            await asyncio.sleep(AGREEMENT_HOLD)
+            await asyncio.sleep(AGREEMENT_HOLD_S)
             traffic.cancel()
             await asyncio.gather(*self._sending)
             self.log("end", joined=joined, began=began)
@@ -125,7 +125,7 @@
             logs = self._log_reader.read_new()
             if not oracles.settled(logs)[1] and not row_oracles.settled(logs):
                 return monotonic() - began
-            await asyncio.sleep(POLL_INTERVAL)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return None
 
     async def _watch_exits(self) -> None:
@@ -149,7 +149,7 @@
                         start=watched.starts,
                         code=watched.running.returncode,
                     )
-            await asyncio.sleep(POLL_INTERVAL)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     # ---- clients
 
--- a/pipitshed/testbed/fleet/setting_changes.py
+++ b/pipitshed/testbed/fleet/setting_changes.py
@@ -22,8 +22,8 @@
 from pipitshed.testbed.fleet.processes import Process, Processes
 from pipitshed.testbed.fleet.scenario import SettingChange
 
-POLL_INTERVAL = 0.1  # s between queries whether a change is in force
-FOLLOW_TIMEOUT = 20.0  # s after which a change is no longer polled
+POLL_INTERVAL_S = 0.1  # s between queries whether a change is in force
+FOLLOW_TIMEOUT_S = 20.0  # s after which a change is no longer polled
 _Reply = TypeVar("_Reply", bound=ClusterMessage)
 
 
@@ -80,21 +80,21 @@
         A process that has just started refuses with NOT_COMPARED; the change is then put again, as the
         operators' page says.
         """
-        until = monotonic() + FOLLOW_TIMEOUT
+        until = monotonic() + FOLLOW_TIMEOUT_S
         done = await self._put(process, put)
         while done.why == NOT_COMPARED and monotonic() < until:
-            await asyncio.sleep(POLL_INTERVAL)
+            await asyncio.sleep(POLL_INTERVAL_S)
             done = await self._put(process, put)
         if done.why:
             self._log("refused", key=put.key, process=process.name, why=done.why)
             return "refused", (0, 0)
         version = done.term, done.number
-        until = monotonic() + FOLLOW_TIMEOUT
+        until = monotonic() + FOLLOW_TIMEOUT_S
         while monotonic() < until:
             force = await self._request(process, CommitStatusRequest(put.key, *version), CommitStatusResponse)
             if force.in_force or force.superseded:
                 return "in force" if force.in_force else "superseded", version
-            await asyncio.sleep(POLL_INTERVAL)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return "not in force", version
 
     async def _put(self, process: Process, put: SettingChange) -> PutResponse:
--- a/pipitshed/testbed/fleet/standins.py
+++ b/pipitshed/testbed/fleet/standins.py
@@ -15,7 +15,7 @@
 from pipitshed.testbed.planner import Behaviour, Planner, Record
 
 ZONES = ("lima-norte", "arequipa")
-HEARTBEAT = 2.0  # s between empty lines on a discovery watch
+HEARTBEAT_S = 2.0  # s between empty lines on a discovery watch
 
 
 class TcpForwarder:
@@ -152,7 +152,7 @@
             self._watches.add(writer)
             while not writer.is_closing():
                 with contextlib.suppress(TimeoutError):
-                    if not await asyncio.wait_for(reader.read(1), HEARTBEAT):
+                    if not await asyncio.wait_for(reader.read(1), HEARTBEAT_S):
                         break
                 await self._responding.wait()
                 writer.write(b"1\r\n\n\r\n")
--- a/pipitshed/testbed/planner.py
+++ b/pipitshed/testbed/planner.py
@@ -9,7 +9,7 @@
 from time import monotonic
 from typing import Any
 
-DEDUP_WINDOW = 25.0  # s in which the planners of one zone answer a repeated key with the first result
+DEDUP_WINDOW_S = 25.0  # s in which the planners of one zone answer a repeated key with the first result
 
 
 @dataclass(slots=True)
@@ -99,7 +99,7 @@
     def _known_result(self, place: tuple[str, str], arrived: float) -> asyncio.Future[dict[str, Any]] | None:
         """Return the result of an earlier attempt with this key in its zone, which may still run, or None."""
         began, result = self.record.keys.get(place, (float("-inf"), None))
-        if result is None or arrived - began >= DEDUP_WINDOW or result.cancelled():
+        if result is None or arrived - began >= DEDUP_WINDOW_S or result.cancelled():
             return None
         return result
 
--- a/pipitshed/testbed/program.py
+++ b/pipitshed/testbed/program.py
@@ -19,7 +19,7 @@
 
 TENANTS = {"andes-retail": 0.51, "costa-carga": 0.18, "sur-express": 0.18, "selva-trans": 0.13}
 TEMPLATES = importlib.resources.files("pipitshed.templates")
-START_TIMEOUT = 20.0  # s for each line of the start-up log
+START_TIMEOUT_S = 20.0  # s for each line of the start-up log
 
 
 def settings(rate: float = 1000.0) -> dict[str, Any]:
@@ -172,7 +172,7 @@
         try:
             ports: list[int] = []
             while len(ports) < (2 if gearman else 1):
-                line = (await asyncio.wait_for(process.stdout.readline(), START_TIMEOUT)).decode()
+                line = (await asyncio.wait_for(process.stdout.readline(), START_TIMEOUT_S)).decode()
                 if "listening" in line:
                     ports.append(int(line.rpartition(":")[2]))
                 elif not line.startswith("INFO"):
--- a/pipitshed/testbed/up.py
+++ b/pipitshed/testbed/up.py
@@ -14,7 +14,7 @@
 from pipitshed.testbed.planner import Behaviour
 from pipitshed.testbed.program import scheduler
 
-REFRESH_INTERVAL = 0.5  # s between updates of the table
+REFRESH_INTERVAL_S = 0.5  # s between updates of the table
 
 
 def _table(fleet: PlannerFleet) -> Table:
@@ -75,7 +75,7 @@
                 while not ended.is_set() and running.process.returncode is None:
                     live.update(_table(fleet), refresh=True)
                     try:
-                        await asyncio.wait_for(ended.wait(), REFRESH_INTERVAL)
+                        await asyncio.wait_for(ended.wait(), REFRESH_INTERVAL_S)
                     except TimeoutError:
                         continue
     finally:
--- a/pipitshed/testbed/virtual_fleet.py
+++ b/pipitshed/testbed/virtual_fleet.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import cast
 
-from pipitshed.cluster.codec import DATAGRAM_LIMIT, Codec
+from pipitshed.cluster.codec import DATAGRAM_LIMIT_BYTES, Codec
 from pipitshed.membership.members import Address, MemberState
 from pipitshed.membership.messages import Message
 from pipitshed.membership.timing import ProtocolTimings
@@ -17,7 +17,7 @@
 ZONES = ("norte/1", "norte/2", "norte/3", "centro/1", "centro/2", "sur/1", "sur/2")
 WITHIN_ZONE, WITHIN_REGION, BETWEEN_REGIONS = 0.0005, 0.001, 0.040  # s, one way
 JITTER = 0.1  # upper bound of the random extra delay, as a share of the delay
-DATAGRAM_HEADERS = 28  # bytes of IP and UDP
+DATAGRAM_HEADER_BYTES = 28  # bytes of IP and UDP
 SEEDS = (0, 3, 5)  # one in each region
 SETTINGS = "settings"  # name of the replicated table
 
@@ -149,10 +149,10 @@
     def _send(self, node: Node, to: Address, message: Message) -> None:
         data = self.codec.encode(message)
         self.sent[node.name] += 1
-        if len(data) > DATAGRAM_LIMIT:
+        if len(data) > DATAGRAM_LIMIT_BYTES:
             self.oversized += 1
             return
-        size = len(data) + DATAGRAM_HEADERS
+        size = len(data) + DATAGRAM_HEADER_BYTES
         self._add(self.out, node.address, size)
         if self.cut(node.address, to) or self.rng.random() < self.loss or to not in self.nodes:
             return
--- a/pipitshed/testbed/virtual_network.py
+++ b/pipitshed/testbed/virtual_network.py
@@ -27,7 +27,7 @@
 from pipitshed.replication.row_table import RowTable
 
 ZONES = ("one", "two", "three")
-ENVELOPE = 22  # bytes that the cluster's codec adds to a message, with a cluster name of usual length
+ENVELOPE_BYTES = 22  # bytes that the cluster's codec adds to a message, with a cluster name of usual length
 
 
 @dataclass
@@ -214,7 +214,7 @@
 
     def _send(self, node: Node, to: Address, message: Message) -> None:
         self.sent[node.name] += 1
-        self.bytes_out[node.name, int(self.now)] += message_size(message) + ENVELOPE
+        self.bytes_out[node.name, int(self.now)] += message_size(message) + ENVELOPE_BYTES
         if self.cut(node.address, to) or self.rng.random() < self.loss:
             return
         self._post(self.rng.uniform(*self.delay), node.address, to, message)
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -17,7 +17,13 @@
 
 from pipitshed.cli.commands import main
 from pipitshed.cluster import streams
-from pipitshed.cluster.codec import DATAGRAM_LIMIT, FRAME_LIMIT, LENGTH_PREFIX, Codec, MessageRejectedError
+from pipitshed.cluster.codec import (
+    DATAGRAM_LIMIT_BYTES,
+    FRAME_LIMIT_BYTES,
+    LENGTH_PREFIX,
+    Codec,
+    MessageRejectedError,
+)
 from pipitshed.cluster.config_file import ClusterConfig, ClusterConfigError, read
 from pipitshed.cluster.datagrams import UNKNOWN_SENDERS_BURST, UNKNOWN_SENDERS_PER_S, RateLimiter
 from pipitshed.cluster.messages import ViewRequest, ViewResponse
@@ -121,7 +127,10 @@
     for record in long:
         queue.add(record)
     taken = queue.take(GOSSIP_LIMIT_BYTES, 40)
-    assert taken and len(Codec("c" * 64).encode(Ping(2**60, long[0], long[1].name, taken))) <= DATAGRAM_LIMIT
+    assert (
+        taken
+        and len(Codec("c" * 64).encode(Ping(2**60, long[0], long[1].name, taken))) <= DATAGRAM_LIMIT_BYTES
+    )
 
 
 def test_rate_limiter_enforces_burst_and_rate() -> None:
@@ -282,7 +291,7 @@
     ends = await asyncio.gather(*(reader.read() for reader, _ in connections), return_exceptions=True)
     assert len(ends) == streams.MAX_STREAMS + 8  # all were closed, at their timeout at the latest
     reader, writer = await asyncio.open_connection(*node.address)
-    writer.write(LENGTH_PREFIX.pack(FRAME_LIMIT + 1))
+    writer.write(LENGTH_PREFIX.pack(FRAME_LIMIT_BYTES + 1))
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
         await reader.readexactly(1)
     assert node.counts["dropped_size"] == 1
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pipitshed.cluster.codec import DATAGRAM_LIMIT, Codec
+from pipitshed.cluster.codec import DATAGRAM_LIMIT_BYTES, Codec
 from pipitshed.membership.members import Address
 from pipitshed.membership.messages import Ping, RepairMessage
 from pipitshed.replication.anti_entropy import AntiEntropy
@@ -29,7 +29,7 @@
 from pipitshed.replication.row import FORMAT_VERSION, Row, precedence
 from pipitshed.replication.row_table import ApplyResult, RowError, RowTable
 from pipitshed.testbed import virtual_network
-from pipitshed.testbed.virtual_network import ENVELOPE, Network, Node
+from pipitshed.testbed.virtual_network import ENVELOPE_BYTES, Network, Node
 
 PEER_ADDRESS = ("127.0.0.1", 1)
 ROWS_DECODER = msgspec.msgpack.Decoder(tuple[Row, ...])
@@ -488,7 +488,7 @@
     )
     assert (
         max_bytes_in_one_second(network, start_second) < MAX_BYTES_PER_S
-        and 500 < longest[0] <= DATAGRAM_LIMIT
+        and 500 < longest[0] <= DATAGRAM_LIMIT_BYTES
     )
 
 
@@ -566,7 +566,7 @@
             node: Node, to: Address, message: object, sizes: list[int] = sizes, send: object = send
         ) -> None:
             if isinstance(message, RepairMessage) and message.part.table == 1:
-                sizes.append(message_size(message) + ENVELOPE)
+                sizes.append(message_size(message) + ENVELOPE_BYTES)
             send(node, to, message)  # type: ignore[operator]
 
         network._send = record_size  # type: ignore[method-assign, assignment]
